--- a/internal/core/coordinator/batches.go
+++ b/internal/core/coordinator/batches.go
@@ -11,25 +11,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// notReadyRetryAfter is when a trainer should ask again for a batch that is not
-// whole yet.
+// notReadyRetryAfter is the RetryAfter hint of refusals that a retry may resolve.
 const notReadyRetryAfter = time.Second
 
-// redeliveryGrace is how long after a delivery no question voids the batch for
-// being stale: a question sent at the same time as the answered one may come
-// late, and the trainer may be using the batch already.
+// redeliveryGrace is how long after a delivery a request for the same batch does not
+// void it for staleness: a duplicate of the answered request may arrive late, while
+// the trainer is already using the batch.
 const redeliveryGrace = 5 * time.Second
 
-// waiter is a question for a batch without an answer so far.
+// waiter is a pending request for a batch.
 type waiter struct {
 	token    uint64
 	number   port.BatchNumber
 	epoch    port.Epoch
 	deadline time.Time
 	arrived  time.Time
-	// checked is set once a command that went to the log after the question came
-	// was answered.
-	checked bool
+	// confirmed is set once the log has answered a command or read that was sent after
+	// the request arrived.
+	confirmed bool
 }
 
 // heldBatch is the payload of the last committed batch.
@@ -40,8 +39,8 @@
 	oldest  port.WeightVersion
 	samples []DeliveredSample
 	prompts []port.Prompt
-	// delivered is when it was last delivered, to the consumer epoch deliveredTo;
-	// zero if it never was.
+	// delivered is the time of the last delivery, zero if there was none; deliveredTo
+	// is the consumer epoch that received it.
 	delivered   time.Time
 	deliveredTo port.Epoch
 }
@@ -53,7 +52,7 @@
 		arrived: c.now,
 	})
 	if event.ConsumerEpoch == c.ledger.Consumer.Epoch && event.Number <= c.ledger.Committed+1 {
-		c.asked = max(c.asked, event.Number)
+		c.highestRequested = max(c.highestRequested, event.Number)
 	}
 }
 
@@ -61,8 +60,8 @@
 	c.waiters = slices.DeleteFunc(c.waiters, func(w waiter) bool { return w.token == token })
 }
 
-// serveWaiters answers every question that can be answered and starts the
-// commit that the others wait for.
+// serveWaiters answers the requests that can be answered and proposes a batch for the
+// others.
 func (c *Coordinator) serveWaiters() {
 	if len(c.waiters) == 0 {
 		return
@@ -79,7 +78,7 @@
 	}
 }
 
-// serve answers one question if it can.
+// serve answers one request if possible.
 func (c *Coordinator) serve(w waiter) (answered bool) {
 	consumer := c.ledger.Consumer.Epoch
 	if w.epoch > consumer {
@@ -89,7 +88,7 @@
 		c.refuse(w.token, port.NotRun, port.CodeFenced, "consumer epoch %d is fenced off by %d", w.epoch, consumer)
 		return true
 	}
-	if w.number <= c.ledger.Acknowledged || w.number < c.asked {
+	if w.number <= c.ledger.Acknowledged || w.number < c.highestRequested {
 		c.refuse(w.token, port.NotRun, port.CodeFenced, "batch %d is acknowledged", w.number)
 		return true
 	}
@@ -97,11 +96,11 @@
 		c.refuse(w.token, port.NotRun, port.CodeConflict, "batch %d is not the next one, %d is", w.number, c.ledger.Committed+1)
 		return true
 	}
-	if c.heldFor(w.number) && c.pending == nil && c.leaseValid() {
+	if c.canDeliver(w.number) && c.pending == nil && c.leaseValid() {
 		return c.serveHeld(w)
 	}
-	if c.heldStale(w) {
-		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was delivered a moment ago and is stale by now", w.number)
+	if c.staleAfterDelivery(w) {
+		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was just delivered and is now stale", w.number)
 		return true
 	}
 	if c.draining && c.pending == nil {
@@ -111,21 +110,21 @@
 	return false
 }
 
-// serveHeld delivers the held batch. A batch that was delivered before goes only to a
-// question that an answer of the log vouches for: a version may have been published
-// since its commit of which this node has not heard. The log cannot vouch for a
-// question beside which another one got the batch. From then on the trainer may
-// publish, and a state of the ledger can be from before that and come after it.
+// serveHeld delivers the held batch. A batch that was delivered before is delivered
+// again only to a confirmed request, since this node may not have seen a version
+// published after the commit. A ledger read can't confirm a request that was already
+// waiting when the batch was delivered to another one: from then on the trainer may
+// publish, and a state read before the publication may arrive after it.
 func (c *Coordinator) serveHeld(w waiter) (answered bool) {
 	switch {
-	case c.staleOnceUnderWay():
-		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was delivered before, and a version is being published under which it is stale", w.number)
+	case c.staleUnderPendingPublication():
+		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was delivered before and is stale under the version being published", w.number)
 		return true
-	case w.checked, c.held.delivered.IsZero():
+	case w.confirmed, c.held.delivered.IsZero():
 		c.deliver(w)
 		return true
-	case c.deliveredBeside(w):
-		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was delivered to another question that waited beside this one", w.number)
+	case c.deliveredWhileWaiting(w):
+		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was delivered to another request while this one was waiting", w.number)
 		return true
 	default:
 		c.readLedger()
@@ -133,26 +132,26 @@
 	}
 }
 
-// staleOnceUnderWay says whether the batch was delivered before and is too old under a
-// version that is being published. Who publishes it may go on as soon as the log has it, which
-// is before the log's next answer says so here. A first delivery is not held back: its commit
-// stands, and no trainer has gone on from it.
-func (c *Coordinator) staleOnceUnderWay() bool {
-	newest := c.underWay.newest(c.version, c.now)
+// staleUnderPendingPublication reports whether the batch was delivered before and is
+// stale under a version that is being published. The publisher may continue as soon as
+// the log has the version, which is before this node learns of it. A first delivery is
+// not delayed: no trainer has used the batch yet.
+func (c *Coordinator) staleUnderPendingPublication() bool {
+	newest := c.pendingPublication.highestVersion(c.version, c.now)
 	return !c.held.delivered.IsZero() && ageAt(newest, c.held.oldest) > c.config.Sampling.StalenessBound
 }
 
-// deliveredBeside says whether the consumer got the batch by another question while
-// this one waited.
-func (c *Coordinator) deliveredBeside(w waiter) bool {
+// deliveredWhileWaiting reports whether the consumer received the batch through
+// another request while this one was waiting.
+func (c *Coordinator) deliveredWhileWaiting(w waiter) bool {
 	held := c.held
 	return held.deliveredTo == w.epoch && !held.delivered.Before(w.arrived)
 }
 
-// serveUnknownConsumer handles a consumer newer than the known ledger state:
-// it counts only once the ledger confirms it.
+// serveUnknownConsumer handles a consumer epoch above the known one; the ledger must
+// confirm it first.
 func (c *Coordinator) serveUnknownConsumer(w waiter) (answered bool) {
-	if w.checked {
+	if w.confirmed {
 		c.refuse(w.token, port.NotRun, port.CodeInvalid, "consumer epoch %d is not registered", w.epoch)
 		return true
 	}
@@ -160,9 +159,9 @@
 	return false
 }
 
-// heldFor says whether the payload of a batch is at hand and fresh enough to be
-// delivered again.
-func (c *Coordinator) heldFor(number port.BatchNumber) bool {
+// canDeliver reports whether the payload of a batch is held and within the staleness
+// bound.
+func (c *Coordinator) canDeliver(number port.BatchNumber) bool {
 	held := c.held
 	if held == nil || held.number != number || number != c.ledger.Committed {
 		return false
@@ -170,17 +169,17 @@
 	return c.age(held.oldest) <= c.config.Sampling.StalenessBound
 }
 
-// heldStale says whether a question came so soon after the batch was delivered
-// that it must not void it.
-func (c *Coordinator) heldStale(w waiter) bool {
+// staleAfterDelivery reports whether the held batch is stale and the request arrived
+// too soon after its delivery to void it.
+func (c *Coordinator) staleAfterDelivery(w waiter) bool {
 	held := c.held
 	if held == nil || held.number != w.number || held.delivered.IsZero() || c.pending != nil {
 		return false
 	}
-	return !c.heldFor(w.number) && w.arrived.Before(held.delivered.Add(redeliveryGrace))
+	return !c.canDeliver(w.number) && w.arrived.Before(held.delivered.Add(redeliveryGrace))
 }
 
-// deliver answers a question with the held batch.
+// deliver answers a request with the held batch.
 func (c *Coordinator) deliver(w waiter) {
 	held := c.held
 	held.delivered, held.deliveredTo = c.now, w.epoch
@@ -192,12 +191,12 @@
 	c.record(port.Decision{
 		Kind: port.DecisionDelivered, Subject: batchName(c.config.Pool, held.number, held.attempt),
 		Attempt: int(held.attempt), Version: held.version,
-		Detail: fmt.Sprintf("%d samples to consumer epoch %d, oldest version %d; version %d is known as of %v ago; asked %v ago",
-			len(held.samples), w.epoch, held.oldest, c.version, c.now.Sub(c.versionAsOf), c.now.Sub(w.arrived)),
+		Detail: fmt.Sprintf("%d samples to consumer epoch %d, oldest version %d; version %d read %v ago; requested %v ago",
+			len(held.samples), w.epoch, held.oldest, c.version, c.now.Sub(c.versionReadAt), c.now.Sub(w.arrived)),
 	})
 }
 
-// refuse answers a question with an error.
+// refuse answers a request with an error.
 func (c *Coordinator) refuse(token uint64, verdict port.Verdict, code port.Code, format string, arguments ...any) {
 	err := port.NewError(verdict, code, format, arguments...)
 	if code == port.CodeNotReady || code == port.CodeDraining || code == port.CodeUnavailable {
@@ -206,7 +205,7 @@
 	c.emit(Refuse{Token: token, Err: err})
 }
 
-// expireWaiters answers questions whose time is up.
+// expireWaiters answers requests whose deadline has passed.
 func (c *Coordinator) expireWaiters() {
 	kept := c.waiters[:0]
 	for _, w := range c.waiters {
@@ -214,21 +213,21 @@
 			kept = append(kept, w)
 			continue
 		}
-		c.refuseLate(w)
+		c.refuseExpired(w)
 	}
 	c.waiters = kept
 }
 
-func (c *Coordinator) refuseLate(w waiter) {
+func (c *Coordinator) refuseExpired(w waiter) {
 	if !c.leaseValid() {
 		c.refuse(w.token, port.NotRun, port.CodeUnavailable, "the pool's lease is not confirmed")
 		return
 	}
-	c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d is not whole yet", w.number)
+	c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d is not complete yet", w.number)
 }
 
-// formBatch proposes the batch that the trainer asks for, if enough whole groups
-// are within the bound.
+// formBatch proposes the requested batch if enough complete groups are within the
+// staleness bound.
 func (c *Coordinator) formBatch() {
 	number, wanted := c.wantedNumber()
 	if !wanted || c.draining || !c.leaseValid() || c.now.Before(c.commitAfter) {
@@ -245,18 +244,18 @@
 	c.propose(number, attempt, groups)
 }
 
-// wantedNumber gives the batch that waiting questions need committed.
+// wantedNumber returns the batch number that must be committed for the waiting requests.
 func (c *Coordinator) wantedNumber() (port.BatchNumber, bool) {
 	for _, w := range c.waiters {
-		if w.epoch == c.ledger.Consumer.Epoch && w.number > c.ledger.Acknowledged && !c.heldFor(w.number) {
+		if w.epoch == c.ledger.Consumer.Epoch && w.number > c.ledger.Acknowledged && !c.canDeliver(w.number) {
 			return w.number, true
 		}
 	}
 	return 0, false
 }
 
-// selectGroups picks whole groups for a batch in the plan's order; nil when
-// there are too few.
+// selectGroups returns complete groups for a batch in the plan's order, or nil if there
+// are too few.
 func (c *Coordinator) selectGroups() []*group {
 	wanted := c.config.Sampling.BatchSamples / c.config.Sampling.GroupSize
 	candidates := make([]*group, 0, wanted)
@@ -280,21 +279,21 @@
 		}
 		return cmp.Compare(a.prompt.Index, b.prompt.Index)
 	})
-	if c.promptsAboveWith(candidates[:wanted]) <= ledger.MaxPromptsAbove {
+	if c.committedAboveAfter(candidates[:wanted]) <= ledger.MaxPromptsAbove {
 		return candidates[:wanted]
 	}
-	// Too many prompts beyond the lowest open one: the lowest go first.
+	// Too many prompts would be committed above the lowest open one: take the lowest first.
 	slices.SortFunc(candidates, func(a, b *group) int { return cmp.Compare(a.prompt.Index, b.prompt.Index) })
-	if c.promptsAboveWith(candidates[:wanted]) <= max(ledger.MaxPromptsAbove, len(c.prompts.above)) {
+	if c.committedAboveAfter(candidates[:wanted]) <= max(ledger.MaxPromptsAbove, len(c.prompts.committedAbove)) {
 		return candidates[:wanted]
 	}
 	return nil
 }
 
-// promptsAboveWith counts the committed prompts beyond the lowest open one as
-// they would be after a commit of the groups.
-func (c *Coordinator) promptsAboveWith(groups []*group) int {
-	count := len(c.prompts.above) + len(groups)
+// committedAboveAfter counts the prompts committed above the lowest open one after a
+// commit of the groups.
+func (c *Coordinator) committedAboveAfter(groups []*group) int {
+	count := len(c.prompts.committedAbove) + len(groups)
 	if count <= ledger.MaxPromptsAbove {
 		return count
 	}
@@ -302,7 +301,7 @@
 	for _, g := range groups {
 		added[g.prompt.Index] = struct{}{}
 	}
-	for index := c.prompts.below; ; index++ {
+	for index := c.prompts.committedBelow; ; index++ {
 		if _, selected := added[index]; !selected && !c.prompts.committed(index) {
 			return count
 		}
@@ -310,14 +309,14 @@
 	}
 }
 
-// starvedDrops is how many samples a group may lose to staleness before it goes
-// ahead of the plan's order; otherwise one that is always passed over would be
-// generated again for ever.
-const starvedDrops = 4
+// starvationDrops is how many samples a group may lose to staleness before it takes
+// precedence over the plan's order; otherwise a group that is never selected would be
+// regenerated forever.
+const starvationDrops = 4
 
-func (g *group) starved() bool { return g.drops >= starvedDrops }
+func (g *group) starved() bool { return g.drops >= starvationDrops }
 
-// oldest gives the oldest version of a whole group's samples.
+// oldest returns the oldest version of a complete group's samples.
 func (g *group) oldest() port.WeightVersion {
 	oldest := port.OldestVersion(g.samples[0].spans)
 	for _, s := range g.samples[1:] {
@@ -326,7 +325,7 @@
 	return oldest
 }
 
-// batchName is the subject of decisions on a batch.
+// batchName returns the decision subject for a batch.
 func batchName(pool port.PoolName, number port.BatchNumber, attempt uint32) string {
 	return fmt.Sprintf("b-%s-%d-%d", pool, number, attempt)
 }
--- a/internal/core/coordinator/bench_test.go
+++ b/internal/core/coordinator/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// largeCoordinator makes a coordinator with all samples of a large step running,
-// and gives their starts.
+// largeCoordinator returns a coordinator with all samples of a large batch running, and
+// their start actions.
 func largeCoordinator(b *testing.B, samples, replicas int) (*coordinator.Coordinator, []coordinator.StartSample) {
 	b.Helper()
 	created, err := coordinator.New(coordinator.Config{
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(starts) != samples {
-		b.Fatalf("%d samples run, want %d", len(starts), samples)
+		b.Fatalf("%d samples running, want %d", len(starts), samples)
 	}
 	return created, starts
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// BenchmarkBatch takes a whole batch from running samples to delivery and
-// reports the time for one sample, with all of its events.
+// BenchmarkBatch processes a batch from running samples to delivery and reports the
+// time per sample for all of its events.
 func BenchmarkBatch(b *testing.B) {
 	spans := []port.Span{{Version: 1, Tokens: 64}}
 	b.ReportAllocs()
@@ -102,7 +102,7 @@
 	b.Fatal("no delivery")
 }
 
-// BenchmarkMemory reports the heap held for one sample in flight, without text.
+// BenchmarkMemory reports the heap size per sample in flight, without text.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
--- a/internal/core/coordinator/commits.go
+++ b/internal/core/coordinator/commits.go
@@ -10,26 +10,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// pendingCommit is the one proposal whose outcome is open.
+// pendingCommit is the proposal whose outcome is not known yet.
 type pendingCommit struct {
 	changeID string
 	batch    port.CommitBatch
 	groups   []*group
 	version  port.WeightVersion
-	// began is when it was first sent, sent when it was last.
-	began time.Time
-	sent  time.Time
-	// uncertain is set once an answer was lost: from then on only the log's own
-	// answer tells the outcome, not a later failure to ask.
+	// firstSent and lastSent are when the proposal was first and last sent.
+	firstSent time.Time
+	lastSent  time.Time
+	// uncertain is set once an answer was lost. From then on only an answer of the log
+	// decides the outcome; a later NotRun error does not.
 	uncertain bool
-	// expired is set when the log keeps no answer to the change id any more: the
-	// proposal cannot take effect now, and the ledger tells whether it did.
-	expired bool
-	resend  time.Time
-	tries   int
+	// expired is set when the log no longer has the answer for the change id: the proposal
+	// cannot take effect any more, and the ledger shows whether it did.
+	expired  bool
+	resendAt time.Time
+	tries    int
 }
 
-// propose pins groups and proposes them as a batch.
+// propose pins the groups and proposes them as a batch.
 func (c *Coordinator) propose(number port.BatchNumber, attempt uint32, groups []*group) {
 	c.commitCounter++
 	batch := port.CommitBatch{
@@ -46,13 +46,13 @@
 	}
 	c.pending = &pendingCommit{
 		changeID: c.changeID(),
-		batch:    batch, groups: groups, version: c.version, began: c.now, sent: c.now,
+		batch:    batch, groups: groups, version: c.version, firstSent: c.now, lastSent: c.now,
 	}
 	c.emit(Commit{ChangeID: c.pending.changeID, Batch: batch})
 }
 
-// changeID names a proposal. Lease epochs are unique in the log, so no other
-// coordinator makes the same one.
+// changeID returns a unique id for a proposal. Lease epochs are unique in the log, so
+// no other coordinator generates the same id.
 func (c *Coordinator) changeID() string {
 	unique := binary.BigEndian.AppendUint64(nil, uint64(c.config.Epoch))
 	unique = binary.BigEndian.AppendUint64(unique, c.commitCounter)
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case event.Err == nil && event.Result.Error == nil:
-		c.commitStands(event.Result)
+		c.commitSucceeded(event.Result)
 	case event.Err == nil:
 		c.commitRefused(event.Result)
 	case event.Err.Verdict == port.NotRun && !pending.uncertain:
@@ -76,11 +76,11 @@
 	default:
 		pending.uncertain = true
 		pending.tries++
-		pending.resend = c.now.Add(backoff(c.config.Seed, c.commitCounter, pending.tries))
+		pending.resendAt = c.now.Add(backoff(c.config.Seed, c.commitCounter, pending.tries))
 	}
 }
 
-// checkPending asks again, under the same change id, for an outcome in doubt.
+// checkPending resends a proposal of unknown outcome under the same change id.
 func (c *Coordinator) checkPending() {
 	pending := c.pending
 	if pending == nil {
@@ -90,23 +90,23 @@
 		c.readLedger()
 		return
 	}
-	if pending.resend.IsZero() && c.now.Sub(pending.sent) > c.timeouts.Commit {
+	if pending.resendAt.IsZero() && c.now.Sub(pending.lastSent) > c.timeouts.Commit {
 		pending.uncertain = true
 		pending.tries++
-		pending.resend = c.now
+		pending.resendAt = c.now
 	}
-	if pending.resend.IsZero() || c.now.Before(pending.resend) {
+	if pending.resendAt.IsZero() || c.now.Before(pending.resendAt) {
 		return
 	}
-	pending.sent, pending.resend = c.now, time.Time{}
+	pending.lastSent, pending.resendAt = c.now, time.Time{}
 	c.emit(Commit{ChangeID: pending.changeID, Batch: pending.batch})
 }
 
-// commitStands makes the pending batch the one to deliver.
-func (c *Coordinator) commitStands(result port.Result) {
+// commitSucceeded makes the pending batch the held one.
+func (c *Coordinator) commitSucceeded(result port.Result) {
 	pending := c.pending
 	c.pending = nil
-	c.vouch(pending.began)
+	c.confirmWaiters(pending.firstSent)
 	c.commitTries = 0
 	c.counters.Committed++
 	held := &heldBatch{
@@ -125,9 +125,9 @@
 				ID: s.id, Prompt: g.prompt, Text: s.text, Tokens: s.tokens, Reward: s.reward, Spans: s.spans,
 			})
 		}
-		c.forgetGroup(g)
+		c.discardGroup(g)
 	}
-	c.voidEarlier(held)
+	c.voidPrevious(held)
 	c.held = held
 	c.record(port.Decision{
 		Kind: port.DecisionCommitted, Subject: batchName(c.config.Pool, held.number, held.attempt),
@@ -135,14 +135,14 @@
 		Detail: fmt.Sprintf("log index %d, oldest version %d", result.Index, held.oldest),
 	})
 	if result.Ledger != nil {
-		c.takeLedger(*result.Ledger)
+		c.applyLedger(*result.Ledger)
 		return
 	}
-	c.takeLedger(c.ledgerAfter(pending.batch))
+	c.applyLedger(c.ledgerAfter(pending.batch))
 }
 
-// voidEarlier gives the prompts of a voided attempt back to the queue.
-func (c *Coordinator) voidEarlier(held *heldBatch) {
+// voidPrevious records the voided attempt and requeues its prompts.
+func (c *Coordinator) voidPrevious(held *heldBatch) {
 	if held.number != c.ledger.Committed {
 		return
 	}
@@ -154,21 +154,21 @@
 	c.record(port.Decision{
 		Kind: port.DecisionVoided, Subject: batchName(c.config.Pool, held.number, c.ledger.Attempt),
 		Attempt: int(c.ledger.Attempt), Related: names,
-		Detail: "payload lost or over the staleness bound when it was asked for again",
+		Detail: "payload lost or over the staleness bound when requested again",
 	})
 	if c.held == nil || c.held.number != held.number {
 		return
 	}
 	for _, prompt := range c.held.prompts {
-		c.prompts.pushFirst(prompt)
+		c.prompts.requeue(prompt)
 	}
 }
 
-// ledgerAfter gives the ledger state after a commit whose answer carried none.
+// ledgerAfter computes the ledger state after a commit whose answer carried none.
 func (c *Coordinator) ledgerAfter(batch port.CommitBatch) port.LedgerState {
 	state := c.ledger
-	above := make(map[port.PromptIndex]struct{}, len(c.prompts.above))
-	for index := range c.prompts.above {
+	above := make(map[port.PromptIndex]struct{}, len(c.prompts.committedAbove))
+	for index := range c.prompts.committedAbove {
 		above[index] = struct{}{}
 	}
 	if batch.Number == state.Committed {
@@ -202,7 +202,7 @@
 	return state
 }
 
-// commitRefused handles the log's refusal.
+// commitRefused handles a proposal that the log refused.
 func (c *Coordinator) commitRefused(result port.Result) {
 	pending := c.pending
 	c.record(port.Decision{
@@ -215,14 +215,14 @@
 		return
 	}
 	c.releasePending()
-	c.learnFrom(result, pending)
+	c.applyRefusal(result, pending)
 }
 
-// learnFrom takes over what a refusal says about the state of the pool.
-func (c *Coordinator) learnFrom(result port.Result, pending *pendingCommit) {
+// applyRefusal applies the state in a refusal and reacts to its error code.
+func (c *Coordinator) applyRefusal(result port.Result, pending *pendingCommit) {
 	c.raiseVersion(result.Current)
 	if result.Ledger != nil {
-		c.takeLedger(*result.Ledger)
+		c.applyLedger(*result.Ledger)
 	}
 	switch result.Error.Code {
 	case port.CodeStale:
@@ -232,16 +232,16 @@
 			return
 		}
 		if result.Ledger != nil {
-			c.lose("a higher coordinator epoch exists")
+			c.loseLease("a higher coordinator epoch exists")
 			return
 		}
 		c.readLedger()
 		c.delayCommit()
 	case port.CodeConflict:
-		// A sample or prompt of the batch cannot be committed any more and the
-		// refusal names it only in words: all of them start again.
+		// A sample or prompt of the batch can no longer be committed, and the refusal
+		// names it only in its message: restart all groups.
 		for _, g := range pending.groups {
-			if !g.gone {
+			if !g.discarded {
 				c.requeueGroup(g)
 			}
 		}
@@ -253,7 +253,7 @@
 	}
 }
 
-// impliedVersion is the lowest published version at which the batch is too old.
+// impliedVersion returns the lowest published version under which the batch is stale.
 func impliedVersion(batch port.CommitBatch, bound uint64) port.WeightVersion {
 	oldest := batch.Samples[0].Oldest
 	for _, committed := range batch.Samples {
@@ -262,12 +262,12 @@
 	return oldest + port.WeightVersion(bound) + 1
 }
 
-// shows says whether a ledger state holds exactly this batch as its last.
-func shows(state port.LedgerState, batch port.CommitBatch) bool {
+// holdsBatch reports whether the batch is the last one in a ledger state.
+func holdsBatch(state port.LedgerState, batch port.CommitBatch) bool {
 	return state.Committed == batch.Number && state.Attempt == batch.Attempt && slices.Equal(state.Last, batch.Samples)
 }
 
-// releasePending gives the groups of a proposal that does not stand back.
+// releasePending unpins the groups of a failed proposal.
 func (c *Coordinator) releasePending() {
 	groups := c.pending.groups
 	c.pending = nil
@@ -276,36 +276,36 @@
 	}
 	for _, g := range groups {
 		for _, s := range slices.Clone(g.samples) {
-			c.reviewAge(s)
+			c.checkAge(s)
 		}
 	}
 }
 
-// delayCommit waits before the next proposal.
+// delayCommit delays the next proposal by a backoff.
 func (c *Coordinator) delayCommit() {
 	c.commitTries++
 	c.commitAfter = c.now.Add(backoff(c.config.Seed, c.commitCounter, c.commitTries))
 }
 
-// readState is the one reading of the ledger that is out.
+// readState tracks the outstanding ledger read.
 type readState struct {
-	out  bool
-	sent time.Time
+	outstanding bool
+	sent        time.Time
 }
 
-// readLedger asks for the ledger's state, once at a time.
+// readLedger reads the ledger state unless a read is outstanding.
 func (c *Coordinator) readLedger() {
-	if c.reading.out {
+	if c.reading.outstanding {
 		return
 	}
-	c.reading = readState{out: true, sent: c.now}
+	c.reading = readState{outstanding: true, sent: c.now}
 	c.emit(ReadLedger{})
 }
 
-// checkReading asks again when no answer came.
+// checkReading repeats a ledger read that timed out.
 func (c *Coordinator) checkReading() {
-	if c.reading.out && c.now.Sub(c.reading.sent) > c.timeouts.Read {
-		c.reading.out = false
+	if c.reading.outstanding && c.now.Sub(c.reading.sent) > c.timeouts.Read {
+		c.reading.outstanding = false
 		c.readLedger()
 	}
 }
@@ -314,45 +314,44 @@
 	if event.Err != nil {
 		return
 	}
-	c.reading.out = false
+	c.reading.outstanding = false
 	c.raiseVersion(event.State.Published)
-	if c.pending != nil && shows(event.State, c.pending.batch) {
+	if c.pending != nil && holdsBatch(event.State, c.pending.batch) {
 		state := event.State
-		c.commitStands(port.Result{Ledger: &state})
+		c.commitSucceeded(port.Result{Ledger: &state})
 		return
 	}
 	if c.pending != nil && c.pending.expired {
 		c.releasePending()
 	}
-	c.takeLedger(event.State)
-	c.vouch(c.reading.sent)
+	c.applyLedger(event.State)
+	c.confirmWaiters(c.reading.sent)
 }
 
-// vouch notes the questions that came before a command went to the log that was
-// answered now. What a trainer published before it asked is in that answer, and what
-// anyone published before the command was sent.
-func (c *Coordinator) vouch(sent time.Time) {
-	c.versionAsOf = sent
+// confirmWaiters marks the requests that arrived before the answered command or read
+// was sent. Its answer reflects every publication before that time.
+func (c *Coordinator) confirmWaiters(sent time.Time) {
+	c.versionReadAt = sent
 	for index := range c.waiters {
 		if !c.waiters[index].arrived.After(sent) {
-			c.waiters[index].checked = true
+			c.waiters[index].confirmed = true
 		}
 	}
 }
 
-// takeLedger takes a newer ledger state over; of an older one, the version alone.
-func (c *Coordinator) takeLedger(state port.LedgerState) {
+// applyLedger applies a ledger state; of an older one it only uses the version.
+func (c *Coordinator) applyLedger(state port.LedgerState) {
 	c.raiseVersion(state.Published)
 	if older(state, c.ledger) {
 		return
 	}
 	if state.Consumer.Epoch > c.ledger.Consumer.Epoch {
-		c.asked = 0
+		c.highestRequested = 0
 	}
 	c.reconcile(state)
 }
 
-// older orders states of one pool's ledger as the log does.
+// older reports whether a ledger state precedes another in the log.
 func older(state, than port.LedgerState) bool {
 	if state.Consumer.Epoch != than.Consumer.Epoch {
 		return state.Consumer.Epoch < than.Consumer.Epoch
--- a/internal/core/coordinator/config.go
+++ b/internal/core/coordinator/config.go
@@ -9,44 +9,44 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config says what a coordinator starts from.
+// Config configures a coordinator.
 type Config struct {
 	Pool     port.PoolName
 	Sampling port.Sampling
-	// Epoch is that of the lease. It must be new for every coordinator, also
-	// after a restart on the same node: sample ids are unique only under it.
+	// Epoch is the lease epoch. It must be new for every coordinator, also after a
+	// restart on the same node: sample ids are unique only within it.
 	Epoch port.Epoch
 	Node  port.NodeID
-	// LeaseUntil is until when, by this node's clock, the lease is safely held:
-	// the time the acquisition was sent plus its TTL, less a margin for clock
-	// drift. LeaseRenewed moves it. Nothing is delivered after it.
+	// LeaseUntil is the lease expiry by this node's clock: the time at which the
+	// acquisition was sent plus the TTL, less a margin for clock drift. LeaseRenewed
+	// extends it. Nothing is delivered after it.
 	LeaseUntil time.Time
 	// Ledger is the pool's ledger state, read after the lease was acquired.
 	Ledger port.LedgerState
-	// Weights are the pool's current ones.
+	// Weights are the pool's currently published weights.
 	Weights port.PublishedWeights
 	// Program is the pool's policy; nil means policy.Default.
 	Program *policy.Program
 	// Seed drives sample seeds and backoff jitter.
 	Seed uint64
-	// Timeouts; zero fields take DefaultTimeouts.
+	// Timeouts configures timeouts; zero fields take their value from DefaultTimeouts.
 	Timeouts Timeouts
 }
 
 // Timeouts bounds how long the coordinator waits for answers.
 type Timeouts struct {
-	// Stall is how long a running sample may be silent.
+	// Stall bounds the time between two progress reports of a running sample.
 	Stall time.Duration
-	// Cancel is how long a cancelled attempt may take to say so.
+	// Cancel bounds the wait for a moved attempt to end.
 	Cancel time.Duration
-	// Score, Fetch, Commit and Read are those of the respective calls.
+	// Score, Fetch, Commit and Read bound the respective calls.
 	Score  time.Duration
 	Fetch  time.Duration
 	Commit time.Duration
 	Read   time.Duration
 }
 
-// DefaultTimeouts gives the timeouts for fields left zero.
+// DefaultTimeouts returns the default timeouts.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{
 		Stall:  2 * time.Minute,
@@ -58,21 +58,21 @@
 	}
 }
 
-// Bounds of the coordinator's own behaviour.
+// Limits and intervals of the coordinator.
 const (
 	planInterval     = time.Second
 	baseBackoff      = 200 * time.Millisecond
 	maxBackoff       = 20 * time.Second
 	maxScoreAttempts = 8
 	maxFetch         = 1024
-	// maxMoves bounds how often a long sample is moved.
+	// maxMoves bounds how often a sample is moved to another replica.
 	maxMoves = 1
 )
 
-// ErrNoLease says that a configuration names no lease epoch or end.
-var ErrNoLease = errors.New("coordinator needs a lease epoch and its end")
+// ErrNoLease is returned for a configuration without lease epoch or lease expiry.
+var ErrNoLease = errors.New("coordinator needs a lease epoch and expiry")
 
-// validate checks what New was given.
+// validate checks the configuration passed to New.
 func (c *Config) validate() error {
 	if c.Epoch == 0 || c.LeaseUntil.IsZero() {
 		return ErrNoLease
@@ -80,7 +80,7 @@
 	return validateSampling(c.Sampling)
 }
 
-// validateSampling checks the settings that the batches depend on.
+// validateSampling checks the settings that determine the layout of batches.
 func validateSampling(sampling port.Sampling) error {
 	switch {
 	case sampling.GroupSize < 1:
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// withDefaults fills timeouts that are zero.
+// withDefaults replaces zero timeouts by their defaults.
 func (t Timeouts) withDefaults() Timeouts {
 	standard := DefaultTimeouts()
 	fill := func(value *time.Duration, other time.Duration) {
--- a/internal/core/coordinator/coordinator.go
+++ b/internal/core/coordinator/coordinator.go
@@ -17,40 +17,40 @@
 	draining   bool
 	drained    bool
 
-	// now and actions belong to the Step that is running.
+	// now and actions belong to the current Step.
 	now     time.Time
 	actions []Action
 
 	version port.WeightVersion
-	// versionAsOf is when the last command went to the log whose answer told the
-	// version: no publication from before it is unknown here.
-	versionAsOf  time.Time
-	underWay     publicationUnderWay
-	publications publicationRate
-	replicas     replicaLoads
-	planning     planning
-	prompts      promptQueue
-	lengths      lengthDistribution
+	// versionReadAt is when the last command or read that the log answered was sent.
+	// Every publication before it is reflected in version.
+	versionReadAt      time.Time
+	pendingPublication pendingPublication
+	publications       publicationRate
+	replicas           replicaLoads
+	planning           planning
+	prompts            promptQueue
+	lengths            lengthDistribution
 
-	// groups holds every prompt in work, order the same in order of creation.
+	// groups holds all groups in progress by prompt, order in order of creation.
 	groups  map[port.PromptIndex]*group
 	order   []*group
 	samples map[port.SampleID]*sample
-	// running counts attempts at replicas, whole the samples with their whole
-	// text.
-	running  int
-	whole    int
-	sequence uint64
-	// startDue says that a waiting sample may start before the next tick.
+	// running counts attempts on replicas, finishedSamples the samples whose text is
+	// complete.
+	running         int
+	finishedSamples int
+	sequence        uint64
+	// startDue is set when a waiting sample may start before the next tick.
 	startDue bool
 
-	ledger  port.LedgerState
-	asked   port.BatchNumber
-	waiters []waiter
-	pending *pendingCommit
-	held    *heldBatch
-	reading readState
-	// commitAfter delays the next commit after one that did not run.
+	ledger           port.LedgerState
+	highestRequested port.BatchNumber
+	waiters          []waiter
+	pending          *pendingCommit
+	held             *heldBatch
+	reading          readState
+	// commitAfter is the earliest time for the next commit after a failed one.
 	commitAfter   time.Time
 	commitTries   int
 	commitCounter uint64
@@ -58,7 +58,7 @@
 	counters Counters
 }
 
-// Counters count what a coordinator did since it began.
+// Counters count what a coordinator did since it was created.
 type Counters struct {
 	Started      uint64
 	Finished     uint64
@@ -73,7 +73,7 @@
 	Ignored      uint64
 }
 
-// Status is a summary for operators and experiments.
+// Status summarizes a coordinator for operators and experiments.
 type Status struct {
 	Version   port.WeightVersion
 	Running   int
@@ -87,13 +87,13 @@
 	Lost      bool
 	Draining  bool
 	Plan      policy.Plan
-	// PolicyError is why the program's last run was not taken; empty if it was.
+	// PolicyError is the error of the last policy run; empty if it succeeded.
 	PolicyError string
 	Counters    Counters
 }
 
-// New makes a coordinator from the ledger's state. The error is ErrNoLease or a
-// *port.Error naming the setting that is not allowed.
+// New returns a coordinator that starts from the ledger state in config. The error
+// is ErrNoLease or a *port.Error that names the invalid setting.
 func New(config Config) (*Coordinator, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	return c, nil
 }
 
-// Step handles one event and returns what to do, in order.
+// Step handles one event and returns the actions to carry out, in order.
 func (c *Coordinator) Step(now time.Time, event Event) []Action {
 	c.now = now
 	c.actions = nil
@@ -141,7 +141,7 @@
 	return c.actions
 }
 
-// dispatch hands the event to its handler.
+// dispatch calls the event's handler.
 func (c *Coordinator) dispatch(event Event) {
 	switch event := event.(type) {
 	case Tick:
@@ -171,7 +171,7 @@
 	case WeightsPublished:
 		c.weightsPublished(event.Weights)
 	case PublicationBegun:
-		c.underWay.begin(event.Version, c.now)
+		c.pendingPublication.begin(event.Version, c.now)
 	case PublicationEnded:
 		c.publicationEnded(event)
 	case CapacityChanged:
@@ -183,20 +183,20 @@
 	case LeaseRenewed:
 		c.leaseUntil = event.Until
 	case LeaseLost:
-		c.lose("lease lost")
+		c.loseLease("lease lost")
 	case Drain:
 		c.drain()
 	}
 }
 
-// stepLost answers questions after the lease was lost; nothing else happens.
+// stepLost refuses batch requests after the lease was lost and ignores other events.
 func (c *Coordinator) stepLost(event Event) {
 	if request, isRequest := event.(BatchRequested); isRequest {
 		c.refuse(request.Token, port.NotRun, port.CodeUnavailable, "this node no longer coordinates the pool")
 	}
 }
 
-// tick drives everything that waits for time to pass.
+// tick runs all time-based work.
 func (c *Coordinator) tick() {
 	c.runPolicy()
 	c.sweep()
@@ -205,8 +205,8 @@
 	c.expireWaiters()
 }
 
-// settingsChanged takes new settings over; work in progress goes on, except that
-// a group of another size starts again.
+// settingsChanged applies new settings. Work in progress continues, except that a
+// change of the group size restarts all groups.
 func (c *Coordinator) settingsChanged(event SettingsChanged) {
 	if validateSampling(event.Sampling) != nil {
 		return
@@ -228,8 +228,8 @@
 	}
 }
 
-// lose stops everything: the lease belongs to someone else.
-func (c *Coordinator) lose(reason string) {
+// loseLease stops all work and refuses the waiting requests.
+func (c *Coordinator) loseLease(reason string) {
 	c.lost = true
 	c.cancelAll()
 	verdict := port.NotRun
@@ -242,18 +242,18 @@
 	c.waiters, c.pending, c.held = nil, nil, nil
 }
 
-// drain stops new work; a commit in doubt is still resolved.
+// drain stops new work; a commit with unknown outcome is still resolved.
 func (c *Coordinator) drain() {
 	c.draining = true
 	c.cancelAll()
 	for _, group := range c.liveGroups() {
 		if !group.pinned {
-			c.forgetGroup(group)
+			c.discardGroup(group)
 		}
 	}
 }
 
-// reportDrained says once that a drain is complete.
+// reportDrained emits Drained once the drain is complete.
 func (c *Coordinator) reportDrained() {
 	if c.draining && !c.drained && c.pending == nil {
 		c.drained = true
@@ -261,7 +261,7 @@
 	}
 }
 
-// cancelAll cancels every attempt at a replica, in order of creation.
+// cancelAll cancels every attempt on a replica, in order of creation.
 func (c *Coordinator) cancelAll() {
 	for _, group := range c.order {
 		for _, sample := range group.samples {
@@ -270,10 +270,10 @@
 	}
 }
 
-// leaseValid says whether this coordinator may let bytes leave.
+// leaseValid reports whether this coordinator may deliver batches.
 func (c *Coordinator) leaseValid() bool { return !c.lost && c.now.Before(c.leaseUntil) }
 
-// Status gives a summary.
+// Status returns a summary of the coordinator's state.
 func (c *Coordinator) Status() Status {
 	status := Status{
 		Version: c.version, Running: c.running, Groups: len(c.groups), Prompts: c.prompts.length(),
@@ -287,10 +287,10 @@
 	return status
 }
 
-// emit adds an action to the running step.
+// emit appends an action to the current step.
 func (c *Coordinator) emit(action Action) { c.actions = append(c.actions, action) }
 
-// record emits a decision with the fields that all of them share.
+// record emits a decision and sets the fields common to all decisions.
 func (c *Coordinator) record(decision port.Decision) {
 	decision.Time = c.now.UnixMilli()
 	decision.Node = c.config.Node
--- a/internal/core/coordinator/coordinator_test.go
+++ b/internal/core/coordinator/coordinator_test.go
@@ -20,10 +20,9 @@
 	}
 }
 
-// TestSamplesWaitForTheWeightsThatTheyNeed publishes faster than the rollout
-// brings the weights onto the replicas. A sample that no replica may serve is not
-// started: its refusal would make it wait for a backoff. Once the weights are
-// there all start at once.
+// TestSamplesWaitForTheWeightsThatTheyNeed publishes faster than the replicas load
+// weights. A sample must not start before a replica serves its minimum version, since
+// a refusal would delay it by a backoff.
 func TestSamplesWaitForTheWeightsThatTheyNeed(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -40,11 +39,11 @@
 			w.published = 5
 			w.rolloutStopped = true
 			test.serving(w)
-			w.takeOver()
+			w.replaceCoordinator()
 			w.answerFetch(false)
 			w.tick(time.Second)
 			if starts := len(w.attempts) > 0; starts != test.starts {
-				t.Fatalf("%d attempts", len(w.attempts))
+				t.Fatalf("%d attempts started", len(w.attempts))
 			}
 			w.rolloutStopped = false
 			w.tick(time.Millisecond)
@@ -55,8 +54,8 @@
 	}
 }
 
-// TestReplacementStartsAtOnce drops samples to staleness: what takes their place
-// starts in the same step, not at the next tick.
+// TestReplacementStartsAtOnce checks that the replacements of stale samples start in
+// the same step, not at the next tick.
 func TestReplacementStartsAtOnce(t *testing.T) {
 	w := newWorld(t, smallSampling(), "")
 	w.answerFetch(false)
@@ -76,25 +75,24 @@
 	}
 }
 
-// TestPlanFollowsTheTrainerBetweenTicks asks for a batch: the policy program sees
-// that the trainer waits without a tick in between.
+// TestPlanFollowsTheTrainerBetweenTicks checks that a batch request runs the policy
+// program before the next tick.
 func TestPlanFollowsTheTrainerBetweenTicks(t *testing.T) {
 	source := "def plan(pool):\n  return struct(target_in_flight = 7 if pool.trainer_waiting else 3)"
 	w := newWorld(t, smallSampling(), source)
 	w.tick(time.Second)
 	if target := w.current.Status().Plan.TargetInFlight; target != 3 {
-		t.Fatalf("target %d before the trainer asked", target)
+		t.Fatalf("target %d before the trainer request", target)
 	}
 	w.now = w.now.Add(time.Second / 10)
-	w.ask(1, w.trainer, time.Hour)
+	w.requestBatch(1, w.trainer, time.Hour)
 	if target := w.current.Status().Plan.TargetInFlight; target != 7 {
 		t.Fatalf("target %d while the trainer waits", target)
 	}
 }
 
-// TestReplacementOfAStaleSampleStartsOnTheNewWeights drops samples to staleness
-// while replicas still serve the old weights, which the plan allows: what takes
-// their place waits for the new ones, or it would begin a version behind.
+// TestReplacementOfAStaleSampleStartsOnTheNewWeights checks that a replacement waits for
+// the new weights although the plan allows the old ones that replicas still serve.
 func TestReplacementOfAStaleSampleStartsOnTheNewWeights(t *testing.T) {
 	source := "def plan(pool):\n  return struct(target_in_flight = 16)"
 	w := newWorld(t, smallSampling(), source)
@@ -113,7 +111,7 @@
 	w.step(w.current, coordinator.WeightsPublished{Weights: port.PublishedWeights{Pool: poolName, Version: w.published}})
 	before := w.current.Status().Counters
 	if before.DroppedStale == 0 {
-		t.Fatalf("nothing was dropped: %+v", before)
+		t.Fatalf("no sample was dropped: %+v", before)
 	}
 	started := len(w.attempts)
 	w.serving = w.published
@@ -126,6 +124,6 @@
 		}
 	}
 	if newest == 0 {
-		t.Errorf("no replacement was held for version %d: %d started at once, %d later", w.published, started, len(w.attempts)-started)
+		t.Errorf("no replacement waited for version %d: %d attempts before it was served, %d after", w.published, started, len(w.attempts)-started)
 	}
 }
--- a/internal/core/coordinator/events.go
+++ b/internal/core/coordinator/events.go
@@ -7,14 +7,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Event is something that happened to the pool; the types below implement it.
+// Event is an input of the state machine; the types below implement it.
 type Event interface{ event() }
 
-// Tick lets time pass. Send it every 100 to 250 milliseconds.
+// Tick advances time. Send it every 100 to 250 milliseconds.
 type Tick struct{}
 
-// PromptsArrived answers FetchPrompts with prompts in the order of their index.
-// Fewer than asked for, also none, means that the source has no more for now.
+// PromptsArrived answers FetchPrompts with prompts in index order. Fewer prompts than
+// requested, or none, means that the source has no more for now.
 type PromptsArrived struct {
 	From    port.PromptIndex
 	Prompts []port.Prompt
@@ -26,9 +26,9 @@
 	Err  *port.Error
 }
 
-// SampleProgress tells of a running sample. Tokens and Spans count from the
-// start of this attempt, without what StartSample.Resume carried. Send one every
-// few seconds: a sample silent for the stall timeout is cancelled.
+// SampleProgress reports the progress of a running sample. Tokens and Spans count from
+// the start of this attempt, without the resumed part. Send one every few seconds: a
+// sample without progress for the stall timeout is cancelled.
 type SampleProgress struct {
 	ID      port.SampleID
 	Attempt uint32
@@ -37,8 +37,8 @@
 	Spans   []port.Span
 }
 
-// SampleFinished gives the whole text of this attempt, without the resumed
-// part. Spans must add up to Tokens, otherwise the sample is refused.
+// SampleFinished ends an attempt with its text, without the resumed part. Spans must add
+// up to Tokens, otherwise the sample is retried.
 type SampleFinished struct {
 	ID      port.SampleID
 	Attempt uint32
@@ -48,8 +48,8 @@
 	Spans   []port.Span
 }
 
-// SampleFailed ends an attempt with an error, also one that was cancelled. Text
-// and Spans hold what arrived of it, so that it can be resumed.
+// SampleFailed ends an attempt with an error, also after a cancel. Text and Spans hold
+// the partial output to resume from.
 type SampleFailed struct {
 	ID      port.SampleID
 	Attempt uint32
@@ -60,34 +60,34 @@
 	Spans   []port.Span
 }
 
-// Scored gives a sample's reward.
+// Scored reports a sample's reward.
 type Scored struct {
 	ID     port.SampleID
 	Reward float64
 }
 
-// ScoreFailed says that the scorer gave no reward.
+// ScoreFailed reports that the scorer returned no reward.
 type ScoreFailed struct {
 	ID  port.SampleID
 	Err *port.Error
 }
 
-// BatchRequested is the trainer's question for a batch. Token names the
-// question; exactly one Deliver or Refuse answers it.
+// BatchRequested is the trainer's request for a batch. Token identifies the request;
+// exactly one Deliver or Refuse answers it.
 type BatchRequested struct {
 	Token         uint64
 	Number        port.BatchNumber
 	ConsumerEpoch port.Epoch
-	// Deadline is when the question is answered with CodeNotReady at the latest;
-	// zero means at once.
+	// Deadline is when the request is refused with CodeNotReady at the latest; zero means
+	// immediately.
 	Deadline time.Time
 }
 
-// RequestAbandoned says that the asker of a question is gone.
+// RequestAbandoned reports that the caller of a request is gone.
 type RequestAbandoned struct{ Token uint64 }
 
-// CommitAnswered gives the outcome of a Commit: the state machine's Result, or
-// Err when there is none.
+// CommitAnswered reports the outcome of a Commit: the state machine's Result, or Err if
+// there is none.
 type CommitAnswered struct {
 	ChangeID string
 	Number   port.BatchNumber
@@ -96,20 +96,21 @@
 	Err      *port.Error
 }
 
-// LedgerRead gives the pool's ledger state: the answer to ReadLedger, or news of
-// a change by someone else, such as a new consumer. Err means none was read.
+// LedgerRead reports the pool's ledger state, in answer to ReadLedger or after a change
+// by another process, such as a new consumer. Err is set if the read failed.
 type LedgerRead struct {
 	State port.LedgerState
 	Err   *port.Error
 }
 
-// WeightsPublished tells of the pool's current version.
+// WeightsPublished reports the pool's published version.
 type WeightsPublished struct{ Weights port.PublishedWeights }
 
-// PublicationBegun says that a version of the pool's weights goes to the log now.
+// PublicationBegun reports that the publication of a version is being sent to the log.
 type PublicationBegun struct{ Version port.WeightVersion }
 
-// PublicationEnded says that it was published, or that its publisher was not told so.
+// PublicationEnded reports the outcome of a publication; Published is false if it failed
+// or its outcome is unknown.
 type PublicationEnded struct {
 	Version   port.WeightVersion
 	Published bool
@@ -118,21 +119,21 @@
 // CapacityChanged lists the replicas that may serve the pool, with their load.
 type CapacityChanged struct{ Replicas []policy.Replica }
 
-// SettingsChanged brings new settings of the pool and, if its policy changed, the
-// new program; a nil Program keeps the one in force.
+// SettingsChanged carries new pool settings and, if the policy changed, the new program;
+// a nil Program keeps the current one.
 type SettingsChanged struct {
 	Sampling port.Sampling
 	Program  *policy.Program
 }
 
-// LeaseRenewed says until when, by this node's clock, the lease is safely held.
+// LeaseRenewed reports the new lease expiry by this node's clock.
 type LeaseRenewed struct{ Until time.Time }
 
-// LeaseLost ends the coordinator: someone else holds the pool.
+// LeaseLost stops the coordinator: another node may hold the lease.
 type LeaseLost struct{}
 
-// Drain prepares for a planned stop: nothing new is started. Drained answers it
-// when nothing is in doubt any more.
+// Drain prepares for a planned stop: nothing new is started. Drained follows once no
+// commit is pending.
 type Drain struct{}
 
 func (Tick) event()             {}
--- a/internal/core/coordinator/fault_test.go
+++ b/internal/core/coordinator/fault_test.go
@@ -12,32 +12,32 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// fill makes enough whole groups for a batch without asking for it.
-func (w *world) fill() { w.settleAll(3) }
+// fillBuffer finishes enough groups for a batch without requesting it.
+func (w *world) fillBuffer() { w.runRounds(3) }
 
-// commitsMade counts the batches that the log took.
-func (w *world) commitsMade() int { return len(w.commits) }
+// commitCount counts the batches committed to the log.
+func (w *world) commitCount() int { return len(w.commits) }
 
 func (w *world) wantRefused(t *testing.T, token uint64, code port.Code) {
 	t.Helper()
-	refusal := w.refusals[token]
+	refusal := w.refused[token]
 	if refusal == nil || refusal.Code != code {
-		t.Fatalf("question %d: refusal %v, want %s", token, refusal, code)
+		t.Fatalf("request %d: refusal %v, want %s", token, refusal, code)
 	}
 }
 
 func (w *world) wantDelivered(t *testing.T, token uint64, number port.BatchNumber, attempt uint32) coordinator.Deliver {
 	t.Helper()
-	delivery, found := w.arrived[token]
+	delivery, found := w.deliveries[token]
 	if !found || delivery.Number != number || delivery.Attempt != attempt {
-		t.Fatalf("question %d: got batch %d attempt %d (arrived %v, refused %v), want %d attempt %d",
-			token, delivery.Number, delivery.Attempt, found, w.refusals[token], number, attempt)
+		t.Fatalf("request %d: got batch %d attempt %d (delivered %v, refused %v), want %d attempt %d",
+			token, delivery.Number, delivery.Attempt, found, w.refused[token], number, attempt)
 	}
 	return delivery
 }
 
-// recorded counts decisions of a kind.
-func (w *world) recorded(kind port.DecisionKind) int {
+// countRecords counts decisions of a kind.
+func (w *world) countRecords(kind port.DecisionKind) int {
 	count := 0
 	for _, decision := range w.records {
 		if decision.Kind == kind {
@@ -47,264 +47,260 @@
 	return count
 }
 
-// lateRepeat lets so much time pass that a question for a delivered batch counts
-// as a new one.
-const lateRepeat = 6 * time.Second
+// pastRedeliveryGrace is long enough for a repeated request for a delivered batch to
+// count as a new one.
+const pastRedeliveryGrace = 6 * time.Second
 
 func TestDeliveryFaults(t *testing.T) {
 	cases := map[string]func(t *testing.T, w *world){
-		"nothing leaves before the commit is known": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Minute)
+		"no delivery before the commit succeeds": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.tick(time.Second)
-			if len(w.arrived) != 0 || len(w.proposals) != 1 {
-				t.Fatalf("%d deliveries, %d proposals", len(w.arrived), len(w.proposals))
+			if len(w.deliveries) != 0 || len(w.proposals) != 1 {
+				t.Fatalf("%d deliveries, %d proposals", len(w.deliveries), len(w.proposals))
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"asking twice at once gets one commit and one batch": func(t *testing.T, w *world) {
-			w.fill()
-			first, second := w.ask(1, w.trainer, time.Minute), w.ask(1, w.trainer, time.Minute)
+		"concurrent requests get one commit and one batch": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			first, second := w.requestBatch(1, w.trainer, time.Minute), w.requestBatch(1, w.trainer, time.Minute)
 			if len(w.proposals) != 1 {
 				t.Fatalf("%d proposals", len(w.proposals))
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			one, two := w.wantDelivered(t, first, 1, 1), w.wantDelivered(t, second, 1, 1)
 			if one.Samples[0].ID != two.Samples[0].ID {
-				t.Fatal("the two answers differ")
+				t.Fatal("the two deliveries differ")
 			}
 		},
-		"asking again gets the same payload": func(t *testing.T, w *world) {
+		"repeated request gets the same payload": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			w.next = 1
-			token := w.ask(1, w.trainer, time.Minute)
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
-			if w.commitsMade() != 1 {
-				t.Fatalf("%d commits", w.commitsMade())
+			if w.commitCount() != 1 {
+				t.Fatalf("%d commits", w.commitCount())
 			}
 		},
-		"asking again after publications that the coordinator has not heard of": func(t *testing.T, w *world) {
+		"repeated request after publications unknown to the coordinator": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			w.next = 1
-			delete(w.used, 1)
+			delete(w.consumed, 1)
 			w.published += 3
-			token := w.ask(1, w.trainer, time.Minute)
-			if len(w.arrived) != 1 {
+			token := w.requestBatch(1, w.trainer, time.Minute)
+			if len(w.deliveries) != 1 {
 				t.Fatal("a batch was delivered again before the ledger was read")
 			}
 			w.read()
-			w.settleAll(6)
+			w.runRounds(6)
 			w.wantDelivered(t, token, 1, 2)
 		},
-		"a ledger read that began before a question does not vouch for it": func(t *testing.T, w *world) {
+		"a ledger read sent before a request does not confirm it": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			w.next = 1
-			delete(w.used, 1)
-			w.ask(1, w.trainer, time.Minute)
+			delete(w.consumed, 1)
+			w.requestBatch(1, w.trainer, time.Minute)
 			state := w.log.State(poolName)
 			w.tick(time.Millisecond)
 			w.published += 3
-			token := w.ask(1, w.trainer, time.Minute)
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.LedgerRead{State: state})
-			if _, delivered := w.arrived[token]; delivered {
-				t.Fatal("delivered by the word of an earlier state")
-			}
-		},
-		// A trainer asks twice at once, the second question coming after the batch was proposed.
-		// It goes on with the first answer and publishes a version under which the batch is too
-		// old, and the batch was sent once more: the ledger's state that let it go was from
-		// before the publication and had been 0.3 s on its way. The trace of such a run
-		// showed it: version 3 known as of 290 ms ago, 24 ms after the log had version 4.
-		"a question that waited beside the answered one gets no copy by an old reading": func(t *testing.T, w *world) {
-			w.fill()
-			first := w.ask(1, w.trainer, time.Minute)
+			if _, delivered := w.deliveries[token]; delivered {
+				t.Fatal("delivered on the basis of an earlier state")
+			}
+		},
+		// Guards against a second delivery based on a ledger state read before the trainer
+		// consumed the first one and published a version that makes the batch stale.
+		"a duplicate request gets no delivery based on an old ledger read": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			first := w.requestBatch(1, w.trainer, time.Minute)
 			w.tick(time.Millisecond)
-			second := w.ask(1, w.trainer, time.Minute)
-			w.settle(answered)
+			second := w.requestBatch(1, w.trainer, time.Minute)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, first, 1, 1)
 			state := w.ledgerState()
 			w.published += 3
 			w.step(w.current, coordinator.LedgerRead{State: state})
-			if _, delivered := w.arrived[second]; delivered {
-				t.Fatal("delivered again by a state from before the publication")
+			if _, delivered := w.deliveries[second]; delivered {
+				t.Fatal("delivered again on the basis of a state older than the publication")
 			}
 			w.wantRefused(t, second, port.CodeNotReady)
 		},
-		"the answer to a commit tells the version": func(t *testing.T, w *world) {
-			w.fill()
-			w.ask(1, w.trainer, time.Minute)
+		"the answer to a commit raises the known version": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			w.requestBatch(1, w.trainer, time.Minute)
 			taken := w.proposals[0].commit
 			w.proposals = nil
 			result := w.apply(taken)
 			result.Ledger.Published = w.published + 1
 			w.step(w.current, coordinator.CommitAnswered{ChangeID: taken.ChangeID, Number: 1, Attempt: 1, Result: result})
 			if known := w.current.Status().Version; known != w.published+1 {
-				t.Fatalf("version %d is known, the log's answer has %d", known, w.published+1)
+				t.Fatalf("known version %d, the log's answer has %d", known, w.published+1)
 			}
 		},
-		// The same, with a second question that comes after the delivery: it is vouched for by a
-		// reading of the ledger from after it came, and the state that the reading gives is from
-		// before the publication and arrives after it.
-		"a question from before a publication gets no copy after it": func(t *testing.T, w *world) {
+		// As above, for a request after the delivery: the ledger read was sent after the
+		// request, but its state is older than the publication.
+		"a request before a publication gets no second delivery after it": func(t *testing.T, w *world) {
 			w.train()
 			w.tick(time.Millisecond)
-			token := w.ask(1, w.trainer, time.Minute)
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			state := w.ledgerState()
 			w.step(w.current, coordinator.PublicationBegun{Version: w.published + 3})
 			w.published += 3
 			w.step(w.current, coordinator.LedgerRead{State: state})
-			if _, delivered := w.arrived[token]; delivered {
-				t.Fatal("delivered again while a version is published under which it is too old")
+			if _, delivered := w.deliveries[token]; delivered {
+				t.Fatal("delivered again although stale under the version being published")
 			}
 			w.wantRefused(t, token, port.CodeNotReady)
 		},
-		"a publication that was refused holds nothing back": func(t *testing.T, w *world) {
+		"a failed publication delays no delivery": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			w.next = 1
 			w.step(w.current, coordinator.PublicationBegun{Version: w.published + 3})
 			w.step(w.current, coordinator.PublicationEnded{Version: w.published + 3})
-			token := w.ask(1, w.trainer, time.Minute)
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"a publication whose end nobody told holds nothing back for long": func(t *testing.T, w *world) {
+		"a publication without reported outcome expires": func(t *testing.T, w *world) {
 			w.train()
 			w.step(w.current, coordinator.PublicationBegun{Version: w.published + 3})
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			w.next = 1
-			token := w.ask(1, w.trainer, time.Minute)
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"the end of a publication tells the version": func(t *testing.T, w *world) {
+		"the end of a publication raises the known version": func(t *testing.T, w *world) {
 			w.published++
 			w.step(w.current, coordinator.PublicationEnded{Version: w.published, Published: true})
 			if known := w.current.Status().Version; known != w.published {
-				t.Fatalf("version %d is known, %d is published", known, w.published)
+				t.Fatalf("known version %d, published %d", known, w.published)
 			}
 		},
-		"a version that was published meanwhile holds a first delivery back": func(t *testing.T, w *world) {
-			w.fill()
-			given := w.ask(1, w.trainer, time.Minute)
-			w.step(w.current, coordinator.RequestAbandoned{Token: given})
-			w.closeQuestion(given)
+		"a version published before the commit answer prevents a first delivery": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			abandoned := w.requestBatch(1, w.trainer, time.Minute)
+			w.step(w.current, coordinator.RequestAbandoned{Token: abandoned})
+			w.closeRequest(abandoned)
 			taken := w.proposals[0]
 			w.apply(taken.commit)
 			w.published += 3
 			w.step(w.current, coordinator.PublicationEnded{Version: w.published, Published: true})
 			w.tick(time.Millisecond)
-			token := w.ask(1, w.trainer, time.Minute)
-			w.settle(answered)
-			if _, delivered := w.arrived[token]; delivered {
-				t.Fatal("delivered though a version was published between the commit and the question")
+			token := w.requestBatch(1, w.trainer, time.Minute)
+			w.resolveProposal(answered)
+			if _, delivered := w.deliveries[token]; delivered {
+				t.Fatal("delivered although a version was published between the commit and the request")
 			}
-			w.settleAll(6)
+			w.runRounds(6)
 			w.wantDelivered(t, token, 1, 2)
 		},
-		// The log takes longer than a question is held. No answer of it can vouch for the question
-		// that waits when it comes: a first delivery that waited for one never came.
-		"a batch comes though the log is slower than its trainer waits": func(t *testing.T, w *world) {
-			w.fill()
-			w.ask(1, w.trainer, time.Second)
+		// The log answers more slowly than a request waits, so that no answer can confirm a
+		// waiting request. A first delivery must not depend on a confirmation.
+		"a batch is delivered although the log is slower than the request deadline": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			w.requestBatch(1, w.trainer, time.Second)
 			w.tick(2 * time.Second)
-			token := w.ask(1, w.trainer, time.Second)
-			w.settle(answered)
+			token := w.requestBatch(1, w.trainer, time.Second)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"asking again for a stale batch voids it": func(t *testing.T, w *world) {
+		"repeated request for a stale batch voids it": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
-			voided := w.used[1].Samples[0].Prompt.Index
+			w.tick(pastRedeliveryGrace)
+			voided := w.consumed[1].Samples[0].Prompt.Index
 			w.next = 1
-			delete(w.used, 1)
+			delete(w.consumed, 1)
 			for range 3 {
 				w.publish()
 			}
-			token := w.ask(1, w.trainer, time.Minute)
-			w.settleAll(6)
+			token := w.requestBatch(1, w.trainer, time.Minute)
+			w.runRounds(6)
 			w.wantDelivered(t, token, 1, 2)
-			if w.recorded(port.DecisionVoided) != 1 {
-				t.Fatal("the voided attempt left no record")
+			if w.countRecords(port.DecisionVoided) != 1 {
+				t.Fatal("the voided attempt was not recorded")
 			}
 			for w.log.State(poolName).PromptsBelow <= voided {
 				w.train()
 			}
 		},
-		"a question that comes late from before the delivery voids nothing": func(t *testing.T, w *world) {
+		"a duplicate request that arrives late voids nothing": func(t *testing.T, w *world) {
 			w.train()
 			for range 3 {
 				w.publish()
 			}
-			token := w.ask(1, w.trainer, time.Minute)
-			w.settleAll(3)
+			token := w.requestBatch(1, w.trainer, time.Minute)
+			w.runRounds(3)
 			w.wantRefused(t, token, port.CodeNotReady)
-			if w.commitsMade() != 1 {
-				t.Fatalf("%d commits", w.commitsMade())
+			if w.commitCount() != 1 {
+				t.Fatalf("%d commits", w.commitCount())
 			}
 		},
 		"an acknowledged batch is refused": func(t *testing.T, w *world) {
 			w.train()
 			w.train()
-			w.wantRefused(t, w.ask(1, w.trainer, time.Minute), port.CodeFenced)
+			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeFenced)
 		},
-		"a batch before the one asked for is refused while that one waits": func(t *testing.T, w *world) {
+		"a batch before the requested one is refused while the request is pending": func(t *testing.T, w *world) {
 			w.train()
-			w.ask(2, w.trainer, time.Minute)
-			w.wantRefused(t, w.ask(1, w.trainer, time.Minute), port.CodeFenced)
+			w.requestBatch(2, w.trainer, time.Minute)
+			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeFenced)
 		},
 		"a batch beyond the next one is refused": func(t *testing.T, w *world) {
-			w.wantRefused(t, w.ask(3, w.trainer, time.Minute), port.CodeConflict)
+			w.wantRefused(t, w.requestBatch(3, w.trainer, time.Minute), port.CodeConflict)
 		},
 		"a new consumer does not get an acknowledged batch": func(t *testing.T, w *world) {
 			w.train()
 			w.train()
 			w.registerConsumer()
 			w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
-			w.wantRefused(t, w.ask(1, w.trainer, time.Minute), port.CodeFenced)
+			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeFenced)
 		},
-		"an operator's way back gives other samples": func(t *testing.T, w *world) {
+		"a rewind returns other samples": func(t *testing.T, w *world) {
 			w.train()
 			w.train()
-			first := w.used[2].Samples[0].ID
+			first := w.consumed[2].Samples[0].ID
 			w.rewind(2)
 			w.train()
-			if again := w.used[2].Samples[0].ID; again == first {
-				t.Fatalf("sample %v came again", again)
+			if again := w.consumed[2].Samples[0].ID; again == first {
+				t.Fatalf("sample %v was delivered again", again)
 			}
 		},
-		"a bound raised while a stale batch is being voided": func(t *testing.T, w *world) {
+		"the bound is raised while a stale batch is being voided": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			for range 3 {
 				w.publish()
 			}
-			w.settleAll(3)
+			w.runRounds(3)
 			w.next = 1
-			delete(w.used, 1)
-			token := w.ask(1, w.trainer, time.Hour)
+			delete(w.consumed, 1)
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			w.sampling.StalenessBound = 9
 			w.step(w.current, coordinator.SettingsChanged{Sampling: w.sampling})
-			if len(w.proposals) != 1 || len(w.arrived) != 1 {
-				t.Fatalf("%d proposals, %d deliveries", len(w.proposals), len(w.arrived))
+			if len(w.proposals) != 1 || len(w.deliveries) != 1 {
+				t.Fatalf("%d proposals, %d deliveries", len(w.proposals), len(w.deliveries))
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 2)
 		},
 		"the answer to an earlier proposal is ignored": func(t *testing.T, w *world) {
-			w.fill()
-			w.ask(1, w.trainer, time.Hour)
+			w.fillBuffer()
+			w.requestBatch(1, w.trainer, time.Hour)
 			id := w.proposals[0].commit.ChangeID
-			w.settle(neverSent)
+			w.resolveProposal(neverSent)
 			w.tick(10 * time.Second)
 			w.step(w.current, coordinator.CommitAnswered{ChangeID: id, Number: 1, Attempt: 1})
-			if len(w.arrived) != 0 {
-				t.Fatal("delivered on the answer to another proposal")
+			if len(w.deliveries) != 0 {
+				t.Fatal("delivered after the answer to another proposal")
 			}
 		},
 		"a ledger state from before the last commit is ignored": func(t *testing.T, w *world) {
@@ -312,28 +308,28 @@
 			w.train()
 			w.step(w.current, coordinator.LedgerRead{State: before})
 			if committed := w.current.Status().Committed; committed != 1 {
-				t.Fatalf("went back to batch %d", committed)
+				t.Fatalf("committed batch is %d, want 1", committed)
 			}
 			w.train()
 		},
-		"the ledger shows prompts committed that the coordinator works on": func(t *testing.T, w *world) {
-			w.fill()
+		"the ledger has committed prompts that are in progress": func(t *testing.T, w *world) {
+			w.fillBuffer()
 			state := w.log.State(poolName)
 			state.Committed, state.Acknowledged, state.PromptsBelow = 5, 5, 15
 			w.fetches = nil
 			w.step(w.current, coordinator.LedgerRead{State: state})
 			for _, run := range w.attempts {
 				if run.start.Prompt.Index < 15 {
-					t.Fatalf("prompt %d is worked on", run.start.Prompt.Index)
+					t.Fatalf("committed prompt %d is in progress", run.start.Prompt.Index)
 				}
 			}
 			if status := w.current.Status(); status.Buffered != 0 {
-				t.Fatalf("committed prompts wait for delivery: %+v", status)
+				t.Fatalf("samples of committed prompts are buffered: %+v", status)
 			}
 		},
-		"a batch that conflicts is made from other samples": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"a conflicting batch is formed from other samples": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			refused := w.proposals[0].commit
 			w.proposals = nil
 			state := w.log.State(poolName)
@@ -341,17 +337,17 @@
 				Error: port.NewError(port.NotRun, port.CodeConflict, "sample was committed before"), Ledger: &state,
 			}})
 			w.tick(10 * time.Second)
-			w.settleAll(10)
+			w.runRounds(10)
 			delivery := w.wantDelivered(t, token, 1, 1)
 			for _, sample := range delivery.Samples {
 				if sample.ID == refused.Batch.Samples[0].ID {
-					t.Fatalf("sample %v came again", sample.ID)
+					t.Fatalf("sample %v was delivered again", sample.ID)
 				}
 			}
 		},
-		"the log keeps no answer and the ledger shows no commit: formed anew": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"change id expired and no commit in the ledger: new proposal": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			commit := w.proposals[0].commit
 			w.proposals = nil
 			w.step(w.current, coordinator.CommitAnswered{ChangeID: commit.ChangeID, Result: port.Result{
@@ -359,100 +355,100 @@
 			}})
 			w.tick(time.Minute)
 			if len(w.proposals) != 0 {
-				t.Fatal("asked the log again before the ledger was read")
+				t.Fatal("proposed again before the ledger was read")
 			}
 			w.read()
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"an earlier consumer is refused": func(t *testing.T, w *world) {
+		"a previous consumer is refused": func(t *testing.T, w *world) {
 			former := w.trainer
 			w.registerConsumer()
 			w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
-			w.wantRefused(t, w.ask(1, former, time.Minute), port.CodeFenced)
+			w.wantRefused(t, w.requestBatch(1, former, time.Minute), port.CodeFenced)
 		},
-		"an earlier consumer is fenced off by the log before the coordinator knows": func(t *testing.T, w *world) {
-			w.fill()
+		"a previous consumer unknown to the coordinator is fenced by the log": func(t *testing.T, w *world) {
+			w.fillBuffer()
 			former := w.trainer
-			token := w.ask(1, former, time.Minute)
+			token := w.requestBatch(1, former, time.Minute)
 			w.registerConsumer()
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantRefused(t, token, port.CodeFenced)
 			w.train()
 		},
-		"a consumer that the ledger does not know is refused": func(t *testing.T, w *world) {
-			token := w.ask(1, w.trainer+100, time.Minute)
+		"an unregistered consumer is refused": func(t *testing.T, w *world) {
+			token := w.requestBatch(1, w.trainer+100, time.Minute)
 			if w.reads != 1 {
-				t.Fatalf("%d reads of the ledger", w.reads)
+				t.Fatalf("%d ledger reads", w.reads)
 			}
 			w.read()
 			w.wantRefused(t, token, port.CodeInvalid)
 		},
 		"a new consumer gets the unacknowledged batch again": func(t *testing.T, w *world) {
 			w.train()
-			w.tick(lateRepeat)
+			w.tick(pastRedeliveryGrace)
 			w.registerConsumer()
 			if w.next != 1 {
 				t.Fatalf("next is %d", w.next)
 			}
 			w.train()
-			if w.commitsMade() != 1 {
-				t.Fatalf("%d commits", w.commitsMade())
+			if w.commitCount() != 1 {
+				t.Fatalf("%d commits", w.commitCount())
 			}
 		},
 		"commit answer lost: the same proposal is resent and then delivered": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Minute)
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			id := w.proposals[0].commit.ChangeID
-			w.settle(answerLost)
-			if len(w.arrived) != 0 {
+			w.resolveProposal(answerLost)
+			if len(w.deliveries) != 0 {
 				t.Fatal("delivered with the outcome unknown")
 			}
 			w.tick(time.Second)
 			if len(w.proposals) != 1 || w.proposals[0].commit.ChangeID != id {
 				t.Fatalf("proposals %+v", w.proposals)
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"not run after may have run leaves the outcome in doubt": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"not run after may have run leaves the outcome unknown": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			id := w.proposals[0].commit.ChangeID
-			w.settle(answerLost)
+			w.resolveProposal(answerLost)
 			w.tick(time.Second)
-			w.settle(neverSent)
+			w.resolveProposal(neverSent)
 			w.tick(time.Minute)
 			if len(w.proposals) != 1 || w.proposals[0].commit.ChangeID != id {
 				t.Fatalf("proposals %+v", w.proposals)
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"commit without any answer is resent": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"unanswered commit is resent": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			w.apply(w.proposals[0].commit)
 			w.proposals = nil
 			w.tick(6 * time.Second)
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"commit not run is formed anew": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"commit not run: new proposal": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			id := w.proposals[0].commit.ChangeID
-			w.settle(neverSent)
+			w.resolveProposal(neverSent)
 			w.tick(10 * time.Second)
 			if len(w.proposals) != 1 || w.proposals[0].commit.ChangeID == id {
 				t.Fatalf("proposals %+v", w.proposals)
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"the log keeps no answer any more: the ledger tells": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"change id expired and commit in the ledger: delivered": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			commit := w.proposals[0].commit
 			w.apply(commit)
 			w.proposals = nil
@@ -462,91 +458,91 @@
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"publication racing the commit: refused as stale and formed anew": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Hour)
+		"publication during the commit: refused as stale, new proposal": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			w.published += 3
-			w.settle(answered)
-			if len(w.arrived) != 0 {
+			w.resolveProposal(answered)
+			if len(w.deliveries) != 0 {
 				t.Fatal("a stale batch was delivered")
 			}
-			w.settleAll(10)
+			w.runRounds(10)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"lease over: held batches do not leave": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Minute)
+		"lease expired: held batches are not delivered": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.now = w.now.Add(leaseTTL)
-			w.settle(answered)
-			if len(w.arrived) != 0 {
-				t.Fatal("delivered after the lease was over")
+			w.resolveProposal(answered)
+			if len(w.deliveries) != 0 {
+				t.Fatal("delivered after the lease expired")
 			}
 			w.tick(time.Second)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"former coordinator's commit is fenced off and it stops": func(t *testing.T, w *world) {
-			w.fill()
+		"previous coordinator's commit is fenced and it stops": func(t *testing.T, w *world) {
+			w.fillBuffer()
 			former := w.current
-			w.ask(1, w.trainer, time.Minute)
-			w.takeOver()
-			w.settle(answered)
-			if !former.Status().Lost || w.commitsMade() != 0 || len(w.arrived) != 0 {
-				t.Fatalf("former %+v, %d commits", former.Status(), w.commitsMade())
+			w.requestBatch(1, w.trainer, time.Minute)
+			w.replaceCoordinator()
+			w.resolveProposal(answered)
+			if !former.Status().Lost || w.commitCount() != 0 || len(w.deliveries) != 0 {
+				t.Fatalf("previous coordinator %+v, %d commits", former.Status(), w.commitCount())
 			}
 			w.train()
 		},
-		"lease lost: everything stops and questions are answered": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Minute)
+		"lease lost: samples are cancelled and requests refused": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.LeaseLost{})
 			w.wantRefused(t, token, port.CodeUnavailable)
-			if w.refusals[token].Verdict != port.MayHaveRun {
-				t.Fatalf("verdict %v with a commit open", w.refusals[token].Verdict)
+			if w.refused[token].Verdict != port.MayHaveRun {
+				t.Fatalf("verdict %v with a pending commit", w.refused[token].Verdict)
 			}
-			w.wantRefused(t, w.ask(1, w.trainer, time.Minute), port.CodeUnavailable)
+			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeUnavailable)
 			if len(w.attempts) != 0 {
-				t.Fatalf("%d attempts go on", len(w.attempts))
+				t.Fatalf("%d attempts still running", len(w.attempts))
 			}
 		},
 		"payload lost with its coordinator: a new attempt voids the old one": func(t *testing.T, w *world) {
 			w.train()
-			lost := w.used[1].Samples[0].Prompt.Index
-			delete(w.used, 1)
+			lost := w.consumed[1].Samples[0].Prompt.Index
+			delete(w.consumed, 1)
 			w.next = 1
-			w.takeOver()
-			token := w.ask(1, w.trainer, time.Hour)
-			w.settleAll(10)
+			w.replaceCoordinator()
+			token := w.requestBatch(1, w.trainer, time.Hour)
+			w.runRounds(10)
 			second := w.wantDelivered(t, token, 1, 2)
 			for _, sample := range second.Samples {
 				if sample.Prompt.Index == lost {
-					t.Fatal("a prompt of the voided attempt came back inside the batch that voids it")
+					t.Fatal("a prompt of the voided attempt is in the batch that voids it")
 				}
 			}
 			for w.log.State(poolName).PromptsBelow <= lost {
 				w.train()
 			}
 		},
-		"question is answered at its deadline": func(t *testing.T, w *world) {
-			token := w.ask(1, w.trainer, time.Second)
+		"request is refused at its deadline": func(t *testing.T, w *world) {
+			token := w.requestBatch(1, w.trainer, time.Second)
 			w.tick(2 * time.Second)
 			w.wantRefused(t, token, port.CodeNotReady)
-			if w.refusals[token].RetryAfter == 0 {
-				t.Fatal("no time to ask again")
+			if w.refused[token].RetryAfter == 0 {
+				t.Fatal("refusal without RetryAfter")
 			}
 		},
-		"abandoned question gets nothing": func(t *testing.T, w *world) {
-			token := w.ask(1, w.trainer, time.Minute)
+		"abandoned request causes no commit": func(t *testing.T, w *world) {
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.RequestAbandoned{Token: token})
-			w.settleAll(5)
-			if len(w.arrived) != 0 || w.commitsMade() != 0 {
-				t.Fatal("committed for an asker that is gone")
+			w.runRounds(5)
+			if len(w.deliveries) != 0 || w.commitCount() != 0 {
+				t.Fatal("committed for an abandoned request")
 			}
 		},
-		"control outage: buffers fill up to their bound": func(t *testing.T, w *world) {
-			token := w.ask(1, w.trainer, time.Hour)
+		"control outage: the buffer fills up to its limit": func(t *testing.T, w *world) {
+			token := w.requestBatch(1, w.trainer, time.Hour)
 			for range 100 {
 				for len(w.proposals) > 0 {
-					w.settle(neverSent)
+					w.resolveProposal(neverSent)
 				}
 				for len(w.fetches) > 0 {
 					w.answerFetch(false)
@@ -560,24 +556,24 @@
 				w.tick(time.Second)
 			}
 			status := w.current.Status()
-			if most := w.sampling.BufferBatches * w.sampling.BatchSamples; status.Buffered != most {
-				t.Fatalf("%d samples wait, the bound is %d", status.Buffered, most)
+			if limit := w.sampling.BufferBatches * w.sampling.BatchSamples; status.Buffered != limit {
+				t.Fatalf("%d samples buffered, limit is %d", status.Buffered, limit)
 			}
 			w.tick(time.Minute)
-			w.settleAll(3)
+			w.runRounds(3)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"drain: nothing new, a commit in doubt is resolved, then drained": func(t *testing.T, w *world) {
-			w.fill()
-			token := w.ask(1, w.trainer, time.Minute)
+		"drain: nothing new starts, the pending commit is resolved, then drained": func(t *testing.T, w *world) {
+			w.fillBuffer()
+			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.Drain{})
 			if len(w.attempts) != 0 || w.current.Status().Running != 0 {
-				t.Fatal("samples go on")
+				t.Fatal("samples are still running")
 			}
-			w.settle(answered)
+			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
-			w.wantRefused(t, w.ask(2, w.trainer, time.Minute), port.CodeDraining)
-			w.settleAll(3)
+			w.wantRefused(t, w.requestBatch(2, w.trainer, time.Minute), port.CodeDraining)
+			w.runRounds(3)
 			if len(w.attempts) != 0 {
 				t.Fatal("samples were started while draining")
 			}
@@ -608,41 +604,41 @@
 			}
 			w.train()
 		}},
-		"scorer fails: asked again, then another sample": {"", func(t *testing.T, w *world) {
+		"scorer fails: retried, then another sample": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			w.finish(w.attempts[0])
-			id, asked := w.scores[0].ID, 0
+			id, requests := w.scores[0].ID, 0
 			for range 200 {
 				for position := 0; position < len(w.scores); position++ {
 					if w.scores[position].ID == id {
-						asked++
+						requests++
 						w.score(position, true)
 					}
 				}
 				w.tick(30 * time.Second)
 			}
-			if asked != 8 {
-				t.Fatalf("asked %d times, want 8", asked)
+			if requests != 8 {
+				t.Fatalf("%d requests, want 8", requests)
 			}
 			w.train()
 		}},
-		"scorer gives no answer: asked again": {"", func(t *testing.T, w *world) {
+		"scorer does not answer: retried": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			w.finish(w.attempts[0])
 			w.scores = nil
 			w.tick(31 * time.Second)
 			w.tick(31 * time.Second)
 			if len(w.scores) != 1 {
-				t.Fatalf("%d questions", len(w.scores))
+				t.Fatalf("%d requests", len(w.scores))
 			}
 		}},
-		"engine names no version": {"", func(t *testing.T, w *world) {
+		"engine reports no version": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.remove(run)
 			w.step(w.current, coordinator.SampleFinished{ID: run.start.ID, Attempt: 1, Text: "x", Tokens: 1, Spans: []port.Span{{Tokens: 1}}})
 			if len(w.scores) != 0 || w.current.Status().Counters.Retried != 1 {
-				t.Fatal("a sample of unknown version was taken")
+				t.Fatal("a sample of unknown version was accepted")
 			}
 		}},
 		"engine's spans do not add up": {"", func(t *testing.T, w *world) {
@@ -651,16 +647,16 @@
 			w.remove(run)
 			w.step(w.current, coordinator.SampleFinished{ID: run.start.ID, Attempt: 1, Text: "x", Tokens: 5, Spans: []port.Span{{Version: 1, Tokens: 1}}})
 			if len(w.scores) != 0 {
-				t.Fatal("a sample with wrong spans was taken")
+				t.Fatal("a sample with wrong spans was accepted")
 			}
 		}},
-		"engine reports another version than the one in force": {"", func(t *testing.T, w *world) {
+		"engine reports another version than the published one": {"", func(t *testing.T, w *world) {
 			w.publish()
 			w.published = 1
 			w.answerFetch(false)
 			w.finish(w.attempts[0])
 			w.published = 2
-			w.settleAll(2)
+			w.runRounds(2)
 			w.train()
 		}},
 		"answer of an earlier attempt": {"", func(t *testing.T, w *world) {
@@ -671,21 +667,21 @@
 			w.running(run.start.ID)
 			w.finish(run)
 			if len(w.scores) != 0 {
-				t.Fatal("the answer of an ended attempt was taken")
+				t.Fatal("the answer of an ended attempt was accepted")
 			}
 			w.train()
 		}},
-		"attempt that fell silent is started again": {"", func(t *testing.T, w *world) {
+		"attempt without progress is restarted": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			w.attempts = nil
 			w.tick(3 * time.Minute)
 			w.tick(time.Minute)
 			if len(w.attempts) == 0 {
-				t.Fatal("nothing was started again")
+				t.Fatal("no attempt was started")
 			}
 			w.train()
 		}},
-		"crash halfway: goes on from the text so far": {"", func(t *testing.T, w *world) {
+		"crash: resumes from the partial text": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
@@ -693,22 +689,22 @@
 			w.tick(time.Minute)
 			again := w.running(run.start.ID).start
 			if again.ID != run.start.ID || again.ResumeTokens != 2 || again.Resume != run.text || again.MaxTokens != 98 || again.Avoid != "replica-1" {
-				t.Fatalf("started again as %+v", again)
+				t.Fatalf("restarted as %+v", again)
 			}
 			w.publish()
 			w.train()
 		}},
-		"crash halfway under a policy that never resumes": {"def plan(pool):\n  return struct(resume = 'never')", func(t *testing.T, w *world) {
+		"crash under a policy that never resumes": {"def plan(pool):\n  return struct(resume = 'never')", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
 			w.fail(run, true)
 			w.tick(time.Minute)
 			if again := w.running(run.start.ID).start; again.Resume != "" || again.ResumeTokens != 0 {
-				t.Fatalf("started again as %+v", again)
+				t.Fatalf("restarted as %+v", again)
 			}
 		}},
-		"crash halfway with a text that is stale by now: from the start": {"", func(t *testing.T, w *world) {
+		"crash with a partial text that has become stale: restarts": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
@@ -718,10 +714,10 @@
 			}
 			w.tick(time.Minute)
 			if again := w.running(run.start.ID).start; again.ResumeTokens != 0 {
-				t.Fatalf("started again as %+v", again)
+				t.Fatalf("restarted as %+v", again)
 			}
 		}},
-		"stale when it finishes, without progress before": {"", func(t *testing.T, w *world) {
+		"stale when it finishes, without a progress report": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.generate(run, 1)
@@ -730,33 +726,33 @@
 			}
 			w.finish(run)
 			if len(w.scores) != 0 || w.current.Status().Counters.DroppedStale != 1 {
-				t.Fatalf("%d questions to the scorer, %+v", len(w.scores), w.current.Status().Counters)
+				t.Fatalf("%d score requests, %+v", len(w.scores), w.current.Status().Counters)
 			}
 		}},
-		"whole length made before the crash is whole": {"", func(t *testing.T, w *world) {
+		"crash after the maximum length: sample is finished": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 100)
 			w.fail(run, true)
 			if len(w.scores) != 1 {
-				t.Fatal("the sample was not taken")
+				t.Fatal("the sample was not scored")
 			}
 		}},
-		"stale while it waits: another sample takes its place": {"", func(t *testing.T, w *world) {
-			w.fill()
+		"stale while buffered: replaced by another sample": {"", func(t *testing.T, w *world) {
+			w.fillBuffer()
 			before := w.current.Status().Buffered
 			for range 3 {
 				w.publish()
 			}
 			if after := w.current.Status().Buffered; before == 0 || after != 0 {
-				t.Fatalf("%d samples waited before, %d after", before, after)
+				t.Fatalf("%d samples buffered before, %d after", before, after)
 			}
-			if w.recorded(port.DecisionStale) == 0 {
-				t.Fatal("no record")
+			if w.countRecords(port.DecisionStale) == 0 {
+				t.Fatal("the stale sample was not recorded")
 			}
 			w.train()
 		}},
-		"stale while it runs: given up at once": {"", func(t *testing.T, w *world) {
+		"stale while running: dropped immediately": {"", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 1)
@@ -764,26 +760,26 @@
 				w.publish()
 			}
 			if slices.Contains(w.attempts, run) {
-				t.Fatal("a sample past the bound runs on")
+				t.Fatal("a sample past the bound is still running")
 			}
 		}},
-		"one version only: a split sample starts again": {"def plan(pool):\n  return struct(max_versions = 1)", func(t *testing.T, w *world) {
+		"max_versions 1: a sample of two versions restarts": {"def plan(pool):\n  return struct(max_versions = 1)", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
 			w.publish()
 			w.progress(run, 2)
 			if slices.Contains(w.attempts, run) {
-				t.Fatal("a sample of two versions runs on")
+				t.Fatal("a sample of two versions is still running")
 			}
 		}},
-		"over-provisioned group takes the first to finish": {"def plan(pool):\n  return struct(over_provision = 1)", func(t *testing.T, w *world) {
+		"over-provisioned group keeps the first to finish": {"def plan(pool):\n  return struct(over_provision = 1)", func(t *testing.T, w *world) {
 			w.answerFetch(false)
 			first, second, third := w.attempts[0], w.attempts[1], w.attempts[2]
 			w.finish(third)
 			w.finish(second)
 			if slices.Contains(w.attempts, first) || w.current.Status().Counters.Surplus != 1 {
-				t.Fatal("the surplus sample runs on")
+				t.Fatal("the surplus sample is still running")
 			}
 			w.train()
 		}},
@@ -798,7 +794,7 @@
 			w.tick(time.Second)
 			again := w.running(run.start.ID)
 			if again.start.Avoid != "replica-1" || again.start.ResumeTokens != 6 || again.start.Priority != w.sampling.Priority+7 {
-				t.Fatalf("started again as %+v", again.start)
+				t.Fatalf("restarted as %+v", again.start)
 			}
 			w.progress(again, 6)
 			if len(w.moves) != 0 {
@@ -815,17 +811,17 @@
 			w.tick(time.Minute)
 			w.running(run.start.ID)
 		}},
-		"policy that fails leaves the last plan in force and says so": {"def plan(pool):\n  return struct(target_in_flight = 4 if pool.version < 2 else -1)", func(t *testing.T, w *world) {
+		"failing policy keeps the last plan and is recorded": {"def plan(pool):\n  return struct(target_in_flight = 4 if pool.version < 2 else -1)", func(t *testing.T, w *world) {
 			w.publish()
 			w.tick(2 * time.Second)
 			w.tick(2 * time.Second)
 			status := w.current.Status()
-			if status.Plan.TargetInFlight != 4 || !strings.Contains(status.PolicyError, "target_in_flight") || w.recorded(port.DecisionHeld) != 1 {
-				t.Fatalf("plan %+v, error %q, %d records", status.Plan, status.PolicyError, w.recorded(port.DecisionHeld))
+			if status.Plan.TargetInFlight != 4 || !strings.Contains(status.PolicyError, "target_in_flight") || w.countRecords(port.DecisionHeld) != 1 {
+				t.Fatalf("plan %+v, error %q, %d records", status.Plan, status.PolicyError, w.countRecords(port.DecisionHeld))
 			}
 			w.train()
 		}},
-		"prompt source fails, then gives too few": {"", func(t *testing.T, w *world) {
+		"prompt source fails, then returns too few": {"", func(t *testing.T, w *world) {
 			for range 3 {
 				w.answerFetch(true)
 				w.tick(time.Minute)
@@ -836,12 +832,12 @@
 			w.step(w.current, coordinator.PromptsArrived{From: fetch.From + 5, Prompts: prompts(fetch.From+5, 1)})
 			w.tick(time.Minute)
 			if next := w.fetches[0].From; next != fetch.From+1 {
-				t.Fatalf("goes on at prompt %d", next)
+				t.Fatalf("continues at prompt %d", next)
 			}
 			w.train()
 		}},
-		"pool's settings change its group size": {"", func(t *testing.T, w *world) {
-			w.fill()
+		"group size changes": {"", func(t *testing.T, w *world) {
+			w.fillBuffer()
 			w.sampling.GroupSize = 3
 			program, err := policy.Compile("def plan(pool):\n  return struct(target_in_flight = 12)")
 			if err != nil {
@@ -856,9 +852,8 @@
 	}
 }
 
-// TestGroupOfUnlikeAges has groups lose a sample to staleness at every
-// publication, each time just before the trainer asks. They must still come to
-// be delivered.
+// TestGroupOfUnlikeAges makes groups lose a sample to staleness at every publication,
+// just before the trainer's request. They must still be delivered eventually.
 func TestGroupOfUnlikeAges(t *testing.T) {
 	sampling := smallSampling()
 	sampling.GroupSize = 3
@@ -878,21 +873,20 @@
 	}
 	for round := 0; w.log.State(poolName).PromptsBelow == 0; round++ {
 		if round > 30 {
-			t.Fatalf("prompt 0 is never delivered: %+v", w.current.Status())
+			t.Fatalf("prompt 0 was not delivered: %+v", w.current.Status())
 		}
 		w.publish()
-		w.ask(w.next, w.trainer, 0)
-		w.settleAll(2)
+		w.requestBatch(w.next, w.trainer, 0)
+		w.runRounds(2)
 	}
 	status := w.current.Status()
 	if status.Buffered < 0 || status.Scoring < 0 || status.Buffered+status.Scoring > sampling.BufferBatches*sampling.BatchSamples {
-		t.Fatalf("counts went wrong: %+v", status)
+		t.Fatalf("wrong counts: %+v", status)
 	}
 }
 
-// TestPredictedStale resumes a sample whose text so far is at the bound: when
-// the lengths of others say that it cannot finish before the next publication,
-// it is given up, and without the prediction it runs on.
+// TestPredictedStale resumes a sample at the staleness bound. It must be dropped if
+// predict_stale is set and it is predicted to finish after the next publication.
 func TestPredictedStale(t *testing.T) {
 	for _, predict := range []string{"True", "False"} {
 		sampling := smallSampling()
@@ -907,7 +901,7 @@
 			w.train()
 			publishLater()
 		}
-		w.settleAll(1)
+		w.runRounds(1)
 		w.train()
 		run := w.attempts[0]
 		w.progress(run, 5)
@@ -919,25 +913,24 @@
 		again := w.running(run.start.ID)
 		w.tick(5 * time.Second)
 		w.progress(again, 10)
-		if givenUp := !slices.Contains(w.attempts, again); givenUp != (predict == "True") {
-			t.Errorf("predict_stale = %s: given up %v", predict, givenUp)
+		if dropped := !slices.Contains(w.attempts, again); dropped != (predict == "True") {
+			t.Errorf("predict_stale = %s: dropped %v", predict, dropped)
 		}
 	}
 }
 
-// TestReplacedAtEveryStep replaces the coordinator before each single event of a
-// run, with its last proposal taken or not, and checks that no prompt is lost
-// and no sample comes twice.
+// TestReplacedAtEveryStep replaces the coordinator before each event of a run, with or
+// without its last proposal applied. No prompt may be lost and no sample repeated.
 func TestReplacedAtEveryStep(t *testing.T) {
-	whole := newWorld(t, smallSampling(), "")
+	baseline := newWorld(t, smallSampling(), "")
 	for range 3 {
-		whole.train()
-		whole.publish()
+		baseline.train()
+		baseline.publish()
 	}
-	for crashAt := 3; crashAt < whole.steps; crashAt++ {
-		for _, taken := range []bool{false, true} {
+	for crashAt := 3; crashAt < baseline.steps; crashAt++ {
+		for _, applied := range []bool{false, true} {
 			w := newWorld(t, smallSampling(), "")
-			w.crashAt, w.crashTakes = crashAt, taken
+			w.crashAt, w.crashApplies = crashAt, applied
 			for round := 0; round < 6 || w.log.State(poolName).PromptsBelow < 9; round++ {
 				if round > 20 {
 					t.Fatalf("replaced before step %d: prompt %d is lost", crashAt, w.log.State(poolName).PromptsBelow)
@@ -966,6 +959,6 @@
 	}
 	var field *port.Error
 	if _, err := coordinator.New(odd); !errors.As(err, &field) || field.Field != "batch_samples" {
-		t.Errorf("part of a group: %v", err)
+		t.Errorf("partial group: %v", err)
 	}
 }
--- a/internal/core/coordinator/groups.go
+++ b/internal/core/coordinator/groups.go
@@ -8,32 +8,32 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// group is the work on one prompt.
+// group is the set of samples for one prompt.
 type group struct {
 	prompt  port.Prompt
 	samples []*sample
-	// finished counts samples with their whole text, scored those with a reward.
+	// finished counts samples with complete text, scored those with a reward.
 	finished int
 	scored   int
-	// drops counts whole samples that went stale before the group was delivered.
+	// drops counts finished samples dropped for staleness.
 	drops int
-	// pinned groups belong to the pending commit and do not change.
-	pinned bool
-	gone   bool
+	// pinned groups belong to the pending commit and must not change.
+	pinned    bool
+	discarded bool
 }
 
-// sampleState is where a sample stands.
+// sampleState is the state of a sample.
 type sampleState uint8
 
 const (
-	stateWaiting  sampleState = iota // to be started, not before a time
-	stateRunning                     // an attempt is at a replica
-	stateMoving                      // its attempt was told to stop, to go on elsewhere
-	stateFinished                    // whole text, no reward yet
-	stateScored                      // whole text and reward
+	stateWaiting sampleState = iota // no attempt; starts no earlier than notBefore
+	stateRunning                    // an attempt runs on a replica
+	stateMoving                     // the attempt was cancelled to resume on another replica
+	stateScoring                    // text complete, no reward yet
+	stateScored                     // text complete and scored
 )
 
-// sample is one completion in work.
+// sample is one completion in progress.
 type sample struct {
 	id      port.SampleID
 	group   *group
@@ -42,42 +42,42 @@
 	attempt uint32
 	replica port.ReplicaID
 	avoid   port.ReplicaID
-	// text, spans and tokens are what earlier attempts gave and what the present
-	// one goes on from; for a finished sample, all of it.
+	// text, spans and tokens accumulate the output of ended attempts, from which the
+	// current attempt resumes.
 	text   string
 	spans  []port.Span
 	tokens int
-	// now is what the present attempt reported.
-	now    attemptProgress
-	tries  int
-	moves  int
-	after  time.Time
-	reward float64
-	// scoreTries counts questions to the scorer; scoreSent is zero while none
-	// is out.
+	// progress is the last report of the current attempt.
+	progress  attemptProgress
+	tries     int
+	moves     int
+	notBefore time.Time
+	reward    float64
+	// scoreTries counts requests to the scorer; scoreSent is zero while none is
+	// outstanding.
 	scoreTries int
 	scoreSent  time.Time
-	// fresh is the version that it has to start on at least; 0 means any that the
-	// plan allows.
-	fresh port.WeightVersion
-	// removed is set once the sample left its group for good.
+	// startVersion is the lowest version to start on, in addition to the plan's minimum;
+	// 0 means no such limit.
+	startVersion port.WeightVersion
+	// removed is set once the sample was removed from its group.
 	removed bool
 }
 
-// attemptProgress is what the running attempt has reported.
+// attemptProgress is the reported progress of the current attempt.
 type attemptProgress struct {
-	started time.Time
-	heard   time.Time
-	tokens  int
-	spans   []port.Span
+	started      time.Time
+	lastActivity time.Time
+	tokens       int
+	spans        []port.Span
 }
 
-// totalTokens counts the tokens of all attempts.
-func (s *sample) totalTokens() int { return s.tokens + s.now.tokens }
+// totalTokens returns the token count of all attempts.
+func (s *sample) totalTokens() int { return s.tokens + s.progress.tokens }
 
-// oldest gives the oldest version of all attempts; ok is false before any token.
+// oldest returns the oldest version of all attempts; ok is false before the first token.
 func (s *sample) oldest() (version port.WeightVersion, ok bool) {
-	for _, spans := range [][]port.Span{s.spans, s.now.spans} {
+	for _, spans := range [][]port.Span{s.spans, s.progress.spans} {
 		if len(spans) == 0 {
 			continue
 		}
@@ -90,16 +90,16 @@
 
 func (s *sample) atReplica() bool { return s.state == stateRunning || s.state == stateMoving }
 
-func (s *sample) whole() bool { return s.state == stateFinished || s.state == stateScored }
+func (s *sample) isFinished() bool { return s.state == stateScoring || s.state == stateScored }
 
-// bufferGroups is the number of groups that may be in work, the buffer included.
+// bufferGroups returns the maximum number of groups in progress, including buffered ones.
 func (c *Coordinator) bufferGroups() int {
 	sampling := &c.config.Sampling
 	return max(sampling.BufferBatches, 1) * sampling.BatchSamples / sampling.GroupSize
 }
 
-// startGroups starts groups while the plan wants more samples in flight and the
-// buffer has room for them.
+// startGroups starts groups while the plan allows more samples in flight and the buffer
+// is not full.
 func (c *Coordinator) startGroups() {
 	if c.draining || !c.now.Before(c.leaseUntil) {
 		return
@@ -113,17 +113,19 @@
 	}
 }
 
-// mayStart says whether some replica could take a sample. While the weights that
-// the plan wants are still on their way to the engines none can, and a sample
-// that is refused waits longer than the weights take.
+// mayStart reports whether any replica can take a new sample. While no replica serves
+// the minimum version, a started sample would be refused and its backoff would take
+// longer than loading the weights.
 func (c *Coordinator) mayStart() bool { return c.replicas.serves(c.minVersion()) }
 
-// versionFor is the oldest version that a sample may start on.
-func (c *Coordinator) versionFor(s *sample) port.WeightVersion { return max(c.minVersion(), s.fresh) }
+// versionFor returns the minimum version to start a sample on.
+func (c *Coordinator) versionFor(s *sample) port.WeightVersion {
+	return max(c.minVersion(), s.startVersion)
+}
 
-// unfinished counts samples that run or wait to be started again. Those that wait
-// keep their place, so that new groups cannot hold up begun ones.
-func (c *Coordinator) unfinished() int { return len(c.samples) - c.whole }
+// unfinished counts running and waiting samples. Waiting ones count so that new groups
+// do not delay groups in progress.
+func (c *Coordinator) unfinished() int { return len(c.samples) - c.finishedSamples }
 
 func (c *Coordinator) startGroup(prompt port.Prompt) {
 	size := c.config.Sampling.GroupSize + c.planning.plan.OverProvision
@@ -135,7 +137,7 @@
 	}
 }
 
-// addSample adds a sample that waits for its start.
+// addSample adds a waiting sample to a group.
 func (c *Coordinator) addSample(to *group) *sample {
 	c.sequence++
 	added := &sample{
@@ -148,14 +150,14 @@
 	return added
 }
 
-// startAttempt sends a sample to a replica.
+// startAttempt starts an attempt of the sample.
 func (c *Coordinator) startAttempt(s *sample) {
-	c.checkResume(s)
+	c.dropUnusableResume(s)
 	plan := &c.planning.plan
 	s.state = stateRunning
 	s.attempt++
 	s.replica = ""
-	s.now = attemptProgress{started: c.now, heard: c.now}
+	s.progress = attemptProgress{started: c.now, lastActivity: c.now}
 	c.running++
 	c.counters.Started++
 	c.emit(StartSample{
@@ -168,18 +170,18 @@
 	})
 }
 
-// priority raises samples that the rest of their group waits for.
+// priority returns the sample's priority, raised if the rest of its group waits for it.
 func (c *Coordinator) priority(s *sample) port.Priority {
 	plan := &c.planning.plan
 	priority := c.config.Sampling.Priority + plan.Priority
 	long := plan.LongTokens > 0 && s.tokens >= plan.LongTokens
-	if long || s.fresh > 0 || s.group.finished > 0 {
+	if long || s.startVersion > 0 || s.group.finished > 0 {
 		priority += plan.LongPriority
 	}
 	return priority
 }
 
-// minVersion is the oldest version that could still be delivered.
+// minVersion returns the oldest version that could still be delivered.
 func (c *Coordinator) minVersion() port.WeightVersion {
 	bound := port.WeightVersion(c.config.Sampling.StalenessBound)
 	if c.version <= bound {
@@ -188,9 +190,9 @@
 	return max(c.version-bound, c.planning.plan.MinVersion)
 }
 
-// checkResume forgets the text so far when going on from it cannot give a
-// sample that the plan allows.
-func (c *Coordinator) checkResume(s *sample) {
+// dropUnusableResume discards the partial text if a sample resumed from it would violate
+// the plan.
+func (c *Coordinator) dropUnusableResume(s *sample) {
 	if s.tokens == 0 {
 		return
 	}
@@ -202,7 +204,7 @@
 	}
 }
 
-// distinctVersions counts the versions of the spans and one more to come.
+// distinctVersions counts the distinct versions among the spans and next.
 func distinctVersions(spans []port.Span, next port.WeightVersion) int {
 	seen := []port.WeightVersion{next}
 	for _, span := range spans {
@@ -213,33 +215,33 @@
 	return len(seen)
 }
 
-// cancelAttempt stops an attempt whose outcome no longer matters.
+// cancelAttempt cancels the current attempt and ignores its outcome.
 func (c *Coordinator) cancelAttempt(s *sample) {
 	if !s.atReplica() {
 		return
 	}
 	c.emit(CancelSample{ID: s.id, Attempt: s.attempt})
-	c.leaveReplica(s)
+	c.endAttempt(s)
 }
 
-// leaveReplica ends the account of a running attempt.
-func (c *Coordinator) leaveReplica(s *sample) {
+// endAttempt ends the current attempt and returns the sample to waiting.
+func (c *Coordinator) endAttempt(s *sample) {
 	if s.atReplica() {
 		c.running--
 	}
 	s.state = stateWaiting
-	s.now = attemptProgress{}
+	s.progress = attemptProgress{}
 }
 
-// live says whether a sample still belongs to its group; handlers that go over a
-// copy of a group's samples may have removed some on the way.
+// live reports whether a sample still belongs to its group. Loops over a copy of a
+// group's samples check it, since an earlier iteration may have removed the sample.
 func live(s *sample) bool { return !s.removed }
 
-// removeSample takes a sample out of its group for good.
+// removeSample removes a sample from its group.
 func (c *Coordinator) removeSample(s *sample) {
 	c.cancelAttempt(s)
-	if s.whole() {
-		c.whole--
+	if s.isFinished() {
+		c.finishedSamples--
 		s.group.finished--
 	}
 	if s.state == stateScored {
@@ -250,7 +252,7 @@
 	s.group.samples = slices.DeleteFunc(s.group.samples, func(other *sample) bool { return other == s })
 }
 
-// replaceSample removes a sample and adds a new one where the group needs it.
+// replaceSample removes a sample and adds a new one if the group needs it.
 func (c *Coordinator) replaceSample(s *sample, delay time.Duration) *sample {
 	from := s.group
 	c.removeSample(s)
@@ -258,20 +260,20 @@
 		return nil
 	}
 	added := c.addSample(from)
-	added.after = c.now.Add(delay)
+	added.notBefore = c.now.Add(delay)
 	c.startDue = true
 	return added
 }
 
-// startWaiting starts the waiting samples that need not wait for a tick: those
-// that take the place of a dropped one, and all when the replicas changed.
+// startWaiting starts waiting samples between ticks, after a replacement or a change of
+// the replicas.
 func (c *Coordinator) startWaiting() {
 	if !c.startDue {
 		return
 	}
 	c.startDue = false
 	for _, g := range c.order {
-		if g.gone || g.pinned {
+		if g.discarded || g.pinned {
 			continue
 		}
 		for _, s := range g.samples {
@@ -282,60 +284,60 @@
 	}
 }
 
-// settleGroup cancels what a group with enough whole samples no longer needs.
-func (c *Coordinator) settleGroup(g *group) {
+// cancelSurplus removes the unfinished samples of a group that has enough finished ones.
+func (c *Coordinator) cancelSurplus(g *group) {
 	if g.finished < c.config.Sampling.GroupSize {
 		return
 	}
 	for _, other := range slices.Clone(g.samples) {
-		if !other.whole() {
+		if !other.isFinished() {
 			c.counters.Surplus++
 			c.removeSample(other)
 		}
 	}
 }
 
-// ready says whether a group can be delivered.
+// ready reports whether a group can be delivered.
 func (c *Coordinator) ready(g *group) bool {
-	return !g.pinned && !g.gone && g.scored == c.config.Sampling.GroupSize && len(g.samples) == g.scored
+	return !g.pinned && !g.discarded && g.scored == c.config.Sampling.GroupSize && len(g.samples) == g.scored
 }
 
-// forgetGroup drops a group without giving its prompt back.
-func (c *Coordinator) forgetGroup(g *group) {
-	if g.gone {
+// discardGroup drops a group without requeueing its prompt.
+func (c *Coordinator) discardGroup(g *group) {
+	if g.discarded {
 		return
 	}
 	for _, s := range g.samples {
 		c.cancelAttempt(s)
-		if s.whole() {
-			c.whole--
+		if s.isFinished() {
+			c.finishedSamples--
 		}
 		s.removed = true
 		delete(c.samples, s.id)
 	}
-	g.gone = true
+	g.discarded = true
 	if c.groups[g.prompt.Index] == g {
 		delete(c.groups, g.prompt.Index)
 	}
 }
 
-// requeueGroup drops a group and gives its prompt back to the queue.
+// requeueGroup drops a group and requeues its prompt.
 func (c *Coordinator) requeueGroup(g *group) {
-	c.forgetGroup(g)
-	c.prompts.pushFirst(g.prompt)
+	c.discardGroup(g)
+	c.prompts.requeue(g.prompt)
 }
 
-// liveGroups compacts the order of creation and gives a copy that handlers may
-// change groups under.
+// liveGroups removes discarded groups from the order and returns a copy, which callers
+// may iterate over while groups change.
 func (c *Coordinator) liveGroups() []*group {
-	c.order = slices.DeleteFunc(c.order, func(g *group) bool { return g.gone })
+	c.order = slices.DeleteFunc(c.order, func(g *group) bool { return g.discarded })
 	return slices.Clone(c.order)
 }
 
-// countFinished counts samples at the scorer and in deliverable groups.
+// countFinished counts samples being scored and samples in deliverable groups.
 func (c *Coordinator) countFinished() (scoring, buffered int) {
 	for _, g := range c.order {
-		if g.gone || g.pinned {
+		if g.discarded || g.pinned {
 			continue
 		}
 		scoring += g.finished - g.scored
--- a/internal/core/coordinator/lengths.go
+++ b/internal/core/coordinator/lengths.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// lengthDistribution remembers the lengths of finished samples in buckets of an
-// eighth of a power of two, halved now and then so that it follows a change.
+// lengthDistribution is a histogram of the lengths of finished samples with eight
+// buckets per power of two. It halves older counts to follow changes.
 type lengthDistribution struct {
 	counts [lengthBuckets]float64
 	sums   [lengthBuckets]float64
@@ -13,13 +13,13 @@
 const (
 	subBuckets    = 8
 	lengthBuckets = 32 * subBuckets
-	// minLengths is how many samples a prediction needs.
-	minLengths = 32
-	// maxLengths is the weight at which the past is halved.
-	maxLengths = 4096
+	// minObservations is the number of samples needed for a prediction.
+	minObservations = 32
+	// decayThreshold is the total weight above which all counts are halved.
+	decayThreshold = 4096
 )
 
-// bucketOf gives the bucket of a length.
+// bucketOf returns the bucket for a length.
 func bucketOf(length int) int {
 	if length < subBuckets {
 		return max(length, 0)
@@ -34,7 +34,7 @@
 	d.counts[bucket]++
 	d.sums[bucket] += float64(length)
 	d.total++
-	if d.total <= maxLengths {
+	if d.total <= decayThreshold {
 		return
 	}
 	d.total /= 2
@@ -44,10 +44,10 @@
 	}
 }
 
-// expectedRemaining gives the mean of what samples of at least this length
-// still had to come; known is false while too few samples finished.
+// expectedRemaining returns the mean number of tokens that samples of at least this
+// length still generated; known is false while too few samples have finished.
 func (d *lengthDistribution) expectedRemaining(length int) (tokens int, known bool) {
-	if d.total < minLengths {
+	if d.total < minObservations {
 		return 0, false
 	}
 	var count, sum float64
@@ -61,10 +61,10 @@
 	return max(int(sum/count)-length, 0), true
 }
 
-// quantile gives the mean length of the bucket that holds the quantile; 0 while
-// too few samples finished.
+// quantile returns the mean length of the bucket that contains the quantile, or 0
+// while too few samples have finished.
 func (d *lengthDistribution) quantile(share float64) int {
-	if d.total < minLengths {
+	if d.total < minObservations {
 		return 0
 	}
 	var seen float64
--- a/internal/core/coordinator/planning.go
+++ b/internal/core/coordinator/planning.go
@@ -7,33 +7,32 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// planning holds the program, its last good plan and why the last run failed.
+// planning holds the policy program, its last valid plan and the error of its last run.
 type planning struct {
 	program *policy.Program
 	plan    policy.Plan
 	err     error
-	ran     time.Time
+	lastRun time.Time
 	due     bool
 }
 
-// replanInterval is the least time between two runs of the program that changes
-// ask for.
+// replanInterval is the minimum time between two policy runs triggered by changes.
 const replanInterval = 20 * time.Millisecond
 
-// replan runs the program between ticks when something changed that it sees.
+// replan runs the policy between ticks if its inputs have changed.
 func (c *Coordinator) replan() {
-	if c.planning.due && c.now.Sub(c.planning.ran) >= replanInterval {
+	if c.planning.due && c.now.Sub(c.planning.lastRun) >= replanInterval {
 		c.runPolicy()
 	}
 }
 
-// runPolicy runs the program when its time has come or something changed. A run
-// that fails leaves the last good plan in force and is recorded once.
+// runPolicy runs the policy program if it is due. If the run fails, the last valid plan
+// stays in force; repeated identical errors are recorded once.
 func (c *Coordinator) runPolicy() {
-	if !c.planning.due && c.now.Sub(c.planning.ran) < planInterval {
+	if !c.planning.due && c.now.Sub(c.planning.lastRun) < planInterval {
 		return
 	}
-	c.planning.ran = c.now
+	c.planning.lastRun = c.now
 	c.planning.due = false
 	plan, _, err := c.planning.program.Run(c.policyView())
 	if err != nil {
@@ -52,11 +51,11 @@
 	}
 	c.record(port.Decision{
 		Kind: port.DecisionHeld, Subject: "policy-" + string(c.config.Pool), Code: port.CodeInvalid,
-		Detail: "policy program failed, the last good plan stays in force: " + err.Error(),
+		Detail: "policy program failed, keeping the last valid plan: " + err.Error(),
 	})
 }
 
-// policyView gives what the program sees.
+// policyView returns the program's input.
 func (c *Coordinator) policyView() policy.View {
 	sampling := &c.config.Sampling
 	scoring, buffered := c.countFinished()
@@ -72,7 +71,7 @@
 	}
 }
 
-// countLong counts running samples over the threshold in force.
+// countLong counts running samples of at least the plan's LongTokens.
 func (c *Coordinator) countLong() int {
 	limit := c.planning.plan.LongTokens
 	if limit == 0 {
@@ -81,7 +80,7 @@
 	count := 0
 	for _, g := range c.order {
 		for _, s := range g.samples {
-			if !g.gone && s.atReplica() && s.totalTokens() >= limit {
+			if !g.discarded && s.atReplica() && s.totalTokens() >= limit {
 				count++
 			}
 		}
@@ -89,45 +88,43 @@
 	return count
 }
 
-// replicaLoads is the load of the pool's replicas as last heard.
+// replicaLoads holds the last reported load of the pool's replicas.
 type replicaLoads struct {
-	list     []policy.Replica
-	share    map[port.ReplicaID]float64
-	lowest   float64
-	capacity int
-	// newest is the newest version that one of them serves.
-	newest port.WeightVersion
+	list           []policy.Replica
+	utilization    map[port.ReplicaID]float64
+	minUtilization float64
+	capacity       int
+	// newestVersion is the newest version served by any replica that takes samples.
+	newestVersion port.WeightVersion
 }
 
-// crowdedMargin is how much more loaded than the least loaded replica a replica
-// must be before a long sample is moved off it; going on elsewhere costs the
-// prompt and the text so far once more.
-const crowdedMargin = 0.25
+// overloadMargin is how far a replica's utilization must exceed the lowest one before
+// a long sample is moved off it. Moving costs another prefill of the prompt and text.
+const overloadMargin = 0.25
 
 func newReplicaLoads(replicas []policy.Replica) replicaLoads {
-	loads := replicaLoads{list: replicas, share: make(map[port.ReplicaID]float64, len(replicas)), lowest: 1}
+	loads := replicaLoads{list: replicas, utilization: make(map[port.ReplicaID]float64, len(replicas)), minUtilization: 1}
 	for _, replica := range replicas {
 		if replica.Limit <= 0 {
 			continue
 		}
 		loads.capacity += replica.Limit
-		loads.newest = max(loads.newest, replica.Version)
+		loads.newestVersion = max(loads.newestVersion, replica.Version)
 		share := float64(replica.Running) / float64(replica.Limit)
-		loads.share[replica.ID] = share
-		loads.lowest = min(loads.lowest, share)
+		loads.utilization[replica.ID] = share
+		loads.minUtilization = min(loads.minUtilization, share)
 	}
 	return loads
 }
 
-// serves says whether some replica that takes samples serves the version or a
-// newer one. A replica that serves none, as before its adapter is loaded, has
-// version 0.
+// serves reports whether any replica that takes samples serves the version or a newer
+// one. A replica without loaded weights or adapter has version 0.
 func (l *replicaLoads) serves(version port.WeightVersion) bool {
-	return l.newest >= max(version, 1)
+	return l.newestVersion >= max(version, 1)
 }
 
-// crowded says whether a replica is clearly more loaded than the least loaded.
-func (l *replicaLoads) crowded(id port.ReplicaID) bool {
-	share, known := l.share[id]
-	return known && share-l.lowest >= crowdedMargin
+// overloaded reports whether a replica's utilization clearly exceeds the lowest one.
+func (l *replicaLoads) overloaded(id port.ReplicaID) bool {
+	share, known := l.utilization[id]
+	return known && share-l.minUtilization >= overloadMargin
 }
--- a/internal/core/coordinator/prompts.go
+++ b/internal/core/coordinator/prompts.go
@@ -8,27 +8,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// promptQueue knows which prompts wait, which must be fetched again, and which
-// are committed.
+// promptQueue tracks the prompts that are queued, to be fetched again, or committed.
 type promptQueue struct {
-	// below and above are the committed prompts, as in port.LedgerState.
-	below port.PromptIndex
-	above map[port.PromptIndex]struct{}
-	// cursor is the next index never fetched.
+	// committedBelow and committedAbove are the committed prompts, as in port.LedgerState.
+	committedBelow port.PromptIndex
+	committedAbove map[port.PromptIndex]struct{}
+	// cursor is the lowest index not fetched yet.
 	cursor port.PromptIndex
-	// requeued goes before fresh; queued holds the indexes of both.
+	// requeued precedes fresh; queued holds the indexes of both.
 	requeued []port.Prompt
 	fresh    []port.Prompt
 	queued   map[port.PromptIndex]struct{}
-	// refetch lists prompts whose text is not at hand, in order.
+	// refetch lists prompts whose text must be fetched again, sorted by index.
 	refetch []port.PromptIndex
 
-	fetching *fetchState
-	after    time.Time
-	tries    int
+	fetching  *fetchState
+	notBefore time.Time
+	tries     int
 }
 
-// fetchState is the one fetch that is out.
+// fetchState is the outstanding fetch.
 type fetchState struct {
 	from  port.PromptIndex
 	count int
@@ -38,36 +37,36 @@
 func newPromptQueue(state port.LedgerState) promptQueue {
 	q := promptQueue{queued: make(map[port.PromptIndex]struct{})}
 	q.setCommitted(state)
-	q.cursor = q.below
+	q.cursor = q.committedBelow
 	return q
 }
 
-// setCommitted takes over the ledger's committed prompts.
+// setCommitted replaces the committed prompts by the ledger's.
 func (q *promptQueue) setCommitted(state port.LedgerState) {
-	q.below = state.PromptsBelow
-	q.above = make(map[port.PromptIndex]struct{}, len(state.PromptsAbove))
+	q.committedBelow = state.PromptsBelow
+	q.committedAbove = make(map[port.PromptIndex]struct{}, len(state.PromptsAbove))
 	for _, index := range state.PromptsAbove {
-		q.above[index] = struct{}{}
+		q.committedAbove[index] = struct{}{}
 	}
 }
 
 func (q *promptQueue) committed(index port.PromptIndex) bool {
-	if index < q.below {
+	if index < q.committedBelow {
 		return true
 	}
-	_, found := q.above[index]
+	_, found := q.committedAbove[index]
 	return found
 }
 
 func (q *promptQueue) length() int { return len(q.requeued) + len(q.fresh) }
 
-// push adds a prompt at the end of the fresh ones, pushFirst among the requeued.
+// push appends a new prompt, requeue a prompt that was started before.
 func (q *promptQueue) push(prompt port.Prompt) {
 	q.fresh = append(q.fresh, prompt)
 	q.queued[prompt.Index] = struct{}{}
 }
 
-func (q *promptQueue) pushFirst(prompt port.Prompt) {
+func (q *promptQueue) requeue(prompt port.Prompt) {
 	if _, queued := q.queued[prompt.Index]; queued {
 		return
 	}
@@ -75,7 +74,7 @@
 	q.queued[prompt.Index] = struct{}{}
 }
 
-// pop takes the next prompt, requeued ones first.
+// pop returns the next prompt, requeued ones first.
 func (q *promptQueue) pop() (port.Prompt, bool) {
 	for _, queue := range []*[]port.Prompt{&q.requeued, &q.fresh} {
 		if len(*queue) == 0 {
@@ -89,7 +88,7 @@
 	return port.Prompt{}, false
 }
 
-// dropCommitted takes prompts out of the queues that the ledger says are done.
+// dropCommitted removes committed prompts from the queues.
 func (q *promptQueue) dropCommitted() {
 	keep := func(prompts []port.Prompt) []port.Prompt {
 		kept := prompts[:0]
@@ -106,16 +105,16 @@
 	q.refetch = slices.DeleteFunc(q.refetch, q.committed)
 }
 
-// needFetch adds an index whose text must be fetched again.
-func (q *promptQueue) needFetch(index port.PromptIndex) {
+// addRefetch adds a prompt to fetch again.
+func (q *promptQueue) addRefetch(index port.PromptIndex) {
 	position, found := slices.BinarySearch(q.refetch, index)
 	if !found {
 		q.refetch = slices.Insert(q.refetch, position, index)
 	}
 }
 
-// next gives the range to fetch: lost prompts first, then new ones.
-func (q *promptQueue) next(wanted int) (from port.PromptIndex, count int) {
+// nextFetch returns the range to fetch: lost prompts first, then new ones.
+func (q *promptQueue) nextFetch(wanted int) (from port.PromptIndex, count int) {
 	if len(q.refetch) > 0 {
 		from = q.refetch[0]
 		count = 1
@@ -125,23 +124,23 @@
 		return from, count
 	}
 	q.skipCommitted()
-	window := int64(q.below) + ledger.MaxPromptsAbove + int64(wanted) - int64(q.cursor)
+	window := int64(q.committedBelow) + ledger.MaxPromptsAbove + int64(wanted) - int64(q.cursor)
 	return q.cursor, int(min(int64(wanted), int64(maxFetch), max(window, 0)))
 }
 
-// skipCommitted moves the cursor over committed prompts.
+// skipCommitted advances the cursor past committed prompts.
 func (q *promptQueue) skipCommitted() {
-	q.cursor = max(q.cursor, q.below)
+	q.cursor = max(q.cursor, q.committedBelow)
 	for q.committed(q.cursor) {
 		q.cursor++
 	}
 }
 
-// take sorts an arrived prompt in; one not asked for is ignored.
-func (q *promptQueue) take(prompt port.Prompt) {
+// accept queues a fetched prompt; one that was not requested is ignored.
+func (q *promptQueue) accept(prompt port.Prompt) {
 	if position, found := slices.BinarySearch(q.refetch, prompt.Index); found {
 		q.refetch = slices.Delete(q.refetch, position, position+1)
-		q.pushFirst(prompt)
+		q.requeue(prompt)
 		return
 	}
 	if prompt.Index != q.cursor {
@@ -153,17 +152,18 @@
 	}
 }
 
-// fetchPrompts keeps enough prompts waiting to fill a batch's worth of groups.
+// fetchPrompts starts a fetch if prompts must be fetched again or if at most a quarter of
+// the buffer's groups are queued.
 func (c *Coordinator) fetchPrompts() {
 	q := &c.prompts
-	if q.fetching != nil || c.draining || c.now.Before(q.after) {
+	if q.fetching != nil || c.draining || c.now.Before(q.notBefore) {
 		return
 	}
 	groups := c.bufferGroups()
 	if len(q.refetch) == 0 && q.length() > groups/4 {
 		return
 	}
-	from, count := q.next(groups)
+	from, count := q.nextFetch(groups)
 	if count <= 0 {
 		return
 	}
@@ -174,7 +174,7 @@
 func (c *Coordinator) promptsArrived(event PromptsArrived) {
 	q := &c.prompts
 	for _, prompt := range event.Prompts {
-		q.take(prompt)
+		q.accept(prompt)
 	}
 	if q.fetching == nil || q.fetching.from != event.From {
 		return
@@ -183,7 +183,7 @@
 	q.fetching = nil
 	q.tries = 0
 	if short {
-		q.after = c.now.Add(backoff(c.config.Seed, uint64(event.From), 2))
+		q.notBefore = c.now.Add(backoff(c.config.Seed, uint64(event.From), 2))
 	}
 }
 
@@ -194,26 +194,26 @@
 	}
 	q.fetching = nil
 	q.tries++
-	q.after = c.now.Add(backoff(c.config.Seed, uint64(event.From), q.tries))
+	q.notBefore = c.now.Add(backoff(c.config.Seed, uint64(event.From), q.tries))
 }
 
-// reconcile takes the ledger's state over: work on committed prompts is
-// dropped, and prompts that nothing works on are fetched again.
+// reconcile applies the ledger state: it drops groups of committed prompts and fetches
+// prompts again that are neither in progress nor queued.
 func (c *Coordinator) reconcile(state port.LedgerState) {
 	c.ledger = state
 	c.prompts.setCommitted(state)
 	c.prompts.dropCommitted()
 	for _, group := range c.liveGroups() {
 		if c.prompts.committed(group.prompt.Index) {
-			c.forgetGroup(group)
+			c.discardGroup(group)
 		}
 	}
-	for index := c.prompts.below; index < c.prompts.cursor; index++ {
+	for index := c.prompts.committedBelow; index < c.prompts.cursor; index++ {
 		if c.prompts.committed(index) || c.groups[index] != nil {
 			continue
 		}
 		if _, queued := c.prompts.queued[index]; !queued {
-			c.prompts.needFetch(index)
+			c.prompts.addRefetch(index)
 		}
 	}
 }
--- a/internal/core/coordinator/rapid_test.go
+++ b/internal/core/coordinator/rapid_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-const wildPolicy = `
+const stressPolicy = `
 def plan(pool):
     return struct(
         target_in_flight = 24, over_provision = pool.version % 2, long_tokens = 6, long_priority = 9,
@@ -20,7 +20,7 @@
     )
 `
 
-// machine drives a world by random choices.
+// machine drives a world with random actions.
 type machine struct {
 	*world
 	former []*coordinator.Coordinator
@@ -28,17 +28,17 @@
 
 func (m *machine) pick(t *rapid.T) *attemptRun {
 	if len(m.attempts) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no attempt is running")
 	}
 	return m.attempts[rapid.IntRange(0, len(m.attempts)-1).Draw(t, "attempt")]
 }
 
-func (m *machine) replace() {
+func (m *machine) replaceCurrent() {
 	m.former = append(m.former, m.current)
-	m.takeOver()
+	m.replaceCoordinator()
 }
 
-// actions lists what may happen; the names show in a failing case.
+// actions lists the random actions by the name printed in a failing case.
 func (m *machine) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"tick": func(t *rapid.T) {
@@ -57,35 +57,35 @@
 		"score fails":     func(t *rapid.T) { m.scoreOne(t, true) },
 		"score all":       func(*rapid.T) { m.scoreAll() },
 		"lose scores":     func(*rapid.T) { m.scores = nil },
-		"commit":          func(*rapid.T) { m.settle(answered) },
-		"commit again":    func(*rapid.T) { m.settle(answered) },
-		"commit lost":     func(*rapid.T) { m.settle(answerLost) },
-		"commit not sent": func(*rapid.T) { m.settle(neverSent) },
-		"commit unknown":  func(*rapid.T) { m.settle(unknown) },
-		"commit silent":   func(*rapid.T) { m.settleSilently() },
+		"commit":          func(*rapid.T) { m.resolveProposal(answered) },
+		"commit again":    func(*rapid.T) { m.resolveProposal(answered) },
+		"commit lost":     func(*rapid.T) { m.resolveProposal(answerLost) },
+		"commit not sent": func(*rapid.T) { m.resolveProposal(neverSent) },
+		"commit unknown":  func(*rapid.T) { m.resolveProposal(unknown) },
+		"commit silent":   func(*rapid.T) { m.applyWithoutAnswer() },
 		"read":            func(*rapid.T) { m.read() },
 		"publish":         func(*rapid.T) { m.publish() },
 		"publish unheard": func(*rapid.T) { m.published++ },
-		"ask":             func(t *rapid.T) { m.askOnce(t) },
-		"ask twice":       func(t *rapid.T) { m.askOnce(t); m.askOnce(t) },
-		"ask earlier":     func(*rapid.T) { m.askEarlier() },
+		"ask":             func(t *rapid.T) { m.requestNext(t) },
+		"ask twice":       func(t *rapid.T) { m.requestNext(t); m.requestNext(t) },
+		"ask earlier":     func(*rapid.T) { m.requestPrevious() },
 		"forget answer":   func(*rapid.T) { m.forgetAnswer() },
 		"new trainer":     func(*rapid.T) { m.registerConsumer() },
-		"take over":       func(*rapid.T) { m.replace() },
-		"former wakes":    func(t *rapid.T) { m.wakeFormer(t) },
+		"take over":       func(*rapid.T) { m.replaceCurrent() },
+		"former wakes":    func(t *rapid.T) { m.stepFormer(t) },
 		"":                m.checkBounds,
 	}
 }
 
-// checkBounds holds after every action.
+// checkBounds runs after every action.
 func (m *machine) checkBounds(t *rapid.T) {
 	status := m.current.Status()
-	most := m.sampling.BufferBatches * m.sampling.BatchSamples
+	limit := m.sampling.BufferBatches * m.sampling.BatchSamples
 	if status.Running < 0 || status.Scoring < 0 || status.Buffered < 0 {
 		t.Fatalf("negative count: %+v", status)
 	}
-	if status.Buffered > most {
-		t.Fatalf("%d finished samples wait, allowed are %d", status.Buffered, most)
+	if status.Buffered > limit {
+		t.Fatalf("%d samples buffered, limit is %d", status.Buffered, limit)
 	}
 }
 
@@ -110,56 +110,56 @@
 	}
 }
 
-// settleSilently lets the log take a proposal whose coordinator hears nothing.
-func (m *machine) settleSilently() {
+// applyWithoutAnswer applies a proposal to the log and drops its answer.
+func (m *machine) applyWithoutAnswer() {
 	if len(m.proposals) > 0 {
 		m.apply(m.proposals[0].commit)
 		m.proposals = m.proposals[1:]
 	}
 }
 
-func (m *machine) askOnce(t *rapid.T) {
-	m.ask(m.next, m.trainer, time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds"))*time.Second)
+func (m *machine) requestNext(t *rapid.T) {
+	m.requestBatch(m.next, m.trainer, time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds"))*time.Second)
 }
 
-func (m *machine) askEarlier() {
+func (m *machine) requestPrevious() {
 	if m.next < 2 {
 		return
 	}
-	token := m.ask(m.next-1, m.trainer, 0)
-	if _, open := m.closeQuestion(token); open {
+	token := m.requestBatch(m.next-1, m.trainer, 0)
+	if _, open := m.closeRequest(token); open {
 		m.step(m.current, coordinator.RequestAbandoned{Token: token})
 	}
 }
 
-// forgetAnswer lets the trainer lose the last answer before it used it, so that
-// it asks for the same batch again.
+// forgetAnswer makes the trainer lose the last answer before using it, so that it
+// requests the same batch again.
 func (m *machine) forgetAnswer() {
 	last := m.next - 1
-	if m.asked > last {
+	if m.highestRequested > last {
 		return
 	}
 	if m.log.State(poolName).Committed == last && m.log.State(poolName).Acknowledged < last && last > 0 {
-		delete(m.used, last)
+		delete(m.consumed, last)
 		m.next = last
 		m.tick(6 * time.Second)
 	}
 }
 
-func (m *machine) wakeFormer(t *rapid.T) {
+func (m *machine) stepFormer(t *rapid.T) {
 	if len(m.former) == 0 {
 		t.Skip("no former coordinator")
 	}
 	former := m.former[rapid.IntRange(0, len(m.former)-1).Draw(t, "former")]
 	m.tokens++
-	m.asked = max(m.asked, m.next)
-	m.questions = append(m.questions, question{token: m.tokens, number: m.next, epoch: m.trainer, asked: former})
+	m.highestRequested = max(m.highestRequested, m.next)
+	m.requests = append(m.requests, batchRequest{token: m.tokens, number: m.next, epoch: m.trainer, coordinator: former})
 	m.step(former, coordinator.BatchRequested{Token: m.tokens, Number: m.next, ConsumerEpoch: m.trainer, Deadline: m.now})
 	m.step(former, coordinator.Tick{})
 }
 
-// checkEnd takes the faults away and checks that the pool recovers, that every
-// prompt begun is committed, and that the trainer used what the log holds.
+// checkEnd stops injecting faults and checks that the pool recovers, that every prompt
+// started is committed, and that the trainer consumed the batches in the log.
 func (m *machine) checkEnd(t *rapid.T) {
 	m.scores, m.moves = nil, nil
 	m.attempts = slices.DeleteFunc(m.attempts, func(run *attemptRun) bool { return run.owner != m.current })
@@ -177,25 +177,25 @@
 		m.train()
 		m.publish()
 	}
-	m.checkUsed(t)
+	m.checkConsumed(t)
 }
 
-// checkUsed compares what the trainer used with the log's acknowledged batches.
-func (m *machine) checkUsed(t *rapid.T) {
+// checkConsumed compares the consumed batches with the log's acknowledged batches.
+func (m *machine) checkConsumed(t *rapid.T) {
 	for number := port.BatchNumber(1); number < m.next; number++ {
-		used, found := m.used[number]
+		consumed, found := m.consumed[number]
 		if !found {
-			t.Fatalf("batch %d never came", number)
+			t.Fatalf("batch %d was not delivered", number)
 		}
-		if _, later := m.commits[batchKey(number, used.Attempt+1)]; later {
-			t.Fatalf("batch %d was used in attempt %d, which was voided", number, used.Attempt)
+		if _, later := m.commits[batchKey(number, consumed.Attempt+1)]; later {
+			t.Fatalf("batch %d was consumed in attempt %d, which was voided", number, consumed.Attempt)
 		}
 	}
 }
 
 func TestExactlyOnceUnderRandomFaults(t *testing.T) {
 	testkit.Check(t, 20261202, func(rt *rapid.T) {
-		m := &machine{world: newWorld(rt, smallSampling(), wildPolicy)}
+		m := &machine{world: newWorld(rt, smallSampling(), stressPolicy)}
 		rt.Repeat(m.actions())
 		m.checkEnd(rt)
 	})
--- a/internal/core/coordinator/samples.go
+++ b/internal/core/coordinator/samples.go
@@ -8,9 +8,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// attempt finds the sample whose present attempt an event speaks of; an event
-// of an earlier attempt or a dropped sample is ignored.
-func (c *Coordinator) attempt(id port.SampleID, attempt uint32) *sample {
+// activeAttempt returns the sample that is running the given attempt, or nil if the
+// attempt has ended or the sample was removed.
+func (c *Coordinator) activeAttempt(id port.SampleID, attempt uint32) *sample {
 	found := c.samples[id]
 	if found == nil || found.attempt != attempt || !found.atReplica() {
 		c.counters.Ignored++
@@ -20,34 +20,34 @@
 }
 
 func (c *Coordinator) sampleProgress(event SampleProgress) {
-	s := c.attempt(event.ID, event.Attempt)
+	s := c.activeAttempt(event.ID, event.Attempt)
 	if s == nil {
 		return
 	}
 	s.replica = event.Replica
-	s.now.heard = c.now
-	s.now.tokens = event.Tokens
-	s.now.spans = slices.Clone(event.Spans)
-	c.reviewRunning(s)
+	s.progress.lastActivity = c.now
+	s.progress.tokens = event.Tokens
+	s.progress.spans = slices.Clone(event.Spans)
+	c.checkRunning(s)
 }
 
-// reviewRunning gives a running sample up when it cannot be delivered, and moves
-// a long one when the plan says so.
-func (c *Coordinator) reviewRunning(s *sample) {
-	if reason := c.hopeless(s); reason != "" {
+// checkRunning drops a running sample that cannot be delivered, and moves a long one
+// if the plan allows it.
+func (c *Coordinator) checkRunning(s *sample) {
+	if reason := c.abandonReason(s); reason != "" {
 		c.dropStale(s, reason)
 		return
 	}
 	if c.shouldMove(s) {
 		s.state = stateMoving
 		s.moves++
-		s.now.heard = c.now
+		s.progress.lastActivity = c.now
 		c.counters.Moved++
 		c.emit(CancelSample{ID: s.id, Attempt: s.attempt, Move: true})
 	}
 }
 
-// shouldMove says whether a long sample goes on at a less loaded replica.
+// shouldMove reports whether to continue a long sample on a less loaded replica.
 func (c *Coordinator) shouldMove(s *sample) bool {
 	plan := &c.planning.plan
 	if plan.Resume != policy.ResumeLong || plan.LongTokens == 0 || s.state != stateRunning {
@@ -56,15 +56,15 @@
 	if s.moves >= maxMoves || s.totalTokens() < plan.LongTokens {
 		return false
 	}
-	return c.replicas.crowded(s.replica)
+	return c.replicas.overloaded(s.replica)
 }
 
 func (c *Coordinator) sampleFinished(event SampleFinished) {
-	s := c.attempt(event.ID, event.Attempt)
+	s := c.activeAttempt(event.ID, event.Attempt)
 	if s == nil {
 		return
 	}
-	c.leaveReplica(s)
+	c.endAttempt(s)
 	s.replica = event.Replica
 	if !validSpans(event.Spans, event.Tokens) {
 		c.retry(s, port.NewError(port.Ran, port.CodeBackEnd, "spans do not add up to %d tokens of known versions", event.Tokens))
@@ -76,28 +76,28 @@
 	c.finish(s)
 }
 
-// finish takes a whole text over and asks for its reward.
+// finish marks the text as complete and requests the reward.
 func (c *Coordinator) finish(s *sample) {
 	c.counters.Finished++
 	c.lengths.add(s.tokens)
-	s.state = stateFinished
+	s.state = stateScoring
 	s.group.finished++
-	c.whole++
-	if reason := c.undeliverable(s); reason != "" {
+	c.finishedSamples++
+	if reason := c.undeliverableReason(s); reason != "" {
 		c.dropStale(s, reason)
 		return
 	}
-	c.askScore(s)
-	c.settleGroup(s.group)
+	c.requestScore(s)
+	c.cancelSurplus(s.group)
 }
 
 func (c *Coordinator) sampleFailed(event SampleFailed) {
-	s := c.attempt(event.ID, event.Attempt)
+	s := c.activeAttempt(event.ID, event.Attempt)
 	if s == nil {
 		return
 	}
 	moved := s.state == stateMoving
-	c.leaveReplica(s)
+	c.endAttempt(s)
 	s.replica = event.Replica
 	s.avoid = event.Replica
 	if event.Text != "" && c.planning.plan.Resume != policy.ResumeNever && validSpans(event.Spans, event.Tokens) {
@@ -110,13 +110,13 @@
 		return
 	}
 	if moved {
-		s.after = c.now
+		s.notBefore = c.now
 		return
 	}
 	c.retry(s, event.Err)
 }
 
-// retry starts a sample again after a delay.
+// retry schedules a restart of the sample after a backoff.
 func (c *Coordinator) retry(s *sample, cause *port.Error) {
 	s.tries++
 	c.counters.Retried++
@@ -128,12 +128,12 @@
 		delay = max(delay, cause.RetryAfter)
 		decision.Verdict, decision.Code, decision.Detail = cause.Verdict, cause.Code, cause.Message
 	}
-	s.after = c.now.Add(delay)
+	s.notBefore = c.now.Add(delay)
 	c.record(decision)
 }
 
-// askScore sends a whole sample to the scorer.
-func (c *Coordinator) askScore(s *sample) {
+// requestScore sends a finished sample to the scorer.
+func (c *Coordinator) requestScore(s *sample) {
 	s.scoreTries++
 	s.scoreSent = c.now
 	c.emit(ScoreSample{ID: s.id, Prompt: s.group.prompt.Text, Text: s.text})
@@ -141,7 +141,7 @@
 
 func (c *Coordinator) scored(event Scored) {
 	s := c.samples[event.ID]
-	if s == nil || s.state != stateFinished {
+	if s == nil || s.state != stateScoring {
 		c.counters.Ignored++
 		return
 	}
@@ -152,7 +152,7 @@
 
 func (c *Coordinator) scoreFailed(event ScoreFailed) {
 	s := c.samples[event.ID]
-	if s == nil || s.state != stateFinished || s.scoreSent.IsZero() {
+	if s == nil || s.state != stateScoring || s.scoreSent.IsZero() {
 		c.counters.Ignored++
 		return
 	}
@@ -162,13 +162,13 @@
 	if event.Err != nil {
 		delay = max(delay, event.Err.RetryAfter)
 	}
-	s.after = c.now.Add(delay)
+	s.notBefore = c.now.Add(delay)
 	if s.scoreTries < maxScoreAttempts {
 		return
 	}
 	decision := port.Decision{
 		Kind: port.DecisionRetried, Subject: s.id.String(), Attempt: s.scoreTries,
-		Detail: "no reward after the allowed attempts; another sample takes its place",
+		Detail: "no reward after the maximum number of attempts; sample replaced",
 	}
 	if event.Err != nil {
 		decision.Code, decision.Verdict = event.Err.Code, event.Err.Verdict
@@ -177,10 +177,10 @@
 	c.replaceSample(s, delay)
 }
 
-// sweep looks at every sample for what is due: starts, timeouts, scores.
+// sweep handles due starts, timeouts and scoring of all samples.
 func (c *Coordinator) sweep() {
 	for _, g := range c.liveGroups() {
-		if g.pinned || g.gone {
+		if g.pinned || g.discarded {
 			continue
 		}
 		for _, s := range slices.Clone(g.samples) {
@@ -197,34 +197,34 @@
 func (c *Coordinator) sweepSample(s *sample) {
 	switch s.state {
 	case stateWaiting:
-		if !c.draining && c.replicas.serves(c.versionFor(s)) && !c.now.Before(s.after) && c.running < c.planning.plan.TargetInFlight {
+		if !c.draining && c.replicas.serves(c.versionFor(s)) && !c.now.Before(s.notBefore) && c.running < c.planning.plan.TargetInFlight {
 			c.startAttempt(s)
 		}
 	case stateRunning:
-		if c.now.Sub(s.now.heard) > c.timeouts.Stall {
+		if c.now.Sub(s.progress.lastActivity) > c.timeouts.Stall {
 			c.cancelAttempt(s)
 			c.retry(s, port.NewError(port.MayHaveRun, port.CodeDeadline, "no progress for %s", c.timeouts.Stall))
 		}
 	case stateMoving:
-		if c.now.Sub(s.now.heard) > c.timeouts.Cancel {
-			c.leaveReplica(s)
-			c.retry(s, port.NewError(port.MayHaveRun, port.CodeDeadline, "cancelled attempt gave no answer for %s", c.timeouts.Cancel))
+		if c.now.Sub(s.progress.lastActivity) > c.timeouts.Cancel {
+			c.endAttempt(s)
+			c.retry(s, port.NewError(port.MayHaveRun, port.CodeDeadline, "cancelled attempt did not end within %s", c.timeouts.Cancel))
 		}
-	case stateFinished:
+	case stateScoring:
 		c.sweepScoring(s)
 	}
 }
 
 func (c *Coordinator) sweepScoring(s *sample) {
 	switch {
-	case s.scoreSent.IsZero() && !c.now.Before(s.after):
-		c.askScore(s)
+	case s.scoreSent.IsZero() && !c.now.Before(s.notBefore):
+		c.requestScore(s)
 	case !s.scoreSent.IsZero() && c.now.Sub(s.scoreSent) > c.timeouts.Score:
-		c.scoreFailed(ScoreFailed{ID: s.id, Err: port.NewError(port.MayHaveRun, port.CodeDeadline, "scorer gave no answer")})
+		c.scoreFailed(ScoreFailed{ID: s.id, Err: port.NewError(port.MayHaveRun, port.CodeDeadline, "scorer did not answer")})
 	}
 }
 
-// validSpans says whether spans of known versions add up to the tokens.
+// validSpans reports whether spans of known versions add up to the token count.
 func validSpans(spans []port.Span, tokens int) bool {
 	sum := 0
 	for _, span := range spans {
@@ -236,7 +236,8 @@
 	return sum == tokens && tokens > 0
 }
 
-// joinSpans appends spans to a copy, joining equal neighbours.
+// joinSpans returns the concatenation of two span lists, with adjacent spans of the same
+// version merged.
 func joinSpans(first, second []port.Span) []port.Span {
 	joined := slices.Clone(first)
 	for _, span := range second {
--- a/internal/core/coordinator/world_test.go
+++ b/internal/core/coordinator/world_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// attemptRun is one attempt that a replica runs, with the truth of what it made.
+// attemptRun is an attempt on a replica with the output it generated.
 type attemptRun struct {
 	owner *coordinator.Coordinator
 	start coordinator.StartSample
@@ -36,28 +36,28 @@
 	ended bool
 }
 
-// question is a trainer's open question.
-type question struct {
-	token  uint64
-	number port.BatchNumber
-	epoch  port.Epoch
-	asked  *coordinator.Coordinator
+// batchRequest is a trainer's pending request for a batch.
+type batchRequest struct {
+	token       uint64
+	number      port.BatchNumber
+	epoch       port.Epoch
+	coordinator *coordinator.Coordinator
 }
 
-// commitRecord is what the log decided for one batch attempt.
+// commitRecord is the log's state at the commit of one batch attempt.
 type commitRecord struct {
 	published port.WeightVersion
 	samples   []port.CommittedSample
 }
 
-// proposal is a Commit on its way to the log, or its answer on the way back.
+// proposal is a Commit that has not been answered.
 type proposal struct {
 	owner  *coordinator.Coordinator
 	commit coordinator.Commit
 }
 
-// world joins coordinators with the real ledger and simple engines, scorer,
-// prompt source and trainer, and checks what the trainer sees.
+// world runs coordinators against the real ledger and simulated engines, scorer, prompt
+// source and trainer, and checks the batches that the trainer receives.
 type world struct {
 	t        rapid.TB
 	now      time.Time
@@ -68,19 +68,19 @@
 	lease     port.Epoch
 	epochs    port.Epoch
 	published port.WeightVersion
-	// serving is what the replicas serve; it follows published unless
+	// serving is the version on the replicas; it follows published unless
 	// rolloutStopped is set.
 	serving        port.WeightVersion
 	rolloutStopped bool
 	answers        map[string]port.Result
 	commits        map[string]commitRecord
 
-	// steps counts events; before crashAt, if not 0, the coordinator is replaced.
+	// steps counts events; event number crashAt, if not 0, replaces the coordinator.
 	steps   int
 	crashAt int
-	// crashTakes lets the log take the proposals that are out at that time.
-	crashTakes bool
-	// length is how many tokens an attempt makes before it finishes.
+	// crashApplies makes the log apply the outstanding proposals at the crash.
+	crashApplies bool
+	// length is the number of tokens that an attempt generates before it finishes.
 	length int
 
 	current   *coordinator.Coordinator
@@ -92,18 +92,17 @@
 	reads     int
 	moves     []coordinator.CancelSample
 
-	tokens    uint64
-	questions []question
-	refusals  map[uint64]*port.Error
-	arrived   map[uint64]coordinator.Deliver
+	tokens     uint64
+	requests   []batchRequest
+	refused    map[uint64]*port.Error
+	deliveries map[uint64]coordinator.Deliver
 
-	trainer port.Epoch
-	next    port.BatchNumber
-	asked   port.BatchNumber
-	used    map[port.BatchNumber]coordinator.Deliver
-	// truths holds, for each sample, every text that engines made of it with the
-	// versions that truly made it.
-	truths map[port.SampleID]map[string][]port.Span
+	trainer          port.Epoch
+	next             port.BatchNumber
+	highestRequested port.BatchNumber
+	consumed         map[port.BatchNumber]coordinator.Deliver
+	// generated holds every text that engines generated for a sample, with its spans.
+	generated map[port.SampleID]map[string][]port.Span
 }
 
 func newWorld(t rapid.TB, sampling port.Sampling, source string) *world {
@@ -114,27 +113,27 @@
 	w := &world{
 		t: t, now: start, sampling: sampling, program: program, published: 1, length: 3,
 		answers: map[string]port.Result{}, commits: map[string]commitRecord{},
-		refusals: map[uint64]*port.Error{}, arrived: map[uint64]coordinator.Deliver{},
-		used: map[port.BatchNumber]coordinator.Deliver{}, next: 1,
-		truths: map[port.SampleID]map[string][]port.Span{},
+		refused: map[uint64]*port.Error{}, deliveries: map[uint64]coordinator.Deliver{},
+		consumed: map[port.BatchNumber]coordinator.Deliver{}, next: 1,
+		generated: map[port.SampleID]map[string][]port.Span{},
 	}
 	w.registerConsumer()
-	w.takeOver()
+	w.replaceCoordinator()
 	return w
 }
 
-// registerConsumer makes a new trainer process the pool's consumer.
+// registerConsumer registers a new trainer process as the pool's consumer.
 func (w *world) registerConsumer() {
 	w.epochs++
 	consumer, refusal := w.log.Register(port.RegisterConsumer{Pool: poolName, Consumer: "trainer"}, w.epochs)
 	if refusal != nil {
 		w.t.Fatal(refusal)
 	}
-	w.trainer, w.next, w.asked = consumer.Epoch, consumer.Next, 0
-	w.questions = nil
+	w.trainer, w.next, w.highestRequested = consumer.Epoch, consumer.Next, 0
+	w.requests = nil
 }
 
-// rewind has an operator go back to a batch, for a new trainer process.
+// rewind registers a new trainer process that rewinds to a batch.
 func (w *world) rewind(number port.BatchNumber) {
 	w.epochs++
 	command := port.RegisterConsumer{Pool: poolName, Consumer: "trainer", RewindTo: number}
@@ -142,22 +141,22 @@
 	if refusal != nil {
 		w.t.Fatal(refusal)
 	}
-	w.trainer, w.next, w.asked = consumer.Epoch, consumer.Next, 0
-	for later := range w.used {
+	w.trainer, w.next, w.highestRequested = consumer.Epoch, consumer.Next, 0
+	for later := range w.consumed {
 		if later >= number {
-			delete(w.used, later)
+			delete(w.consumed, later)
 		}
 	}
 	w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
 }
 
-// takeOver starts a new coordinator under a new lease epoch, once the former
-// one's lease is over. The former one is not told.
-func (w *world) takeOver() {
+// replaceCoordinator starts a new coordinator under a new lease epoch, after the previous
+// lease has expired. The previous coordinator is not notified.
+func (w *world) replaceCoordinator() {
 	if w.current != nil {
 		w.now = w.now.Add(leaseTTL)
 		w.fetches, w.reads = nil, 0
-		w.questions = nil
+		w.requests = nil
 	}
 	w.epochs++
 	w.lease = w.epochs
@@ -171,12 +170,12 @@
 		w.t.Fatal(err)
 	}
 	w.current = created
-	w.look()
+	w.refresh()
 }
 
-// look lets the coordinator see the time and the replicas, which serve the
-// published version unless the rollout of weights stands still.
-func (w *world) look() {
+// refresh sends the coordinator the replicas, which serve the published version unless
+// rolloutStopped is set, and a tick.
+func (w *world) refresh() {
 	if !w.rolloutStopped {
 		w.serving = w.published
 	}
@@ -187,17 +186,17 @@
 	w.step(w.current, coordinator.Tick{})
 }
 
-// step feeds an event and queues what comes of it.
+// step sends an event and performs the resulting actions.
 func (w *world) step(to *coordinator.Coordinator, event coordinator.Event) {
 	w.steps++
 	if w.steps == w.crashAt {
-		if w.crashTakes {
+		if w.crashApplies {
 			for _, out := range w.proposals {
 				w.apply(out.commit)
 			}
 		}
 		w.proposals = nil
-		w.takeOver()
+		w.replaceCoordinator()
 		return
 	}
 	for _, action := range to.Step(w.now, event) {
@@ -241,11 +240,11 @@
 	})
 }
 
-// tick lets time pass.
+// tick advances the clock, renews the lease and refreshes the coordinator.
 func (w *world) tick(by time.Duration) {
 	w.now = w.now.Add(by)
 	w.step(w.current, coordinator.LeaseRenewed{Until: w.now.Add(leaseTTL)})
-	w.look()
+	w.refresh()
 }
 
 func prompts(from port.PromptIndex, count int) []port.Prompt {
@@ -256,7 +255,7 @@
 	return list
 }
 
-// answerFetch answers the oldest fetch.
+// answerFetch answers the oldest outstanding fetch.
 func (w *world) answerFetch(fail bool) {
 	if len(w.fetches) == 0 {
 		return
@@ -270,7 +269,7 @@
 	w.step(w.current, coordinator.PromptsArrived{From: fetch.From, Prompts: prompts(fetch.From, fetch.Count)})
 }
 
-// generate lets an attempt make tokens with the version that the replicas serve.
+// generate appends tokens of the served version to an attempt.
 func (w *world) generate(run *attemptRun, tokens int) {
 	tokens = min(tokens, run.start.MaxTokens-spanTokens(run.spans))
 	for range tokens {
@@ -287,14 +286,14 @@
 	return sum
 }
 
-// finish ends an attempt with its whole text, progress reports one, fail ends it
-// with an error.
+// finish ends an attempt with its complete text, progress reports tokens, and fail ends
+// an attempt with an error.
 func (w *world) finish(run *attemptRun) {
 	if !run.ended {
 		w.generate(run, w.length)
 	}
 	w.remove(run)
-	w.noteTruth(run)
+	w.recordGenerated(run)
 	w.step(run.owner, coordinator.SampleFinished{
 		ID: run.start.ID, Attempt: run.start.Attempt, Replica: "replica-1",
 		Text: run.text, Tokens: spanTokens(run.spans), Spans: run.spans,
@@ -311,7 +310,7 @@
 
 func (w *world) fail(run *attemptRun, partial bool) {
 	w.remove(run)
-	w.noteTruth(run)
+	w.recordGenerated(run)
 	event := coordinator.SampleFailed{
 		ID: run.start.ID, Attempt: run.start.Attempt, Replica: "replica-1",
 		Err: port.NewError(port.MayHaveRun, port.CodeBackEnd, "engine crashed"),
@@ -322,27 +321,27 @@
 	w.step(run.owner, event)
 }
 
-// running finds the attempt that runs for a sample.
+// running returns the sample's running attempt.
 func (w *world) running(id port.SampleID) *attemptRun {
 	for _, run := range w.attempts {
 		if run.start.ID == id {
 			return run
 		}
 	}
-	w.t.Fatalf("sample %v does not run", id)
+	w.t.Fatalf("sample %v is not running", id)
 	return nil
 }
 
-// noteTruth remembers which text and versions an attempt truly has.
-func (w *world) noteTruth(run *attemptRun) {
-	texts := w.truths[run.start.ID]
+// recordGenerated records the text and spans that an attempt generated.
+func (w *world) recordGenerated(run *attemptRun) {
+	texts := w.generated[run.start.ID]
 	if texts == nil {
 		texts = map[string][]port.Span{}
-		w.truths[run.start.ID] = texts
+		w.generated[run.start.ID] = texts
 	}
 	resumed := texts[run.start.Resume]
 	if spanTokens(resumed) != run.start.ResumeTokens {
-		w.t.Fatalf("sample %v resumes from %q, which no engine made", run.start.ID, run.start.Resume)
+		w.t.Fatalf("sample %v resumes from %q, which no engine generated", run.start.ID, run.start.Resume)
 	}
 	texts[run.start.Resume+run.text] = append(slices.Clone(resumed), run.spans...)
 }
@@ -352,18 +351,18 @@
 	w.attempts = slices.DeleteFunc(w.attempts, func(other *attemptRun) bool { return other == run })
 }
 
-// score answers a question to the scorer.
+// score answers a request to the scorer.
 func (w *world) score(position int, fail bool) {
-	asked := w.scores[position]
+	request := w.scores[position]
 	w.scores = slices.Delete(w.scores, position, position+1)
 	if fail {
-		w.step(w.current, coordinator.ScoreFailed{ID: asked.ID, Err: port.NewError(port.MayHaveRun, port.CodeUnavailable, "scorer down")})
+		w.step(w.current, coordinator.ScoreFailed{ID: request.ID, Err: port.NewError(port.MayHaveRun, port.CodeUnavailable, "scorer down")})
 		return
 	}
-	w.step(w.current, coordinator.Scored{ID: asked.ID, Reward: 0.5})
+	w.step(w.current, coordinator.Scored{ID: request.ID, Reward: 0.5})
 }
 
-// apply runs a proposal through the log and gives its result.
+// apply applies a proposal to the log and returns its result.
 func (w *world) apply(commit coordinator.Commit) port.Result {
 	result, known := w.answers[commit.ChangeID]
 	if !known {
@@ -387,7 +386,7 @@
 	return fmt.Sprintf("%d/%d", number, attempt)
 }
 
-// commitOutcome says what becomes of a proposal.
+// commitOutcome is the outcome of a proposal.
 type commitOutcome int
 
 const (
@@ -397,38 +396,38 @@
 	unknown                         // not applied, but reported as may have run
 )
 
-// settle takes the oldest proposal to its outcome.
-func (w *world) settle(outcome commitOutcome) {
+// resolveProposal ends the oldest proposal with an outcome.
+func (w *world) resolveProposal(outcome commitOutcome) {
 	if len(w.proposals) == 0 {
 		return
 	}
-	taken := w.proposals[0]
+	resolved := w.proposals[0]
 	w.proposals = w.proposals[1:]
 	answer := coordinator.CommitAnswered{
-		ChangeID: taken.commit.ChangeID, Number: taken.commit.Batch.Number, Attempt: taken.commit.Batch.Attempt,
+		ChangeID: resolved.commit.ChangeID, Number: resolved.commit.Batch.Number, Attempt: resolved.commit.Batch.Attempt,
 	}
 	switch outcome {
 	case answered:
-		answer.Result = w.apply(taken.commit)
+		answer.Result = w.apply(resolved.commit)
 	case answerLost:
-		w.apply(taken.commit)
+		w.apply(resolved.commit)
 		answer.Err = port.NewError(port.MayHaveRun, port.CodeUnavailable, "connection lost")
 	case neverSent:
 		answer.Err = port.NewError(port.NotRun, port.CodeUnavailable, "no leader")
 	case unknown:
 		answer.Err = port.NewError(port.MayHaveRun, port.CodeUnavailable, "connection lost")
 	}
-	w.step(taken.owner, answer)
+	w.step(resolved.owner, answer)
 }
 
-// ledgerState gives the pool's state in the log with the version that is published.
+// ledgerState returns the pool's ledger state with the published version.
 func (w *world) ledgerState() port.LedgerState {
 	state := w.log.State(poolName)
 	state.Published = w.published
 	return state
 }
 
-// read answers a ReadLedger.
+// read answers one ReadLedger.
 func (w *world) read() {
 	if w.reads > 0 {
 		w.reads--
@@ -439,61 +438,60 @@
 func (w *world) publish() {
 	w.published++
 	w.step(w.current, coordinator.WeightsPublished{Weights: port.PublishedWeights{Pool: poolName, Version: w.published}})
-	w.look()
+	w.refresh()
 }
 
-// ask sends the trainer's question for a batch and gives its token.
-func (w *world) ask(number port.BatchNumber, epoch port.Epoch, wait time.Duration) uint64 {
+// requestBatch sends the trainer's request for a batch and returns its token.
+func (w *world) requestBatch(number port.BatchNumber, epoch port.Epoch, wait time.Duration) uint64 {
 	w.tokens++
-	w.questions = append(w.questions, question{token: w.tokens, number: number, epoch: epoch, asked: w.current})
+	w.requests = append(w.requests, batchRequest{token: w.tokens, number: number, epoch: epoch, coordinator: w.current})
 	token := w.tokens
-	w.asked = max(w.asked, number)
+	w.highestRequested = max(w.highestRequested, number)
 	w.step(w.current, coordinator.BatchRequested{
 		Token: token, Number: number, ConsumerEpoch: epoch, Deadline: w.now.Add(wait),
 	})
 	return token
 }
 
-func (w *world) closeQuestion(token uint64) (question, bool) {
-	for position, open := range w.questions {
+func (w *world) closeRequest(token uint64) (batchRequest, bool) {
+	for position, open := range w.requests {
 		if open.token == token {
-			w.questions = slices.Delete(w.questions, position, position+1)
+			w.requests = slices.Delete(w.requests, position, position+1)
 			return open, true
 		}
 	}
-	return question{}, false
+	return batchRequest{}, false
 }
 
-// receive checks a delivery against the log and the engines' truth; the trainer
-// uses it if it still waits for the answer.
+// receive checks a delivery against the log and the generated texts. The trainer consumes
+// it if the request is still pending.
 func (w *world) receive(delivery coordinator.Deliver) {
-	open, waiting := w.closeQuestion(delivery.Token)
+	open, waiting := w.closeRequest(delivery.Token)
 	if !waiting {
 		return
 	}
 	if open.number != delivery.Number {
-		w.t.Fatalf("asked for batch %d, got %d", open.number, delivery.Number)
+		w.t.Fatalf("requested batch %d, got %d", open.number, delivery.Number)
 	}
-	w.arrived[delivery.Token] = delivery
+	w.deliveries[delivery.Token] = delivery
 	if delivery.Number == w.next && open.epoch == w.trainer {
-		w.closeOthers(open)
+		w.closeDuplicates(open)
 	}
 	committed, found := w.commits[batchKey(delivery.Number, delivery.Attempt)]
 	if !found {
-		w.t.Fatalf("batch %d attempt %d left before it was committed", delivery.Number, delivery.Attempt)
+		w.t.Fatalf("batch %d attempt %d was delivered before its commit", delivery.Number, delivery.Attempt)
 	}
 	w.checkBatch(delivery, committed)
 	if open.epoch == w.trainer && open.number == w.next {
-		w.use(delivery)
+		w.consume(delivery)
 	}
 }
 
-// closeOthers is what a trainer does once it has its answer: its other questions
-// for the batch end.
-func (w *world) closeOthers(open question) {
-	for _, other := range slices.Clone(w.questions) {
-		if other.number == open.number && other.epoch == open.epoch && other.asked != open.asked {
-			w.closeQuestion(other.token)
+// closeDuplicates closes the trainer's other requests for a batch that it has received.
+func (w *world) closeDuplicates(open batchRequest) {
+	for _, other := range slices.Clone(w.requests) {
+		if other.number == open.number && other.epoch == open.epoch && other.coordinator != open.coordinator {
+			w.closeRequest(other.token)
 		}
 	}
 }
@@ -506,16 +504,16 @@
 	for position, sample := range delivery.Samples {
 		groups[sample.Prompt.Index]++
 		if committed.samples[position].ID != sample.ID {
-			w.t.Fatalf("batch %d delivers %v, committed is %v", delivery.Number, sample.ID, committed.samples[position].ID)
+			w.t.Fatalf("batch %d delivers sample %v, committed is %v", delivery.Number, sample.ID, committed.samples[position].ID)
 		}
-		truth, made := w.truths[sample.ID][sample.Text]
-		if !made {
-			w.t.Fatalf("sample %v has text %q, which no engine made", sample.ID, sample.Text)
+		spans, known := w.generated[sample.ID][sample.Text]
+		if !known {
+			w.t.Fatalf("sample %v has text %q, which no engine generated", sample.ID, sample.Text)
 		}
-		if port.OldestVersion(sample.Spans) != port.OldestVersion(truth) || spanTokens(sample.Spans) != spanTokens(truth) {
-			w.t.Fatalf("sample %v names spans %v, true are %v", sample.ID, sample.Spans, truth)
+		if port.OldestVersion(sample.Spans) != port.OldestVersion(spans) || spanTokens(sample.Spans) != spanTokens(spans) {
+			w.t.Fatalf("sample %v has spans %v, want %v", sample.ID, sample.Spans, spans)
 		}
-		age := int64(committed.published) - int64(port.OldestVersion(truth))
+		age := int64(committed.published) - int64(port.OldestVersion(spans))
 		if age > int64(w.sampling.StalenessBound) {
 			w.t.Fatalf("sample %v was %d versions old when it was committed", sample.ID, age)
 		}
@@ -527,32 +525,32 @@
 	}
 }
 
-// use trains on a batch: from here on it must never come again.
-func (w *world) use(delivery coordinator.Deliver) {
-	for number, earlier := range w.used {
+// consume records a batch as trained on and checks that none of its samples or prompts
+// was in an earlier batch.
+func (w *world) consume(delivery coordinator.Deliver) {
+	for number, earlier := range w.consumed {
 		if number == delivery.Number {
 			continue
 		}
 		for _, sample := range delivery.Samples {
 			for _, other := range earlier.Samples {
 				if other.ID == sample.ID || other.Prompt.Index == sample.Prompt.Index {
-					w.t.Fatalf("sample %v of prompt %d came in batch %d and in batch %d", sample.ID, sample.Prompt.Index, number, delivery.Number)
+					w.t.Fatalf("sample %v of prompt %d is in batch %d and in batch %d", sample.ID, sample.Prompt.Index, number, delivery.Number)
 				}
 			}
 		}
 	}
-	w.used[delivery.Number] = delivery
+	w.consumed[delivery.Number] = delivery
 	w.next = delivery.Number + 1
 }
 
 func (w *world) refuse(action coordinator.Refuse) {
-	w.refusals[action.Token] = action.Err
-	w.closeQuestion(action.Token)
+	w.refused[action.Token] = action.Err
+	w.closeRequest(action.Token)
 }
 
-// settleAll runs everything that is out to a good end until nothing is left or
-// rounds are used up.
-func (w *world) settleAll(rounds int) {
+// runRounds answers all outstanding actions successfully, for a number of rounds.
+func (w *world) runRounds(rounds int) {
 	for range rounds {
 		for len(w.fetches) > 0 {
 			w.answerFetch(false)
@@ -566,7 +564,7 @@
 			w.score(0, false)
 		}
 		for len(w.proposals) > 0 {
-			w.settle(answered)
+			w.resolveProposal(answered)
 		}
 		for w.reads > 0 {
 			w.read()
@@ -576,7 +574,7 @@
 	}
 }
 
-// endMoves ends attempts that were told to move, with what they made so far.
+// endMoves ends attempts cancelled for a move, with their partial output.
 func (w *world) endMoves() {
 	moves := w.moves
 	w.moves = nil
@@ -589,7 +587,7 @@
 	}
 }
 
-// train asks for a batch and runs the world until it came.
+// train requests a batch and runs the world until it arrives.
 func (w *world) train() {
 	w.t.Helper()
 	number := w.next
@@ -597,10 +595,10 @@
 		if w.next > number {
 			return
 		}
-		if len(w.questions) == 0 {
-			w.ask(number, w.trainer, 10*time.Second)
+		if len(w.requests) == 0 {
+			w.requestBatch(number, w.trainer, 10*time.Second)
 		}
-		w.settleAll(1)
+		w.runRounds(1)
 	}
-	w.t.Fatalf("batch %d never came: %+v, refusals %v", number, w.current.Status(), w.refusals[w.tokens])
+	w.t.Fatalf("batch %d was not delivered: %+v, refusals %v", number, w.current.Status(), w.refused[w.tokens])
 }
