--- a/internal/core/rollout/ask.go
+++ b/internal/core/rollout/ask.go
@@ -6,71 +6,68 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of asking again.
+// Repetition of accepted orders.
 const (
-	// minAskInterval and maxAskInterval bound the time between two repetitions of
-	// an accepted order. It is the shortest while the order is younger than
-	// promptAge, and then grows with it, by one part in askShare: a load that breaks
-	// off each time, as with the weight store down, is begun again seldom, and of
-	// one that takes long the load reports tell soon enough.
-	minAskInterval = 100 * time.Millisecond
-	maxAskInterval = 5 * time.Second
-	promptAge      = 3 * time.Second
-	askShare       = 4
-	// maxAsking bounds the repeated orders whose answers are out, so that a switch
-	// of thousands of replicas does not flood their homes.
-	maxAsking = 32
+	// minRepeatInterval and maxRepeatInterval bound the time between two repetitions of
+	// an accepted order. The interval grows with the order's age beyond recentOrderAge,
+	// divided by repeatIntervalDivisor, since each repetition may restart a failing load.
+	minRepeatInterval     = 100 * time.Millisecond
+	maxRepeatInterval     = 5 * time.Second
+	recentOrderAge        = 3 * time.Second
+	repeatIntervalDivisor = 4
+	// maxOutstandingRepeats bounds the unanswered repetitions, so that a switch of
+	// thousands of replicas does not flood their home nodes.
+	maxOutstandingRepeats = 32
 )
 
-// is says whether an outstanding order is the given one; there may be none.
-func (o *outstanding) is(order port.Order) bool {
+// matches reports whether o is the pending form of the order; o may be nil.
+func (o *pendingOrder) matches(order port.Order) bool {
 	return o != nil && o.kind == order.Kind && o.version == order.Version
 }
 
-// askAgain repeats accepted orders whose effect has not been seen. Orders have
-// no further effect when repeated, and their answer says what the replica serves
-// and has staged at that moment, while load reports lag and are polled: waiting
-// for those would take longer than the switch itself.
-func (r *Rollout) askAgain() {
-	room := maxAsking - r.countAsking()
+// repeatOrders repeats accepted orders whose effect has not been reported yet. A repeated
+// order has no further effect, and its answer contains the replica's current state, while
+// polled load reports arrive too late for a fast switch.
+func (r *Rollout) repeatOrders() {
+	remaining := maxOutstandingRepeats - r.countOutstandingRepeats()
 	for range r.replicas {
-		if room == 0 {
+		if remaining == 0 {
 			return
 		}
-		member := r.replicas[r.nextAsk%len(r.replicas)]
-		r.nextAsk++
-		if r.mayAsk(member) {
-			room--
-			r.ask(member)
+		member := r.replicas[r.nextRepeat%len(r.replicas)]
+		r.nextRepeat++
+		if r.canRepeat(member) {
+			remaining--
+			r.repeat(member)
 		}
 	}
 }
 
-func (r *Rollout) mayAsk(member *replica) bool {
+func (r *Rollout) canRepeat(member *replica) bool {
 	order := member.order
-	if order == nil || !member.reachable || !order.accepted || order.asking {
+	if order == nil || !member.reachable || !order.accepted || order.awaitingAnswer {
 		return false
 	}
-	return r.now.Sub(order.asked) >= askInterval(r.now.Sub(order.sent))
+	return r.now.Sub(order.lastSent) >= repeatInterval(r.now.Sub(order.firstSent))
 }
 
-// askInterval gives the time between two repetitions of an order of some age.
-func askInterval(age time.Duration) time.Duration {
-	return min(max((age-promptAge)/askShare, minAskInterval), maxAskInterval)
+// repeatInterval returns the time between two repetitions of an order of the given age.
+func repeatInterval(age time.Duration) time.Duration {
+	return min(max((age-recentOrderAge)/repeatIntervalDivisor, minRepeatInterval), maxRepeatInterval)
 }
 
-func (r *Rollout) ask(member *replica) {
+func (r *Rollout) repeat(member *replica) {
 	order := member.order
-	order.asked, order.asking = r.now, true
+	order.lastSent, order.awaitingAnswer = r.now, true
 	r.actions = append(r.actions, SendOrder{
-		Replica: member.id, Order: r.config.order(order.kind, order.version), Again: true,
+		Replica: member.id, Order: r.config.order(order.kind, order.version), Repeat: true,
 	})
 }
 
-func (r *Rollout) countAsking() int {
+func (r *Rollout) countOutstandingRepeats() int {
 	count := 0
 	for _, member := range r.replicas {
-		if order := member.order; order != nil && order.accepted && order.asking {
+		if order := member.order; order != nil && order.accepted && order.awaitingAnswer {
 			count++
 		}
 	}
--- a/internal/core/rollout/ask_test.go
+++ b/internal/core/rollout/ask_test.go
@@ -13,7 +13,7 @@
 		name string
 		run  func(t *testing.T, f *fleet)
 	}{
-		{"the effect of an order is asked for before a load report comes", func(t *testing.T, f *fleet) {
+		{"an order is repeated before the next load report", func(t *testing.T, f *fleet) {
 			f.publish(2)
 			for range 10 * int(stageTime/time.Second) {
 				f.now = f.now.Add(100 * time.Millisecond)
@@ -25,18 +25,18 @@
 				t.Fatalf("versions %v, completed %+v", f.versions(), f.completed)
 			}
 		}},
-		{"a failed question does not undo an accepted order", func(t *testing.T, f *fleet) {
+		{"a failed repetition does not undo an accepted order", func(t *testing.T, f *fleet) {
 			f.publish(2)
-			f.engines[0].answersLost = true
+			f.engines[0].losesAnswers = true
 			f.run(2 * time.Second)
-			f.engines[0].answersLost = false
+			f.engines[0].losesAnswers = false
 			f.run(stageTime)
 			if !allServe(f, 2) || !f.engines[0].routed || f.count(f.engines[0], port.OrderStage) != 1 {
 				t.Fatalf("versions %v routed %v", f.versions(), f.engines[0].routed)
 			}
 		}},
-		{"a load that breaks off each time is begun seldom", func(t *testing.T, f *fleet) {
-			f.engines[0].breaks = true
+		{"a load that always aborts is restarted with increasing intervals", func(t *testing.T, f *fleet) {
+			f.engines[0].abortsLoads = true
 			f.publish(2)
 			for range 600 {
 				f.now = f.now.Add(100 * time.Millisecond)
@@ -45,7 +45,7 @@
 			if loads := f.engines[0].loads; loads < 12 || loads > 75 {
 				t.Fatalf("%d loads in a minute, want 12 to 75", loads)
 			}
-			f.engines[0].breaks = false
+			f.engines[0].abortsLoads = false
 			f.run(10*time.Second + 2*stageTime)
 			if !allServe(f, 2) {
 				t.Fatalf("versions %v", f.versions())
--- a/internal/core/rollout/config.go
+++ b/internal/core/rollout/config.go
@@ -22,44 +22,44 @@
 	maxBackoff  = 30 * time.Second
 )
 
-// Config says what a rollout works for.
+// Config configures a rollout.
 type Config struct {
 	Pool port.PoolName
 	// Adapter is set when the pool publishes an adapter's versions.
 	Adapter string
-	// Fence is the epoch of the lease that the orders are given under.
+	// Fence is the epoch of the lease that the orders carry.
 	Fence port.Epoch
 	Node  port.NodeID
 	// WeightStore is the base URL that engines load from.
 	WeightStore string
-	// Weights are the version published so far; 0 means none.
+	// Weights are the currently published weights; version 0 means none.
 	Weights port.PublishedWeights
-	// MaxStaging bounds the replicas that load from the store at a time.
+	// MaxStaging bounds the number of replicas that load from the store concurrently.
 	MaxStaging int
-	// StageTimeout is how long one replica may take to stage before the order
-	// is given again.
+	// StageTimeout is how long a replica may take to stage before the order is sent
+	// again.
 	StageTimeout time.Duration
-	// StageDeadline is how long the switch waits for the last replicas; after it
-	// ActivateShare of the reachable ones is enough, unless others still stage one
-	// after the other: a rollout to many replicas may take longer.
+	// StageDeadline is how long the switch waits for all reachable replicas to stage.
+	// After it, ActivateShare of them suffices, unless other replicas have staged
+	// recently: a rollout to many replicas may take longer.
 	StageDeadline time.Duration
 	ActivateShare float64
-	// ActivateTimeout is how long a replica may take to report the new version.
+	// ActivateTimeout bounds the time from the activation order to the report of the new
+	// version.
 	ActivateTimeout time.Duration
-	// Rolling activates each replica as soon as it has staged, instead of all
-	// together.
+	// Rolling activates each replica as soon as it has staged, instead of all together.
 	Rolling bool
-	// Turn is shared by the rollouts of one set of engines; nil means that no
-	// other rollout stages on them.
+	// Turn is shared by the rollouts on the same engines; nil means that there is only
+	// one rollout.
 	Turn *StagingTurn
 	// Seed drives backoff jitter.
 	Seed uint64
 }
 
-// ErrNoFence says that a configuration names no fence.
-var ErrNoFence = errors.New("rollout needs the fence of a lease")
+// ErrNoFence is returned for a configuration without fence.
+var ErrNoFence = errors.New("rollout needs a lease fence")
 
-// withDefaults fills what is zero.
+// withDefaults replaces zero fields by their defaults.
 func (c Config) withDefaults() Config {
 	if c.MaxStaging == 0 {
 		c.MaxStaging = DefaultMaxStaging
@@ -82,7 +82,7 @@
 	return c
 }
 
-// order makes an order for a version.
+// order returns an order for a version.
 func (c *Config) order(kind port.OrderKind, version port.WeightVersion) port.Order {
 	order := port.Order{Kind: kind, Fence: c.Fence, Version: version, Adapter: c.Adapter}
 	if kind == port.OrderStage {
--- a/internal/core/rollout/fleet_test.go
+++ b/internal/core/rollout/fleet_test.go
@@ -17,30 +17,30 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// fakeEngine is one engine: it stages in stageTime and switches at once.
+// fakeEngine is an engine that stages in stageTime and activates immediately.
 type fakeEngine struct {
-	id          port.ReplicaID
-	report      port.LoadReport
-	loading     port.WeightVersion
-	loadedAt    time.Time
-	reachable   bool
-	routed      bool
-	swapFails   bool
-	landsOn     port.WeightVersion
-	answersLost bool
-	// silent engines neither carry out nor answer orders.
-	silent  bool
-	refuses *port.Error
-	orders  []port.Order
-	// breaks makes every load end at once without having staged.
-	breaks bool
-	// asked counts the orders that were repeated to learn how far they are.
-	asked int
-	// loads counts the loads from the store that were begun.
+	id               port.ReplicaID
+	report           port.LoadReport
+	loading          port.WeightVersion
+	loadedAt         time.Time
+	reachable        bool
+	routed           bool
+	swapFails        bool
+	activatesVersion port.WeightVersion
+	losesAnswers     bool
+	// unresponsive engines neither carry out nor answer orders.
+	unresponsive bool
+	refusal      *port.Error
+	orders       []port.Order
+	// abortsLoads makes every load end immediately without staging.
+	abortsLoads bool
+	// repeatedOrders counts the orders sent with Repeat set.
+	repeatedOrders int
+	// loads counts the loads from the store that were started.
 	loads int
 }
 
-// fleet joins a rollout with engines.
+// fleet runs a rollout against fake engines.
 type fleet struct {
 	t         rapid.TB
 	now       time.Time
@@ -65,12 +65,12 @@
 			reachable: true, routed: true,
 		})
 	}
-	f.list()
+	f.sendReplicas()
 	f.reportAll()
 	return f
 }
 
-func (f *fleet) list() {
+func (f *fleet) sendReplicas() {
 	var listed []rollout.Replica
 	for _, engine := range f.engines {
 		listed = append(listed, rollout.Replica{ID: engine.id, Reachable: engine.reachable})
@@ -102,25 +102,25 @@
 	return f.engines[index]
 }
 
-// order carries an order out and answers it.
+// order executes an order and answers it.
 func (f *fleet) order(sent rollout.SendOrder) {
 	engine := f.engine(sent.Replica)
-	if sent.Again {
-		engine.asked++
+	if sent.Repeat {
+		engine.repeatedOrders++
 	} else {
 		engine.orders = append(engine.orders, sent.Order)
 	}
-	if engine.silent {
+	if engine.unresponsive {
 		return
 	}
 	answer := rollout.OrderAnswered{Replica: sent.Replica, Order: sent.Order}
-	if engine.refuses != nil {
-		answer.Err = engine.refuses
+	if engine.refusal != nil {
+		answer.Err = engine.refusal
 		f.step(answer)
 		return
 	}
 	engine.execute(f.now, sent.Order)
-	if engine.answersLost {
+	if engine.losesAnswers {
 		answer.Err = port.NewError(port.MayHaveRun, port.CodeUnavailable, "connection lost")
 	}
 	answer.Report = engine.report
@@ -133,7 +133,7 @@
 			return
 		}
 		e.loads++
-		if e.breaks {
+		if e.abortsLoads {
 			return
 		}
 		e.loading, e.loadedAt = order.Version, now.Add(stageTime)
@@ -144,8 +144,8 @@
 	case e.report.Staged != order.Version:
 	case e.swapFails:
 		e.report.Version, e.swapFails = 0, false
-	case e.landsOn != 0:
-		e.report.Version, e.landsOn = e.landsOn, 0
+	case e.activatesVersion != 0:
+		e.report.Version, e.activatesVersion = e.activatesVersion, 0
 	default:
 		e.report.Version = order.Version
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// finishLoads ends the loads whose time is over.
+// finishLoads completes the loads that are due.
 func (f *fleet) finishLoads() {
 	for _, engine := range f.engines {
 		if engine.loading != 0 && !f.now.Before(engine.loadedAt) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// run lets time pass with reports and ticks every half second.
+// run advances time with reports and ticks twice a second.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now.Add(span); f.now.Before(end); {
 		f.now = f.now.Add(500 * time.Millisecond)
@@ -183,7 +183,7 @@
 	f.step(rollout.Published{Weights: port.PublishedWeights{Pool: "captions", Version: version}})
 }
 
-func (f *fleet) loadingNow() int {
+func (f *fleet) countLoading() int {
 	count := 0
 	for _, engine := range f.engines {
 		if engine.loading != 0 {
--- a/internal/core/rollout/messages.go
+++ b/internal/core/rollout/messages.go
@@ -6,16 +6,16 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Event is something that happened; the types below implement it.
+// Event is an input of the state machine; the types below implement it.
 type Event interface{ event() }
 
-// Tick lets time pass. Send it every 100 to 500 milliseconds.
+// Tick advances time. Send it every 100 to 500 milliseconds.
 type Tick struct{}
 
-// Published tells of a version of the pool's weights.
+// Published reports a published version of the pool's weights.
 type Published struct{ Weights port.PublishedWeights }
 
-// OrderAnswered gives the outcome of SendOrder: the engine's report, or Err.
+// OrderAnswered reports the outcome of SendOrder: the engine's report, or Err.
 type OrderAnswered struct {
 	Replica port.ReplicaID
 	Order   port.Order
@@ -23,62 +23,61 @@
 	Err     *port.Error
 }
 
-// LoadReported brings a replica's load report.
+// LoadReported carries a replica's load report.
 type LoadReported struct {
 	Replica port.ReplicaID
 	Report  port.LoadReport
 }
 
-// ReplicasChanged lists the replicas to bring up to date. One that is not
-// reachable or is leaving is listed with Reachable false, or left out; nothing
-// waits for it.
+// ReplicasChanged lists the replicas of the rollout. A replica that is unreachable or
+// leaving is listed with Reachable false or left out; the rollout does not wait for it.
 type ReplicasChanged struct{ Replicas []Replica }
 
-// Replica is one replica as its home sees it.
+// Replica is the state of a replica as seen by its home node.
 type Replica struct {
 	ID        port.ReplicaID
 	Reachable bool
 }
 
-// Action is something the caller carries out; the types below implement it.
+// Action is an instruction to the caller; the types below implement it.
 type Action interface{ action() }
 
-// SendOrder sends a fenced order to an engine; OrderAnswered answers it.
+// SendOrder sends a fenced order to an engine. The caller answers with OrderAnswered.
 type SendOrder struct {
 	Replica port.ReplicaID
 	Order   port.Order
-	// Again says that the same order was accepted before and is repeated to
-	// learn how far it is.
-	Again bool
+	// Repeat is set if the engine accepted the same order before and it is sent again to
+	// learn the current state.
+	Repeat bool
 }
 
-// RouteOut takes a replica out of routing: what it serves is not known.
+// RouteOut removes a replica from routing because its version is unknown.
 type RouteOut struct{ Replica port.ReplicaID }
 
-// RouteIn puts it back: it serves Version.
+// RouteIn returns a replica to routing; it serves Version.
 type RouteIn struct {
 	Replica port.ReplicaID
 	Version port.WeightVersion
 }
 
-// Completed says that every reachable replica serves the version.
+// Completed reports that every reachable replica serves the version.
 type Completed struct {
 	Version port.WeightVersion
-	// Replicas counts those that serve it.
+	// Replicas is the number of replicas that serve it.
 	Replicas int
-	// Duration is from when the publication was heard; Switch from the first
-	// activation order.
+	// Duration is the time since the publication was received, Switch the time since the
+	// activation began.
 	Duration time.Duration
 	Switch   time.Duration
 }
 
-// FencedOff says that an engine has seen a higher fence. The rollout is over.
+// FencedOff reports that an engine has seen a higher fence. The rollout has stopped.
 type FencedOff struct {
 	Replica port.ReplicaID
 	Fence   port.Epoch
 }
 
-// Record keeps a decision for explain.
+// Record stores a decision for the explain command.
 type Record struct{ Decision port.Decision }
 
 func (Tick) event()            {}
--- a/internal/core/rollout/reports.go
+++ b/internal/core/rollout/reports.go
@@ -7,9 +7,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// expire gives up an order that took too long; after an activation it is then
-// unknown what the replica serves.
-func (r *Rollout) expire(member *replica) {
+// expireOrder abandons an order that timed out. After an activation the replica's
+// version is then unknown.
+func (r *Rollout) expireOrder(member *replica) {
 	order := member.order
 	if order == nil {
 		return
@@ -18,13 +18,13 @@
 	if order.kind == port.OrderActivate {
 		limit = r.config.ActivateTimeout
 	}
-	if r.now.Sub(order.sent) < limit {
+	if r.now.Sub(order.firstSent) < limit {
 		return
 	}
 	member.order = nil
 	r.delay(member)
 	if order.kind == port.OrderActivate {
-		r.doubt(member, fmt.Sprintf("no report of version %d within %s", order.version, limit))
+		r.routeOut(member, fmt.Sprintf("version %d not reported within %s", order.version, limit))
 	}
 }
 
@@ -35,65 +35,64 @@
 		return
 	}
 	if event.Err == nil {
-		if member.order.is(event.Order) {
-			member.order.accepted, member.order.asking = true, false
+		if member.order.matches(event.Order) {
+			member.order.accepted, member.order.awaitingAnswer = true, false
 		}
 		r.loadReported(event.Replica, event.Report)
 		return
 	}
 	if event.Err.Code == port.CodeFenced {
-		r.fence(event.Replica, 0)
+		r.stopFenced(event.Replica, 0)
 		return
 	}
 	order := member.order
-	if !order.is(event.Order) {
+	if !order.matches(event.Order) {
 		return
 	}
-	order.asking = false
+	order.awaitingAnswer = false
 	if order.accepted && (event.Err.Verdict != port.NotRun || event.Err.Code == port.CodeUnavailable) {
-		// Asking again came to nothing; the order was accepted before and stands.
+		// The repetition failed, but the order was accepted before.
 		return
 	}
 	member.order = nil
 	r.delay(member)
 	switch {
 	case order.kind == port.OrderActivate && event.Err.Verdict != port.NotRun:
-		r.doubt(member, "activation failed and may have taken effect: "+event.Err.Message)
+		r.routeOut(member, "activation failed and may have taken effect: "+event.Err.Message)
 	case order.kind == port.OrderActivate && event.Err.Code != port.CodeUnavailable:
-		// The engine refused: it may have lost what it had staged.
+		// The engine refused: it may have lost its staged weights.
 		member.staged = 0
 	}
 }
 
-// loadReported takes a report over. A report made before the last one is old
-// news, and one made before an activation or a doubt says nothing about them.
+// loadReported applies a load report unless it is older than the last one.
 func (r *Rollout) loadReported(id port.ReplicaID, report port.LoadReport) {
 	member := r.byID[id]
 	if member == nil {
 		return
 	}
 	if report.Fence > r.config.Fence {
-		r.fence(id, report.Fence)
+		r.stopFenced(id, report.Fence)
 		return
 	}
-	made := r.now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
-	if made.Before(member.reported) {
+	reportedAt := r.now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
+	if reportedAt.Before(member.lastReport) {
 		return
 	}
-	member.reported = made
+	member.lastReport = reportedAt
 	if member.incarnation != report.Incarnation {
 		member.incarnation = report.Incarnation
-		member.order, member.tries, member.after = nil, 0, time.Time{}
+		member.order, member.tries, member.notBefore = nil, 0, time.Time{}
 	}
 	before := member.version
 	member.version, member.staged = report.Serves(r.config.Adapter)
-	r.settleOrder(member, before, made)
-	r.settleLoading(member, report.Loads(r.config.Adapter))
-	r.settleRouting(member, made)
+	r.updateOrder(member, before, reportedAt)
+	r.checkLoading(member, report.Loads(r.config.Adapter))
+	r.updateRouting(member, reportedAt)
 }
 
-// settleOrder ends an order whose effect the report shows.
-func (r *Rollout) settleOrder(member *replica, before port.WeightVersion, made time.Time) {
+// updateOrder ends a pending order if the report shows its effect or its failure.
+func (r *Rollout) updateOrder(member *replica, before port.WeightVersion, reportedAt time.Time) {
 	order := member.order
 	if order == nil {
 		return
@@ -102,21 +101,21 @@
 	switch {
 	case serves, order.kind == port.OrderStage && member.staged == order.version:
 		member.order, member.tries = nil, 0
-	case order.kind == port.OrderStage || made.Before(order.sent):
-		// Still loading, or too early to tell.
+	case order.kind == port.OrderStage || reportedAt.Before(order.firstSent):
+		// Still loading, or the report is older than the order.
 	case member.version == 0:
 		member.order = nil
 		r.delay(member)
 	case member.version != before:
 		member.order = nil
-		r.note(member.id, fmt.Sprintf("serves version %d instead of the ordered %d; ordering again", member.version, order.version))
+		r.record(member.id, fmt.Sprintf("serves version %d instead of the ordered %d; ordering again", member.version, order.version))
 	}
 }
 
-// settleLoading ends an order to stage when the replica stopped loading without
-// having staged, as after a broken transfer, so that it need not wait for
-// StageTimeout. A replica that never says what it loads is not judged.
-func (r *Rollout) settleLoading(member *replica, loads port.WeightVersion) {
+// checkLoading ends a stage order if the replica stopped loading without having staged,
+// for example after a broken transfer. A replica that never reported the load waits for
+// StageTimeout.
+func (r *Rollout) checkLoading(member *replica, loads port.WeightVersion) {
 	order := member.order
 	if order == nil || order.kind != port.OrderStage {
 		return
@@ -128,57 +127,57 @@
 	if order.loading {
 		member.order = nil
 		r.delay(member)
-		r.note(member.id, fmt.Sprintf("stopped loading version %d before it was whole; ordering again", order.version))
+		r.record(member.id, fmt.Sprintf("stopped loading version %d before it was complete; ordering again", order.version))
 	}
 }
 
-// settleRouting takes a replica out whose report names no version, and puts it
-// back once a report made after the doubt names one. A report that names none of
-// an adapter is no doubt: requests for the adapter go to replicas that have it
-// loaded, and those for other adapters may go on here.
-func (r *Rollout) settleRouting(member *replica, made time.Time) {
+// updateRouting removes a replica from routing if its report contains no version, and
+// returns it once a later report contains one. For an adapter, a missing version has no
+// effect: the adapter's requests go to replicas that have it loaded, and this replica may
+// serve other adapters.
+func (r *Rollout) updateRouting(member *replica, reportedAt time.Time) {
 	if member.version == 0 && r.config.Adapter == "" {
-		r.doubt(member, "reports no known version")
+		r.routeOut(member, "reports no version")
 		return
 	}
-	if member.doubt.IsZero() || made.Before(member.doubt) {
+	if member.unknownSince.IsZero() || reportedAt.Before(member.unknownSince) {
 		return
 	}
-	member.doubt = time.Time{}
+	member.unknownSince = time.Time{}
 	member.routedOut = false
 	r.actions = append(r.actions, RouteIn{Replica: member.id, Version: member.version})
-	r.note(member.id, fmt.Sprintf("back in routing, serves version %d", member.version))
+	r.record(member.id, fmt.Sprintf("back in routing, serves version %d", member.version))
 }
 
-// doubt takes a replica out of routing.
-func (r *Rollout) doubt(member *replica, reason string) {
-	member.doubt = r.now
+// routeOut marks a replica's version as unknown and removes it from routing.
+func (r *Rollout) routeOut(member *replica, reason string) {
+	member.unknownSince = r.now
 	if member.routedOut {
 		return
 	}
 	member.routedOut = true
 	r.actions = append(r.actions, RouteOut{Replica: member.id})
-	r.note(member.id, "out of routing: "+reason)
+	r.record(member.id, "out of routing: "+reason)
 }
 
-// delay waits before the next order to a replica, longer after each failure.
+// delay delays the next order to a replica by a backoff.
 func (r *Rollout) delay(member *replica) {
 	const maxDoublings = 8
 	limit := min(baseBackoff<<min(member.tries, maxDoublings), maxBackoff)
 	member.tries++
 	r.counter++
 	half := uint64(limit / 2)
-	member.after = r.now.Add(time.Duration(half + mix(r.config.Seed, r.counter)%half))
+	member.notBefore = r.now.Add(time.Duration(half + mix(r.config.Seed, r.counter)%half))
 }
 
-// fence ends the rollout: someone with a higher fence gives the orders.
-func (r *Rollout) fence(by port.ReplicaID, fence port.Epoch) {
+// stopFenced ends the rollout: the holder of a higher fence sends the orders.
+func (r *Rollout) stopFenced(by port.ReplicaID, fence port.Epoch) {
 	r.fenced = true
 	r.actions = append(r.actions, FencedOff{Replica: by, Fence: fence})
-	r.note(by, "a higher fence was seen; this rollout stops")
+	r.record(by, "engine has seen a higher fence; rollout stopped")
 }
 
-// mix gives a well-spread number for a seed and a counter (SplitMix64).
+// mix hashes a seed and a counter (SplitMix64).
 func mix(seed, counter uint64) uint64 {
 	z := seed + (counter+1)*0x9E3779B97F4A7C15
 	z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -19,81 +19,80 @@
 	replicas []*replica // by id
 	byID     map[port.ReplicaID]*replica
 
-	// target is the version being rolled out, next a newer one that waits.
-	target    port.WeightVersion
-	heard     time.Time
-	next      port.WeightVersion
-	nextHeard time.Time
-	// skipped counts targets given up for a newer one since the last switch.
+	// target is the version being rolled out, next a newer one that waits for it.
+	target         port.WeightVersion
+	receivedAt     time.Time
+	next           port.WeightVersion
+	nextReceivedAt time.Time
+	// skipped counts targets replaced before their switch since the last completed one.
 	skipped int
-	// mostStaged is the largest number of replicas that had staged the target, and
-	// progressed when it was reached.
-	mostStaged int
-	progressed time.Time
-	// switching is set once activation of the target began.
-	switching   bool
-	switchBegan time.Time
-	completed   bool
-	// ordered is set once an order was given for the target, announced once
-	// Completed was.
+	// maxStaged is the highest number of replicas that had staged the target, lastProgress
+	// the time at which it was reached.
+	maxStaged    int
+	lastProgress time.Time
+	// switching is set once the activation of the target has started.
+	switching     bool
+	switchStarted time.Time
+	completed     bool
+	// ordered is set once an order was sent for the target, announced once Completed was
+	// emitted.
 	ordered   bool
 	announced bool
 	counter   uint64
-	// nextAsk is the place in replicas where asking again goes on.
-	nextAsk int
+	// nextRepeat is the index in replicas at which repeatOrders continues.
+	nextRepeat int
 }
 
-// replica is what is known of one replica.
+// replica is the known state of one replica.
 type replica struct {
 	id        port.ReplicaID
 	reachable bool
-	// reported is when the last report was made; zero before the first.
-	reported    time.Time
+	// lastReport is the time of the last report; zero before the first.
+	lastReport  time.Time
 	incarnation uint64
 	version     port.WeightVersion
 	staged      port.WeightVersion
 
-	order *outstanding
-	tries int
-	after time.Time
-	// doubt is when it became unknown what the replica serves; zero if it is
-	// known.
-	doubt     time.Time
-	routedOut bool
+	order     *pendingOrder
+	tries     int
+	notBefore time.Time
+	// unknownSince is when the replica's version became unknown; zero if it is known.
+	unknownSince time.Time
+	routedOut    bool
 }
 
-// outstanding is an order whose effect has not been reported.
-type outstanding struct {
-	kind    port.OrderKind
-	version port.WeightVersion
-	sent    time.Time
-	// loading is set once a report showed that the replica loads the version.
+// pendingOrder is an order whose effect has not been reported.
+type pendingOrder struct {
+	kind      port.OrderKind
+	version   port.WeightVersion
+	firstSent time.Time
+	// loading is set once a report showed that the replica is loading the version.
 	loading bool
 	// accepted is set once the engine answered the order without an error.
 	accepted bool
-	// asked is when the order was last given, and asking whether the answer to
-	// that is still out.
-	asked  time.Time
-	asking bool
+	// lastSent is when the order was last sent or repeated; awaitingAnswer is set until
+	// that is answered.
+	lastSent       time.Time
+	awaitingAnswer bool
 }
 
-// maxSkipped bounds how often in a row a newer publication replaces a target
-// that is still being staged: without the bound, weights published faster than
-// they can be staged would never be served.
+// maxSkipped bounds how many consecutive targets a newer publication may replace during
+// staging; otherwise weights published faster than they can be staged would never be
+// served.
 const maxSkipped = 1
 
-// New makes a rollout; the error is ErrNoFence.
+// New returns a rollout; the error is ErrNoFence.
 func New(config Config, now time.Time) (*Rollout, error) {
 	if config.Fence == 0 {
 		return nil, ErrNoFence
 	}
 	return &Rollout{
 		config: config.withDefaults(), byID: make(map[port.ReplicaID]*replica),
-		target: config.Weights.Version, heard: now, progressed: now, completed: config.Weights.Version == 0,
+		target: config.Weights.Version, receivedAt: now, lastProgress: now, completed: config.Weights.Version == 0,
 	}, nil
 }
 
-// Step handles one event and returns what to do, in order.
+// Step handles one event and returns the actions to carry out, in order.
 func (r *Rollout) Step(now time.Time, event Event) []Action {
 	r.now = now
 	r.actions = nil
@@ -114,37 +113,37 @@
 	return r.actions
 }
 
-// Target gives the version being rolled out, and whether all reachable replicas
-// serve it.
+// Target returns the version being rolled out, and whether all reachable replicas serve
+// it.
 func (r *Rollout) Target() (version port.WeightVersion, completed bool) { return r.target, r.completed }
 
-// published takes a newer version as target, or lets it wait while the present
-// target has already been put off for a newer one or is being switched to.
+// published makes a newer version the target, or the next one if the current target is
+// being activated or has already replaced another.
 func (r *Rollout) published(version port.WeightVersion) {
 	if version <= max(r.target, r.next) {
 		return
 	}
 	busy := !r.completed && (r.switching || r.skipped >= maxSkipped)
 	if busy {
-		r.next, r.nextHeard = version, r.now
+		r.next, r.nextReceivedAt = version, r.now
 		return
 	}
 	if !r.completed {
 		r.skipped++
-		r.note("", fmt.Sprintf("version %d gives way to version %d before it was switched to", r.target, version))
+		r.record("", fmt.Sprintf("version %d replaced by version %d before the switch", r.target, version))
 	}
-	r.begin(version, r.now)
+	r.start(version, r.now)
 }
 
-// begin makes a version the target.
-func (r *Rollout) begin(version port.WeightVersion, heard time.Time) {
-	r.target, r.heard = version, heard
+// start makes a version the target.
+func (r *Rollout) start(version port.WeightVersion, receivedAt time.Time) {
+	r.target, r.receivedAt = version, receivedAt
 	r.next = 0
-	r.mostStaged, r.progressed = 0, heard
+	r.maxStaged, r.lastProgress = 0, receivedAt
 	r.switching, r.completed = false, false
 	r.ordered, r.announced = false, false
 	for _, replica := range r.replicas {
-		replica.tries, replica.after = 0, time.Time{}
+		replica.tries, replica.notBefore = 0, time.Time{}
 		if replica.order != nil && replica.order.kind == port.OrderStage {
 			replica.order = nil
 		}
@@ -170,15 +169,15 @@
 	r.byID = known
 }
 
-// advance gives the orders that are due.
+// advance sends the orders that are due.
 func (r *Rollout) advance() {
 	if r.target == 0 || r.fenced {
 		return
 	}
 	for _, replica := range r.replicas {
-		r.expire(replica)
+		r.expireOrder(replica)
 	}
-	r.decideSwitch()
+	r.maybeSwitch()
 	mayStage := r.mayStage()
 	staging := r.countStaging()
 	for _, replica := range r.replicas {
@@ -193,38 +192,38 @@
 			r.send(replica, port.OrderStage)
 		}
 	}
-	r.askAgain()
-	r.decideCompleted()
+	r.repeatOrders()
+	r.checkCompleted()
 }
 
-// mayStage takes the staging turn before the switch, and gives it back after.
-// What must be staged again later, on a replica that came late, needs no turn:
-// it waits for no other replica.
+// mayStage acquires the staging turn before the switch and releases it afterwards.
+// Staging after the switch, on a replica that joined late, needs no turn, since it does
+// not wait for other replicas.
 func (r *Rollout) mayStage() bool {
 	if r.switching || r.completed {
-		r.config.Turn.pass(r.config.Pool)
+		r.config.Turn.release(r.config.Pool)
 		return true
 	}
 	behind := func(member *replica) bool {
-		return member.reachable && !member.reported.IsZero() && member.version != r.target
+		return member.reachable && !member.lastReport.IsZero() && member.version != r.target
 	}
 	if !slices.ContainsFunc(r.replicas, behind) {
-		r.config.Turn.pass(r.config.Pool)
+		r.config.Turn.release(r.config.Pool)
 		return true
 	}
-	return r.config.Turn.take(r.now, r.config.Pool, r.config.StageDeadline)
+	return r.config.Turn.acquire(r.now, r.config.Pool, r.config.StageDeadline)
 }
 
-// Stop gives the staging turn back; the rollout must not be stepped any more.
+// Stop releases the staging turn; Step must not be called afterwards.
 func (r *Rollout) Stop() {
 	r.fenced = true
-	r.config.Turn.pass(r.config.Pool)
+	r.config.Turn.release(r.config.Pool)
 }
 
-// needsOrder says whether a replica could be given an order now.
+// needsOrder reports whether a replica is due for an order.
 func (r *Rollout) needsOrder(member *replica) bool {
-	known := member.reachable && !member.reported.IsZero()
-	return known && member.version != r.target && member.order == nil && !r.now.Before(member.after)
+	known := member.reachable && !member.lastReport.IsZero()
+	return known && member.version != r.target && member.order == nil && !r.now.Before(member.notBefore)
 }
 
 func (r *Rollout) countStaging() int {
@@ -237,13 +236,13 @@
 	return count
 }
 
-// progressShare divides StageDeadline: past the deadline the switch still waits
-// while another replica has staged within this share of it.
-const progressShare = 4
+// progressDivisor sets the fraction of StageDeadline within which a replica must have
+// staged for the switch to wait beyond the deadline.
+const progressDivisor = 4
 
-// decideSwitch begins the activation when all reachable replicas have staged,
-// or enough of them at the deadline.
-func (r *Rollout) decideSwitch() {
+// maybeSwitch starts the activation when all reachable replicas have staged, or enough
+// of them at the deadline.
+func (r *Rollout) maybeSwitch() {
 	if r.switching || r.completed {
 		return
 	}
@@ -263,22 +262,22 @@
 	if reachable == 0 || behind == 0 {
 		return
 	}
-	if staged > r.mostStaged {
-		r.mostStaged, r.progressed = staged, r.now
+	if staged > r.maxStaged {
+		r.maxStaged, r.lastProgress = staged, r.now
 	}
-	late := r.now.Sub(r.heard) >= r.config.StageDeadline && r.now.Sub(r.progressed) >= r.config.StageDeadline/progressShare
+	late := r.now.Sub(r.receivedAt) >= r.config.StageDeadline && r.now.Sub(r.lastProgress) >= r.config.StageDeadline/progressDivisor
 	enough := staged > 0 && float64(staged) >= r.config.ActivateShare*float64(reachable)
 	if staged == reachable || (late && enough) {
-		r.switching, r.switchBegan = true, r.now
-		r.note("", fmt.Sprintf("switch to version %d on %d of %d reachable replicas", r.target, staged, reachable))
+		r.switching, r.switchStarted = true, r.now
+		r.record("", fmt.Sprintf("switch to version %d on %d of %d reachable replicas", r.target, staged, reachable))
 	}
 }
 
-// decideCompleted says once that every reachable replica serves the target, and
-// goes on to the version that waits.
-func (r *Rollout) decideCompleted() {
+// checkCompleted emits Completed once every reachable replica serves the target, and
+// starts the next version.
+func (r *Rollout) checkCompleted() {
 	if r.completed {
-		r.reopen()
+		r.restartSwitch()
 		return
 	}
 	serving := 0
@@ -286,8 +285,8 @@
 		if !replica.reachable {
 			continue
 		}
-		if replica.version != r.target || replica.reported.IsZero() {
-			r.giveWay()
+		if replica.version != r.target || replica.lastReport.IsZero() {
+			r.abandonSwitch()
 			return
 		}
 		serving++
@@ -295,54 +294,54 @@
 	if serving == 0 {
 		return
 	}
-	done := Completed{Version: r.target, Replicas: serving, Duration: r.now.Sub(r.heard)}
+	completed := Completed{Version: r.target, Replicas: serving, Duration: r.now.Sub(r.receivedAt)}
 	if r.switching {
-		done.Switch = r.now.Sub(r.switchBegan)
+		completed.Switch = r.now.Sub(r.switchStarted)
 	}
 	r.completed, r.skipped = true, 0
 	if r.ordered && !r.announced {
 		r.announced = true
-		r.actions = append(r.actions, done)
+		r.actions = append(r.actions, completed)
 	}
-	r.takeNext()
+	r.startNext()
 }
 
-// reopen begins the switch anew when a replica fell off the target.
-func (r *Rollout) reopen() {
+// restartSwitch resumes the activation if a replica no longer serves the target.
+func (r *Rollout) restartSwitch() {
 	for _, replica := range r.replicas {
-		if replica.reachable && !replica.reported.IsZero() && replica.version != r.target {
-			r.completed, r.switching, r.switchBegan = false, true, r.now
+		if replica.reachable && !replica.lastReport.IsZero() && replica.version != r.target {
+			r.completed, r.switching, r.switchStarted = false, true, r.now
 			return
 		}
 	}
 }
 
-// giveWay lets a waiting version begin although some replicas never came to
-// serve the target: its switch has had its time.
-func (r *Rollout) giveWay() {
-	if r.next != 0 && r.switching && r.now.Sub(r.switchBegan) >= r.config.ActivateTimeout {
-		r.note("", fmt.Sprintf("version %d is not served everywhere; going on to version %d", r.target, r.next))
+// abandonSwitch starts the next version if some replicas do not serve the target within
+// ActivateTimeout.
+func (r *Rollout) abandonSwitch() {
+	if r.next != 0 && r.switching && r.now.Sub(r.switchStarted) >= r.config.ActivateTimeout {
+		r.record("", fmt.Sprintf("version %d is not served by all replicas; continuing with version %d", r.target, r.next))
 		r.skipped = 0
-		r.takeNext()
+		r.startNext()
 	}
 }
 
-func (r *Rollout) takeNext() {
+func (r *Rollout) startNext() {
 	if r.next != 0 {
-		r.begin(r.next, r.nextHeard)
+		r.start(r.next, r.nextReceivedAt)
 	}
 }
 
-// send gives an order and records it.
+// send sends an order and records it.
 func (r *Rollout) send(to *replica, kind port.OrderKind) {
 	r.ordered = true
-	to.order = &outstanding{kind: kind, version: r.target, sent: r.now, asked: r.now, asking: true}
+	to.order = &pendingOrder{kind: kind, version: r.target, firstSent: r.now, lastSent: r.now, awaitingAnswer: true}
 	r.actions = append(r.actions, SendOrder{Replica: to.id, Order: r.config.order(kind, r.target)})
-	r.note(to.id, fmt.Sprintf("%s version %d, serves %d", kind, r.target, to.version))
+	r.record(to.id, fmt.Sprintf("%s version %d, serves %d", kind, r.target, to.version))
 }
 
-// note records a decision on a replica, or on the pool's weights.
-func (r *Rollout) note(about port.ReplicaID, detail string) {
+// record records a decision on a replica, or on the pool's weights if about is empty.
+func (r *Rollout) record(about port.ReplicaID, detail string) {
 	subject := string(about)
 	if about == "" {
 		subject = fmt.Sprintf("w-%s-%d", r.config.Pool, r.target)
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -22,8 +22,8 @@
 	f.publish(2)
 	for range 200 {
 		f.run(500 * time.Millisecond)
-		if f.loadingNow() > 2 {
-			t.Fatalf("%d replicas load at a time, allowed are 2", f.loadingNow())
+		if f.countLoading() > 2 {
+			t.Fatalf("%d replicas are loading, limit is 2", f.countLoading())
 		}
 		if !allServe(f, 1) && !allServe(f, 2) {
 			t.Fatalf("replicas do not switch together: %v", f.versions())
@@ -53,8 +53,8 @@
 		config rollout.Config
 		run    func(t *testing.T, f *fleet)
 	}{
-		{"replica that never stages holds the switch until the deadline", rollout.Config{StageDeadline: 30 * time.Second, ActivateShare: 0.6}, func(t *testing.T, f *fleet) {
-			f.engines[0].refuses = lost
+		{"replica that never stages delays the switch until the deadline", rollout.Config{StageDeadline: 30 * time.Second, ActivateShare: 0.6}, func(t *testing.T, f *fleet) {
+			f.engines[0].refusal = lost
 			f.publish(2)
 			f.run(29 * time.Second)
 			if !allServe(f, 1) {
@@ -64,36 +64,36 @@
 			if got := f.versions(); got[0] != 1 || got[1] != 2 || got[2] != 2 {
 				t.Fatalf("after the deadline: %v", got)
 			}
-			f.engines[0].refuses = nil
+			f.engines[0].refusal = nil
 			f.run(time.Minute)
 			if !allServe(f, 2) {
-				t.Fatalf("late replica did not follow: %v", f.versions())
+				t.Fatalf("late replica was not updated: %v", f.versions())
 			}
 		}},
 		{"too few staged at the deadline", rollout.Config{StageDeadline: 10 * time.Second, ActivateShare: 0.6}, func(t *testing.T, f *fleet) {
-			f.engines[0].refuses, f.engines[1].refuses = lost, lost
+			f.engines[0].refusal, f.engines[1].refusal = lost, lost
 			f.publish(2)
 			f.run(time.Minute)
 			if !allServe(f, 1) {
 				t.Fatalf("switched with one of three staged: %v", f.versions())
 			}
 		}},
-		{"unreachable replica is not waited for, and follows when it is back", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"unreachable replica does not delay the switch and is updated on return", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.engines[2].reachable = false
-			f.list()
+			f.sendReplicas()
 			f.publish(2)
 			f.run(10 * time.Second)
 			if got := f.versions(); got[0] != 2 || got[2] != 1 || len(f.completed) != 1 {
 				t.Fatalf("versions %v, completed %+v", got, f.completed)
 			}
 			f.engines[2].reachable = true
-			f.list()
+			f.sendReplicas()
 			f.run(10 * time.Second)
 			if !allServe(f, 2) || len(f.completed) != 1 {
 				t.Fatalf("versions %v, completed %+v", f.versions(), f.completed)
 			}
 		}},
-		{"swap halfway: out of routing until the weights are known", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"failed swap: out of routing until the version is known", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.engines[1].swapFails = true
 			f.publish(2)
 			f.run(stageTime)
@@ -102,19 +102,19 @@
 			}
 			f.run(time.Minute)
 			if !allServe(f, 2) || !f.engines[1].routed {
-				t.Fatalf("not mended: %v routed %v", f.versions(), f.engines[1].routed)
+				t.Fatalf("not recovered: %v routed %v", f.versions(), f.engines[1].routed)
 			}
 		}},
-		{"answer to the switch lost: out of routing until a later report", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"activation answer lost: out of routing until a later report", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(stageTime - 500*time.Millisecond)
-			f.engines[0].answersLost = true
+			f.engines[0].losesAnswers = true
 			f.now = f.now.Add(time.Second)
 			for _, engine := range f.engines {
 				engine.report.Staged = 2
 				f.step(rollout.LoadReported{Replica: engine.id, Report: engine.report})
 			}
-			f.engines[0].answersLost = false
+			f.engines[0].losesAnswers = false
 			if f.engines[0].routed {
 				t.Fatal("replica with an unknown outcome is in routing")
 			}
@@ -122,36 +122,36 @@
 			stale.Version, stale.AgeMillis = 1, 3000
 			f.step(rollout.LoadReported{Replica: "a", Report: stale})
 			if f.engines[0].routed {
-				t.Fatal("a report from before the order put the replica back")
+				t.Fatal("a report older than the order returned the replica to routing")
 			}
 			f.run(time.Second)
 			if !f.engines[0].routed || !allServe(f, 2) {
 				t.Fatalf("versions %v routed %v", f.versions(), f.engines[0].routed)
 			}
 		}},
-		{"switch certainly not run leaves the replica in routing", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"activation not run leaves the replica in routing", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(stageTime)
-			f.engines[0].refuses = lost
+			f.engines[0].refusal = lost
 			f.run(2 * time.Second)
 			if !f.engines[0].routed {
 				t.Fatal("replica that kept its version is out of routing")
 			}
-			f.engines[0].refuses = nil
+			f.engines[0].refusal = nil
 			f.run(time.Minute)
 			if !allServe(f, 2) {
 				t.Fatalf("versions %v", f.versions())
 			}
 		}},
 		{"replica serves another version than ordered", rollout.Config{}, func(t *testing.T, f *fleet) {
-			f.engines[1].landsOn = 9
+			f.engines[1].activatesVersion = 9
 			f.publish(2)
 			f.run(time.Minute)
 			if !allServe(f, 2) || f.count(f.engines[1], port.OrderActivate) != 2 {
 				t.Fatalf("versions %v after %d orders", f.versions(), f.count(f.engines[1], port.OrderActivate))
 			}
 		}},
-		{"restart loses what was staged", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"restart discards the staged weights", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(2 * time.Second)
 			engine := f.engines[2]
@@ -161,28 +161,28 @@
 				t.Fatalf("versions %v after %d orders to stage", f.versions(), f.count(engine, port.OrderStage))
 			}
 		}},
-		{"a load that breaks off is ordered again at once", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"an aborted load is ordered again", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(2 * time.Second)
 			f.engines[1].loading, f.engines[1].report.Staging = 0, 0
 			f.run(2*stageTime + time.Second)
 			if !allServe(f, 2) || f.engines[1].loads != 2 || f.engines[0].loads != 1 {
-				t.Fatalf("versions %v after %d loads, elsewhere %d", f.versions(), f.engines[1].loads, f.engines[0].loads)
+				t.Fatalf("versions %v after %d loads, %d on another engine", f.versions(), f.engines[1].loads, f.engines[0].loads)
 			}
 		}},
-		{"a load breaks off while an answer does not come", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"a load is aborted while an answer is outstanding", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(2 * time.Second)
-			f.engines[1].silent = true
+			f.engines[1].unresponsive = true
 			f.run(time.Second)
-			f.engines[1].loading, f.engines[1].report.Staging, f.engines[1].silent = 0, 0, false
+			f.engines[1].loading, f.engines[1].report.Staging, f.engines[1].unresponsive = 0, 0, false
 			f.run(2*stageTime + time.Second)
 			if !allServe(f, 2) {
 				t.Fatalf("versions %v after %d loads", f.versions(), f.engines[1].loads)
 			}
 		}},
-		{"an engine that does not say what it loads has its time", rollout.Config{StageTimeout: 20 * time.Second}, func(t *testing.T, f *fleet) {
-			f.engines[1].silent = true
+		{"an engine that does not report its load is waited for until the timeout", rollout.Config{StageTimeout: 20 * time.Second}, func(t *testing.T, f *fleet) {
+			f.engines[1].unresponsive = true
 			f.publish(2)
 			f.run(19 * time.Second)
 			if f.count(f.engines[1], port.OrderStage) != 1 {
@@ -198,7 +198,7 @@
 				t.Fatalf("versions %v", f.versions())
 			}
 		}},
-		{"newer publication replaces one that is being staged", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"newer publication replaces a staging one", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(2 * time.Second)
 			f.publish(3)
@@ -213,7 +213,7 @@
 				f.run(3 * time.Second)
 			}
 			if len(f.completed) < 5 {
-				t.Fatalf("%d versions served of 28 published", len(f.completed))
+				t.Fatalf("%d of 28 published versions were served", len(f.completed))
 			}
 		}},
 		{"a higher fence ends the rollout", rollout.Config{}, func(t *testing.T, f *fleet) {
@@ -227,7 +227,7 @@
 			}
 		}},
 		{"an order refused as fenced ends the rollout", rollout.Config{}, func(t *testing.T, f *fleet) {
-			f.engines[0].refuses = port.NewError(port.NotRun, port.CodeFenced, "old fence")
+			f.engines[0].refusal = port.NewError(port.NotRun, port.CodeFenced, "old fence")
 			f.publish(2)
 			f.run(time.Minute)
 			if !f.fencedOff || len(f.engines[0].orders) != 1 {
@@ -243,42 +243,42 @@
 				t.Fatalf("versions %v", f.versions())
 			}
 		}},
-		{"no answer to the switch at all, then a report from before it was in doubt", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"activation unanswered, then a report older than its timeout", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(stageTime - 500*time.Millisecond)
-			f.engines[0].silent = true
+			f.engines[0].unresponsive = true
 			f.now = f.now.Add(500 * time.Millisecond)
 			f.reportAll()
 			f.step(rollout.Tick{})
 			f.now = f.now.Add(11 * time.Second)
 			f.step(rollout.Tick{})
 			if f.engines[0].routed {
-				t.Fatal("replica that never answered is in routing")
+				t.Fatal("replica that did not answer is in routing")
 			}
-			early := port.LoadReport{Version: 1, Staged: 2, Incarnation: 1, AgeMillis: 5000}
-			f.step(rollout.LoadReported{Replica: "a", Report: early})
+			old := port.LoadReport{Version: 1, Staged: 2, Incarnation: 1, AgeMillis: 5000}
+			f.step(rollout.LoadReported{Replica: "a", Report: old})
 			if f.engines[0].routed {
-				t.Fatal("a report from before the doubt put the replica back")
+				t.Fatal("a report older than the timeout returned the replica to routing")
 			}
-			f.engines[0].silent = false
+			f.engines[0].unresponsive = false
 			f.run(time.Minute)
 			if !allServe(f, 2) || !f.engines[0].routed {
 				t.Fatalf("versions %v routed %v", f.versions(), f.engines[0].routed)
 			}
 		}},
-		{"report from before the last one is ignored", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"report older than the last one is ignored", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(20 * time.Second)
 			orders := len(f.engines[0].orders)
 			f.step(rollout.LoadReported{Replica: "a", Report: port.LoadReport{Version: 1, Incarnation: 1, AgeMillis: 60000}})
 			if len(f.engines[0].orders) != orders {
-				t.Fatal("ordered again on old news")
+				t.Fatal("ordered again after an outdated report")
 			}
 		}},
-		{"report from before the switch does not end the order", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"report older than the activation does not end the order", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(stageTime - 500*time.Millisecond)
-			f.engines[0].silent = true
+			f.engines[0].unresponsive = true
 			staged := port.LoadReport{Version: 1, Staged: 2, Incarnation: 1}
 			f.step(rollout.LoadReported{Replica: "a", Report: staged})
 			f.step(rollout.LoadReported{Replica: "b", Report: staged})
@@ -288,20 +288,20 @@
 			f.now = f.now.Add(time.Second)
 			f.step(rollout.LoadReported{Replica: "a", Report: port.LoadReport{Version: 5, Staged: 2, Incarnation: 1, AgeMillis: 1500}})
 			if again := f.count(f.engines[0], port.OrderActivate); orders != 1 || again != 1 {
-				t.Fatalf("%d orders, then %d, before the first had its time", orders, again)
+				t.Fatalf("%d orders, then %d, before the first timed out", orders, again)
 			}
 		}},
-		{"restart without any rollout before", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"restart without a previous rollout", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.engines[0].report = port.LoadReport{Version: 0, Incarnation: 2}
 			f.run(time.Minute)
 			if !allServe(f, 1) || !f.engines[0].routed {
 				t.Fatalf("versions %v routed %v", f.versions(), f.engines[0].routed)
 			}
 		}},
-		{"a replica that never switches does not hold the next version", rollout.Config{}, func(t *testing.T, f *fleet) {
+		{"a replica that never switches does not block the next version", rollout.Config{}, func(t *testing.T, f *fleet) {
 			f.publish(2)
 			f.run(stageTime - 500*time.Millisecond)
-			f.engines[0].silent = true
+			f.engines[0].unresponsive = true
 			f.run(time.Second)
 			f.publish(3)
 			f.run(40 * time.Second)
@@ -321,7 +321,7 @@
 			f.publish(1)
 			f.run(20 * time.Second)
 			if len(f.engines[0].orders) != orders {
-				t.Fatalf("%d orders, before %d", len(f.engines[0].orders), orders)
+				t.Fatalf("%d orders, want %d", len(f.engines[0].orders), orders)
 			}
 		}},
 	}
@@ -340,7 +340,7 @@
 		t.Fatalf("order %+v", order)
 	}
 	if _, err := rollout.New(rollout.Config{}, start); err == nil {
-		t.Fatal("a rollout without a fence was made")
+		t.Fatal("a rollout without a fence was created")
 	}
 }
 
@@ -353,23 +353,23 @@
 			"publish":     func(*rapid.T) { version++; f.publish(version) },
 			"time":        func(t *rapid.T) { f.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "s")) * time.Second) },
 			"swap fails":  func(*rapid.T) { pick().swapFails = true },
-			"elsewhere":   func(*rapid.T) { pick().landsOn = max(version-1, 1) },
-			"lose":        func(*rapid.T) { e := pick(); e.answersLost = !e.answersLost },
-			"reachable":   func(*rapid.T) { e := pick(); e.reachable = !e.reachable; f.list() },
+			"elsewhere":   func(*rapid.T) { pick().activatesVersion = max(version-1, 1) },
+			"lose":        func(*rapid.T) { e := pick(); e.losesAnswers = !e.losesAnswers },
+			"reachable":   func(*rapid.T) { e := pick(); e.reachable = !e.reachable; f.sendReplicas() },
 			"restart":     func(*rapid.T) { pick().restart() },
 			"lost staged": func(*rapid.T) { pick().report.Staged = 0 },
 			"": func(t *rapid.T) {
 				for _, engine := range f.engines {
-					if engine.reachable && engine.report.Version == 0 && engine.routed && f.reported(engine) {
+					if engine.reachable && engine.report.Version == 0 && engine.routed && f.reportEngine(engine) {
 						t.Fatalf("engine %s serves unknown weights and is in routing", engine.id)
 					}
 				}
 			},
 		})
 		for _, engine := range f.engines {
-			engine.reachable, engine.answersLost, engine.swapFails, engine.landsOn = true, false, false, 0
+			engine.reachable, engine.losesAnswers, engine.swapFails, engine.activatesVersion = true, false, false, 0
 		}
-		f.list()
+		f.sendReplicas()
 		f.run(5 * time.Minute)
 		for _, engine := range f.engines {
 			if engine.report.Version != version || !engine.routed {
@@ -379,42 +379,42 @@
 	})
 }
 
-// restart loses what was staged and serves version 1.
+// restart discards the staged weights and serves version 1.
 func (e *fakeEngine) restart() {
 	e.loading = 0
 	e.report = port.LoadReport{Version: 1, Incarnation: e.report.Incarnation + 1}
 }
 
-// reported brings the rollout up to date with one engine.
-func (f *fleet) reported(engine *fakeEngine) bool {
+// reportEngine sends the engine's load report and reports whether its version is unknown.
+func (f *fleet) reportEngine(engine *fakeEngine) bool {
 	f.now = f.now.Add(time.Millisecond)
 	f.step(rollout.LoadReported{Replica: engine.id, Report: engine.report})
 	return engine.report.Version == 0
 }
 
-// Many replicas take longer to stage than the deadline. As long as they get on, the
-// switch waits for all of them; one that hangs does not hold it up for good.
+// TestSwitchWaitsWhileReplicasStage checks that the switch waits beyond the deadline while
+// replicas make progress, but not for one that hangs.
 func TestSwitchWaitsWhileReplicasStage(t *testing.T) {
 	f := newFleet(t, rollout.Config{StageDeadline: 30 * time.Second, MaxStaging: 4}, 40)
 	f.publish(2)
 	for range 90 {
 		f.run(500 * time.Millisecond)
 		if !allServe(f, 1) {
-			t.Fatalf("switched before all had staged: %v", f.versions())
+			t.Fatalf("switched before all replicas had staged: %v", f.versions())
 		}
 	}
 	f.run(15 * time.Second)
 	if !allServe(f, 2) {
-		t.Fatalf("not switched once all had staged: %v", f.versions())
+		t.Fatalf("not switched after all replicas had staged: %v", f.versions())
 	}
 
 	f = newFleet(t, rollout.Config{StageDeadline: 30 * time.Second, MaxStaging: 4}, 40)
-	f.engines[0].silent = true
+	f.engines[0].unresponsive = true
 	f.publish(2)
 	f.run(90 * time.Second)
 	for index, version := range f.versions() {
 		if index > 0 && version != 2 {
-			t.Fatalf("a hanging replica holds the others up: %v", f.versions())
+			t.Fatalf("a hanging replica blocks the others: %v", f.versions())
 		}
 	}
 }
--- a/internal/core/rollout/turn.go
+++ b/internal/core/rollout/turn.go
@@ -7,26 +7,25 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// StagingTurn lets one of the rollouts that share a set of engines stage at a
-// time. An engine keeps few staged versions and drops the oldest for a new one,
-// so that rollouts which stage side by side and wait for all replicas would take
-// each other's staged weights away for ever.
+// StagingTurn is a lock that lets only one of the rollouts on the same engines stage at
+// a time. An engine keeps few staged versions and evicts the oldest for a new one, so
+// rollouts staging concurrently would evict each other's weights forever.
 //
-// The turn ends with the switch, since activated weights need no staging place.
-// Rollouts that wait follow in the order in which they asked. It is not safe for
+// A rollout releases the turn at the switch, since activated weights occupy no staging
+// slot. Waiting rollouts acquire it in the order of their requests. It is not safe for
 // concurrent use.
 type StagingTurn struct {
 	holder  port.PoolName
-	until   time.Time
+	expires time.Time
 	waiting []port.PoolName
 }
 
-// take asks for the turn and says whether the pool has it. A turn lasts at most
-// the given time while others wait, so that a pool whose weights can't be
-// fetched holds up no other one.
-func (t *StagingTurn) take(now time.Time, pool port.PoolName, length time.Duration) bool {
-	if t.holder != "" && !now.Before(t.until) && len(t.waiting) > 0 {
-		t.pass(t.holder)
+// acquire requests the turn and reports whether the pool holds it. While others wait, a
+// pool holds the turn for at most the given time, so that a pool whose weights cannot be
+// fetched does not block the others.
+func (t *StagingTurn) acquire(now time.Time, pool port.PoolName, duration time.Duration) bool {
+	if t.holder != "" && !now.Before(t.expires) && len(t.waiting) > 0 {
+		t.release(t.holder)
 	}
 	if t.holder == pool {
 		return true
@@ -38,12 +37,12 @@
 		return false
 	}
 	t.waiting = t.waiting[1:]
-	t.holder, t.until = pool, now.Add(length)
+	t.holder, t.expires = pool, now.Add(duration)
 	return true
 }
 
-// pass ends the pool's turn or takes it out of those that wait.
-func (t *StagingTurn) pass(pool port.PoolName) {
+// release ends the pool's turn or removes it from the waiting pools.
+func (t *StagingTurn) release(pool port.PoolName) {
 	if t.holder == pool {
 		t.holder = ""
 	}
--- a/internal/core/rollout/turn_test.go
+++ b/internal/core/rollout/turn_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// sharedEngines are engines whose adapters several rollouts bring up to date.
+// sharedEngines runs rollouts of several adapters on the same engines.
 type sharedEngines struct {
 	t        *testing.T
 	now      time.Duration
@@ -17,16 +17,16 @@
 	replicas []rollout.Replica
 	rollouts map[port.PoolName]*rollout.Rollout
 	adapters []port.PoolName
-	// cutOff pools get no weights: their orders to stage fail.
-	cutOff map[port.PoolName]bool
-	// routedOut counts the replicas that a rollout took out of routing.
+	// storeUnavailable lists pools whose stage orders fail.
+	storeUnavailable map[port.PoolName]bool
+	// routedOut counts RouteOut actions.
 	routedOut int
 }
 
 func newSharedEngines(t *testing.T, adapters ...port.PoolName) *sharedEngines {
 	s := &sharedEngines{
 		t: t, engines: make(map[port.ReplicaID]*engine.Model), adapters: adapters,
-		rollouts: make(map[port.PoolName]*rollout.Rollout), cutOff: make(map[port.PoolName]bool),
+		rollouts: make(map[port.PoolName]*rollout.Rollout), storeUnavailable: make(map[port.PoolName]bool),
 	}
 	store := engine.NewStore(8 << 20)
 	for _, id := range []port.ReplicaID{"a", "b", "c", "d", "e", "f"} {
@@ -37,7 +37,7 @@
 	}
 	turn := &rollout.StagingTurn{}
 	for _, pool := range adapters {
-		made, err := rollout.New(rollout.Config{
+		created, err := rollout.New(rollout.Config{
 			Pool: pool, Adapter: string(pool), Fence: fence, WeightStore: "http://127.0.0.1:9",
 			Weights: port.PublishedWeights{Pool: pool, Version: 1}, Turn: turn, MaxStaging: 2,
 			StageDeadline: 30 * time.Second,
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.rollouts[pool] = made
+		s.rollouts[pool] = created
 		s.step(pool, rollout.ReplicasChanged{Replicas: s.replicas})
 	}
 	return s
@@ -65,7 +65,7 @@
 func (s *sharedEngines) order(pool port.PoolName, sent rollout.SendOrder) {
 	target := s.engines[sent.Replica]
 	answer := rollout.OrderAnswered{Replica: sent.Replica, Order: sent.Order}
-	if s.cutOff[pool] {
+	if s.storeUnavailable[pool] {
 		answer.Err = port.NewError(port.NotRun, port.CodeUnavailable, "no weights")
 		s.step(pool, answer)
 		return
@@ -81,7 +81,7 @@
 	s.step(pool, answer)
 }
 
-// run lets time pass; every rollout hears of every engine each half second.
+// run advances time and sends every engine's report to all rollouts twice a second.
 func (s *sharedEngines) run(span time.Duration) {
 	for end := s.now + span; s.now < end; {
 		s.now += 500 * time.Millisecond
@@ -121,22 +121,22 @@
 			}
 		}
 	}
-	// An adapter that isn't loaded yet is no reason to take the others' replicas.
+	// A replica must stay in routing for the other adapters while one is not loaded yet.
 	if shared.routedOut != 0 {
-		t.Errorf("%d times a replica was out of routing", shared.routedOut)
+		t.Errorf("%d RouteOut actions, want none", shared.routedOut)
 	}
 }
 
 func TestPoolWithoutWeightsHoldsUpNoOther(t *testing.T) {
 	shared := newSharedEngines(t, "bulletins", "notes", "summaries")
-	shared.cutOff["bulletins"] = true
+	shared.storeUnavailable["bulletins"] = true
 	shared.run(45 * time.Second)
 	for _, pool := range shared.adapters[1:] {
 		if count := shared.serving(pool, 1); count != len(shared.engines) {
 			t.Errorf("%s: %d of %d engines serve it", pool, count, len(shared.engines))
 		}
 	}
-	shared.cutOff["bulletins"] = false
+	shared.storeUnavailable["bulletins"] = false
 	shared.run(time.Minute)
 	if count := shared.serving("bulletins", 1); count != len(shared.engines) {
 		t.Errorf("bulletins: %d of %d engines serve it", count, len(shared.engines))
