--- a/internal/core/ledger/doc.go
+++ b/internal/core/ledger/doc.go
@@ -1,9 +1,8 @@
-// Package ledger holds the delivery state of the pools that feed a trainer:
-// which batches and prompts are committed, which consumer is the current one,
-// and which sample ids are spent.
+// Package ledger holds the delivery state of the pools that feed a trainer: the
+// committed batches and prompts, the current consumer, and the used sample ids.
 //
-// The ledger is part of the replicated control state, and therefore
-// deterministic. It decides at a command's position in the log, against the
-// weight version published there, so that "no delivered sample is older than
-// the bound" holds exactly. Refusals are *port.Error values with verdict NotRun.
+// The ledger is part of the replicated control state and therefore deterministic. It
+// checks a commit against the weight version published at the command's position in the
+// log, so that no committed sample exceeds the staleness bound. Refusals are *port.Error
+// values with verdict NotRun.
 package ledger
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -11,14 +11,14 @@
 
 // Limits of one pool's delivery state.
 const (
-	// MaxPromptsAbove bounds the committed prompts beyond the lowest open one.
+	// MaxPromptsAbove bounds the committed prompts above the lowest open one.
 	MaxPromptsAbove = 8192
-	// MaxRewindBatches is how many batches an operator can go back.
+	// MaxRewindBatches bounds how many batches an operator can rewind.
 	MaxRewindBatches = 64
 	maxConsumerName  = 128
 )
 
-// batchPrompts remembers the prompts of a committed batch for a rewind.
+// batchPrompts holds the prompts of a committed batch for a rewind.
 type batchPrompts struct {
 	Number  port.BatchNumber   `cbor:"1,keyasint"`
 	Prompts []port.PromptIndex `cbor:"2,keyasint"`
@@ -33,11 +33,11 @@
 	Last         []port.CommittedSample `cbor:"5,keyasint,omitempty"`
 	Prompts      promptSet              `cbor:"6,keyasint"`
 	Consumer     port.Consumer          `cbor:"7,keyasint"`
-	// SpentEpoch is the coordinator's epoch that Spent belongs to.
-	SpentEpoch port.Epoch     `cbor:"8,keyasint"`
-	Spent      sequenceSet    `cbor:"9,keyasint,omitempty"`
-	Recent     []batchPrompts `cbor:"10,keyasint,omitempty"`
-	Rewinds    uint64         `cbor:"11,keyasint,omitempty"`
+	// UsedEpoch is the coordinator epoch of UsedSequences.
+	UsedEpoch     port.Epoch     `cbor:"8,keyasint"`
+	UsedSequences sequenceSet    `cbor:"9,keyasint,omitempty"`
+	Recent        []batchPrompts `cbor:"10,keyasint,omitempty"`
+	Rewinds       uint64         `cbor:"11,keyasint,omitempty"`
 }
 
 // Ledger holds the delivery state of all pools.
@@ -45,7 +45,7 @@
 	pools []*poolLedger // by name
 }
 
-// Terms are the facts at a commit's position in the log.
+// Terms are the pool's state at a commit's position in the log.
 type Terms struct {
 	// CoordinatorEpoch is the epoch of the pool's coordinator lease, 0 if there
 	// is none.
@@ -55,7 +55,7 @@
 	Sampling  port.Sampling
 }
 
-// State gives a pool's delivery state; it is empty for an unknown pool.
+// State returns a pool's delivery state; it is empty for an unknown pool.
 func (l *Ledger) State(pool port.PoolName) port.LedgerState {
 	position, found := l.find(pool)
 	if !found {
@@ -64,15 +64,15 @@
 	return l.pools[position].state()
 }
 
-// Remove forgets a pool.
+// Remove deletes a pool's state.
 func (l *Ledger) Remove(pool port.PoolName) {
 	if position, found := l.find(pool); found {
 		l.pools = slices.Delete(l.pools, position, position+1)
 	}
 }
 
-// Register makes a consumer the pool's only one under a new epoch, and goes
-// back in the batches if the command says so.
+// Register makes a consumer the pool's only one under a new epoch, and rewinds the pool if
+// the command requests it.
 func (l *Ledger) Register(command port.RegisterConsumer, epoch port.Epoch) (port.Consumer, *port.Error) {
 	if command.Consumer == "" || len(command.Consumer) > maxConsumerName {
 		return port.Consumer{}, port.InvalidField("consumer", command.Consumer, fmt.Sprintf("1 to %d characters", maxConsumerName))
@@ -85,9 +85,9 @@
 	return ledger.Consumer, nil
 }
 
-// Commit records a batch, or says why it must not be delivered. Committing the
-// last batch again with the same attempt and samples changes nothing and is no
-// error, so that a coordinator may resend.
+// Commit records a batch, or returns why it must not be delivered. Committing the last
+// batch again with the same attempt and samples has no effect and is no error, so that a
+// coordinator may resend.
 func (l *Ledger) Commit(command port.CommitBatch, terms Terms) *port.Error {
 	ledger := l.ensure(command.Pool)
 	if refusal := ledger.checkEpochs(command, terms); refusal != nil {
@@ -100,28 +100,28 @@
 	if refusal != nil {
 		return refusal
 	}
-	if refusal := checkFresh(command, terms); refusal != nil {
+	if refusal := checkStaleness(command, terms); refusal != nil {
 		return refusal
 	}
-	voids := command.Number == ledger.Committed
+	voidsLast := command.Number == ledger.Committed
 	prompts := ledger.Prompts.clone()
-	if voids {
-		prompts.remove(promptsOf(ledger.Last))
+	if voidsLast {
+		prompts.remove(distinctPrompts(ledger.Last))
 	}
 	committed, refusal := checkSamples(command, terms.Sampling, &prompts)
 	if refusal != nil {
 		return refusal
 	}
-	spent, refusal := ledger.spend(command)
+	used, refusal := ledger.addSampleIDs(command)
 	if refusal != nil {
 		return refusal
 	}
 	ledger.record(command, acknowledged, prompts, committed)
-	ledger.SpentEpoch, ledger.Spent = command.CoordinatorEpoch, spent
+	ledger.UsedEpoch, ledger.UsedSequences = command.CoordinatorEpoch, used
 	return nil
 }
 
-// CurrentEpoch gives the epoch of a pool's consumer, 0 if there is none.
+// CurrentEpoch returns the epoch of a pool's consumer, 0 if there is none.
 func (l *Ledger) CurrentEpoch(pool port.PoolName) port.Epoch {
 	position, found := l.find(pool)
 	if !found {
@@ -168,8 +168,8 @@
 	return command.Number == p.Committed && command.Attempt == p.Attempt && slices.Equal(command.Samples, p.Last) && len(p.Last) > 0
 }
 
-// checkNumber allows the next batch once the last one is acknowledged, or a
-// higher attempt of the last one while it is not.
+// checkNumber accepts the next batch if the last one is acknowledged, or a higher attempt
+// of the last one if it is not.
 func (p *poolLedger) checkNumber(command port.CommitBatch) (acknowledged port.BatchNumber, refusal *port.Error) {
 	if command.Acknowledge > p.Committed {
 		return 0, port.NewError(port.NotRun, port.CodeConflict, "acknowledges batch %d, the last committed one is %d",
@@ -177,8 +177,8 @@
 	}
 	acknowledged = max(p.Acknowledged, command.Acknowledge)
 	next := command.Number == p.Committed+1 && acknowledged == p.Committed
-	again := command.Number == p.Committed && command.Number > acknowledged && command.Attempt > p.Attempt
-	if next || again {
+	retry := command.Number == p.Committed && command.Number > acknowledged && command.Attempt > p.Attempt
+	if next || retry {
 		return acknowledged, nil
 	}
 	return 0, port.NewError(port.NotRun, port.CodeConflict,
@@ -186,7 +186,7 @@
 		command.Number, command.Attempt, p.Committed, p.Attempt, acknowledged)
 }
 
-func checkFresh(command port.CommitBatch, terms Terms) *port.Error {
+func checkStaleness(command port.CommitBatch, terms Terms) *port.Error {
 	for _, sample := range command.Samples {
 		known := sample.Oldest != 0
 		if known && sample.Oldest+port.WeightVersion(terms.Sampling.StalenessBound) >= terms.Published {
@@ -201,13 +201,13 @@
 	return nil
 }
 
-// checkSamples checks that the batch is whole groups of uncommitted prompts,
+// checkSamples checks that the batch consists of complete groups of uncommitted prompts,
 // and adds the prompts to the set.
 func checkSamples(command port.CommitBatch, sampling port.Sampling, prompts *promptSet) ([]port.PromptIndex, *port.Error) {
 	if len(command.Samples) != sampling.BatchSamples {
 		return nil, port.InvalidField("samples", strconv.Itoa(len(command.Samples)), fmt.Sprintf("%d samples, the pool's batch", sampling.BatchSamples))
 	}
-	committed := promptsOf(command.Samples)
+	committed := distinctPrompts(command.Samples)
 	if len(committed)*sampling.GroupSize != len(command.Samples) {
 		return nil, port.InvalidField("samples", fmt.Sprintf("%d prompts", len(committed)), fmt.Sprintf("whole groups of %d samples", sampling.GroupSize))
 	}
@@ -223,8 +223,8 @@
 			return nil, port.NewError(port.NotRun, port.CodeConflict, "prompt %d was committed before", prompt)
 		}
 	}
-	// After a rewind more may stand beyond the limit already; then a batch may
-	// still bring the number down.
+	// After a rewind the number may already exceed the limit; a batch may then still
+	// reduce it.
 	allowed := max(MaxPromptsAbove, len(prompts.Above))
 	for _, prompt := range committed {
 		prompts.add(prompt)
@@ -236,23 +236,23 @@
 	return committed, nil
 }
 
-// spend checks the batch's sample ids and gives the spent ids with them added.
-// Ids of earlier epochs cannot come again, so only the current one's are kept.
-func (p *poolLedger) spend(command port.CommitBatch) (sequenceSet, *port.Error) {
-	var spent sequenceSet
-	if p.SpentEpoch == command.CoordinatorEpoch {
-		spent = slices.Clone(p.Spent)
+// addSampleIDs checks the batch's sample ids and returns the used sequences including
+// them. Ids of earlier epochs cannot recur, so only the current epoch's are kept.
+func (p *poolLedger) addSampleIDs(command port.CommitBatch) (sequenceSet, *port.Error) {
+	var used sequenceSet
+	if p.UsedEpoch == command.CoordinatorEpoch {
+		used = slices.Clone(p.UsedSequences)
 	}
 	for _, sample := range command.Samples {
 		if sample.ID.Pool != command.Pool || sample.ID.Epoch != command.CoordinatorEpoch {
 			return nil, port.InvalidField("samples.id", sample.ID.String(), fmt.Sprintf("ids of pool %s under epoch %d", command.Pool, command.CoordinatorEpoch))
 		}
-		if spent.contains(sample.ID.Sequence) {
+		if used.contains(sample.ID.Sequence) {
 			return nil, port.NewError(port.NotRun, port.CodeConflict, "sample %s was committed before", sample.ID)
 		}
-		spent = spent.add(sample.ID.Sequence)
+		used = used.add(sample.ID.Sequence)
 	}
-	return spent, nil
+	return used, nil
 }
 
 func (p *poolLedger) record(command port.CommitBatch, acknowledged port.BatchNumber, prompts promptSet, committed []port.PromptIndex) {
@@ -268,8 +268,8 @@
 	p.Consumer.Next = acknowledged + 1
 }
 
-// rewind takes back the batches from number on: their prompts are open again
-// and their samples stay spent.
+// rewind voids the batches from number on: their prompts are open again, their sample ids
+// remain used.
 func (p *poolLedger) rewind(number port.BatchNumber) *port.Error {
 	if number == 0 {
 		return nil
@@ -291,8 +291,8 @@
 	return nil
 }
 
-// promptsOf gives the distinct prompts of samples, in order.
-func promptsOf(samples []port.CommittedSample) []port.PromptIndex {
+// distinctPrompts returns the distinct prompts of samples, sorted.
+func distinctPrompts(samples []port.CommittedSample) []port.PromptIndex {
 	prompts := make([]port.PromptIndex, 0, len(samples))
 	for _, sample := range samples {
 		prompts = append(prompts, sample.Prompt)
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 	Sampling: port.Sampling{StalenessBound: 2, BatchSamples: 4, GroupSize: 2},
 }
 
-// batch makes a commit of two prompts with two samples each.
+// batch returns a commit with two samples for each prompt.
 func batch(number port.BatchNumber, attempt uint32, sequence uint64, prompts ...port.PromptIndex) port.CommitBatch {
 	command := port.CommitBatch{
 		Pool: testPool, CoordinatorEpoch: 5, ConsumerEpoch: 1, Number: number, Attempt: attempt, Acknowledge: number - 1,
@@ -34,7 +34,7 @@
 	return command
 }
 
-func registered(t *testing.T) *Ledger {
+func newRegisteredLedger(t *testing.T) *Ledger {
 	t.Helper()
 	var ledger Ledger
 	if _, refusal := ledger.Register(port.RegisterConsumer{Pool: testPool, Consumer: "trainer"}, 1); refusal != nil {
@@ -43,7 +43,7 @@
 	return &ledger
 }
 
-func code(refusal *port.Error) port.Code {
+func codeOf(refusal *port.Error) port.Code {
 	if refusal == nil {
 		return ""
 	}
@@ -52,43 +52,43 @@
 
 func TestCommitRefusals(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*port.CommitBatch)
-		terms func(*Terms)
-		want  port.Code
+		name   string
+		modify func(*port.CommitBatch)
+		terms  func(*Terms)
+		want   port.Code
 	}{
 		{"next batch", func(*port.CommitBatch) {}, nil, ""},
-		{"resend of the last", func(c *port.CommitBatch) { *c = batch(1, 1, 1, 0, 1) }, nil, ""},
+		{"resend of the last batch", func(c *port.CommitBatch) { *c = batch(1, 1, 1, 0, 1) }, nil, ""},
 		{"coordinator fenced", func(c *port.CommitBatch) { c.CoordinatorEpoch = 4 }, nil, port.CodeFenced},
 		{"no coordinator lease", func(*port.CommitBatch) {}, func(t *Terms) { t.CoordinatorEpoch = 0 }, port.CodeFenced},
 		{"consumer fenced", func(c *port.CommitBatch) { c.ConsumerEpoch = 2 }, nil, port.CodeFenced},
 		{"number skipped", func(c *port.CommitBatch) { c.Number = 3 }, nil, port.CodeConflict},
 		{"last not acknowledged", func(c *port.CommitBatch) { c.Acknowledge = 0 }, nil, port.CodeConflict},
-		{"acknowledges the future", func(c *port.CommitBatch) { c.Acknowledge = 2 }, nil, port.CodeConflict},
+		{"acknowledges an uncommitted batch", func(c *port.CommitBatch) { c.Acknowledge = 2 }, nil, port.CodeConflict},
 		{"stale", func(c *port.CommitBatch) { c.Samples[3].Oldest = 7 }, nil, port.CodeStale},
-		{"just fresh", func(c *port.CommitBatch) { c.Samples[3].Oldest = 8 }, nil, ""},
-		{"stale by a publication", func(*port.CommitBatch) {}, func(t *Terms) { t.Published = 12 }, port.CodeStale},
+		{"at the staleness bound", func(c *port.CommitBatch) { c.Samples[3].Oldest = 8 }, nil, ""},
+		{"stale after a publication", func(*port.CommitBatch) {}, func(t *Terms) { t.Published = 12 }, port.CodeStale},
 		{"unknown version", func(c *port.CommitBatch) { c.Samples[0].Oldest = 0 }, nil, port.CodeStale},
-		{"prompt again", func(c *port.CommitBatch) { *c = batch(2, 1, 5, 1, 2) }, nil, port.CodeConflict},
-		{"sample again", func(c *port.CommitBatch) { c.Samples[0].ID.Sequence = 1 }, nil, port.CodeConflict},
-		{"sample twice", func(c *port.CommitBatch) { c.Samples[0].ID = c.Samples[1].ID }, nil, port.CodeConflict},
+		{"committed prompt", func(c *port.CommitBatch) { *c = batch(2, 1, 5, 1, 2) }, nil, port.CodeConflict},
+		{"committed sample", func(c *port.CommitBatch) { c.Samples[0].ID.Sequence = 1 }, nil, port.CodeConflict},
+		{"duplicate sample", func(c *port.CommitBatch) { c.Samples[0].ID = c.Samples[1].ID }, nil, port.CodeConflict},
 		{"sample of another epoch", func(c *port.CommitBatch) { c.Samples[0].ID.Epoch = 4 }, nil, port.CodeInvalid},
-		{"broken group", func(c *port.CommitBatch) { c.Samples[0].Prompt = 3 }, nil, port.CodeInvalid},
-		{"short batch", func(c *port.CommitBatch) { c.Samples = c.Samples[:2] }, nil, port.CodeInvalid},
+		{"incomplete group", func(c *port.CommitBatch) { c.Samples[0].Prompt = 3 }, nil, port.CodeInvalid},
+		{"too few samples", func(c *port.CommitBatch) { c.Samples = c.Samples[:2] }, nil, port.CodeInvalid},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			ledger := registered(t)
+			ledger := newRegisteredLedger(t)
 			if refusal := ledger.Commit(batch(1, 1, 1, 0, 1), testTerms); refusal != nil {
 				t.Fatal(refusal)
 			}
 			before := ledger.State(testPool)
 			command, terms := batch(2, 1, 5, 2, 3), testTerms
-			test.spoil(&command)
+			test.modify(&command)
 			if test.terms != nil {
 				test.terms(&terms)
 			}
-			if got := code(ledger.Commit(command, terms)); got != test.want {
+			if got := codeOf(ledger.Commit(command, terms)); got != test.want {
 				t.Fatalf("got %q, want %q", got, test.want)
 			}
 			if after := ledger.State(testPool); test.want != "" && after.Committed != before.Committed {
@@ -99,7 +99,7 @@
 }
 
 func TestVoidReturnsPromptsAndSpendsIDs(t *testing.T) {
-	ledger := registered(t)
+	ledger := newRegisteredLedger(t)
 	for _, command := range []port.CommitBatch{batch(1, 1, 1, 0, 3), batch(2, 1, 5, 1, 2)} {
 		if refusal := ledger.Commit(command, testTerms); refusal != nil {
 			t.Fatal(refusal)
@@ -108,8 +108,8 @@
 	if below := ledger.State(testPool).PromptsBelow; below != 4 {
 		t.Fatalf("prompts below %d, want 4", below)
 	}
-	if got := code(ledger.Commit(batch(2, 2, 7, 2, 4), testTerms)); got != port.CodeConflict {
-		t.Fatalf("voided ids came again: %q", got)
+	if got := codeOf(ledger.Commit(batch(2, 2, 7, 2, 4), testTerms)); got != port.CodeConflict {
+		t.Fatalf("voided sample ids were accepted: %q", got)
 	}
 	if refusal := ledger.Commit(batch(2, 2, 9, 2, 4), testTerms); refusal != nil {
 		t.Fatal(refusal)
@@ -121,7 +121,7 @@
 }
 
 func TestRewindOpensPromptsAndFencesTheOldConsumer(t *testing.T) {
-	ledger := registered(t)
+	ledger := newRegisteredLedger(t)
 	for number := range port.BatchNumber(3) {
 		first := port.PromptIndex(2 * number)
 		if refusal := ledger.Commit(batch(number+1, 1, uint64(4*number), first, first+1), testTerms); refusal != nil {
@@ -129,7 +129,7 @@
 		}
 	}
 	if _, refusal := ledger.Register(port.RegisterConsumer{Pool: testPool, Consumer: "t", RewindTo: 4}, 2); refusal == nil {
-		t.Fatal("went back to a batch that was never committed")
+		t.Fatal("rewound to an uncommitted batch")
 	}
 	consumer, refusal := ledger.Register(port.RegisterConsumer{Pool: testPool, Consumer: "t", RewindTo: 2}, 2)
 	if refusal != nil || consumer.Next != 2 {
@@ -138,12 +138,12 @@
 	if below := ledger.State(testPool).PromptsBelow; below != 2 {
 		t.Fatalf("prompts below %d, want 2", below)
 	}
-	if got := code(ledger.Commit(batch(2, 1, 100, 2, 3), testTerms)); got != port.CodeFenced {
-		t.Fatalf("the fenced consumer got a batch: %q", got)
+	if got := codeOf(ledger.Commit(batch(2, 1, 100, 2, 3), testTerms)); got != port.CodeFenced {
+		t.Fatalf("commit for a fenced consumer: %q", got)
 	}
-	again := batch(2, 1, 100, 2, 3)
-	again.ConsumerEpoch = 2
-	if refusal := ledger.Commit(again, testTerms); refusal != nil {
+	command := batch(2, 1, 100, 2, 3)
+	command.ConsumerEpoch = 2
+	if refusal := ledger.Commit(command, testTerms); refusal != nil {
 		t.Fatal(refusal)
 	}
 }
@@ -172,24 +172,24 @@
 
 func TestSequenceSetMatchesAPlainSetAndStaysBounded(t *testing.T) {
 	testkit.Check(t, 44, func(t *rapid.T) {
-		var spent sequenceSet
+		var used sequenceSet
 		plain := map[uint64]bool{}
 		for range 80 {
 			number := rapid.Uint64Range(0, 40).Draw(t, "number")
-			spent = spent.add(number)
+			used = used.add(number)
 			plain[number] = true
 			for candidate := range uint64(45) {
-				if spent.contains(candidate) != plain[candidate] {
-					t.Fatalf("number %d: %v", candidate, spent)
+				if used.contains(candidate) != plain[candidate] {
+					t.Fatalf("number %d: %v", candidate, used)
 				}
 			}
 		}
 	})
-	var spent sequenceSet
+	var used sequenceSet
 	for number := range uint64(3 * maxSequenceRanges) {
-		spent = spent.add(2 * number)
+		used = used.add(2 * number)
 	}
-	if len(spent) > maxSequenceRanges || !spent.contains(0) {
-		t.Fatalf("%d runs, first %v", len(spent), spent[0])
+	if len(used) > maxSequenceRanges || !used.contains(0) {
+		t.Fatalf("%d ranges, first %v", len(used), used[0])
 	}
 }
--- a/internal/core/ledger/prompts.go
+++ b/internal/core/ledger/prompts.go
@@ -6,8 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// promptSet is the set of committed prompts: all below a limit, and some above
-// it in order.
+// promptSet is a set of prompts: all those below Below, and the sorted ones in Above.
 type promptSet struct {
 	Below port.PromptIndex   `cbor:"1,keyasint"`
 	Above []port.PromptIndex `cbor:"2,keyasint,omitempty"`
@@ -35,25 +34,25 @@
 	p.Above = slices.Delete(p.Above, 0, joined)
 }
 
-// remove takes prompts out, which lowers the limit to the lowest of them.
+// remove removes prompts and lowers Below to the lowest of them.
 func (p *promptSet) remove(prompts []port.PromptIndex) {
 	if len(prompts) == 0 {
 		return
 	}
-	gone := make(map[port.PromptIndex]bool, len(prompts))
+	removed := make(map[port.PromptIndex]bool, len(prompts))
 	below := p.Below
 	for _, prompt := range prompts {
-		gone[prompt] = true
+		removed[prompt] = true
 		below = min(below, prompt)
 	}
 	var above []port.PromptIndex
 	for prompt := below; prompt < p.Below; prompt++ {
-		if !gone[prompt] {
+		if !removed[prompt] {
 			above = append(above, prompt)
 		}
 	}
 	for _, prompt := range p.Above {
-		if !gone[prompt] {
+		if !removed[prompt] {
 			above = append(above, prompt)
 		}
 	}
--- a/internal/core/ledger/sequences.go
+++ b/internal/core/ledger/sequences.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// sequenceRange is a run of spent sample sequences, both ends included.
+// sequenceRange is a range of used sample sequences, both ends inclusive.
 type sequenceRange struct {
 	_     struct{} `cbor:",toarray"`
 	First uint64
 	Last  uint64
 }
 
-// maxSequenceRanges bounds the runs kept for one coordinator's epoch. Over it
-// the oldest gap closes: sequences in it count as spent, which refuses a very
-// late sample and never admits one twice.
+// maxSequenceRanges bounds the ranges kept for one coordinator epoch. Beyond it the oldest
+// gap is closed: its sequences count as used, so a very late sample may be refused but
+// none is accepted twice.
 const maxSequenceRanges = 4096
 
-// sequenceSet is a set of numbers as sorted, disjoint, non-adjacent runs.
+// sequenceSet is a set of numbers stored as sorted, disjoint, non-adjacent ranges.
 type sequenceSet []sequenceRange
 
 func (s sequenceSet) contains(number uint64) bool {
-	position := s.after(number)
+	position := s.upperBound(number)
 	return position > 0 && s[position-1].Last >= number
 }
 
-// add puts a number in; one that is in already changes nothing.
+// add inserts a number if it is missing.
 func (s sequenceSet) add(number uint64) sequenceSet {
 	if s.contains(number) {
 		return s
 	}
-	position := s.after(number)
+	position := s.upperBound(number)
 	joinsLeft := position > 0 && s[position-1].Last+1 == number
 	joinsRight := position < len(s) && s[position].First == number+1
 	switch {
@@ -51,10 +51,10 @@
 	return s
 }
 
-// after gives the position of the first run that starts beyond a number.
-func (s sequenceSet) after(number uint64) int {
-	position, found := slices.BinarySearchFunc(s, number, func(run sequenceRange, number uint64) int {
-		return cmp.Compare(run.First, number)
+// upperBound returns the index of the first range that starts after a number.
+func (s sequenceSet) upperBound(number uint64) int {
+	position, found := slices.BinarySearchFunc(s, number, func(candidate sequenceRange, number uint64) int {
+		return cmp.Compare(candidate.First, number)
 	})
 	if found {
 		position++
