--- a/internal/core/coordinator/fault_test.go
+++ b/internal/core/coordinator/fault_test.go
@@ -135,11 +135,11 @@
 		"the answer to a commit raises the known version": func(t *testing.T, w *world) {
 			w.fillBuffer()
 			w.requestBatch(1, w.trainer, time.Minute)
-			taken := w.proposals[0].commit
+			proposed := w.proposals[0].commit
 			w.proposals = nil
-			result := w.apply(taken)
+			result := w.apply(proposed)
 			result.Ledger.Published = w.published + 1
-			w.step(w.current, coordinator.CommitAnswered{ChangeID: taken.ChangeID, Number: 1, Attempt: 1, Result: result})
+			w.step(w.current, coordinator.CommitAnswered{ChangeID: proposed.ChangeID, Number: 1, Attempt: 1, Result: result})
 			if known := w.current.Status().Version; known != w.published+1 {
 				t.Fatalf("known version %d, the log's answer has %d", known, w.published+1)
 			}
@@ -190,8 +190,8 @@
 			abandoned := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.RequestAbandoned{Token: abandoned})
 			w.closeRequest(abandoned)
-			taken := w.proposals[0]
-			w.apply(taken.commit)
+			proposed := w.proposals[0]
+			w.apply(proposed.commit)
 			w.published += 3
 			w.step(w.current, coordinator.PublicationEnded{Version: w.published, Published: true})
 			w.tick(time.Millisecond)
@@ -270,8 +270,8 @@
 			first := w.consumed[2].Samples[0].ID
 			w.rewind(2)
 			w.train()
-			if again := w.consumed[2].Samples[0].ID; again == first {
-				t.Fatalf("sample %v was delivered again", again)
+			if second := w.consumed[2].Samples[0].ID; second == first {
+				t.Fatalf("sample %v was delivered again", second)
 			}
 		},
 		"the bound is raised while a stale batch is being voided": func(t *testing.T, w *world) {
@@ -362,15 +362,15 @@
 			w.wantDelivered(t, token, 1, 1)
 		},
 		"a previous consumer is refused": func(t *testing.T, w *world) {
-			former := w.trainer
+			previous := w.trainer
 			w.registerConsumer()
 			w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
-			w.wantRefused(t, w.requestBatch(1, former, time.Minute), port.CodeFenced)
+			w.wantRefused(t, w.requestBatch(1, previous, time.Minute), port.CodeFenced)
 		},
 		"a previous consumer unknown to the coordinator is fenced by the log": func(t *testing.T, w *world) {
 			w.fillBuffer()
-			former := w.trainer
-			token := w.requestBatch(1, former, time.Minute)
+			previous := w.trainer
+			token := w.requestBatch(1, previous, time.Minute)
 			w.registerConsumer()
 			w.resolveProposal(answered)
 			w.wantRefused(t, token, port.CodeFenced)
@@ -482,12 +482,12 @@
 		},
 		"previous coordinator's commit is fenced and it stops": func(t *testing.T, w *world) {
 			w.fillBuffer()
-			former := w.current
+			previous := w.current
 			w.requestBatch(1, w.trainer, time.Minute)
 			w.replaceCoordinator()
 			w.resolveProposal(answered)
-			if !former.Status().Lost || w.commitCount() != 0 || len(w.deliveries) != 0 {
-				t.Fatalf("previous coordinator %+v, %d commits", former.Status(), w.commitCount())
+			if !previous.Status().Lost || w.commitCount() != 0 || len(w.deliveries) != 0 {
+				t.Fatalf("previous coordinator %+v, %d commits", previous.Status(), w.commitCount())
 			}
 			w.train()
 		},
@@ -687,9 +687,9 @@
 			w.progress(run, 2)
 			w.fail(run, true)
 			w.tick(time.Minute)
-			again := w.running(run.start.ID).start
-			if again.ID != run.start.ID || again.ResumeTokens != 2 || again.Resume != run.text || again.MaxTokens != 98 || again.Avoid != "replica-1" {
-				t.Fatalf("restarted as %+v", again)
+			restarted := w.running(run.start.ID).start
+			if restarted.ID != run.start.ID || restarted.ResumeTokens != 2 || restarted.Resume != run.text || restarted.MaxTokens != 98 || restarted.Avoid != "replica-1" {
+				t.Fatalf("restarted as %+v", restarted)
 			}
 			w.publish()
 			w.train()
@@ -700,8 +700,8 @@
 			w.progress(run, 2)
 			w.fail(run, true)
 			w.tick(time.Minute)
-			if again := w.running(run.start.ID).start; again.Resume != "" || again.ResumeTokens != 0 {
-				t.Fatalf("restarted as %+v", again)
+			if restarted := w.running(run.start.ID).start; restarted.Resume != "" || restarted.ResumeTokens != 0 {
+				t.Fatalf("restarted as %+v", restarted)
 			}
 		}},
 		"crash with a partial text that has become stale: restarts": {"", func(t *testing.T, w *world) {
@@ -713,8 +713,8 @@
 				w.publish()
 			}
 			w.tick(time.Minute)
-			if again := w.running(run.start.ID).start; again.ResumeTokens != 0 {
-				t.Fatalf("restarted as %+v", again)
+			if restarted := w.running(run.start.ID).start; restarted.ResumeTokens != 0 {
+				t.Fatalf("restarted as %+v", restarted)
 			}
 		}},
 		"stale when it finishes, without a progress report": {"", func(t *testing.T, w *world) {
@@ -792,11 +792,11 @@
 			}
 			w.endMoves()
 			w.tick(time.Second)
-			again := w.running(run.start.ID)
-			if again.start.Avoid != "replica-1" || again.start.ResumeTokens != 6 || again.start.Priority != w.sampling.Priority+7 {
-				t.Fatalf("restarted as %+v", again.start)
+			restarted := w.running(run.start.ID)
+			if restarted.start.Avoid != "replica-1" || restarted.start.ResumeTokens != 6 || restarted.start.Priority != w.sampling.Priority+7 {
+				t.Fatalf("restarted as %+v", restarted.start)
 			}
-			w.progress(again, 6)
+			w.progress(restarted, 6)
 			if len(w.moves) != 0 {
 				t.Fatal("moved twice")
 			}
@@ -910,10 +910,10 @@
 		}
 		w.fail(run, true)
 		w.tick(time.Second)
-		again := w.running(run.start.ID)
+		restarted := w.running(run.start.ID)
 		w.tick(5 * time.Second)
-		w.progress(again, 10)
-		if dropped := !slices.Contains(w.attempts, again); dropped != (predict == "True") {
+		w.progress(restarted, 10)
+		if dropped := !slices.Contains(w.attempts, restarted); dropped != (predict == "True") {
 			t.Errorf("predict_stale = %s: dropped %v", predict, dropped)
 		}
 	}
--- a/internal/core/coordinator/rapid_test.go
+++ b/internal/core/coordinator/rapid_test.go
@@ -23,7 +23,7 @@
 // machine drives a world with random actions.
 type machine struct {
 	*world
-	former []*coordinator.Coordinator
+	previous []*coordinator.Coordinator
 }
 
 func (m *machine) pick(t *rapid.T) *attemptRun {
@@ -34,7 +34,7 @@
 }
 
 func (m *machine) replaceCurrent() {
-	m.former = append(m.former, m.current)
+	m.previous = append(m.previous, m.current)
 	m.replaceCoordinator()
 }
 
@@ -72,7 +72,7 @@
 		"forget answer":   func(*rapid.T) { m.forgetAnswer() },
 		"new trainer":     func(*rapid.T) { m.registerConsumer() },
 		"take over":       func(*rapid.T) { m.replaceCurrent() },
-		"former wakes":    func(t *rapid.T) { m.stepFormer(t) },
+		"former wakes":    func(t *rapid.T) { m.stepPrevious(t) },
 		"":                m.checkBounds,
 	}
 }
@@ -146,16 +146,16 @@
 	}
 }
 
-func (m *machine) stepFormer(t *rapid.T) {
-	if len(m.former) == 0 {
-		t.Skip("no former coordinator")
+func (m *machine) stepPrevious(t *rapid.T) {
+	if len(m.previous) == 0 {
+		t.Skip("no previous coordinator")
 	}
-	former := m.former[rapid.IntRange(0, len(m.former)-1).Draw(t, "former")]
+	previous := m.previous[rapid.IntRange(0, len(m.previous)-1).Draw(t, "former")]
 	m.tokens++
 	m.highestRequested = max(m.highestRequested, m.next)
-	m.requests = append(m.requests, batchRequest{token: m.tokens, number: m.next, epoch: m.trainer, coordinator: former})
-	m.step(former, coordinator.BatchRequested{Token: m.tokens, Number: m.next, ConsumerEpoch: m.trainer, Deadline: m.now})
-	m.step(former, coordinator.Tick{})
+	m.requests = append(m.requests, batchRequest{token: m.tokens, number: m.next, epoch: m.trainer, coordinator: previous})
+	m.step(previous, coordinator.BatchRequested{Token: m.tokens, Number: m.next, ConsumerEpoch: m.trainer, Deadline: m.now})
+	m.step(previous, coordinator.Tick{})
 }
 
 // checkEnd stops injecting faults and checks that the pool recovers, that every prompt
--- a/internal/core/coordinator/world_test.go
+++ b/internal/core/coordinator/world_test.go
@@ -142,9 +142,9 @@
 		w.t.Fatal(refusal)
 	}
 	w.trainer, w.next, w.highestRequested = consumer.Epoch, consumer.Next, 0
-	for later := range w.consumed {
-		if later >= number {
-			delete(w.consumed, later)
+	for batchNumber := range w.consumed {
+		if batchNumber >= number {
+			delete(w.consumed, batchNumber)
 		}
 	}
 	w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
@@ -191,8 +191,8 @@
 	w.steps++
 	if w.steps == w.crashAt {
 		if w.crashApplies {
-			for _, out := range w.proposals {
-				w.apply(out.commit)
+			for _, outstanding := range w.proposals {
+				w.apply(outstanding.commit)
 			}
 		}
 		w.proposals = nil
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -287,8 +287,8 @@
 			orders := f.count(f.engines[0], port.OrderActivate)
 			f.now = f.now.Add(time.Second)
 			f.step(rollout.LoadReported{Replica: "a", Report: port.LoadReport{Version: 5, Staged: 2, Incarnation: 1, AgeMillis: 1500}})
-			if again := f.count(f.engines[0], port.OrderActivate); orders != 1 || again != 1 {
-				t.Fatalf("%d orders, then %d, before the first timed out", orders, again)
+			if after := f.count(f.engines[0], port.OrderActivate); orders != 1 || after != 1 {
+				t.Fatalf("%d orders, then %d, before the first timed out", orders, after)
 			}
 		}},
 		{"restart without a previous rollout", rollout.Config{}, func(t *testing.T, f *fleet) {
