--- a/internal/core/sitestate/byservice.go
+++ b/internal/core/sitestate/byservice.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// byService lists the replicas that may take requests, by service and id.
+// byService groups the replicas that accept requests by service, sorted by id.
 func (v *View) byService() map[string]ReplicaList {
 	grouped := map[string][]Replica{}
 	for _, replica := range v.Replicas.All() {
@@ -17,27 +17,27 @@
 	return lists
 }
 
-// regroup gives the lists after an update that changed the replicas before into those of the
-// view. Only lists with a change are made anew.
-func (v *View) regroup(before ReplicaSet, update Update) map[string]ReplicaList {
-	lists := regrouped{lists: v.ByService, edits: map[string]*listEdit{}}
+// updateByService returns the lists after an update that changed the replicas from before to
+// those of the view. Only lists that changed are rebuilt.
+func (v *View) updateByService(before ReplicaSet, update Update) map[string]ReplicaList {
+	lists := serviceEdit{lists: v.ByService, edits: map[string]*listEdit{}}
 	for _, id := range update.Gone {
-		lists.change(id, before, v)
+		lists.move(id, before, v)
 	}
 	for _, replica := range update.Replicas {
-		lists.change(replica.ID, before, v)
+		lists.move(replica.ID, before, v)
 	}
 	return lists.done()
 }
 
-// regrouped are lists of which some are being changed.
-type regrouped struct {
+// serviceEdit collects changes to the lists of some services.
+type serviceEdit struct {
 	lists map[string]ReplicaList
 	edits map[string]*listEdit
 }
 
-// change moves one replica to where it belongs.
-func (r *regrouped) change(id string, before ReplicaSet, after *View) {
+// move moves a replica to the list it belongs to after the update.
+func (r *serviceEdit) move(id string, before ReplicaSet, after *View) {
 	old, was := before.Get(id)
 	now, is := after.Replicas.Get(id)
 	is = is && after.Takes(&now)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (r *regrouped) edit(service string) *listEdit {
+func (r *serviceEdit) edit(service string) *listEdit {
 	edit := r.edits[service]
 	if edit == nil {
 		edit = r.lists[service].edit()
@@ -58,7 +58,7 @@
 	return edit
 }
 
-func (r *regrouped) done() map[string]ReplicaList {
+func (r *serviceEdit) done() map[string]ReplicaList {
 	lists := maps.Clone(r.lists)
 	for service, edit := range r.edits {
 		if lists[service] = edit.done(); edit.count == 0 {
--- a/internal/core/sitestate/byservice_test.go
+++ b/internal/core/sitestate/byservice_test.go
@@ -10,9 +10,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestRegroupedListsAreThoseMadeAnew: lists that are brought up to date change by
-// change are those that the whole set of replicas gives, and a view that was
-// published before does not change.
+// TestRegroupedListsAreThoseMadeAnew checks that incrementally updated lists equal lists
+// rebuilt from all replicas, and that published views do not change.
 func TestRegroupedListsAreThoseMadeAnew(t *testing.T) {
 	testkit.Check(t, 20, func(r *rapid.T) {
 		var view *View
@@ -34,7 +33,7 @@
 	})
 }
 
-// listed gives lists as plain ones, and checks that each says how long it is.
+// listed converts lists to slices, and a list with a wrong or zero length to nil.
 func listed(lists map[string]ReplicaList) map[string][]Replica {
 	plain := map[string][]Replica{}
 	for service, list := range lists {
--- a/internal/core/sitestate/command.go
+++ b/internal/core/sitestate/command.go
@@ -26,29 +26,29 @@
 	Usage         *Usage         `cbor:"11,keyasint,omitempty"`
 	Quarantine    *Quarantine    `cbor:"12,keyasint,omitempty"`
 	Drain         *DrainZone     `cbor:"13,keyasint,omitempty"`
-	// Senders is about how many processes send requests to replicas.
+	// Senders is the approximate number of processes that send requests to replicas.
 	Senders *uint32 `cbor:"14,keyasint,omitempty"`
-	// Level is one that all members know from here on.
+	// Level raises the level of commands that all members understand.
 	Level *Level `cbor:"15,keyasint,omitempty"`
 }
 
-// Quarantine tells what processes saw of requests under which replicas end. Events take
-// effect in order; the outcome is that of the last one.
+// Quarantine reports events of requests during which replicas ended. Events are applied in
+// order; the outcome is that of the last one.
 type Quarantine struct {
 	Events []quarantine.Event `cbor:"1,keyasint"`
 }
 
-// Usage moves the counts of tenants' requests on. Its parts take effect in this order.
+// Usage updates the request counts of tenants. Its parts are applied in field order.
 type Usage struct {
 	Noted []usage.Noted `cbor:"1,keyasint,omitempty"`
 	// FixUpTo closes all windows up to this one.
 	FixUpTo *usage.Window `cbor:"2,keyasint,omitempty"`
-	// Sent is a window that the provider has taken.
+	// Sent is a window that the provider has acknowledged.
 	Sent *usage.Window `cbor:"3,keyasint,omitempty"`
 }
 
-// Configuration is a whole configuration. Raw is the document as the operator
-// sent it, checked before it was proposed.
+// Configuration is a complete configuration. Raw is the document as the operator sent it,
+// validated before it was proposed.
 type Configuration struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Raw     []byte `cbor:"2,keyasint"`
@@ -60,59 +60,58 @@
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// ReplicaState says whether a replica takes requests.
+// ReplicaState is whether a replica accepts new requests.
 type ReplicaState uint8
 
 const (
-	// ReplicaReady takes requests.
+	// ReplicaReady accepts requests.
 	ReplicaReady ReplicaState = iota
-	// ReplicaDraining leaves and takes no new ones; it never returns.
+	// ReplicaDraining is leaving and accepts no new requests; it never becomes ready again.
 	ReplicaDraining
 )
 
-// Replica is what a replica reports of itself. Each start of a replica has an
-// id of its own here, also if the replica itself keeps its name: see State.Identify.
+// Replica is a replica as it last reported itself. Each start of a replica has its own id,
+// even if the replica keeps its name: see State.Identify.
 type Replica struct {
 	ID      string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"`
 	Zone    string `cbor:"4,keyasint"`
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests it processes concurrently.
 	Slots int          `cbor:"5,keyasint"`
 	State ReplicaState `cbor:"6,keyasint"`
-	// Sequence rises with each report; a late one is recognized by it.
+	// Sequence increases with each report and identifies late ones.
 	Sequence uint64 `cbor:"7,keyasint"`
-	// Models are the weights that it serves.
+	// Models are the versions of weights that it serves.
 	Models []ModelVersion `cbor:"8,keyasint,omitempty"`
-	// ChangedAt is the log position of the last change; State sets it.
+	// ChangedAt is the log position of the last change, set by State.
 	ChangedAt uint64 `cbor:"9,keyasint,omitempty"`
-	// Model is the model whose versions this replica is kept at; empty takes
-	// none. State sets it by Assign.
+	// Model is the model whose weight versions are loaded into this replica, empty for none.
+	// State sets it on Assign.
 	Model string `cbor:"10,keyasint,omitempty"`
-	// RoutedAt is the log position of the last change that matters to who sends
-	// requests whatever weights a replica has; State sets it.
+	// RoutedAt is the log position of the last change that affects routing regardless of
+	// weights, set by State.
 	RoutedAt uint64 `cbor:"11,keyasint,omitempty"`
-	// Instance is the name that the replica answers to, empty where it is ID.
+	// Instance is the replica's own name, empty if it equals ID.
 	Instance string `cbor:"12,keyasint,omitempty"`
-	// Born is when it started, in milliseconds since the start of 1970 by its own clock; 0
-	// where it does not say.
+	// Born is its start time in milliseconds since the Unix epoch by its own clock, 0 if
+	// not reported.
 	Born uint64 `cbor:"13,keyasint,omitempty"`
-	// ColdMillis is how much longer, from its report on, it bears few requests; 0 once it
-	// bears as many as it has slots for.
+	// ColdMillis is the remaining warm-up time at the report, during which it handles few
+	// requests; 0 once it is warm.
 	ColdMillis uint32 `cbor:"14,keyasint,omitempty"`
 }
 
-// InstanceName is the name that the replica answers to.
+// InstanceName returns the replica's own name.
 func (r *Replica) InstanceName() string { return cmp.Or(r.Instance, r.ID) }
 
-// sameRouting reports whether two reports are equal to a sender of requests that
-// does not look at weights.
+// sameRouting reports whether two reports are equal for routing that ignores weights.
 func sameRouting(a, b Replica) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots && a.State == b.State &&
 		a.ColdMillis == b.ColdMillis
 }
 
-// VersionOf gives the version of a model that the replica serves, 0 if none.
+// VersionOf returns the version of a model that the replica serves, 0 if none.
 func (r *Replica) VersionOf(model string) uint64 {
 	for _, served := range r.Models {
 		if served.Name == model {
@@ -122,40 +121,40 @@
 	return 0
 }
 
-// ModelVersion is a model with the version of its weights.
+// ModelVersion is a model and a version of its weights.
 type ModelVersion struct {
 	Name    string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Leave takes a replica out.
+// Leave removes a replica.
 type Leave struct {
 	ID string `cbor:"1,keyasint"`
-	// Silent is set if the replica did not ask for it but was not heard of;
-	// it may come back.
+	// Silent is set if the replica did not ask to leave but stopped reporting; it may
+	// return.
 	Silent bool `cbor:"2,keyasint,omitempty"`
-	// Instance and Born are those of the start that leaves, as far as it says so: they tell
-	// its later words from those of a later start under the same name.
+	// Instance and Born identify the start that leaves, if known: they distinguish its
+	// late reports from those of a later start under the same name.
 	Instance string `cbor:"3,keyasint,omitempty"`
 	Born     uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Holder names the machine that may order replicas from now on.
+// Holder names the machine that is allowed to order replicas.
 type Holder struct {
 	Machine string `cbor:"1,keyasint"`
-	// Address is where the machine takes messages of other processes.
+	// Address is where the machine receives messages from other processes.
 	Address string `cbor:"2,keyasint,omitempty"`
 }
 
-// StoreState says what a store machine is to do.
+// StoreState is the state of a store machine.
 type StoreState uint8
 
 const (
-	// StoreActive keeps data.
+	// StoreActive stores data.
 	StoreActive StoreState = iota
-	// StoreLeaving is being emptied.
+	// StoreLeaving is being evacuated.
 	StoreLeaving
-	// StoreEmptied holds nothing any more.
+	// StoreEmptied no longer holds data.
 	StoreEmptied
 )
 
@@ -165,75 +164,75 @@
 	Address string     `cbor:"2,keyasint"`
 	Zone    string     `cbor:"3,keyasint"`
 	State   StoreState `cbor:"4,keyasint,omitempty"`
-	// Incarnation is that of its data folder.
+	// Incarnation identifies its data folder.
 	Incarnation string `cbor:"5,keyasint,omitempty"`
-	// Shard is the one whose group the machine is a member of, 0 while it is in none.
+	// Shard is the shard whose group the machine is a member of, 0 for none.
 	Shard ShardNumber `cbor:"6,keyasint,omitempty"`
 }
 
-// SameRegistration reports whether two registrations of a machine say the same.
+// SameRegistration reports whether two registrations of a machine are equal.
 func (s Store) SameRegistration(other Store) bool {
 	return s.Address == other.Address && s.Incarnation == other.Incarnation && s.Shard == other.Shard
 }
 
-// ShardNumber names a shard of the jobs, counted from 1; 0 is none.
+// ShardNumber identifies a shard of the jobs, counted from 1; 0 is none.
 type ShardNumber uint32
 
-// memberIDsPerShard keeps the members of all shards apart: a message that reaches a
-// machine of another shard is for an id that nobody has there.
+// memberIDsPerShard separates the member ids of shards, so that a message delivered to a
+// machine of another shard names an unknown member.
 const memberIDsPerShard = 1 << 32
 
-// FounderID gives the id of a founder of the shard's group, by its position among them.
+// FounderID returns the id of a founder of the shard's group, by its position among them.
 func (n ShardNumber) FounderID(position int) consensus.MemberID {
 	return consensus.MemberID(uint64(n-1)*memberIDsPerShard + uint64(position) + 1)
 }
 
-// Shard is a part of the jobs, which a group of store machines of its own keeps.
+// Shard is a partition of the jobs, replicated by its own group of store machines.
 type Shard struct {
 	Number ShardNumber `cbor:"1,keyasint"`
 	// Founders are the first members of its group.
 	Founders []groupmember.Record `cbor:"2,keyasint"`
 }
 
-// Found adds a shard. It takes effect only if it has the next number, and no model is
+// Found creates a shard. It is applied only if it has the next number and no model is
 // placed yet.
 type Found struct {
 	Shard Shard `cbor:"1,keyasint"`
 }
 
-// Place gives a model's jobs to a shard, for good: a job that comes again must find
-// itself, and items that come back in a later job their text. The first one holds.
-// Jobs without a model are placed under the empty name.
+// Place assigns a model's jobs to a shard permanently, so that a resubmitted job or item is
+// looked up in the shard that stores it. The first placement wins. Jobs without a model are
+// placed under the empty name.
 type Place struct {
 	Model string      `cbor:"1,keyasint"`
 	Shard ShardNumber `cbor:"2,keyasint"`
 }
 
-// Evacuate moves a store machine's state on.
+// Evacuate advances a store machine's state.
 type Evacuate struct {
 	Name string `cbor:"1,keyasint"`
-	// Done is set once the machine holds nothing any more.
+	// Done is set once the machine holds no data.
 	Done bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Assign gives replicas the models that they are kept at.
+// Assign sets the models that replicas load.
 type Assign struct {
 	Models map[string]string `cbor:"1,keyasint"` // by replica id
 }
 
-// Encode gives a command's bytes in the log.
+// Encode returns the command's encoding for the log.
 func (c Command) Encode() ([]byte, error) { return cbor.Marshal(c) }
 
-// Outcome answers a command.
+// Outcome is the result of a command.
 type Outcome uint8
 
 const (
-	// OutcomeDone says that the command took effect, or holds already.
+	// OutcomeDone means that the command was applied, or changed nothing.
 	OutcomeDone Outcome = iota
-	// OutcomeIgnored says that the command is older than what holds.
+	// OutcomeIgnored means that the command is older than the state.
 	OutcomeIgnored
-	// OutcomeUnknown says that the named machine is not known.
+	// OutcomeUnknown means that the named machine is not known.
 	OutcomeUnknown
-	// OutcomeMalformed says that the entry was no command.
+	// OutcomeMalformed means that the entry is not a command.
 	OutcomeMalformed
 )
--- a/internal/core/sitestate/drain.go
+++ b/internal/core/sitestate/drain.go
@@ -5,40 +5,39 @@
 	"slices"
 )
 
-// DrainZone keeps everything away from the replicas of a zone, or lets it come back.
+// DrainZone stops requests to the replicas of a zone, or resumes them.
 type DrainZone struct {
 	Zone string `cbor:"1,keyasint"`
 	// Back ends the drain.
 	Back bool `cbor:"2,keyasint,omitempty"`
-	// ColdMillis is how long a replica that was not used may stay cold, by service; with
-	// Back. Replicas of services that are not named are taken to be warm.
+	// ColdMillis is the warm-up time of an idle replica, by service; used with Back.
+	// Replicas of other services are assumed to be warm.
 	ColdMillis map[string]uint32 `cbor:"3,keyasint,omitempty"`
 }
 
-// Drains are the zones whose replicas are sent nothing.
+// Drains lists the drained zones, whose replicas receive no requests.
 type Drains struct {
 	Zones []string `cbor:"1,keyasint"`
 }
 
-// drain moves a zone on. What holds already is done.
+// drain starts or ends the drain of a zone.
 func (s *State) drain(index uint64, drain DrainZone) Outcome {
 	if _, drained := s.contents.Drained[drain.Zone]; drained != drain.Back {
 		return OutcomeDone
 	}
 	if drain.Back {
 		delete(s.contents.Drained, drain.Zone)
-		s.cool(index, drain)
+		s.markCold(index, drain)
 	} else {
 		s.contents.Drained[drain.Zone] = index
 	}
 	s.contents.DrainedAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
-// cool takes the replicas of a zone that comes back to be cold: they tell it only with their
-// next report.
-func (s *State) cool(index uint64, drain DrainZone) {
+// markCold marks the replicas of a zone that ends its drain as cold until their next report.
+func (s *State) markCold(index uint64, drain DrainZone) {
 	for _, replica := range s.Replicas() {
 		cold := drain.ColdMillis[replica.Service]
 		if replica.Zone != drain.Zone || cold == 0 {
@@ -49,10 +48,10 @@
 	}
 }
 
-// Drained lists the zones whose replicas are sent nothing.
+// Drained lists the drained zones.
 func (s *State) Drained() []string { return slices.Sorted(maps.Keys(s.contents.Drained)) }
 
-// Drains reports whether a zone's replicas are sent nothing.
+// Drains reports whether a zone is drained.
 func (v *View) Drains(zone string) bool {
 	_, drained := slices.BinarySearch(v.Drained, zone)
 	return drained
--- a/internal/core/sitestate/drain_test.go
+++ b/internal/core/sitestate/drain_test.go
@@ -19,8 +19,8 @@
 	return ids
 }
 
-// TestADrainedZoneTakesNothing: neither replicas that were there nor those that come, at
-// observers that follow changes and at those that begin.
+// TestADrainedZoneTakesNothing checks that neither existing nor new replicas of a drained zone
+// accept requests, for observers with and without earlier updates.
 func TestADrainedZoneTakesNothing(t *testing.T) {
 	l := newLog(t)
 	var view *sitestate.View
@@ -32,7 +32,7 @@
 		}
 		view = view.Apply(l.state.Update(after, sitestate.InterestRouting))
 		var begun *sitestate.View
-		for name, held := range map[string]*sitestate.View{"one that follows": view, "one that begins": begun.Apply(l.state.Update(0, sitestate.InterestAll))} {
+		for name, held := range map[string]*sitestate.View{"incremental observer": view, "new observer": begun.Apply(l.state.Update(0, sitestate.InterestAll))} {
 			if got := ids(held.ByService["s"].Slice()); !slices.Equal(got, want) {
 				t.Errorf("%s sends to %v, want %v", name, got, want)
 			}
@@ -54,24 +54,24 @@
 	follow("b1")
 	drain("b", false)
 	follow()
-	// A snapshot keeps drains.
+	// A snapshot includes drains.
 	data, err := l.state.Snapshot().Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
 	restored := sitestate.New()
 	if err := restored.Restore(data); err != nil || !slices.Equal(restored.Drained(), []string{"a", "b"}) {
-		t.Errorf("after a snapshot: %v, %v", restored.Drained(), err)
+		t.Errorf("restored from a snapshot: %v, %v", restored.Drained(), err)
 	}
 	if got := view.Apply(view.Update()).Drained; !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("the whole view sent on has %v", got)
+		t.Errorf("drained zones in the whole update of a view: %v", got)
 	}
 	for range 2 {
 		drain("a", true)
 		follow("a1", "a2")
 	}
 	if replica, _ := view.Replicas.Get("a1"); replica.ColdMillis != 3000 {
-		t.Errorf("a replica of the zone that came back: %+v", replica)
+		t.Errorf("replica after the drain ended: %+v", replica)
 	}
 	drain("b", true)
 	follow("a1", "a2", "b1")
--- a/internal/core/sitestate/formats_test.go
+++ b/internal/core/sitestate/formats_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// recorded reads bytes that an earlier build wrote.
+// recorded decodes a file written by an earlier build.
 func recorded(t *testing.T, build, name string, into any) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata/formats", build, name))
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestWhatEarlierBuildsWroteIsReadAsItWas: entries of the log give the state that the earlier
-// build's snapshot holds, field by field, and its update the same view.
+// TestWhatEarlierBuildsWroteIsReadAsItWas checks that entries, snapshot and update recorded
+// by earlier builds decode to the same state, field by field.
 func TestWhatEarlierBuildsWroteIsReadAsItWas(t *testing.T) {
 	builds, err := os.ReadDir("testdata/formats")
 	if err != nil || len(builds) == 0 {
@@ -41,7 +41,7 @@
 		applied, restored := sitestate.New(), sitestate.New()
 		for i, entry := range entries {
 			if outcome := applied.Apply(uint64(i+1), entry); outcome == sitestate.OutcomeMalformed {
-				t.Errorf("%s: entry %d is not understood", build.Name(), i)
+				t.Errorf("%s: entry %d is malformed", build.Name(), i)
 			}
 		}
 		if err := restored.Restore(snapshot); err != nil {
@@ -54,15 +54,15 @@
 		sameView(t, build.Name()+", snapshot", byEntries, bySnapshot)
 		sameView(t, build.Name()+", update", byEntries, byUpdate)
 		if !restored.Left("i-3") || !applied.Left("i-3") {
-			t.Errorf("%s: a replica that left is not known to have", build.Name())
+			t.Errorf("%s: the departure of a replica is lost", build.Name())
 		}
 		if restored.Level() != applied.Level() || restored.Level() > sitestate.LevelNewest {
-			t.Errorf("%s: level %d, by its entries %d", build.Name(), restored.Level(), applied.Level())
+			t.Errorf("%s: level %d from the snapshot, %d from the entries", build.Name(), restored.Level(), applied.Level())
 		}
 	}
 }
 
-// sameView names the first field in which two views differ.
+// sameView reports each field in which two views differ.
 func sameView(t *testing.T, name string, a, b *sitestate.View) {
 	t.Helper()
 	sorted := func(view *sitestate.View) []sitestate.Replica { return view.Update().Replicas }
@@ -73,7 +73,7 @@
 	for i := range first.NumField() {
 		field := first.Type().Field(i).Name
 		if slices.Contains([]string{"Replicas", "ByService", "Quarantine"}, field) {
-			continue // compared above, or made of other fields
+			continue // compared above, or derived from other fields
 		}
 		if !reflect.DeepEqual(first.Field(i).Interface(), second.Field(i).Interface()) {
 			t.Errorf("%s: %s: %+v and %+v", name, field, first.Field(i), second.Field(i))
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestAnEntryOfALaterBuildIsTakenForNone: it changes nothing, so that a member of this build
-// says so instead of applying half of it.
+// TestAnEntryOfALaterBuildIsTakenForNone checks that an entry with unknown fields only is
+// reported as malformed and changes nothing.
 func TestAnEntryOfALaterBuildIsTakenForNone(t *testing.T) {
 	state := sitestate.New()
 	later, err := cbor.Marshal(map[int]any{999: map[int]any{1: "x"}})
--- a/internal/core/sitestate/identify.go
+++ b/internal/core/sitestate/identify.go
@@ -2,31 +2,30 @@
 
 import "strconv"
 
-// Standing says what is known of the start of a replica that speaks.
+// Standing is the order of a reporting replica's start relative to the known ones.
 type Standing uint8
 
 const (
-	// StandingCurrent is the newest start known under its name, or the first one.
+	// StandingCurrent is the newest known start under its name, or the first one.
 	StandingCurrent Standing = iota
-	// StandingNext is a later start than the one known: with it the earlier one has ended.
+	// StandingNext is later than the known start, which has therefore ended.
 	StandingNext
-	// StandingPast is an earlier start than the one known: its words came late.
+	// StandingPast is earlier than the known start: its message arrived late.
 	StandingPast
 )
 
-// Identity is who speaks under a replica's name.
+// Identity identifies the sender of a message under a replica's name.
 type Identity struct {
 	// ID is the replica's id in the state.
 	ID       string
 	Standing Standing
-	// Earlier is the id of the start that a StandingNext ends.
+	// Earlier is the id of the start that a StandingNext replaces.
 	Earlier string
 }
 
-// Identify tells the starts of a replica apart that keeps its name over them. The first
-// start known has the name as its id, and so have all that do not say when they started;
-// each later one has an id of its own, so that nothing that is known of an earlier start,
-// here or at any process, is taken for its own.
+// Identify distinguishes the starts of a replica that keeps its name. The first known start
+// has the name as its id, as do all that report no start time; each later one has an id of
+// its own, so that no process applies state of an earlier start to it.
 func (s *State) Identify(name string, born uint64) Identity {
 	newest, known := s.index.starts[name]
 	switch {
@@ -41,10 +40,10 @@
 	}
 }
 
-// startID is the id of a later start under a name.
+// startID returns the id of a later start under a name.
 func startID(name string, born uint64) string { return name + "@" + strconv.FormatUint(born, 10) }
 
-// StartOf finds the replica that a start under a name is held as.
+// StartOf returns the replica for a start under a name.
 func (v *View) StartOf(name string, born uint64) (Replica, bool) {
 	if held, known := v.Replicas.Get(name); known && held.Born == born {
 		return held, true
--- a/internal/core/sitestate/identify_test.go
+++ b/internal/core/sitestate/identify_test.go
@@ -6,8 +6,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestStartsUnderOneNameAreToldApart: what a replica was before it started again binds it no
-// more, and what it said before names nobody.
+// TestStartsUnderOneNameAreToldApart checks that the state of an earlier start does not apply
+// to a later one, and that late messages of an earlier start are recognized.
 func TestStartsUnderOneNameAreToldApart(t *testing.T) {
 	l := newLog(t)
 	take := func(name string, born uint64, address string) sitestate.Identity {
@@ -36,28 +36,28 @@
 	}
 	held, known := l.state.Replica(second.ID)
 	if !known || held.State != sitestate.ReplicaReady || held.InstanceName() != "i" {
-		t.Errorf("the second start is held as %+v, %v", held, known)
+		t.Errorf("replica of the second start: %+v, %v", held, known)
 	}
 	if _, known := l.state.Replica("i"); known || !l.state.Left("i") {
-		t.Error("the first start is still there")
+		t.Error("the first start is still registered")
 	}
 	if late := take("i", 1000, "a"); late.Standing != sitestate.StandingPast {
-		t.Errorf("late words of the first start: %+v", late)
+		t.Errorf("late message of the first start: %+v", late)
 	}
 	if again := take("i", 2000, "a"); again.ID != second.ID || again.Standing != sitestate.StandingCurrent {
-		t.Errorf("the second start again: %+v", again)
+		t.Errorf("second report of the second start: %+v", again)
 	}
 	var view *sitestate.View
 	view = view.Apply(l.state.Update(0, sitestate.InterestAll))
 	if held, known := view.StartOf("i", 2000); !known || held.ID != second.ID {
-		t.Errorf("the view has %+v, %v", held, known)
+		t.Errorf("StartOf the second start in the view: %+v, %v", held, known)
 	}
 	for _, born := range []uint64{0, 1000, 3000} {
 		if held, known := view.StartOf("i", born); known {
 			t.Errorf("born %d: the view has %+v", born, held)
 		}
 	}
-	// A snapshot keeps who started when.
+	// A snapshot includes the start times.
 	restored := sitestate.New()
 	data, err := l.state.Snapshot().Bytes()
 	if err != nil {
@@ -67,9 +67,9 @@
 		t.Fatal(err)
 	}
 	if got := restored.Identify("i", 1000); got.Standing != sitestate.StandingPast {
-		t.Errorf("after a snapshot: %+v", got)
+		t.Errorf("restored from a snapshot: %+v", got)
 	}
-	// One that left stays out, and a later start under its name does not.
+	// A start that left does not return, but a later start under its name may join.
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: second.ID}})
 	if got := l.state.Identify("i", 2000); got.ID != second.ID || !l.state.Left(got.ID) {
 		t.Errorf("a start that left: %+v", got)
@@ -79,14 +79,15 @@
 	}
 }
 
-// TestReplicasThatDoNotSayWhenTheyStartedKeepTheirName: nothing tells their starts apart.
+// TestReplicasThatDoNotSayWhenTheyStartedKeepTheirName checks that starts without a start time
+// share one id.
 func TestReplicasThatDoNotSayWhenTheyStartedKeepTheirName(t *testing.T) {
 	l := newLog(t)
 	l.apply(report("i", "a", 4, sitestate.ReplicaReady))
 	if got := l.state.Identify("i", 0); got.ID != "i" || got.Standing != sitestate.StandingCurrent {
 		t.Errorf("%+v", got)
 	}
-	// A process of an earlier build noted the replica without the time of its start.
+	// A process of an earlier build registered the replica without a start time.
 	if got := l.state.Identify("i", 5000); got.ID != "i" || got.Standing != sitestate.StandingCurrent {
 		t.Errorf("%+v", got)
 	}
--- a/internal/core/sitestate/index.go
+++ b/internal/core/sitestate/index.go
@@ -6,28 +6,26 @@
 	"sort"
 )
 
-// change says that a replica changed at a log position.
+// change records that a replica changed at a log position.
 type change struct {
 	at uint64
 	id string
 }
 
-// index is derived from contents, so that nothing has to be looked for among all
-// replicas.
+// index is derived from contents and avoids scans over all replicas.
 type index struct {
-	// byAddress gives the replica at an address.
+	// byAddress maps addresses to replica ids.
 	byAddress map[string]string
-	// changes are in the order of positions. One that is not the last of its
-	// replica is out of date.
+	// changes are ordered by position. Only the last change of a replica is current.
 	changes []change
-	// gone holds the ids in contents.Gone, binding those that never come back.
-	gone    map[string]bool
-	binding map[string]bool
-	// starts gives the newest start under each name that replicas call themselves.
+	// tombstones holds the ids in contents.Tombstones, permanent those that may not return.
+	tombstones map[string]bool
+	permanent  map[string]bool
+	// starts maps the names of replicas to their newest start.
 	starts map[string]start
 }
 
-// start is a start of a replica that keeps its name.
+// start is one start of a replica that keeps its name.
 type start struct {
 	id   string
 	born uint64
@@ -35,31 +33,31 @@
 
 func newIndex(held *contents) index {
 	i := index{
-		byAddress: make(map[string]string, len(held.Replicas)),
-		gone:      make(map[string]bool, len(held.Gone)),
-		binding:   make(map[string]bool, len(held.Gone)),
-		starts:    make(map[string]start, len(held.Replicas)),
+		byAddress:  make(map[string]string, len(held.Replicas)),
+		tombstones: make(map[string]bool, len(held.Tombstones)),
+		permanent:  make(map[string]bool, len(held.Tombstones)),
+		starts:     make(map[string]start, len(held.Replicas)),
 	}
-	for _, left := range held.Gone {
-		i.noteGone(left)
+	for _, left := range held.Tombstones {
+		i.addTombstone(left)
 	}
 	for id, replica := range held.Replicas {
 		i.byAddress[replica.Address] = id
-		i.noteStart(replica.InstanceName(), start{id: id, born: replica.Born})
+		i.recordStart(replica.InstanceName(), start{id: id, born: replica.Born})
 	}
-	i.order(held.Replicas)
+	i.rebuildChanges(held.Replicas)
 	return i
 }
 
-// noteStart takes a start in, if none under the name is known that is newer.
-func (i *index) noteStart(name string, noted start) {
-	if held, known := i.starts[name]; !known || noted.born >= held.born {
-		i.starts[name] = noted
+// recordStart records a start unless a newer one is known under the name.
+func (i *index) recordStart(name string, added start) {
+	if held, known := i.starts[name]; !known || added.born >= held.born {
+		i.starts[name] = added
 	}
 }
 
-// order lists each replica's last change.
-func (i *index) order(replicas map[string]Replica) {
+// rebuildChanges reduces changes to the last one of each replica.
+func (i *index) rebuildChanges(replicas map[string]Replica) {
 	i.changes = make([]change, 0, len(replicas))
 	for id, replica := range replicas {
 		i.changes = append(i.changes, change{at: replica.ChangedAt, id: id})
@@ -69,16 +67,16 @@
 	})
 }
 
-// leastChanges keeps few replicas from being put in order all the time.
-const leastChanges = 64
+// minCompactLength keeps short lists of changes from being rebuilt often.
+const minCompactLength = 64
 
-// note takes a replica's change in.
-func (i *index) note(changed Replica, replicas map[string]Replica) {
+// recordChange adds a replica's change.
+func (i *index) recordChange(changed Replica, replicas map[string]Replica) {
 	i.byAddress[changed.Address] = changed.ID
-	i.noteStart(changed.InstanceName(), start{id: changed.ID, born: changed.Born})
+	i.recordStart(changed.InstanceName(), start{id: changed.ID, born: changed.Born})
 	i.changes = append(i.changes, change{at: changed.ChangedAt, id: changed.ID})
-	if len(i.changes) > leastChanges+2*len(replicas) {
-		i.order(replicas)
+	if len(i.changes) > minCompactLength+2*len(replicas) {
+		i.rebuildChanges(replicas)
 	}
 }
 
@@ -88,24 +86,24 @@
 	}
 }
 
-func (i *index) noteGone(left gone) {
-	i.noteStart(cmp.Or(left.Instance, left.ID), start{id: left.ID, born: left.Born})
-	i.gone[left.ID] = true
-	if left.Binding {
-		i.binding[left.ID] = true
+func (i *index) addTombstone(left tombstone) {
+	i.recordStart(cmp.Or(left.Instance, left.ID), start{id: left.ID, born: left.Born})
+	i.tombstones[left.ID] = true
+	if left.Permanent {
+		i.permanent[left.ID] = true
 	}
 }
 
-func (i *index) forgetGone(left gone) {
+func (i *index) removeTombstone(left tombstone) {
 	if name := cmp.Or(left.Instance, left.ID); i.starts[name].id == left.ID {
 		delete(i.starts, name)
 	}
-	delete(i.gone, left.ID)
-	delete(i.binding, left.ID)
+	delete(i.tombstones, left.ID)
+	delete(i.permanent, left.ID)
 }
 
-// after gives the changes after a position.
-func (i *index) after(position uint64) []change {
+// changesAfter returns the changes after a position.
+func (i *index) changesAfter(position uint64) []change {
 	first := sort.Search(len(i.changes), func(n int) bool { return i.changes[n].at > position })
 	return i.changes[first:]
 }
--- a/internal/core/sitestate/level.go
+++ b/internal/core/sitestate/level.go
@@ -1,24 +1,24 @@
 package sitestate
 
-// Level says which kinds of commands all members of the control group know. A member that does
-// not know a kind takes no part in it, so that its state would differ from that of the others
-// for good: a kind above the first level is proposed only once the level is agreed.
+// Level is the set of command kinds that all members of the control group understand. A member
+// skips kinds it does not know, so its state would diverge permanently: a kind above the first
+// level is proposed only once all members agreed on that level.
 type Level uint32
 
 const (
-	// LevelFirst is what every build knows: a Command up to Quarantine.
+	// LevelFirst is known to every build: the fields of Command up to Quarantine.
 	LevelFirst Level = iota
 	// LevelDrains adds Drain and Senders.
 	LevelDrains
-	// LevelNewest is that of this build.
+	// LevelNewest is the highest level of this build.
 	LevelNewest = LevelDrains
 )
 
-// Level gives the agreed level.
+// Level returns the agreed level.
 func (s *State) Level() Level { return s.contents.Level }
 
-// raise agrees on a level; it never falls.
-func (s *State) raise(level Level) Outcome {
+// raiseLevel sets the agreed level; it never decreases.
+func (s *State) raiseLevel(level Level) Outcome {
 	if level <= s.contents.Level {
 		return OutcomeIgnored
 	}
--- a/internal/core/sitestate/quarantine.go
+++ b/internal/core/sitestate/quarantine.go
@@ -2,20 +2,20 @@
 
 import "github.com/loomgrade/loomgrade/internal/core/quarantine"
 
-// Suspects gives all requests under which replicas ended. The caller must not change them.
+// Suspects returns all requests during which replicas ended. The caller must not modify them.
 func (s *State) Suspects() []quarantine.Suspect { return s.contents.Quarantine.Suspects }
 
-// noteQuarantine takes in what processes saw.
-func (s *State) noteQuarantine(index uint64, noted Quarantine) Outcome {
+// applyQuarantine applies events in order.
+func (s *State) applyQuarantine(index uint64, reported Quarantine) Outcome {
 	outcome := OutcomeIgnored
-	for _, event := range noted.Events {
-		changed, taken := s.contents.Quarantine.Apply(event)
+	for _, event := range reported.Events {
+		changed, accepted := s.contents.Quarantine.Apply(event)
 		if changed {
 			s.contents.QuarantineAt = index
-			s.changed(index)
+			s.advance(index)
 		}
 		outcome = OutcomeIgnored
-		if taken {
+		if accepted {
 			outcome = OutcomeDone
 		}
 	}
--- a/internal/core/sitestate/record_test.go
+++ b/internal/core/sitestate/record_test.go
@@ -13,14 +13,14 @@
 	"github.com/loomgrade/loomgrade/internal/core/usage"
 )
 
-// record names a folder; see CONTRIBUTING.md.
+// record is the output folder of TestRecordFormats; see CONTRIBUTING.md.
 var record = flag.String("record", "", "folder to record this build's formats into")
 
-// TestRecordFormats writes what this build writes into a folder, for later builds to read.
+// TestRecordFormats records the formats of this build for the tests of later builds.
 func TestRecordFormats(t *testing.T) {
 	dir := *record
 	if dir == "" {
-		t.Skip("no folder to record into is named")
+		t.Skip("no output folder given")
 	}
 	fix := usage.Window(40)
 	commands := []sitestate.Command{
--- a/internal/core/sitestate/replicalist.go
+++ b/internal/core/sitestate/replicalist.go
@@ -6,29 +6,28 @@
 	"strings"
 )
 
-// chunkSize is how many replicas a chunk of a list holds at most; a change copies one chunk.
+// chunkSize is the maximum number of replicas in a chunk; a change copies one chunk.
 const chunkSize = 64
 
-// ReplicaList holds replicas in the order of their ids. It is immutable: a change gives
-// another list, which shares all chunks with it that did not change. The zero ReplicaList is
-// empty.
+// ReplicaList holds replicas ordered by id. It is immutable: a change yields another list that
+// shares the unchanged chunks. The zero ReplicaList is empty.
 type ReplicaList struct {
-	// chunks are in order, none of them empty.
+	// chunks are ordered and not empty.
 	chunks [][]Replica
 	count  int
 }
 
-// ListOf makes a list of replicas.
+// ListOf returns a list of the replicas.
 func ListOf(replicas ...Replica) ReplicaList {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b Replica) int { return strings.Compare(a.ID, b.ID) })
 	return ReplicaList{chunks: slices.Collect(slices.Chunk(sorted, chunkSize)), count: len(sorted)}
 }
 
-// Len gives the number of replicas.
+// Len returns the number of replicas.
 func (l ReplicaList) Len() int { return l.count }
 
-// All gives the replicas in the order of their ids. They must not be changed.
+// All iterates over the replicas ordered by id. They must not be modified.
 func (l ReplicaList) All() iter.Seq[*Replica] {
 	return func(yield func(*Replica) bool) {
 		for _, chunk := range l.chunks {
@@ -41,7 +40,7 @@
 	}
 }
 
-// Slice copies the replicas.
+// Slice returns a copy of the replicas.
 func (l ReplicaList) Slice() []Replica {
 	copied := make([]Replica, 0, l.count)
 	for _, chunk := range l.chunks {
@@ -50,7 +49,7 @@
 	return copied
 }
 
-// edit begins a change.
+// edit starts a change.
 func (l ReplicaList) edit() *listEdit {
 	edit := &listEdit{count: l.count, chunks: make([]listChunk, 0, len(l.chunks)+1)}
 	for _, chunk := range l.chunks {
@@ -59,19 +58,19 @@
 	return edit
 }
 
-// listEdit is a list that is being made.
+// listEdit is a mutable copy of a list that clones chunks on write.
 type listEdit struct {
 	chunks []listChunk
 	count  int
 }
 
-// listChunk is a chunk; own is set if no other list has it.
+// listChunk is a chunk; owned is set if no list shares it.
 type listChunk struct {
 	replicas []Replica
-	own      bool
+	owned    bool
 }
 
-// chunk gives the number of the chunk that holds an id, or would.
+// chunk returns the index of the chunk that contains an id, or would.
 func (e *listEdit) chunk(id string) int {
 	number, _ := slices.BinarySearchFunc(e.chunks, id, func(chunk listChunk, wanted string) int {
 		return strings.Compare(chunk.replicas[len(chunk.replicas)-1].ID, wanted)
@@ -79,23 +78,23 @@
 	return min(number, len(e.chunks)-1)
 }
 
-// changeable gives a chunk that may be changed.
-func (e *listEdit) changeable(number int) *listChunk {
+// writable returns a chunk that may be modified, cloned if it is shared.
+func (e *listEdit) writable(number int) *listChunk {
 	chunk := &e.chunks[number]
-	if !chunk.own {
-		chunk.own, chunk.replicas = true, slices.Clone(chunk.replicas)
+	if !chunk.owned {
+		chunk.owned, chunk.replicas = true, slices.Clone(chunk.replicas)
 	}
 	return chunk
 }
 
 func (e *listEdit) put(replica Replica) {
 	if len(e.chunks) == 0 {
-		e.chunks = append(e.chunks, listChunk{replicas: []Replica{replica}, own: true})
+		e.chunks = append(e.chunks, listChunk{replicas: []Replica{replica}, owned: true})
 		e.count++
 		return
 	}
 	number := e.chunk(replica.ID)
-	chunk := e.changeable(number)
+	chunk := e.writable(number)
 	at, held := find(chunk.replicas, replica.ID)
 	if held {
 		chunk.replicas[at] = replica
@@ -105,7 +104,7 @@
 	e.count++
 	if len(chunk.replicas) > chunkSize {
 		half := len(chunk.replicas) / 2
-		second := listChunk{replicas: slices.Clone(chunk.replicas[half:]), own: true}
+		second := listChunk{replicas: slices.Clone(chunk.replicas[half:]), owned: true}
 		chunk.replicas = chunk.replicas[:half:half]
 		e.chunks = slices.Insert(e.chunks, number+1, second)
 	}
@@ -120,7 +119,7 @@
 	if !held {
 		return
 	}
-	chunk := e.changeable(number)
+	chunk := e.writable(number)
 	chunk.replicas = slices.Delete(chunk.replicas, at, at+1)
 	e.count--
 	if len(chunk.replicas) == 0 {
--- a/internal/core/sitestate/replicas.go
+++ b/internal/core/sitestate/replicas.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// reportReplica takes a replica's report. One that left stays out, one that
-// drains stays draining, and a late report changes nothing.
+// reportReplica applies a replica's report. One that left permanently does not return, a
+// draining one stays draining, and a late report changes nothing.
 func (s *State) reportReplica(index uint64, report Replica) Outcome {
-	if s.index.binding[report.ID] {
+	if s.index.permanent[report.ID] {
 		return OutcomeIgnored
 	}
 	held, known := s.contents.Replicas[report.ID]
@@ -21,24 +21,24 @@
 	if !known || !sameRouting(held, report) {
 		report.RoutedAt = index
 	}
-	s.forgetGone(report.ID)
+	s.removeTombstone(report.ID)
 	s.dropAddress(index, report)
 	s.put(index, report)
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
-// put replaces what is held of a replica.
+// put adds or replaces a replica.
 func (s *State) put(index uint64, replica Replica) {
 	replica.ChangedAt = index
 	if held, known := s.contents.Replicas[replica.ID]; known {
 		s.index.dropAddress(held)
 	}
 	s.contents.Replicas[replica.ID] = replica
-	s.index.note(replica, s.contents.Replicas)
+	s.index.recordChange(replica, s.contents.Replicas)
 }
 
-// dropAddress takes out other replicas whose address the reporter now has.
+// dropAddress removes another replica that had the reporter's address.
 func (s *State) dropAddress(index uint64, reporter Replica) {
 	other, taken := s.contents.Replicas[s.index.byAddress[reporter.Address]]
 	if taken && other.ID != reporter.ID {
@@ -46,48 +46,47 @@
 	}
 }
 
-func (s *State) forgetGone(id string) {
-	if !s.index.gone[id] {
+func (s *State) removeTombstone(id string) {
+	if !s.index.tombstones[id] {
 		return
 	}
-	delete(s.index.gone, id)
-	s.contents.Gone = slices.DeleteFunc(s.contents.Gone, func(left gone) bool { return left.ID == id })
+	delete(s.index.tombstones, id)
+	s.contents.Tombstones = slices.DeleteFunc(s.contents.Tombstones, func(left tombstone) bool { return left.ID == id })
 }
 
-// leave takes a replica out: for good, unless it was only not heard of and had
-// not begun to drain.
+// leave removes a replica: permanently, unless it timed out before it started to drain.
 func (s *State) leave(index uint64, left Leave) Outcome {
 	held, known := s.contents.Replicas[left.ID]
 	if left.Silent && !known {
 		return OutcomeIgnored
 	}
-	if s.index.binding[left.ID] {
+	if s.index.permanent[left.ID] {
 		return OutcomeDone
 	}
 	if !known {
 		held = Replica{ID: left.ID, Instance: left.Instance, Born: left.Born}
 	}
 	s.remove(index, held, !left.Silent || held.State == ReplicaDraining)
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
-// remove takes out a replica, or notes of one that is not held that it left.
-func (s *State) remove(index uint64, replica Replica, binding bool) {
+// remove removes a replica and records a tombstone, also for an unknown one.
+func (s *State) remove(index uint64, replica Replica, permanent bool) {
 	id := replica.ID
 	if held, known := s.contents.Replicas[id]; known {
 		s.index.dropAddress(held)
 		delete(s.contents.Replicas, id)
 	}
-	s.forgetGone(id)
-	left := gone{ID: id, ChangedAt: index, Binding: binding, Instance: replica.Instance, Born: replica.Born}
-	s.contents.Gone = append(s.contents.Gone, left)
-	s.index.noteGone(left)
-	if surplus := len(s.contents.Gone) - maxGone; surplus > 0 {
-		for _, old := range s.contents.Gone[:surplus] {
-			s.index.forgetGone(old)
+	s.removeTombstone(id)
+	left := tombstone{ID: id, ChangedAt: index, Permanent: permanent, Instance: replica.Instance, Born: replica.Born}
+	s.contents.Tombstones = append(s.contents.Tombstones, left)
+	s.index.addTombstone(left)
+	if surplus := len(s.contents.Tombstones) - maxTombstones; surplus > 0 {
+		for _, old := range s.contents.Tombstones[:surplus] {
+			s.index.removeTombstone(old)
 		}
-		s.contents.Gone = slices.Clone(s.contents.Gone[surplus:])
+		s.contents.Tombstones = slices.Clone(s.contents.Tombstones[surplus:])
 	}
 }
 
@@ -99,7 +98,7 @@
 		}
 		replica.Model = model
 		s.put(index, replica)
-		s.changed(index)
+		s.advance(index)
 	}
 	return OutcomeDone
 }
--- a/internal/core/sitestate/replicaset.go
+++ b/internal/core/sitestate/replicaset.go
@@ -7,18 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// setParts is how many parts a set of replicas has. A change copies one of them: with 10,000
-// replicas a part holds 40.
+// setParts is the number of parts of a replica set; a change copies one part.
 const setParts = 256
 
-// ReplicaSet holds replicas by id. It is immutable: a change gives another set, which shares
-// all parts with it that did not change. The zero ReplicaSet is empty.
+// ReplicaSet holds replicas by id. It is immutable: a change yields another set that shares
+// the unchanged parts. The zero ReplicaSet is empty.
 type ReplicaSet struct {
 	parts *[setParts]map[string]Replica
 	count int
 }
 
-// SetOf makes a set of replicas.
+// SetOf returns a set of the replicas.
 func SetOf(replicas ...Replica) ReplicaSet {
 	edit := ReplicaSet{}.edit()
 	for _, replica := range replicas {
@@ -29,7 +28,7 @@
 
 func partOf(id string) int { return int(xxhash.Sum64String(id) % setParts) }
 
-// Get finds a replica by id.
+// Get returns a replica by id.
 func (s ReplicaSet) Get(id string) (Replica, bool) {
 	if s.parts == nil {
 		return Replica{}, false
@@ -38,16 +37,16 @@
 	return replica, found
 }
 
-// Has reports whether there is a replica of an id.
+// Has reports whether the set contains an id.
 func (s ReplicaSet) Has(id string) bool {
 	_, found := s.Get(id)
 	return found
 }
 
-// Len gives the number of replicas.
+// Len returns the number of replicas.
 func (s ReplicaSet) Len() int { return s.count }
 
-// All gives all replicas by id, in no order.
+// All iterates over all replicas by id, in no particular order.
 func (s ReplicaSet) All() iter.Seq2[string, Replica] {
 	return func(yield func(string, Replica) bool) {
 		if s.parts == nil {
@@ -63,7 +62,7 @@
 	}
 }
 
-// edit begins a change.
+// edit starts a change.
 func (s ReplicaSet) edit() *setEdit {
 	edit := &setEdit{count: s.count}
 	if s.parts != nil {
@@ -72,17 +71,17 @@
 	return edit
 }
 
-// setEdit is a set that is being made; own are the parts that no other set has.
+// setEdit is a mutable copy of a set; owned marks the parts that no set shares.
 type setEdit struct {
 	parts [setParts]map[string]Replica
-	own   [setParts]bool
+	owned [setParts]bool
 	count int
 }
 
 func (e *setEdit) part(id string) map[string]Replica {
 	number := partOf(id)
-	if !e.own[number] {
-		e.own[number] = true
+	if !e.owned[number] {
+		e.owned[number] = true
 		e.parts[number] = maps.Clone(e.parts[number])
 		if e.parts[number] == nil {
 			e.parts[number] = map[string]Replica{}
--- a/internal/core/sitestate/replicaset_test.go
+++ b/internal/core/sitestate/replicaset_test.go
@@ -12,8 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestSetsAndListsHoldWhatAMapHolds: whatever is put in and taken out, and an older one does
-// not change with a newer one.
+// TestSetsAndListsHoldWhatAMapHolds checks sets and lists against a map, and that edits do not
+// change older sets and lists.
 func TestSetsAndListsHoldWhatAMapHolds(t *testing.T) {
 	testkit.Check(t, 20, func(r *rapid.T) {
 		var set ReplicaSet
--- a/internal/core/sitestate/report.go
+++ b/internal/core/sitestate/report.go
@@ -1,10 +1,10 @@
 package sitestate
 
-// ReportField is the part of a replica's report that is at fault. There are few, so that
-// refusals can be counted by them.
+// ReportField names the invalid part of a replica's report. The values are few, so that
+// rejections can be counted by field.
 type ReportField string
 
-// Parts of reports.
+// Fields of a report.
 const (
 	FieldBody     ReportField = "body"
 	FieldName     ReportField = "name"
@@ -20,8 +20,8 @@
 	FieldBorn     ReportField = "born"
 )
 
-// ReportError says why a report names no replica to use: somebody else wrote it, or it
-// was spoiled on its way.
+// ReportError is the error for an invalid report, one that a replica did not write or that was
+// corrupted in transit.
 type ReportError struct {
 	Field  ReportField
 	Reason string
--- a/internal/core/sitestate/scale_bench_test.go
+++ b/internal/core/sitestate/scale_bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// fleetOf gives a state with so many replicas, a fifth of them of a second service.
+// fleetOf returns a log with the given number of replicas, one fifth of them of another service.
 func fleetOf(b *testing.B, replicas int) *log {
 	l := newLog(b)
 	for i := range replicas {
@@ -25,7 +25,7 @@
 	}}
 }
 
-// BenchmarkViewAfterOneChange is what each process does for each update.
+// BenchmarkViewAfterOneChange measures one update at an observer.
 func BenchmarkViewAfterOneChange(b *testing.B) {
 	for _, size := range []int{100, 1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkUpdateEncoded is what a member does for each watcher that gets so many changes.
+// BenchmarkUpdateEncoded measures encoding an update with the given number of changes.
 func BenchmarkUpdateEncoded(b *testing.B) {
 	for _, changes := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(changes), func(b *testing.B) {
--- a/internal/core/sitestate/shards.go
+++ b/internal/core/sitestate/shards.go
@@ -2,13 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ShardOf gives the shard that keeps a model's jobs, 0 before they were placed.
+// ShardOf returns the shard that stores a model's jobs, 0 before they are placed.
 func (v *View) ShardOf(model string) ShardNumber { return v.Placed[model] }
 
-// OwnerOf gives the shard whose runner alone sends items to a replica, 0 if none does
-// yet. Every replica has one owner, so that two runners that know nothing of each other
-// never fill its slots twice. It is the shard of the model that the replica is kept at;
-// replicas without weights are divided by their ids.
+// OwnerOf returns the only shard whose runner may send items to a replica, 0 if there is none
+// yet. A single owner keeps independent runners from overfilling its slots. It is the shard of
+// the replica's assigned model; replicas without weights are distributed by a hash of the id.
 func (v *View) OwnerOf(replica *Replica) ShardNumber {
 	switch {
 	case len(v.Shards) < 2:
--- a/internal/core/sitestate/shards_test.go
+++ b/internal/core/sitestate/shards_test.go
@@ -24,15 +24,15 @@
 	return sitestate.Command{Place: &sitestate.Place{Model: model, Shard: shard}}
 }
 
-// TestShardsAreFoundedInTurnAndModelsPlacedForGood: decisions of leaders that did not
-// know of each other's change nothing.
+// TestShardsAreFoundedInTurnAndModelsPlacedForGood checks that outdated decisions of concurrent
+// leaders change nothing.
 func TestShardsAreFoundedInTurnAndModelsPlacedForGood(t *testing.T) {
 	l := newLog(t)
 	for i, step := range []struct {
 		command sitestate.Command
 		want    sitestate.Outcome
 	}{
-		{place("a", 1), sitestate.OutcomeUnknown}, // there is no shard yet
+		{place("a", 1), sitestate.OutcomeUnknown}, // no shard yet
 		{found(2, "x"), sitestate.OutcomeIgnored},
 		{found(1, "a", "b"), sitestate.OutcomeDone},
 		{found(1, "c", "d"), sitestate.OutcomeIgnored},
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestAnEmptiedMachineStaysEmptied: that its group let it go is no new registration.
+// TestAnEmptiedMachineStaysEmptied checks that removal from its group is not a new registration.
 func TestAnEmptiedMachineStaysEmptied(t *testing.T) {
 	l := newLog(t)
 	store := sitestate.Store{Name: "m", Address: "1:1", Incarnation: "x", Shard: 2}
@@ -77,17 +77,17 @@
 	store.Shard = 0
 	l.apply(sitestate.Command{Store: &store})
 	if held, _ := l.state.Store("m"); held.State != sitestate.StoreEmptied || held.Shard != 0 {
-		t.Errorf("after its group let it go: %+v", held)
+		t.Errorf("after removal from its group: %+v", held)
 	}
 	store.Incarnation = "y"
 	l.apply(sitestate.Command{Store: &store})
 	if held, _ := l.state.Store("m"); held.State != sitestate.StoreActive {
-		t.Errorf("with another folder: %+v", held)
+		t.Errorf("with a new data folder: %+v", held)
 	}
 }
 
-// TestEveryReplicaHasOneOwner: whatever is placed, a replica is filled by the runner of
-// one shard at most, so that its slots are never given out twice.
+// TestEveryReplicaHasOneOwner checks that at most one shard owns a replica, so that its slots
+// are not assigned twice.
 func TestEveryReplicaHasOneOwner(t *testing.T) {
 	models := []string{"", "a", "b", "c", "d"}
 	testkit.Check(t, 16, func(t *rapid.T) {
@@ -113,11 +113,11 @@
 			case len(view.Shards) == 1 && owner != 1:
 				t.Fatalf("a site's only shard does not own %+v", replica)
 			case owner != 0 && !known:
-				t.Fatalf("shard %d, which there is not, owns %+v", owner, replica)
+				t.Fatalf("unknown shard %d owns %+v", owner, replica)
 			case len(view.Shards) > 1 && replica.Model != "" && owner != view.Placed[replica.Model]:
-				t.Fatalf("shard %d owns %+v, whose jobs are in shard %d", owner, replica, view.Placed[replica.Model])
+				t.Fatalf("shard %d owns %+v, whose model is placed in shard %d", owner, replica, view.Placed[replica.Model])
 			case len(view.Shards) > 1 && replica.Model == "" && replica.Models == nil && owner == 0:
-				t.Fatalf("nobody owns %+v, which has no model", replica)
+				t.Fatalf("no shard owns %+v, which has no model", replica)
 			}
 		}
 	})
--- a/internal/core/sitestate/sitestate_test.go
+++ b/internal/core/sitestate/sitestate_test.go
@@ -14,7 +14,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// log applies commands as a replicated log would.
+// log applies commands in order.
 type log struct {
 	t     testing.TB
 	state *sitestate.State
@@ -67,8 +67,8 @@
 	l := newLog(t)
 	l.apply(report("i1", "a1", 5, sitestate.ReplicaReady))
 	l.apply(report("i1", "a1", 6, sitestate.ReplicaDraining))
-	l.apply(report("i1", "a1", 4, sitestate.ReplicaReady)) // late
-	l.apply(report("i1", "a1", 7, sitestate.ReplicaReady)) // never again
+	l.apply(report("i1", "a1", 4, sitestate.ReplicaReady)) // outdated
+	l.apply(report("i1", "a1", 7, sitestate.ReplicaReady)) // ready after draining
 	if replica, _ := l.state.Replica("i1"); replica.State != sitestate.ReplicaDraining {
 		t.Errorf("%+v", replica)
 	}
@@ -76,17 +76,17 @@
 	if got := l.apply(report("i1", "a1", 8, sitestate.ReplicaReady)); got != sitestate.OutcomeIgnored {
 		t.Errorf("a replica that left came back: %v", got)
 	}
-	// One that only fell silent may come back.
+	// A replica that timed out may return.
 	l.apply(report("i2", "a2", 1, sitestate.ReplicaReady))
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: "i2", Silent: true}})
 	l.apply(report("i2", "a2", 2, sitestate.ReplicaReady))
 	if _, known := l.state.Replica("i2"); !known {
-		t.Error("a silent replica did not come back")
+		t.Error("a replica that timed out did not return")
 	}
-	// One that left before it was ever heard of stays out too.
+	// A replica that left before its first report does not join.
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: "i3"}})
 	if l.apply(report("i3", "a3", 1, sitestate.ReplicaReady)); !l.state.Left("i3") {
-		t.Error("i3 came back")
+		t.Error("i3 joined after it left")
 	}
 }
 
@@ -95,7 +95,7 @@
 	l.apply(report("old", "a", 9, sitestate.ReplicaReady))
 	l.apply(report("new", "a", 1, sitestate.ReplicaReady))
 	if _, known := l.state.Replica("old"); known || !l.state.Left("old") {
-		t.Error("the replica that had the address before is still known")
+		t.Error("the previous replica at the address is still registered")
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "a", Incarnation: "1"}})
 	if evacuate("s", true); state() != sitestate.StoreActive {
-		t.Error("done before it began")
+		t.Error("emptied before the evacuation started")
 	}
 	evacuate("s", false)
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "a", Incarnation: "2"}})
@@ -132,11 +132,11 @@
 	}
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "b", Incarnation: "3"}})
 	if state() != sitestate.StoreActive {
-		t.Error("a machine that comes anew is not active")
+		t.Error("a machine that registers again is not active")
 	}
 }
 
-// drawCommand draws any command.
+// drawCommand draws a command.
 func drawCommand(r *rapid.T) sitestate.Command {
 	id := fmt.Sprint("i", rapid.IntRange(0, 4).Draw(r, "replica"))
 	number := rapid.Uint64Range(1, 6).Draw(r, "number")
@@ -169,9 +169,8 @@
 	}
 }
 
-// TestObserversSeeWhatTheStateHolds: an observer that takes updates now and then,
-// from a state that was restored from a snapshot too, holds what the state does,
-// and never goes back.
+// TestObserversSeeWhatTheStateHolds checks that an observer that applies occasional updates,
+// also from a restored state, matches the state and never goes back.
 func TestObserversSeeWhatTheStateHolds(t *testing.T) {
 	testkit.Check(t, 15, func(r *rapid.T) {
 		l := newLog(t)
@@ -204,13 +203,13 @@
 			after := uint64(0)
 			if view != nil {
 				after = view.Position
-				// One that begins with what another has held for a while.
+				// An observer that starts from the view of another one.
 				begun := (*sitestate.View)(nil).Apply(view.Update()).Apply(l.state.Update(after, sitestate.InterestAll))
 				compare(r, begun, l.state)
 			}
 			next := view.Apply(l.state.Update(after, sitestate.InterestAll))
 			if view != nil && (next.Position < view.Position || next.Configuration.Version < view.Configuration.Version) {
-				r.Fatalf("went back from %+v to %+v", view, next)
+				r.Fatalf("view went back from %+v to %+v", view, next)
 			}
 			view = next
 			compare(r, view, l.state)
@@ -221,7 +220,7 @@
 	})
 }
 
-// compareRouting checks an observer that does not follow weights.
+// compareRouting checks an observer that ignores changes of weights.
 func compareRouting(r *rapid.T, view *sitestate.View, state *sitestate.State) {
 	want := state.Replicas()
 	if view.Replicas.Len() != len(want) {
@@ -260,7 +259,7 @@
 	}
 }
 
-// compareSuspects checks that an observer knows each request that is withheld, and no other.
+// compareSuspects checks that an observer has exactly the withheld requests.
 func compareSuspects(r *rapid.T, view *sitestate.View, state *sitestate.State) {
 	withheld := func(suspects []quarantine.Suspect) (found []quarantine.Suspect) {
 		for _, suspect := range suspects {
@@ -274,11 +273,11 @@
 		r.Fatalf("withheld %+v, want %+v", held, want)
 	}
 	if (view.Quarantine == nil) != (len(view.Suspects) == 0) {
-		r.Fatalf("an index %v of %d suspects", view.Quarantine, len(view.Suspects))
+		r.Fatalf("index %v for %d suspects", view.Quarantine, len(view.Suspects))
 	}
 }
 
-// benchmarkedState holds so many replicas.
+// benchmarkedState returns a state with the given number of replicas.
 func benchmarkedState(b *testing.B, replicas int) *sitestate.State {
 	b.Helper()
 	state := sitestate.New()
@@ -305,8 +304,7 @@
 	}
 }
 
-// BenchmarkReportAndUpdate commits one replica's report and brings an observer up
-// to date.
+// BenchmarkReportAndUpdate applies one replica's report and computes the update of an observer.
 func BenchmarkReportAndUpdate(b *testing.B) {
 	for _, replicas := range []int{10, 350, 3500} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
--- a/internal/core/sitestate/state.go
+++ b/internal/core/sitestate/state.go
@@ -12,26 +12,26 @@
 	"github.com/loomgrade/loomgrade/internal/core/usage"
 )
 
-// maxGone bounds the remembered ids of replicas that left.
-const maxGone = 20000
+// maxTombstones limits the number of tombstones.
+const maxTombstones = 20000
 
-// gone is a replica that left. A binding one never comes back.
-type gone struct {
+// tombstone is a replica that left. One that left permanently may not return.
+type tombstone struct {
 	ID        string `cbor:"1,keyasint"`
 	ChangedAt uint64 `cbor:"2,keyasint"`
-	Binding   bool   `cbor:"3,keyasint"`
-	// Instance and Born are those of the replica, as in Replica; Born is 0 if unknown.
+	Permanent bool   `cbor:"3,keyasint"`
+	// Instance and Born are as in Replica.
 	Instance string `cbor:"4,keyasint,omitempty"`
 	Born     uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// contents is what a snapshot holds.
+// contents is the encoded part of the state.
 type contents struct {
 	Position        uint64             `cbor:"1,keyasint"`
 	Configuration   Configuration      `cbor:"2,keyasint"`
 	ConfigurationAt uint64             `cbor:"3,keyasint"`
 	Replicas        map[string]Replica `cbor:"4,keyasint"`
-	Gone            []gone             `cbor:"5,keyasint"`
+	Tombstones      []tombstone        `cbor:"5,keyasint"`
 	Weights         map[string]uint64  `cbor:"6,keyasint"`
 	WeightsAt       uint64             `cbor:"7,keyasint"`
 	Holder          Holder             `cbor:"8,keyasint"`
@@ -40,40 +40,40 @@
 	StoresAt uint64                 `cbor:"10,keyasint"`
 	Shards   []Shard                `cbor:"12,keyasint"`
 	Placed   map[string]ShardNumber `cbor:"13,keyasint"` // by model
-	// Usage concerns no observer, so it does not move Position.
+	// Usage is not sent to observers, so its changes do not advance Position.
 	Usage usage.Ledger `cbor:"14,keyasint"`
-	// Quarantine holds requests under which replicas ended; QuarantineAt is the position
-	// of the last change of what observers are told of it.
+	// Quarantine holds requests during which replicas ended; QuarantineAt is the position of
+	// the last change that observers receive.
 	Quarantine   quarantine.Ledger `cbor:"15,keyasint"`
 	QuarantineAt uint64            `cbor:"16,keyasint"`
-	// Drained are the zones whose replicas are sent nothing, with the position at which each
-	// drain began; DrainedAt is that of the last change.
+	// Drained maps the drained zones to the position at which each drain started; DrainedAt
+	// is the position of the last change.
 	Drained   map[string]uint64 `cbor:"17,keyasint,omitempty"`
 	DrainedAt uint64            `cbor:"18,keyasint,omitempty"`
-	// Senders is about how many processes send requests to replicas, 0 if not known;
-	// SendersAt is the position of its last change.
+	// Senders is the approximate number of processes that send requests to replicas, 0 if
+	// unknown; SendersAt is the position of its last change.
 	Senders   uint32 `cbor:"19,keyasint,omitempty"`
 	SendersAt uint64 `cbor:"20,keyasint,omitempty"`
-	// Level concerns no observer, so it does not move Position.
+	// Level is not sent to observers, so its changes do not advance Position.
 	Level Level `cbor:"21,keyasint,omitempty"`
 }
 
-// State is the control state. It is not safe for concurrent use; what it gives
-// out is not changed later. A change costs what it changes, not the number of
-// replicas, and so does an update of an observer.
+// State is the control state. It is not safe for concurrent use; values that it returns do not
+// change later. A change and an update cost as much as what changed, independent of the number
+// of replicas.
 type State struct {
 	contents contents
 	index    index
 }
 
-// New makes the empty state.
+// New returns an empty state.
 func New() *State {
 	state := &State{}
-	state.fill()
+	state.initialize()
 	return state
 }
 
-func (s *State) fill() {
+func (s *State) initialize() {
 	if s.contents.Replicas == nil {
 		s.contents.Replicas = map[string]Replica{}
 	}
@@ -93,7 +93,7 @@
 }
 
 // Snapshot implements groupmember.StateMachine. The state is small, so it is encoded
-// at once.
+// immediately.
 func (s *State) Snapshot() groupmember.Encoder {
 	data, err := cbor.Marshal(s.contents)
 	return func(into *bytes.Buffer) error {
@@ -109,26 +109,26 @@
 		return err
 	}
 	s.contents = restored
-	s.fill()
+	s.initialize()
 	return nil
 }
 
-// Position gives the log position of the last change.
+// Position returns the log position of the last change.
 func (s *State) Position() uint64 { return s.contents.Position }
 
-// Configuration gives the configuration in force; version 0 is none.
+// Configuration returns the current configuration; version 0 is none.
 func (s *State) Configuration() Configuration { return s.contents.Configuration }
 
-// Replica finds a replica by id.
+// Replica returns a replica by id.
 func (s *State) Replica(id string) (Replica, bool) {
 	replica, found := s.contents.Replicas[id]
 	return replica, found
 }
 
-// Left reports whether a replica left for good.
-func (s *State) Left(id string) bool { return s.index.binding[id] }
+// Left reports whether a replica left permanently.
+func (s *State) Left(id string) bool { return s.index.permanent[id] }
 
-// Replicas gives all replicas by id.
+// Replicas returns all replicas sorted by id.
 func (s *State) Replicas() []Replica {
 	replicas := make([]Replica, 0, len(s.contents.Replicas))
 	for _, replica := range s.contents.Replicas {
@@ -138,20 +138,19 @@
 	return replicas
 }
 
-// Weights gives the newest published version of a model; 0 is none.
+// Weights returns the newest published version of a model; 0 is none.
 func (s *State) Weights(model string) uint64 { return s.contents.Weights[model] }
 
-// Holder gives the machine that may order replicas; its name is empty if there
-// is none yet.
+// Holder returns the machine that may order replicas; its name is empty if there is none.
 func (s *State) Holder() Holder { return s.contents.Holder }
 
-// Store finds a store machine by name.
+// Store returns a store machine by name.
 func (s *State) Store(name string) (Store, bool) {
 	store, found := s.contents.Stores[name]
 	return store, found
 }
 
-// Stores gives the store machines by name.
+// Stores returns the store machines sorted by name.
 func (s *State) Stores() []Store {
 	stores := make([]Store, 0, len(s.contents.Stores))
 	for _, store := range s.contents.Stores {
@@ -161,21 +160,20 @@
 	return stores
 }
 
-// Shards gives the shards of the jobs by number.
+// Shards returns the shards of the jobs by number.
 func (s *State) Shards() []Shard { return s.contents.Shards }
 
-// Unsent gives the windows of usage that are closed and not reported yet, the oldest
-// first. The caller must not change them.
+// Unsent returns the closed usage windows that are not yet reported, oldest first. The caller
+// must not modify them.
 func (s *State) Unsent() []usage.Total { return s.contents.Usage.Fixed }
 
-// UsageDue reports whether windows up to one are open and have requests, or follow one
-// that was closed.
+// UsageDue reports whether open windows up to upTo have requests, or follow a closed window.
 func (s *State) UsageDue(upTo usage.Window) bool { return s.contents.Usage.Due(upTo) }
 
-// Placed gives the shard of each model's jobs.
+// Placed returns the shard of each model's jobs.
 func (s *State) Placed() map[string]ShardNumber { return maps.Clone(s.contents.Placed) }
 
-// Apply implements groupmember.StateMachine; its results are Outcomes.
+// Apply implements groupmember.StateMachine and returns an Outcome.
 func (s *State) Apply(index uint64, data []byte) any {
 	var command Command
 	if err := cbor.Unmarshal(data, &command); err != nil {
@@ -200,7 +198,7 @@
 	case command.Store != nil:
 		return s.registerStore(index, *command.Store)
 	case command.Found != nil:
-		return s.found(index, *command.Found)
+		return s.createShard(index, *command.Found)
 	case command.Evacuate != nil:
 		return s.evacuate(index, *command.Evacuate)
 	case command.Assign != nil:
@@ -208,32 +206,32 @@
 	case command.Place != nil:
 		return s.place(index, *command.Place)
 	case command.Usage != nil:
-		return s.noteUsage(*command.Usage)
+		return s.applyUsage(*command.Usage)
 	case command.Quarantine != nil:
-		return s.noteQuarantine(index, *command.Quarantine)
+		return s.applyQuarantine(index, *command.Quarantine)
 	case command.Drain != nil:
 		return s.drain(index, *command.Drain)
 	case command.Level != nil:
-		return s.raise(*command.Level)
+		return s.raiseLevel(*command.Level)
 	case command.Senders != nil:
 		s.contents.Senders, s.contents.SendersAt = *command.Senders, index
-		s.changed(index)
+		s.advance(index)
 		return OutcomeDone
 	default:
 		return OutcomeMalformed
 	}
 }
 
-func (s *State) changed(index uint64) { s.contents.Position = index }
+func (s *State) advance(index uint64) { s.contents.Position = index }
 
-// putConfiguration takes a configuration whose version is above the one held.
+// putConfiguration sets the configuration if its version is higher than the current one.
 func (s *State) putConfiguration(index uint64, put Configuration) Outcome {
 	if put.Version <= s.contents.Configuration.Version {
 		return OutcomeIgnored
 	}
 	s.contents.Configuration = put
 	s.contents.ConfigurationAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
@@ -243,24 +241,24 @@
 	}
 	s.contents.Weights[published.Model] = published.Version
 	s.contents.WeightsAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
-// noteUsage counts requests and moves windows on; requests of a closed window are not
+// applyUsage adds reported requests and closes windows; requests of closed windows are not
 // counted.
-func (s *State) noteUsage(noted Usage) Outcome {
+func (s *State) applyUsage(change Usage) Outcome {
 	outcome := OutcomeDone
-	for _, report := range noted.Noted {
+	for _, report := range change.Noted {
 		if s.contents.Usage.Note(report) > 0 {
 			outcome = OutcomeIgnored
 		}
 	}
-	if noted.FixUpTo != nil {
-		s.contents.Usage.Fix(*noted.FixUpTo)
+	if change.FixUpTo != nil {
+		s.contents.Usage.Fix(*change.FixUpTo)
 	}
-	if noted.Sent != nil {
-		s.contents.Usage.Sent(*noted.Sent)
+	if change.Sent != nil {
+		s.contents.Usage.Sent(*change.Sent)
 	}
 	return outcome
 }
--- a/internal/core/sitestate/stores.go
+++ b/internal/core/sitestate/stores.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// registerStore notes a store machine. A machine that registers with another
-// data folder starts anew, also if it was emptied before.
+// registerStore adds or updates a store machine. An emptied machine that registers with another
+// data folder becomes active again.
 func (s *State) registerStore(index uint64, registered Store) Outcome {
 	held, known := s.contents.Stores[registered.Name]
 	if known && held.SameRegistration(registered) {
@@ -16,20 +16,19 @@
 	}
 	s.contents.Stores[registered.Name] = registered
 	s.contents.StoresAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
-// found adds a shard. One whose number is not the next was decided on by a leader
-// that did not know of another one. There is none once a model is placed: who knows of
-// one knows all shards then.
-func (s *State) found(index uint64, founding Found) Outcome {
+// createShard adds a shard. It ignores a number that is not the next, which a leader proposed
+// without knowing of another shard. The set of shards is final once a model is placed.
+func (s *State) createShard(index uint64, founding Found) Outcome {
 	if int(founding.Shard.Number) != len(s.contents.Shards)+1 || len(s.contents.Placed) > 0 {
 		return OutcomeIgnored
 	}
 	s.contents.Shards = append(slices.Clone(s.contents.Shards), founding.Shard)
 	s.contents.StoresAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
@@ -42,7 +41,7 @@
 	}
 	s.contents.Placed[placing.Model] = placing.Shard
 	s.contents.StoresAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
 
@@ -61,6 +60,6 @@
 	}
 	s.contents.Stores[evacuation.Name] = store
 	s.contents.StoresAt = index
-	s.changed(index)
+	s.advance(index)
 	return OutcomeDone
 }
--- a/internal/core/sitestate/update.go
+++ b/internal/core/sitestate/update.go
@@ -10,56 +10,55 @@
 	"github.com/loomgrade/loomgrade/internal/core/quarantine"
 )
 
-// Update is what an observer lacks. Parts that have not changed are left out.
+// Update holds the changes that an observer is missing. Unchanged parts are omitted.
 type Update struct {
-	// Position is the log position that the observer holds afterwards.
+	// Position is the log position that the observer has after the update.
 	Position      uint64         `cbor:"1,keyasint"`
 	Configuration *Configuration `cbor:"2,keyasint,omitempty"`
 	Replicas      []Replica      `cbor:"3,keyasint,omitempty"`
-	// Gone are ids of replicas that left.
+	// Gone lists the ids of replicas that left.
 	Gone    []string          `cbor:"4,keyasint,omitempty"`
 	Weights map[string]uint64 `cbor:"5,keyasint,omitempty"`
 	Stores  []Store           `cbor:"6,keyasint,omitempty"`
-	// Shards and Placed come with Stores.
+	// Shards and Placed are set with Stores.
 	Shards []Shard                `cbor:"11,keyasint,omitempty"`
 	Placed map[string]ShardNumber `cbor:"12,keyasint,omitempty"`
-	// Quarantine comes if it has changed.
+	// Quarantine is set if it has changed.
 	Quarantine *Suspects `cbor:"13,keyasint,omitempty"`
-	// Drains comes if it has changed.
+	// Drains is set if it has changed.
 	Drains *Drains `cbor:"14,keyasint,omitempty"`
-	// Senders comes if it has changed, and with a whole state.
+	// Senders is set if it has changed.
 	Senders *uint32 `cbor:"15,keyasint,omitempty"`
-	// Members are the control members; the serving process sets them.
+	// Members are the control members, set by the serving process.
 	Members []groupmember.Record `cbor:"8,keyasint,omitempty"`
-	// Confirmed is set by a member in touch with a quorum and caught up.
+	// Confirmed is set by a member that is caught up and in contact with a quorum.
 	Confirmed bool `cbor:"9,keyasint,omitempty"`
-	// Whole is set if the update holds everything and replaces what the
-	// observer has.
+	// Whole is set if the update holds the complete state and replaces that of the observer.
 	Whole bool `cbor:"10,keyasint,omitempty"`
 }
 
-// Suspects are the requests of the quarantine that observers are told of.
+// Suspects holds the quarantined requests that observers receive.
 type Suspects struct {
 	List []quarantine.Suspect `cbor:"1,keyasint"`
 }
 
-// Interest says which changes of replicas an observer wants.
+// Interest selects the replica changes that an observer receives.
 type Interest uint8
 
 const (
-	// InterestAll is every change.
+	// InterestAll selects every change.
 	InterestAll Interest = iota
-	// InterestRouting leaves out changes of weights alone.
+	// InterestRouting omits changes of weights only.
 	InterestRouting
 )
 
-// Empty reports whether the update tells of no change.
+// Empty reports whether the update contains no change.
 func (u *Update) Empty() bool {
 	return !u.Whole && u.Configuration == nil && len(u.Replicas) == 0 && len(u.Gone) == 0 && u.Weights == nil && u.Stores == nil && u.Quarantine == nil && u.Drains == nil && u.Senders == nil && len(u.Members) == 0
 }
 
-// Update gives what an observer at position after lacks. An observer that is
-// ahead of this state gets an update without changes.
+// Update returns what an observer at position after is missing. An observer ahead of this state
+// gets an update without changes.
 func (s *State) Update(after uint64, interest Interest) Update {
 	update := Update{Position: s.contents.Position}
 	if after >= s.contents.Position && after > 0 {
@@ -73,7 +72,7 @@
 	if update.Whole {
 		update.Replicas = s.Replicas()
 	} else {
-		update.Replicas, update.Gone = s.changedReplicas(after, interest), s.goneAfter(after)
+		update.Replicas, update.Gone = s.changedReplicas(after, interest), s.departedAfter(after)
 	}
 	if s.contents.WeightsAt > after {
 		update.Weights = maps.Clone(s.contents.Weights)
@@ -97,7 +96,7 @@
 
 func (s *State) changedReplicas(after uint64, interest Interest) []Replica {
 	var changed []Replica
-	for _, change := range s.index.after(after) {
+	for _, change := range s.index.changesAfter(after) {
 		replica, known := s.contents.Replicas[change.id]
 		if !known || replica.ChangedAt != change.at {
 			continue
@@ -109,39 +108,38 @@
 	return changed
 }
 
-func (s *State) goneAfter(after uint64) []string {
-	first := sort.Search(len(s.contents.Gone), func(i int) bool { return s.contents.Gone[i].ChangedAt > after })
+func (s *State) departedAfter(after uint64) []string {
+	first := sort.Search(len(s.contents.Tombstones), func(i int) bool { return s.contents.Tombstones[i].ChangedAt > after })
 	var ids []string
-	for _, left := range s.contents.Gone[first:] {
+	for _, left := range s.contents.Tombstones[first:] {
 		ids = append(ids, left.ID)
 	}
 	return ids
 }
 
-// View is what an observer holds. It is immutable; Apply gives the next one.
+// View is an observer's copy of the state. It is immutable; Apply returns the next one.
 type View struct {
 	Position      uint64
 	Configuration Configuration
 	Replicas      ReplicaSet
-	// ByService holds the replicas that may take requests, by service.
+	// ByService holds the replicas that accept requests, by service.
 	ByService map[string]ReplicaList
-	// Drained are the zones whose replicas are sent nothing, in order.
+	// Drained lists the drained zones in order.
 	Drained []string
-	// Senders is about how many processes send requests to replicas, 0 if not known.
+	// Senders is the approximate number of processes that send requests to replicas, 0 if unknown.
 	Senders uint32
 	Weights map[string]uint64
 	Stores  []Store
-	// Shards are those of the jobs, by number, and Placed is the shard of each model's
-	// jobs.
+	// Shards are the shards of the jobs by number, Placed the shard of each model's jobs.
 	Shards  []Shard
 	Placed  map[string]ShardNumber
 	Members []groupmember.Record
-	// Suspects are requests under which replicas ended, and Quarantine finds them.
+	// Suspects are requests during which replicas ended, indexed by Quarantine.
 	Suspects   []quarantine.Suspect
 	Quarantine *quarantine.Index
 }
 
-// Update gives all that the view holds, but for the members.
+// Update returns the complete view without the members.
 func (v *View) Update() Update {
 	update := Update{
 		Position: v.Position, Whole: true, Weights: v.Weights, Stores: v.Stores, Shards: v.Shards, Placed: v.Placed,
@@ -162,7 +160,7 @@
 	return update
 }
 
-// Withheld is how many requests are withheld.
+// Withheld returns the number of withheld requests.
 func (v *View) Withheld() (count int) {
 	for i := range v.Suspects {
 		if v.Suspects[i].Withheld() {
@@ -172,8 +170,8 @@
 	return count
 }
 
-// Apply gives the view after an update. An update from a member that is behind
-// the view changes nothing.
+// Apply returns the view after an update. An update that is older than the view changes
+// nothing.
 func (v *View) Apply(update Update) *View {
 	next := &View{}
 	if v != nil {
@@ -186,7 +184,7 @@
 	if update.Configuration != nil && update.Configuration.Version >= next.Configuration.Version {
 		next.Configuration = *update.Configuration
 	}
-	next.takeReplicas(update)
+	next.applyReplicas(update)
 	if update.Senders != nil {
 		next.Senders = *update.Senders
 	}
@@ -207,8 +205,8 @@
 	return next
 }
 
-// takeReplicas takes over what an update says of replicas and of the zones that they stand in.
-func (v *View) takeReplicas(update Update) {
+// applyReplicas applies the changes of replicas and drained zones.
+func (v *View) applyReplicas(update Update) {
 	drainsChange := update.Whole || update.Drains != nil
 	if drainsChange {
 		v.Drained = update.drained()
@@ -223,7 +221,7 @@
 		v.ByService = v.byService()
 		return
 	}
-	v.ByService = v.regroup(held, update)
+	v.ByService = v.updateByService(held, update)
 }
 
 func (u *Update) drained() []string {
