--- a/internal/core/jobqueue/jobqueue.go
+++ b/internal/core/jobqueue/jobqueue.go
@@ -1,8 +1,7 @@
-// Package jobqueue decides which item of which job runs next, and at which
-// replica. Older jobs go before newer ones, and in a job the items that are
-// expected to be long, as its client waits for them in the end. Which groups it
-// will not wait for is not known beforehand: those that are whole last. The package
-// is pure.
+// Package jobqueue decides which item runs next, and on which replica. Older jobs run before
+// newer ones; within a job, items with a longer expected length run first, because they finish
+// last. Which groups the client will not wait for is unknown until enough others are complete.
+// The package does no I/O.
 package jobqueue
 
 import (
@@ -14,53 +13,52 @@
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 )
 
-// Key names an item.
+// Key identifies an item.
 type Key struct {
 	Job  string
 	Item int
 }
 
-// Item is an item that waits to run.
+// Item is an item waiting to run.
 type Item struct {
 	Key
 	Service string
 	Model   string
-	// MinVersion is the oldest weight version that may make its text.
+	// MinVersion is the oldest weight version that may generate its text.
 	MinVersion uint64
-	// Only, if not 0, is the one version that may go on with its text.
+	// Only, if not 0, is the weight version that must continue its text.
 	Only  uint64
 	Group string
 	// Rank orders the items; lower runs first.
 	Rank Rank
 	// Homes are the regions in which it may run.
 	Homes routing.Homes
-	// Relaxed is set for an item that is done in time at any replica.
+	// Relaxed is set for an item that finishes in time on any replica.
 	Relaxed bool
-	// Avoid is a replica that was slow at it; it is taken if there is no other.
+	// Avoid is a replica that was slow at the item, used only if there is no other.
 	Avoid string
-	// NotBefore holds an item back after a refusal.
+	// NotBefore is the earliest time to run the item after it was rejected.
 	NotBefore time.Time
 }
 
-// Rank is the place of an item in the order of work.
+// Rank is the position of an item in the queue.
 type Rank struct {
 	// Accepted is the log position at which the job was accepted.
 	Accepted uint64
-	// Expected is the length that the job's client expects, in its units: longer
-	// ones go first, as the client waits for them in the end.
+	// Expected is the length that the job's client expects; longer items run first.
 	Expected int
-	// Group and Item are positions in the job.
+	// Group and Item are the positions of the group and the item in the job.
 	Group int
 	Item  int
 }
 
-// Compare orders ranks.
+// Compare orders ranks; the lowest runs first.
 func (r Rank) Compare(other Rank) int {
 	return cmp.Or(cmp.Compare(r.Accepted, other.Accepted), cmp.Compare(other.Expected, r.Expected),
 		cmp.Compare(r.Group, other.Group), cmp.Compare(r.Item, other.Item))
 }
 
-// Ranks gives the ranks of a job's items.
+// Ranks returns the ranks of a job's items.
 func Ranks(job *jobstate.Job) []Rank {
 	groups := map[string]int{}
 	ranks := make([]Rank, len(job.Items))
@@ -76,7 +74,7 @@
 	return ranks
 }
 
-// groupName tells items without a group apart.
+// groupName returns a unique name for an item without a group.
 func groupName(name string, item int) string {
 	if name != "" {
 		return name
@@ -84,50 +82,50 @@
 	return string(rune(0)) + string(rune(item))
 }
 
-// Replica is a replica as the queue sees it.
+// Replica is the state of a replica that placement depends on.
 type Replica struct {
 	ID      string
 	Service string
-	// Region is where it stands, empty if that is not known.
+	// Region is where it runs, empty if unknown.
 	Region string
-	// Free is how many further items it may run.
+	// Free is the number of unused slots.
 	Free int
-	// Running is how many it runs.
+	// Running is the number of items it runs.
 	Running int
-	// Pace is the expected time between events of an item that runs there.
+	// Pace is the expected time between two events of an item.
 	Pace time.Duration
-	// Version gives the version of a model that it serves, 0 if none.
+	// Version returns the version of a model that it serves, 0 if none.
 	Version func(model string) uint64
-	// Groups are the groups whose prompt it has read lately.
+	// Groups reports whether it recently processed the prompt of a group.
 	Groups func(group string) bool
 }
 
-// Placement sends an item to a replica.
+// Placement assigns an item to a replica.
 type Placement struct {
 	Item    Item
 	Replica string
 }
 
-// Queue holds the items that wait. It is not safe for concurrent use.
+// Queue holds waiting items. It is not safe for concurrent use.
 type Queue struct {
 	waiting []Item
 	sorted  bool
 }
 
-// Add puts an item in.
+// Add adds an item.
 func (q *Queue) Add(item Item) {
 	q.waiting = append(q.waiting, item)
 	q.sorted = false
 }
 
-// Len gives the number of waiting items.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Drop takes out the items that match.
+// Drop removes the items that match.
 func (q *Queue) Drop(match func(Item) bool) { q.waiting = slices.DeleteFunc(q.waiting, match) }
 
-// Place takes out as many items as find a place, in order. It counts what it
-// places against the replicas given.
+// Place removes the items that can be placed, in rank order, and returns their placements. It
+// updates Free and Running of the given replicas.
 func (q *Queue) Place(replicas []Replica, now time.Time) []Placement {
 	if !q.sorted {
 		slices.SortStableFunc(q.waiting, func(a, b Item) int { return a.Rank.Compare(b.Rank) })
@@ -138,22 +136,22 @@
 		free += max(0, replica.Free)
 	}
 	var placed []Placement
-	left := q.waiting[:0]
-	// hopeless are wants that no replica with room meets; room only shrinks.
-	hopeless := map[want]bool{}
+	remaining := q.waiting[:0]
+	// unplaceable holds requirements that no replica with a free slot meets; slots only decrease.
+	unplaceable := map[requirement]bool{}
 	for i, item := range q.waiting {
 		if free == 0 {
-			left = append(left, q.waiting[i:]...)
+			remaining = append(remaining, q.waiting[i:]...)
 			break
 		}
-		if now.Before(item.NotBefore) || hopeless[wantOf(item)] {
-			left = append(left, item)
+		if now.Before(item.NotBefore) || unplaceable[requirementOf(item)] {
+			remaining = append(remaining, item)
 			continue
 		}
 		chosen := choose(replicas, item)
 		if chosen < 0 {
-			hopeless[wantOf(item)] = true
-			left = append(left, item)
+			unplaceable[requirementOf(item)] = true
+			remaining = append(remaining, item)
 			continue
 		}
 		replicas[chosen].Free--
@@ -161,22 +159,22 @@
 		free--
 		placed = append(placed, Placement{Item: item, Replica: replicas[chosen].ID})
 	}
-	q.waiting = left
+	q.waiting = remaining
 	return placed
 }
 
-// want is what an item asks of a replica.
-type want struct {
-	service, model   string
-	minVersion, only uint64
-	homes            string
+// requirement is the part of an item that a replica has to match.
+type requirement struct {
+	service, model           string
+	minVersion, exactVersion uint64
+	homes                    string
 }
 
-func wantOf(item Item) want {
-	return want{service: item.Service, model: item.Model, minVersion: item.MinVersion, only: item.Only, homes: item.Homes.String()}
+func requirementOf(item Item) requirement {
+	return requirement{service: item.Service, model: item.Model, minVersion: item.MinVersion, exactVersion: item.Only, homes: item.Homes.String()}
 }
 
-// choose gives the index of the best replica for an item, or -1.
+// choose returns the index of the best replica for an item, or -1.
 func choose(replicas []Replica, item Item) int {
 	best, bestCost := -1, 0.0
 	for i := range replicas {
@@ -186,7 +184,7 @@
 		}
 		cost := cost(replica, item)
 		if replica.ID == item.Avoid {
-			cost += avoidedCost
+			cost += avoidPenalty
 		}
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
@@ -195,9 +193,9 @@
 	return best
 }
 
-// cost weighs a replica for an item. What is done in time anywhere goes where least
-// runs, for its pace; the others go where they are done first, however many run
-// there. A replica that has read the group's prompt is preferred a little.
+// cost returns the cost of running an item on a replica. Relaxed items prefer replicas with few
+// running items; others prefer replicas that finish them first regardless of the number of
+// running items. A replica that processed the group's prompt has a small advantage.
 func cost(replica *Replica, item Item) float64 {
 	warm := 0.0
 	if replica.Groups != nil && replica.Groups(item.Group) {
@@ -206,19 +204,18 @@
 	if item.Relaxed {
 		return replica.Pace.Seconds() * (float64(replica.Running+1) - warm*sharedPromptBonus)
 	}
-	return replica.Pace.Seconds() * (1 + crowding*(float64(replica.Running)-warm*sharedPromptBonus))
+	return replica.Pace.Seconds() * (1 + batchSlowdown*(float64(replica.Running)-warm*sharedPromptBonus))
 }
 
-// avoidedCost puts a replica behind all others.
-const avoidedCost = 1e6
+// avoidPenalty ranks a replica after all others.
+const avoidPenalty = 1e6
 
 const (
-	// sharedPromptBonus is how many running items a replica may have more than
-	// another one and still be taken, if it has read the group's prompt.
+	// sharedPromptBonus is the number of additional running items at which a replica that
+	// processed the group's prompt is still preferred.
 	sharedPromptBonus = 2.5
-	// crowding is by what part of itself the pace of a batch grows with each item
-	// in it.
-	crowding = 0.015
+	// batchSlowdown is the relative increase of the pace per running item.
+	batchSlowdown = 0.015
 )
 
 func fits(replica *Replica, item Item) bool {
--- a/internal/core/jobqueue/jobqueue_test.go
+++ b/internal/core/jobqueue/jobqueue_test.go
@@ -38,12 +38,12 @@
 func TestVersionsBoundWhereAnItemRuns(t *testing.T) {
 	replicas := func() []jobqueue.Replica { return []jobqueue.Replica{replica("v3", 1, 3), replica("v5", 1, 5)} }
 	for _, row := range []struct {
-		least, only uint64
-		want        string
+		minVersion, exactVersion uint64
+		want                     string
 	}{{4, 0, "v5"}, {0, 3, "v3"}, {6, 0, ""}, {0, 4, ""}} {
 		var queue jobqueue.Queue
 		waiting := item("j", 0, jobqueue.Rank{})
-		waiting.MinVersion, waiting.Only = row.least, row.only
+		waiting.MinVersion, waiting.Only = row.minVersion, row.exactVersion
 		queue.Add(waiting)
 		placed := queue.Place(replicas(), now)
 		got := ""
@@ -51,7 +51,7 @@
 			got = placed[0].Replica
 		}
 		if got != row.want {
-			t.Errorf("least %d, only %d: %q, want %q", row.least, row.only, got, row.want)
+			t.Errorf("min version %d, exact version %d: placed at %q, want %q", row.minVersion, row.exactVersion, got, row.want)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		t.Errorf("placed %v", placed)
 	}
 	if placed := queue.Place([]jobqueue.Replica{replica("a", 2, 1)}, now.Add(time.Second)); len(placed) != 1 {
-		t.Errorf("placed %v afterwards", placed)
+		t.Errorf("after NotBefore: placed %v", placed)
 	}
 }
 
@@ -78,7 +78,7 @@
 		var queue jobqueue.Queue
 		queue.Add(item("j", 0, jobqueue.Rank{}))
 		if placed := queue.Place([]jobqueue.Replica{replica("cold", 8, 1), warm}, now); placed[0].Replica != want {
-			t.Errorf("running %d: at %s, want %s", running, placed[0].Replica, want)
+			t.Errorf("%d items running: placed at %s, want %s", running, placed[0].Replica, want)
 		}
 	}
 }
@@ -111,13 +111,13 @@
 	for _, placed := range queue.Place([]jobqueue.Replica{replica("a", 99, 1)}, now) {
 		order = append(order, fmt.Sprint(placed.Item.Job, placed.Item.Item))
 	}
-	// The client wants two groups of three: whichever are whole first.
+	// The client waits for two groups of three, in any order.
 	if want := []string{"older0", "j5", "j3", "j0", "j1", "j2", "j4"}; !slices.Equal(order, want) {
 		t.Errorf("order %v, want %v", order, want)
 	}
 	for i, rank := range jobqueue.Ranks(&jobstate.Job{Items: make([]jobstate.ItemState, 3)}) {
 		if rank.Expected != 0 || rank.Group != i {
-			t.Errorf("%+v, though nothing is known of lengths", rank)
+			t.Errorf("rank %+v without expected lengths", rank)
 		}
 	}
 }
@@ -150,12 +150,12 @@
 		replicas []jobqueue.Replica
 		want     string
 	}{
-		"long, the fast one runs much":       {false, []jobqueue.Replica{busy("slow", 0, slow), busy("fast", 11, fast)}, "fast"},
-		"long, both are fast":                {false, []jobqueue.Replica{busy("full", 9, fast), busy("free", 2, fast)}, "free"},
-		"long, the fast one has no room":     {false, []jobqueue.Replica{busy("slow", 0, slow), busy("fast", 12, fast)}, "slow"},
-		"in time anywhere, least runs":       {true, []jobqueue.Replica{busy("slow", 2, slow), busy("fast", 9, fast)}, "slow"},
-		"in time anywhere, as much runs":     {true, []jobqueue.Replica{busy("slow", 4, slow), busy("fast", 4, fast)}, "fast"},
-		"in time anywhere, one is very slow": {true, []jobqueue.Replica{busy("crawls", 0, 30*fast), busy("fast", 9, fast)}, "fast"},
+		"long item, fast replica is busy":      {false, []jobqueue.Replica{busy("slow", 0, slow), busy("fast", 11, fast)}, "fast"},
+		"long item, both replicas are fast":    {false, []jobqueue.Replica{busy("full", 9, fast), busy("free", 2, fast)}, "free"},
+		"long item, fast replica is full":      {false, []jobqueue.Replica{busy("slow", 0, slow), busy("fast", 12, fast)}, "slow"},
+		"relaxed, slow replica runs fewer":     {true, []jobqueue.Replica{busy("slow", 2, slow), busy("fast", 9, fast)}, "slow"},
+		"relaxed, both run equally many":       {true, []jobqueue.Replica{busy("slow", 4, slow), busy("fast", 4, fast)}, "fast"},
+		"relaxed, idle replica is much slower": {true, []jobqueue.Replica{busy("crawls", 0, 30*fast), busy("fast", 9, fast)}, "fast"},
 	} {
 		var queue jobqueue.Queue
 		waiting := item("j", 0, jobqueue.Rank{})
--- a/internal/core/jobqueue/move.go
+++ b/internal/core/jobqueue/move.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// moveCost is about what an item loses when it goes on elsewhere: its prompt
-	// and its text are read again, behind what waits there.
+	// moveCost is the expected time lost by a move: the new replica processes the prompt and
+	// the text again, after the requests queued there.
 	moveCost = 100 * time.Millisecond
-	// leastGain is what a move has to bring beyond its cost, as a pace is only
-	// expected.
-	leastGain = 150 * time.Millisecond
-	// leastRatio is by how much slower a run has to be than where it would go on.
-	leastRatio = 1.15
+	// minSaving is the time that a move has to save in addition to its cost, because paces are
+	// estimates.
+	minSaving = 150 * time.Millisecond
+	// minSlowdown is the ratio of the current pace to the target's above which a run may move.
+	minSlowdown = 1.15
 )
 
-// Run is an item that runs at a replica.
+// Run is an item running on a replica.
 type Run struct {
 	Item    Item
 	Replica string
-	// Pace is the time between its events of late.
+	// Pace is the recent time between its events.
 	Pace time.Duration
-	// Left is how many events are expected to follow.
+	// Left is the expected number of remaining events.
 	Left float64
 }
 
-// Moves picks the runs that are to go on at a faster replica that has room, those
-// that gain most first. It counts what it places against the replicas given.
+// Moves selects the runs to move to a faster replica with a free slot, largest saving first. It
+// updates Free and Running of the given replicas.
 func Moves(runs []Run, replicas []Replica) []Placement {
-	fastest := fastestWithRoom(replicas)
-	worthIt := slices.DeleteFunc(slices.Clone(runs), func(run Run) bool { return !gains(run, fastest) })
-	slices.SortStableFunc(worthIt, func(a, b Run) int { return -cmp.Compare(gain(a, fastest), gain(b, fastest)) })
+	fastest := fastestFree(replicas)
+	candidates := slices.DeleteFunc(slices.Clone(runs), func(run Run) bool { return !worthMoving(run, fastest) })
+	slices.SortStableFunc(candidates, func(a, b Run) int { return -cmp.Compare(saving(a, fastest), saving(b, fastest)) })
 	var moves []Placement
-	for _, run := range worthIt {
+	for _, run := range candidates {
 		chosen := choose(replicas, run.Item)
-		if chosen < 0 || replicas[chosen].ID == run.Replica || !gains(run, replicas[chosen].Pace) {
+		if chosen < 0 || replicas[chosen].ID == run.Replica || !worthMoving(run, replicas[chosen].Pace) {
 			continue
 		}
 		replicas[chosen].Free--
@@ -46,9 +46,9 @@
 	return moves
 }
 
-// fastestWithRoom gives the least pace of the replicas with room, or the longest
-// time if there are none.
-func fastestWithRoom(replicas []Replica) time.Duration {
+// fastestFree returns the lowest pace of the replicas with a free slot, or the maximum duration
+// if there are none.
+func fastestFree(replicas []Replica) time.Duration {
 	fastest := time.Duration(1<<63 - 1)
 	for i := range replicas {
 		if replicas[i].Free > 0 {
@@ -58,11 +58,11 @@
 	return fastest
 }
 
-// gain gives the time that a run saves by going on at another pace.
-func gain(run Run, pace time.Duration) time.Duration {
+// saving returns the time saved by moving a run to a replica with the given pace.
+func saving(run Run, pace time.Duration) time.Duration {
 	return time.Duration(run.Left*float64(run.Pace-pace)) - moveCost
 }
 
-func gains(run Run, pace time.Duration) bool {
-	return float64(run.Pace) >= leastRatio*float64(pace) && gain(run, pace) >= leastGain
+func worthMoving(run Run, pace time.Duration) bool {
+	return float64(run.Pace) >= minSlowdown*float64(pace) && saving(run, pace) >= minSaving
 }
--- a/internal/core/jobqueue/move_test.go
+++ b/internal/core/jobqueue/move_test.go
@@ -27,15 +27,15 @@
 		replicas []jobqueue.Replica
 		want     []int
 	}{
-		"a long one at a slow replica":      {[]jobqueue.Run{run(0, "s", slow, 50)}, []jobqueue.Replica{paced("f", 1, usual)}, []int{0}},
-		"nearly done":                       {[]jobqueue.Run{run(0, "s", slow, 5)}, []jobqueue.Replica{paced("f", 1, usual)}, nil},
-		"hardly slower":                     {[]jobqueue.Run{run(0, "s", 44*time.Millisecond, 500)}, []jobqueue.Replica{paced("f", 1, usual)}, nil},
-		"no room":                           {[]jobqueue.Run{run(0, "s", slow, 50)}, []jobqueue.Replica{paced("f", 0, usual)}, nil},
-		"others are as slow":                {[]jobqueue.Run{run(0, "s", slow, 50)}, []jobqueue.Replica{paced("t", 1, slow)}, nil},
-		"the one that gains most goes":      {[]jobqueue.Run{run(0, "s", slow, 30), run(1, "s", slow, 90)}, []jobqueue.Replica{paced("f", 1, usual)}, []int{1}},
-		"weights too old there":             {[]jobqueue.Run{needs(run(0, "s", slow, 50), 6)}, []jobqueue.Replica{paced("f", 1, usual)}, nil},
-		"silent, whatever its pace was":     {[]jobqueue.Run{run(0, "s", time.Second, 2)}, []jobqueue.Replica{paced("t", 1, slow)}, []int{0}},
-		"it has room itself, as the others": {[]jobqueue.Run{run(0, "s", 90*time.Millisecond, 50)}, []jobqueue.Replica{paced("s", 1, usual)}, nil},
+		"long run on a slow replica":          {[]jobqueue.Run{run(0, "s", slow, 50)}, []jobqueue.Replica{paced("f", 1, usual)}, []int{0}},
+		"nearly done":                         {[]jobqueue.Run{run(0, "s", slow, 5)}, []jobqueue.Replica{paced("f", 1, usual)}, nil},
+		"only slightly slower":                {[]jobqueue.Run{run(0, "s", 44*time.Millisecond, 500)}, []jobqueue.Replica{paced("f", 1, usual)}, nil},
+		"no free slot":                        {[]jobqueue.Run{run(0, "s", slow, 50)}, []jobqueue.Replica{paced("f", 0, usual)}, nil},
+		"other replica is as slow":            {[]jobqueue.Run{run(0, "s", slow, 50)}, []jobqueue.Replica{paced("t", 1, slow)}, nil},
+		"largest saving moves first":          {[]jobqueue.Run{run(0, "s", slow, 30), run(1, "s", slow, 90)}, []jobqueue.Replica{paced("f", 1, usual)}, []int{1}},
+		"weights of the target are too old":   {[]jobqueue.Run{needs(run(0, "s", slow, 50), 6)}, []jobqueue.Replica{paced("f", 1, usual)}, nil},
+		"stalled run":                         {[]jobqueue.Run{run(0, "s", time.Second, 2)}, []jobqueue.Replica{paced("t", 1, slow)}, []int{0}},
+		"only its own replica has free slots": {[]jobqueue.Run{run(0, "s", 90*time.Millisecond, 50)}, []jobqueue.Replica{paced("s", 1, usual)}, nil},
 	} {
 		moves := jobqueue.Moves(row.runs, row.replicas)
 		if len(moves) != len(row.want) {
@@ -44,7 +44,7 @@
 		}
 		for i, move := range moves {
 			if move.Item.Key.Item != row.want[i] {
-				t.Errorf("%s: item %d goes, want %d", name, move.Item.Key.Item, row.want[i])
+				t.Errorf("%s: item %d moves, want %d", name, move.Item.Key.Item, row.want[i])
 			}
 		}
 	}
