--- a/internal/core/jobstate/jobstate_test.go
+++ b/internal/core/jobstate/jobstate_test.go
@@ -14,7 +14,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// log applies commands as a replicated log would.
+// log applies commands in order.
 type log struct {
 	t     testing.TB
 	state *jobstate.State
@@ -67,11 +67,11 @@
 	l := newLog(t)
 	l.apply(jobstate.Command{Accept: submission("j", "a")})
 	l.record(text("j", 0, 0, "1", "2"))
-	l.record(text("j", 0, 0, "1", "2")) // a runner that was replaced
-	l.record(text("j", 0, 5, "6"))      // a gap
-	l.record(text("j", 7, 0, "1"))      // no such item
-	l.record(text("nobody", 0, 0, "1")) // no such job
-	stale := text("j", 0, 1, "2", "3")  // begins before what is held ends
+	l.record(text("j", 0, 0, "1", "2")) // duplicate from a replaced runner
+	l.record(text("j", 0, 5, "6"))      // gap
+	l.record(text("j", 7, 0, "1"))      // unknown item
+	l.record(text("nobody", 0, 0, "1")) // unknown job
+	stale := text("j", 0, 1, "2", "3")  // overlaps the stored text
 	stale.Whole = true
 	l.record(stale)
 	l.record(text("j", 0, 2, "3"))
@@ -92,7 +92,7 @@
 	early.Result, early.Score = jobstate.ResultCompleted, "s"
 	l.record(early)
 	if page := l.state.Job("j").Page(0, 1000); len(page.Results) != 0 {
-		t.Errorf("completed without a whole text: %+v", page)
+		t.Errorf("completed with an incomplete text: %+v", page)
 	}
 	whole := text("j", 0, 1, "2")
 	whole.Whole, whole.Result, whole.Score = true, jobstate.ResultCompleted, "s"
@@ -104,7 +104,7 @@
 		t.Errorf("%+v", page)
 	}
 	if job := l.state.Job("j"); job.Items[0].Item.Body != nil || !job.Done() {
-		t.Errorf("a listed item keeps its body: %+v", job.Items[0])
+		t.Errorf("a finished item keeps its body: %+v", job.Items[0])
 	}
 }
 
@@ -157,7 +157,7 @@
 	l.apply(jobstate.Command{Accept: submission("j", "a")})
 	for range 2 {
 		if known := l.apply(jobstate.Command{End: &jobstate.End{ID: "j"}}); known != true {
-			t.Error("the job is not known")
+			t.Error("the job is unknown")
 		}
 	}
 	if known := l.apply(jobstate.Command{End: &jobstate.End{ID: "x"}}); known != false {
@@ -165,13 +165,12 @@
 	}
 	l.apply(jobstate.Command{Forget: &jobstate.Forget{Jobs: []string{"j", "x"}}})
 	if l.state.Job("j") != nil {
-		t.Error("the job is kept")
+		t.Error("the job is still stored")
 	}
 }
 
-// TestResultsNeverMove: whatever runners record, in whatever order and however
-// often, positions keep what they held, no item stands twice, and a snapshot
-// holds the same.
+// TestResultsNeverMove checks that result positions never change and contain no item twice,
+// whatever runners record, and that a snapshot preserves them.
 func TestResultsNeverMove(t *testing.T) {
 	testkit.Check(t, 14, func(r *rapid.T) {
 		l := newLog(t)
@@ -200,20 +199,20 @@
 					r.Fatal(err)
 				}
 				if counted != l.state.Bytes() || counted < len(data) {
-					r.Fatalf("%d bytes counted step by step, %d anew, %d encoded", counted, l.state.Bytes(), len(data))
+					r.Fatalf("%d bytes counted incrementally, %d after restore, %d encoded", counted, l.state.Bytes(), len(data))
 				}
 			}
 			page := l.state.Job("j").Page(0, 1<<20)
 			if len(page.Results) < len(seen) {
-				r.Fatalf("%d results after %d", len(page.Results), len(seen))
+				r.Fatalf("%d results, previously %d", len(page.Results), len(seen))
 			}
 			names := map[string]bool{}
 			for i, result := range page.Results {
 				if i < len(seen) && fmt.Sprint(result) != fmt.Sprint(seen[i]) {
-					r.Fatalf("position %d held %v and holds %v", i, seen[i], result)
+					r.Fatalf("position %d changed from %v to %v", i, seen[i], result)
 				}
 				if names[result.ID] {
-					r.Fatalf("%s stands twice", result.ID)
+					r.Fatalf("%s is listed twice", result.ID)
 				}
 				names[result.ID] = true
 			}
@@ -222,8 +221,8 @@
 	})
 }
 
-// TestACaptureHoldsWhatWasThere: a snapshot that is encoded later is that of the
-// moment at which it was captured.
+// TestACaptureHoldsWhatWasThere checks that a snapshot encoded later holds the state at the time
+// of its capture.
 func TestACaptureHoldsWhatWasThere(t *testing.T) {
 	testkit.Check(t, 15, func(r *rapid.T) {
 		l := newLog(t)
@@ -247,13 +246,13 @@
 		l.apply(jobstate.Command{Forget: &jobstate.Forget{Jobs: []string{"j"}}})
 		for i, encode := range captured {
 			if got, err := encode.Bytes(); err != nil || !bytes.Equal(got, want[i]) {
-				r.Fatalf("capture %d differs from what was there: %v", i, err)
+				r.Fatalf("snapshot %d differs from the captured state: %v", i, err)
 			}
 		}
 	})
 }
 
-// benchmarkJob is a job of the size of today's sites.
+// benchmarkJob returns a job with 116 items in groups of four.
 func benchmarkJob(id string) *jobstate.Submission {
 	job := submission(id)
 	for i := range 116 {
@@ -300,8 +299,8 @@
 	}
 }
 
-// TestTheBufferOfASnapshotIsMadeOnce: a state that is large must not stand in memory
-// several times while it is encoded.
+// TestTheBufferOfASnapshotIsMadeOnce checks that encoding a snapshot does not grow its buffer,
+// which would hold a large state in memory several times.
 func TestTheBufferOfASnapshotIsMadeOnce(t *testing.T) {
 	l := newLog(t)
 	job := submission("j", "a", "b", "c")
@@ -317,34 +316,33 @@
 		t.Fatal(err)
 	}
 	if most := buffer.Len() * 11 / 10; buffer.Cap() > most {
-		t.Errorf("a buffer of %d bytes for %d", buffer.Cap(), buffer.Len())
+		t.Errorf("buffer of %d bytes for a snapshot of %d bytes", buffer.Cap(), buffer.Len())
 	}
 }
 
-// TestBytesCountWhatIsHeld: through a job's life, and down to nothing once it is
-// forgotten.
+// TestBytesCountWhatIsHeld checks Bytes over the life of a job.
 func TestBytesCountWhatIsHeld(t *testing.T) {
 	l := newLog(t)
 	var before int
-	rises := func(what string, want bool) {
+	checkGrowth := func(what string, want bool) {
 		t.Helper()
 		if rose := l.state.Bytes() > before; rose != want {
-			t.Errorf("%s: %d bytes after %d", what, l.state.Bytes(), before)
+			t.Errorf("%s: %d bytes, previously %d", what, l.state.Bytes(), before)
 		}
 		before = l.state.Bytes()
 	}
 	l.apply(jobstate.Command{Accept: submission("j", "a", "b")})
-	rises("a job", true)
+	checkGrowth("accepted job", true)
 	l.record(text("j", 0, 0, strings.Repeat("x", 1000)))
-	rises("text", true)
+	checkGrowth("text", true)
 	l.record(jobstate.ItemRecord{Job: "j", Item: 0, Events: 1, Whole: true, Result: jobstate.ResultCompleted})
-	rises("a result, which frees the request", false)
+	checkGrowth("result, which frees the request", false)
 	l.apply(jobstate.Command{Accept: submission("k", "c")})
-	rises("another job", true)
+	checkGrowth("second job", true)
 	l.apply(jobstate.Command{End: &jobstate.End{ID: "j"}})
-	rises("an end", false)
+	checkGrowth("ended job", false)
 	l.apply(jobstate.Command{Forget: &jobstate.Forget{Jobs: []string{"j", "k"}}})
 	if l.state.Bytes() != 0 {
-		t.Errorf("%d bytes of no job", l.state.Bytes())
+		t.Errorf("%d bytes without jobs", l.state.Bytes())
 	}
 }
--- a/internal/core/jobstate/state.go
+++ b/internal/core/jobstate/state.go
@@ -12,10 +12,10 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// ItemState is an item with what became of it.
+// ItemState is an item and its progress.
 type ItemState struct {
 	Item Item `cbor:"1,keyasint"`
-	// Text is the data of the events so far, joined by line feeds.
+	// Text is the data of the events so far, joined by newlines.
 	Text           string   `cbor:"2,keyasint,omitempty"`
 	Events         int      `cbor:"3,keyasint,omitempty"`
 	LastEvent      string   `cbor:"4,keyasint,omitempty"`
@@ -25,23 +25,23 @@
 	ScorerFailures int      `cbor:"8,keyasint,omitempty"`
 	Result         Result   `cbor:"9,keyasint,omitempty"`
 	Score          string   `cbor:"10,keyasint,omitempty"`
-	// BodySum identifies the item's body after it was dropped.
+	// BodySum is the hash of the item's body, kept after the body is dropped.
 	BodySum uint64 `cbor:"11,keyasint,omitempty"`
-	// Ends counts the replicas that ended while they ran the item.
+	// Ends is the number of replicas that crashed while they ran the item.
 	Ends int `cbor:"12,keyasint,omitempty"`
 }
 
-// dropRequest frees what only a run needs.
+// dropRequest frees the parts of the request that only a run needs.
 func (i *ItemState) dropRequest() {
 	i.Item.Body, i.Item.Headers, i.Item.Scorer = nil, nil, nil
 }
 
 // Job is an accepted job.
 type Job struct {
-	// Submission is as it was accepted, but that its items stand in Items.
+	// Submission is the accepted job without its items, which are in Items.
 	Submission Submission  `cbor:"1,keyasint"`
 	Items      []ItemState `cbor:"2,keyasint"`
-	// Results are indexes of items by position.
+	// Results holds the indexes of finished items by result position.
 	Results []int `cbor:"3,keyasint"`
 	Ended   bool  `cbor:"4,keyasint"`
 	// AcceptedAt is the log position of the acceptance.
@@ -51,7 +51,7 @@
 // Done reports whether every item has a result.
 func (j *Job) Done() bool { return len(j.Results) == len(j.Items) }
 
-// Longest gives the longest length that the client expects of an item.
+// Longest returns the longest expected length of the job's items.
 func (j *Job) Longest() int {
 	longest := 0
 	for i := range j.Items {
@@ -63,29 +63,28 @@
 // State holds the jobs. It is not safe for concurrent use.
 type State struct {
 	jobs map[string]*Job
-	// latest finds the newest job of an item id, for items that come back in
-	// a later job.
-	latest map[string]itemPlace
-	// serial counts results and ends, for those who wait for news; jobSerial
-	// counts jobs that came, ended or were forgotten.
+	// latest maps item ids to the newest job that contains them.
+	latest map[string]itemRef
+	// serial counts results and ended jobs, for readers that wait for changes; jobSerial
+	// counts accepted, ended and removed jobs.
 	serial    uint64
 	jobSerial uint64
-	// bytes is about what the encoding of all jobs needs.
+	// bytes is an upper estimate of the encoded size of all jobs.
 	bytes int
 }
 
-type itemPlace struct {
+type itemRef struct {
 	job  string
 	item int
 }
 
-// New makes the empty state.
+// New returns an empty state.
 func New() *State {
-	return &State{jobs: map[string]*Job{}, latest: map[string]itemPlace{}}
+	return &State{jobs: map[string]*Job{}, latest: map[string]itemRef{}}
 }
 
-// Snapshot implements groupmember.StateMachine. What an item refers to is replaced,
-// never changed in place, so that copies of the items are enough.
+// Snapshot implements groupmember.StateMachine. Values that an item refers to are replaced, never
+// modified, so copies of the items suffice.
 func (s *State) Snapshot() groupmember.Encoder {
 	jobs := s.Jobs()
 	for i, job := range jobs {
@@ -101,7 +100,7 @@
 	}
 }
 
-// encoding writes behind what a buffer holds.
+// encoding appends to a buffer.
 var encoding = func() cbor.UserBufferEncMode {
 	mode, err := cbor.EncOptions{}.UserBufferEncMode()
 	if err != nil {
@@ -110,15 +109,14 @@
 	return mode
 }()
 
-// encodedItem is about what an item's encoding needs beside its text and request.
-const encodedItem = 256
+// itemOverhead is the estimated encoded size of an item without its text and request.
+const itemOverhead = 256
 
-// Bytes estimates the size of the encoded jobs from above. A snapshot's buffer, which is
-// most of what a large state costs in the making, is made once by it; and it is what says
-// how much the state takes of a machine's memory.
+// Bytes returns an upper estimate of the encoded size of the jobs. It sizes the snapshot's buffer
+// and measures the memory used by the state.
 func (s *State) Bytes() int { return s.bytes }
 
-// size estimates the size of the encoded job from above.
+// size returns an upper estimate of the encoded size of the job.
 func (j *Job) size() int {
 	size := 0
 	for i := range j.Items {
@@ -127,14 +125,14 @@
 	return size
 }
 
-// size estimates the size of the encoded item from above.
+// size returns an upper estimate of the encoded size of the item.
 func (i *ItemState) size() int {
-	size := encodedItem + len(i.Text) + len(i.Item.Body) + len(i.Item.ID) + len(i.Item.Path) + len(i.Item.Group)
+	size := itemOverhead + len(i.Text) + len(i.Item.Body) + len(i.Item.ID) + len(i.Item.Path) + len(i.Item.Group)
 	for _, header := range i.Item.Headers {
 		size += len(header.Name) + len(header.Value)
 	}
 	if scorer := i.Item.Scorer; scorer != nil {
-		size += encodedItem + len(scorer.Body) + len(scorer.Path) + len(scorer.Host)
+		size += itemOverhead + len(scorer.Body) + len(scorer.Path) + len(scorer.Host)
 	}
 	return size
 }
@@ -146,7 +144,7 @@
 		return err
 	}
 	s.jobs = make(map[string]*Job, len(jobs))
-	s.latest = map[string]itemPlace{}
+	s.latest = map[string]itemRef{}
 	s.bytes = 0
 	for _, job := range jobs {
 		s.add(job)
@@ -160,21 +158,20 @@
 	s.jobs[job.Submission.ID] = job
 	s.bytes += job.size()
 	for i := range job.Items {
-		s.latest[job.Items[i].Item.ID] = itemPlace{job.Submission.ID, i}
+		s.latest[job.Items[i].Item.ID] = itemRef{job.Submission.ID, i}
 	}
 }
 
-// Serial rises with every result, end and restored snapshot.
+// Serial increases with every result, ended job and restored snapshot.
 func (s *State) Serial() uint64 { return s.serial }
 
-// JobSerial rises with every job that comes, ends or is forgotten, and with
-// every restored snapshot.
+// JobSerial increases with every accepted, ended or removed job and every restored snapshot.
 func (s *State) JobSerial() uint64 { return s.jobSerial }
 
-// Job finds a job, or nil. The caller must not change it.
+// Job returns a job, or nil. The caller must not modify it.
 func (s *State) Job(id string) *Job { return s.jobs[id] }
 
-// Jobs gives all jobs in the order of acceptance.
+// Jobs returns all jobs in the order of acceptance.
 func (s *State) Jobs() []*Job {
 	jobs := make([]*Job, 0, len(s.jobs))
 	for _, job := range s.jobs {
@@ -184,8 +181,8 @@
 	return jobs
 }
 
-// Apply implements groupmember.StateMachine. Accept gives an AcceptOutcome, End
-// whether the job is known; the others give nil.
+// Apply implements groupmember.StateMachine. Accept returns an AcceptOutcome, End whether the job
+// is known, the others nil.
 func (s *State) Apply(index uint64, data []byte) any {
 	var command Command
 	if err := cbor.Unmarshal(data, &command); err != nil {
@@ -206,8 +203,7 @@
 	return nil
 }
 
-// accept takes a job once. Items that stood in an earlier job take over the
-// text that was kept for them, if its versions fit.
+// accept stores a new job. Items of an earlier job reuse its text if the versions are allowed.
 func (s *State) accept(index uint64, submission Submission) AcceptOutcome {
 	if held := s.jobs[submission.ID]; held != nil {
 		if held.Submission.Tenant != submission.Tenant {
@@ -217,7 +213,7 @@
 	}
 	job := &Job{Submission: submission, AcceptedAt: index, Items: make([]ItemState, len(submission.Items))}
 	for i, item := range submission.Items {
-		job.Items[i] = s.carriedOver(item, &submission)
+		job.Items[i] = s.reuseText(item, &submission)
 	}
 	job.Submission.Items = nil
 	s.add(job)
@@ -225,7 +221,7 @@
 	return Accepted
 }
 
-func (s *State) carriedOver(item Item, submission *Submission) ItemState {
+func (s *State) reuseText(item Item, submission *Submission) ItemState {
 	fresh := ItemState{Item: item, BodySum: xxhash.Sum64(item.Body)}
 	place, known := s.latest[item.ID]
 	if !known {
@@ -244,7 +240,7 @@
 	return fresh
 }
 
-// fits reports whether text of these versions may stand in a job.
+// fits reports whether a job may use text generated by these versions.
 func fits(versions []uint64, submission *Submission) bool {
 	if submission.OneVersion && len(versions) > 1 {
 		return false
@@ -270,8 +266,8 @@
 	return true
 }
 
-// record notes what became of an item. After its result, or for a text that
-// does not follow what is held, nothing changes.
+// record applies an item's record. It ignores records of finished items and text that does not
+// continue the stored text.
 func (s *State) record(record ItemRecord) {
 	job := s.jobs[record.Job]
 	if job == nil || record.Item < 0 || record.Item >= len(job.Items) {
@@ -282,15 +278,15 @@
 		return
 	}
 	before := item.size()
-	if item.note(record) {
+	if item.apply(record) {
 		job.Results = append(job.Results, record.Item)
 		s.serial++
 	}
 	s.bytes += item.size() - before
 }
 
-// note takes a record in and reports whether the item has its result by it.
-func (i *ItemState) note(record ItemRecord) bool {
+// apply applies a record and reports whether it finished the item.
+func (i *ItemState) apply(record ItemRecord) bool {
 	i.Failures += record.Failures
 	i.ScorerFailures += record.ScorerFailures
 	i.Ends += record.Ends
@@ -299,7 +295,7 @@
 	}
 	follows := record.Events == i.Events
 	if follows {
-		i.take(record)
+		i.appendText(record)
 	}
 	switch {
 	case record.Result == ResultErrored:
@@ -313,7 +309,7 @@
 	return true
 }
 
-func (i *ItemState) take(record ItemRecord) {
+func (i *ItemState) appendText(record ItemRecord) {
 	if len(record.Text) > 0 {
 		added := strings.Join(record.Text, "\n")
 		if i.Events > 0 {
@@ -327,7 +323,7 @@
 	i.Whole = i.Whole || record.Whole
 }
 
-// union gives both sets, sorted, without changing either.
+// union returns the sorted union without modifying its arguments.
 func union(a, b []uint64) []uint64 {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
@@ -360,7 +356,7 @@
 	Score    string   `cbor:"5,keyasint,omitempty"`
 }
 
-// Page is a part of a job's results.
+// Page is a range of a job's results.
 type Page struct {
 	Total   int          `cbor:"1,keyasint"`
 	Results []ResultView `cbor:"2,keyasint,omitempty"`
@@ -369,8 +365,8 @@
 	Ended bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Page gives results from a position on: at least one if there is one, and
-// then as many as fit into the given bytes of text.
+// Page returns results starting at a position: at least one if available, and no more than fit
+// into maxBytes.
 func (j *Job) Page(from, maxBytes int) Page {
 	page := Page{Total: len(j.Items), Next: max(0, min(from, len(j.Results))), Ended: j.Ended}
 	bytes := 0
@@ -390,5 +386,5 @@
 	return page
 }
 
-// resultOverhead is about what a result's encoding needs beside its text.
+// resultOverhead is the estimated encoded size of a result without its text.
 const resultOverhead = 128
--- a/internal/core/sitestate/command.go
+++ b/internal/core/sitestate/command.go
@@ -32,7 +32,7 @@
 	Level *Level `cbor:"15,keyasint,omitempty"`
 }
 
-// Quarantine reports events of requests during which replicas ended. Events are applied in
+// Quarantine reports events of requests during which replicas crashed. Events are applied in
 // order; the outcome is that of the last one.
 type Quarantine struct {
 	Events []quarantine.Event `cbor:"1,keyasint"`
--- a/internal/core/sitestate/quarantine.go
+++ b/internal/core/sitestate/quarantine.go
@@ -2,7 +2,7 @@
 
 import "github.com/loomgrade/loomgrade/internal/core/quarantine"
 
-// Suspects returns all requests during which replicas ended. The caller must not modify them.
+// Suspects returns all requests during which replicas crashed. The caller must not modify them.
 func (s *State) Suspects() []quarantine.Suspect { return s.contents.Quarantine.Suspects }
 
 // applyQuarantine applies events in order.
--- a/internal/core/sitestate/state.go
+++ b/internal/core/sitestate/state.go
@@ -42,7 +42,7 @@
 	Placed   map[string]ShardNumber `cbor:"13,keyasint"` // by model
 	// Usage is not sent to observers, so its changes do not advance Position.
 	Usage usage.Ledger `cbor:"14,keyasint"`
-	// Quarantine holds requests during which replicas ended; QuarantineAt is the position of
+	// Quarantine holds requests during which replicas crashed; QuarantineAt is the position of
 	// the last change that observers receive.
 	Quarantine   quarantine.Ledger `cbor:"15,keyasint"`
 	QuarantineAt uint64            `cbor:"16,keyasint"`
--- a/internal/core/sitestate/update.go
+++ b/internal/core/sitestate/update.go
@@ -134,7 +134,7 @@
 	Shards  []Shard
 	Placed  map[string]ShardNumber
 	Members []groupmember.Record
-	// Suspects are requests during which replicas ended, indexed by Quarantine.
+	// Suspects are requests during which replicas crashed, indexed by Quarantine.
 	Suspects   []quarantine.Suspect
 	Quarantine *quarantine.Index
 }
