--- a/internal/core/registry/answers.go
+++ b/internal/core/registry/answers.go
@@ -6,51 +6,49 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Limits of the answers kept for resent changes.
+// Limits of the stored answers.
 const (
-	// AnswerLifetime is how long an answer is kept, in the log's time, from its
-	// application or the change id's birth, whichever is later.
+	// AnswerLifetime is how long an answer is stored, in log time, after it was applied or
+	// its change id was created, whichever is later.
 	AnswerLifetime = 10 * time.Minute
-	// MaxAnswers bounds the answers kept; the oldest go first.
+	// MaxAnswers limits the stored answers; the oldest are dropped first.
 	MaxAnswers = 65536
-	// MaxBirthAhead is how far a change id may be ahead of the log's time. Log
-	// time can lag by the length of an outage if the clock of the leader after
-	// it is behind, and changes must go through then.
-	MaxBirthAhead = time.Hour
+	// MaxCreatedAhead is how far a change id's creation may be ahead of log time. Log time lags
+	// by the length of an outage if the clock of the next leader is behind.
+	MaxCreatedAhead = time.Hour
 )
 
 // Digest identifies the body of a command.
 type Digest [16]byte
 
-// Answer is the remembered result of one change.
+// Answer is the stored result of a change.
 type Answer struct {
-	ID     string      `cbor:"1,keyasint"`
-	Birth  int64       `cbor:"2,keyasint"`
-	Digest Digest      `cbor:"3,keyasint"`
-	Time   int64       `cbor:"4,keyasint"` // log time of the first answer, milliseconds
-	Result port.Result `cbor:"5,keyasint"`
+	ID        string      `cbor:"1,keyasint"`
+	CreatedAt int64       `cbor:"2,keyasint"`
+	Digest    Digest      `cbor:"3,keyasint"`
+	Time      int64       `cbor:"4,keyasint"` // log time of the first answer, milliseconds
+	Result    port.Result `cbor:"5,keyasint"`
 }
 
-// Answers remembers results by change id. An unknown id that is not younger
-// than the youngest forgotten one is refused, so that a change whose answer was
-// dropped is never applied a second time. The rule needs no agreement between
-// the clocks of operators and members: it compares births with births.
+// Answers stores results by change id. It rejects an unknown id that is not newer than the newest
+// expired one, so that a change whose answer was dropped is never applied twice. It compares
+// creation times with each other and needs no synchronized clocks.
 type Answers struct {
 	known map[string]int // position in queue, plus removed
 	queue []Answer       // in order of application
-	// removed counts the answers dropped from the queue's front so far.
-	removed int
-	floor   int64
-	limit   int
+	// removed is the number of answers dropped from the front of queue.
+	removed        int
+	expiredThrough int64
+	limit          int
 }
 
-// NewAnswers makes an empty store that keeps at most limit answers.
+// NewAnswers returns an empty store for at most limit answers.
 func NewAnswers(limit int) *Answers {
 	return &Answers{known: map[string]int{}, limit: limit}
 }
 
-// Lookup checks a change id against what is remembered. It gives the first
-// answer of a resend (found), or an error for a change that must not be applied.
+// Lookup checks a change id. It returns the stored answer of a resent change (found), or an
+// error for a change that must not be applied.
 func (a *Answers) Lookup(id string, digest Digest, now int64) (result port.Result, found bool, refusal *port.Error) {
 	if position, known := a.known[id]; known {
 		answer := a.queue[position-a.removed]
@@ -60,27 +58,27 @@
 		}
 		return answer.Result, true, nil
 	}
-	birth, err := ParseChangeID(id)
+	created, err := ParseChangeID(id)
 	if err != nil {
 		return port.Result{}, false, port.AsError(err)
 	}
-	if birth <= a.floor {
+	if created <= a.expiredThrough {
 		return port.Result{}, false, port.NewError(port.NotRun, port.CodeChangeExpired,
-			"answers to changes born at or before %d are no longer kept; look at the state and send a new change", a.floor)
+			"answers to changes created at or before %d have expired; check the state and send a new change", a.expiredThrough)
 	}
-	if birth > now+MaxBirthAhead.Milliseconds() {
+	if created > now+MaxCreatedAhead.Milliseconds() {
 		return port.Result{}, false, port.InvalidField("change_id", id, "not more than an hour ahead of the control members' time")
 	}
 	return port.Result{}, false, nil
 }
 
-// Remember keeps the first answer to a change.
+// Remember stores the first answer to a change.
 func (a *Answers) Remember(id string, digest Digest, now int64, result port.Result) {
-	birth, err := ParseChangeID(id)
+	created, err := ParseChangeID(id)
 	if err != nil {
 		return
 	}
-	a.add(Answer{ID: id, Birth: birth, Digest: digest, Time: now, Result: result})
+	a.add(Answer{ID: id, CreatedAt: created, Digest: digest, Time: now, Result: result})
 	a.Expire(now)
 }
 
@@ -89,18 +87,18 @@
 	a.queue = append(a.queue, answer)
 }
 
-// Expire drops the answers past their lifetime or over the limit.
+// Expire drops the answers that are past their lifetime or over the limit.
 func (a *Answers) Expire(now int64) {
 	drop := 0
 	for drop < len(a.queue) {
-		// Until log time has passed the birth too: otherwise one operator whose
-		// clock is ahead would raise the floor over everybody else's births.
-		start := max(a.queue[drop].Time, a.queue[drop].Birth)
+		// Also wait for the creation time: otherwise a client whose clock is ahead would
+		// make the ids of all others count as expired.
+		start := max(a.queue[drop].Time, a.queue[drop].CreatedAt)
 		overdue := start+AnswerLifetime.Milliseconds() < now
 		if !overdue && len(a.queue)-drop <= a.limit {
 			break
 		}
-		a.floor = max(a.floor, a.queue[drop].Birth)
+		a.expiredThrough = max(a.expiredThrough, a.queue[drop].CreatedAt)
 		delete(a.known, a.queue[drop].ID)
 		a.queue[drop] = Answer{}
 		drop++
@@ -109,17 +107,17 @@
 	a.removed += drop
 }
 
-// Len gives the number of answers kept.
+// Len returns the number of stored answers.
 func (a *Answers) Len() int { return len(a.queue) }
 
-// Export gives the kept answers in order, and the floor, for a snapshot.
-func (a *Answers) Export() (answers []Answer, floor int64) { return a.queue, a.floor }
+// Export returns the stored answers in order and the newest expired creation time, for a snapshot.
+func (a *Answers) Export() (answers []Answer, expiredThrough int64) { return a.queue, a.expiredThrough }
 
-// Import replaces the contents by those that Export gave.
-func (a *Answers) Import(answers []Answer, floor int64) {
+// Import replaces the contents by those returned by Export.
+func (a *Answers) Import(answers []Answer, expiredThrough int64) {
 	a.known = make(map[string]int, len(answers))
 	a.queue = make([]Answer, 0, len(answers))
-	a.removed, a.floor = 0, floor
+	a.removed, a.expiredThrough = 0, expiredThrough
 	for _, answer := range answers {
 		a.add(answer)
 	}
--- a/internal/core/registry/document.go
+++ b/internal/core/registry/document.go
@@ -9,9 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Document is the configuration in a form that is cheap to edit: pools and
-// replicas are sorted by name, and slices given out are copied only when the
-// next edit touches them.
+// Document is an editable configuration. Pools and replicas are sorted by name; slices that it
+// returned are copied on the next edit.
 type Document struct {
 	pools       []port.Pool
 	replicas    []port.Replica
@@ -22,10 +21,10 @@
 	poolsShared, replicasShared bool
 }
 
-// NewDocument makes an empty document.
+// NewDocument returns an empty document.
 func NewDocument() *Document { return &Document{addresses: map[string]port.ReplicaID{}} }
 
-// LoadDocument takes over a valid, sorted configuration, as Configuration gives.
+// LoadDocument returns a document with a valid configuration.
 func LoadDocument(configuration port.Configuration) *Document {
 	document := NewDocument()
 	document.pools = slices.Clone(configuration.Pools)
@@ -40,14 +39,13 @@
 	return document
 }
 
-// Configuration gives the document's present contents. Its slices are shared
-// and must not be changed.
+// Configuration returns the current contents. Its slices are shared and must not be modified.
 func (d *Document) Configuration() port.Configuration {
 	d.poolsShared, d.replicasShared = true, true
 	return port.Configuration{Pools: d.pools, Replicas: d.replicas, Tenants: d.tenants, MachineList: d.machineList}
 }
 
-// Pool finds a pool.
+// Pool returns a pool by name.
 func (d *Document) Pool(name port.PoolName) (port.Pool, bool) {
 	position, found := d.findPool(name)
 	if !found {
@@ -56,7 +54,7 @@
 	return d.pools[position], true
 }
 
-// Apply makes all edits in order, or none of them and gives the reason.
+// Apply applies all edits in order, or none and returns the reason.
 func (d *Document) Apply(edits []port.Edit) *port.Error {
 	if len(edits) == 0 || len(edits) > MaxEdits {
 		return port.InvalidField("edits", strconv.Itoa(len(edits)), fmt.Sprintf("1 to %d edits", MaxEdits))
@@ -73,7 +71,7 @@
 	return nil
 }
 
-// revert makes inverse edits, last first. They restore states that were valid.
+// revert applies inverse edits in reverse order. The states they restore were valid.
 func (d *Document) revert(undo []port.Edit) {
 	for _, inverse := range slices.Backward(undo) {
 		d.Replay(inverse)
@@ -100,7 +98,7 @@
 	}
 }
 
-// Replay makes an edit that was accepted before, without checks.
+// Replay applies an already accepted edit without checks.
 func (d *Document) Replay(edit port.Edit) {
 	switch {
 	case edit.PutPool != nil:
@@ -154,8 +152,8 @@
 	return port.Edit{PutPool: &old}, nil
 }
 
-// checkSharing checks a pool that uses the replicas of another one: that other
-// pool has replicas of its own, and this one has none and lends none.
+// checkSharing checks a pool that uses the replicas of another pool: the other pool must have
+// replicas of its own, and this one must have none and be used by no other pool.
 func (d *Document) checkSharing(pool port.Pool) *port.Error {
 	if pool.ReplicasOf == "" {
 		return nil
@@ -171,11 +169,11 @@
 	return d.checkNotShared(field, pool.Name)
 }
 
-// checkNotShared refuses when another pool uses this one's replicas.
+// checkNotShared returns an error if another pool uses the pool's replicas.
 func (d *Document) checkNotShared(field string, name port.PoolName) *port.Error {
 	for _, other := range d.pools {
 		if other.ReplicasOf == name {
-			return port.InvalidField(field, string(name), "a pool whose replicas no other uses; "+string(other.Name)+" does")
+			return port.InvalidField(field, string(name), "a pool whose replicas no other pool uses; "+string(other.Name)+" uses them")
 		}
 	}
 	return nil
@@ -214,7 +212,7 @@
 		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].pool", replica.ID), string(replica.Pool), "a pool with replicas of its own")
 	}
 	if other, taken := d.addresses[replica.Address]; taken && other != replica.ID {
-		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].address", replica.ID), replica.Address, "an address no other replica has; "+string(other)+" has it")
+		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].address", replica.ID), replica.Address, "an address that no other replica uses; "+string(other)+" uses it")
 	}
 	position, found := d.findReplica(replica.ID)
 	if found {
@@ -249,7 +247,7 @@
 }
 
 func (d *Document) checkedMachineList(address string) (port.Edit, *port.Error) {
-	if refusal := firstBroken("", []rule{urlRule("machine_list", address, false)}); refusal != nil {
+	if refusal := firstViolation("", []rule{urlRule("machine_list", address, false)}); refusal != nil {
 		return port.Edit{}, refusal
 	}
 	old := d.machineList
@@ -265,20 +263,20 @@
 	return slices.BinarySearchFunc(d.replicas, id, func(replica port.Replica, id port.ReplicaID) int { return cmp.Compare(replica.ID, id) })
 }
 
-func (d *Document) ownPools() {
+func (d *Document) unsharePools() {
 	if d.poolsShared {
 		d.pools, d.poolsShared = slices.Clone(d.pools), false
 	}
 }
 
-func (d *Document) ownReplicas() {
+func (d *Document) unshareReplicas() {
 	if d.replicasShared {
 		d.replicas, d.replicasShared = slices.Clone(d.replicas), false
 	}
 }
 
 func (d *Document) putPool(pool port.Pool) {
-	d.ownPools()
+	d.unsharePools()
 	position, found := d.findPool(pool.Name)
 	if found {
 		d.pools[position] = pool
@@ -288,14 +286,14 @@
 }
 
 func (d *Document) removePool(name port.PoolName) {
-	d.ownPools()
+	d.unsharePools()
 	if position, found := d.findPool(name); found {
 		d.pools = slices.Delete(d.pools, position, position+1)
 	}
 }
 
 func (d *Document) putReplica(replica port.Replica) {
-	d.ownReplicas()
+	d.unshareReplicas()
 	position, found := d.findReplica(replica.ID)
 	if found {
 		d.releaseAddress(d.replicas[position])
@@ -307,15 +305,15 @@
 }
 
 func (d *Document) removeReplica(id port.ReplicaID) {
-	d.ownReplicas()
+	d.unshareReplicas()
 	if position, found := d.findReplica(id); found {
 		d.releaseAddress(d.replicas[position])
 		d.replicas = slices.Delete(d.replicas, position, position+1)
 	}
 }
 
-// releaseAddress forgets a replica's address unless another has it by now,
-// which happens in the middle of a reverted exchange.
+// releaseAddress removes a replica's address unless another replica has it, which happens while
+// an exchange of addresses is reverted.
 func (d *Document) releaseAddress(replica port.Replica) {
 	if d.addresses[replica.Address] == replica.ID {
 		delete(d.addresses, replica.Address)
--- a/internal/core/registry/edits.go
+++ b/internal/core/registry/edits.go
@@ -7,9 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ApplyEdits gives the configuration after all edits, leaving the given one as
-// it is. The error is a *port.Error; then no edit counts. Pools and replicas of
-// the result are sorted by name.
+// ApplyEdits returns the configuration after all edits without modifying the given one. On a
+// *port.Error no edit is applied. Pools and replicas of the result are sorted by name.
 func ApplyEdits(configuration port.Configuration, edits []port.Edit) (port.Configuration, error) {
 	document := LoadDocument(configuration)
 	if len(edits) == 0 {
@@ -21,9 +20,8 @@
 	return document.Configuration(), nil
 }
 
-// DiffConfiguration gives the edits that lead from one configuration to
-// another, in an order that ApplyEdits accepts: replicas leave before pools go,
-// and pools come before their replicas.
+// DiffConfiguration returns the edits that turn one configuration into another, in an order that
+// ApplyEdits accepts: replicas are removed before their pools and added after them.
 func DiffConfiguration(from, to port.Configuration) []port.Edit {
 	var edits []port.Edit
 	oldReplicas := indexBy(from.Replicas, func(replica port.Replica) port.ReplicaID { return replica.ID })
@@ -33,8 +31,8 @@
 
 	for _, replica := range from.Replicas {
 		next, kept := newReplicas[replica.ID]
-		// A replica whose address or pool changes leaves first, so that two
-		// replicas may exchange addresses and a pool may give up its replicas.
+		// Remove replicas whose address or pool changes first, so that replicas can
+		// exchange addresses and a pool can give up its replicas.
 		moved := next.Address != replica.Address || next.Pool != replica.Pool
 		if !kept || moved || poolReplaced(replica.Pool, oldPools, newPools) {
 			edits = append(edits, port.Edit{RemoveReplica: replica.ID})
@@ -48,7 +46,7 @@
 		}
 	}
 	edits = append(edits, removedPools(from.Pools, newPools)...)
-	return append(edits, rest(from, to)...)
+	return append(edits, settingEdits(from, to)...)
 }
 
 func indexBy[K comparable, V any](values []V, key func(V) K) map[K]V {
@@ -59,22 +57,21 @@
 	return index
 }
 
-// poolReplaced says that a pool changes its kind, for which it must leave and
-// come back.
+// poolReplaced reports whether a pool's kind changes, which requires removing and adding it.
 func poolReplaced(name port.PoolName, old, next map[port.PoolName]port.Pool) bool {
 	before, existed := old[name]
 	after, exists := next[name]
 	return existed && exists && before.Kind != after.Kind
 }
 
-// poolEdits puts the pools in an order in which each borrower of replicas finds
-// its lender ready: borrowers that go leave first, then come pools with replicas
-// of their own, then borrowers, last those that lent before.
+// poolEdits orders the pool edits so that a pool exists before another one uses its replicas:
+// first it removes pools that use others' replicas, then it puts pools with replicas of their
+// own, pools that use others' replicas, and last those of the latter that others used before.
 func poolEdits(from, to []port.Pool, old, next map[port.PoolName]port.Pool) []port.Edit {
 	var edits []port.Edit
-	lent := map[port.PoolName]bool{}
+	wasShared := map[port.PoolName]bool{}
 	for _, pool := range from {
-		lent[pool.ReplicasOf] = true
+		wasShared[pool.ReplicasOf] = true
 		_, kept := next[pool.Name]
 		if poolReplaced(pool.Name, old, next) || (!kept && pool.ReplicasOf != "") {
 			edits = append(edits, port.Edit{RemovePool: pool.Name})
@@ -89,7 +86,7 @@
 		stage := 0
 		if pool.ReplicasOf != "" {
 			stage = 1
-			if lent[pool.Name] {
+			if wasShared[pool.Name] {
 				stage = 2
 			}
 		}
@@ -98,7 +95,7 @@
 	return append(edits, slices.Concat(stages...)...)
 }
 
-// removedPools removes the pools with replicas of their own that go.
+// removedPools returns the removals of pools with replicas of their own.
 func removedPools(from []port.Pool, next map[port.PoolName]port.Pool) []port.Edit {
 	var edits []port.Edit
 	for _, pool := range from {
@@ -109,7 +106,7 @@
 	return edits
 }
 
-func rest(from, to port.Configuration) []port.Edit {
+func settingEdits(from, to port.Configuration) []port.Edit {
 	var edits []port.Edit
 	if !slices.Equal(from.Tenants, to.Tenants) {
 		tenants := slices.Clone(to.Tenants)
@@ -122,7 +119,7 @@
 	return edits
 }
 
-// buildEdits gives the edits that build a configuration from nothing.
+// buildEdits returns the edits that create a configuration from an empty one.
 func buildEdits(configuration port.Configuration) []port.Edit {
 	return DiffConfiguration(port.Configuration{}, configuration)
 }
--- a/internal/core/registry/history.go
+++ b/internal/core/registry/history.go
@@ -6,26 +6,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// MaxHistory bounds the accepted changes that are remembered for operators.
+// MaxHistory limits the stored changes.
 const MaxHistory = 1000
 
 // HistoryEntry is one accepted configuration change.
 type HistoryEntry struct {
 	Revision port.Revision `cbor:"1,keyasint" json:"revision"`
-	// Index is the change's position in the log.
+	// Index is the log position of the change.
 	Index    uint64 `cbor:"2,keyasint" json:"index"`
 	ChangeID string `cbor:"3,keyasint" json:"change_id"`
-	// Time is the log's time in milliseconds since 1970.
+	// Time is log time in milliseconds since the epoch.
 	Time   int64  `cbor:"4,keyasint" json:"time_ms"`
 	Author string `cbor:"5,keyasint,omitempty" json:"author,omitempty"`
 	Note   string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`
 	Edits  int    `cbor:"7,keyasint" json:"edits"`
 }
 
-// History keeps the last accepted changes, oldest first.
+// History stores the latest accepted changes, oldest first.
 type History struct{ entries []HistoryEntry }
 
-// Add remembers a change and forgets the oldest over the limit.
+// Add appends a change and drops the oldest over the limit.
 func (h *History) Add(entry HistoryEntry) {
 	h.entries = append(h.entries, entry)
 	if len(h.entries) > MaxHistory {
@@ -33,7 +33,7 @@
 	}
 }
 
-// List gives a copy of the changes, oldest first.
+// List returns a copy of the changes, oldest first.
 func (h *History) List() []HistoryEntry { return slices.Clone(h.entries) }
 
 // Import replaces the history.
--- a/internal/core/registry/leases.go
+++ b/internal/core/registry/leases.go
@@ -13,21 +13,20 @@
 const (
 	MinLeaseTTL = 100 * time.Millisecond
 	MaxLeaseTTL = time.Hour
-	// MaxLeases bounds the leases held at a time.
+	// MaxLeases limits the number of leases.
 	MaxLeases = 4096
-	// leaseRetention is how long an expired lease that nobody took is kept, so
-	// that its holder can renew it under the same epoch.
+	// leaseRetention is how long an expired lease is kept, so that its holder can renew it
+	// under the same epoch.
 	leaseRetention = 10 * time.Minute
 )
 
-// Leases holds the named leases, sorted by name. It never changes a slice that
-// it gave out.
+// Leases holds the named leases, sorted by name. It never modifies a slice that it returned.
 type Leases struct {
 	list   []port.Lease
 	shared bool
 }
 
-// Get finds a lease.
+// Get returns a lease by name.
 func (l *Leases) Get(name string) (port.Lease, bool) {
 	position, found := l.find(name)
 	if !found {
@@ -36,9 +35,8 @@
 	return l.list[position], true
 }
 
-// Acquire grants a new lease under epoch next, or renews a held one. Used says
-// whether next was spent. The same holder acquiring again gets a new epoch:
-// it restarted, and its earlier self is fenced off.
+// Acquire grants a new lease under epoch next, or renews a held one. Used reports whether next was
+// assigned. A holder that acquires again gets a new epoch, which fences its previous process.
 func (l *Leases) Acquire(request port.AcquireLease, next port.Epoch, now int64) (lease port.Lease, used bool, refusal *port.Error) {
 	if refusal := checkAcquire(request); refusal != nil {
 		return port.Lease{}, false, refusal
@@ -54,7 +52,7 @@
 		}
 	}
 	if !exists && len(l.list) >= MaxLeases {
-		return port.Lease{}, false, port.NewError(port.NotRun, port.CodeTooLarge, "%d leases exist, the most there may be", MaxLeases)
+		return port.Lease{}, false, port.NewError(port.NotRun, port.CodeTooLarge, "limit of %d leases reached", MaxLeases)
 	}
 	granted := port.Lease{Name: request.Name, Holder: request.Holder, Epoch: next, Expires: now + request.TTL.Milliseconds()}
 	l.put(position, exists, granted)
@@ -74,22 +72,21 @@
 	return held, false, nil
 }
 
-// Extend lets the leases that were valid at a time run on for longer by some
-// milliseconds, and gives them.
+// Extend extends the leases that were valid at a time by some milliseconds and returns them.
 func (l *Leases) Extend(validAt, by int64) []port.Lease {
 	var extended []port.Lease
 	for position := range l.list {
 		if l.list[position].Expires <= validAt {
 			continue
 		}
-		l.own()
+		l.unshare()
 		l.list[position].Expires += by
 		extended = append(extended, l.list[position])
 	}
 	return extended
 }
 
-// Release removes a lease; releasing one that is gone already is no error.
+// Release removes a lease; releasing an unknown lease is not an error.
 func (l *Leases) Release(request port.ReleaseLease) (removed bool, refusal *port.Error) {
 	position, exists := l.find(request.Name)
 	if !exists {
@@ -103,7 +100,7 @@
 	return true, nil
 }
 
-// Sweep removes leases that expired long ago and gives their names.
+// Sweep removes leases past their retention and returns their names.
 func (l *Leases) Sweep(now int64) []string {
 	var removed []string
 	for position := 0; position < len(l.list); {
@@ -117,26 +114,26 @@
 	return removed
 }
 
-// Put sets a lease without checks, as an observer replays it.
+// Put sets a lease without checks, for replay by an observer.
 func (l *Leases) Put(lease port.Lease) {
 	position, exists := l.find(lease.Name)
 	l.put(position, exists, lease)
 }
 
-// Drop removes a lease without checks, as an observer replays it.
+// Drop removes a lease without checks, for replay by an observer.
 func (l *Leases) Drop(name string) {
 	if position, exists := l.find(name); exists {
 		l.remove(position)
 	}
 }
 
-// List gives the leases by name. The slice must not be changed.
+// List returns the leases by name. The slice must not be modified.
 func (l *Leases) List() []port.Lease {
 	l.shared = true
 	return l.list
 }
 
-// Import replaces the leases by a sorted list.
+// Import replaces the leases with a sorted list.
 func (l *Leases) Import(list []port.Lease) { l.list, l.shared = slices.Clone(list), false }
 
 func (l *Leases) find(name string) (int, bool) {
@@ -146,7 +143,7 @@
 }
 
 func (l *Leases) put(position int, exists bool, lease port.Lease) {
-	l.own()
+	l.unshare()
 	if exists {
 		l.list[position] = lease
 		return
@@ -155,11 +152,11 @@
 }
 
 func (l *Leases) remove(position int) {
-	l.own()
+	l.unshare()
 	l.list = slices.Delete(l.list, position, position+1)
 }
 
-func (l *Leases) own() {
+func (l *Leases) unshare() {
 	if l.shared {
 		l.list, l.shared = slices.Clone(l.list), false
 	}
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -38,9 +38,9 @@
 
 func TestValidateConfigurationNamesTheField(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*port.Configuration)
-		field string
+		name   string
+		modify func(*port.Configuration)
+		field  string
 	}{
 		{"valid", func(*port.Configuration) {}, ""},
 		{"pool name", func(c *port.Configuration) { c.Pools[0].Name = "a b" }, "pools[a b].name"},
@@ -55,19 +55,19 @@
 		{"host name", func(c *port.Configuration) { c.Replicas[0].Address = "host:80" }, "replicas[r0000].address"},
 		{"address twice", func(c *port.Configuration) { c.Replicas[1].Address = c.Replicas[0].Address }, "replicas[r0001].address"},
 		{"replica twice", func(c *port.Configuration) { c.Replicas[1].ID = "r0000" }, "replicas.id"},
-		{"lender missing", func(c *port.Configuration) { c.Pools[1].ReplicasOf = "none" }, "pools[b].replicas_of"},
-		{"borrower with replicas", func(c *port.Configuration) { c.Pools[0].ReplicasOf = "b" }, "replicas[r0000].pool"},
+		{"owner pool missing", func(c *port.Configuration) { c.Pools[1].ReplicasOf = "none" }, "pools[b].replicas_of"},
+		{"sharing pool with replicas", func(c *port.Configuration) { c.Pools[0].ReplicasOf = "b" }, "replicas[r0000].pool"},
 		{"token", func(c *port.Configuration) { c.Tenants = []port.Tenant{{Name: "t", TokenSHA256: "xx", QueueShare: 1}} }, "tenants[t].token_sha256"},
 		{"machine list", func(c *port.Configuration) { c.MachineList = "ftp://x" }, "machine_list"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			configuration := testConfiguration(2)
-			test.spoil(&configuration)
+			test.modify(&configuration)
 			err := ValidateConfiguration(configuration)
 			if test.field == "" {
 				if err != nil {
-					t.Fatalf("refused: %v", err)
+					t.Fatalf("rejected: %v", err)
 				}
 				return
 			}
@@ -87,32 +87,32 @@
 		{RemoveReplica: "r0001"}, {PutReplica: &moved}, {RemovePool: "b"},
 	})
 	if refusal == nil || refusal.Field != "remove_pool" {
-		t.Fatalf("got %v, want remove_pool refused", refusal)
+		t.Fatalf("got %v, want remove_pool rejected", refusal)
 	}
 	if !reflect.DeepEqual(before, document.Configuration()) {
-		t.Fatal("a refused change left traces")
+		t.Fatal("a rejected change modified the document")
 	}
 	replacement := testReplica(1, "a")
 	replacement.ID = "other"
 	if refusal := document.Apply([]port.Edit{{PutReplica: &replacement}}); refusal == nil {
-		t.Fatal("the reverted edit left its address free")
+		t.Fatal("the reverted edit released the address")
 	}
 }
 
 func TestConfigurationGivenOutNeverChanges(t *testing.T) {
 	document := LoadDocument(testConfiguration(3))
-	given := document.Configuration()
-	drained := given.Replicas[1]
+	returned := document.Configuration()
+	drained := returned.Replicas[1]
 	drained.State = port.ReplicaDrain
 	if refusal := document.Apply([]port.Edit{{PutReplica: &drained}, {RemoveReplica: "r0000"}}); refusal != nil {
 		t.Fatal(refusal)
 	}
-	if !reflect.DeepEqual(given, testConfiguration(3)) {
-		t.Fatal("a view changed under its reader")
+	if !reflect.DeepEqual(returned, testConfiguration(3)) {
+		t.Fatal("a returned configuration changed")
 	}
 }
 
-// drawConfiguration gives a valid configuration.
+// drawConfiguration draws a valid configuration.
 func drawConfiguration(t *rapid.T, label string) port.Configuration {
 	var configuration port.Configuration
 	lenders := rapid.IntRange(1, 3).Draw(t, label+" lenders")
@@ -146,11 +146,11 @@
 		from, to := drawConfiguration(t, "from"), drawConfiguration(t, "to")
 		got, err := ApplyEdits(from, DiffConfiguration(from, to))
 		if err != nil {
-			t.Fatalf("edits refused: %v", err)
+			t.Fatalf("edits rejected: %v", err)
 		}
 		want, err := ApplyEdits(port.Configuration{}, DiffConfiguration(port.Configuration{}, to))
 		if err != nil || len(DiffConfiguration(got, to)) != 0 {
-			t.Fatalf("left over %v, error %v", DiffConfiguration(got, to), err)
+			t.Fatalf("remaining edits %v, error %v", DiffConfiguration(got, to), err)
 		}
 		if !reflect.DeepEqual(got.Replicas, want.Replicas) && len(got.Replicas)+len(want.Replicas) > 0 {
 			t.Fatalf("got %v, want %v", got.Replicas, want.Replicas)
@@ -160,12 +160,12 @@
 
 func TestChangeIDRoundTripAndRefusals(t *testing.T) {
 	id := FormatChangeID(time.UnixMilli(1234567), []byte{1, 2, 3, 4, 5, 6, 7, 8})
-	if birth, err := ParseChangeID(id); err != nil || birth != 1234567 {
-		t.Fatalf("%s: birth %d, %v", id, birth, err)
+	if created, err := ParseChangeID(id); err != nil || created != 1234567 {
+		t.Fatalf("%s: created %d, %v", id, created, err)
 	}
 	for _, bad := range []string{"", "x", "12", "12-", "12-abc", "012-0123456789", "-5-0123456789", "12-0123456789XYZ", "99999999999999999999-0123456789"} {
 		if _, err := ParseChangeID(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
@@ -177,9 +177,9 @@
 		now := int64(1_000_000_000)
 		for step := range 200 {
 			now += rapid.Int64Range(0, 200_000).Draw(t, "pass")
-			birth := now - rapid.Int64Range(-30_000, 900_000).Draw(t, "age")
-			birth -= birth % 100_000 // draws the same id again now and then
-			id := FormatChangeID(time.UnixMilli(max(birth, 1)), []byte{1, 2, 3, byte(step % 3)})
+			created := now - rapid.Int64Range(-30_000, 900_000).Draw(t, "age")
+			created -= created % 100_000 // repeats some ids
+			id := FormatChangeID(time.UnixMilli(max(created, 1)), []byte{1, 2, 3, byte(step % 3)})
 			result, found, refusal := answers.Lookup(id, Digest{1}, now)
 			if refusal != nil {
 				continue
@@ -196,7 +196,7 @@
 			}
 			answers.Remember(id, Digest{1}, now, port.Result{Index: uint64(step + 1)})
 			if answers.Len() > 4 {
-				t.Fatalf("%d answers kept", answers.Len())
+				t.Fatalf("%d answers stored", answers.Len())
 			}
 		}
 	})
@@ -219,9 +219,9 @@
 		{"resend", id, Digest{1}, start + lifetime, true, ""},
 		{"other body", id, Digest{2}, start, false, port.CodeChangeIDReused},
 		{"far ahead", FormatChangeID(time.UnixMilli(start+3_601_000), []byte{1, 2, 3, 5}), Digest{1}, start, false, port.CodeInvalid},
-		{"after its lifetime", id, Digest{1}, start + lifetime + 1, false, port.CodeChangeExpired},
-		{"older than the forgotten one", FormatChangeID(time.UnixMilli(start-1), []byte{9, 9, 9, 9}), Digest{1}, start + lifetime + 1, false, port.CodeChangeExpired},
-		{"younger", FormatChangeID(time.UnixMilli(start+1), []byte{9, 9, 9, 9}), Digest{1}, start + lifetime + 1, false, ""},
+		{"expired", id, Digest{1}, start + lifetime + 1, false, port.CodeChangeExpired},
+		{"older than the expired one", FormatChangeID(time.UnixMilli(start-1), []byte{9, 9, 9, 9}), Digest{1}, start + lifetime + 1, false, port.CodeChangeExpired},
+		{"newer than the expired one", FormatChangeID(time.UnixMilli(start+1), []byte{9, 9, 9, 9}), Digest{1}, start + lifetime + 1, false, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -238,12 +238,12 @@
 	}
 }
 
-// TestClockAheadShutsNobodyOut shows that an operator whose clock is ahead does
-// not make others' changes count as forgotten.
+// TestClockAheadShutsNobodyOut checks that a client whose clock is ahead does not make the changes
+// of others count as expired.
 func TestClockAheadShutsNobodyOut(t *testing.T) {
 	now := int64(1_000_000_000)
 	answers := NewAnswers(8)
-	ahead := FormatChangeID(time.UnixMilli(now+MaxBirthAhead.Milliseconds()), []byte{1, 2, 3, 4})
+	ahead := FormatChangeID(time.UnixMilli(now+MaxCreatedAhead.Milliseconds()), []byte{1, 2, 3, 4})
 	answers.Remember(ahead, Digest{1}, now, port.Result{Index: 1})
 	for range 80 {
 		now += time.Minute.Milliseconds()
@@ -254,7 +254,7 @@
 		}
 	}
 	if answers.Len() != 0 {
-		t.Fatal("the answer was kept for ever")
+		t.Fatal("the answer never expires")
 	}
 }
 
@@ -277,8 +277,8 @@
 		{"n2", 0, 2, 999, port.CodeLeaseHeld},
 		{"n1", 1, 2, 500, ""}, // renewed until 1500
 		{"n2", 0, 2, 1400, port.CodeLeaseHeld},
-		{"n1", 1, 2, 9000, ""},  // late, but nobody took it
-		{"n2", 0, 2, 10000, ""}, // taken after it ran out
+		{"n1", 1, 2, 9000, ""},  // late renewal of a free lease
+		{"n2", 0, 2, 10000, ""}, // acquired after expiry
 		{"n1", 1, 3, 10001, port.CodeFenced},
 		{"n2", 0, 3, 10002, ""}, // restarted holder: new epoch
 		{"n2", 2, 4, 10003, port.CodeFenced},
--- a/internal/core/registry/validate.go
+++ b/internal/core/registry/validate.go
@@ -46,15 +46,15 @@
 	return name != "" && len(name) <= maxLeaseLength && strings.Trim(name, nameRunes+"._-/") == ""
 }
 
-// ValidateConfiguration checks a whole configuration. The error is a
-// *port.Error that names the field, its value and what is allowed.
+// ValidateConfiguration checks a complete configuration. The error is a *port.Error with the
+// field, its value and the allowed values.
 func ValidateConfiguration(configuration port.Configuration) error {
 	_, err := ApplyEdits(port.Configuration{}, buildEdits(configuration))
 	if err != nil {
 		return err
 	}
-	if field, twice := firstDuplicate(configuration); field != "" {
-		return port.InvalidField(field, twice, "each name once")
+	if field, duplicate := firstDuplicate(configuration); field != "" {
+		return port.InvalidField(field, duplicate, "unique names")
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 	return "", ""
 }
 
-// rule is one condition on a field.
+// rule is a condition on a field.
 type rule struct {
 	holds   bool
 	field   string
@@ -85,8 +85,8 @@
 	allowed string
 }
 
-// firstBroken gives the error of the first rule that does not hold.
-func firstBroken(prefix string, rules []rule) *port.Error {
+// firstViolation returns the error of the first rule that does not hold.
+func firstViolation(prefix string, rules []rule) *port.Error {
 	for _, rule := range rules {
 		if !rule.holds {
 			return port.InvalidField(prefix+rule.field, rule.value, rule.allowed)
@@ -121,7 +121,7 @@
 	admission, retry, ejection := pool.Admission, pool.Retry, pool.Ejection
 	kindKnown := pool.Kind == port.PoolGeneration || pool.Kind == port.PoolApplication
 	prefix := fmt.Sprintf("pools[%s].", pool.Name)
-	refusal := firstBroken(prefix, []rule{
+	refusal := firstViolation(prefix, []rule{
 		{validName(string(pool.Name)), "name", string(pool.Name), allowedName},
 		{kindKnown, "kind", string(pool.Kind), "generation or application"},
 		intRule("admission.min_inflight", admission.MinInflight, 1, maxInflight),
@@ -148,7 +148,7 @@
 
 func validateSampling(prefix string, sampling port.Sampling) *port.Error {
 	group := max(sampling.GroupSize, 1)
-	return firstBroken(prefix, []rule{
+	return firstViolation(prefix, []rule{
 		{len(sampling.Policy) <= MaxPolicyBytes, "policy", fmt.Sprintf("%d bytes", len(sampling.Policy)), fmt.Sprintf("up to %d bytes", MaxPolicyBytes)},
 		intRule("group_size", sampling.GroupSize, 1, maxBatch),
 		intRule("batch_samples", sampling.BatchSamples, 1, maxBatch),
@@ -164,7 +164,7 @@
 func validateReplica(replica port.Replica) *port.Error {
 	_, addressErr := netip.ParseAddrPort(replica.Address)
 	stateKnown := replica.State == port.ReplicaActive || replica.State == port.ReplicaDrain
-	return firstBroken(fmt.Sprintf("replicas[%s].", replica.ID), []rule{
+	return firstViolation(fmt.Sprintf("replicas[%s].", replica.ID), []rule{
 		{validName(string(replica.ID)), "id", string(replica.ID), allowedName},
 		{validName(string(replica.Pool)), "pool", string(replica.Pool), allowedName},
 		{validName(string(replica.Zone)), "zone", string(replica.Zone), allowedName},
@@ -181,11 +181,11 @@
 	for _, tenant := range tenants {
 		token := tenant.TokenSHA256
 		hexDigits := len(token) == tokenHexDigits && strings.Trim(token, "0123456789abcdef") == ""
-		refusal := firstBroken(fmt.Sprintf("tenants[%s].", tenant.Name), []rule{
+		refusal := firstViolation(fmt.Sprintf("tenants[%s].", tenant.Name), []rule{
 			{validName(string(tenant.Name)), "name", string(tenant.Name), allowedName},
-			{!seen[tenant.Name], "name", string(tenant.Name), "each name once"},
+			{!seen[tenant.Name], "name", string(tenant.Name), "unique names"},
 			{hexDigits, "token_sha256", token, "64 lower-case hex digits"},
-			{tenant.QueueShare > 0 && tenant.QueueShare <= 1, "queue_share", fmt.Sprint(tenant.QueueShare), "over 0, up to 1"},
+			{tenant.QueueShare > 0 && tenant.QueueShare <= 1, "queue_share", fmt.Sprint(tenant.QueueShare), "above 0, at most 1"},
 		})
 		if refusal != nil {
 			return refusal
@@ -198,7 +198,7 @@
 func validateNode(node port.NodeAddress) *port.Error {
 	_, peerErr := netip.ParseAddrPort(node.PeerAddress)
 	_, httpErr := netip.ParseAddrPort(node.HTTPAddress)
-	return firstBroken("node.", []rule{
+	return firstViolation("node.", []rule{
 		{validName(string(node.ID)), "id", string(node.ID), allowedName},
 		{validName(string(node.Zone)), "zone", string(node.Zone), allowedName},
 		{peerErr == nil, "peer_address", node.PeerAddress, "IP:port"},
--- a/internal/core/registry/weights.go
+++ b/internal/core/registry/weights.go
@@ -7,14 +7,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Weights holds each pool's published version, sorted by pool. It never changes
-// a slice that it gave out.
+// Weights holds each pool's published version, sorted by pool. It never modifies a slice that it
+// returned.
 type Weights struct {
 	list   []port.PublishedWeights
 	shared bool
 }
 
-// Current gives a pool's published version, 0 if there is none.
+// Current returns a pool's published version, 0 if there is none.
 func (w *Weights) Current(pool port.PoolName) port.WeightVersion {
 	position, found := w.find(pool)
 	if !found {
@@ -39,10 +39,10 @@
 	return published, nil
 }
 
-// Put sets a pool's version without checks, as an observer replays it.
+// Put sets a pool's version without checks, for replay by an observer.
 func (w *Weights) Put(published port.PublishedWeights) {
 	position, found := w.find(published.Pool)
-	w.own()
+	w.unshare()
 	if found {
 		w.list[position] = published
 		return
@@ -50,21 +50,21 @@
 	w.list = slices.Insert(w.list, position, published)
 }
 
-// Remove forgets a pool.
+// Remove removes a pool's version.
 func (w *Weights) Remove(pool port.PoolName) {
 	if position, found := w.find(pool); found {
-		w.own()
+		w.unshare()
 		w.list = slices.Delete(w.list, position, position+1)
 	}
 }
 
-// List gives the versions by pool. The slice must not be changed.
+// List returns the versions by pool. The slice must not be modified.
 func (w *Weights) List() []port.PublishedWeights {
 	w.shared = true
 	return w.list
 }
 
-// Import replaces the versions by a sorted list.
+// Import replaces the versions with a sorted list.
 func (w *Weights) Import(list []port.PublishedWeights) { w.list, w.shared = slices.Clone(list), false }
 
 func (w *Weights) find(pool port.PoolName) (int, bool) {
@@ -73,7 +73,7 @@
 	})
 }
 
-func (w *Weights) own() {
+func (w *Weights) unshare() {
 	if w.shared {
 		w.list, w.shared = slices.Clone(w.list), false
 	}
