--- a/internal/core/weightplan/keeper.go
+++ b/internal/core/weightplan/keeper.go
@@ -8,79 +8,78 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// standing is where replicas stand that are alike to a plan.
-type standing struct {
+// replicaGroup identifies replicas that a plan does not distinguish.
+type replicaGroup struct {
 	model   string
 	version uint64
 }
 
-// keeper picks the replicas that a plan is about: those that their model needs,
-// the ones with the newest weights first, and those that load. It puts standings
-// in order, of which there are few, and only counts replicas.
-type keeper struct {
+// selector selects the replicas that a plan considers: those that are loading, and as many as
+// each model needs, newest weights first. It sorts groups, which are few, instead of replicas.
+type selector struct {
 	loading Loading
 	limits  Limits
-	// room is how many replicas of each standing are still to be taken; it is
-	// not used if all are needed.
-	room map[standing]int
+	// remaining is the number of replicas still to select from each group; unused if all are
+	// needed.
+	remaining map[replicaGroup]int
 }
 
-func newKeeper(replicas []sitestate.Replica, loading Loading, limits Limits) *keeper {
-	k := &keeper{loading: loading, limits: limits}
+func newSelector(replicas []sitestate.Replica, loading Loading, limits Limits) *selector {
+	s := &selector{loading: loading, limits: limits}
 	if limits.Needed != nil {
-		k.share(replicas)
+		s.allocate(replicas)
 	}
-	return k
+	return s
 }
 
-// share gives the places of each model to its newest replicas.
-func (k *keeper) share(replicas []sitestate.Replica) {
-	counts, busy := map[standing]int{}, map[string]int{}
+// allocate distributes each model's needed replicas to its groups, newest weights first.
+func (s *selector) allocate(replicas []sitestate.Replica) {
+	counts, busy := map[replicaGroup]int{}, map[string]int{}
 	for i := range replicas {
 		replica := &replicas[i]
 		switch {
-		case k.limits.Resting[replica.ID]:
-		case k.busy(replica.ID):
+		case s.limits.Resting[replica.ID]:
+		case s.busy(replica.ID):
 			busy[replica.Model]++
 		default:
-			counts[standingOf(replica)]++
+			counts[groupOf(replica)]++
 		}
 	}
-	newestFirst := slices.SortedFunc(maps.Keys(counts), func(a, b standing) int { return cmp.Compare(b.version, a.version) })
-	k.room = make(map[standing]int, len(counts))
-	taken := busy
+	newestFirst := slices.SortedFunc(maps.Keys(counts), func(a, b replicaGroup) int { return cmp.Compare(b.version, a.version) })
+	s.remaining = make(map[replicaGroup]int, len(counts))
+	allocated := busy
 	for _, group := range newestFirst {
-		k.room[group] = max(0, min(counts[group], k.needed(group.model)-taken[group.model]))
-		taken[group.model] += k.room[group]
+		s.remaining[group] = max(0, min(counts[group], s.needed(group.model)-allocated[group.model]))
+		allocated[group.model] += s.remaining[group]
 	}
 }
 
-func (k *keeper) busy(id string) bool {
-	_, busy := k.loading[id]
+func (s *selector) busy(id string) bool {
+	_, busy := s.loading[id]
 	return busy
 }
 
-func (k *keeper) needed(model string) int {
-	return k.limits.needed(model)
+func (s *selector) needed(model string) int {
+	return s.limits.needed(model)
 }
 
-func standingOf(replica *sitestate.Replica) standing {
-	return standing{model: replica.Model, version: replica.VersionOf(replica.Model)}
+func groupOf(replica *sitestate.Replica) replicaGroup {
+	return replicaGroup{model: replica.Model, version: replica.VersionOf(replica.Model)}
 }
 
-// take reports whether the plan is about a replica. Each is asked for once, in
-// the order of the list.
-func (k *keeper) take(replica *sitestate.Replica) bool {
-	if k.limits.Resting[replica.ID] {
+// selects reports whether the plan considers a replica. It must be called once per replica, in
+// list order.
+func (s *selector) selects(replica *sitestate.Replica) bool {
+	if s.limits.Resting[replica.ID] {
 		return false
 	}
-	if k.limits.Needed == nil || k.busy(replica.ID) {
+	if s.limits.Needed == nil || s.busy(replica.ID) {
 		return true
 	}
-	group := standingOf(replica)
-	if k.room[group] == 0 {
+	group := groupOf(replica)
+	if s.remaining[group] == 0 {
 		return false
 	}
-	k.room[group]--
+	s.remaining[group]--
 	return true
 }
--- a/internal/core/weightplan/next.go
+++ b/internal/core/weightplan/next.go
@@ -8,33 +8,33 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// Target is a load to be ordered.
+// Target is a load to start.
 type Target struct {
 	Replica sitestate.Replica
 	Model   string
 	Version uint64
 }
 
-// Loading names the replicas with an order under way, with the model that it is
-// about. A replica carries out one order at a time.
+// Loading maps the replicas that are loading to the model they load. A replica loads one model
+// at a time.
 type Loading map[string]string
 
-// Limits bound the loads that run at once.
+// Limits limit concurrent loads.
 type Limits struct {
-	// Total is for all replicas of the service.
+	// Total is the limit for all replicas of the service.
 	Total int
-	// Share is the largest part of a model's replicas that may load while their
-	// weights still do for the newest job; at least one may. Replicas that are too
-	// old for it are not bound by it: it cannot use them until they have loaded.
+	// Share is the maximum fraction of a model's replicas, at least one replica, that may load
+	// while their weights are usable for the newest job. Replicas with older weights are
+	// exempt, since they serve no new job until they have loaded.
 	Share float64
-	// Needed is how many replicas of a model its work needs, LeastNeeded if none
-	// is stated; those beyond keep the weights that they have. Nil needs all.
+	// Needed is the number of replicas that a model needs, MinNeeded if absent; the others keep
+	// their weights. If nil, all replicas are needed.
 	Needed map[string]int
-	// Resting names replicas whose last load failed and that are left alone for
-	// now. They take no part, so that they keep no other from loading.
+	// Resting contains replicas whose last load failed and that are in backoff. The plan skips
+	// them, so that they do not block the loads of others.
 	Resting map[string]bool
-	// Shards are those that the models' jobs are in. Items of a shard go only to
-	// replicas that are kept at a model of the same one.
+	// Shards maps models to shards. Items of a shard run only on replicas whose assigned model
+	// is in the same shard.
 	Shards map[string]sitestate.ShardNumber
 }
 
@@ -42,38 +42,38 @@
 	if needed, stated := l.Needed[model]; stated {
 		return needed
 	}
-	return LeastNeeded
+	return MinNeeded
 }
 
-// Need gives how many replicas with so many slots each carry so many open items
-// of each model, with a reserve for replicas that fail or are slow.
+// Need returns the number of replicas per model that the open items need, given the slots per
+// replica, with a reserve for replicas that fail or are slow.
 func Need(open map[string]int, slots int) map[string]int {
 	needed := make(map[string]int, len(open))
 	for model, items := range open {
-		needed[model] = max(LeastNeeded, int(math.Ceil(needReserve*float64(items)/float64(max(1, slots)))))
+		needed[model] = max(MinNeeded, int(math.Ceil(reserveFactor*float64(items)/float64(max(1, slots)))))
 	}
 	return needed
 }
 
 const (
-	// LeastNeeded keeps a model that has hardly any work ready for some.
-	LeastNeeded = 4
-	// needReserve is what is kept ready for one replica's worth of open items.
-	needReserve = 1.5
+	// MinNeeded is the number of replicas kept up to date for a model with little work.
+	MinNeeded = 4
+	// reserveFactor is the capacity to provide relative to the open items.
+	reserveFactor = 1.5
 )
 
-// Next gives the loads to order now, the replica furthest behind first.
-// Versions are the published ones by model. Jobs take text of the version before
-// the newest too, so a replica that is one behind loads only as long as less
-// than half of its model's replicas have the newest: each then loads about every
-// other version, and half of them serve a new job at once.
+// Next returns the loads to start now, the replicas with the oldest weights first. Versions maps
+// models to their published versions. Jobs accept text of the previous version too, so a replica
+// that is one version behind loads only while fewer than half of its model's replicas have the
+// newest. Each replica then loads about every second version, and half of them can serve a new
+// job immediately.
 func Next(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, limits Limits) []Target {
-	kept := newKeeper(replicas, loading, limits)
+	selected := newSelector(replicas, loading, limits)
 	total := 0
 	ofModel, loadingOf, newest := map[string]int{}, map[string]int{}, map[string]int{}
 	var behind []Target
 	for _, replica := range replicas {
-		if !kept.take(&replica) {
+		if !selected.selects(&replica) {
 			continue
 		}
 		published := versions[replica.Model]
--- a/internal/core/weightplan/scale_bench_test.go
+++ b/internal/core/weightplan/scale_bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/weightplan"
 )
 
-// BenchmarkPlanOfAFleet is what the control leader does ten times a second.
+// BenchmarkPlanOfAFleet measures one planning cycle of the control leader.
 func BenchmarkPlanOfAFleet(b *testing.B) {
 	for _, size := range []int{100, 1000, 8000, 16_000} {
 		const models = 8
--- a/internal/core/weightplan/spread.go
+++ b/internal/core/weightplan/spread.go
@@ -8,96 +8,95 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// Spread gives loads beyond those of Next, for models whose own replicas do not do
-// for their open items: other replicas take their weights as well, as a replica
-// holds several models and runs them beside each other. Begun are the loads that
-// Next gave. As many replicas load a version as each model has if all share alike.
-func Spread(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, begun []Target, limits Limits) []Target {
-	if limits.Needed == nil || len(loading)+len(begun) >= limits.Total {
+// Spread returns loads in addition to those of Next, for models whose own replicas are too few
+// for their open items: other replicas load their weights too, since a replica can serve several
+// models. Started are the loads returned by Next. The number of replicas that load a version is
+// limited to an equal share per model.
+func Spread(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, started []Target, limits Limits) []Target {
+	if limits.Needed == nil || len(loading)+len(started) >= limits.Total {
 		return nil
 	}
-	s := newSpread(replicas, versions, loading, begun, limits)
+	s := newSpread(replicas, versions, loading, started, limits)
 	if len(s.models) < 2 {
 		return nil
 	}
 	var targets []Target
 	for s.total < limits.Total {
-		short := s.mostShort()
-		if short == nil {
+		model := s.leastReady()
+		if model == nil {
 			return targets
 		}
-		replica, found := s.take(short)
+		replica, found := s.selectReplica(model)
 		if !found {
-			short.exhausted = true
+			model.exhausted = true
 			continue
 		}
-		targets = append(targets, Target{Replica: replica, Model: short.name, Version: short.published})
+		targets = append(targets, Target{Replica: replica, Model: model.name, Version: model.published})
 	}
 	return targets
 }
 
-// spread holds how the models of a service stand while loads are chosen.
-type spread struct {
-	models []*modelStanding
+// spreadPlan is the state of a service's models while loads are selected.
+type spreadPlan struct {
+	models []*modelState
 	free   []*freeReplica
-	// perVersion is how many replicas may load one version, total how many load.
+	// perVersion limits the replicas that load one version; total is the number of loads.
 	perVersion int
 	total      int
 	shards     map[string]sitestate.ShardNumber
 }
 
-// modelStanding is how a model stands.
-type modelStanding struct {
+// modelState is the state of a model.
+type modelState struct {
 	name      string
 	published uint64
 	needed    int
-	// usable counts replicas whose weights do for the newest job, newest those that
-	// have, or load, the published version.
+	// usable counts replicas whose weights are usable for the newest job, newest those that
+	// have or load the published version.
 	usable, newest int
 	exhausted      bool
 }
 
-// freeReplica is a replica without an order under way.
+// freeReplica is a replica that is not loading.
 type freeReplica struct {
 	sitestate.Replica
-	// settled is set if it has the published version of the model it is kept at, and
-	// usable counts the models whose newest job it may serve.
-	settled bool
-	usable  int
-	taken   bool
+	// upToDate is set if it has the published version of its assigned model; usable counts
+	// the models whose newest job it can serve.
+	upToDate bool
+	usable   int
+	selected bool
 }
 
-func newSpread(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, begun []Target, limits Limits) *spread {
-	underWay := Loading{}
-	maps.Copy(underWay, loading)
-	for _, target := range begun {
-		underWay[target.Replica.ID] = target.Model
+func newSpread(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, started []Target, limits Limits) *spreadPlan {
+	inProgress := Loading{}
+	maps.Copy(inProgress, loading)
+	for _, target := range started {
+		inProgress[target.Replica.ID] = target.Model
 	}
-	s := &spread{total: len(underWay), shards: limits.Shards}
+	s := &spreadPlan{total: len(inProgress), shards: limits.Shards}
 	s.listModels(replicas, versions, limits)
 	s.perVersion = max(1, len(replicas)/max(1, len(s.models)))
 	for i := range replicas {
-		s.add(replicas[i], underWay, limits)
+		s.add(replicas[i], inProgress, limits)
 	}
 	return s
 }
 
-// listModels lists the models that replicas are kept at and that have a published
-// version, in a fixed order.
-func (s *spread) listModels(replicas []sitestate.Replica, versions map[string]uint64, limits Limits) {
-	kept := map[string]bool{}
+// listModels lists the assigned models that have a published version, sorted by name.
+func (s *spreadPlan) listModels(replicas []sitestate.Replica, versions map[string]uint64, limits Limits) {
+	assigned := map[string]bool{}
 	for i := range replicas {
 		if model := replicas[i].Model; versions[model] > 0 {
-			kept[model] = true
+			assigned[model] = true
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(kept)) {
-		s.models = append(s.models, &modelStanding{name: name, published: versions[name], needed: limits.needed(name)})
+	for _, name := range slices.Sorted(maps.Keys(assigned)) {
+		s.models = append(s.models, &modelState{name: name, published: versions[name], needed: limits.needed(name)})
 	}
 }
 
-// add counts a replica.
-func (s *spread) add(replica sitestate.Replica, loading Loading, limits Limits) {
+// add adds a replica to the counts.
+func (s *spreadPlan) add(replica sitestate.Replica, loading Loading, limits Limits) {
 	if limits.Resting[replica.ID] {
 		return
 	}
@@ -110,7 +109,7 @@
 		}
 		if version >= model.published {
 			model.newest++
-			free.settled = free.settled || model.name == replica.Model
+			free.upToDate = free.upToDate || model.name == replica.Model
 		}
 		if version+1 >= model.published {
 			model.usable++
@@ -122,33 +121,32 @@
 	}
 }
 
-// mostShort gives the model that has the fewest replicas for its need, nil if none
-// is short of any.
-func (s *spread) mostShort() *modelStanding {
-	var most *modelStanding
+// leastReady returns the model with the fewest ready replicas relative to its need, nil if no
+// model needs more.
+func (s *spreadPlan) leastReady() *modelState {
+	var lowest *modelState
 	for _, model := range s.models {
 		if model.exhausted || model.ready() >= model.needed || model.newest >= s.perVersion {
 			continue
 		}
-		if most == nil || model.ready()*most.needed < most.ready()*model.needed {
-			most = model
+		if lowest == nil || model.ready()*lowest.needed < lowest.ready()*model.needed {
+			lowest = model
 		}
 	}
-	return most
+	return lowest
 }
 
-// ready is how many replicas the model can count on: those with the published
-// version do for the job after the newest one as well, so that half of what is
-// needed is enough of them, and has to be there.
-func (m *modelStanding) ready() int { return min(m.usable, 2*m.newest) }
+// ready returns the number of replicas that can serve the model's jobs. Replicas with the
+// published version also serve the job after the newest, so half of the needed replicas must
+// have it and are sufficient.
+func (m *modelState) ready() int { return min(m.usable, 2*m.newest) }
 
-// take gives the replica that is to load a model: before others one that could not
-// serve it, then one whose own model needs no load now, then the one that serves the
-// fewest models.
-func (s *spread) take(model *modelStanding) (sitestate.Replica, bool) {
+// selectReplica selects the replica that loads a model: preferably one that cannot serve it,
+// then one whose assigned model is up to date, then the one that serves the fewest models.
+func (s *spreadPlan) selectReplica(model *modelState) (sitestate.Replica, bool) {
 	var best *freeReplica
 	for _, replica := range s.free {
-		if replica.taken || s.shards[replica.Model] != s.shards[model.name] ||
+		if replica.selected || s.shards[replica.Model] != s.shards[model.name] ||
 			replica.Model == model.name || replica.VersionOf(model.name) >= model.published {
 			continue
 		}
@@ -159,7 +157,7 @@
 	if best == nil {
 		return sitestate.Replica{}, false
 	}
-	best.taken = true
+	best.selected = true
 	s.total++
 	model.newest++
 	if !best.serves(model) {
@@ -168,21 +166,21 @@
 	return best.Replica, true
 }
 
-// serves reports whether the replica's weights do for the model's newest job.
-func (r *freeReplica) serves(model *modelStanding) bool {
+// serves reports whether the replica's weights are usable for the model's newest job.
+func (r *freeReplica) serves(model *modelState) bool {
 	return r.VersionOf(model.name)+1 >= model.published
 }
 
-func (r *freeReplica) compare(other *freeReplica, model *modelStanding) int {
+func (r *freeReplica) compare(other *freeReplica, model *modelState) int {
 	return cmp.Or(
-		rank(r.serves(model))-rank(other.serves(model)),
-		rank(!r.settled)-rank(!other.settled),
+		boolRank(r.serves(model))-boolRank(other.serves(model)),
+		boolRank(!r.upToDate)-boolRank(!other.upToDate),
 		cmp.Compare(r.usable, other.usable),
 	)
 }
 
-// rank puts false before true.
-func rank(later bool) int {
+// boolRank orders false before true.
+func boolRank(later bool) int {
 	if later {
 		return 1
 	}
--- a/internal/core/weightplan/spread_test.go
+++ b/internal/core/weightplan/spread_test.go
@@ -12,12 +12,12 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// holding makes a replica that is kept at a model and holds versions of a and b.
+// holding returns a replica with an assigned model and versions of a and b.
 func holding(id, model string, a, b uint64) sitestate.Replica {
 	return sitestate.Replica{ID: id, Model: model, Models: []sitestate.ModelVersion{{Name: "a", Version: a}, {Name: "b", Version: b}}}
 }
 
-// loads writes targets as replica:model, sorted.
+// loads formats targets as replica:model, sorted.
 func loads(targets []weightplan.Target) []string {
 	var names []string
 	for _, target := range targets {
@@ -42,41 +42,41 @@
 		total   int
 		want    []string
 	}{
-		{name: "its own replicas do", list: all, needed: map[string]int{"a": 2, "b": 2}, total: 8},
-		{name: "no need is stated", list: all, total: 8},
-		{name: "one model alone", list: all[:2], needed: map[string]int{"a": 9}, total: 8},
+		{name: "own replicas suffice", list: all, needed: map[string]int{"a": 2, "b": 2}, total: 8},
+		{name: "no need given", list: all, total: 8},
+		{name: "single model", list: all[:2], needed: map[string]int{"a": 9}, total: 8},
 		{
-			name:   "the short one gets a replica once a version allows it",
+			name:   "model with too few replicas gets another",
 			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b0:a"},
 		},
 		{
-			name: "no more load a version than each model has replicas", list: all,
+			name: "limit per version reached", list: all,
 			needed: map[string]int{"a": 4, "b": 2}, total: 8,
 		},
 		{
-			name:   "the bound on all loads holds",
+			name:   "limit of all loads reached",
 			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 4, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 1, loading: weightplan.Loading{"a1": "a"},
 		},
 		{
-			name:   "what Next began counts",
+			name:   "loads of Next are counted",
 			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 4, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8,
 			begun: []weightplan.Target{{Replica: holding("a0", "a", 4, 1), Model: "a", Version: 5}}, want: []string{"b0:a"},
 		},
 		{
-			name:   "a replica that rests is left alone, and replaced",
+			name:   "replica in backoff is skipped and replaced",
 			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, resting: map[string]bool{"b0": true}, want: []string{"a1:b", "b1:a"},
 		},
 		{
-			name:   "first one whose own model needs no load",
+			name:   "prefers a replica whose assigned model is up to date",
 			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), holding("b0", "b", 1, 4), all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b1:a"},
 		},
 		{
-			name:   "first one that could not serve the model",
+			name:   "prefers a replica that cannot serve the model",
 			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), holding("b0", "b", 4, 5), all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b1:a"},
 		},
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestSpreadKeepsItsBounds: whatever the replicas hold, a replica gets one order, and
-// loads stay within the bounds on all and on each version.
+// TestSpreadKeepsItsBounds checks that a replica gets at most one load and that the limits of
+// all loads and of each version hold.
 func TestSpreadKeepsItsBounds(t *testing.T) {
 	models := []string{"a", "b", "c"}
 	testkit.Check(t, 16, func(r *rapid.T) {
@@ -117,24 +117,24 @@
 		begun := weightplan.Next(list, versions, loading, limits)
 		targets := weightplan.Spread(list, versions, loading, begun, limits)
 		if len(targets) > 0 && len(loading)+len(begun)+len(targets) > limits.Total {
-			r.Fatalf("%d load, %d began and %d more are ordered, of %d", len(loading), len(begun), len(targets), limits.Total)
+			r.Fatalf("%d loading, %d from Next and %d from Spread exceed the limit of %d", len(loading), len(begun), len(targets), limits.Total)
 		}
 		ordered := map[string]bool{}
 		for _, target := range append(slices.Clone(begun), targets...) {
 			if _, busy := loading[target.Replica.ID]; busy || ordered[target.Replica.ID] {
-				r.Fatalf("%s gets a second order", target.Replica.ID)
+				r.Fatalf("%s gets a second load", target.Replica.ID)
 			}
 			ordered[target.Replica.ID] = true
 			if target.Replica.VersionOf(target.Model) >= versions[target.Model] {
-				r.Fatalf("%s holds the version it is to load", target.Replica.ID)
+				r.Fatalf("%s already has the version to load", target.Replica.ID)
 			}
 		}
 		for _, target := range begun {
 			loading[target.Replica.ID] = target.Model
 		}
-		kept := map[string]bool{}
+		assigned := map[string]bool{}
 		for _, replica := range list {
-			kept[replica.Model] = true
+			assigned[replica.Model] = true
 		}
 		for _, target := range targets {
 			loading[target.Replica.ID] = target.Model
@@ -146,15 +146,14 @@
 					newest++
 				}
 			}
-			if newest > max(1, len(list)/len(kept)) {
-				r.Fatalf("%d replicas hold or load %s, too many for %d with %d models", newest, target.Model, len(list), len(kept))
+			if newest > max(1, len(list)/len(assigned)) {
+				r.Fatalf("%d replicas have or load %s, too many for %d replicas and %d models", newest, target.Model, len(list), len(assigned))
 			}
 		}
 	})
 }
 
-// BenchmarkSpread looks for further loads among replicas that hold many models, half
-// of which are short.
+// BenchmarkSpread measures Spread for replicas with many models, half of which need more replicas.
 func BenchmarkSpread(b *testing.B) {
 	const models = 16
 	for _, count := range []int{44, 3500} {
--- a/internal/core/weightplan/spreadshards_test.go
+++ b/internal/core/weightplan/spreadshards_test.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/weightplan"
 )
 
-// TestSpreadStaysWithinAShard: the runner of another shard would not use the weights.
+// TestSpreadStaysWithinAShard checks that replicas load no weights of models of other shards.
 func TestSpreadStaysWithinAShard(t *testing.T) {
 	list := []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), holding("b0", "b", 1, 5), holding("b1", "b", 1, 5)}
 	versions := map[string]uint64{"a": 5, "b": 5}
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -1,5 +1,5 @@
-// Package weightplan decides which replicas are kept at which model's weights
-// and which of them load next. It is pure.
+// Package weightplan decides which model's weights each replica loads, and which replicas load
+// next. It does no I/O.
 package weightplan
 
 import (
@@ -10,31 +10,29 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// moveGain is by how much a move has to lower the load of the model whose
-// replicas are loaded most.
-const moveGain = 0.08
+// minLoadReduction is the relative reduction of the highest load that justifies a move.
+const minLoadReduction = 0.08
 
-// Assign gives the replicas whose model has to change so that the replicas of a
-// service are shared by its models as their demand is. Without any demand all
-// share alike. A replica keeps its model where it can: a change costs a load and
-// whatever it had cached. New replicas are always assigned; one that has a model
-// moves only if mayMove is set, one at a time.
+// Assign returns the replicas whose model has to change so that the models share a service's
+// replicas in proportion to demand, or equally without demand. Replicas keep their model where
+// possible, since a change costs a load and the replica's cache. New replicas are always
+// assigned; an assigned one moves only if mayMove is set, one per call.
 func Assign(replicas []sitestate.Replica, models []string, demand map[string]float64, mayMove bool) map[string]string {
 	if len(models) == 0 || len(replicas) == 0 {
 		return nil
 	}
 	changes := map[string]string{}
-	shares := shareOut(models, demand)
+	shares := demandShares(models, demand)
 	counts := make(map[string]int, len(models))
-	var open []sitestate.Replica
+	var unassigned []sitestate.Replica
 	for _, replica := range replicas {
 		if slices.Contains(models, replica.Model) {
 			counts[replica.Model]++
 			continue
 		}
-		open = append(open, replica)
+		unassigned = append(unassigned, replica)
 	}
-	for _, replica := range open {
+	for _, replica := range unassigned {
 		model := mostLoaded(models, shares, counts)
 		changes[replica.ID] = model
 		counts[model]++
@@ -45,11 +43,11 @@
 	return changes
 }
 
-// leastShare keeps a model without any demand from being left out.
-const leastShare = 0.01
+// minShare is the share of a model without demand.
+const minShare = 0.01
 
-// shareOut gives each model its part of the whole demand.
-func shareOut(models []string, demand map[string]float64) map[string]float64 {
+// demandShares returns each model's share of the total demand.
+func demandShares(models []string, demand map[string]float64) map[string]float64 {
 	total := 0.0
 	for _, model := range models {
 		total += demand[model]
@@ -58,13 +56,13 @@
 	for _, model := range models {
 		shares[model] = 1 / float64(len(models))
 		if total > 0 {
-			shares[model] = max(leastShare, demand[model]/total)
+			shares[model] = max(minShare, demand[model]/total)
 		}
 	}
 	return shares
 }
 
-// load gives the demand that one replica of a model carries.
+// load returns the demand per replica of a model.
 func load(share float64, count int) float64 {
 	if count == 0 {
 		return math.Inf(1)
@@ -72,15 +70,15 @@
 	return share / float64(count)
 }
 
-// mostLoaded gives the model whose replicas carry most, the first of equals.
+// mostLoaded returns the model with the highest load per replica, the first of equals.
 func mostLoaded(models []string, shares map[string]float64, counts map[string]int) string {
 	return slices.MaxFunc(models, func(a, b string) int {
 		return cmp.Or(cmp.Compare(load(shares[a], counts[a]), load(shares[b], counts[b])), cmp.Compare(shares[a], shares[b]))
 	})
 }
 
-// move takes one replica for the model whose replicas carry most from the one
-// whose would carry least without it, if that lowers the most that any carries.
+// move moves one replica to the most loaded model from the model that would be least loaded
+// without it, if that sufficiently reduces the highest load.
 func move(replicas []sitestate.Replica, models []string, shares map[string]float64, counts map[string]int, changes map[string]string) {
 	to := mostLoaded(models, shares, counts)
 	from, least := "", math.Inf(1)
@@ -91,7 +89,7 @@
 	}
 	before := load(shares[to], counts[to])
 	after := max(least, load(shares[to], counts[to]+1))
-	if from == "" || after >= before*(1-moveGain) {
+	if from == "" || after >= before*(1-minLoadReduction) {
 		return
 	}
 	for _, replica := range slices.Backward(replicas) {
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -36,11 +36,11 @@
 		t.Fatalf("counts %v", counts)
 	}
 	if again := weightplan.Assign(list, models, nil, true); len(again) != 0 {
-		t.Errorf("changed again: %v", again)
+		t.Errorf("second assignment: %v", again)
 	}
-	lost := list[3:] // one of each model is gone
+	lost := list[3:] // without one replica of each model
 	if changes := weightplan.Assign(lost, models, nil, true); len(changes) != 0 {
-		t.Errorf("changed although even: %v", changes)
+		t.Errorf("changed an even assignment: %v", changes)
 	}
 	var withoutA []sitestate.Replica
 	for _, replica := range list {
@@ -57,7 +57,7 @@
 		t.Errorf("counts %v after %d moves", counts, moves)
 	}
 	if changes := weightplan.Assign(lost[1:], models, map[string]float64{"a": 1}, false); len(changes) != 0 {
-		t.Errorf("moved although it may not: %v", changes)
+		t.Errorf("moved without mayMove: %v", changes)
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 		counts := apply(list, nil)
 		if row.count < len(models) {
-			continue // not every model can have one; what matters is that it ends
+			continue // too few replicas for the models: checks only that it settles
 		}
 		for model, want := range row.want {
 			if counts[model] != want {
@@ -89,7 +89,7 @@
 			}
 		}
 		if changes := weightplan.Assign(list, models, row.demand, true); len(changes) > 0 {
-			t.Errorf("%d replicas, demand %v: never settles", row.count, row.demand)
+			t.Errorf("%d replicas, demand %v: does not settle", row.count, row.demand)
 		}
 	}
 }
@@ -120,14 +120,14 @@
 		loading  weightplan.Loading
 		expected []string
 	}{
-		{"furthest first", []uint64{4, 3, 2, 1}, 4, nil, []string{"i-3", "i-2"}},
-		{"limit", []uint64{4, 3, 2, 1}, 4, weightplan.Loading{"i-3": "a"}, []string{"i-2"}},
-		{"one behind is good enough for half", []uint64{4, 4, 3, 3}, 4, nil, nil},
+		{"oldest first", []uint64{4, 3, 2, 1}, 4, nil, []string{"i-3", "i-2"}},
+		{"total limit", []uint64{4, 3, 2, 1}, 4, weightplan.Loading{"i-3": "a"}, []string{"i-2"}},
+		{"half may be one version behind", []uint64{4, 4, 3, 3}, 4, nil, nil},
 		{"too few have the newest", []uint64{4, 3, 3, 3}, 4, nil, []string{"i-1"}},
-		{"two behind always loads", []uint64{4, 4, 4, 2}, 4, nil, []string{"i-3"}},
-		{"the share binds those that still do", []uint64{3, 3, 3, 3}, 4, weightplan.Loading{"i-0": "a", "i-1": "a"}, nil},
-		{"it does not bind those too old", []uint64{2, 2, 3, 3}, 4, weightplan.Loading{"i-0": "a"}, []string{"i-1"}},
-		{"a single one loads each version", []uint64{3}, 4, nil, []string{"i-0"}},
+		{"two versions behind always loads", []uint64{4, 4, 4, 2}, 4, nil, []string{"i-3"}},
+		{"share limits usable replicas", []uint64{3, 3, 3, 3}, 4, weightplan.Loading{"i-0": "a", "i-1": "a"}, nil},
+		{"share does not limit outdated replicas", []uint64{2, 2, 3, 3}, 4, weightplan.Loading{"i-0": "a"}, []string{"i-1"}},
+		{"single replica loads each version", []uint64{3}, 4, nil, []string{"i-0"}},
 		{"nothing published", []uint64{1, 1}, 0, nil, nil},
 	} {
 		next := weightplan.Next(serving(row.serving...), map[string]uint64{"a": row.newest}, row.loading, limits)
@@ -146,11 +146,11 @@
 		needed  map[string]int
 		want    []string
 	}{
-		{"all are needed unless it is stated", []uint64{2, 2, 2, 2, 2, 2}, nil, []string{"i-0", "i-1", "i-2", "i-3", "i-4", "i-5"}},
-		{"those with the newest weights are kept up", []uint64{1, 2, 1, 2, 2, 1}, map[string]int{"a": 3}, []string{"i-1", "i-3", "i-4"}},
-		{"a model without work is kept up a little", []uint64{2, 2, 2, 2, 2, 2}, map[string]int{}, []string{"i-0", "i-1", "i-2", "i-3"}},
-		{"half of those needed at the newest, the rest one behind", []uint64{4, 4, 3, 3, 1, 1}, map[string]int{"a": 4}, nil},
-		{"more work takes more", []uint64{4, 4, 3, 3, 1, 1}, map[string]int{"a": 6}, []string{"i-4", "i-5"}},
+		{"all are needed by default", []uint64{2, 2, 2, 2, 2, 2}, nil, []string{"i-0", "i-1", "i-2", "i-3", "i-4", "i-5"}},
+		{"newest weights are kept up to date", []uint64{1, 2, 1, 2, 2, 1}, map[string]int{"a": 3}, []string{"i-1", "i-3", "i-4"}},
+		{"minimum for a model without work", []uint64{2, 2, 2, 2, 2, 2}, map[string]int{}, []string{"i-0", "i-1", "i-2", "i-3"}},
+		{"half of the needed at the newest, the rest one behind", []uint64{4, 4, 3, 3, 1, 1}, map[string]int{"a": 4}, nil},
+		{"more work needs more replicas", []uint64{4, 4, 3, 3, 1, 1}, map[string]int{"a": 6}, []string{"i-4", "i-5"}},
 	} {
 		limits.Needed = row.needed
 		if got := targets(weightplan.Next(serving(row.serving...), versions, nil, limits)); !slices.Equal(got, row.want) {
@@ -159,20 +159,19 @@
 	}
 	limits.Needed = map[string]int{"a": 1}
 	if got := targets(weightplan.Next(serving(3, 3), versions, weightplan.Loading{"i-1": "a"}, limits)); len(got) != 0 {
-		t.Errorf("one of one needed loads, and %v are ordered", got)
+		t.Errorf("the only needed replica is loading, and %v start", got)
 	}
 }
 
 func TestNeedKeepsAReserve(t *testing.T) {
 	needed := weightplan.Need(map[string]int{"idle": 0, "busy": 120}, 8)
-	if needed["idle"] != weightplan.LeastNeeded || needed["busy"] != 23 {
+	if needed["idle"] != weightplan.MinNeeded || needed["busy"] != 23 {
 		t.Errorf("needed %v", needed)
 	}
 }
 
-// TestReplicasThatFailKeepNoOtherFromLoading: two lost replicas, furthest behind,
-// do not take the only two places again and again. (Found by an own day of the
-// users' bench, on which no weights were loaded for 17 s.)
+// TestReplicasThatFailKeepNoOtherFromLoading checks that replicas in backoff, though furthest
+// behind, do not block the loads of others.
 func TestReplicasThatFailKeepNoOtherFromLoading(t *testing.T) {
 	limits := weightplan.Limits{Total: 2, Share: 0.34, Resting: map[string]bool{"i-0": true, "i-1": true}}
 	list := serving(1, 1, 4, 4, 4, 4)
@@ -180,15 +179,15 @@
 		t.Errorf("loading %v", got)
 	}
 	if list[0].ID != "i-0" || list[5].ID != "i-5" {
-		t.Error("the caller's replicas were changed")
+		t.Error("the caller's replicas were modified")
 	}
 	limits.Resting["i-0"] = false
 	if got := targets(weightplan.Next(list, map[string]uint64{"a": 5}, nil, limits)); !slices.Equal(got, []string{"i-0"}) {
-		t.Errorf("loading %v after the rest", got)
+		t.Errorf("loading %v after the backoff", got)
 	}
 }
 
-// BenchmarkPlan plans a service's loads once.
+// BenchmarkPlan measures planning the loads of a service once.
 func BenchmarkPlan(b *testing.B) {
 	for _, count := range []int{10, 350, 3500} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -201,7 +200,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if changes := weightplan.Assign(list, []string{"a"}, nil, true); len(changes) > 0 {
-					b.Fatal("assigned anew")
+					b.Fatal("assignment changed")
 				}
 				weightplan.Next(list, map[string]uint64{"a": 4}, nil, limits)
 			}
