--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -1,12 +1,12 @@
-// Package quarantine withholds requests under which replicas end.
+// Package quarantine withholds requests that crash replicas.
 //
-// A request that crashes whatever runs it (a query of death) takes a new replica down with
-// each try, and a bound on the tries of one sender does not help: its caller sends it again,
-// to another process. So what every process saw is kept in one Ledger, by the request's
-// Fingerprint. A request is withheld once EndsUntilWithheld replicas have ended under it and
-// none has served it since.
+// A request that crashes the replica that runs it (a query of death) crashes another one with
+// each retry. Limiting the retries of one sender does not help, because the caller resends the
+// request to another process. The site therefore keeps one Ledger of what all processes
+// observed, by the request's Fingerprint. A request is withheld once EndsUntilWithheld replicas
+// have crashed during it and none has served it since.
 //
-// Requests that only ran beside such a one are suspects too. An answer clears them, an
-// answer of a replica that was taken to have ended clears the replica, and a withheld request
+// Requests that only ran concurrently with such a request are suspects too. A response clears
+// them, a response from a replica presumed crashed clears the replica, and a withheld request
 // gets MostTrials more sends, one at a time on the whole site.
 package quarantine
--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -7,34 +7,32 @@
 	"hash"
 )
 
-// Fingerprint is equal for requests that ask for the same. It is made of the parts that
-// a caller repeats when it tries again, so not of the request's id, its deadline or any
-// other header.
+// Fingerprint identifies equivalent requests. It covers the parts that a caller repeats on a
+// retry, not the request id, the deadline or other headers.
 type Fingerprint struct {
 	Head Head   `cbor:"1,keyasint"`
 	Body Digest `cbor:"2,keyasint"`
 }
 
-// Head stands for all but the body. It is cheap to make, so that bodies are only read for
-// requests whose head is of interest.
+// Head is the digest of everything but the body. It is cheap to compute, so that bodies are
+// hashed only for requests whose head matches a suspect.
 type Head = Digest
 
-// Digest is the first half of a SHA-256: no caller can make another one's request look
-// like its own.
+// Digest is the first half of a SHA-256, which callers cannot forge.
 type Digest [16]byte
 
-// Request names the parts that make a request the same as another one.
+// Request holds the parts of a request that its fingerprint covers.
 type Request struct {
-	// Caller is the tenant that sends it, empty where there are none.
+	// Caller is the tenant that sends it, empty if none.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path and the query as they were sent.
+	// Target is the path and the query as sent.
 	Target string
 	Body   []byte
 }
 
-// Head gives the digest of all but the body.
+// Head returns the digest of everything but the body.
 func (r *Request) Head() Head {
 	state := sha256.New()
 	for _, part := range []string{r.Caller, r.Method, r.Host, r.Target} {
@@ -43,14 +41,14 @@
 	return digestOf(state)
 }
 
-// Fingerprint gives the request's fingerprint.
+// Fingerprint returns the request's fingerprint.
 func (r *Request) Fingerprint() Fingerprint {
 	state := sha256.New()
 	_, _ = state.Write(r.Body)
 	return Fingerprint{Head: r.Head(), Body: digestOf(state)}
 }
 
-// writePart adds a part with its length, so that no two lists of parts read the same.
+// writePart writes a part prefixed with its length, so that different parts never encode equally.
 func writePart(state hash.Hash, part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -63,7 +61,7 @@
 	return digest
 }
 
-// String gives the fingerprint as it stands in log lines: half of either digest, in hex.
+// String returns the fingerprint for log lines: half of each digest in hex.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f.Head[:8]) + "-" + hex.EncodeToString(f.Body[:8])
 }
--- a/internal/core/quarantine/index.go
+++ b/internal/core/quarantine/index.go
@@ -1,12 +1,12 @@
 package quarantine
 
-// Index finds suspects. It is immutable; a nil Index is empty.
+// Index looks up suspects. It is immutable; a nil Index is empty.
 type Index struct {
 	heads    map[Head][]Suspect
 	replicas map[string]bool
 }
 
-// NewIndex makes an Index, nil if there are no suspects.
+// NewIndex returns an Index, nil if there are no suspects.
 func NewIndex(suspects []Suspect) *Index {
 	if len(suspects) == 0 {
 		return nil
@@ -22,24 +22,24 @@
 	return index
 }
 
-// Find gives the suspect that a request is, or nil. A body is read only if the rest of the
-// request is that of a suspect.
+// Find returns the suspect that matches a request, or nil. It hashes the body only if the rest of
+// the request matches a suspect.
 func (i *Index) Find(request *Request) *Suspect {
 	if i == nil {
 		return nil
 	}
-	alike := i.heads[request.Head()]
-	if len(alike) == 0 {
+	candidates := i.heads[request.Head()]
+	if len(candidates) == 0 {
 		return nil
 	}
 	fingerprint := request.Fingerprint()
-	for at := range alike {
-		if alike[at].Fingerprint == fingerprint {
-			return &alike[at]
+	for at := range candidates {
+		if candidates[at].Fingerprint == fingerprint {
+			return &candidates[at]
 		}
 	}
 	return nil
 }
 
-// Ended reports whether a replica is taken to have ended under a suspect.
+// Ended reports whether a replica is presumed to have crashed during a suspect request.
 func (i *Index) Ended(replica string) bool { return i != nil && i.replicas[replica] }
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -11,13 +11,13 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// request gives the fingerprint of a request that differs by its body.
+// request returns the fingerprint of a request with the given body.
 func request(body string) Fingerprint {
 	r := Request{Method: "POST", Host: "a.example", Target: "/x", Body: []byte(body)}
 	return r.Fingerprint()
 }
 
-func ended(body string, replicas ...string) (events []Event) {
+func crashed(body string, replicas ...string) (events []Event) {
 	for _, replica := range replicas {
 		events = append(events, Event{Kind: EventEnded, Fingerprint: request(body), Replica: replica})
 	}
@@ -30,7 +30,7 @@
 	return Event{Kind: EventTrial, Fingerprint: request(body), Trial: number, Sender: sender}
 }
 
-// withheld lists the bodies of those that are withheld.
+// withheld returns the bodies of the withheld requests.
 func withheld(l *Ledger, bodies ...string) (found []string) {
 	index := NewIndex(l.Shared())
 	for _, body := range bodies {
@@ -43,33 +43,33 @@
 }
 
 func TestWhatIsWithheld(t *testing.T) {
-	fatal := ended("fatal", "r1", "r2", "r3")
+	fatal := crashed("fatal", "r1", "r2", "r3")
 	for name, row := range map[string]struct {
 		events []Event
 		want   []string
 	}{
-		"nothing":                                {},
-		"two replicas ended under it":            {events: fatal[:2]},
-		"three did":                              {events: fatal, want: []string{"fatal"}},
-		"one replica's end was seen three times": {events: ended("fatal", "r1", "r1", "r1")},
-		"it was served in between":               {events: slices.Concat(fatal[:2], []Event{served("fatal")}, fatal[2:])},
-		"another body ended others":              {events: slices.Concat(fatal[:2], ended("beside", "r3", "r4"))},
-		"a replica ended by itself under another one": {
-			events: slices.Concat(ended("beside", "r0"), fatal, ended("beside", "r9"), []Event{served("beside")}), want: []string{"fatal"},
+		"no events":                           {},
+		"two replicas crashed":                {events: fatal[:2]},
+		"three replicas crashed":              {events: fatal, want: []string{"fatal"}},
+		"one crash reported three times":      {events: crashed("fatal", "r1", "r1", "r1")},
+		"served between crashes":              {events: slices.Concat(fatal[:2], []Event{served("fatal")}, fatal[2:])},
+		"further crashes during another body": {events: slices.Concat(fatal[:2], crashed("beside", "r3", "r4"))},
+		"single crashes during another request": {
+			events: slices.Concat(crashed("beside", "r0"), fatal, crashed("beside", "r9"), []Event{served("beside")}), want: []string{"fatal"},
 		},
-		"one that ran beside it was served since": {
-			events: slices.Concat(fatal, ended("beside", "r1", "r2", "r3"), []Event{served("beside")}), want: []string{"fatal"},
+		"concurrent request was served since": {
+			events: slices.Concat(fatal, crashed("beside", "r1", "r2", "r3"), []Event{served("beside")}), want: []string{"fatal"},
 		},
-		"a replica had not ended": {events: append(fatal, Event{Kind: EventAlive, Replica: "r2"})},
-		"a replica of before had not ended": {
-			events: slices.Concat(fatal, ended("fatal", "r4"), []Event{{Kind: EventAlive, Replica: "r1"}}), want: []string{"fatal"},
+		"replica was alive": {events: append(fatal, Event{Kind: EventAlive, Replica: "r2"})},
+		"one of four replicas was alive": {
+			events: slices.Concat(fatal, crashed("fatal", "r4"), []Event{{Kind: EventAlive, Replica: "r1"}}), want: []string{"fatal"},
 		},
-		"an operator released it": {events: append(fatal, Event{Kind: EventReleased, Fingerprint: request("fatal")})},
-		"its trials ended replicas too": {
-			events: slices.Concat(fatal, []Event{trial("fatal", 1, "a")}, ended("fatal", "r4"), []Event{trial("fatal", 2, "a")}, ended("fatal", "r5")),
+		"released by an operator": {events: append(fatal, Event{Kind: EventReleased, Fingerprint: request("fatal")})},
+		"crashes during trials": {
+			events: slices.Concat(fatal, []Event{trial("fatal", 1, "a")}, crashed("fatal", "r4"), []Event{trial("fatal", 2, "a")}, crashed("fatal", "r5")),
 			want:   []string{"fatal"},
 		},
-		"its trial was served": {events: append(fatal, trial("fatal", 1, "a"), served("fatal"))},
+		"trial was served": {events: append(fatal, trial("fatal", 1, "a"), served("fatal"))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var ledger Ledger
@@ -85,43 +85,43 @@
 
 func TestATrialIsOneSendOnTheWholeSite(t *testing.T) {
 	var ledger Ledger
-	for _, event := range ended("fatal", "r1", "r2", "r3") {
+	for _, event := range crashed("fatal", "r1", "r2", "r3") {
 		ledger.Apply(event)
 	}
 	for i, row := range []struct {
-		event Event
-		taken bool
+		event   Event
+		applied bool
 	}{
 		{trial("fatal", 2, "a"), false},
 		{trial("fatal", 1, "a"), true},
 		{trial("fatal", 1, "b"), false},
-		{trial("fatal", 1, "a"), true}, // its answer was lost
+		{trial("fatal", 1, "a"), true}, // retry after a lost response
 		{trial("fatal", 2, "b"), true},
 		{trial("fatal", 1, "a"), false},
 		{trial("fatal", 3, "a"), false},
 		{trial("other", 1, "a"), false},
 	} {
-		if _, taken := ledger.Apply(row.event); taken != row.taken {
-			t.Errorf("step %d: taken %v", i, taken)
+		if _, applied := ledger.Apply(row.event); applied != row.applied {
+			t.Errorf("step %d: applied %v", i, applied)
 		}
 	}
 }
 
 func TestTheLedgerIsBounded(t *testing.T) {
 	var ledger Ledger
-	for _, event := range ended("fatal", "r1", "r2", "r3") {
+	for _, event := range crashed("fatal", "r1", "r2", "r3") {
 		ledger.Apply(event)
 	}
 	for i := range 3 * maxSuspects {
-		ledger.Apply(ended(fmt.Sprint("beside ", i), "r1")[0])
+		ledger.Apply(crashed(fmt.Sprint("beside ", i), "r1")[0])
 	}
 	if len(ledger.Suspects) != maxSuspects || len(withheld(&ledger, "fatal")) != 1 {
 		t.Errorf("%d suspects, withheld %v", len(ledger.Suspects), withheld(&ledger, "fatal"))
 	}
 }
 
-// TestLedgersOfTheSameEventsAreEqual also holds that what was given out does not change,
-// that Apply tells of every change of it, and that a snapshot keeps all.
+// TestLedgersOfTheSameEventsAreEqual checks that returned suspects do not change, that Apply
+// reports every change of them, and that a snapshot preserves the ledger.
 func TestLedgersOfTheSameEventsAreEqual(t *testing.T) {
 	testkit.Check(t, 31, func(r *rapid.T) {
 		var ledger, restored Ledger
@@ -138,10 +138,10 @@
 			text := fmt.Sprint(before)
 			changed, _ := ledger.Apply(event)
 			if fmt.Sprint(before) != text {
-				r.Fatalf("%v changed what was given out", event)
+				r.Fatalf("%v changed the returned suspects", event)
 			}
 			if !changed && fmt.Sprint(ledger.Shared()) != text {
-				r.Fatalf("%v changed what is shared and does not say so", event)
+				r.Fatalf("%v changed the shared suspects without reporting it", event)
 			}
 			for _, suspect := range ledger.Suspects {
 				if suspect.Trials > MostTrials || len(suspect.Replicas) == 0 {
@@ -160,7 +160,7 @@
 	})
 }
 
-// BenchmarkFind asks for requests of 1 KB beside 64 suspects, none of which they are.
+// BenchmarkFind measures looking up a request of 1 KB that matches none of 64 suspects.
 func BenchmarkFind(b *testing.B) {
 	var suspects []Suspect
 	for i := range 64 {
