--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -6,46 +6,45 @@
 )
 
 const (
-	// maxFixed bounds the windows that wait to be reported; the oldest give way. With
-	// windows of 5 s they cover an hour without the provider.
-	maxFixed = 720
-	// maxFixedAtOnce bounds the windows that one Fix makes, after a time without a
+	// maxClosed limits the closed windows that are not yet reported; the oldest are dropped. It
+	// covers an hour of 5 s windows.
+	maxClosed = 720
+	// maxClosedPerCall limits the windows that one call of Fix closes after an outage of the
 	// control group.
-	maxFixedAtOnce = 64
-	// forgetAfter is how many windows after its last report a reporter is forgotten: no
-	// report of before is on its way any more.
-	forgetAfter = 60
+	maxClosedPerCall = 64
+	// reporterRetention is the number of windows after its last report until a reporter is
+	// removed; older reports can no longer arrive.
+	reporterRetention = 60
 )
 
-// Total is a window with the counts that it is reported with.
+// Total is a window with its final counts.
 type Total struct {
 	Window Window            `cbor:"1,keyasint"`
 	Counts map[string]uint64 `cbor:"2,keyasint"` // by tenant
 }
 
-// Ledger holds the counts of windows. All of it changes only by Note, Fix and Sent, whose
-// order the control log decides, so that every holder of it has the same. The zero Ledger
-// is empty.
+// Ledger holds the counts of windows. It changes only by Note, Fix and Sent in the order of the
+// control log, so that all replicas of it are equal. The zero Ledger is empty.
 type Ledger struct {
-	// Next is the oldest window that is open; it means nothing before Begun.
+	// Next is the oldest open window; valid only if Begun is set.
 	Next  Window `cbor:"1,keyasint"`
 	Begun bool   `cbor:"2,keyasint"`
-	// Open counts by window and tenant.
+	// Open holds the counts of open windows by window and tenant.
 	Open map[Window]map[string]uint64 `cbor:"3,keyasint"`
-	// Fixed are closed windows that are not reported yet, the oldest first.
+	// Fixed are closed windows that are not yet reported, oldest first.
 	Fixed     []Total             `cbor:"4,keyasint"`
 	Reporters map[string]reporter `cbor:"5,keyasint"`
 }
 
-// reporter is what is known of one start of one front.
+// reporter is the state of one start of a front.
 type reporter struct {
-	// Sequence is that of its newest report, Window the newest open window then.
+	// Sequence is that of its latest report, Window the newest open window at that time.
 	Sequence uint64 `cbor:"1,keyasint"`
 	Window   Window `cbor:"2,keyasint"`
 }
 
-// Note counts a report, unless it was counted before. It gives how many requests came too
-// late: their window is closed.
+// Note adds a report unless it was added before. It returns the number of requests that were too
+// late because their window is closed.
 func (l *Ledger) Note(noted Noted) (late uint64) {
 	if l.Reporters == nil {
 		l.Reporters, l.Open = map[string]reporter{}, map[Window]map[string]uint64{}
@@ -69,7 +68,7 @@
 	return late
 }
 
-// Due reports whether Fix up to a window would close any.
+// Due reports whether Fix(upTo) would close a window.
 func (l *Ledger) Due(upTo Window) bool {
 	if l.Begun {
 		return l.Next <= upTo
@@ -82,8 +81,8 @@
 	return false
 }
 
-// Fix closes all windows up to one: their counts do not change any more. Before the first
-// request there is nothing to report, and no window is made for it.
+// Fix closes all windows up to upTo, which makes their counts final. It does not create windows
+// before the first request.
 func (l *Ledger) Fix(upTo Window) {
 	if !l.Due(upTo) {
 		return
@@ -91,7 +90,7 @@
 	if !l.Begun {
 		l.Begun, l.Next = true, slices.Min(slices.Collect(maps.Keys(l.Open)))
 	}
-	for made := 0; l.Next <= upTo && made < maxFixedAtOnce; made++ {
+	for closed := 0; l.Next <= upTo && closed < maxClosedPerCall; closed++ {
 		total := Total{Window: l.Next, Counts: l.Open[l.Next]}
 		if total.Counts == nil {
 			total.Counts = map[string]uint64{}
@@ -100,13 +99,13 @@
 		delete(l.Open, l.Next)
 		l.Next++
 	}
-	if surplus := len(l.Fixed) - maxFixed; surplus > 0 {
+	if surplus := len(l.Fixed) - maxClosed; surplus > 0 {
 		l.Fixed = slices.Clone(l.Fixed[surplus:])
 	}
-	maps.DeleteFunc(l.Reporters, func(_ string, known reporter) bool { return known.Window+forgetAfter < l.Next })
+	maps.DeleteFunc(l.Reporters, func(_ string, known reporter) bool { return known.Window+reporterRetention < l.Next })
 }
 
-// Sent drops a window that was reported.
+// Sent removes a reported window.
 func (l *Ledger) Sent(window Window) {
 	l.Fixed = slices.DeleteFunc(slices.Clone(l.Fixed), func(total Total) bool { return total.Window == window })
 }
--- a/internal/core/usage/outbox.go
+++ b/internal/core/usage/outbox.go
@@ -2,44 +2,43 @@
 
 import "time"
 
-// maxPending bounds the counts that an Outbox holds: at 48 requests a second of a front
-// they cover 20 minutes without a control group.
+// maxPending limits the unacknowledged counts of an Outbox.
 const maxPending = 60_000
 
-// Outbox holds what a front counted until the control group has kept it. It is not safe
+// Outbox holds the counts of a front until the control group acknowledges them. It is not safe
 // for concurrent use.
 type Outbox struct {
 	reporter string
 	sequence uint64
-	// sending is the report under way, pending what came since.
-	sending []begunAt
-	pending []begunAt
+	// sending is the report in flight; pending are the requests since.
+	sending []startedRequest
+	pending []startedRequest
 	dropped uint64
 }
 
-type begunAt struct {
+type startedRequest struct {
 	tenant string
 	at     time.Duration
 }
 
-// NewOutbox makes an empty Outbox; reporter names this start of the process.
+// NewOutbox returns an empty Outbox; reporter identifies this start of the process.
 func NewOutbox(reporter string) *Outbox { return &Outbox{reporter: reporter} }
 
-// Note counts a request that began to run at a moment of the process's clock, one that also
-// counts suspended time.
+// Note counts a request that started at a time of the process's monotonic clock, which includes
+// suspended time.
 func (o *Outbox) Note(tenant string, at time.Duration) {
 	if len(o.pending) >= maxPending {
 		o.dropped++
 		return
 	}
-	o.pending = append(o.pending, begunAt{tenant, at})
+	o.pending = append(o.pending, startedRequest{tenant, at})
 }
 
-// Dropped is how many requests were not counted for want of room.
+// Dropped returns the number of requests that were not counted because the Outbox was full.
 func (o *Outbox) Dropped() uint64 { return o.dropped }
 
-// Next gives the report to send: the last one again until Kept is called. It reports
-// false if there is nothing to send. Now is by the clock of Note.
+// Next returns the report to send, the same one until Kept is called. It returns false if there
+// is nothing to send. Now is of the same clock as in Note.
 func (o *Outbox) Next(now time.Duration) (Report, bool) {
 	if len(o.sending) == 0 {
 		if len(o.pending) == 0 {
@@ -55,8 +54,8 @@
 	return report, true
 }
 
-// Empty reports whether the control group has all that was counted.
+// Empty reports whether the control group acknowledged all counts.
 func (o *Outbox) Empty() bool { return len(o.sending) == 0 && len(o.pending) == 0 }
 
-// Kept notes that the control group has the report under way.
+// Kept records that the control group acknowledged the report in flight.
 func (o *Outbox) Kept() { o.sending = nil }
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -21,11 +21,12 @@
 	}
 }
 
-// TestAReportIsPlacedByTheAgeOfItsRequests: however long it was on its way.
+// TestAReportIsPlacedByTheAgeOfItsRequests checks that a delayed report is counted in the windows
+// in which its requests started.
 func TestAReportIsPlacedByTheAgeOfItsRequests(t *testing.T) {
 	outbox := usage.NewOutbox("front")
 	began := time.Unix(1000, 0)
-	const at = time.Hour // by the front's clock
+	const at = time.Hour // of the front's clock
 	outbox.Note("a", at-time.Millisecond)
 	outbox.Note("a", at)
 	first, _ := outbox.Next(at + time.Second)
@@ -45,7 +46,7 @@
 	}
 	outbox.Kept()
 	if _, found := outbox.Next(at); found || !outbox.Empty() {
-		t.Error("something is left")
+		t.Error("the outbox is not empty")
 	}
 }
 
@@ -60,11 +61,11 @@
 	}
 	ledger.Fix(100)
 	ledger.Note(noted("x", 1, 7, "a"))
-	ledger.Note(noted("x", 1, 7, "a")) // again
+	ledger.Note(noted("x", 1, 7, "a")) // duplicate
 	ledger.Note(noted("y", 1, 9, "b"))
 	ledger.Note(noted("y", 2, 6, "a"))
 	if ledger.Due(5) || !ledger.Due(6) {
-		t.Error("due is wrong")
+		t.Error("Due is wrong")
 	}
 	ledger.Fix(8)
 	if late := ledger.Note(noted("x", 2, 8, "a")); late != 1 {
@@ -84,15 +85,15 @@
 	ledger.Sent(6)
 	ledger.Sent(6)
 	if len(ledger.Fixed) != 3 || ledger.Fixed[0].Window != 7 {
-		t.Errorf("after a report: %+v", ledger.Fixed)
+		t.Errorf("after reporting window 6: %+v", ledger.Fixed)
 	}
 }
 
-// steadyOf gives a front's clock at a moment.
-func steadyOf(now time.Time) time.Duration { return now.Sub(time.Unix(4000, 0)) }
+// monotonicAt returns a front's clock at a time.
+func monotonicAt(now time.Time) time.Duration { return now.Sub(time.Unix(4000, 0)) }
 
-// TestNoCountIsLostOrDoubled: reports are sent again after lost answers, in any order among
-// fronts and windows, and windows close meanwhile.
+// TestNoCountIsLostOrDoubled checks the counts when reports are resent after lost responses, in
+// any order of fronts and windows, while windows are closed.
 func TestNoCountIsLostOrDoubled(t *testing.T) {
 	testkit.Check(t, 26, func(t *rapid.T) {
 		var ledger usage.Ledger
@@ -103,10 +104,10 @@
 			outbox := outboxes[rapid.IntRange(0, 1).Draw(t, "front")]
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				outbox.Note("a", steadyOf(now))
+				outbox.Note("a", monotonicAt(now))
 				sent++
 			case 1, 2:
-				report, found := outbox.Next(steadyOf(now))
+				report, found := outbox.Next(monotonicAt(now))
 				if !found {
 					continue
 				}
@@ -119,7 +120,7 @@
 			}
 		}
 		for _, outbox := range outboxes {
-			for report, found := outbox.Next(steadyOf(now)); found; report, found = outbox.Next(steadyOf(now)) {
+			for report, found := outbox.Next(monotonicAt(now)); found; report, found = outbox.Next(monotonicAt(now)) {
 				late += ledger.Note(report.Place(now, length))
 				outbox.Kept()
 			}
@@ -137,7 +138,7 @@
 	})
 }
 
-// TestALedgerIsBounded: after a long time without the provider, or without anybody.
+// TestALedgerIsBounded checks the limits after long outages of the provider or the control group.
 func TestALedgerIsBounded(t *testing.T) {
 	var ledger usage.Ledger
 	ledger.Note(noted("x", 1, 0, "a"))
@@ -145,7 +146,7 @@
 		ledger.Fix(window)
 	}
 	if len(ledger.Fixed) > 1000 || len(ledger.Reporters) != 0 {
-		t.Errorf("%d windows and %d reporters are held", len(ledger.Fixed), len(ledger.Reporters))
+		t.Errorf("%d windows and %d reporters are stored", len(ledger.Fixed), len(ledger.Reporters))
 	}
 	before := ledger.Next
 	ledger.Fix(1_000_000)
