--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -1,9 +1,8 @@
-// Package shardplan decides how the jobs of a site are divided into shards: how many
-// there are, which store machines keep each, and which shard a model's jobs go to. It
-// is pure.
+// Package shardplan decides how the jobs of a site are divided into shards: the number of shards,
+// the store machines of each, and the shard of a model's jobs. It does no I/O.
 //
-// A shard has a group of its own, whose leader runs its items: one leader's processor
-// and memory bound how many items run at once. A machine is a member of one group.
+// Each shard has its own group, whose leader runs the shard's items and limits how many run
+// concurrently. A machine is a member of one group.
 package shardplan
 
 import (
@@ -19,30 +18,28 @@
 	Zone string
 }
 
-// Limits say what a site's shards need.
+// Limits are the requirements of a site's shards.
 type Limits struct {
-	// Voters is how many machines keep a shard.
+	// Voters is the number of machines in a shard's group.
 	Voters int
-	// Spares is how many machines stay outside all groups, to take the places of lost
-	// ones; a site with a single shard needs none.
+	// Spares is the number of machines kept outside all groups to replace lost ones; a site
+	// with a single shard needs none.
 	Spares int
-	// PlacesPerShard is how many places of engines, each for one item at a time, a
-	// shard is meant for.
+	// PlacesPerShard is the number of replica slots, one item each, that a shard can serve.
 	PlacesPerShard int
 }
 
-// Wanted gives how many shards a site is to have, given its store machines and the
-// places of its engines. There is always one.
-func Wanted(machines, places int, limits Limits) int {
-	byWork := places / max(1, limits.PlacesPerShard)
+// Wanted returns the number of shards for a site's store machines and replica slots, at least
+// one.
+func Wanted(machines, slots int, limits Limits) int {
+	byWork := slots / max(1, limits.PlacesPerShard)
 	byMachines := (machines - limits.Spares) / max(1, limits.Voters)
 	return max(1, min(byWork, byMachines))
 }
 
-// Pick takes as many free machines as are asked for, if there are that many, for a
-// group that has members already, so that its machines are spread over zones: always
-// one of the zone that has the fewest of the group, and of these one of the zone with
-// the most free machines.
+// Pick selects up to count free machines for a group with the given members so that the group is
+// spread over zones: each time from the zone with the fewest members, and among these from the
+// zone with the most free machines.
 func Pick(members, free []Machine, count int) []Machine {
 	inGroup, left := byZone(members), byZone(free)
 	rest := slices.Clone(free)
@@ -79,16 +76,16 @@
 	) < 0
 }
 
-// For gives the shard that a further model's jobs go to: of those that may keep them the one
-// with the fewest models, the first of equals; 0 if there is none.
-func For(placed map[string]sitestate.ShardNumber, shards int, may func(sitestate.ShardNumber) bool) sitestate.ShardNumber {
+// For returns the shard for a new model's jobs: the allowed one with the fewest models, the first
+// of equals; 0 if none is allowed.
+func For(placed map[string]sitestate.ShardNumber, shards int, allowed func(sitestate.ShardNumber) bool) sitestate.ShardNumber {
 	models := map[sitestate.ShardNumber]int{}
 	for _, shard := range placed {
 		models[shard]++
 	}
 	best := sitestate.ShardNumber(0)
 	for shard := sitestate.ShardNumber(1); int(shard) <= shards; shard++ {
-		if may(shard) && (best == 0 || models[shard] < models[best]) {
+		if allowed(shard) && (best == 0 || models[shard] < models[best]) {
 			best = shard
 		}
 	}
