--- a/internal/core/coldshare/coldshare_test.go
+++ b/internal/core/coldshare/coldshare_test.go
@@ -10,16 +10,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/coldshare"
 )
 
-// limits are those of a service whose cold replicas bear 16 requests a second, with half as
-// many again and 5 more in a single second.
+// limits allow 16 requests per second, with a tolerance of half of that and 5 more.
 var limits = coldshare.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}
 
 const bound = 29
 
 var start = time.Unix(1000, 0)
 
-// arrivals gives when the requests of a sender that wants to send without end reach a
-// replica, each a little late.
+// arrivals returns the arrival times at a replica of the requests of a sender that always has
+// requests to send, each with a random delay.
 func arrivals(random *rand.Rand, perSpan int, from time.Duration) (at []time.Duration) {
 	const cold, step, delay = 3 * time.Second, 20 * time.Millisecond, 20 * time.Millisecond
 	var window coldshare.Window
@@ -32,8 +31,8 @@
 	return at
 }
 
-// most gives the most arrivals in any second.
-func most(at []time.Duration) (busiest int) {
+// busiestSecond returns the maximum number of arrivals in any second.
+func busiestSecond(at []time.Duration) (busiest int) {
 	slices.Sort(at)
 	first := 0
 	for last := range at {
@@ -45,16 +44,16 @@
 	return busiest
 }
 
-// TestAllSendersTogetherStayWithinTheBound: every sender sends to a cold replica as much as
-// it may, from the same moment on or not, while one runner is followed by another; the number
-// of senders that they know is true, or a quarter too small.
+// TestAllSendersTogetherStayWithinTheBound checks the limit when every sender sends as much as it
+// may, starting at different times, and one runner succeeds another. The number of senders that
+// they assume is exact, or a quarter too small.
 func TestAllSendersTogetherStayWithinTheBound(t *testing.T) {
 	const replicas = 400
 	for _, senders := range []int{1, 3, 10, 70, 800, 1600} {
 		for _, known := range []int{senders, max(1, senders*3/4)} {
 			random := rand.New(rand.NewPCG(uint64(senders), uint64(known)))
 			share := limits.ShareOf(known)
-			var overs, used, worst int
+			var exceeded, used, worst int
 			for replica := range replicas {
 				var at []time.Duration
 				for sender := range senders {
@@ -66,28 +65,28 @@
 					used++
 				}
 				at = append(at, arrivals(random, limits.RunnerPerSpan(), 0)...)
-				busiest := most(at)
+				busiest := busiestSecond(at)
 				worst = max(worst, busiest)
 				if busiest > bound {
-					overs++
+					exceeded++
 				}
 			}
-			t.Logf("%4d senders, %4d known: %d a span with chance %.3f; at most %d in a second of %d; %d of %d replicas had a sender",
-				senders, known, share.PerSpan, share.Chance, worst, bound, used, replicas)
-			if overs > 0 {
-				t.Errorf("%d senders, %d known: %d of %d replicas had more than %d requests in a second", senders, known, overs, replicas, bound)
+			t.Logf("%4d senders, %4d known: %d per span with probability %.3f; at most %d in a second of %d; %d of %d replicas had a sender",
+				senders, known, share.PerSpan, share.Probability, worst, bound, used, replicas)
+			if exceeded > 0 {
+				t.Errorf("%d senders, %d known: %d of %d replicas had more than %d requests in a second", senders, known, exceeded, replicas, bound)
 			}
 			if used < replicas*9/10 {
-				t.Errorf("%d senders: only %d of %d replicas are sent anything while cold", senders, used, replicas)
+				t.Errorf("%d senders: only %d of %d replicas receive requests while cold", senders, used, replicas)
 			}
 		}
 	}
 }
 
-// TestARunnerAndItsSuccessorStayWithinTheBound: both send all they may in the same second.
+// TestARunnerAndItsSuccessorStayWithinTheBound checks that both may send in the same second.
 func TestARunnerAndItsSuccessorStayWithinTheBound(t *testing.T) {
 	if got := 2 * limits.RunnerPerSpan(); got > bound || got == 0 {
-		t.Errorf("%d requests, the bound is %d", got, bound)
+		t.Errorf("%d requests, limit %d", got, bound)
 	}
 }
 
@@ -107,13 +106,13 @@
 	for after, want := range map[time.Duration]int{700 * time.Millisecond: 0, coldshare.Span - 1: 0, coldshare.Span: 1, coldshare.Span + 599*time.Millisecond: 1, coldshare.Span + 600*time.Millisecond: 2} {
 		probe := window
 		if got := probe.Room(2, start.Add(after)); got != want {
-			t.Errorf("after %v: room for %d, want %d", after, got, want)
+			t.Errorf("after %v: %d more requests allowed, want %d", after, got, want)
 		}
 	}
 }
 
 func TestServicesWithoutARateAreNotBounded(t *testing.T) {
 	if (coldshare.Limits{Overshoot: 1.5, Slack: 5}).Bounded() || !limits.Bounded() {
-		t.Error("bounded by the wrong figure")
+		t.Error("Bounded does not depend on Rate")
 	}
 }
