--- a/internal/core/apikey/apikey.go
+++ b/internal/core/apikey/apikey.go
@@ -1,5 +1,4 @@
-// Package apikey holds the keys of callers as digests: a key itself is read once,
-// where it arrives, and kept nowhere.
+// Package apikey stores the keys of callers as digests: a key is hashed on arrival and not kept.
 package apikey
 
 import (
@@ -8,10 +7,10 @@
 	"encoding/hex"
 )
 
-// Digest is the SHA-256 of a key. The zero Digest is that of no key and equals nothing.
+// Digest is the SHA-256 of a key. The zero Digest stands for no key and equals nothing.
 type Digest [sha256.Size]byte
 
-// Of gives the digest of a key; no key has the zero Digest.
+// Of returns the digest of a key, the zero Digest for an empty key.
 func Of(key string) Digest {
 	if key == "" {
 		return Digest{}
@@ -19,7 +18,7 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// FromHex reads a digest in hexadecimal; anything else gives the zero Digest.
+// FromHex decodes a digest in hexadecimal; invalid input yields the zero Digest.
 func FromHex(text string) Digest {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != sha256.Size {
@@ -28,10 +27,10 @@
 	return Digest(raw)
 }
 
-// Equal compares in constant time.
+// Equal compares two digests in constant time.
 func (d Digest) Equal(other Digest) bool {
 	return d != Digest{} && subtle.ConstantTimeCompare(d[:], other[:]) == 1
 }
 
-// String keeps digests out of log lines and messages.
+// String returns a placeholder, to keep digests out of logs and messages.
 func (d Digest) String() string { return "key" }
--- a/internal/core/apikey/apikey_test.go
+++ b/internal/core/apikey/apikey_test.go
@@ -11,7 +11,7 @@
 func TestNoKeyEqualsNothing(t *testing.T) {
 	none, some := apikey.Of(""), apikey.Of("k")
 	if none.Equal(none) || none.Equal(some) || some.Equal(none) || !some.Equal(apikey.Of("k")) || some.Equal(apikey.Of("l")) {
-		t.Error("digests compare wrongly")
+		t.Error("wrong result of Equal")
 	}
 }
 
@@ -21,7 +21,7 @@
 		ofAbc: apikey.Of("abc"), strings.ToUpper(ofAbc): apikey.Of("abc"), "": {}, "zz": {}, ofAbc[2:]: {}, ofAbc + "00": {},
 	} {
 		if got := apikey.FromHex(text); got != want {
-			t.Errorf("%q: another digest", text)
+			t.Errorf("%q: wrong digest", text)
 		}
 	}
 }
