--- a/internal/core/sitetime/sitetime.go
+++ b/internal/core/sitetime/sitetime.go
@@ -1,5 +1,5 @@
-// Package sitetime estimates the true time from the clocks of several machines, of which
-// some may be wrong by seconds.
+// Package sitetime estimates the true time from the clocks of several machines, some of which
+// may be wrong by seconds.
 package sitetime
 
 import (
@@ -7,19 +7,17 @@
 	"time"
 )
 
-// Reading is a machine's time of day when the reader's steady clock, counted from a base
-// of its own, stood at Steady.
+// Reading is a machine's wall clock time, read when the reader's monotonic clock was at Steady.
 type Reading struct {
 	Steady time.Duration
 	Wall   time.Time
 }
 
-// Offset is the time of day at which the reader's steady clock was 0.
+// Offset is the wall clock time at which the reader's monotonic clock was 0.
 type Offset struct{ at time.Time }
 
-// Estimate gives the offset that the middle reading shows, so that a minority of wrong
-// clocks does not move it. It reports false with fewer readings than a majority of the
-// machines.
+// Estimate returns the median offset of the readings, which a minority of wrong clocks does not
+// affect. It returns false if the readings are not from a majority of the machines.
 func Estimate(readings []Reading, machines int) (Offset, bool) {
 	if len(readings) == 0 || 2*len(readings) <= machines {
 		return Offset{}, false
@@ -32,5 +30,5 @@
 	return Offset{at: zeros[len(zeros)/2]}, true
 }
 
-// Time gives the time of day at a moment of the reader's steady clock.
+// Time returns the wall clock time at a time of the reader's monotonic clock.
 func (o Offset) Time(steady time.Duration) time.Time { return o.at.Add(steady) }
