--- a/internal/core/quarantine/index.go
+++ b/internal/core/quarantine/index.go
@@ -41,5 +41,5 @@
 	return nil
 }
 
-// Ended reports whether a replica is presumed to have crashed during a suspect request.
-func (i *Index) Ended(replica string) bool { return i != nil && i.replicas[replica] }
+// Crashed reports whether a replica is presumed to have crashed during a suspect request.
+func (i *Index) Crashed(replica string) bool { return i != nil && i.replicas[replica] }
--- a/internal/core/sitestate/formats_test.go
+++ b/internal/core/sitestate/formats_test.go
@@ -53,7 +53,7 @@
 		byUpdate = byUpdate.Apply(update)
 		sameView(t, build.Name()+", snapshot", byEntries, bySnapshot)
 		sameView(t, build.Name()+", update", byEntries, byUpdate)
-		if !restored.Left("i-3") || !applied.Left("i-3") {
+		if !restored.HasLeft("i-3") || !applied.HasLeft("i-3") {
 			t.Errorf("%s: the departure of a replica is lost", build.Name())
 		}
 		if restored.Level() != applied.Level() || restored.Level() > sitestate.LevelNewest {
--- a/internal/core/sitestate/identify.go
+++ b/internal/core/sitestate/identify.go
@@ -2,12 +2,12 @@
 
 import "strconv"
 
-// Standing is the order of a reporting replica's start relative to the known ones.
-type Standing uint8
+// StartOrder is the order of a reporting replica's start relative to the known ones.
+type StartOrder uint8
 
 const (
 	// StandingCurrent is the newest known start under its name, or the first one.
-	StandingCurrent Standing = iota
+	StandingCurrent StartOrder = iota
 	// StandingNext is later than the known start, which has therefore ended.
 	StandingNext
 	// StandingPast is earlier than the known start: its message arrived late.
@@ -18,7 +18,7 @@
 type Identity struct {
 	// ID is the replica's id in the state.
 	ID       string
-	Standing Standing
+	Standing StartOrder
 	// Earlier is the id of the start that a StandingNext replaces.
 	Earlier string
 }
--- a/internal/core/sitestate/identify_test.go
+++ b/internal/core/sitestate/identify_test.go
@@ -38,7 +38,7 @@
 	if !known || held.State != sitestate.ReplicaReady || held.InstanceName() != "i" {
 		t.Errorf("replica of the second start: %+v, %v", held, known)
 	}
-	if _, known := l.state.Replica("i"); known || !l.state.Left("i") {
+	if _, known := l.state.Replica("i"); known || !l.state.HasLeft("i") {
 		t.Error("the first start is still registered")
 	}
 	if late := take("i", 1000, "a"); late.Standing != sitestate.StandingPast {
@@ -71,10 +71,10 @@
 	}
 	// A start that left does not return, but a later start under its name may join.
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: second.ID}})
-	if got := l.state.Identify("i", 2000); got.ID != second.ID || !l.state.Left(got.ID) {
+	if got := l.state.Identify("i", 2000); got.ID != second.ID || !l.state.HasLeft(got.ID) {
 		t.Errorf("a start that left: %+v", got)
 	}
-	if third := take("i", 3000, "b"); third.Standing != sitestate.StandingNext || l.state.Left(third.ID) {
+	if third := take("i", 3000, "b"); third.Standing != sitestate.StandingNext || l.state.HasLeft(third.ID) {
 		t.Errorf("third start: %+v", third)
 	}
 }
--- a/internal/core/sitestate/sitestate_test.go
+++ b/internal/core/sitestate/sitestate_test.go
@@ -85,7 +85,7 @@
 	}
 	// A replica that left before its first report does not join.
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: "i3"}})
-	if l.apply(report("i3", "a3", 1, sitestate.ReplicaReady)); !l.state.Left("i3") {
+	if l.apply(report("i3", "a3", 1, sitestate.ReplicaReady)); !l.state.HasLeft("i3") {
 		t.Error("i3 joined after it left")
 	}
 }
@@ -94,7 +94,7 @@
 	l := newLog(t)
 	l.apply(report("old", "a", 9, sitestate.ReplicaReady))
 	l.apply(report("new", "a", 1, sitestate.ReplicaReady))
-	if _, known := l.state.Replica("old"); known || !l.state.Left("old") {
+	if _, known := l.state.Replica("old"); known || !l.state.HasLeft("old") {
 		t.Error("the previous replica at the address is still registered")
 	}
 }
--- a/internal/core/sitestate/state.go
+++ b/internal/core/sitestate/state.go
@@ -125,8 +125,8 @@
 	return replica, found
 }
 
-// Left reports whether a replica left permanently.
-func (s *State) Left(id string) bool { return s.index.permanent[id] }
+// HasLeft reports whether a replica left permanently.
+func (s *State) HasLeft(id string) bool { return s.index.permanent[id] }
 
 // Replicas returns all replicas sorted by id.
 func (s *State) Replicas() []Replica {
@@ -165,7 +165,7 @@
 
 // Unsent returns the closed usage windows that are not yet reported, oldest first. The caller
 // must not modify them.
-func (s *State) Unsent() []usage.Total { return s.contents.Usage.Fixed }
+func (s *State) Unsent() []usage.Total { return s.contents.Usage.Closed }
 
 // UsageDue reports whether open windows up to upTo have requests, or follow a closed window.
 func (s *State) UsageDue(upTo usage.Window) bool { return s.contents.Usage.Due(upTo) }
@@ -255,10 +255,10 @@
 		}
 	}
 	if change.FixUpTo != nil {
-		s.contents.Usage.Fix(*change.FixUpTo)
+		s.contents.Usage.Close(*change.FixUpTo)
 	}
 	if change.Sent != nil {
-		s.contents.Usage.Sent(*change.Sent)
+		s.contents.Usage.Acknowledge(*change.Sent)
 	}
 	return outcome
 }
--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -9,7 +9,7 @@
 	// maxClosed limits the closed windows that are not yet reported; the oldest are dropped. It
 	// covers an hour of 5 s windows.
 	maxClosed = 720
-	// maxClosedPerCall limits the windows that one call of Fix closes after an outage of the
+	// maxClosedPerCall limits the windows that one call of Close closes after an outage of the
 	// control group.
 	maxClosedPerCall = 64
 	// reporterRetention is the number of windows after its last report until a reporter is
@@ -23,16 +23,16 @@
 	Counts map[string]uint64 `cbor:"2,keyasint"` // by tenant
 }
 
-// Ledger holds the counts of windows. It changes only by Note, Fix and Sent in the order of the
+// Ledger holds the counts of windows. It changes only by Note, Close and Acknowledge in the order of the
 // control log, so that all replicas of it are equal. The zero Ledger is empty.
 type Ledger struct {
-	// Next is the oldest open window; valid only if Begun is set.
-	Next  Window `cbor:"1,keyasint"`
-	Begun bool   `cbor:"2,keyasint"`
+	// Next is the oldest open window; valid only if Started is set.
+	Next    Window `cbor:"1,keyasint"`
+	Started bool   `cbor:"2,keyasint"`
 	// Open holds the counts of open windows by window and tenant.
 	Open map[Window]map[string]uint64 `cbor:"3,keyasint"`
-	// Fixed are closed windows that are not yet reported, oldest first.
-	Fixed     []Total             `cbor:"4,keyasint"`
+	// Closed are closed windows that are not yet reported, oldest first.
+	Closed    []Total             `cbor:"4,keyasint"`
 	Reporters map[string]reporter `cbor:"5,keyasint"`
 }
 
@@ -54,7 +54,7 @@
 	}
 	newest := l.Next
 	for _, count := range noted.Counts {
-		if l.Begun && count.Window < l.Next {
+		if l.Started && count.Window < l.Next {
 			late += count.Count
 			continue
 		}
@@ -68,9 +68,9 @@
 	return late
 }
 
-// Due reports whether Fix(upTo) would close a window.
+// Due reports whether Close(upTo) would close a window.
 func (l *Ledger) Due(upTo Window) bool {
-	if l.Begun {
+	if l.Started {
 		return l.Next <= upTo
 	}
 	for window := range l.Open {
@@ -81,31 +81,31 @@
 	return false
 }
 
-// Fix closes all windows up to upTo, which makes their counts final. It does not create windows
+// Close closes all windows up to upTo, which makes their counts final. It does not create windows
 // before the first request.
-func (l *Ledger) Fix(upTo Window) {
+func (l *Ledger) Close(upTo Window) {
 	if !l.Due(upTo) {
 		return
 	}
-	if !l.Begun {
-		l.Begun, l.Next = true, slices.Min(slices.Collect(maps.Keys(l.Open)))
+	if !l.Started {
+		l.Started, l.Next = true, slices.Min(slices.Collect(maps.Keys(l.Open)))
 	}
 	for closed := 0; l.Next <= upTo && closed < maxClosedPerCall; closed++ {
 		total := Total{Window: l.Next, Counts: l.Open[l.Next]}
 		if total.Counts == nil {
 			total.Counts = map[string]uint64{}
 		}
-		l.Fixed = append(slices.Clip(l.Fixed), total)
+		l.Closed = append(slices.Clip(l.Closed), total)
 		delete(l.Open, l.Next)
 		l.Next++
 	}
-	if surplus := len(l.Fixed) - maxClosed; surplus > 0 {
-		l.Fixed = slices.Clone(l.Fixed[surplus:])
+	if surplus := len(l.Closed) - maxClosed; surplus > 0 {
+		l.Closed = slices.Clone(l.Closed[surplus:])
 	}
 	maps.DeleteFunc(l.Reporters, func(_ string, known reporter) bool { return known.Window+reporterRetention < l.Next })
 }
 
-// Sent removes a reported window.
-func (l *Ledger) Sent(window Window) {
-	l.Fixed = slices.DeleteFunc(slices.Clone(l.Fixed), func(total Total) bool { return total.Window == window })
+// Acknowledge removes a reported window.
+func (l *Ledger) Acknowledge(window Window) {
+	l.Closed = slices.DeleteFunc(slices.Clone(l.Closed), func(total Total) bool { return total.Window == window })
 }
--- a/internal/core/usage/outbox.go
+++ b/internal/core/usage/outbox.go
@@ -47,9 +47,9 @@
 		o.sending, o.pending = o.pending, nil
 		o.sequence++
 	}
-	report := Report{Reporter: o.reporter, Sequence: o.sequence, Begun: make([]Begun, 0, len(o.sending))}
+	report := Report{Reporter: o.reporter, Sequence: o.sequence, Begun: make([]StartedRequests, 0, len(o.sending))}
 	for _, begun := range o.sending {
-		report.Begun = append(report.Begun, Begun{Tenant: begun.tenant, Age: now - begun.at, Count: 1})
+		report.Begun = append(report.Begun, StartedRequests{Tenant: begun.tenant, Age: now - begun.at, Count: 1})
 	}
 	return report, true
 }
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -26,9 +26,9 @@
 	return time.Unix(0, (int64(w)+1)*int64(length))
 }
 
-// Begun counts requests of a tenant that started Age before the report is sent. Ages need no
+// StartedRequests counts requests of a tenant that started Age before the report is sent. Ages need no
 // synchronized clocks.
-type Begun struct {
+type StartedRequests struct {
 	Tenant string        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint"`
 	Count  uint64        `cbor:"3,keyasint"`
@@ -38,9 +38,9 @@
 type Report struct {
 	// Reporter identifies one start of a process. Its reports are numbered from 1; resent
 	// reports are not counted again.
-	Reporter string  `cbor:"1,keyasint"`
-	Sequence uint64  `cbor:"2,keyasint"`
-	Begun    []Begun `cbor:"3,keyasint"`
+	Reporter string            `cbor:"1,keyasint"`
+	Sequence uint64            `cbor:"2,keyasint"`
+	Begun    []StartedRequests `cbor:"3,keyasint"`
 }
 
 // Count is a count of requests in a window.
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -59,7 +59,7 @@
 	if ledger.Due(100) {
 		t.Error("windows are due before any request")
 	}
-	ledger.Fix(100)
+	ledger.Close(100)
 	ledger.Note(noted("x", 1, 7, "a"))
 	ledger.Note(noted("x", 1, 7, "a")) // duplicate
 	ledger.Note(noted("y", 1, 9, "b"))
@@ -67,25 +67,25 @@
 	if ledger.Due(5) || !ledger.Due(6) {
 		t.Error("Due is wrong")
 	}
-	ledger.Fix(8)
+	ledger.Close(8)
 	if late := ledger.Note(noted("x", 2, 8, "a")); late != 1 {
 		t.Errorf("%d late, want 1", late)
 	}
-	ledger.Fix(9)
-	ledger.Fix(9)
+	ledger.Close(9)
+	ledger.Close(9)
 	want := []usage.Total{{6, map[string]uint64{"a": 1}}, {7, map[string]uint64{"a": 1}}, {8, map[string]uint64{}}, {9, map[string]uint64{"b": 1}}}
-	if len(ledger.Fixed) != len(want) {
-		t.Fatalf("%+v", ledger.Fixed)
+	if len(ledger.Closed) != len(want) {
+		t.Fatalf("%+v", ledger.Closed)
 	}
-	for i, total := range ledger.Fixed {
+	for i, total := range ledger.Closed {
 		if total.Window != want[i].Window || !maps.Equal(total.Counts, want[i].Counts) {
 			t.Errorf("%+v, want %+v", total, want[i])
 		}
 	}
-	ledger.Sent(6)
-	ledger.Sent(6)
-	if len(ledger.Fixed) != 3 || ledger.Fixed[0].Window != 7 {
-		t.Errorf("after reporting window 6: %+v", ledger.Fixed)
+	ledger.Acknowledge(6)
+	ledger.Acknowledge(6)
+	if len(ledger.Closed) != 3 || ledger.Closed[0].Window != 7 {
+		t.Errorf("after reporting window 6: %+v", ledger.Closed)
 	}
 }
 
@@ -116,7 +116,7 @@
 					outbox.Kept()
 				}
 			case 3:
-				ledger.Fix(usage.WindowAt(now.Add(-4*time.Second), length) - 1)
+				ledger.Close(usage.WindowAt(now.Add(-4*time.Second), length) - 1)
 			}
 		}
 		for _, outbox := range outboxes {
@@ -126,7 +126,7 @@
 			}
 		}
 		counted := uint64(0)
-		for _, total := range ledger.Fixed {
+		for _, total := range ledger.Closed {
 			counted += total.Counts["a"]
 		}
 		for _, open := range ledger.Open {
@@ -143,13 +143,13 @@
 	var ledger usage.Ledger
 	ledger.Note(noted("x", 1, 0, "a"))
 	for window := range usage.Window(3000) {
-		ledger.Fix(window)
+		ledger.Close(window)
 	}
-	if len(ledger.Fixed) > 1000 || len(ledger.Reporters) != 0 {
-		t.Errorf("%d windows and %d reporters are stored", len(ledger.Fixed), len(ledger.Reporters))
+	if len(ledger.Closed) > 1000 || len(ledger.Reporters) != 0 {
+		t.Errorf("%d windows and %d reporters are stored", len(ledger.Closed), len(ledger.Reporters))
 	}
 	before := ledger.Next
-	ledger.Fix(1_000_000)
+	ledger.Close(1_000_000)
 	if ledger.Next-before > 100 {
 		t.Errorf("%d windows were closed at once", ledger.Next-before)
 	}
