--- a/internal/core/jobstate/state.go
+++ b/internal/core/jobstate/state.go
@@ -365,8 +365,8 @@
 	Ended bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Page returns results starting at a position: at least one if available, and no more than fit
-// into maxBytes.
+// Page returns results starting at a position: as many as fit into maxBytes, but at least one if
+// available.
 func (j *Job) Page(from, maxBytes int) Page {
 	page := Page{Total: len(j.Items), Next: max(0, min(from, len(j.Results))), Ended: j.Ended}
 	bytes := 0
--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -18,7 +18,7 @@
 // hashed only for requests whose head matches a suspect.
 type Head = Digest
 
-// Digest is the first half of a SHA-256, which callers cannot forge.
+// Digest is the first half of a SHA-256, so that callers cannot construct colliding requests.
 type Digest [16]byte
 
 // Request holds the parts of a request that its fingerprint covers.
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -25,7 +25,7 @@
 	EventEnded EventKind = iota + 1
 	// EventServed means that a replica sent a complete response to the request.
 	EventServed
-	// EventAlive means that a replica presumed crashed responded to a request sent later.
+	// EventAlive means that a replica responded to a request sent after its presumed crash.
 	EventAlive
 	// EventTrial asks for a trial, a single send of a withheld request.
 	EventTrial
--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -23,8 +23,8 @@
 	Counts map[string]uint64 `cbor:"2,keyasint"` // by tenant
 }
 
-// Ledger holds the counts of windows. It changes only by Note, Close and Acknowledge in the order of the
-// control log, so that all replicas of it are equal. The zero Ledger is empty.
+// Ledger holds the counts of windows. It changes only by Note, Close and Acknowledge in the order
+// of the control log, so that all replicas of it are equal. The zero Ledger is empty.
 type Ledger struct {
 	// Next is the oldest open window; valid only if Started is set.
 	Next    Window `cbor:"1,keyasint"`
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -26,8 +26,8 @@
 	return time.Unix(0, (int64(w)+1)*int64(length))
 }
 
-// StartedRequests counts requests of a tenant that started Age before the report is sent. Ages need no
-// synchronized clocks.
+// StartedRequests counts requests of a tenant that started Age before the report is sent. Ages
+// need no synchronized clocks.
 type StartedRequests struct {
 	Tenant string        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint"`
--- a/internal/core/weightplan/next.go
+++ b/internal/core/weightplan/next.go
@@ -19,7 +19,7 @@
 // at a time.
 type Loading map[string]string
 
-// Limits limit concurrent loads.
+// Limits restrict concurrent loads.
 type Limits struct {
 	// Total is the limit for all replicas of the service.
 	Total int
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -43,7 +43,7 @@
 	return changes
 }
 
-// minShare is the share of a model without demand.
+// minShare is the minimum share of a model, also without demand.
 const minShare = 0.01
 
 // demandShares returns each model's share of the total demand.
