--- a/internal/core/nodestate/doc.go
+++ b/internal/core/nodestate/doc.go
@@ -1,8 +1,9 @@
-// Package nodestate is what one node knows, and what follows from it: the view
-// of the control state, the live nodes of the zone, the homes of replicas, their
-// load and health, what other homes and zones tell, and which machines leave.
+// Package nodestate implements the control state of one node: its view of the
+// configuration, the live nodes of its zone, the homes of replicas with their load
+// and health, the summaries of other nodes and zones, and the leaving machines.
 //
-// A State is a state machine: the time comes in with each call, and messages,
-// decisions and new snapshots go out through Output. The node process calls it
-// from its control goroutine, the simulator from virtual time.
+// The home of a replica is the node that polls it and admits requests to it.
+// A State is a state machine: each call takes the current time, and Flush returns
+// the messages, decisions and snapshots to act on. The node process calls it from
+// its control goroutine, the simulator in virtual time.
 package nodestate
--- a/internal/core/nodestate/home.go
+++ b/internal/core/nodestate/home.go
@@ -8,14 +8,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ownedReplica is a replica that this node is the home of, with its gate.
+// ownedReplica is a replica that this node is the home of, with the gate of its pool.
 type ownedReplica struct {
 	replica port.Replica
 	polled  bool
 	gate    Gate
 }
 
-// LoadReported takes the answer of an engine to a question asked at askedAt.
+// LoadReported handles an engine's answer to a load poll sent at askedAt.
 func (s *State) LoadReported(now, askedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
 	record := s.records[replica]
 	if record == nil {
@@ -29,13 +29,12 @@
 		return
 	}
 	_, restarted := record.Reported(now, askedAt, report)
-	if owned := s.gates[record.Replica.Pool]; restarted && owned != nil {
-		owned.ResetCache(replica)
+	if poolGate := s.gates[record.Replica.Pool]; restarted && poolGate != nil {
+		poolGate.ResetCache(replica)
 	}
 }
 
-// setHomes starts and stops the polls so that they match the replicas that this
-// node is the home of.
+// setHomes starts and stops polls to match the replicas that this node is the home of.
 func (s *State) setHomes(owned map[port.ReplicaID]ownedReplica) {
 	for _, id := range sortedKeys(s.records) {
 		record := s.records[id]
@@ -61,7 +60,7 @@
 	}
 }
 
-// Outcomes takes how calls to the own home replicas ended.
+// Outcomes records the outcomes of calls to replicas that this node is the home of.
 func (s *State) Outcomes(now time.Time, outcomes []CallOutcome) {
 	for _, outcome := range outcomes {
 		if record := s.records[outcome.Replica]; record != nil {
@@ -70,8 +69,8 @@
 	}
 }
 
-// CallEnded takes how an application call made by this node ended: the replica's
-// home judges it.
+// CallEnded records the outcome of an application call made by this node, or queues
+// it for the replica's home.
 func (s *State) CallEnded(now time.Time, outcome CallOutcome) {
 	if record := s.records[outcome.Replica]; record != nil {
 		s.observe(now, record.Replica.Pool, outcome)
@@ -87,18 +86,18 @@
 	}
 }
 
-// maxOutcomes bounds the outcomes kept for one home between two ticks.
+// maxOutcomes bounds the outcomes queued for one home between two ticks.
 const maxOutcomes = 256
 
-// sendOutcomes tells other homes how calls to their replicas ended.
+// sendOutcomes sends the queued outcomes to the homes of the replicas.
 func (s *State) sendOutcomes() {
 	for _, home := range sortedKeys(s.outcomes) {
-		s.tell(home, OutcomesMessage{Outcomes: s.outcomes[home]})
+		s.sendTo(home, OutcomesMessage{Outcomes: s.outcomes[home]})
 		delete(s.outcomes, home)
 	}
 }
 
-// observe judges a replica by the outcome of one call.
+// observe passes the outcome of a call to the ejection tracker of the pool.
 func (s *State) observe(now time.Time, pool port.PoolName, outcome CallOutcome) {
 	tracker := s.trackers[pool]
 	if tracker == nil {
@@ -118,7 +117,7 @@
 	}
 }
 
-// healthChanged records a change of health and lets it be told at once.
+// healthChanged records a decision for a change of health and makes a summary due.
 func (s *State) healthChanged(pool port.PoolName, change ejection.Change) {
 	s.changed = true
 	s.lastSummary = time.Time{}
@@ -135,8 +134,8 @@
 	})
 }
 
-// ReplicaPrefix begins the subject of records about a replica.
+// ReplicaPrefix is the prefix of the subject of records about a replica.
 const ReplicaPrefix = "replica/"
 
-// ReplicaSubject is the subject of records about a replica.
+// ReplicaSubject returns the subject of records about a replica.
 func ReplicaSubject(id port.ReplicaID) string { return ReplicaPrefix + string(id) }
--- a/internal/core/nodestate/machines.go
+++ b/internal/core/nodestate/machines.go
@@ -10,34 +10,33 @@
 
 const (
 	// pollersPerZone is the number of nodes of a zone that poll the machine list
-	// and tell the others, so that the load on the list doesn't grow with the zone.
+	// and send it to the others, so that its load doesn't grow with the zone.
 	pollersPerZone = 2
-	// machineLooks is the number of times in a poll interval that a node looks
-	// whether it has to poll.
-	machineLooks = 4
-	// wordAge is the age of the newest word of the pollers, in poll intervals,
-	// from which a node polls itself: it may be cut off from them, or they may
-	// have died, and the failure detector takes longer to say so than a leaving
-	// back end may get new work.
-	wordAge = 1.25
+	// pollChecksPerInterval is the number of times in a poll interval that a node
+	// checks whether it has to poll.
+	pollChecksPerInterval = 4
+	// maxListAge is the age of the newest list received, in poll intervals, at which
+	// a node polls by itself. Waiting for the failure detector to report dead pollers
+	// would send requests to leaving back ends for too long.
+	maxListAge = 1.25
 )
 
-// MachineLook gives the time between two calls of PollsMachines.
-func MachineLook(interval time.Duration) time.Duration { return interval / machineLooks }
+// MachineLook returns the time between two calls of PollsMachines.
+func MachineLook(interval time.Duration) time.Duration { return interval / pollChecksPerInterval }
 
-// PollsMachines says whether a node has to ask the machine list now. It is one of
-// its zone's pollers and asked last an interval ago, or the pollers are silent.
-// Asked is when the node asked last, heard when it last had word of the list.
-func PollsMachines(now time.Time, interval time.Duration, zoneNodes []port.NodeID, self port.NodeID, asked, heard time.Time) bool {
-	if now.Sub(asked) < interval {
+// PollsMachines reports whether the node has to poll the machine list now: a poll
+// interval has passed since its last poll, sent at polledAt, and it is one of the
+// zone's pollers or the newest list, received at receivedAt, is too old.
+func PollsMachines(now time.Time, interval time.Duration, zoneNodes []port.NodeID, self port.NodeID, polledAt, receivedAt time.Time) bool {
+	if now.Sub(polledAt) < interval {
 		return false
 	}
-	silence := time.Duration(wordAge * float64(interval))
-	return now.Sub(heard) >= silence || isPoller(zoneNodes, self)
+	maxAge := time.Duration(maxListAge * float64(interval))
+	return now.Sub(receivedAt) >= maxAge || isPoller(zoneNodes, self)
 }
 
-// isPoller says whether a node is among the first of its zone's live nodes by
-// rendezvous, or the zone has too few.
+// isPoller reports whether the node is among the first pollersPerZone live nodes of
+// its zone by rendezvous hashing, or the zone has no more nodes than that.
 func isPoller(zoneNodes []port.NodeID, self port.NodeID) bool {
 	nodes := slices.Clone(zoneNodes)
 	for range pollersPerZone {
@@ -50,31 +49,30 @@
 	return len(nodes) == 0
 }
 
-// Machines takes what a poller of the machine list tells.
+// Machines handles the machine list received from a poller.
 func (s *State) Machines(now time.Time, message MachinesMessage) {
 	if s.leaving.Told(now, message.Node, message.Leaving) {
-		s.urgent()
-		s.tellDetector()
+		s.resetPacing()
+		s.updateDetectorMachines()
 	}
 }
 
-// listPatience is how long a node that started waits for word of the machine list
-// before it serves without.
-const listPatience = 2 * time.Second
+// machineListTimeout is how long a node that just started waits for the machine
+// list before it routes requests without it.
+const machineListTimeout = 2 * time.Second
 
-// mayRoute says whether requests may be routed: a node that just started doesn't
-// know which back ends leave until it heard of the machine list.
+// mayRoute reports whether requests may be routed. Before the first machine list, a
+// node doesn't know which back ends are leaving.
 func (s *State) mayRoute(now time.Time) bool {
 	view := s.observer.View()
 	if view.Configuration.MachineList == "" || !s.leaving.Newest().IsZero() {
 		return true
 	}
-	if s.listWanted.IsZero() {
-		s.listWanted = now
+	if s.machineListAwaitedSince.IsZero() {
+		s.machineListAwaitedSince = now
 	}
-	return now.Sub(s.listWanted) >= listPatience
+	return now.Sub(s.machineListAwaitedSince) >= machineListTimeout
 }
 
-// MachinesHeard gives when word of the machine list last came; the zero time
-// means never.
+// MachinesHeard returns when the newest machine list was received; zero means never.
 func (s *State) MachinesHeard() time.Time { return s.leaving.Newest() }
--- a/internal/core/nodestate/message.go
+++ b/internal/core/nodestate/message.go
@@ -5,36 +5,36 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// AggregatesMessage carries what a zone tells others. Relayed is set on its
-// second way, from an aggregator of the other zone to its peers.
+// AggregatesMessage carries the aggregates of a zone to another one. Relayed is set
+// when the receiving node forwards it within its zone.
 type AggregatesMessage struct {
 	Aggregates []membership.PoolAggregate `cbor:"1,keyasint"`
 	Relayed    bool                       `cbor:"2,keyasint,omitempty"`
-	// Asker, if set, is a node that has just started and asks for what the
-	// receiver relays.
-	Asker port.NodeID `cbor:"3,keyasint,omitempty"`
+	// Requester, if set, is a node that has just started and requests the aggregates
+	// that the receiver relays.
+	Requester port.NodeID `cbor:"3,keyasint,omitempty"`
 }
 
-// MachinesMessage tells the zone which machines the list shows as leaving.
+// MachinesMessage sends a poller's list of leaving machines to the zone.
 type MachinesMessage struct {
 	Node    port.NodeID    `cbor:"1,keyasint"`
 	Leaving []port.Machine `cbor:"2,keyasint,omitempty"`
 }
 
-// OutcomesMessage tells a home how calls to its replicas ended.
+// OutcomesMessage sends the outcomes of calls to the home of the replicas.
 type OutcomesMessage struct {
 	Outcomes []CallOutcome `cbor:"1,keyasint"`
 }
 
-// CallOutcome is the end of one call to a replica.
+// CallOutcome is the outcome of one call to a replica.
 type CallOutcome struct {
 	Replica       port.ReplicaID `cbor:"1,keyasint"`
 	Failed        bool           `cbor:"2,keyasint,omitempty"`
 	LatencyMicros int64          `cbor:"3,keyasint,omitempty"`
 }
 
-// PoolStateCall asks a home for its replicas of an engine pool. Out lists the
-// replicas that the pool's weights rollout keeps out of routing, under Fence.
+// PoolStateCall requests the state of a home's replicas of an engine pool. Out lists
+// the replicas that the pool's weights rollout excludes from routing, under Fence.
 type PoolStateCall struct {
 	Pool  port.PoolName    `cbor:"1,keyasint"`
 	Fence port.Epoch       `cbor:"2,keyasint"`
@@ -46,7 +46,7 @@
 	Replicas []ReplicaState `cbor:"1,keyasint,omitempty"`
 }
 
-// ReplicaState is a replica as its home sees it.
+// ReplicaState is the state of a replica as seen by its home.
 type ReplicaState struct {
 	Replica   port.ReplicaID  `cbor:"1,keyasint"`
 	Report    port.LoadReport `cbor:"2,keyasint"`
@@ -63,19 +63,19 @@
 	Body any
 }
 
-// Output is what a call asks its caller to do.
+// Output lists the actions for the caller of Flush.
 type Output struct {
 	Messages  []Envelope
 	Decisions []port.Decision
-	// Snapshot, if set, replaces the one before.
+	// Snapshot, if set, replaces the previous one.
 	Snapshot *Snapshot
-	// Started and Stopped are engines to poll for load and cache events from now
-	// on, or no longer.
+	// Started and Stopped are the engines whose polls for load and cache events
+	// start or stop.
 	Started []Poll
 	Stopped []port.ReplicaID
-	// Report, if set, goes to control.
+	// Report, if set, is sent to the control service.
 	Report *port.NodeReport
-	// ForgottenPools are no longer configured.
+	// ForgottenPools are the pools removed from the configuration.
 	ForgottenPools []port.PoolName
 }
 
--- a/internal/core/nodestate/pollpace.go
+++ b/internal/core/nodestate/pollpace.go
@@ -8,19 +8,19 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// PollInterval gives the time between two polls of an own engine: as the budget
-// for all of them allows, and the least one while the replica's state changes or
-// its health is in doubt.
+// PollInterval returns the time between two polls of an engine that this node is the
+// home of: the interval that the byte budget allows, or the minimum while the
+// replica's state changes or it is ejected or probed.
 func (s *State) PollInterval(now time.Time, id port.ReplicaID) time.Duration {
 	record := s.records[id]
-	if record == nil || record.PollSoon(now) || s.doubted(record) {
+	if record == nil || record.PollSoon(now) || s.unhealthy(record) {
 		return s.config.Load
 	}
 	return home.PollInterval(s.config.Load, s.polledEngines(), home.PollBytes, home.PollBudget)
 }
 
-// doubted says whether the replica is ejected or probed.
-func (s *State) doubted(record *home.Record) bool {
+// unhealthy reports whether the replica is ejected or probed.
+func (s *State) unhealthy(record *home.Record) bool {
 	tracker := s.trackers[record.Replica.Pool]
 	return tracker != nil && tracker.State(record.Replica.ID) != ejection.Healthy
 }
--- a/internal/core/nodestate/poolstate.go
+++ b/internal/core/nodestate/poolstate.go
@@ -7,60 +7,60 @@
 	"github.com/loomgrade/loomgrade/internal/core/home"
 )
 
-// routedOutFor is how long a replica stays out of routing on the word of a
-// rollout that says no more.
-const routedOutFor = 10 * time.Second
+// exclusionTTL is how long a replica excluded by a rollout stays out of routing
+// unless the rollout renews the exclusion.
+const exclusionTTL = 10 * time.Second
 
-// PoolState takes over what a rollout keeps out of routing, and answers with the
-// state of the pool's replicas that this node is the home of.
+// PoolState applies the exclusions of a rollout and returns the state of the pool's
+// replicas that this node is the home of.
 func (s *State) PoolState(now time.Time, call PoolStateCall) PoolStateAnswer {
-	s.routeOut(now, call)
+	s.applyExclusions(now, call)
 	var answer PoolStateAnswer
-	owned := s.gates[call.Pool]
-	if owned == nil {
+	poolGate := s.gates[call.Pool]
+	if poolGate == nil {
 		return answer
 	}
-	loads, _ := owned.Loads()
+	loads, _ := poolGate.Loads()
 	for _, id := range sortedKeys(s.records) {
-		held := s.records[id]
-		if held.Replica.Pool == call.Pool && held.Polled {
-			answer.Replicas = append(answer.Replicas, s.replicaState(now, held, loads[id]))
+		record := s.records[id]
+		if record.Replica.Pool == call.Pool && record.Polled {
+			answer.Replicas = append(answer.Replicas, s.replicaState(now, record, loads[id]))
 		}
 	}
 	return answer
 }
 
-func (s *State) replicaState(now time.Time, held *home.Record, load gate.Load) ReplicaState {
-	summary := s.replicaSummary(now, held, load, 0)
+func (s *State) replicaState(now time.Time, record *home.Record, load gate.Load) ReplicaState {
+	summary := s.replicaSummary(now, record, load, 0)
 	return ReplicaState{
-		Replica:   held.Replica.ID,
-		Report:    held.Report(now),
-		Reachable: held.Reachable() && !summary.Leaving,
+		Replica:   record.Replica.ID,
+		Report:    record.Report(now),
+		Reachable: record.Reachable() && !summary.Leaving,
 		Routable:  summary.Takes() > 0,
 		Inflight:  load.Inflight,
 		Limit:     summary.Takes(),
 	}
 }
 
-// routeOut takes over which replicas a rollout keeps out of routing. A lower
-// fence than one seen before is not listened to.
-func (s *State) routeOut(now time.Time, call PoolStateCall) {
+// applyExclusions updates the replicas that a rollout excludes from routing. It
+// ignores a call with a fence lower than the highest one seen.
+func (s *State) applyExclusions(now time.Time, call PoolStateCall) {
 	if call.Fence < s.fences[call.Pool] {
 		return
 	}
 	s.fences[call.Pool] = call.Fence
-	for id, held := range s.records {
-		if held.Replica.Pool != call.Pool {
+	for id, record := range s.records {
+		if record.Replica.Pool != call.Pool {
 			continue
 		}
 		until := time.Time{}
 		for _, out := range call.Out {
 			if out == id {
-				until = now.Add(routedOutFor)
+				until = now.Add(exclusionTTL)
 			}
 		}
-		if held.RouteOut(until) {
-			s.urgent()
+		if record.RouteOut(until) {
+			s.resetPacing()
 		}
 	}
 }
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -13,23 +13,23 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// rebuild brings gates, trackers and polls in line with what is known, and makes
-// a new snapshot.
+// rebuild updates gates, trackers and polls from the current state and creates a
+// new snapshot.
 func (s *State) rebuild(now time.Time) {
 	s.changed = false
 	view := s.observer.View()
 	live := s.detector.Live()
-	if !s.homes.holds(view.Nodes, live) {
+	if !s.homes.matches(view.Nodes, live) {
 		s.homes = NewHomeTable(s.config.Zone, view.Nodes, live)
 	}
-	fresh := s.tables == nil || !s.tables.holds(view)
+	fresh := s.tables == nil || !s.tables.matches(view)
 	if fresh {
 		s.tables = newTables(view)
 	}
 	next := s.emptySnapshot(view, live)
 	owned := s.owned()
 	s.setHomes(owned.byID)
-	s.tellOwn(now)
+	s.applyOwnSummary(now)
 	s.summaries.Retain(next.ZoneNodes)
 	routes := s.mayRoute(now)
 	for index := range view.Configuration.Pools {
@@ -41,14 +41,14 @@
 		}
 	}
 	if fresh {
-		s.dropUnused(now, byName(view.Configuration.Pools), next.Replicas)
+		s.removeUnconfigured(now, byName(view.Configuration.Pools), next.Replicas)
 	}
 	s.snapshot = next
 	s.output.Snapshot = next
 	s.rebuiltAt = now
 }
 
-// emptySnapshot makes a snapshot of the view without routes and replicas.
+// emptySnapshot returns a snapshot of the view without pools.
 func (s *State) emptySnapshot(view *port.View, live []port.NodeID) *Snapshot {
 	return &Snapshot{
 		View:      view,
@@ -60,17 +60,17 @@
 	}
 }
 
-// Bounds of the time between two rebuilds, so that a large configuration under
-// steady news takes a small share of a core.
+// Bounds of the time between two rebuilds, so that frequent changes of a large
+// configuration use a small share of a core.
 const (
 	rebuildShare       = 30
 	maxRebuildInterval = 100 * time.Millisecond
-	// refreshInterval is the time between rebuilds without news.
+	// refreshInterval is the time between rebuilds without changes.
 	refreshInterval = time.Second
 )
 
-// RebuildIfDue rebuilds if there is something to rebuild and it is time; true
-// means that it did.
+// RebuildIfDue rebuilds the snapshot if it changed or is due for a refresh. It
+// reports whether it did.
 func (s *State) RebuildIfDue(now time.Time) bool {
 	passed := now.Sub(s.rebuiltAt)
 	due := passed >= min(rebuildShare*s.rebuildCost, maxRebuildInterval)
@@ -83,10 +83,10 @@
 	return due
 }
 
-// RebuildCost tells what the last rebuild took, which paces the next ones.
+// RebuildCost sets the duration of the last rebuild, which paces the next ones.
 func (s *State) RebuildCost(cost time.Duration) { s.rebuildCost = cost }
 
-// gate gives the pool's gate and makes it when it is first needed.
+// gate returns the pool's gate, creating it on first use.
 func (s *State) gate(pool *port.Pool) Gate {
 	known := s.gates[pool.Name]
 	if known == nil {
@@ -96,9 +96,8 @@
 	return known
 }
 
-// configureTracker tells the pool's judge which replicas it judges: those this
-// node is the home of, and of an application pool also those of other zones,
-// whose homes this node doesn't hear of.
+// configureTracker sets the pool's settings and the replicas to track: those that
+// this node is the home of.
 func (s *State) configureTracker(now time.Time, pool *port.Pool, owned *ownedReplicas) {
 	tracker := s.trackers[pool.Name]
 	settings := ejection.FromConfiguration(pool.Ejection)
@@ -108,18 +107,18 @@
 	}
 	tracker.Configure(settings)
 	own := owned.byPool[pool.Name]
-	judged := make([]port.ReplicaID, 0, len(own))
+	tracked := make([]port.ReplicaID, 0, len(own))
 	for index := range own {
-		judged = append(judged, own[index].ID)
+		tracked = append(tracked, own[index].ID)
 	}
-	tracker.SetReplicas(judged)
-	tracker.SetPool(ejection.Pool{Size: len(s.tables.byPool[pool.Name]), OutElsewhere: s.outElsewhere(now, pool, owned.byID)})
+	tracker.SetReplicas(tracked)
+	tracker.SetPool(ejection.Pool{Size: len(s.tables.byPool[pool.Name]), OutElsewhere: s.unhealthyElsewhere(now, pool, owned.byID)})
 }
 
-// outElsewhere counts the replicas of a pool that other homes hold out, of this
-// zone and, by the word of their aggregators, of the others. Those of an
-// application pool in other zones are judged here.
-func (s *State) outElsewhere(now time.Time, pool *port.Pool, owned map[port.ReplicaID]ownedReplica) int {
+// unhealthyElsewhere counts the replicas of a pool that other homes eject or probe:
+// those of this zone from its summaries, and for an engine pool those of other zones
+// from their aggregates.
+func (s *State) unhealthyElsewhere(now time.Time, pool *port.Pool, owned map[port.ReplicaID]ownedReplica) int {
 	count := 0
 	s.summaries.Pool(now, s.detector.Assigner(), pool.Name, func(_ port.NodeID, replica *membership.ReplicaSummary, _ time.Duration) {
 		if _, own := owned[replica.Replica]; !own && (replica.Ejected || replica.Probing) {
@@ -135,13 +134,13 @@
 	return count
 }
 
-// configureGate tells the pool's gate of its replicas: all of an application
-// pool, and those that this node is the home of for an engine pool.
+// configureGate updates the replicas of the pool's gate: all replicas of an
+// application pool, or the engines that this node is the home of.
 func (s *State) configureGate(now time.Time, pool *port.Pool, owned *ownedReplicas) {
 	if pool.Kind == port.PoolGeneration && s.gates[pool.Name] == nil {
 		return
 	}
-	held := s.gate(pool)
+	poolGate := s.gate(pool)
 	settings := gate.Settings{
 		MinInflight: pool.Admission.MinInflight,
 		MaxInflight: pool.Admission.MaxInflight,
@@ -152,18 +151,18 @@
 	if pool.Kind == port.PoolGeneration {
 		all = owned.byPool[pool.Name]
 	}
-	told := make([]gate.Replica, 0, len(all))
+	gateReplicas := make([]gate.Replica, 0, len(all))
 	for index := range all {
-		told = append(told, s.gateReplica(now, &all[index], standings[all[index].ID]))
+		gateReplicas = append(gateReplicas, s.gateReplica(now, &all[index], standings[all[index].ID]))
 	}
-	held.Configure(now, settings, told)
+	poolGate.Configure(now, settings, gateReplicas)
 }
 
 func (s *State) gateReplica(now time.Time, replica *port.Replica, standing home.Standing) gate.Replica {
 	return home.ForGate(now, replica, s.config.Region, s.leaving.Has(replica.Address), standing, s.records[replica.ID])
 }
 
-// route gives where a pool's requests can go.
+// route returns where requests of a pool can go.
 func (s *State) route(now time.Time, pool port.Pool) *PoolRoute {
 	enginePool := pool.EnginePool()
 	route := &PoolRoute{Pool: pool, Gate: s.gates[enginePool]}
@@ -211,8 +210,8 @@
 	}
 }
 
-// zoneOffer gives what another zone offers, with this node's count of what it
-// sent there when the word came.
+// zoneOffer returns the capacity that another zone offers, with the number of
+// requests that this node had sent there when the aggregate arrived.
 func (s *State) zoneOffer(aggregate membership.PoolAggregate) ZoneOffer {
 	key := ZonePool{aggregate.Zone, aggregate.Pool}
 	counter := s.config.ZoneCounter(key)
@@ -232,8 +231,9 @@
 	return names
 }
 
-// dropUnused forgets the pools and replicas that are no longer configured.
-func (s *State) dropUnused(now time.Time, pools map[port.PoolName]bool, replicas map[port.ReplicaID]port.Replica) {
+// removeUnconfigured drops the state of pools and replicas that are no longer
+// configured.
+func (s *State) removeUnconfigured(now time.Time, pools map[port.PoolName]bool, replicas map[port.ReplicaID]port.Replica) {
 	for _, name := range sortedKeys(s.gates) {
 		if !pools[name] {
 			s.gates[name].Configure(now, gate.Settings{}, nil)
--- a/internal/core/nodestate/rebuild_bench_test.go
+++ b/internal/core/nodestate/rebuild_bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Shape of the benchmark's fleet.
+// Size of the benchmark's fleet.
 const (
 	benchZones = 14
 	benchPools = 16
@@ -56,7 +56,8 @@
 	return view
 }
 
-// benchState makes a node's state with the news of its whole zone and all others.
+// benchState returns a node's state with the aggregates of all other zones, and the
+// summaries of the other homes of its zone.
 func benchState(view *port.View) (*State, []membership.HomeSummary) {
 	s := New(Config{
 		Self: "node-000", Zone: "zone-00", Region: "r", PeerAddress: "10.0.0.1:7000", Incarnation: 1,
@@ -100,8 +101,8 @@
 	return s, summaries
 }
 
-// BenchmarkRebuild makes anew what a node's traffic sees after one summary came:
-// what happens up to ten times a second.
+// BenchmarkRebuild measures a rebuild after one new summary, which happens up to ten
+// times a second.
 func BenchmarkRebuild(b *testing.B) {
 	for _, nodes := range []int{20, 60, 200, 660} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -112,9 +113,9 @@
 				now = now.Add(time.Millisecond)
 				s.rebuiltAt = time.Time{}
 				if len(summaries) > 0 {
-					news := summaries[index%len(summaries)]
-					news.Sequence = uint64(index + 1)
-					s.Summary(now, news)
+					summary := summaries[index%len(summaries)]
+					summary.Sequence = uint64(index + 1)
+					s.Summary(now, summary)
 				}
 				s.RebuildIfDue(now)
 				s.Flush()
--- a/internal/core/nodestate/report.go
+++ b/internal/core/nodestate/report.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// report tells control about this node when it is time.
+// report sends a node report to the control service when one is due.
 func (s *State) report(now time.Time) {
 	if now.Sub(s.lastReport) < s.config.Report {
 		return
--- a/internal/core/nodestate/snapshot.go
+++ b/internal/core/nodestate/snapshot.go
@@ -9,68 +9,68 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Snapshot is what traffic knows. It is immutable; the gates and counters that
-// it points to guard themselves.
+// Snapshot is the routing state used by requests. It is immutable; its gates and
+// counters do their own locking.
 type Snapshot struct {
 	View     *port.View
 	Pools    map[port.PoolName]*PoolRoute
 	Replicas map[port.ReplicaID]port.Replica
 	Nodes    map[port.NodeID]port.NodeAddress
-	// ZoneNodes are the live nodes of the own zone, in order.
+	// ZoneNodes are the live nodes of this node's zone, sorted.
 	ZoneNodes []port.NodeID
-	// Homes says which node is the home of a replica.
+	// Homes maps each replica to its home.
 	Homes *HomeTable
 }
 
-// EmptySnapshot is that of a node that knows nothing yet.
+// EmptySnapshot returns the snapshot of a node before its first view.
 func EmptySnapshot(own port.ZoneName) *Snapshot {
 	return &Snapshot{View: &port.View{}, Homes: NewHomeTable(own, nil, nil)}
 }
 
-// PoolRoute says where a pool's requests can go.
+// PoolRoute lists where requests of a pool can go.
 type PoolRoute struct {
 	Pool port.Pool
-	// Gate is that of an application pool, or of the own home replicas of an
-	// engine pool; it may be nil for the latter.
+	// Gate is the pool's gate. It is nil for an engine pool without replicas that
+	// this node is the home of.
 	Gate Gate
-	// Zone holds the zone's replicas of an engine pool.
+	// Zone holds the engine pool's replicas in this node's zone.
 	Zone []ZoneReplica
-	// Elsewhere is what other zones tell of an engine pool.
+	// Elsewhere holds the aggregates of the engine pool in other zones.
 	Elsewhere []ZoneOffer
 }
 
-// ZoneReplica is a replica of the own zone as its home tells of it.
+// ZoneReplica is a replica of this node's zone as reported by its home.
 type ZoneReplica struct {
 	Candidate scheduling.Candidate
 	Reported  time.Time
 	Counter   Counter
-	// mark is what the counter was when the report came.
+	// mark holds the counter's values at the time of the report.
 	mark placement.Mark
 }
 
-// Now gives the candidate with this node's own counts of the moment.
+// Now returns the candidate corrected by the requests counted since the report.
 func (r *ZoneReplica) Now(now time.Time) scheduling.Candidate {
 	return r.mark.Correct(now, r.Reported, r.Candidate, r.Counter.Counts())
 }
 
-// ZoneOffer is another zone's aggregate with the nodes that take its requests.
+// ZoneOffer is the aggregate of another zone with the nodes that accept its requests.
 type ZoneOffer struct {
 	Aggregate membership.PoolAggregate
 	Nodes     []port.NodeAddress
 	Counter   Counter
-	// sentMark is the count of what was sent there when the word came.
+	// sentMark is the number of requests sent there when the aggregate arrived.
 	sentMark int64
 }
 
-// Room gives the free places for each replica there, less what waits and what
-// this node has sent since.
+// Room returns the free slots per replica of the zone, less the queued requests and
+// those that this node has sent since the aggregate.
 func (o *ZoneOffer) Room() float64 {
 	sent := o.Counter.Counts().Sent - o.sentMark
 	free := o.Aggregate.Free - o.Aggregate.Queued - int(max(sent, 0))
 	return float64(free) / float64(max(o.Aggregate.Routable, 1))
 }
 
-// TenantShare gives the share of a queue that a tenant may fill; 0 means all.
+// TenantShare returns the share of a queue that a tenant may fill; 0 means all.
 func (s *Snapshot) TenantShare(name port.TenantName) float64 {
 	for _, tenant := range s.View.Configuration.Tenants {
 		if tenant.Name == name {
@@ -80,7 +80,7 @@
 	return 0
 }
 
-// HomeOf gives the node that is the home of a replica, in any zone.
+// HomeOf returns the node that is the home of a replica, in any zone.
 func (s *Snapshot) HomeOf(id port.ReplicaID) (port.NodeAddress, bool) {
 	replica, configured := s.Replicas[id]
 	if !configured {
--- a/internal/core/nodestate/sorted.go
+++ b/internal/core/nodestate/sorted.go
@@ -6,5 +6,5 @@
 	"slices"
 )
 
-// sortedKeys gives a map's keys in order, so that nothing hangs on the map's.
+// sortedKeys returns the sorted keys of a map, for a deterministic iteration order.
 func sortedKeys[K cmp.Ordered, V any](table map[K]V) []K { return slices.Sorted(maps.Keys(table)) }
--- a/internal/core/nodestate/state.go
+++ b/internal/core/nodestate/state.go
@@ -14,7 +14,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Gate is the gate of a pool, as far as a State uses it.
+// Gate is the part of a pool's gate that a State uses.
 type Gate interface {
 	Configure(now time.Time, settings gate.Settings, replicas []gate.Replica)
 	Tick(now time.Time)
@@ -22,63 +22,63 @@
 	ResetCache(replica port.ReplicaID)
 }
 
-// Counter counts what the node sent to a replica or a zone.
+// Counter counts the requests that the node sent to a replica or a zone.
 type Counter interface{ Counts() placement.Counts }
 
-// Config says who the node is, how it paces what it tells, and how to make what
-// traffic uses as well.
+// Config holds the node's identity, its send intervals, and the constructors of
+// gates and counters.
 type Config struct {
 	Self   port.NodeID
 	Zone   port.ZoneName
 	Region port.RegionName
-	// PeerAddress and HTTPAddress are told to others.
+	// PeerAddress and HTTPAddress are published to other nodes.
 	PeerAddress, HTTPAddress string
 	// Incarnation must be higher than that of any earlier process of this node.
 	Incarnation uint64
-	// Summary, Aggregate and Report are the least times between two summaries to
-	// the zone, two aggregates to other zones and two reports to control.
+	// Summary, Aggregate and Report are the minimum intervals of summaries to the
+	// zone, aggregates to other zones and reports to the control service.
 	Summary, Aggregate, Report time.Duration
-	// Load is the least time between two polls of an own engine.
+	// Load is the minimum interval between polls of an engine.
 	Load time.Duration
-	// NewGate makes the gate of a pool.
+	// NewGate creates the gate of a pool.
 	NewGate func(pool *port.Pool) Gate
-	// ReplicaCounter and ZoneCounter find the counters of a replica, and of what
-	// another zone serves of a pool.
+	// ReplicaCounter and ZoneCounter return the counters of a replica and of a pool
+	// in another zone.
 	ReplicaCounter func(port.ReplicaID) Counter
 	ZoneCounter    func(ZonePool) Counter
-	// MessageBytes gives the size of a summary in bytes.
+	// MessageBytes returns the encoded size of a summary.
 	MessageBytes func(membership.HomeSummary) int
 }
 
-// ZonePool names what another zone serves of an engine pool.
+// ZonePool identifies an engine pool in another zone.
 type ZonePool struct {
 	Zone port.ZoneName
 	Pool port.PoolName
 }
 
-// State is what a node knows. It is not safe for concurrent use.
+// State holds the control state of a node. It is not safe for concurrent use.
 type State struct {
-	config     Config
-	observer   *controlstate.Observer
-	detector   *membership.Detector
-	summaries  *membership.Summaries
-	aggregates *membership.Aggregates
-	teller     *membership.AggregateTeller
-	// asked counts how often this node asked for aggregates.
-	asked int
-	// gates are those of application pools and of engine pools with a replica
+	config         Config
+	observer       *controlstate.Observer
+	detector       *membership.Detector
+	summaries      *membership.Summaries
+	aggregates     *membership.Aggregates
+	aggregatePacer *membership.AggregateTeller
+	// aggregateRequests counts the requests for aggregates sent since the start.
+	aggregateRequests int
+	// gates holds the gates of application pools and of engine pools with a replica
 	// that this node is the home of.
 	gates     map[port.PoolName]Gate
 	trackers  map[port.PoolName]*ejection.Tracker
 	records   map[port.ReplicaID]*home.Record
 	marks     map[port.ReplicaID]placement.Mark
 	zoneMarks map[ZonePool]zoneMark
-	// fences are the highest fences that rollouts of engine pools came with.
+	// fences holds the highest fence received from the rollout of each engine pool.
 	fences  map[port.PoolName]port.Epoch
 	leaving *home.Leaving
-	// listWanted is when the machine list was first missed.
-	listWanted time.Time
-	outcomes   map[port.NodeID][]CallOutcome
+	// machineListAwaitedSince is when the node started to wait for the machine list.
+	machineListAwaitedSince time.Time
+	outcomes                map[port.NodeID][]CallOutcome
 
 	sequence        uint64
 	lastSummary     time.Time
@@ -89,58 +89,58 @@
 	changed         bool
 	homes           *HomeTable
 	tables          *tables
-	ownedNow        *ownedReplicas
+	ownedCache      *ownedReplicas
 	snapshot        *Snapshot
 	rebuiltAt       time.Time
 	rebuildCost     time.Duration
 	output          Output
 }
 
-// zoneMark remembers the own counter when another zone's word came.
+// zoneMark holds the requests sent to a zone when its aggregate arrived.
 type zoneMark struct {
 	sequence uint64
 	sent     int64
 }
 
-// New makes the state of a node that knows nothing yet.
+// New returns the state of a node before its first view.
 func New(config Config, now time.Time) *State {
 	return &State{
-		config:     config,
-		observer:   controlstate.NewObserver(),
-		detector:   membership.NewDetector(membership.Config{Self: config.Self, Zone: config.Zone, Incarnation: config.Incarnation}, now),
-		summaries:  membership.NewSummaries(),
-		aggregates: membership.NewAggregates(),
-		teller:     membership.NewAggregateTeller(),
-		gates:      make(map[port.PoolName]Gate),
-		trackers:   make(map[port.PoolName]*ejection.Tracker),
-		records:    make(map[port.ReplicaID]*home.Record),
-		marks:      make(map[port.ReplicaID]placement.Mark),
-		zoneMarks:  make(map[ZonePool]zoneMark),
-		fences:     make(map[port.PoolName]port.Epoch),
-		leaving:    home.NewLeaving(),
-		outcomes:   make(map[port.NodeID][]CallOutcome),
-		homes:      NewHomeTable(config.Zone, nil, nil),
-		snapshot:   EmptySnapshot(config.Zone),
+		config:         config,
+		observer:       controlstate.NewObserver(),
+		detector:       membership.NewDetector(membership.Config{Self: config.Self, Zone: config.Zone, Incarnation: config.Incarnation}, now),
+		summaries:      membership.NewSummaries(),
+		aggregates:     membership.NewAggregates(),
+		aggregatePacer: membership.NewAggregateTeller(),
+		gates:          make(map[port.PoolName]Gate),
+		trackers:       make(map[port.PoolName]*ejection.Tracker),
+		records:        make(map[port.ReplicaID]*home.Record),
+		marks:          make(map[port.ReplicaID]placement.Mark),
+		zoneMarks:      make(map[ZonePool]zoneMark),
+		fences:         make(map[port.PoolName]port.Epoch),
+		leaving:        home.NewLeaving(),
+		outcomes:       make(map[port.NodeID][]CallOutcome),
+		homes:          NewHomeTable(config.Zone, nil, nil),
+		snapshot:       EmptySnapshot(config.Zone),
 	}
 }
 
-// Flush gives what the calls since the last Flush ask to be done.
+// Flush returns the output of the calls since the last Flush.
 func (s *State) Flush() Output {
 	output := s.output
 	s.output = Output{}
 	return output
 }
 
-// View gives the present view of the control state.
+// View returns the current view of the control state.
 func (s *State) View() *port.View { return s.observer.View() }
 
-// Position gives the position to ask updates of the view after.
+// Position returns the position after which to request updates of the view.
 func (s *State) Position() uint64 { return s.observer.Position() }
 
-// Tick lets time pass. MayReport is false while a report to control is still
-// under way; the next one is put off.
+// Tick runs the periodic work. MayReport is false while a report to the control
+// service is in flight; the next one waits for it.
 func (s *State) Tick(now time.Time, mayReport bool) {
-	s.send(s.detector.Tick(now))
+	s.handleDetectorOutput(s.detector.Tick(now))
 	s.tickTrackers(now)
 	s.changed = s.leaving.DropSilent(now) || s.changed
 	s.RebuildIfDue(now)
@@ -155,27 +155,27 @@
 	}
 }
 
-// Waiting gives the number of requests that wait at each gate.
+// Waiting returns the number of queued requests at each gate.
 func (s *State) Waiting() map[port.PoolName]int {
 	waiting := make(map[port.PoolName]int, len(s.gates))
-	for pool, held := range s.gates {
-		_, waiting[pool] = held.Loads()
+	for pool, poolGate := range s.gates {
+		_, waiting[pool] = poolGate.Loads()
 	}
 	return waiting
 }
 
-// send takes over what the failure detector asks for.
-func (s *State) send(output membership.Output) {
+// handleDetectorOutput sends the failure detector's messages and records its changes.
+func (s *State) handleDetectorOutput(output membership.Output) {
 	for _, envelope := range output.Messages {
-		s.tell(envelope.To, envelope.Message)
+		s.sendTo(envelope.To, envelope.Message)
 	}
 	if len(output.Changes) > 0 {
 		s.changed = true
 	}
 }
 
-// tell sends a message to a node that the view lists.
-func (s *State) tell(to port.NodeID, body any) {
+// sendTo queues a message to a node if the view lists it.
+func (s *State) sendTo(to port.NodeID, body any) {
 	if target, known := s.node(to); known {
 		s.output.Messages = append(s.output.Messages, Envelope{To: target, Body: body})
 	}
@@ -190,20 +190,22 @@
 	return nodes[place], true
 }
 
-// tellZone sends a message to the other live nodes of the zone, and counts them.
-func (s *State) tellZone(body any) int {
+// sendToZone queues a message to the other live nodes of the zone and returns their
+// number.
+func (s *State) sendToZone(body any) int {
 	count := 0
 	for _, id := range s.detector.Live() {
 		if _, known := s.node(id); known && id != s.config.Self {
-			s.tell(id, body)
+			s.sendTo(id, body)
 			count++
 		}
 	}
 	return count
 }
 
-// ViewUpdate takes an update of the control view. Confirmed says that it renews
-// the configuration lease. An error asks for updates after Position again.
+// ViewUpdate applies an update of the control view. It reports whether the view
+// advanced and whether the update renews the configuration lease. After an error,
+// the caller requests updates from Position again.
 func (s *State) ViewUpdate(now time.Time, update port.ViewUpdate) (advanced, confirmed bool, err error) {
 	before := s.observer.View().Nodes
 	advanced, err = s.observer.Apply(update)
@@ -214,31 +216,32 @@
 	if !advanced {
 		return false, confirmed, nil
 	}
-	// Most updates bring leases alone.
+	// Most updates change only leases.
 	if nodes := s.observer.View().Nodes; !sameSlice(before, nodes) {
-		s.send(s.detector.SetView(now, nodes))
-		s.tellDetector()
+		s.handleDetectorOutput(s.detector.SetView(now, nodes))
+		s.updateDetectorMachines()
 	}
 	s.changed = true
 	return true, confirmed, nil
 }
 
-// Member takes a message of the failure detector.
+// Member handles a message of the failure detector.
 func (s *State) Member(now time.Time, message membership.Message) {
-	s.send(s.detector.Receive(now, message))
+	s.handleDetectorOutput(s.detector.Receive(now, message))
 }
 
-// Summary takes what a home tells its zone.
+// Summary applies the summary of a home of the zone.
 func (s *State) Summary(now time.Time, summary membership.HomeSummary) {
 	if s.summaries.Apply(now, summary) {
 		s.changed = true
 	}
 }
 
-// Aggregates takes what another zone tells, and relays it to the own one.
+// Aggregates applies the aggregates of another zone and relays new ones to the own
+// zone, or answers a node's request for them.
 func (s *State) Aggregates(now time.Time, message AggregatesMessage) {
-	if message.Asker != "" {
-		s.tellNewcomer(message.Asker)
+	if message.Requester != "" {
+		s.sendRelayedAggregates(message.Requester)
 		return
 	}
 	fresh := false
@@ -252,22 +255,22 @@
 	}
 	s.changed = true
 	if !message.Relayed {
-		s.tellZone(AggregatesMessage{Aggregates: message.Aggregates, Relayed: true})
+		s.sendToZone(AggregatesMessage{Aggregates: message.Aggregates, Relayed: true})
 	}
 }
 
-// urgent lets the next rebuild and summary come at once.
-func (s *State) urgent() {
+// resetPacing makes the next rebuild and summary due immediately.
+func (s *State) resetPacing() {
 	s.changed = true
 	s.rebuiltAt = time.Time{}
 	s.lastSummary = time.Time{}
 }
 
-// tellDetector tells the failure detector which nodes' machines leave. Only the
-// leaving machines are known here, so that every other node counts as listed.
-// The detector knows machines by IP: where nodes share one, the live ones, which
-// come last, win.
-func (s *State) tellDetector() {
+// updateDetectorMachines updates the machines of the failure detector. Only leaving
+// machines are known here, so every other node counts as live. The detector
+// identifies machines by IP address: live nodes come last and take precedence
+// where nodes share one.
+func (s *State) updateDetectorMachines() {
 	var leaving, live []port.Machine
 	for _, node := range s.observer.View().Nodes {
 		if s.leaving.Has(node.PeerAddress) {
@@ -279,7 +282,7 @@
 	s.detector.SetMachines(s.config.PeerAddress, append(leaving, live...))
 }
 
-// Drain tells control, and through it the peers, that this node stops.
+// Drain reports to the control service that this node is stopping.
 func (s *State) Drain(now time.Time) {
 	s.draining = true
 	s.changed = true
--- a/internal/core/nodestate/state_test.go
+++ b/internal/core/nodestate/state_test.go
@@ -15,33 +15,33 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// seenGate notes what a gate was told last.
-type seenGate struct{ replicas []gate.Replica }
+// recordingGate records the replicas of the last Configure call.
+type recordingGate struct{ replicas []gate.Replica }
 
-func (g *seenGate) Configure(_ time.Time, _ gate.Settings, replicas []gate.Replica) {
+func (g *recordingGate) Configure(_ time.Time, _ gate.Settings, replicas []gate.Replica) {
 	g.replicas = replicas
 }
-func (g *seenGate) Tick(time.Time)                             {}
-func (g *seenGate) Loads() (map[port.ReplicaID]gate.Load, int) { return nil, 0 }
-func (g *seenGate) ResetCache(port.ReplicaID)                  {}
+func (g *recordingGate) Tick(time.Time)                             {}
+func (g *recordingGate) Loads() (map[port.ReplicaID]gate.Load, int) { return nil, 0 }
+func (g *recordingGate) ResetCache(port.ReplicaID)                  {}
 
 type noCounts struct{}
 
 func (noCounts) Counts() placement.Counts { return placement.Counts{} }
 
-// newState makes the state of node n1 with a gate that notes what it is told.
-func newState(held *seenGate) *nodestate.State {
+// newState returns the state of node n1 with a recording gate.
+func newState(recorder *recordingGate) *nodestate.State {
 	return nodestate.New(nodestate.Config{
 		Self: "n1", Zone: "z1", Region: "r", PeerAddress: "10.0.0.1:7000",
 		Summary: time.Second, Aggregate: time.Second, Report: time.Second, Load: 200 * time.Millisecond,
-		NewGate:        func(*port.Pool) nodestate.Gate { return held },
+		NewGate:        func(*port.Pool) nodestate.Gate { return recorder },
 		ReplicaCounter: func(port.ReplicaID) nodestate.Counter { return noCounts{} },
 		ZoneCounter:    func(nodestate.ZonePool) nodestate.Counter { return noCounts{} },
 		MessageBytes:   func(membership.HomeSummary) int { return 100 },
 	}, start)
 }
 
-// view has one node, one engine and, if list is set, a machine list.
+// view returns a view with one node, one engine and, if list is set, a machine list.
 func view(list string) *port.View {
 	return &port.View{
 		Position: 1, Revision: 1,
@@ -54,8 +54,8 @@
 	}
 }
 
-func update(state *nodestate.State, now time.Time, shown *port.View) {
-	_, _, err := state.ViewUpdate(now, port.ViewUpdate{Position: shown.Position, Revision: shown.Revision, Full: shown, Confirmed: true})
+func update(state *nodestate.State, now time.Time, next *port.View) {
+	_, _, err := state.ViewUpdate(now, port.ViewUpdate{Position: next.Position, Revision: next.Revision, Full: next, Confirmed: true})
 	if err != nil {
 		panic(err)
 	}
@@ -64,28 +64,28 @@
 
 func TestNothingIsRoutedBeforeTheMachineListWasHeard(t *testing.T) {
 	cases := []struct {
-		name   string
-		list   string
-		heard  bool
-		waited float64
-		routes bool
+		name     string
+		list     string
+		received bool
+		waited   float64
+		routes   bool
 	}{
-		{"no list is configured", "", false, 0, true},
+		{"no list configured", "", false, 0, true},
 		{"just started", "http://list", false, 1, false},
-		{"heard of it", "http://list", true, 1, true},
-		{"the list is down", "http://list", false, 3, true},
+		{"list received", "http://list", true, 1, true},
+		{"list unavailable", "http://list", false, 3, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			state := newState(&seenGate{})
+			state := newState(&recordingGate{})
 			update(state, at(0), view(testCase.list))
-			if testCase.heard {
+			if testCase.received {
 				state.Machines(at(0.5), nodestate.MachinesMessage{Node: "n2"})
 			}
 			state.Tick(at(testCase.waited), true)
 			snapshot := state.Flush().Snapshot
 			if routes := len(snapshot.Pools) > 0; routes != testCase.routes {
-				t.Errorf("routes: %v", routes)
+				t.Errorf("has routes: %v", routes)
 			}
 			if len(snapshot.Replicas) != 1 || snapshot.View.Position != 1 {
 				t.Errorf("snapshot %+v", snapshot)
@@ -95,17 +95,17 @@
 }
 
 func TestWordOfALeavingMachineReachesTheGateAtOnce(t *testing.T) {
-	held := &seenGate{}
-	state := newState(held)
+	recorder := &recordingGate{}
+	state := newState(recorder)
 	update(state, at(0), view("http://list"))
 	state.Machines(at(0.5), nodestate.MachinesMessage{Node: "n1"})
 	state.RebuildIfDue(at(0.5))
-	gone := []port.Machine{{Address: "10.1.0.1", State: port.MachineLeaving}}
+	leaving := []port.Machine{{Address: "10.1.0.1", State: port.MachineLeaving}}
 	state.RebuildCost(time.Second)
-	state.Machines(at(0.51), nodestate.MachinesMessage{Node: "n2", Leaving: gone})
+	state.Machines(at(0.51), nodestate.MachinesMessage{Node: "n2", Leaving: leaving})
 	state.RebuildIfDue(at(0.51))
-	if len(held.replicas) != 1 || !held.replicas[0].Leaving {
-		t.Errorf("the gate was told %+v", held.replicas)
+	if len(recorder.replicas) != 1 || !recorder.replicas[0].Leaving {
+		t.Errorf("gate configured with %+v", recorder.replicas)
 	}
 }
 
@@ -121,19 +121,19 @@
 		t.Errorf("%d of 8 nodes poll", pollers)
 	}
 	cases := []struct {
-		name         string
-		asked, heard time.Time
-		want         bool
+		name            string
+		asked, received time.Time
+		want            bool
 	}{
-		{"asked a moment ago", at(9.5), at(0), false},
-		{"the pollers speak", at(0), at(9), false},
-		{"the pollers are silent", at(0), at(8.7), true},
+		{"polled recently", at(9.5), at(0), false},
+		{"recent list", at(0), at(9), false},
+		{"list too old", at(0), at(8.7), true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			polls := 0
 			for _, node := range zone {
-				if nodestate.PollsMachines(at(10), time.Second, zone, node, testCase.asked, testCase.heard) {
+				if nodestate.PollsMachines(at(10), time.Second, zone, node, testCase.asked, testCase.received) {
 					polls++
 				}
 			}
@@ -145,7 +145,7 @@
 }
 
 func TestHomeFollowsItsReplicas(t *testing.T) {
-	state := newState(&seenGate{})
+	state := newState(&recordingGate{})
 	update(state, at(0), view(""))
 	started := state.Flush().Started
 	if len(started) != 1 || started[0].Replica.ID != "e1" {
@@ -156,10 +156,10 @@
 	if len(answer.Replicas) != 1 || answer.Replicas[0].Routable || answer.Replicas[0].Report.Version != 7 {
 		t.Errorf("answer %+v", answer)
 	}
-	// An order of an earlier lease holder doesn't bring the replica back.
+	// A call with the fence of an earlier lease holder is ignored.
 	answer = state.PoolState(at(2), nodestate.PoolStateCall{Pool: "lm", Fence: 3})
 	if answer.Replicas[0].Routable {
-		t.Error("a lower fence was listened to")
+		t.Error("a lower fence was accepted")
 	}
 	empty := view("")
 	empty.Position, empty.Revision, empty.Configuration.Replicas = 2, 2, nil
@@ -170,14 +170,14 @@
 }
 
 func TestPollsOfAnEngineFollowItsState(t *testing.T) {
-	state := newState(&seenGate{})
-	shown := view("")
-	shown.Configuration.Pools[0].Ejection = port.Ejection{ConsecutiveFailures: 3, MaxShare: 0.5, BaseDuration: port.Duration(time.Minute)}
+	state := newState(&recordingGate{})
+	next := view("")
+	next.Configuration.Pools[0].Ejection = port.Ejection{ConsecutiveFailures: 3, MaxShare: 0.5, BaseDuration: port.Duration(time.Minute)}
 	// The only replica of a pool would not be ejected.
 	for _, id := range []port.ReplicaID{"e2", "e3", "e4"} {
-		shown.Configuration.Replicas = append(shown.Configuration.Replicas, port.Replica{ID: id, Pool: "lm", Zone: "z1", Address: string(id)})
+		next.Configuration.Replicas = append(next.Configuration.Replicas, port.Replica{ID: id, Pool: "lm", Zone: "z1", Address: string(id)})
 	}
-	update(state, at(0), shown)
+	update(state, at(0), next)
 	const least, paced = 200 * time.Millisecond, 4 * 240 * time.Millisecond
 	steps := []struct {
 		name string
--- a/internal/core/nodestate/tables.go
+++ b/internal/core/nodestate/tables.go
@@ -2,22 +2,22 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// tables hold what follows from the configuration and the nodes of a view. They
-// are immutable, and stay while a view only brings other leases or weights.
+// tables index the configuration and the nodes of a view. They are immutable and
+// reused while a view changes neither.
 type tables struct {
-	pools    []port.Pool
-	list     []port.Replica
-	listed   []port.NodeAddress
-	replicas map[port.ReplicaID]port.Replica
-	byPool   map[port.PoolName][]port.Replica
-	nodes    map[port.NodeID]port.NodeAddress
-	// byZone leaves draining nodes out.
+	pools       []port.Pool
+	replicaList []port.Replica
+	nodeList    []port.NodeAddress
+	replicas    map[port.ReplicaID]port.Replica
+	byPool      map[port.PoolName][]port.Replica
+	nodes       map[port.NodeID]port.NodeAddress
+	// byZone excludes draining nodes.
 	byZone map[port.ZoneName][]port.NodeAddress
 }
 
 func newTables(view *port.View) *tables {
 	made := &tables{
-		pools: view.Configuration.Pools, list: view.Configuration.Replicas, listed: view.Nodes,
+		pools: view.Configuration.Pools, replicaList: view.Configuration.Replicas, nodeList: view.Nodes,
 		replicas: make(map[port.ReplicaID]port.Replica, len(view.Configuration.Replicas)),
 		byPool:   make(map[port.PoolName][]port.Replica, len(view.Configuration.Pools)),
 		nodes:    make(map[port.NodeID]port.NodeAddress, len(view.Nodes)),
@@ -36,19 +36,19 @@
 	return made
 }
 
-// holds says whether the tables are those of a view. Views share slices that no
-// change has touched.
-func (t *tables) holds(view *port.View) bool {
-	return sameSlice(t.pools, view.Configuration.Pools) && sameSlice(t.list, view.Configuration.Replicas) && sameSlice(t.listed, view.Nodes)
+// matches reports whether the tables were built from the view. Views share the slices
+// that an update left unchanged.
+func (t *tables) matches(view *port.View) bool {
+	return sameSlice(t.pools, view.Configuration.Pools) && sameSlice(t.replicaList, view.Configuration.Replicas) && sameSlice(t.nodeList, view.Nodes)
 }
 
-// sameSlice says whether two slices are one.
+// sameSlice reports whether two slices share their elements.
 func sameSlice[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// ownedReplicas are the replicas that this node is the home of, as long as the
-// tables and the homes stay.
+// ownedReplicas are the replicas that this node is the home of, valid for the given
+// tables and homes.
 type ownedReplicas struct {
 	tables *tables
 	homes  *HomeTable
@@ -56,26 +56,26 @@
 	byPool map[port.PoolName][]port.Replica
 }
 
-// owned lists the replicas that this node is the home of.
+// owned returns the replicas that this node is the home of.
 func (s *State) owned() *ownedReplicas {
-	if s.ownedNow != nil && s.ownedNow.tables == s.tables && s.ownedNow.homes == s.homes {
-		return s.ownedNow
+	if s.ownedCache != nil && s.ownedCache.tables == s.tables && s.ownedCache.homes == s.homes {
+		return s.ownedCache
 	}
 	owned := &ownedReplicas{
 		tables: s.tables, homes: s.homes,
 		byID: make(map[port.ReplicaID]ownedReplica), byPool: make(map[port.PoolName][]port.Replica),
 	}
 	for index := range s.tables.pools {
-		s.ownPool(owned, &s.tables.pools[index])
+		s.addOwnedReplicas(owned, &s.tables.pools[index])
 	}
-	s.ownedNow = owned
+	s.ownedCache = owned
 	return owned
 }
 
-// ownPool adds the own replicas of a pool.
-func (s *State) ownPool(owned *ownedReplicas, pool *port.Pool) {
+// addOwnedReplicas adds the replicas of a pool that this node is the home of.
+func (s *State) addOwnedReplicas(owned *ownedReplicas, pool *port.Pool) {
 	for _, replica := range s.tables.byPool[pool.Name] {
-		if s.homes.caretaker(replica.Zone) != s.config.Zone {
+		if s.homes.servingZone(replica.Zone) != s.config.Zone {
 			continue
 		}
 		if home, found := s.homes.Home(replica); found && home == s.config.Self {
--- a/internal/core/nodestate/tables_test.go
+++ b/internal/core/nodestate/tables_test.go
@@ -7,25 +7,25 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// What is kept between rebuilds must follow every kind of change of the view.
+// Cached tables must follow every kind of change of the view.
 func TestKeptTablesFollowTheView(t *testing.T) {
 	newReplica := port.Replica{ID: "new", Pool: "pool-00", Zone: "zone-03", Address: "10.9.9.9:8000", State: port.ReplicaActive}
 	newNode := port.NodeAddress{ID: "node-new", Zone: "zone-00", PeerAddress: "10.9.9.8:7000"}
 	tests := map[string]struct {
-		change port.ViewChange
-		shows  func(*Snapshot) bool
-		keeps  bool
+		change  port.ViewChange
+		applied func(*Snapshot) bool
+		reuses  bool
 	}{
 		"lease":   {port.ViewChange{Lease: &port.Lease{Name: "second", Holder: "node-001", Epoch: 2}}, func(s *Snapshot) bool { return len(s.View.Leases) == 2 }, true},
 		"replica": {port.ViewChange{Edit: &port.Edit{PutReplica: &newReplica}}, func(s *Snapshot) bool { return s.Replicas["new"] == newReplica }, false},
-		"replica gone": {port.ViewChange{Edit: &port.Edit{RemoveReplica: "replica-0000"}}, func(s *Snapshot) bool {
+		"replica removed": {port.ViewChange{Edit: &port.Edit{RemoveReplica: "replica-0000"}}, func(s *Snapshot) bool {
 			_, found := s.Replicas["replica-0000"]
 			return !found
 		}, false},
 		"node": {port.ViewChange{Node: &newNode}, func(s *Snapshot) bool {
 			return s.Nodes["node-new"] == newNode && len(s.ZoneNodes) == 3
 		}, false},
-		"pool gone": {port.ViewChange{Edit: &port.Edit{RemovePool: "pool-01"}}, func(s *Snapshot) bool { return s.Pools["pool-01"] == nil }, false},
+		"pool removed": {port.ViewChange{Edit: &port.Edit{RemovePool: "pool-01"}}, func(s *Snapshot) bool { return s.Pools["pool-01"] == nil }, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 					t.Fatal(err)
 				}
 			}
-			// The first update after a whole view brings slices of its own.
+			// The first update after a full view allocates its own slices.
 			update(1, port.ViewChange{Lease: &port.Lease{Name: "first", Holder: "node-001", Epoch: 1}})
 			s.RebuildIfDue(benchStart.Add(time.Second))
 			s.Flush()
@@ -46,48 +46,48 @@
 			update(2, test.change)
 			s.RebuildIfDue(benchStart.Add(2 * time.Second))
 			snapshot := s.Flush().Snapshot
-			if snapshot == nil || !test.shows(snapshot) {
-				t.Fatalf("the snapshot does not show the change: %v", snapshot != nil)
+			if snapshot == nil || !test.applied(snapshot) {
+				t.Fatalf("the change is missing from the snapshot (snapshot rebuilt: %v)", snapshot != nil)
 			}
-			if kept := s.tables == before; kept != test.keeps {
-				t.Errorf("tables kept: %v, want %v", kept, test.keeps)
+			if reused := s.tables == before; reused != test.reuses {
+				t.Errorf("tables reused: %v, want %v", reused, test.reuses)
 			}
 		})
 	}
 }
 
-// A node that has just started asks its zone, and hears what the asked one relays.
+// A node that has just started requests the aggregates that its peers relay.
 func TestNewcomerIsToldAggregates(t *testing.T) {
 	s, _ := benchState(benchView(20))
 	s.RebuildIfDue(benchStart.Add(time.Second))
 	s.Flush()
 	s.Tick(benchStart.Add(2*time.Second), false)
-	asked := 0
+	requests := 0
 	for _, envelope := range s.Flush().Messages {
-		if message, isAggregates := envelope.Body.(AggregatesMessage); isAggregates && message.Asker == s.config.Self {
-			asked++
+		if message, isAggregates := envelope.Body.(AggregatesMessage); isAggregates && message.Requester == s.config.Self {
+			requests++
 		}
 	}
-	if asked != 1 {
-		t.Errorf("asked %d nodes, want the other one of the zone", asked)
+	if requests != 1 {
+		t.Errorf("sent %d requests, want one to the other node of the zone", requests)
 	}
-	s.Aggregates(benchStart, AggregatesMessage{Asker: "node-014"})
+	s.Aggregates(benchStart, AggregatesMessage{Requester: "node-014"})
 	messages := s.Flush().Messages
 	if len(messages) != 1 || messages[0].To.ID != "node-014" {
 		t.Fatalf("answered with %d messages", len(messages))
 	}
-	told, _ := messages[0].Body.(AggregatesMessage)
+	reply, _ := messages[0].Body.(AggregatesMessage)
 	want := s.aggregates.RelayedBy(s.config.Self, s.detector.Assigner())
-	if !told.Relayed || len(told.Aggregates) != len(want) || len(want) == 0 || len(want) == (benchZones-1)*benchPools {
-		t.Errorf("told of %d aggregates, relayed %v; want the %d that it relays", len(told.Aggregates), told.Relayed, len(want))
+	if !reply.Relayed || len(reply.Aggregates) != len(want) || len(want) == 0 || len(want) == (benchZones-1)*benchPools {
+		t.Errorf("%d aggregates, relayed %v; want the %d that the node relays", len(reply.Aggregates), reply.Relayed, len(want))
 	}
 }
 
-// An aggregate that changes nothing is told once, not at every tick.
+// An unchanged aggregate is sent once, not at every tick.
 func TestUnchangedAggregatesAreToldOnce(t *testing.T) {
 	view := benchView(20)
 	s, summaries := benchState(view)
-	told := 0
+	sent := 0
 	for second := range 8 {
 		now := benchStart.Add(time.Duration(second) * time.Second)
 		for _, summary := range summaries {
@@ -97,19 +97,20 @@
 		s.Tick(now, false)
 		for _, envelope := range s.Flush().Messages {
 			message, isAggregates := envelope.Body.(AggregatesMessage)
-			if isAggregates && message.Asker == "" && !message.Relayed && envelope.To.Zone == "zone-01" {
-				told += len(message.Aggregates)
+			if isAggregates && message.Requester == "" && !message.Relayed && envelope.To.Zone == "zone-01" {
+				sent += len(message.Aggregates)
 			}
 		}
 	}
-	spoken := 0
+	responsible := 0
 	for _, pool := range view.Configuration.Pools {
-		if speaker, _ := s.detector.Assigner().HomeOf(string(pool.Name)); speaker == s.config.Self {
-			spoken++
+		if sender, _ := s.detector.Assigner().HomeOf(string(pool.Name)); sender == s.config.Self {
+			responsible++
 		}
 	}
-	// The own replicas come into the sums with the first rebuild, a tick later.
-	if spoken == 0 || told < spoken || told > 2*spoken {
-		t.Errorf("told %d aggregates in 8 s for %d pools", told, spoken)
+	// The aggregates include the node's own replicas from the first rebuild on, so that
+	// each one may change once.
+	if responsible == 0 || sent < responsible || sent > 2*responsible {
+		t.Errorf("sent %d aggregates in 8 s for %d pools", sent, responsible)
 	}
 }
--- a/internal/core/nodestate/zones.go
+++ b/internal/core/nodestate/zones.go
@@ -8,25 +8,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// HomeTable says which node is the home of each replica. Within the own zone it
-// follows the failure detector, for other zones the view's list of nodes. It is
-// safe for use by many goroutines.
+// HomeTable maps each replica to its home. For the own zone it uses the live nodes of
+// the failure detector, for other zones the nodes of the view. It is safe for
+// concurrent use.
 type HomeTable struct {
 	own   port.ZoneName
 	nodes []port.NodeAddress
 	live  []port.NodeID
-	// byZone assigns over the nodes of each zone that has some.
+	// byZone assigns replicas to the nodes of each zone that has any.
 	byZone map[port.ZoneName]*membership.Assigner
-	// adopters chooses a zone with nodes for one that has none, so that a zone
-	// that lost all its nodes isn't left without homes.
-	adopters *membership.Assigner
+	// fallbackZones assigns a zone without nodes to one that has some.
+	fallbackZones *membership.Assigner
 
 	mutex sync.Mutex
 	cache map[port.ReplicaID]port.NodeID
 }
 
-// NewHomeTable makes the table of a node of the own zone, from the nodes of the
-// view and the live ones of the own zone.
+// NewHomeTable returns the table of a node in zone own, from the nodes of the view
+// and the live nodes of the own zone.
 func NewHomeTable(own port.ZoneName, nodes []port.NodeAddress, live []port.NodeID) *HomeTable {
 	ids := make(map[port.ZoneName][]port.NodeID)
 	for _, node := range nodes {
@@ -48,33 +47,33 @@
 		names = append(names, port.NodeID(zone))
 	}
 	slices.Sort(names)
-	table.adopters = membership.NewAssigner(names)
+	table.fallbackZones = membership.NewAssigner(names)
 	return table
 }
 
-// holds says whether the table is still that of these nodes.
-func (t *HomeTable) holds(nodes []port.NodeAddress, live []port.NodeID) bool {
+// matches reports whether the table was built from these nodes.
+func (t *HomeTable) matches(nodes []port.NodeAddress, live []port.NodeID) bool {
 	sameNodes := sameSlice(t.nodes, nodes) || slices.Equal(t.nodes, nodes)
 	return sameNodes && (sameSlice(t.live, live) || slices.Equal(t.live, live))
 }
 
-// caretaker gives the zone whose nodes are homes of a zone's replicas.
-func (t *HomeTable) caretaker(zone port.ZoneName) port.ZoneName {
+// servingZone returns the zone whose nodes are the homes of a zone's replicas.
+func (t *HomeTable) servingZone(zone port.ZoneName) port.ZoneName {
 	if t.byZone[zone] != nil {
 		return zone
 	}
-	adopter, _ := t.adopters.HomeOf(string(zone))
-	return port.ZoneName(adopter)
+	fallback, _ := t.fallbackZones.HomeOf(string(zone))
+	return port.ZoneName(fallback)
 }
 
-// Home gives the home of a replica; false means that there is no node.
+// Home returns the home of a replica; false means that no zone has nodes.
 func (t *HomeTable) Home(replica port.Replica) (port.NodeID, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known, cached := t.cache[replica.ID]; cached {
 		return known, true
 	}
-	homes := t.byZone[t.caretaker(replica.Zone)]
+	homes := t.byZone[t.servingZone(replica.Zone)]
 	if homes == nil {
 		return "", false
 	}
@@ -85,7 +84,7 @@
 	return id, found
 }
 
-// Relay gives the node of a zone that relays what another zone tells of a pool.
+// Relay returns the node of a zone that relays another zone's aggregates of a pool.
 func (t *HomeTable) Relay(zone, from port.ZoneName, pool port.PoolName) (port.NodeID, bool) {
 	homes := t.byZone[zone]
 	if homes == nil {
