--- a/internal/core/gate/affinity.go
+++ b/internal/core/gate/affinity.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// affinityLook is the number of waiting requests that are looked through for
-	// one whose preferred replica has room.
-	affinityLook = 64
-	// maxPassedOver is how often the first request in order may be passed over for
-	// such a one.
-	maxPassedOver = 64
+	// affinityScanLimit is the number of queued requests that are scanned for one
+	// whose preferred replica has capacity.
+	affinityScanLimit = 64
+	// maxSkips is how often the first request in order may be skipped for such a
+	// request.
+	maxSkips = 64
 )
 
-// next takes out the request to serve next. The preferred replica of a request is
-// the one that has its prompt cached, as far as the choosing node knows. When all replicas are full, the one
-// that a request gets is the one that becomes free, whatever it has cached; so
-// among the first few requests of the highest priority one goes first whose
-// preferred replica has room, before those that would go elsewhere.
+// next removes the request to serve next from the queue. The preferred replica of a
+// request is the one that has its prompt cached, as far as the requesting node
+// knows. Among the first requests of the highest priority, one whose preferred
+// replica has capacity goes first; otherwise a saturated gate would assign each
+// request to whichever replica becomes free, regardless of its cache.
 func (g *Gate) next(now time.Time) (admission.Item[*Ticket], bool) {
 	var head *Ticket
-	item, found := g.queue.NextFitting(now, affinityLook, func(item *admission.Item[*Ticket]) bool {
+	item, found := g.queue.NextFitting(now, affinityScanLimit, func(item *admission.Item[*Ticket]) bool {
 		if head == nil {
 			head = item.Value
-			if head.passedOver >= maxPassedOver || head.Request.Preferred == "" {
+			if head.skips >= maxSkips || head.Request.Preferred == "" {
 				return true
 			}
 		}
-		return item.Priority == head.Request.Pick.Priority && g.preferredWithRoom(item.Value)
+		return item.Priority == head.Request.Pick.Priority && g.preferredHasCapacity(item.Value)
 	})
 	if !found {
 		return g.queue.Next(now)
 	}
 	if item.Value != head {
-		head.passedOver++
+		head.skips++
 	}
 	return item, true
 }
 
-// preferredWithRoom says whether a request's preferred replica has room.
-func (g *Gate) preferredWithRoom(ticket *Ticket) bool {
-	held := g.byID[ticket.Request.Preferred]
-	return held != nil && held.routable() && held.inflight < held.limiter.Limit()
+// preferredHasCapacity reports whether a request's preferred replica has capacity.
+func (g *Gate) preferredHasCapacity(ticket *Ticket) bool {
+	state := g.byID[ticket.Request.Preferred]
+	return state != nil && state.routable() && state.inflight < state.limiter.Limit()
 }
--- a/internal/core/gate/bench_test.go
+++ b/internal/core/gate/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// BenchmarkDecision is a whole decision: a request is offered, granted a place
-// on one of the replicas, and released. A third of the prompts share a prefix.
+// BenchmarkDecision offers, grants and releases one request. A third of the prompts
+// share a prefix.
 func BenchmarkDecision(b *testing.B) {
 	const shared, own = 24, 8
 	for _, count := range []int{10, 250, 3500} {
@@ -23,7 +23,7 @@
 					Report: port.LoadReport{Version: 3, Running: index % 5, KVUsed: index % 90, KVTotal: 100},
 				}
 			}
-			under := newGate(16, 64, replicas...)
+			g := newGate(16, 64, replicas...)
 			prompts := make([][]uint64, 64)
 			for prompt := range prompts {
 				for block := range uint64(shared + own) {
@@ -39,14 +39,14 @@
 			b.ResetTimer()
 			for number := range b.N {
 				now = now.Add(time.Millisecond)
-				asked := &gate.Ticket{Request: gate.Request{
+				offered := &gate.Ticket{Request: gate.Request{
 					ID: "request", Pick: scheduling.Request{Zone: "a", PromptTokens: 512, MaxTokens: 256, PrefixHashes: prompts[number%len(prompts)]},
 				}}
-				under.Offer(now, asked)
-				if asked.State != gate.Granted {
-					b.Fatalf("state %v: %v", asked.State, asked.Refusal)
+				g.Offer(now, offered)
+				if offered.State != gate.Granted {
+					b.Fatalf("state %v: %v", offered.State, offered.Refusal)
 				}
-				under.Release(now, asked, gate.Outcome{Latency: time.Millisecond})
+				g.Release(now, offered, gate.Outcome{Latency: time.Millisecond})
 			}
 		})
 	}
--- a/internal/core/gate/dispatch.go
+++ b/internal/core/gate/dispatch.go
@@ -8,23 +8,23 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// maxSetAside bounds the waiting requests that a dispatch passes over because
-// the replicas with room can't serve them.
-const maxSetAside = 16
+// maxDeferred bounds the queued requests that a dispatch skips because no replica
+// with capacity can serve them.
+const maxDeferred = 16
 
-// retryWhenNone is the advised wait when no replica can serve a request.
-const retryWhenNone = time.Second
+// noBackEndRetryAfter is the RetryAfter of a request that no replica can serve.
+const noBackEndRetryAfter = time.Second
 
-// dispatch grants waiting requests while a replica has room, and ends those that
-// can't be served.
+// dispatch grants queued requests while a replica has capacity, and refuses those
+// that no replica can serve.
 func (g *Gate) dispatch(now time.Time) {
-	var setAside []admission.Item[*Ticket]
-	for g.queue.Len() > 0 && len(setAside) < maxSetAside && g.hasRoom() {
+	var deferred []admission.Item[*Ticket]
+	for g.queue.Len() > 0 && len(deferred) < maxDeferred && g.hasCapacity() {
 		item, found := g.next(now)
 		if !found {
 			break
 		}
-		if g.place(now, item.Value) {
+		if g.assign(now, item.Value) {
 			g.settled = append(g.settled, item.Value)
 			continue
 		}
@@ -32,9 +32,9 @@
 			g.refuse(item.Value, refusal)
 			continue
 		}
-		setAside = append(setAside, item)
+		deferred = append(deferred, item)
 	}
-	for _, item := range setAside {
+	for _, item := range deferred {
 		if refusal := g.queue.Offer(now, item); refusal != nil {
 			g.refuse(item.Value, refusal)
 		}
@@ -45,35 +45,35 @@
 	g.expire(now)
 }
 
-// refuse settles a ticket that waited.
+// refuse settles a queued ticket with a refusal.
 func (g *Gate) refuse(ticket *Ticket, refusal *port.Error) {
 	ticket.refuse(refusal)
 	g.settled = append(g.settled, ticket)
 }
 
-// refuseWaiting ends what waits when no replica is left that could serve it.
+// refuseWaiting refuses all queued requests when no routable replica is left.
 func (g *Gate) refuseWaiting(now time.Time) {
 	for {
 		item, found := g.queue.Next(now)
 		if !found {
 			return
 		}
-		g.refuse(item.Value, noBackEnd(nil))
+		g.refuse(item.Value, noBackEndError(nil))
 	}
 }
 
-func (g *Gate) expire(now time.Time) { g.finish(g.queue.Expire(now)) }
+func (g *Gate) expire(now time.Time) { g.refuseEnded(g.queue.Expire(now)) }
 
-func (g *Gate) finish(ended []admission.Ended[*Ticket]) {
+func (g *Gate) refuseEnded(ended []admission.Ended[*Ticket]) {
 	for _, end := range ended {
 		g.refuse(end.Item.Value, end.Error)
 	}
 }
 
-// hasRoom says whether some replica may take another request.
-func (g *Gate) hasRoom() bool {
-	for _, held := range g.slots {
-		if held.routable() && held.inflight < held.limiter.Limit() {
+// hasCapacity reports whether any replica may take another request.
+func (g *Gate) hasCapacity() bool {
+	for _, state := range g.replicaStates {
+		if state.routable() && state.inflight < state.limiter.Limit() {
 			return true
 		}
 	}
@@ -81,17 +81,17 @@
 }
 
 func (g *Gate) hasRoutable() bool {
-	for _, held := range g.slots {
-		if held.routable() {
+	for _, state := range g.replicaStates {
+		if state.routable() {
 			return true
 		}
 	}
 	return false
 }
 
-// place chooses a replica with room and takes a place on it; false means that
-// there is none.
-func (g *Gate) place(now time.Time, ticket *Ticket) bool {
+// assign chooses a replica with capacity and grants the ticket a slot on it. It
+// returns false if there is none.
+func (g *Gate) assign(now time.Time, ticket *Ticket) bool {
 	request := ticket.Request.Pick
 	request.Prefix = g.index
 	request.Record = true
@@ -99,27 +99,26 @@
 	if result.Chosen < 0 {
 		return false
 	}
-	held := g.slots[result.Chosen]
-	held.inflight++
-	held.sent++
-	held.tokens += request.MaxTokens
+	state := g.replicaStates[result.Chosen]
+	state.inflight++
+	state.sent++
+	state.tokens += request.MaxTokens
 	if len(request.PrefixHashes) > 0 {
-		g.index.Sent(now, held.replica.ID, request.PrefixHashes)
+		g.index.Sent(now, state.info.ID, request.PrefixHashes)
 	}
 	ticket.State = Granted
-	ticket.Replica = held.replica.ID
+	ticket.Replica = state.info.ID
 	ticket.Result = result
-	ticket.Waited = now.Sub(ticket.offered)
-	ticket.slot = held
+	ticket.Waited = now.Sub(ticket.offeredAt)
+	ticket.replicaState = state
 	return true
 }
 
-// choose takes the preferred replica if it passes the filters, keeps off the
-// avoided one if another can serve, and otherwise leaves the choice to the
-// scheduler.
+// choose returns the preferred replica if it passes the filters. Otherwise the
+// scheduler chooses, excluding the replica to avoid if another one can serve.
 func (g *Gate) choose(request *scheduling.Request, wanted *Request, candidates []scheduling.Candidate) scheduling.Result {
 	if wanted.Preferred != "" {
-		if index := position(candidates, wanted.Preferred); index >= 0 {
+		if index := indexOf(candidates, wanted.Preferred); index >= 0 {
 			result := g.scheduler.Pick(request, candidates[index:index+1], g.random)
 			if result.Chosen == 0 {
 				result.Chosen = index
@@ -137,7 +136,7 @@
 	return g.scheduler.Pick(request, candidates, g.random)
 }
 
-func position(candidates []scheduling.Candidate, replica port.ReplicaID) int {
+func indexOf(candidates []scheduling.Candidate, replica port.ReplicaID) int {
 	for index := range candidates {
 		if candidates[index].Replica == replica {
 			return index
@@ -146,24 +145,24 @@
 	return -1
 }
 
-// checkServable gives the refusal of a request that no replica could serve even
-// if it had room.
+// checkServable returns a refusal if no replica could serve the request even without
+// concurrency limits.
 func (g *Gate) checkServable(now time.Time, ticket *Ticket) *port.Error {
 	request := ticket.Request.Pick
 	result := g.scheduler.Pick(&request, g.candidates(now, &ticket.Request, false), g.random)
 	if result.Chosen >= 0 {
 		return nil
 	}
-	return noBackEnd(result.Filtered)
+	return noBackEndError(result.Filtered)
 }
 
-func noBackEnd(filtered []port.FilterCount) *port.Error {
-	refusal := port.NewError(port.NotRun, port.CodeNoBackEnd, "no replica can serve the request now%s", reasons(filtered))
-	refusal.RetryAfter = retryWhenNone
+func noBackEndError(filtered []port.FilterCount) *port.Error {
+	refusal := port.NewError(port.NotRun, port.CodeNoBackEnd, "no replica can serve the request now%s", filterNames(filtered))
+	refusal.RetryAfter = noBackEndRetryAfter
 	return refusal
 }
 
-func reasons(filtered []port.FilterCount) string {
+func filterNames(filtered []port.FilterCount) string {
 	text := ""
 	for _, count := range filtered {
 		text += "; " + count.Filter
@@ -171,12 +170,12 @@
 	return text
 }
 
-// candidates fills the scratch space with what is known now. Without limits a
-// replica at its limit passes too.
+// candidates fills the scratch slice with the current state of the replicas. Without
+// limits, a replica at its concurrency limit remains a candidate.
 func (g *Gate) candidates(now time.Time, request *Request, limits bool) []scheduling.Candidate {
 	g.scratch = g.scratch[:0]
-	for _, held := range g.slots {
-		candidate := held.candidate(now, request.Pick.Adapter)
+	for _, state := range g.replicaStates {
+		candidate := state.candidate(now, request.Pick.Adapter)
 		if !limits {
 			candidate.Limit = 0
 			candidate.Inflight = 0
--- a/internal/core/gate/doc.go
+++ b/internal/core/gate/doc.go
@@ -1,10 +1,10 @@
-// Package gate decides which requests run on the replicas of one pool, and
-// when: it holds the exact count of requests in flight, an adaptive limit for
-// each replica, one queue by priority, tenant and deadline, and the prefix
-// index that the choice of replica uses.
+// Package gate decides which requests run on the replicas of one pool, and when.
+// It counts the requests in flight and adapts a concurrency limit per replica, keeps
+// one queue ordered by priority, tenant and deadline, and maintains the prefix index
+// used to choose a replica.
 //
-// A Gate is a state machine: the time comes in with each call, random numbers
-// from the source that it was made with, and each call gives back the tickets
-// that it settled. A node puts a mutex and channels around it; the simulator
-// calls it in virtual time.
+// A Gate is a state machine: each call takes the current time and returns the
+// tickets that it settled, that is granted or refused. Random numbers come from the
+// source passed to New. A node adds a mutex and channels; the simulator calls the
+// gate in virtual time.
 package gate
--- a/internal/core/gate/gate.go
+++ b/internal/core/gate/gate.go
@@ -10,82 +10,82 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// drainRetryAfter is the advised wait of a request that a stopping node refuses.
+// drainRetryAfter is the RetryAfter of a request refused by a stopping node.
 const drainRetryAfter = time.Second
 
 // Gate admits requests to a set of replicas. It is not safe for concurrent use.
 type Gate struct {
-	scheduler *scheduling.Scheduler
-	random    *rand.Rand
-	index     *prefix.Index
-	queue     *admission.Queue[*Ticket]
-	slots     []*slot
-	byID      map[port.ReplicaID]*slot
-	draining  bool
-	// scratch holds the candidates of one decision.
+	scheduler     *scheduling.Scheduler
+	random        *rand.Rand
+	index         *prefix.Index
+	queue         *admission.Queue[*Ticket]
+	replicaStates []*replicaState
+	byID          map[port.ReplicaID]*replicaState
+	draining      bool
+	// scratch is reused for the candidates of each decision.
 	scratch []scheduling.Candidate
-	// settled gathers the tickets that the present call settled.
+	// settled collects the tickets settled by the current call.
 	settled []*Ticket
 }
 
-// Settings are the bounds of a gate.
+// Settings hold the limits of a gate.
 type Settings struct {
 	// MinInflight and MaxInflight bound the adaptive limit of each replica.
 	MinInflight int
 	MaxInflight int
-	// QueueLength bounds the requests that wait.
+	// QueueLength bounds the queued requests.
 	QueueLength int
 }
 
-// New makes a gate without replicas. The random source is used by this gate
-// alone.
+// New returns a gate without replicas. The gate must be the only user of the random
+// source.
 func New(profile scheduling.Profile, random *rand.Rand) *Gate {
 	return &Gate{
 		scheduler: scheduling.New(profile),
 		random:    random,
 		index:     prefix.New(prefix.Config{}),
 		queue:     admission.NewQueue[*Ticket](admission.Config{Length: 1}),
-		byID:      make(map[port.ReplicaID]*slot),
+		byID:      make(map[port.ReplicaID]*replicaState),
 	}
 }
 
-// Configure replaces the settings and the set of replicas, and gives the tickets
-// that this settled. Counts of replicas that stay are kept; requests that run on
-// one that went away go on. The result holds until the next call.
+// Configure replaces the settings and the set of replicas, and returns the tickets
+// that this settled. Replicas that stay keep their counts; requests running on a
+// removed replica continue. The result is valid until the next call.
 func (g *Gate) Configure(now time.Time, settings Settings, replicas []Replica) []*Ticket {
 	g.settled = g.settled[:0]
 	g.queue.SetLength(settings.QueueLength)
 	limits := admission.LimiterConfig{Min: max(settings.MinInflight, 1), Max: max(settings.MaxInflight, settings.MinInflight, 1)}
 	previous := g.byID
-	g.byID = make(map[port.ReplicaID]*slot, len(replicas))
-	g.slots = g.slots[:0]
+	g.byID = make(map[port.ReplicaID]*replicaState, len(replicas))
+	g.replicaStates = g.replicaStates[:0]
 	for _, replica := range replicas {
-		held, known := previous[replica.ID]
+		state, known := previous[replica.ID]
 		if !known {
-			held = &slot{limiter: admission.NewLimiter(limits)}
+			state = &replicaState{limiter: admission.NewLimiter(limits)}
 		}
-		held.limiter.SetBounds(limits)
-		held.update(replica)
-		g.byID[replica.ID] = held
-		g.slots = append(g.slots, held)
+		state.limiter.SetBounds(limits)
+		state.update(replica)
+		g.byID[replica.ID] = state
+		g.replicaStates = append(g.replicaStates, state)
 	}
 	g.index.Retain(func(id port.ReplicaID) bool { return g.byID[id] != nil })
 	g.dispatch(now)
 	return g.settled
 }
 
-// Offer grants a ticket at once, refuses it, or lets it wait: its state tells
-// which. Waiting counts the requests that wait, this one included, when it does.
-// The tickets that waited and were settled come back too; the offered one is not
-// among them unless it waited first. The result holds until the next call.
+// Offer grants a ticket, refuses it or queues it, as its State shows. It returns the
+// previously queued tickets that were settled, and the number of queued requests if
+// this one was queued; in that case the ticket itself may be among the settled ones.
+// The result is valid until the next call.
 func (g *Gate) Offer(now time.Time, ticket *Ticket) (settled []*Ticket, waiting int) {
 	g.settled = g.settled[:0]
-	ticket.offered = now
+	ticket.offeredAt = now
 	if g.draining {
 		ticket.refuse(drainingError())
 		return nil, 0
 	}
-	if g.queue.Len() == 0 && g.place(now, ticket) {
+	if g.queue.Len() == 0 && g.assign(now, ticket) {
 		return nil, 0
 	}
 	if refusal := g.checkServable(now, ticket); refusal != nil {
@@ -103,9 +103,9 @@
 	return g.settled, waiting
 }
 
-// Cancel takes back a ticket whose caller has gone: one that waits leaves the
-// queue, a place that was granted is given back. The tickets that this settled
-// hold until the next call.
+// Cancel withdraws a ticket whose caller is gone: a queued ticket leaves the queue, a
+// granted slot is released. It returns the tickets that this settled, valid until
+// the next call.
 func (g *Gate) Cancel(now time.Time, ticket *Ticket) []*Ticket {
 	g.settled = g.settled[:0]
 	switch ticket.State {
@@ -118,8 +118,8 @@
 	return g.settled
 }
 
-// Tick ends the requests whose deadline has passed and serves those that can be.
-// The tickets that this settled hold until the next call.
+// Tick refuses queued requests past their deadline and grants those that can run. It
+// returns the tickets that this settled, valid until the next call.
 func (g *Gate) Tick(now time.Time) []*Ticket {
 	g.settled = g.settled[:0]
 	g.index.Expire(now)
@@ -127,39 +127,39 @@
 	return g.settled
 }
 
-// Drain refuses all that waits and all that comes, as NotRun. What runs goes on.
-// The tickets that this settled hold until the next call.
+// Drain refuses all queued and all future requests as NotRun. Running requests
+// continue. It returns the tickets that this settled, valid until the next call.
 func (g *Gate) Drain() []*Ticket {
 	g.settled = g.settled[:0]
 	g.draining = true
-	g.finish(g.queue.Drain())
+	g.refuseEnded(g.queue.Drain())
 	return g.settled
 }
 
-// CacheEvents enters a replica's cache events; see prefix.Index.Apply.
+// CacheEvents applies a replica's cache events; see prefix.Index.Apply.
 func (g *Gate) CacheEvents(replica port.ReplicaID, events []port.CacheEvent, gap bool) {
 	if g.byID[replica] != nil {
 		g.index.Apply(replica, events, gap)
 	}
 }
 
-// NextCacheEvent gives the sequence number after which to ask for events.
+// NextCacheEvent returns the sequence number after which to request events.
 func (g *Gate) NextCacheEvent(replica port.ReplicaID) uint64 { return g.index.Next(replica) }
 
-// ResetCache forgets a replica's blocks, as after its engine started anew.
+// ResetCache drops a replica's cached blocks, for example after an engine restart.
 func (g *Gate) ResetCache(replica port.ReplicaID) { g.index.Reset(replica) }
 
-// Load is what runs on a replica, and how much may.
+// Load is the number of requests running on a replica and its concurrency limit.
 type Load struct {
 	Inflight int
 	Limit    int
 }
 
-// Loads gives the load of every replica, and the number of requests that wait.
+// Loads returns the load of every replica and the number of queued requests.
 func (g *Gate) Loads() (loads map[port.ReplicaID]Load, waiting int) {
-	loads = make(map[port.ReplicaID]Load, len(g.slots))
-	for _, held := range g.slots {
-		loads[held.replica.ID] = Load{Inflight: held.inflight, Limit: held.limiter.Limit()}
+	loads = make(map[port.ReplicaID]Load, len(g.replicaStates))
+	for _, state := range g.replicaStates {
+		loads[state.info.ID] = Load{Inflight: state.inflight, Limit: state.limiter.Limit()}
 	}
 	return loads, g.queue.Len()
 }
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -16,100 +16,100 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func newGate(limit, queue int, replicas ...gate.Replica) *gate.Gate {
-	made := gate.New(scheduling.Generation(), seeded())
-	made.Configure(start, gate.Settings{MinInflight: limit, MaxInflight: limit, QueueLength: queue}, replicas)
-	return made
+	g := gate.New(scheduling.Generation(), newRandom())
+	g.Configure(start, gate.Settings{MinInflight: limit, MaxInflight: limit, QueueLength: queue}, replicas)
+	return g
 }
 
 func ticket(id string) *gate.Ticket {
 	return &gate.Ticket{Request: gate.Request{ID: port.RequestID(id)}}
 }
 
-// Two attempts of one request may meet at a home: the first, whose caller is
-// gone, must not take the second one's place in the queue away.
+// Two attempts of one request may be offered to the same gate: cancelling the first
+// must not remove the second from the queue.
 func TestCancelConcernsItsOwnTicketOnly(t *testing.T) {
-	under := newGate(1, 4, gate.Replica{ID: "a"})
+	g := newGate(1, 4, gate.Replica{ID: "a"})
 	first, second := ticket("same"), ticket("same")
-	under.Offer(start, first)
-	under.Offer(start, second)
+	g.Offer(start, first)
+	g.Offer(start, second)
 	if first.State != gate.Granted || second.State != gate.Waiting {
 		t.Fatalf("states %v, %v", first.State, second.State)
 	}
-	settled := under.Cancel(start, first)
+	settled := g.Cancel(start, first)
 	if len(settled) != 1 || settled[0] != second || second.State != gate.Granted {
 		t.Errorf("settled %d tickets, the second is %v", len(settled), second.State)
 	}
-	if loads, waiting := under.Loads(); loads["a"].Inflight != 1 || waiting != 0 {
+	if loads, waiting := g.Loads(); loads["a"].Inflight != 1 || waiting != 0 {
 		t.Errorf("loads %v, %d wait", loads, waiting)
 	}
 }
 
-// When one replica becomes free, a waiting request that prefers it goes before one
-// that prefers another, up to a bound, and never before a higher priority.
+// When a replica becomes free, a queued request that prefers it goes first, up to a
+// bound and never ahead of a higher priority.
 func TestWaitingRequestsGoToTheirPreferredReplica(t *testing.T) {
-	under := newGate(1, 4096, gate.Replica{ID: "a"}, gate.Replica{ID: "b"})
-	wish := func(id string, preferred port.ReplicaID, priority port.Priority) *gate.Ticket {
-		made := ticket(id)
-		made.Request.Preferred = preferred
-		made.Request.Pick.Priority = priority
-		under.Offer(start, made)
-		return made
+	g := newGate(1, 4096, gate.Replica{ID: "a"}, gate.Replica{ID: "b"})
+	offer := func(id string, preferred port.ReplicaID, priority port.Priority) *gate.Ticket {
+		offered := ticket(id)
+		offered.Request.Preferred = preferred
+		offered.Request.Pick.Priority = priority
+		g.Offer(start, offered)
+		return offered
 	}
-	onA, onB := wish("on a", "a", 0), wish("on b", "b", 0)
-	high, wantsA := wish("high", "a", 1), wish("wants a", "a", 0)
+	runningOnA, runningOnB := offer("on a", "a", 0), offer("on b", "b", 0)
+	high, prefersA := offer("high", "a", 1), offer("prefers a", "a", 0)
 	const more = 100
-	var wantB []*gate.Ticket
+	var prefersB []*gate.Ticket
 	for index := range more {
-		wantB = append(wantB, wish(fmt.Sprint("wants b ", index), "b", 0))
+		prefersB = append(prefersB, offer(fmt.Sprint("prefers b ", index), "b", 0))
 	}
-	under.Release(start, onB, gate.Outcome{})
+	g.Release(start, runningOnB, gate.Outcome{})
 	if high.State != gate.Granted || high.Replica != "b" {
-		t.Fatalf("the higher priority is %v", high.State)
+		t.Fatalf("the higher priority is in state %v", high.State)
 	}
-	under.Release(start, high, gate.Outcome{})
-	if wantB[0].State != gate.Granted || wantsA.State != gate.Waiting {
-		t.Fatalf("first that prefers b is %v, the one that prefers a is %v", wantB[0].State, wantsA.State)
+	g.Release(start, high, gate.Outcome{})
+	if prefersB[0].State != gate.Granted || prefersA.State != gate.Waiting {
+		t.Fatalf("state of the first that prefers b: %v, of the one that prefers a: %v", prefersB[0].State, prefersA.State)
 	}
-	for _, served := range wantB {
-		under.Release(start, served, gate.Outcome{})
+	for _, served := range prefersB {
+		g.Release(start, served, gate.Outcome{})
 	}
-	if wantsA.State != gate.Granted || wantsA.Replica != "b" {
-		t.Errorf("passed over for ever: %v", wantsA.State)
+	if prefersA.State != gate.Granted || prefersA.Replica != "b" {
+		t.Errorf("skipped without bound: state %v", prefersA.State)
 	}
-	if onA.State != gate.Granted {
-		t.Errorf("the one on a is %v", onA.State)
+	if runningOnA.State != gate.Granted {
+		t.Errorf("the request on a is in state %v", runningOnA.State)
 	}
 }
 
-// A gate never grants a place over a limit or on a replica that is out, settles
-// every ticket once, and lets none wait while a replica could take it.
+// A gate never grants a slot above a limit or on an unroutable replica, settles every
+// ticket once, and keeps none queued while a replica has capacity for it.
 func TestEveryTicketIsSettledOnceWithinTheLimits(t *testing.T) {
 	testkit.Check(t, 71, func(t *rapid.T) {
-		world := &gateWorld{gate: gate.New(scheduling.Generation(), seeded()), limit: rapid.IntRange(1, 3).Draw(t, "limit")}
-		world.configure(t)
+		model := &gateModel{gate: gate.New(scheduling.Generation(), newRandom()), limit: rapid.IntRange(1, 3).Draw(t, "limit")}
+		model.configure(t)
 		for range 80 {
-			world.now = world.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pass")) * time.Millisecond)
-			world.step(t)
-			world.check(t)
+			model.now = model.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pass")) * time.Millisecond)
+			model.step(t)
+			model.check(t)
 		}
 	})
 }
 
-type gateWorld struct {
-	gate     *gate.Gate
-	now      time.Time
-	limit    int
-	replicas []gate.Replica
-	tickets  []*gate.Ticket
-	settled  map[*gate.Ticket]bool
-	out      map[port.ReplicaID]bool
+type gateModel struct {
+	gate       *gate.Gate
+	now        time.Time
+	limit      int
+	replicas   []gate.Replica
+	tickets    []*gate.Ticket
+	settled    map[*gate.Ticket]bool
+	unroutable map[port.ReplicaID]bool
 }
 
-func (w *gateWorld) configure(t *rapid.T) {
-	w.replicas, w.out = nil, make(map[port.ReplicaID]bool)
+func (m *gateModel) configure(t *rapid.T) {
+	m.replicas, m.unroutable = nil, make(map[port.ReplicaID]bool)
 	for index := range 3 {
 		replica := gate.Replica{ID: port.ReplicaID(fmt.Sprintf("r%d", index)), Report: port.LoadReport{Version: 3}}
 		switch rapid.IntRange(0, 7).Draw(t, "standing") {
@@ -122,69 +122,69 @@
 		case 3:
 			replica.VersionUnknown = true
 		}
-		w.out[replica.ID] = replica.Leaving || replica.Draining || replica.Ejected || replica.VersionUnknown
-		w.replicas = append(w.replicas, replica)
+		m.unroutable[replica.ID] = replica.Leaving || replica.Draining || replica.Ejected || replica.VersionUnknown
+		m.replicas = append(m.replicas, replica)
 	}
-	settings := gate.Settings{MinInflight: w.limit, MaxInflight: w.limit, QueueLength: 6}
-	w.take(t, w.gate.Configure(w.now, settings, w.replicas))
+	settings := gate.Settings{MinInflight: m.limit, MaxInflight: m.limit, QueueLength: 6}
+	m.checkSettled(t, m.gate.Configure(m.now, settings, m.replicas))
 }
 
-func (w *gateWorld) step(t *rapid.T) {
+func (m *gateModel) step(t *rapid.T) {
 	switch rapid.IntRange(0, 5).Draw(t, "step") {
 	case 0, 1:
-		w.offer(t)
+		m.offer(t)
 	case 2, 3:
-		if held := w.pick(t, gate.Granted); held != nil {
-			w.take(t, w.gate.Release(w.now, held, gate.Outcome{Latency: time.Millisecond, Service: time.Second}))
+		if picked := m.pick(t, gate.Granted); picked != nil {
+			m.checkSettled(t, m.gate.Release(m.now, picked, gate.Outcome{Latency: time.Millisecond, Service: time.Second}))
 		}
 	case 4:
-		if held := w.pick(t, gate.Waiting); held != nil {
-			w.take(t, w.gate.Cancel(w.now, held))
+		if picked := m.pick(t, gate.Waiting); picked != nil {
+			m.checkSettled(t, m.gate.Cancel(m.now, picked))
 		}
 	default:
-		w.configure(t)
+		m.configure(t)
 	}
-	w.take(t, w.gate.Tick(w.now))
+	m.checkSettled(t, m.gate.Tick(m.now))
 }
 
-func (w *gateWorld) offer(t *rapid.T) {
-	made := ticket(fmt.Sprintf("q%d", len(w.tickets)))
-	made.Request.Pick.Priority = port.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
-	made.Request.Tenant = port.TenantName(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "tenant"))
-	made.Request.Pick.MinVersion = port.WeightVersion(rapid.IntRange(2, 4).Draw(t, "version"))
+func (m *gateModel) offer(t *rapid.T) {
+	offered := ticket(fmt.Sprintf("q%d", len(m.tickets)))
+	offered.Request.Pick.Priority = port.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
+	offered.Request.Tenant = port.TenantName(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "tenant"))
+	offered.Request.Pick.MinVersion = port.WeightVersion(rapid.IntRange(2, 4).Draw(t, "version"))
 	if rapid.Bool().Draw(t, "limited") {
-		made.Request.Deadline = w.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond)
+		offered.Request.Deadline = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond)
 	}
-	w.tickets = append(w.tickets, made)
-	settled, _ := w.gate.Offer(w.now, made)
-	if made.State == gate.Granted && w.out[made.Replica] {
-		t.Fatalf("granted a place on %s, which is out", made.Replica)
+	m.tickets = append(m.tickets, offered)
+	settled, _ := m.gate.Offer(m.now, offered)
+	if offered.State == gate.Granted && m.unroutable[offered.Replica] {
+		t.Fatalf("granted a slot on unroutable replica %s", offered.Replica)
 	}
-	w.take(t, settled)
+	m.checkSettled(t, settled)
 }
 
-// take checks what a call settled.
-func (w *gateWorld) take(t *rapid.T, settled []*gate.Ticket) {
-	if w.settled == nil {
-		w.settled = make(map[*gate.Ticket]bool)
+// checkSettled checks the tickets settled by a call.
+func (m *gateModel) checkSettled(t *rapid.T, settled []*gate.Ticket) {
+	if m.settled == nil {
+		m.settled = make(map[*gate.Ticket]bool)
 	}
 	for _, ticket := range settled {
-		if w.settled[ticket] {
+		if m.settled[ticket] {
 			t.Fatalf("%s was settled twice", ticket.Request.ID)
 		}
-		w.settled[ticket] = true
-		if ticket.State == gate.Granted && w.out[ticket.Replica] {
-			t.Fatalf("granted a place on %s, which is out", ticket.Replica)
+		m.settled[ticket] = true
+		if ticket.State == gate.Granted && m.unroutable[ticket.Replica] {
+			t.Fatalf("granted a slot on unroutable replica %s", ticket.Replica)
 		}
 		if ticket.State == gate.Refused && ticket.Refusal.Verdict != port.NotRun {
-			t.Fatalf("a refusal of verdict %v", ticket.Refusal.Verdict)
+			t.Fatalf("refused with verdict %v", ticket.Refusal.Verdict)
 		}
 	}
 }
 
-func (w *gateWorld) pick(t *rapid.T, state gate.State) *gate.Ticket {
+func (m *gateModel) pick(t *rapid.T, state gate.State) *gate.Ticket {
 	var found []*gate.Ticket
-	for _, ticket := range w.tickets {
+	for _, ticket := range m.tickets {
 		if ticket.State == state {
 			found = append(found, ticket)
 		}
@@ -195,90 +195,90 @@
 	return rapid.SampledFrom(found).Draw(t, "ticket")
 }
 
-func (w *gateWorld) check(t *rapid.T) {
+func (m *gateModel) check(t *rapid.T) {
 	counted := make(map[port.ReplicaID]int)
 	waiting := 0
-	for _, ticket := range w.tickets {
+	for _, ticket := range m.tickets {
 		switch ticket.State {
 		case gate.Granted:
 			counted[ticket.Replica]++
 		case gate.Waiting:
 			waiting++
-			if deadline := ticket.Request.Deadline; !deadline.IsZero() && !w.now.Before(deadline) {
-				t.Fatalf("%s waits past its deadline", ticket.Request.ID)
+			if deadline := ticket.Request.Deadline; !deadline.IsZero() && !m.now.Before(deadline) {
+				t.Fatalf("%s is queued past its deadline", ticket.Request.ID)
 			}
 		}
 	}
-	loads, queued := w.gate.Loads()
+	loads, queued := m.gate.Loads()
 	if queued != waiting {
-		t.Fatalf("%d tickets wait, the queue says %d", waiting, queued)
+		t.Fatalf("%d tickets are waiting, the queue reports %d", waiting, queued)
 	}
-	for _, replica := range w.replicas {
+	for _, replica := range m.replicas {
 		load := loads[replica.ID]
-		if load.Inflight != counted[replica.ID] || load.Inflight > w.limit {
-			t.Fatalf("%s runs %d, the gate says %d, limit %d", replica.ID, counted[replica.ID], load.Inflight, w.limit)
+		if load.Inflight != counted[replica.ID] || load.Inflight > m.limit {
+			t.Fatalf("%s runs %d requests, the gate reports %d, limit %d", replica.ID, counted[replica.ID], load.Inflight, m.limit)
 		}
-		if waiting > 0 && !w.out[replica.ID] && load.Inflight < load.Limit {
-			t.Fatalf("%d wait while %s has room", waiting, replica.ID)
+		if waiting > 0 && !m.unroutable[replica.ID] && load.Inflight < load.Limit {
+			t.Fatalf("%d requests wait while %s has capacity", waiting, replica.ID)
 		}
 	}
 }
 
-// A request for an adapter goes to a replica that serves it, not to one that has
-// only staged it or doesn't know its version.
+// A request for an adapter goes to a replica that serves it, not to one that has only
+// staged it.
 func TestStagedAdapterServesNothing(t *testing.T) {
 	replica := func(id port.ReplicaID, version, staged port.WeightVersion) gate.Replica {
 		adapters := []port.AdapterVersion{{Name: "notes", Version: version, Staged: staged}}
 		return gate.Replica{ID: id, ReportedAt: start, Report: port.LoadReport{Version: 1, Adapters: adapters}}
 	}
-	under := newGate(4, 4, replica("staged", 0, 2), replica("serving", 2, 0))
+	g := newGate(4, 4, replica("staged", 0, 2), replica("serving", 2, 0))
 	for index := range 4 {
-		wanted := ticket(fmt.Sprint(index))
-		wanted.Request.Pick.Adapter = "notes"
-		under.Offer(start, wanted)
-		if wanted.State != gate.Granted || wanted.Replica != "serving" {
-			t.Fatalf("request %d: state %v at %q", index, wanted.State, wanted.Replica)
+		requested := ticket(fmt.Sprint(index))
+		requested.Request.Pick.Adapter = "notes"
+		g.Offer(start, requested)
+		if requested.State != gate.Granted || requested.Replica != "serving" {
+			t.Fatalf("request %d: state %v at %q", index, requested.State, requested.Replica)
 		}
 	}
-	under.Configure(start, gate.Settings{MaxInflight: 4, QueueLength: 4}, []gate.Replica{replica("staged", 0, 2)})
+	g.Configure(start, gate.Settings{MaxInflight: 4, QueueLength: 4}, []gate.Replica{replica("staged", 0, 2)})
 	refused := ticket("refused")
 	refused.Request.Pick.Adapter = "notes"
-	if under.Offer(start, refused); refused.Refusal == nil || refused.Refusal.Code != port.CodeNoBackEnd {
+	if g.Offer(start, refused); refused.Refusal == nil || refused.Refusal.Code != port.CodeNoBackEnd {
 		t.Errorf("state %v, refusal %v", refused.State, refused.Refusal)
 	}
 }
 
-// Calls go to the back end with the least expected time: one that is slow gets
-// few, though it has fewer in flight.
+// Calls go to the back end with the least expected latency, even if it has more
+// requests in flight than a slow one.
 func TestCallsKeepOffASlowBackEnd(t *testing.T) {
-	under := gate.New(scheduling.Application(), seeded())
-	under.Configure(start, gate.Settings{MinInflight: 8, MaxInflight: 8, QueueLength: 4}, []gate.Replica{{ID: "fast"}, {ID: "slow"}})
+	g := gate.New(scheduling.Application(), newRandom())
+	g.Configure(start, gate.Settings{MinInflight: 8, MaxInflight: 8, QueueLength: 4}, []gate.Replica{{ID: "fast"}, {ID: "slow"}})
 	times := map[port.ReplicaID]time.Duration{"fast": 5 * time.Millisecond, "slow": 100 * time.Millisecond}
 	for range 20 {
-		asked := ticket("known")
-		under.Offer(start, asked)
-		under.Release(start, asked, gate.Outcome{Latency: times[asked.Replica], Service: times[asked.Replica]})
+		call := ticket("known")
+		g.Offer(start, call)
+		g.Release(start, call, gate.Outcome{Latency: times[call.Replica], Service: times[call.Replica]})
 	}
-	if counts := inFlightOfEight(under, start); counts["fast"] != 8 {
-		t.Errorf("in flight %v", counts)
+	if counts := inFlightOfEight(g, start); counts["fast"] != 8 {
+		t.Errorf("in flight: %v", counts)
 	}
 	later := start.Add(6 * time.Second)
-	if counts := inFlightOfEight(under, later); counts["fast"] != 4 {
-		t.Errorf("in flight %v after the latencies were forgotten", counts)
+	if counts := inFlightOfEight(g, later); counts["fast"] != 4 {
+		t.Errorf("in flight after the latencies expired: %v", counts)
 	}
 }
 
-// inFlightOfEight offers eight calls and counts where they are before they end.
-func inFlightOfEight(under *gate.Gate, now time.Time) map[port.ReplicaID]int {
+// inFlightOfEight offers eight calls, counts them by replica and abandons them.
+func inFlightOfEight(g *gate.Gate, now time.Time) map[port.ReplicaID]int {
 	counts := make(map[port.ReplicaID]int)
-	var asked []*gate.Ticket
+	var calls []*gate.Ticket
 	for number := range 8 {
-		asked = append(asked, ticket(fmt.Sprint(number)))
-		under.Offer(now, asked[number])
-		counts[asked[number].Replica]++
+		calls = append(calls, ticket(fmt.Sprint(number)))
+		g.Offer(now, calls[number])
+		counts[calls[number].Replica]++
 	}
-	for _, ended := range asked {
-		under.Release(now, ended, gate.Outcome{Abandoned: true})
+	for _, call := range calls {
+		g.Release(now, call, gate.Outcome{Abandoned: true})
 	}
 	return counts
 }
--- a/internal/core/gate/slot.go
+++ b/internal/core/gate/slot.go
@@ -8,10 +8,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// noReport is the age of a report that never came.
-const noReport = time.Hour
+// noReportAge is the report age of a replica without a report.
+const noReportAge = time.Hour
 
-// Replica is what the gate is told of one replica.
+// Replica describes one replica to the gate.
 type Replica struct {
 	ID   port.ReplicaID
 	Zone port.ZoneName
@@ -21,92 +21,92 @@
 	Leaving  bool
 	Ejected  bool
 	Probing  bool
-	// VersionUnknown keeps a replica out until it says what it serves.
+	// VersionUnknown excludes a replica until it reports its version.
 	VersionUnknown bool
-	// Report is the last load report, made at ReportedAt; the zero time means
-	// that there is none, as for application back ends.
+	// Report is the last load report, made at ReportedAt. ReportedAt is zero without
+	// a report, as for application back ends.
 	Report     port.LoadReport
 	ReportedAt time.Time
 }
 
-// slot is one replica with what runs on it.
-type slot struct {
-	replica  Replica
+// replicaState holds a replica and the requests running on it.
+type replicaState struct {
+	info     Replica
 	adapters []string
 	limiter  *admission.Limiter
 	inflight int
 	tokens   int
 	sent     int
 	finished int
-	// latency is the mean time of the calls that were served, the last one at
-	// servedAt; 0 while none was.
+	// latency is the mean latency of the served calls, the last one served at
+	// servedAt; 0 means none.
 	latency  time.Duration
 	servedAt time.Time
 	reported time.Time
-	// marks count what was sent and finished when the last report came.
+	// The marks are the values of sent and finished at the time of the last report.
 	sentMark     int
 	finishedMark int
 }
 
-// update takes over what is told of a replica.
-func (s *slot) update(replica Replica) {
+// update replaces the description of the replica.
+func (s *replicaState) update(replica Replica) {
 	if replica.ReportedAt.After(s.reported) {
 		s.reported = replica.ReportedAt
 		s.sentMark = s.sent
 		s.finishedMark = s.finished
 	}
-	s.replica = replica
+	s.info = replica
 	s.adapters = replica.Report.Loaded()
 }
 
 const (
 	// latencySmoothing is the weight of a new call in the mean latency.
 	latencySmoothing = 0.2
-	// latencyMemory is how long the mean latency counts without another call. A
-	// back end that was slow once and gets no calls is tried again after it.
-	latencyMemory = 5 * time.Second
+	// latencyMaxAge is how long the mean latency is used without another call, so
+	// that a back end that was slow once gets calls again.
+	latencyMaxAge = 5 * time.Second
 )
 
-// served counts the time of one call.
-func (s *slot) served(now time.Time, took time.Duration) {
-	if s.expected(now) == 0 {
+// recordService adds the latency of one call to the mean.
+func (s *replicaState) recordService(now time.Time, took time.Duration) {
+	if s.recentLatency(now) == 0 {
 		s.latency = took
 	}
 	s.latency += time.Duration(latencySmoothing * float64(took-s.latency))
 	s.servedAt = now
 }
 
-// expected gives the mean latency as far as it still counts; 0 means not known.
-func (s *slot) expected(now time.Time) time.Duration {
-	if now.Sub(s.servedAt) > latencyMemory {
+// recentLatency returns the mean latency, or 0 if there was no recent call.
+func (s *replicaState) recentLatency(now time.Time) time.Duration {
+	if now.Sub(s.servedAt) > latencyMaxAge {
 		return 0
 	}
 	return s.latency
 }
 
-// routable says whether the replica takes requests at all.
-func (s *slot) routable() bool {
-	replica := &s.replica
+// routable reports whether the replica accepts requests at all.
+func (s *replicaState) routable() bool {
+	replica := &s.info
 	return !replica.Draining && !replica.Leaving && !replica.Ejected && !replica.VersionUnknown
 }
 
-// candidate gives what a decision about a request for the adapter looks at.
-func (s *slot) candidate(now time.Time, adapter string) scheduling.Candidate {
-	report := &s.replica.Report
+// candidate returns the scheduling candidate for a request for the adapter.
+func (s *replicaState) candidate(now time.Time, adapter string) scheduling.Candidate {
+	report := &s.info.Report
 	version, staged := report.Serves(adapter)
 	return scheduling.Candidate{
-		Replica:             s.replica.ID,
-		Zone:                s.replica.Zone,
-		Region:              s.replica.Region,
+		Replica:             s.info.ID,
+		Zone:                s.info.Zone,
+		Region:              s.info.Region,
 		Version:             version,
 		Staged:              staged,
-		VersionUnknown:      s.replica.VersionUnknown,
+		VersionUnknown:      s.info.VersionUnknown,
 		Role:                report.Role,
 		Adapters:            s.adapters,
-		Draining:            s.replica.Draining,
-		Leaving:             s.replica.Leaving,
-		Ejected:             s.replica.Ejected,
-		Probing:             s.replica.Probing,
+		Draining:            s.info.Draining,
+		Leaving:             s.info.Leaving,
+		Ejected:             s.info.Ejected,
+		Probing:             s.info.Probing,
 		Running:             report.Running,
 		Waiting:             report.Waiting,
 		ReportAge:           s.reportAge(now),
@@ -116,14 +116,14 @@
 		InflightTokens:      s.tokens,
 		KVUsed:              report.KVUsed,
 		KVTotal:             report.KVTotal,
-		Latency:             s.expected(now),
+		Latency:             s.recentLatency(now),
 		Limit:               s.limiter.Limit(),
 	}
 }
 
-func (s *slot) reportAge(now time.Time) time.Duration {
-	if s.replica.ReportedAt.IsZero() {
-		return noReport
+func (s *replicaState) reportAge(now time.Time) time.Duration {
+	if s.info.ReportedAt.IsZero() {
+		return noReportAge
 	}
-	return now.Sub(s.replica.ReportedAt)
+	return now.Sub(s.info.ReportedAt)
 }
--- a/internal/core/gate/ticket.go
+++ b/internal/core/gate/ticket.go
@@ -8,27 +8,25 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Request is a request to be admitted.
+// Request is a request for admission.
 type Request struct {
 	ID          port.RequestID
 	Tenant      port.TenantName
 	TenantShare float64
 	// Deadline is when the caller gives up; the zero time means never.
 	Deadline time.Time
-	// Preferred is taken if it passes the filters; empty leaves the choice to
-	// the gate.
+	// Preferred is chosen if it passes the filters; if empty, the gate chooses.
 	Preferred port.ReplicaID
-	// Avoid is taken only if no other replica can serve.
+	// Avoid is chosen only if no other replica can serve.
 	Avoid port.ReplicaID
-	// Pick holds the rest of what the choice depends on. Its Prefix is set by
-	// the gate.
+	// Pick holds the scheduler's other inputs. The gate sets its Prefix.
 	Pick scheduling.Request
 }
 
-// State is the standing of a ticket.
+// State is the state of a ticket.
 type State uint8
 
-// The states. A ticket starts as Unoffered.
+// The states of a ticket, which starts as Unoffered.
 const (
 	Unoffered State = iota
 	Waiting
@@ -38,27 +36,27 @@
 	Released
 )
 
-// Ticket is one request on its way through the gate. A ticket is offered once.
+// Ticket tracks one request through the gate. It may be offered once.
 type Ticket struct {
 	Request Request
-	// Owner is the caller's own and not looked at.
+	// Owner belongs to the caller; the gate doesn't use it.
 	Owner any
 
 	State State
-	// Refusal says why a refused request will not run; it is NotRun.
+	// Refusal is the error of a refused request, with verdict NotRun.
 	Refusal *port.Error
-	// Replica, Result and Waited tell of the choice once it was granted.
+	// Replica, Result and Waited are set when the ticket is granted.
 	Replica port.ReplicaID
 	Result  scheduling.Result
 	Waited  time.Duration
 
-	offered time.Time
-	// passedOver counts the requests behind it that went first.
-	passedOver int
-	slot       *slot
+	offeredAt time.Time
+	// skips counts the requests behind it that were served first.
+	skips        int
+	replicaState *replicaState
 }
 
-// item gives the ticket as it stands in the queue.
+// item returns the queue item of the ticket.
 func (t *Ticket) item() admission.Item[*Ticket] {
 	return admission.Item[*Ticket]{
 		ID:          t.Request.ID,
@@ -75,44 +73,44 @@
 	t.Refusal = refusal
 }
 
-// Outcome tells how a request that was granted ended.
+// Outcome describes how a granted request ended.
 type Outcome struct {
-	// Abandoned means that the caller gave up or the request never started; it
-	// says nothing about the replica.
+	// Abandoned means that the caller gave up or the request never started. Such an
+	// outcome doesn't affect the limit.
 	Abandoned bool
-	// Overloaded means a failure that speaks of overload.
+	// Overloaded means a failure that indicates overload.
 	Overloaded bool
-	// Latency is comparable between requests: the time per output token, or of
-	// the whole call. 0 means not known.
+	// Latency must be comparable between requests: the time per output token, or of
+	// the whole call. 0 means unknown.
 	Latency time.Duration
-	// Weight is the number of equal answers that this one stands for, such as its
+	// Weight is the number of equal answers that this one counts as, such as its
 	// tokens; 0 means one.
 	Weight int
-	// Service is the time of the whole request for the check of deadlines; 0
-	// means not to be counted.
+	// Service is the duration of the whole request, used to check deadlines; 0 means
+	// that it isn't counted.
 	Service time.Duration
 }
 
-// Release gives a granted ticket's place back and serves the next request. A
-// ticket is released once; later calls have no effect. The tickets that this
-// settled hold until the next call.
+// Release frees a granted ticket's slot and dispatches queued requests. Later calls
+// for the same ticket have no effect. It returns the tickets that this settled,
+// valid until the next call.
 func (g *Gate) Release(now time.Time, ticket *Ticket, outcome Outcome) []*Ticket {
 	g.settled = g.settled[:0]
 	if ticket.State != Granted {
 		return nil
 	}
 	ticket.State = Released
-	held := ticket.slot
+	state := ticket.replicaState
 	if !outcome.Abandoned && (outcome.Latency > 0 || outcome.Overloaded) {
-		held.limiter.ObserveWeighted(now, outcome.Latency, outcome.Weight, outcome.Overloaded, held.inflight)
+		state.limiter.ObserveWeighted(now, outcome.Latency, outcome.Weight, outcome.Overloaded, state.inflight)
 	}
 	if outcome.Service > 0 {
 		g.queue.ObserveService(outcome.Service)
-		held.served(now, outcome.Service)
+		state.recordService(now, outcome.Service)
 	}
-	held.inflight--
-	held.finished++
-	held.tokens -= ticket.Request.Pick.MaxTokens
+	state.inflight--
+	state.finished++
+	state.tokens -= ticket.Request.Pick.MaxTokens
 	g.dispatch(now)
 	return g.settled
 }
