--- a/internal/core/admission/doc.go
+++ b/internal/core/admission/doc.go
@@ -1,10 +1,9 @@
-// Package admission bounds what waits and what runs.
+// Package admission limits the requests that wait and run.
 //
-// Queue holds the requests that wait at one node for one pool: in order of
-// priority, then by fair share among tenants, then by deadline. A request that
-// cannot be served in time is refused at once and told when to come back;
-// every request that leaves the queue unserved gets its final answer, and each
-// such answer is NotRun, for nothing of it reached a back end.
+// Queue holds the requests that wait at one node for one pool, ordered by priority,
+// then by fair share among tenants, then by deadline. It refuses a request that
+// cannot be served in time at once, with a RetryAfter. Every request that leaves the
+// queue unserved ends with a NotRun error, as nothing of it reached a back end.
 //
 // Limiter adapts the number of requests that one replica runs at a time.
 package admission
--- a/internal/core/admission/drain.go
+++ b/internal/core/admission/drain.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Constants of the drain rate's estimate.
+// Parameters of the drain rate estimate.
 const (
 	// drainSmoothing is the weight of a new observation.
 	drainSmoothing = 0.1
-	// defaultRetryAfter is told while nothing has been observed.
+	// defaultRetryAfter is used before the first observation.
 	defaultRetryAfter = time.Second
 	minRetryAfter     = 10 * time.Millisecond
 	maxRetryAfter     = time.Minute
 )
 
-// drainRate estimates how fast the queue drains: the mean time between two
-// requests that leave it while others wait. Times without a backlog say
-// nothing about the rate and are not counted.
+// drainRate estimates how fast the queue drains: the mean interval between two
+// requests that leave it to be served while others wait. Times without a backlog
+// are not counted.
 type drainRate struct {
 	interval time.Duration
 	observed bool
-	// last is when a request left last, or when the backlog began.
+	// last is when the last request left, or when the backlog began.
 	last    time.Time
 	service time.Duration
 }
 
-// restart begins a time with a backlog.
-func (d *drainRate) restart(now time.Time) { d.last = now }
+// beginBacklog starts the interval of the first departure from a backlog.
+func (d *drainRate) beginBacklog(now time.Time) { d.last = now }
 
-// departed counts one request that left to be served.
-func (d *drainRate) departed(now time.Time) {
+// recordDeparture records a request that left the queue to be served.
+func (d *drainRate) recordDeparture(now time.Time) {
 	d.interval = smooth(d.interval, now.Sub(d.last), d.observed)
 	d.observed = true
 	d.last = now
 }
 
-// observeService counts one served request.
+// observeService records the duration of one served request.
 func (d *drainRate) observeService(duration time.Duration) {
 	d.service = smooth(d.service, duration, d.service > 0)
 }
 
-// timeFor estimates how long a number of requests take to leave. A queue that
-// has stood still for longer than its mean interval is as slow as that.
-func (d *drainRate) timeFor(now time.Time, requests int) time.Duration {
+// estimate returns how long a number of requests take to leave the queue. The
+// interval is at least the time since the last departure, to account for a stall.
+func (d *drainRate) estimate(now time.Time, requests int) time.Duration {
 	if !d.observed || requests == 0 {
 		return 0
 	}
@@ -48,17 +48,17 @@
 	return time.Duration(requests) * interval
 }
 
-// retryAfter says when a refused caller may expect room.
+// retryAfter returns the time until a refused caller can expect a free slot.
 func (d *drainRate) retryAfter(now time.Time, waiting int) time.Duration {
 	if !d.observed {
 		return defaultRetryAfter
 	}
-	return min(max(d.timeFor(now, waiting), minRetryAfter), maxRetryAfter)
+	return min(max(d.estimate(now, waiting), minRetryAfter), maxRetryAfter)
 }
 
-// smooth moves a mean towards a new value; the first value is the mean.
-func smooth(mean, value time.Duration, started bool) time.Duration {
-	if !started {
+// smooth returns the exponentially weighted mean, or the value if it is the first.
+func smooth(mean, value time.Duration, initialized bool) time.Duration {
+	if !initialized {
 		return value
 	}
 	return mean + time.Duration(drainSmoothing*float64(value-mean))
--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -11,69 +11,71 @@
 	Max int
 }
 
-// Constants of the limiter.
+// Parameters of the limiter.
 const (
-	// limitWindow is the least time, limitSamples the least number of answers
-	// between two changes of the limit.
-	limitWindow  = 500 * time.Millisecond
-	limitSamples = 8
-	// latencyTolerance is how far the recent latency may rise over the usual
-	// one before the limit falls, at least.
+	// minWindowDuration and minWindowSamples are the minimum duration and number of
+	// requests between two changes of the limit.
+	minWindowDuration = 500 * time.Millisecond
+	minWindowSamples  = 8
+	// latencyTolerance is the minimum ratio of the recent to the baseline latency at
+	// which the limit falls.
 	latencyTolerance = 1.5
-	// batchingExponent and batchingRatio let it rise further where more run than
-	// when the usual latency was measured: a server that batches takes longer for
-	// each answer and gives more of them. Latency may rise by the ratio of the
-	// counts, at most batchingRatio, to the power of batchingExponent.
+	// The tolerance grows with the number of requests in flight, as a batching server
+	// takes longer per answer but serves more of them: latency may rise by the ratio
+	// of requests in flight to those at the baseline, at most maxBatchingRatio, to
+	// the power of batchingExponent.
 	batchingExponent = 0.6
-	batchingRatio    = measureDivisor
-	// limitSmoothing weighs one window in the limit.
+	maxBatchingRatio = probeDivisor
+	// limitSmoothing is the weight of one window in the limit.
 	limitSmoothing = 0.2
-	// failureBackoff multiplies the limit after a window with failures.
+	// failureBackoff is the factor applied to the limit after an overloaded window.
 	failureBackoff = 0.7
-	// failureShare is the share of failures in a window that counts as overload.
-	failureShare = 0.1
-	// leastGradient bounds the fall of one window.
-	leastGradient = 0.5
-	// measureEvery is the least number of windows between two measurements of the
-	// usual latency, firstMeasure that before the first one.
-	measureEvery = 120
-	firstMeasure = 4
-	// measureDivisor divides the limit for a measurement.
-	measureDivisor = 4
-	// measureWindows bounds the windows that a measurement takes.
-	measureWindows = 20
+	// overloadFailureShare is the share of failures above which a window counts as
+	// overloaded.
+	overloadFailureShare = 0.1
+	// minGradient bounds the decrease in one window.
+	minGradient = 0.5
+	// minWindowsBetweenProbes is the minimum number of windows between two probes of
+	// the baseline latency, minWindowsBeforeFirstProbe that before the first one.
+	minWindowsBetweenProbes    = 120
+	minWindowsBeforeFirstProbe = 4
+	// probeDivisor divides the limit during a probe.
+	probeDivisor = 4
+	// maxProbeWindows bounds the duration of a probe.
+	maxProbeWindows = 20
 )
 
-// Limiter adapts a replica's concurrency limit. It follows the gradient of
-// latency (as Netflix's concurrency-limits does): while the recent latency is
-// near the usual one the limit grows by its square root, above it the limit
-// falls in proportion; failures cut it by a fixed factor. The usual latency
-// only falls, or else a slow overload would become usual; it is measured anew at
-// a quarter of the limit (as BBR measures the round trip), but only after latency
-// has held the limit down: otherwise no limit could come out higher, and a
-// measurement costs as long as the longest request in flight. It is not safe for
-// concurrent use.
+// Limiter adapts a replica's concurrency limit. Like Netflix's concurrency-limits, it
+// follows the gradient of latency: while the recent latency is near the baseline, the
+// limit grows by its square root; above it, the limit falls in proportion. Failures
+// reduce it by a fixed factor.
+//
+// The baseline latency only falls, as a slow overload would otherwise raise it. After
+// latency has held the limit down, the limiter probes a new baseline at a quarter of
+// the limit, like BBR probes the minimum round-trip time. Other probes could not raise
+// the limit, and each lasts as long as the longest request in flight. A Limiter is not
+// safe for concurrent use.
 type Limiter struct {
 	min, max float64
 	limit    float64
-	// usual is the latency in nanoseconds of a replica without overload, with
-	// usualInflight requests in flight.
-	usual         float64
-	usualInflight int
-	window        window
-	// windows counts those since the last measurement began, held says that
-	// latency lowered the limit in one of them.
-	windows   int
-	held      bool
-	measuring bool
-	// restored is the limit after the measurement.
-	restored float64
+	// baseline is the latency in nanoseconds without overload, measured with
+	// baselineInflight requests in flight.
+	baseline         float64
+	baselineInflight int
+	window           window
+	// windowsSinceProbe counts the windows since the last probe began; latencyLimited
+	// is set if latency lowered the limit in one of them.
+	windowsSinceProbe int
+	latencyLimited    bool
+	probing           bool
+	// limitAfterProbe is restored when the probe ends.
+	limitAfterProbe float64
 }
 
-// window gathers answers between two changes.
+// window collects the answers between two changes of the limit.
 type window struct {
 	started time.Time
-	// sum adds up the latencies in nanoseconds, each times its weight.
+	// sum is the sum of the latencies in nanoseconds, multiplied by their weights.
 	sum      float64
 	weight   float64
 	answers  int
@@ -81,36 +83,36 @@
 	inflight int
 }
 
-// NewLimiter makes a limiter.
+// NewLimiter returns a limiter with the given bounds.
 func NewLimiter(config LimiterConfig) *Limiter {
 	low := max(config.Min, 1)
 	high := max(config.Max, low)
 	return &Limiter{
 		min: float64(low), max: float64(high), limit: float64(low+high) / 2,
-		windows: measureEvery - firstMeasure, held: true,
+		windowsSinceProbe: minWindowsBetweenProbes - minWindowsBeforeFirstProbe, latencyLimited: true,
 	}
 }
 
-// SetBounds changes the bounds and brings the limit between them.
+// SetBounds changes the bounds and clamps the limit to them.
 func (l *Limiter) SetBounds(config LimiterConfig) {
 	l.min = float64(max(config.Min, 1))
 	l.max = max(float64(config.Max), l.min)
 	l.limit = min(max(l.limit, l.min), l.max)
 }
 
-// Limit gives the number of requests that the replica may run at a time.
+// Limit returns the number of requests that the replica may run at a time.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Observe reports the end of one request: its latency, whether it failed in a
-// way that speaks of overload, and how many were in flight when it ended.
-// Latencies must be comparable: for generation, the time per output token.
+// Observe records the end of one request: its latency, whether it failed in a way that
+// indicates overload, and the number of requests in flight when it ended. Latencies
+// must be comparable: for generation, the time per output token.
 func (l *Limiter) Observe(now time.Time, latency time.Duration, failed bool, inflight int) {
 	l.ObserveWeighted(now, latency, 1, failed, inflight)
 }
 
-// ObserveWeighted is Observe for an answer that stands for weight equal ones: for
-// generation, the tokens of the answer. Otherwise a pause of the engine, spread
-// over the few tokens of a short answer, would look like overload.
+// ObserveWeighted is Observe for an answer that counts as weight equal ones, such as
+// the tokens of a completion. Without weights, a pause of the engine during a short
+// answer would look like overload.
 func (l *Limiter) ObserveWeighted(now time.Time, latency time.Duration, weight int, failed bool, inflight int) {
 	if l.window.started.IsZero() {
 		l.window.started = now
@@ -124,19 +126,19 @@
 		l.window.sum += float64(latency) * float64(max(weight, 1))
 	}
 	total := l.window.answers + l.window.failures
-	if total >= limitSamples && now.Sub(l.window.started) >= limitWindow {
+	if total >= minWindowSamples && now.Sub(l.window.started) >= minWindowDuration {
 		l.adjust()
 		l.window = window{started: now}
 	}
 }
 
-// adjust ends a window.
+// adjust updates the limit at the end of a window.
 func (l *Limiter) adjust() {
-	l.windows++
+	l.windowsSinceProbe++
 	total := l.window.answers + l.window.failures
-	if float64(l.window.failures) > failureShare*float64(total) {
-		l.measuring = false
-		l.set(l.limit * failureBackoff)
+	if float64(l.window.failures) > overloadFailureShare*float64(total) {
+		l.probing = false
+		l.setLimit(l.limit * failureBackoff)
 		return
 	}
 	if l.window.answers == 0 {
@@ -144,54 +146,56 @@
 	}
 	recent := l.window.sum / l.window.weight
 	switch {
-	case l.measuring:
-		l.measure(recent)
-	case l.windows >= measureEvery && l.held:
-		l.windows = 0
-		l.held = false
-		l.measuring = true
-		l.restored = l.limit
-		l.set(l.limit / measureDivisor)
+	case l.probing:
+		l.finishProbe(recent)
+	case l.windowsSinceProbe >= minWindowsBetweenProbes && l.latencyLimited:
+		l.windowsSinceProbe = 0
+		l.latencyLimited = false
+		l.probing = true
+		l.limitAfterProbe = l.limit
+		l.setLimit(l.limit / probeDivisor)
 	default:
-		l.follow(recent)
+		l.followGradient(recent)
 	}
 }
 
-// measure ends a measurement once no more requests are in flight than its
-// lower limit allows, or when that takes too long.
-func (l *Limiter) measure(recent float64) {
+// finishProbe ends a probe once the requests in flight are within the reduced limit,
+// or after maxProbeWindows.
+func (l *Limiter) finishProbe(recent float64) {
 	settled := l.window.inflight <= l.Limit()
-	if !settled && l.windows < measureWindows {
+	if !settled && l.windowsSinceProbe < maxProbeWindows {
 		return
 	}
 	if settled {
-		l.setUsual(recent)
+		l.setBaseline(recent)
 	}
-	l.measuring = false
-	l.set(l.restored)
+	l.probing = false
+	l.setLimit(l.limitAfterProbe)
 }
 
-// follow moves the limit along the gradient.
-func (l *Limiter) follow(recent float64) {
-	if l.usual == 0 || recent < l.usual {
-		l.setUsual(recent)
+// followGradient moves the limit along the latency gradient.
+func (l *Limiter) followGradient(recent float64) {
+	if l.baseline == 0 || recent < l.baseline {
+		l.setBaseline(recent)
 	}
-	gradient := min(max(l.tolerance()*l.usual/max(recent, 1), leastGradient), 1)
-	l.held = l.held || gradient < 1
+	gradient := min(max(l.tolerance()*l.baseline/max(recent, 1), minGradient), 1)
+	l.latencyLimited = l.latencyLimited || gradient < 1
 	target := l.limit*gradient + math.Sqrt(l.limit)
 	if target > l.limit && float64(l.window.inflight) < l.limit/2 {
-		return // too little in flight to tell whether more would do
+		return // too few requests in flight to tell whether a higher limit would help
 	}
-	l.set(l.limit + limitSmoothing*(target-l.limit))
+	l.setLimit(l.limit + limitSmoothing*(target-l.limit))
 }
 
-func (l *Limiter) setUsual(latency float64) { l.usual, l.usualInflight = latency, l.window.inflight }
+func (l *Limiter) setBaseline(latency float64) {
+	l.baseline, l.baselineInflight = latency, l.window.inflight
+}
 
-// tolerance is how far latency may rise over the usual one at the present number
-// in flight.
+// tolerance returns the ratio of the recent to the baseline latency above which the
+// limit falls, for the current number of requests in flight.
 func (l *Limiter) tolerance() float64 {
-	ratio := float64(l.window.inflight) / float64(max(l.usualInflight, 1))
-	return max(latencyTolerance, math.Pow(min(ratio, batchingRatio), batchingExponent))
+	ratio := float64(l.window.inflight) / float64(max(l.baselineInflight, 1))
+	return max(latencyTolerance, math.Pow(min(ratio, maxBatchingRatio), batchingExponent))
 }
 
-func (l *Limiter) set(limit float64) { l.limit = min(max(limit, l.min), l.max) }
+func (l *Limiter) setLimit(limit float64) { l.limit = min(max(limit, l.min), l.max) }
--- a/internal/core/admission/limiter_test.go
+++ b/internal/core/admission/limiter_test.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// server answers with a latency that is flat up to its capacity and grows in
-// proportion beyond it.
+// server has a latency that is constant up to its capacity and proportional to the
+// requests in flight beyond it.
 type server struct {
 	capacity int
 	base     time.Duration
@@ -21,7 +21,7 @@
 	return s.base * time.Duration(max(inflight, s.capacity)) / time.Duration(s.capacity)
 }
 
-// drive keeps the replica as full as the limit and the demand allow.
+// drive keeps the server as full as the limit and the demand allow.
 func drive(limiter *Limiter, now time.Time, serve server, demand int, seconds int, failures float64) time.Time {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range seconds * 100 {
@@ -41,12 +41,12 @@
 		low      int
 		high     int
 	}{
-		"ample capacity":              {LimiterConfig{Min: 2, Max: 64}, 1000, 1000, 0, 64, 64},
-		"little capacity":             {LimiterConfig{Min: 2, Max: 64}, 10, 1000, 0, 8, 40},
-		"failures":                    {LimiterConfig{Min: 2, Max: 64}, 1000, 1000, 0.5, 2, 3},
-		"little demand moves nothing": {LimiterConfig{Min: 2, Max: 64}, 1000, 3, 0, 33, 33},
-		"fixed":                       {LimiterConfig{Min: 7, Max: 7}, 1, 1000, 0, 7, 7},
-		"bounds not set":              {LimiterConfig{}, 1, 1000, 0, 1, 1},
+		"ample capacity":             {LimiterConfig{Min: 2, Max: 64}, 1000, 1000, 0, 64, 64},
+		"low capacity":               {LimiterConfig{Min: 2, Max: 64}, 10, 1000, 0, 8, 40},
+		"failures":                   {LimiterConfig{Min: 2, Max: 64}, 1000, 1000, 0.5, 2, 3},
+		"low demand keeps the limit": {LimiterConfig{Min: 2, Max: 64}, 1000, 3, 0, 33, 33},
+		"fixed":                      {LimiterConfig{Min: 7, Max: 7}, 1, 1000, 0, 7, 7},
+		"bounds not set":             {LimiterConfig{}, 1, 1000, 0, 1, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,26 +64,26 @@
 	serve := server{1000, 50 * time.Millisecond}
 	now := drive(limiter, start, serve, 1000, 20, 1)
 	if limiter.Limit() != 2 {
-		t.Fatalf("limit %d after failures, want the least", limiter.Limit())
+		t.Fatalf("limit %d after failures, want the minimum", limiter.Limit())
 	}
 	drive(limiter, now, serve, 1000, 100, 0)
 	if limiter.Limit() != 32 {
-		t.Errorf("limit %d after recovery, want the most", limiter.Limit())
+		t.Errorf("limit %d after recovery, want the maximum", limiter.Limit())
 	}
 }
 
-// A replica that has become slower for good is measured anew, and a lasting
-// overload does not become usual.
+// The baseline follows a replica that has become permanently slower, but not a lasting
+// overload.
 func TestLimiterMeasuresTheUsualLatencyAnew(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 64})
 	now := drive(limiter, start, server{1000, 50 * time.Millisecond}, 1000, 30, 0)
 	now = drive(limiter, now, server{1000, 200 * time.Millisecond}, 1000, 15, 0)
 	if limiter.Limit() > 32 {
-		t.Fatalf("limit %d while four times slower than usual", limiter.Limit())
+		t.Fatalf("limit %d at four times the baseline latency", limiter.Limit())
 	}
 	now = drive(limiter, now, server{1000, 200 * time.Millisecond}, 1000, 170, 0)
 	if limiter.Limit() != 64 {
-		t.Errorf("limit %d once the slower latency is usual, want the most", limiter.Limit())
+		t.Errorf("limit %d after a new baseline, want the maximum", limiter.Limit())
 	}
 	drive(limiter, now, server{10, 200 * time.Millisecond}, 1000, 3600, 0)
 	if limiter.Limit() > 40 {
@@ -91,8 +91,7 @@
 	}
 }
 
-// A limit that latency doesn't hold down is not lowered to measure: no result
-// could raise it.
+// Without a limit reduced by latency, no probe lowers the limit.
 func TestLimiterIsNotLoweredToMeasureWithoutNeed(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 64})
 	serve := server{1000, 50 * time.Millisecond}
@@ -106,8 +105,8 @@
 	}
 }
 
-// A pause of 200 ms weighs by its share of the time, not by the number of short
-// answers that it hits.
+// A pause of 200 ms counts by its share of the time, not by the number of short answers
+// that it delays.
 func TestLimiterWeighsAnswersByTheirTokens(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 32})
 	now := drive(limiter, start, server{1000, 15 * time.Millisecond}, 1000, 60, 0)
@@ -123,8 +122,8 @@
 	}
 }
 
-// An engine that batches takes longer for each token of a fuller batch and makes
-// more of them in a second: that is no overload.
+// A batching engine that takes longer per token of a fuller batch, but produces more
+// tokens per second, is not overloaded.
 func TestLimiterLetsABatchingEngineFillItsBatch(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 1, Max: 32})
 	now := start
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -7,20 +7,20 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Item is a request that waits. Value is the caller's own and not looked at.
+// Item is a waiting request. Value belongs to the caller; the queue doesn't use it.
 type Item[T any] struct {
 	ID       port.RequestID
 	Tenant   port.TenantName
 	Priority port.Priority
 	// Deadline is when the caller gives up; the zero time means never.
 	Deadline time.Time
-	// TenantShare is the share of the queue that the tenant may fill and its
-	// weight among tenants; 0 means 1.
+	// TenantShare is the share of the queue that the tenant may fill, and the
+	// tenant's weight in the fair order; 0 means 1.
 	TenantShare float64
 	Value       T
 }
 
-// Ended is a request that left the queue unserved, with its final answer.
+// Ended is a request that left the queue unserved, with its error.
 type Ended[T any] struct {
 	Item  Item[T]
 	Error *port.Error
@@ -28,7 +28,7 @@
 
 // Config bounds a Queue.
 type Config struct {
-	// Length bounds the requests that wait; less than 1 means 1.
+	// Length bounds the waiting requests; less than 1 means 1.
 	Length int
 }
 
@@ -36,27 +36,27 @@
 type Queue[T any] struct {
 	length int
 	byID   map[port.RequestID]*entry[T]
-	// levels are ordered by falling priority.
+	// levels are ordered by descending priority.
 	levels []*level[T]
-	// ended waits for Expire.
+	// ended holds the requests to be returned by Expire or Drain.
 	ended []Ended[T]
 	drain drainRate
 }
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue.
 func NewQueue[T any](config Config) *Queue[T] {
 	return &Queue[T]{length: max(config.Length, 1), byID: make(map[port.RequestID]*entry[T])}
 }
 
-// SetLength changes the bound; requests over a lowered bound stay.
+// SetLength changes the bound; excess requests stay in the queue.
 func (q *Queue[T]) SetLength(length int) { q.length = max(length, 1) }
 
-// Len gives the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return len(q.byID) }
 
-// Offer puts a request into the queue, or refuses it with a NotRun error. When
-// the queue is full, a request of higher priority takes the place of one of the
-// lowest; that one's answer comes out of Expire, which the caller calls next.
+// Offer adds a request to the queue or refuses it with a NotRun error. When the queue
+// is full, a request of higher priority evicts one of the lowest priority; the caller
+// must call Expire next to get the evicted one.
 func (q *Queue[T]) Offer(now time.Time, item Item[T]) *port.Error {
 	if _, waiting := q.byID[item.ID]; waiting {
 		return port.NewError(port.NotRun, port.CodeConflict, "request %s already waits", item.ID)
@@ -67,29 +67,29 @@
 	if refusal := q.checkTenant(now, item); refusal != nil {
 		return refusal
 	}
-	if len(q.byID) >= q.length && !q.displace(now, item.Priority) {
-		return q.full(now, "the queue of %d is full", q.length)
+	if len(q.byID) >= q.length && !q.evictLowerPriority(now, item.Priority) {
+		return q.queueFullError(now, "the queue of %d is full", q.length)
 	}
 	if len(q.byID) == 0 {
-		q.drain.restart(now)
+		q.drain.beginBacklog(now)
 	}
 	q.add(item)
 	return nil
 }
 
-// Next takes out the request to serve next; false means that none waits. It
-// never gives one whose deadline has passed.
+// Next removes and returns the request to serve next; false means that none waits. It
+// skips requests whose deadline has passed.
 func (q *Queue[T]) Next(now time.Time) (Item[T], bool) {
 	return q.NextFitting(now, 1, func(*Item[T]) bool { return true })
 }
 
-// NextFitting takes out the first request, in the order of Next, that fits. It
-// looks at up to limit requests; those passed over keep their places. Fits must
-// not call the queue.
+// NextFitting removes and returns the first request, in the order of Next, for which
+// fits returns true. It tests up to limit requests; skipped ones keep their position.
+// Fits must not call the queue.
 func (q *Queue[T]) NextFitting(now time.Time, limit int, fits func(*Item[T]) bool) (Item[T], bool) {
-	var passed []*entry[T]
+	var skipped []*entry[T]
 	var chosen *entry[T]
-	for chosen == nil && len(passed) < limit {
+	for chosen == nil && len(skipped) < limit {
 		first := q.first()
 		if first == nil {
 			break
@@ -98,30 +98,30 @@
 		switch {
 		case first.expired(now):
 			delete(q.byID, first.item.ID)
-			q.end(first, q.deadlinePassed())
+			q.addEnded(first, q.deadlinePassedError())
 		case fits(&first.item):
 			chosen = first
 		default:
-			first.passOver()
-			passed = append(passed, first)
+			first.skip()
+			skipped = append(skipped, first)
 		}
 	}
-	for _, entry := range slices.Backward(passed) {
-		entry.putBack()
+	for _, entry := range slices.Backward(skipped) {
+		entry.restore()
 	}
 	if chosen == nil {
 		q.dropEmptyLevels()
 		return Item[T]{}, false
 	}
 	delete(q.byID, chosen.item.ID)
-	chosen.tenant.served(chosen.weight())
+	chosen.tenant.advance(chosen.weight())
 	q.dropEmptyLevels()
-	q.drain.departed(now)
+	q.drain.recordDeparture(now)
 	return chosen.item, true
 }
 
-// Expire takes out every request whose deadline has passed or that lost its
-// place, each with its final answer.
+// Expire removes every request whose deadline has passed, and returns them together
+// with the evicted ones, each with its error.
 func (q *Queue[T]) Expire(now time.Time) []Ended[T] {
 	var expired []*entry[T]
 	for _, level := range q.levels {
@@ -129,13 +129,13 @@
 	}
 	for _, entry := range expired {
 		q.remove(entry)
-		q.end(entry, q.deadlinePassed())
+		q.addEnded(entry, q.deadlinePassedError())
 	}
 	return q.takeEnded()
 }
 
-// Cancel takes out a request whose caller has gone; false means that it does
-// not wait here.
+// Cancel removes a request whose caller is gone; false means that it is not in the
+// queue.
 func (q *Queue[T]) Cancel(id port.RequestID) (Item[T], bool) {
 	entry, waiting := q.byID[id]
 	if !waiting {
@@ -146,34 +146,33 @@
 	return entry.item, true
 }
 
-// Drain takes out all requests with a final answer, as at a planned stop.
+// Drain removes all requests and returns them with an error, for a planned stop.
 func (q *Queue[T]) Drain() []Ended[T] {
 	for entry := q.first(); entry != nil; entry = q.first() {
 		q.remove(entry)
-		q.end(entry, port.NewError(port.NotRun, port.CodeDraining, "the node is stopping"))
+		q.addEnded(entry, port.NewError(port.NotRun, port.CodeDraining, "the node is stopping"))
 	}
 	return q.takeEnded()
 }
 
-// takeEnded gives the final answers gathered so far.
+// takeEnded returns and clears the ended requests.
 func (q *Queue[T]) takeEnded() []Ended[T] {
 	ended := q.ended
 	q.ended = nil
 	return ended
 }
 
-// ObserveService reports how long a served request took, for the check of
-// deadlines.
+// ObserveService records how long a served request took, for the check of deadlines.
 func (q *Queue[T]) ObserveService(duration time.Duration) { q.drain.observeService(duration) }
 
-// EstimatedWait gives the time until a request of the priority would be served
-// if it were offered now; 0 when nothing has been observed yet.
+// EstimatedWait returns the time until a request of the priority would be served if it
+// were offered now; 0 means unknown or none.
 func (q *Queue[T]) EstimatedWait(now time.Time, priority port.Priority) time.Duration {
-	return q.drain.timeFor(now, q.ahead(priority))
+	return q.drain.estimate(now, q.waitingAhead(priority))
 }
 
-// ahead counts the waiting requests of the same or a higher priority.
-func (q *Queue[T]) ahead(priority port.Priority) int {
+// waitingAhead counts the waiting requests of the same or a higher priority.
+func (q *Queue[T]) waitingAhead(priority port.Priority) int {
 	count := 0
 	for _, level := range q.levels {
 		if level.priority < priority {
@@ -184,7 +183,7 @@
 	return count
 }
 
-// checkDeadline refuses a request that would not be done in time.
+// checkDeadline refuses a request that is not expected to end before its deadline.
 func (q *Queue[T]) checkDeadline(now time.Time, item Item[T]) *port.Error {
 	if item.Deadline.IsZero() {
 		return nil
@@ -201,42 +200,42 @@
 	return refusal
 }
 
-// checkTenant refuses a request of a tenant that fills its share.
+// checkTenant refuses a request of a tenant whose share of the queue is full.
 func (q *Queue[T]) checkTenant(now time.Time, item Item[T]) *port.Error {
-	allowed := shareOf(q.length, item.TenantShare)
-	if q.waitingOf(item.Tenant) < allowed {
+	allowed := tenantLimit(q.length, item.TenantShare)
+	if q.waitingForTenant(item.Tenant) < allowed {
 		return nil
 	}
-	refusal := q.full(now, "the tenant's share of %d waiting requests is full", allowed)
+	refusal := q.queueFullError(now, "the tenant's share of %d waiting requests is full", allowed)
 	refusal.Field = "tenant"
 	refusal.Value = string(item.Tenant)
 	return refusal
 }
 
-// full makes the refusal of a queue without room.
-func (q *Queue[T]) full(now time.Time, format string, arguments ...any) *port.Error {
+// queueFullError returns the refusal for a full queue.
+func (q *Queue[T]) queueFullError(now time.Time, format string, arguments ...any) *port.Error {
 	refusal := port.NewError(port.NotRun, port.CodeQueueFull, format, arguments...)
 	refusal.RetryAfter = q.drain.retryAfter(now, q.Len())
 	return refusal
 }
 
-// displace ends the last request of the lowest priority below the given one.
-func (q *Queue[T]) displace(now time.Time, priority port.Priority) bool {
+// evictLowerPriority evicts a request of the lowest priority, if it is below the given one.
+func (q *Queue[T]) evictLowerPriority(now time.Time, priority port.Priority) bool {
 	lowest := q.levels[len(q.levels)-1]
 	if lowest.priority >= priority {
 		return false
 	}
-	entry := lowest.last()
+	entry := lowest.evictionCandidate()
 	q.remove(entry)
-	q.end(entry, q.full(now, "a request of higher priority took the place"))
+	q.addEnded(entry, q.queueFullError(now, "evicted by a request of higher priority"))
 	return true
 }
 
-// end keeps a final answer for Expire.
-func (q *Queue[T]) end(entry *entry[T], answer *port.Error) {
-	q.ended = append(q.ended, Ended[T]{Item: entry.item, Error: answer})
+// addEnded stores an ended request for Expire or Drain.
+func (q *Queue[T]) addEnded(entry *entry[T], err *port.Error) {
+	q.ended = append(q.ended, Ended[T]{Item: entry.item, Error: err})
 }
 
-func (q *Queue[T]) deadlinePassed() *port.Error {
+func (q *Queue[T]) deadlinePassedError() *port.Error {
 	return port.NewError(port.NotRun, port.CodeDeadline, "the deadline passed while the request waited")
 }
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -18,8 +18,8 @@
 
 func after(duration time.Duration) time.Time { return start.Add(duration) }
 
-// order serves everything and gives the ids in order.
-func order(queue *Queue[int], now time.Time) string {
+// drainOrder takes all requests from the queue and returns their ids in order.
+func drainOrder(queue *Queue[int], now time.Time) string {
 	served := ""
 	for {
 		item, found := queue.Next(now)
@@ -39,12 +39,12 @@
 		"priority first":           {[]testItem{{ID: "a"}, {ID: "b", Priority: 5}, {ID: "c", Priority: -1}}, "bac"},
 		"earliest deadline first": {[]testItem{
 			{ID: "a"}, {ID: "b", Deadline: after(2 * time.Second)}, {ID: "c", Deadline: after(time.Second)}}, "cba"},
-		"tenants take turns": {[]testItem{
+		"tenants alternate": {[]testItem{
 			{ID: "a", Tenant: "x"}, {ID: "b", Tenant: "x"}, {ID: "c", Tenant: "x"}, {ID: "d", Tenant: "y"}, {ID: "e", Tenant: "y"}}, "adbec"},
-		"shares weigh": {[]testItem{
+		"shares are weights": {[]testItem{
 			{ID: "a", Tenant: "x", TenantShare: 1}, {ID: "b", Tenant: "x", TenantShare: 1}, {ID: "c", Tenant: "x", TenantShare: 1},
 			{ID: "d", Tenant: "y", TenantShare: 0.5}, {ID: "e", Tenant: "y", TenantShare: 0.5}}, "adbce"},
-		"priority goes before fairness": {[]testItem{
+		"priority before fairness": {[]testItem{
 			{ID: "a", Tenant: "x", Priority: 1}, {ID: "b", Tenant: "x", Priority: 1}, {ID: "c", Tenant: "y"}}, "abc"},
 	}
 	for name, test := range tests {
@@ -55,14 +55,14 @@
 					t.Fatalf("offer %s: %v", item.ID, refusal)
 				}
 			}
-			if got := order(queue, start); got != test.want {
+			if got := drainOrder(queue, start); got != test.want {
 				t.Errorf("served %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// A request passed over keeps its place and costs its tenant nothing.
+// A skipped request keeps its position and its tenant's virtual time.
 func TestNextFittingPassesOver(t *testing.T) {
 	queue := NewQueue[int](Config{Length: 10})
 	for index, name := range []string{"a", "b", "c", "d", "e"} {
@@ -74,16 +74,16 @@
 		return func(item *testItem) bool { return slices.Contains(values, item.Value) }
 	}
 	if _, found := queue.NextFitting(start, 3, fits(4)); found {
-		t.Error("looked at more requests than the limit")
+		t.Error("tested more requests than the limit")
 	}
 	if item, _ := queue.NextFitting(start, 10, fits(3, 1)); item.ID != "d" {
-		t.Errorf("took %s, want d: tenants take turns among those looked at", item.ID)
+		t.Errorf("took %s, want d: tenants alternate among the tested requests", item.ID)
 	}
 	if _, found := queue.NextFitting(start, 10, fits(9)); found || queue.Len() != 5 {
-		t.Errorf("took a request that does not fit; %d wait", queue.Len())
+		t.Errorf("took a request that does not fit; %d are waiting", queue.Len())
 	}
-	if got := order(queue, start); got != "fabec" {
-		t.Errorf("then served %s, want fabec: f by priority, the others as if none had been passed over", got)
+	if got := drainOrder(queue, start); got != "fabec" {
+		t.Errorf("then served %s, want fabec: f by priority, the others as if none had been skipped", got)
 	}
 }
 
@@ -95,14 +95,14 @@
 		want   port.Code
 		ended  string
 	}{
-		"room":                            {4, testItem{ID: "d"}, "", ""},
-		"full":                            {3, testItem{ID: "d"}, port.CodeQueueFull, ""},
-		"full, higher priority displaces": {3, testItem{ID: "d", Tenant: "z", Priority: 1}, "", "c"},
-		"full, lower priority":            {3, testItem{ID: "d", Priority: -1}, port.CodeQueueFull, ""},
-		"tenant over its share":           {4, testItem{ID: "d", Tenant: "y", TenantShare: 0.5}, port.CodeQueueFull, ""},
-		"tenant within its share":         {4, testItem{ID: "d", Tenant: "x", TenantShare: 0.5}, "", ""},
-		"deadline passed":                 {4, testItem{ID: "d", Deadline: start}, port.CodeDeadline, ""},
-		"same id twice":                   {4, testItem{ID: "a"}, port.CodeConflict, ""},
+		"free slot":                    {4, testItem{ID: "d"}, "", ""},
+		"full":                         {3, testItem{ID: "d"}, port.CodeQueueFull, ""},
+		"full, higher priority evicts": {3, testItem{ID: "d", Tenant: "z", Priority: 1}, "", "c"},
+		"full, lower priority":         {3, testItem{ID: "d", Priority: -1}, port.CodeQueueFull, ""},
+		"tenant over its share":        {4, testItem{ID: "d", Tenant: "y", TenantShare: 0.5}, port.CodeQueueFull, ""},
+		"tenant within its share":      {4, testItem{ID: "d", Tenant: "x", TenantShare: 0.5}, "", ""},
+		"deadline passed":              {4, testItem{ID: "d", Deadline: start}, port.CodeDeadline, ""},
+		"same id twice":                {4, testItem{ID: "a"}, port.CodeConflict, ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -118,17 +118,17 @@
 					t.Errorf("refused with verdict %s", refusal.Verdict)
 				}
 				if code != port.CodeConflict && refusal.RetryAfter <= 0 {
-					t.Error("refused without a time to come back")
+					t.Error("refused without RetryAfter")
 				}
 			}
 			if code != test.want {
 				t.Errorf("refusal %v, want code %q", refusal, test.want)
 			}
 			ended := ""
-			for _, one := range queue.Expire(start) {
-				ended += string(one.Item.ID)
-				if one.Error.Verdict != port.NotRun {
-					t.Errorf("%s ended with verdict %s", one.Item.ID, one.Error.Verdict)
+			for _, entry := range queue.Expire(start) {
+				ended += string(entry.Item.ID)
+				if entry.Error.Verdict != port.NotRun {
+					t.Errorf("%s ended with verdict %s", entry.Item.ID, entry.Error.Verdict)
 				}
 			}
 			if ended != test.ended {
@@ -138,9 +138,9 @@
 	}
 }
 
-// backlogged makes a queue that drains one request each 100 ms, whose
-// requests take a second, and in which five wait.
-func backlogged(t *testing.T) (*Queue[int], time.Time) {
+// newBackloggedQueue returns a queue with five waiting requests. It drains one request
+// every 100 ms, and each request takes a second of service.
+func newBackloggedQueue(t *testing.T) (*Queue[int], time.Time) {
 	t.Helper()
 	queue := NewQueue[int](Config{Length: 100})
 	now := start
@@ -161,29 +161,29 @@
 		priority port.Priority
 		refused  bool
 	}{
-		"waiting and service fit":          {1600 * time.Millisecond, 0, false},
-		"service does not fit":             {1400 * time.Millisecond, 0, true},
-		"ahead of all by priority":         {1100 * time.Millisecond, 1, false},
-		"not even without any that wait":   {900 * time.Millisecond, 1, true},
-		"behind those of higher priority":  {1400 * time.Millisecond, -1, true},
-		"in good time with lower priority": {time.Minute, -1, false},
+		"wait and service fit":                {1600 * time.Millisecond, 0, false},
+		"service does not fit":                {1400 * time.Millisecond, 0, true},
+		"ahead of all by priority":            {1100 * time.Millisecond, 1, false},
+		"service alone does not fit":          {900 * time.Millisecond, 1, true},
+		"behind requests of higher priority":  {1400 * time.Millisecond, -1, true},
+		"lower priority with a late deadline": {time.Minute, -1, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			queue, now := backlogged(t)
+			queue, now := newBackloggedQueue(t)
 			refusal := queue.Offer(now, testItem{ID: "new", Priority: test.priority, Deadline: now.Add(test.left)})
 			if (refusal != nil) != test.refused {
 				t.Fatalf("refusal %v, want refused %v", refusal, test.refused)
 			}
 			if refusal != nil && refusal.RetryAfter != 500*time.Millisecond {
-				t.Errorf("retry after %v, want the 500ms that five take to leave", refusal.RetryAfter)
+				t.Errorf("retry after %v, want the 500ms in which five requests leave", refusal.RetryAfter)
 			}
 		})
 	}
 }
 
 func TestStalledQueueEstimatesItsStall(t *testing.T) {
-	queue, now := backlogged(t)
+	queue, now := newBackloggedQueue(t)
 	if got := queue.EstimatedWait(now.Add(10*time.Second), 0); got != 50*time.Second {
 		t.Errorf("estimated wait %v after a stall of 10s with five waiting, want 50s", got)
 	}
@@ -198,12 +198,12 @@
 	}
 	queue.Offer(after(time.Hour), testItem{ID: "b"})
 	if got := queue.EstimatedWait(after(time.Hour), 0); got != 0 {
-		t.Errorf("estimated wait %v after calm, want 0", got)
+		t.Errorf("estimated wait %v after idle time, want 0", got)
 	}
 }
 
-// Whatever is done, the bound holds, no expired request is served, and each
-// request accepted has exactly one end.
+// Whatever the operations, the bound holds, no expired request is served, and each
+// accepted request ends exactly once.
 func TestQueueKeepsItsPromises(t *testing.T) {
 	const length = 6
 	testkit.Check(t, 41, func(t *rapid.T) {
@@ -254,7 +254,7 @@
 				}
 			}
 			if queue.Len() > length {
-				t.Fatalf("%d wait, bound %d", queue.Len(), length)
+				t.Fatalf("%d are waiting, bound %d", queue.Len(), length)
 			}
 		}
 		for _, ended := range queue.Drain() {
