--- a/internal/core/routing/document.go
+++ b/internal/core/routing/document.go
@@ -8,74 +8,76 @@
 	"github.com/loomgrade/loomgrade/internal/core/apikey"
 )
 
-// Kind says what may be done with a route's requests.
+// Kind is the delivery semantics of a route's requests.
 type Kind string
 
 const (
 	// KindIdempotent requests may run more than once.
 	KindIdempotent Kind = "idempotent"
-	// KindSingle requests run at most once for each id.
+	// KindSingle requests run at most once per request id.
 	KindSingle Kind = "single"
-	// KindStream requests are answered by a series of events.
+	// KindStream requests are answered by a stream of events.
 	KindStream Kind = "stream"
-	// KindJobs takes jobs: sets of items that run after they were accepted.
+	// KindJobs accepts jobs: sets of items that run after submission.
 	KindJobs Kind = "jobs"
 )
 
-// Document is a whole configuration.
+// Document is a complete configuration.
 type Document struct {
-	// Version rises with every change; the highest holds.
+	// Version increases with every change; the highest version applies.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Tenants are those who may call. Without any, a caller needs no key.
+	// Tenants are the permitted callers. If empty, no key is required.
 	Tenants []Tenant
 }
 
-// Tenant is a customer whose callers show one of its keys.
+// Tenant is a customer whose callers authenticate with one of its keys.
 type Tenant struct {
 	Name string
 	Keys []apikey.Digest
-	// Priority, if set, goes before that of the route.
+	// Priority, if set, overrides that of the route.
 	Priority *int
-	// Regions are where its requests may be served and kept; empty is everywhere.
+	// Regions are the regions in which its requests may be served and stored; empty
+	// means all.
 	Regions []string
 }
 
-// Route leads the requests of one host and path prefix to services.
+// Route directs the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request is held; 0 is no bound.
+	// Timeout bounds the duration of a request.
 	Timeout time.Duration
-	// Aim is the time within which an answer is worth most.
+	// Aim is the target response time.
 	Aim      time.Duration
 	Priority int
-	// Service is where all requests go, unless Split names parts.
+	// Service receives all requests unless Split is set.
 	Service string
 	Split   []Share
-	// MaxAttempts bounds the replicas that one request, or one item of a job,
-	// is tried on.
+	// MaxAttempts bounds the number of replicas tried for one request or one item of
+	// a job.
 	MaxAttempts int
-	// Resumable streams may go on at another replica.
+	// Resumable streams may continue on another replica.
 	Resumable bool
-	// RunAim is how long after its submission a job's results are due.
+	// RunAim is the target time from the submission of a job to its results.
 	RunAim time.Duration
-	// Keep is how long after its submission an item is kept before it may be
-	// given up; 0 is no bound.
+	// Keep is the minimum time from submission before an item may be dropped; 0 means
+	// no limit.
 	Keep time.Duration
-	// OneVersion wants every result made by a single weight version.
+	// OneVersion requires all results to come from a single weight version.
 	OneVersion bool
-	// Public routes are open to callers without a key.
+	// Public routes don't require a key.
 	Public bool
-	// Regions are where its requests may be served and kept; empty is everywhere.
+	// Regions are the regions in which requests may be served and stored; empty means
+	// all.
 	Regions []string
 }
 
-// Share is one part of a split route.
+// Share is one service of a split route and its weight.
 type Share struct {
 	Service string
 	Weight  float64
@@ -86,7 +88,7 @@
 	return r.Kind == KindIdempotent || (r.Kind == KindStream && r.Resumable)
 }
 
-// Service is a set of like replicas.
+// Service is a set of equivalent replicas.
 type Service struct {
 	Name       string
 	HealthPath string
@@ -94,20 +96,21 @@
 	MaxConnections int
 	// Engine is set for services whose replicas generate text.
 	Engine *Engine
-	// Warmup is how long a replica stays cold after its start, and WarmupRate how many
-	// requests a second it bears from all senders meanwhile. A rate of 0 is no bound.
+	// Warmup is how long a replica stays cold after its start. WarmupRate is the
+	// number of requests per second that it accepts from all senders during that
+	// time; 0 means no limit.
 	Warmup     time.Duration
 	WarmupRate float64
 }
 
-// Engine describes the replicas of a generating service.
+// Engine describes the replicas of a text generation service.
 type Engine struct {
-	// Slots is how many requests one replica works on at once.
+	// Slots is the number of requests that one replica processes concurrently.
 	Slots  int
 	Models []string
 }
 
-// Limits bound what a client may send. A zero field is no bound.
+// Limits bound client requests. A zero field means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -115,9 +118,9 @@
 	IdleTimeout   time.Duration
 }
 
-// InvalidError says what is wrong with a document.
+// InvalidError reports an invalid part of a document.
 type InvalidError struct {
-	// Field names the part at fault, such as `route "a": timeout`.
+	// Field names the invalid part, such as `route "a": timeout`.
 	Field  string
 	Reason string
 }
@@ -125,49 +128,49 @@
 // Error implements error.
 func (e *InvalidError) Error() string { return e.Field + ": " + e.Reason }
 
-// Validate reports the first fault of the document as an *InvalidError.
+// Validate returns the first error in the document as an *InvalidError.
 func (d *Document) Validate() error {
 	services, err := d.serviceNames()
 	if err != nil {
 		return err
 	}
-	type place struct{ host, prefix string }
-	places := make(map[place]string, len(d.Routes))
+	type match struct{ host, prefix string }
+	matches := make(map[match]string, len(d.Routes))
 	for i := range d.Routes {
 		route := &d.Routes[i]
 		if err := route.validate(services); err != nil {
 			return err
 		}
-		at := place{strings.ToLower(route.Host), route.Prefix}
-		if other, taken := places[at]; taken {
-			return route.fault("path prefix", fmt.Sprintf("same host and prefix as route %q", other))
+		pair := match{strings.ToLower(route.Host), route.Prefix}
+		if other, taken := matches[pair]; taken {
+			return route.invalidField("path prefix", fmt.Sprintf("same host and prefix as route %q", other))
 		}
-		places[at] = route.Name
+		matches[pair] = route.Name
 	}
 	return d.validateTenants()
 }
 
-// validateTenants refuses a tenant without a name, one that stands twice, and a key that
-// stands twice: it would not say whose its bearer's requests are. A tenant may have no key.
+// validateTenants checks that tenants have distinct names, and that no key is empty or
+// shared by two tenants. A tenant may have no keys.
 func (d *Document) validateTenants() error {
 	names := make(map[string]bool, len(d.Tenants))
-	holders := make(map[apikey.Digest]string, len(d.Tenants))
+	owners := make(map[apikey.Digest]string, len(d.Tenants))
 	for _, tenant := range d.Tenants {
-		fault := func(reason string) error {
+		invalid := func(reason string) error {
 			return &InvalidError{Field: fmt.Sprintf("tenant %q", tenant.Name), Reason: reason}
 		}
 		if tenant.Name == "" || names[tenant.Name] {
-			return fault("has no name, or one that another tenant has")
+			return invalid("name is empty or already used")
 		}
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
 			if key == (apikey.Digest{}) {
-				return fault("has an empty key")
+				return invalid("has an empty key")
 			}
-			if other, held := holders[key]; held && other != tenant.Name {
-				return fault(fmt.Sprintf("shares a key with tenant %q", other))
+			if other, used := owners[key]; used && other != tenant.Name {
+				return invalid(fmt.Sprintf("shares a key with tenant %q", other))
 			}
-			holders[key] = tenant.Name
+			owners[key] = tenant.Name
 		}
 	}
 	return nil
@@ -177,39 +180,39 @@
 	names := make(map[string]bool, len(d.Services))
 	for _, service := range d.Services {
 		if service.Name == "" {
-			return nil, &InvalidError{Field: "service", Reason: "has no name"}
+			return nil, &InvalidError{Field: "service", Reason: "name is empty"}
 		}
 		if names[service.Name] {
-			return nil, &InvalidError{Field: fmt.Sprintf("service %q", service.Name), Reason: "stands twice"}
+			return nil, &InvalidError{Field: fmt.Sprintf("service %q", service.Name), Reason: "is defined twice"}
 		}
 		names[service.Name] = true
 	}
 	return names, nil
 }
 
-func (r *Route) fault(field, reason string) error {
+func (r *Route) invalidField(field, reason string) error {
 	return &InvalidError{Field: fmt.Sprintf("route %q: %s", r.Name, field), Reason: reason}
 }
 
 func (r *Route) validate(services map[string]bool) error {
 	switch {
 	case r.Host == "":
-		return r.fault("host", "is empty")
+		return r.invalidField("host", "is empty")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return r.fault("path prefix", "must begin and end with a slash")
+		return r.invalidField("path prefix", "must begin and end with a slash")
 	case r.Timeout <= 0:
-		return r.fault("timeout", "must be above 0")
+		return r.invalidField("timeout", "must be positive")
 	case r.MaxAttempts < 0:
-		return r.fault("attempts", "must not be negative")
+		return r.invalidField("attempts", "must not be negative")
 	}
 	switch r.Kind {
 	case KindIdempotent, KindSingle, KindStream, KindJobs:
 	default:
-		return r.fault("kind", fmt.Sprintf("unknown kind %q", string(r.Kind)))
+		return r.invalidField("kind", fmt.Sprintf("unknown kind %q", string(r.Kind)))
 	}
 	if len(r.Split) == 0 {
 		if !services[r.Service] {
-			return r.fault("service", fmt.Sprintf("no service %q", r.Service))
+			return r.invalidField("service", fmt.Sprintf("service %q does not exist", r.Service))
 		}
 		return nil
 	}
@@ -220,15 +223,15 @@
 	total := 0.0
 	for _, share := range r.Split {
 		if !services[share.Service] {
-			return r.fault("split", fmt.Sprintf("no service %q", share.Service))
+			return r.invalidField("split", fmt.Sprintf("service %q does not exist", share.Service))
 		}
 		if share.Weight < 0 {
-			return r.fault("split", "negative weight")
+			return r.invalidField("split", "negative weight")
 		}
 		total += share.Weight
 	}
 	if total <= 0 {
-		return r.fault("split", "weights sum to 0")
+		return r.invalidField("split", "weights sum to 0")
 	}
 	return nil
 }
--- a/internal/core/routing/homes.go
+++ b/internal/core/routing/homes.go
@@ -5,49 +5,49 @@
 	"strings"
 )
 
-// Homes are the regions in which a request may be served and its body kept. The zero Homes
-// are all regions.
+// Homes is the set of regions in which a request may be served and its body stored. The
+// zero Homes allows all regions.
 type Homes struct {
-	bound   bool
-	regions []string
+	restricted bool
+	regions    []string
 }
 
-// HomesOf gives the regions of a route's requests of a tenant, nil for nobody's. Where both
-// have homes, each of them binds.
+// HomesOf returns the regions allowed by both the route and the tenant of a request.
+// Tenant is nil for requests without one.
 func HomesOf(route *Route, tenant *Tenant) Homes {
-	homes := Homes{}.within(route.Regions)
+	homes := Homes{}.intersect(route.Regions)
 	if tenant != nil {
-		homes = homes.within(tenant.Regions)
+		homes = homes.intersect(tenant.Regions)
 	}
 	return homes
 }
 
-// within gives the homes that are in a list too; an empty list is no bound.
-func (h Homes) within(regions []string) Homes {
+// intersect returns the regions that are also in the list; an empty list allows all.
+func (h Homes) intersect(regions []string) Homes {
 	switch {
 	case len(regions) == 0:
 		return h
-	case !h.bound:
-		return Homes{bound: true, regions: regions}
+	case !h.restricted:
+		return Homes{restricted: true, regions: regions}
 	default:
-		both := slices.DeleteFunc(slices.Clone(h.regions), func(region string) bool { return !slices.Contains(regions, region) })
-		return Homes{bound: true, regions: both}
+		common := slices.DeleteFunc(slices.Clone(h.regions), func(region string) bool { return !slices.Contains(regions, region) })
+		return Homes{restricted: true, regions: common}
 	}
 }
 
-// Bound reports whether not all regions are homes.
-func (h Homes) Bound() bool { return h.bound }
+// Bound reports whether some regions are not allowed.
+func (h Homes) Bound() bool { return h.restricted }
 
-// Allow reports whether a region is a home. One that is not known is none where there are
-// homes.
-func (h Homes) Allow(region string) bool { return !h.bound || slices.Contains(h.regions, region) }
+// Allow reports whether a region is allowed. An unknown region is allowed only if all
+// regions are.
+func (h Homes) Allow(region string) bool { return !h.restricted || slices.Contains(h.regions, region) }
 
-// Regions lists the homes; empty for all, or none.
+// Regions returns the allowed regions; it is empty if all or none are allowed.
 func (h Homes) Regions() []string { return h.regions }
 
-// String names the homes.
+// String returns the allowed regions for messages.
 func (h Homes) String() string {
-	if !h.bound {
+	if !h.restricted {
 		return "all regions"
 	}
 	return strings.Join(h.regions, ", ")
--- a/internal/core/routing/homes_test.go
+++ b/internal/core/routing/homes_test.go
@@ -11,11 +11,11 @@
 		route, tenant []string
 		allowed       map[string]bool
 	}{
-		"none":                    {nil, nil, map[string]bool{"a": true, "b": true, "": true}},
-		"of the route":            {[]string{"a"}, nil, map[string]bool{"a": true, "b": false, "": false}},
-		"of the tenant":           {nil, []string{"a", "b"}, map[string]bool{"a": true, "b": true, "c": false}},
-		"of both":                 {[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
-		"of both, with no common": {[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
+		"unrestricted":                  {nil, nil, map[string]bool{"a": true, "b": true, "": true}},
+		"route":                         {[]string{"a"}, nil, map[string]bool{"a": true, "b": false, "": false}},
+		"tenant":                        {nil, []string{"a", "b"}, map[string]bool{"a": true, "b": true, "c": false}},
+		"route and tenant":              {[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
+		"route and tenant, none common": {[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
 	} {
 		homes := routing.HomesOf(&routing.Route{Regions: row.route}, &routing.Tenant{Regions: row.tenant})
 		for region, want := range row.allowed {
@@ -25,6 +25,6 @@
 		}
 	}
 	if routing.HomesOf(&routing.Route{}, nil).Bound() {
-		t.Error("nobody's request of a route without homes is bound")
+		t.Error("a request without tenant is restricted on an unrestricted route")
 	}
 }
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -42,29 +42,29 @@
 }
 
 func TestInvalidDocumentsAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*routing.Document){
+	for name, invalidate := range map[string]func(*routing.Document){
 		"no host":         func(d *routing.Document) { d.Routes[0].Host = "" },
 		"bad prefix":      func(d *routing.Document) { d.Routes[0].Prefix = "/a" },
 		"no timeout":      func(d *routing.Document) { d.Routes[0].Timeout = 0 },
 		"unknown kind":    func(d *routing.Document) { d.Routes[0].Kind = "other" },
 		"unknown service": func(d *routing.Document) { d.Routes[0].Service = "x" },
-		"same place":      func(d *routing.Document) { d.Routes[1].Prefix = d.Routes[0].Prefix },
+		"duplicate match": func(d *routing.Document) { d.Routes[1].Prefix = d.Routes[0].Prefix },
 		"unknown share":   func(d *routing.Document) { d.Routes[0].Split = []routing.Share{{Service: "x", Weight: 1}} },
 		"no weight":       func(d *routing.Document) { d.Routes[0].Split = []routing.Share{{Service: "s"}, {Service: "u"}} },
 		"negative weight": func(d *routing.Document) {
 			d.Routes[0].Split = []routing.Share{{Service: "s", Weight: -1}, {Service: "u", Weight: 3}}
 		},
-		"service twice": func(d *routing.Document) { d.Services[1].Name = "s" },
-		"nameless":      func(d *routing.Document) { d.Services[1].Name = "" },
-		"attempts":      func(d *routing.Document) { d.Routes[0].MaxAttempts = -1 },
+		"duplicate service": func(d *routing.Document) { d.Services[1].Name = "s" },
+		"unnamed service":   func(d *routing.Document) { d.Services[1].Name = "" },
+		"negative attempts": func(d *routing.Document) { d.Routes[0].MaxAttempts = -1 },
 	} {
-		spoiled := document(validRoute("a", "/a/"), validRoute("b", "/b/"))
-		if err := spoiled.Validate(); err != nil {
+		doc := document(validRoute("a", "/a/"), validRoute("b", "/b/"))
+		if err := doc.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		spoil(spoiled)
+		invalidate(doc)
 		var invalid *routing.InvalidError
-		if err := spoiled.Validate(); !errors.As(err, &invalid) || invalid.Field == "" || invalid.Reason == "" {
+		if err := doc.Validate(); !errors.As(err, &invalid) || invalid.Field == "" || invalid.Reason == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -101,7 +101,7 @@
 func TestTenantsAreFoundByTheirKeys(t *testing.T) {
 	doc := document(validRoute("a", "/a/"))
 	if routing.NewTable(doc).WantsKeys() {
-		t.Error("keys are wanted without tenants")
+		t.Error("keys are required without tenants")
 	}
 	doc.Tenants = []routing.Tenant{{Name: "ada", Keys: []apikey.Digest{apikey.Of("1"), apikey.Of("2")}}, {Name: "bob"}}
 	if err := doc.Validate(); err != nil {
@@ -122,10 +122,10 @@
 func TestInvalidTenantsAreRefused(t *testing.T) {
 	one, two := apikey.Of("1"), apikey.Of("2")
 	for name, tenants := range map[string][]routing.Tenant{
-		"nameless":   {{Keys: []apikey.Digest{one}}},
-		"twice":      {{Name: "a", Keys: []apikey.Digest{one}}, {Name: "a", Keys: []apikey.Digest{two}}},
-		"shared key": {{Name: "a", Keys: []apikey.Digest{one}}, {Name: "b", Keys: []apikey.Digest{two, one}}},
-		"empty key":  {{Name: "a", Keys: []apikey.Digest{apikey.Of("")}}},
+		"unnamed":        {{Keys: []apikey.Digest{one}}},
+		"duplicate name": {{Name: "a", Keys: []apikey.Digest{one}}, {Name: "a", Keys: []apikey.Digest{two}}},
+		"shared key":     {{Name: "a", Keys: []apikey.Digest{one}}, {Name: "b", Keys: []apikey.Digest{two, one}}},
+		"empty key":      {{Name: "a", Keys: []apikey.Digest{apikey.Of("")}}},
 	} {
 		doc := document(validRoute("a", "/a/"))
 		doc.Tenants = tenants
@@ -136,7 +136,7 @@
 	}
 }
 
-// BenchmarkTenantOf shows that a look-up does not grow with the number of tenants.
+// BenchmarkTenantOf checks that the lookup time doesn't grow with the number of tenants.
 func BenchmarkTenantOf(b *testing.B) {
 	for _, size := range []int{78, 10_000} {
 		doc := document(validRoute("a", "/a/"))
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -7,24 +7,23 @@
 	"github.com/loomgrade/loomgrade/internal/core/apikey"
 )
 
-// goldenRatio is the fraction of the golden ratio in 64 bits: multiples of it
-// spread evenly over the range, so that even a few requests keep the weights
-// of a split.
+// goldenRatio is the fractional part of the golden ratio in 64 bits. Its multiples are
+// evenly distributed, so that few requests already follow the weights of a split.
 const goldenRatio = 0x9e3779b97f4a7c15
 
-// Table finds routes. It is immutable and safe for concurrent use.
+// Table indexes a Document. It is immutable and safe for concurrent use.
 type Table struct {
 	document *Document
-	// hosts holds routes by host in lower case and prefix.
+	// hosts maps lower-case hosts and path prefixes to routes.
 	hosts    map[string]map[string]*Route
 	services map[string]*Service
-	// byKey finds the tenant of a key; it does not depend on how many there are.
+	// byKey maps keys to tenants.
 	byKey map[apikey.Digest]*Tenant
-	// tenants finds tenants by name.
+	// tenants maps names to tenants.
 	tenants map[string]*Tenant
 }
 
-// NewTable makes a table of a valid document, which must not change any more.
+// NewTable returns the table of a valid document, which must not be modified afterwards.
 func NewTable(document *Document) *Table {
 	table := &Table{
 		document: document,
@@ -54,26 +53,26 @@
 	return table
 }
 
-// WantsKeys reports whether callers have to show a key.
+// WantsKeys reports whether callers must present a key.
 func (t *Table) WantsKeys() bool { return len(t.document.Tenants) > 0 }
 
-// TenantOf finds the tenant that holds a key, or nil.
+// TenantOf returns the tenant of a key, or nil.
 func (t *Table) TenantOf(key string) *Tenant { return t.byKey[apikey.Of(key)] }
 
-// Tenant finds a tenant by name, or nil.
+// Tenant returns the tenant with a name, or nil.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// Document gives what the table was made of.
+// Document returns the document of the table.
 func (t *Table) Document() *Document { return t.document }
 
-// Version gives the document's version.
+// Version returns the document's version.
 func (t *Table) Version() uint64 { return t.document.Version }
 
-// Service finds a service by name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Lookup finds the route of the host with the longest prefix that begins path,
-// or nil. A port in host and a query in path are ignored.
+// Lookup returns the route of the host with the longest prefix of path, or nil. It
+// ignores a port in host and a query in path.
 func (t *Table) Lookup(host, path string) *Route {
 	prefixes := t.hosts[hostName(host)]
 	if prefixes == nil {
@@ -97,7 +96,7 @@
 	return strings.ToLower(host)
 }
 
-// Choose gives the service of the route's n-th request.
+// Choose returns the service of the route's n-th request.
 func (r *Route) Choose(n uint64) string {
 	if len(r.Split) == 0 {
 		return r.Service
@@ -114,10 +113,10 @@
 		}
 		at -= share.Weight
 	}
-	return r.lastWithWeight()
+	return r.lastWeightedService()
 }
 
-// LeadsTo reports whether the route may choose a service.
+// LeadsTo reports whether Choose may return the service.
 func (r *Route) LeadsTo(service string) bool {
 	if len(r.Split) == 0 {
 		return r.Service == service
@@ -125,8 +124,8 @@
 	return slices.ContainsFunc(r.Split, func(share Share) bool { return share.Service == service && share.Weight > 0 })
 }
 
-// lastWithWeight is for a sum that rounding left just below the total.
-func (r *Route) lastWithWeight() string {
+// lastWeightedService is the fallback if rounding leaves a remainder after the last share.
+func (r *Route) lastWeightedService() string {
 	chosen := r.Split[0].Service
 	for _, share := range r.Split {
 		if share.Weight > 0 {
@@ -136,7 +135,7 @@
 	return chosen
 }
 
-// Services lists the services that the route may send to.
+// Services returns the services that Choose may return.
 func (r *Route) Services() []string {
 	if len(r.Split) == 0 {
 		return []string{r.Service}
