--- a/internal/core/home/doc.go
+++ b/internal/core/home/doc.go
@@ -1,7 +1,7 @@
-// Package home keeps what the home node of a replica knows of it, and judges
-// from that whether the replica takes requests: load reports that come late or
-// out of order, polls that fail, health, the word of a weights rollout, and the
+// Package home implements the state that the home node of a replica keeps for it, and
+// derives from it whether the replica can take requests: load reports, which may arrive
+// late or out of order, failed polls, health, exclusions by a weights rollout, and the
 // machine list.
 //
-// Everything here is a state machine; the time comes in with each call.
+// Everything here is a state machine; each call takes the current time.
 package home
--- a/internal/core/home/health.go
+++ b/internal/core/home/health.go
@@ -9,39 +9,39 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Standings gives the replicas of a pool that are out or probed, by the word of
-// their homes, within the bound that the pool sets. Size is that of the pool.
-func Standings(now time.Time, summaries *membership.Summaries, homes *membership.Assigner, pool *port.Pool, size int) map[port.ReplicaID]Standing {
-	standings := make(map[port.ReplicaID]Standing)
+// PoolHealth returns the replicas of a pool that their homes eject or probe. Ejections
+// are limited to the pool's maximum share. Size is the size of the pool.
+func PoolHealth(now time.Time, summaries *membership.Summaries, homes *membership.Assigner, pool *port.Pool, size int) map[port.ReplicaID]Health {
+	health := make(map[port.ReplicaID]Health)
 	var claims []ejection.Claim
 	summaries.Pool(now, homes, pool.Name, func(_ port.NodeID, replica *membership.ReplicaSummary, _ time.Duration) {
 		if replica.Probing {
-			standings[replica.Replica] = Standing{Probing: true}
+			health[replica.Replica] = Health{Probing: true}
 		}
 		if replica.Ejected {
 			claims = append(claims, ejection.Claim{Replica: replica.Replica, Since: time.UnixMilli(replica.EjectedSince)})
 		}
 	})
 	for _, id := range ejection.Honour(claims, size, pool.Ejection.MaxShare) {
-		standings[id] = Standing{Ejected: true}
+		health[id] = Health{Ejected: true}
 	}
-	return standings
+	return health
 }
 
-// Judged says what the end of a request tells of a replica.
+// Judged classifies the end of a request for the gate and the ejection tracker.
 type Judged struct {
-	// Outcome is for the gate.
+	// Outcome is passed to the gate.
 	Outcome gate.Outcome
-	// Counts says that the outcome concerns the replica's health; Failed that it
-	// speaks against it, and Latency is comparable between requests.
+	// Counts is set if the outcome affects the replica's health, Failed if it counts
+	// as a failure. Latency is comparable between requests.
 	Counts, Failed bool
 	Latency        time.Duration
 }
 
-// JudgeGeneration judges the end of a completion of a number of tokens.
-// Abandoned says that the caller went away.
+// JudgeGeneration classifies the end of a completion with the given number of tokens.
+// Abandoned is set if the caller went away.
 func JudgeGeneration(failure *port.Error, abandoned bool, tokens int, elapsed time.Duration) Judged {
-	if abandoned || failure != nil && blameless(failure) {
+	if abandoned || failure != nil && ignoredForHealth(failure) {
 		return Judged{Outcome: gate.Outcome{Abandoned: true}}
 	}
 	perToken := elapsed / time.Duration(max(tokens, 1))
@@ -52,12 +52,12 @@
 	}
 }
 
-// JudgeCall judges the end of an application call with an HTTP status.
+// JudgeCall classifies the end of an application call with an HTTP status.
 func JudgeCall(failure *port.Error, abandoned bool, status int, elapsed time.Duration) Judged {
 	if failure != nil && (abandoned || failure.Code == port.CodeInvalid) {
 		return Judged{Outcome: gate.Outcome{Abandoned: true}}
 	}
-	failed := failure != nil || status >= firstServerError
+	failed := failure != nil || status >= minServerErrorStatus
 	judged := Judged{
 		Outcome: gate.Outcome{Overloaded: failed, Latency: elapsed},
 		Counts:  true, Failed: failed, Latency: elapsed,
@@ -68,11 +68,11 @@
 	return judged
 }
 
-// firstServerError is the lowest HTTP status that speaks against a back end.
-const firstServerError = 500
+// minServerErrorStatus is the lowest HTTP status that counts as a back end failure.
+const minServerErrorStatus = 500
 
-// blameless says whether a failure says nothing about the replica's health.
-func blameless(failure *port.Error) bool {
+// ignoredForHealth reports whether a failure doesn't indicate a fault of the replica.
+func ignoredForHealth(failure *port.Error) bool {
 	switch failure.Code {
 	case port.CodeInvalid, port.CodeConflict, port.CodeCancelled, port.CodeStale, port.CodeTooLarge:
 		return true
--- a/internal/core/home/home_test.go
+++ b/internal/core/home/home_test.go
@@ -15,7 +15,7 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-func engine() *home.Record {
+func newEngineRecord() *home.Record {
 	return &home.Record{Replica: port.Replica{ID: "e1", Pool: "lm", Address: "10.0.0.1:8000"}, Polled: true}
 }
 
@@ -27,61 +27,60 @@
 		unknown bool
 	}{
 		{"before the first report", func(*home.Record) {}, true},
-		{"after a report", func(r *home.Record) { r.Reported(at(1), at(1), report) }, false},
-		{"silent", func(r *home.Record) {
-			r.Reported(at(1), at(1), report)
+		{"after a report", func(r *home.Record) { r.ApplyReport(at(1), at(1), report) }, false},
+		{"polls failed", func(r *home.Record) {
+			r.ApplyReport(at(1), at(1), report)
 			for range 3 {
-				r.Unanswered()
+				r.PollFailed()
 			}
 		}, true},
-		{"answered again", func(r *home.Record) {
+		{"poll succeeded again", func(r *home.Record) {
 			for range 3 {
-				r.Unanswered()
+				r.PollFailed()
 			}
-			r.Reported(at(1), at(1), report)
+			r.ApplyReport(at(1), at(1), report)
 		}, false},
-		{"a rollout keeps it out", func(r *home.Record) {
-			r.Reported(at(1), at(1), report)
-			r.RouteOut(at(9))
+		{"excluded by a rollout", func(r *home.Record) {
+			r.ApplyReport(at(1), at(1), report)
+			r.ExcludeUntil(at(9))
 		}, true},
-		{"the rollout's word ran out", func(r *home.Record) {
-			r.Reported(at(1), at(1), report)
-			r.RouteOut(at(2))
+		{"exclusion expired", func(r *home.Record) {
+			r.ApplyReport(at(1), at(1), report)
+			r.ExcludeUntil(at(2))
 		}, false},
-		{"an application has no report", func(r *home.Record) { r.Polled = false }, false},
+		{"application back end", func(r *home.Record) { r.Polled = false }, false},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			record := engine()
+			record := newEngineRecord()
 			testCase.act(record)
 			if got := record.VersionUnknown(at(3)); got != testCase.unknown {
-				t.Errorf("unknown %v", got)
+				t.Errorf("version unknown: %v", got)
 			}
-			told := home.ForGate(at(3), &record.Replica, "r", false, home.Standing{}, record)
-			if told.VersionUnknown != testCase.unknown {
-				t.Errorf("the gate is told %+v", told)
+			replica := home.GateReplica(at(3), &record.Replica, "r", false, home.Health{}, record)
+			if replica.VersionUnknown != testCase.unknown {
+				t.Errorf("gate replica %+v", replica)
 			}
 			if summary := record.Summary(at(3), false, gate.Load{}, 0, nil); summary.Routable() == testCase.unknown {
-				t.Errorf("the zone is told %+v", summary)
+				t.Errorf("summary %+v", summary)
 			}
 		})
 	}
 }
 
-// A poll that was answered late must not undo what an order's answer, to a later
-// question, said.
+// A late answer to an earlier poll must not overwrite the report of a later one.
 func TestAnswersOutOfOrder(t *testing.T) {
-	record := engine()
-	record.Reported(at(5), at(4), port.LoadReport{Version: 5, Incarnation: 1})
-	if taken, _ := record.Reported(at(6), at(3), port.LoadReport{Version: 4, Incarnation: 1}); taken {
-		t.Error("took the answer to an earlier question")
+	record := newEngineRecord()
+	record.ApplyReport(at(5), at(4), port.LoadReport{Version: 5, Incarnation: 1})
+	if applied, _ := record.ApplyReport(at(6), at(3), port.LoadReport{Version: 4, Incarnation: 1}); applied {
+		t.Error("applied the report of an earlier poll")
 	}
 	if version := record.Version(at(6), ""); version != 5 {
 		t.Errorf("version %d", version)
 	}
-	taken, restarted := record.Reported(at(8), at(7), port.LoadReport{Version: 1, Incarnation: 2, AgeMillis: 500})
-	if !taken || !restarted || record.Version(at(8), "") != 1 {
-		t.Errorf("taken %v, restarted %v, version %d", taken, restarted, record.Version(at(8), ""))
+	applied, restarted := record.ApplyReport(at(8), at(7), port.LoadReport{Version: 1, Incarnation: 2, AgeMillis: 500})
+	if !applied || !restarted || record.Version(at(8), "") != 1 {
+		t.Errorf("applied %v, restarted %v, version %d", applied, restarted, record.Version(at(8), ""))
 	}
 	if age := record.Report(at(9)).AgeMillis; age != 1500 {
 		t.Errorf("the report is %d ms old", age)
@@ -89,20 +88,20 @@
 }
 
 func TestLeavingIsTheUnionOfThePollers(t *testing.T) {
-	gone := []port.Machine{{Address: "10.0.0.1", State: port.MachineLeaving}}
-	leaving := home.NewLeaving()
-	if !leaving.Told(at(0), "n1", gone) || leaving.Told(at(1), "n1", gone) {
-		t.Error("news was not told from what is known")
+	machines := []port.Machine{{Address: "10.0.0.1", State: port.MachineLeaving}}
+	leaving := home.NewLeavingMachines()
+	if !leaving.Update(at(0), "n1", machines) || leaving.Update(at(1), "n1", machines) {
+		t.Error("changed and unchanged lists were not distinguished")
 	}
-	leaving.Told(at(2), "n2", nil)
+	leaving.Update(at(2), "n2", nil)
 	if !leaving.Has("10.0.0.1:8000") || leaving.Has("10.0.0.2:8000") {
-		t.Error("a poller with an old list brought a leaving machine back")
+		t.Error("a stale list of one poller made a leaving machine available again")
 	}
-	if !leaving.DropSilent(at(12)) || leaving.Has("10.0.0.1:8000") {
-		t.Error("a silent poller's word still counts")
+	if !leaving.DropStale(at(12)) || leaving.Has("10.0.0.1:8000") {
+		t.Error("the list of a timed-out poller is still used")
 	}
-	if leaving.DropSilent(at(99)) {
-		t.Error("the last word was dropped")
+	if leaving.DropStale(at(99)) {
+		t.Error("the last list was dropped")
 	}
 }
 
@@ -114,14 +113,14 @@
 		{Replica: "c", Pool: "lm", Probing: true}, {Replica: "d", Pool: "other", Ejected: true},
 	}})
 	homes := membership.NewAssigner([]port.NodeID{"n1"})
-	got := home.Standings(start, summaries, homes, pool, 4)
+	got := home.PoolHealth(start, summaries, homes, pool, 4)
 	if len(got) != 2 || !got["b"].Ejected || !got["c"].Probing {
-		t.Errorf("standings %v", got)
+		t.Errorf("pool health %v", got)
 	}
 }
 
 func TestEjectedSinceIsKept(t *testing.T) {
-	record := engine()
+	record := newEngineRecord()
 	tracker := ejection.New(ejection.Config{ConsecutiveFailures: 1, MaxShare: 1})
 	tracker.SetReplicas([]port.ReplicaID{"e1"})
 	tracker.SetPool(ejection.Pool{Size: 2})
@@ -129,7 +128,7 @@
 	first := record.Summary(at(2), false, gate.Load{}, 0, tracker)
 	later := record.Summary(at(3), false, gate.Load{}, 0, tracker)
 	if !first.Ejected || first.EjectedSince != at(2).UnixMilli() || later.EjectedSince != first.EjectedSince {
-		t.Errorf("told %+v, then %+v", first, later)
+		t.Errorf("summaries %+v, then %+v", first, later)
 	}
 }
 
@@ -144,15 +143,15 @@
 		failed bool
 	}{
 		{"completion", home.JudgeGeneration(nil, false, 10, time.Second), true, false},
-		{"completion cut", home.JudgeGeneration(backEnd, false, 10, time.Second), true, true},
+		{"completion cut off", home.JudgeGeneration(backEnd, false, 10, time.Second), true, true},
 		{"completion abandoned", home.JudgeGeneration(backEnd, true, 10, time.Second), false, false},
-		{"completion refused for its version", home.JudgeGeneration(stale, false, 0, time.Second), false, false},
+		{"completion refused for stale version", home.JudgeGeneration(stale, false, 0, time.Second), false, false},
 		{"call", home.JudgeCall(nil, false, 200, time.Second), true, false},
-		{"call of a bad request", home.JudgeCall(nil, false, 404, time.Second), true, false},
-		{"call that failed there", home.JudgeCall(nil, false, 503, time.Second), true, true},
-		{"call cut", home.JudgeCall(backEnd, false, 0, time.Second), true, true},
+		{"call with client error", home.JudgeCall(nil, false, 404, time.Second), true, false},
+		{"call with server error", home.JudgeCall(nil, false, 503, time.Second), true, true},
+		{"call cut off", home.JudgeCall(backEnd, false, 0, time.Second), true, true},
 		{"call abandoned", home.JudgeCall(backEnd, true, 0, time.Second), false, false},
-		{"call that was invalid", home.JudgeCall(invalid, false, 0, time.Second), false, false},
+		{"invalid call", home.JudgeCall(invalid, false, 0, time.Second), false, false},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/internal/core/home/leaving.go
+++ b/internal/core/home/leaving.go
@@ -8,58 +8,60 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// pollerSilence is the time after which the word of a node that polls the
-// machine list no longer counts, if there is another.
-const pollerSilence = 10 * time.Second
+// pollerTimeout is the age at which the list of a poller is dropped if there is a list
+// of another one.
+const pollerTimeout = 10 * time.Second
 
-// Leaving gathers which machines leave, by the word of every node that polls the
-// machine list. The union holds, so that a poller with an old list doesn't bring
-// a leaving machine back. It is not safe for concurrent use.
-type Leaving struct {
-	told   map[port.NodeID]leavingList
-	newest time.Time
+// LeavingMachines holds the leaving machines reported by each poller of the machine
+// list. It uses the union of the lists, so that a stale list of one poller doesn't make
+// a leaving machine available again. It is not safe for concurrent use.
+type LeavingMachines struct {
+	byPoller   map[port.NodeID]pollerList
+	lastUpdate time.Time
 }
 
-// leavingList is what one poller last told.
-type leavingList struct {
-	at       time.Time
-	machines []port.Machine
+// pollerList is the last list received from a poller.
+type pollerList struct {
+	receivedAt time.Time
+	machines   []port.Machine
 }
 
-// NewLeaving makes one that was told nothing.
-func NewLeaving() *Leaving { return &Leaving{told: make(map[port.NodeID]leavingList)} }
+// NewLeavingMachines returns an empty LeavingMachines.
+func NewLeavingMachines() *LeavingMachines {
+	return &LeavingMachines{byPoller: make(map[port.NodeID]pollerList)}
+}
 
-// Told takes what a poller says; true means that it is news.
-func (l *Leaving) Told(now time.Time, poller port.NodeID, machines []port.Machine) bool {
-	known := l.told[poller]
-	l.told[poller] = leavingList{at: now, machines: machines}
-	l.newest = now
+// Update replaces a poller's list and reports whether it changed.
+func (l *LeavingMachines) Update(now time.Time, poller port.NodeID, machines []port.Machine) bool {
+	known := l.byPoller[poller]
+	l.byPoller[poller] = pollerList{receivedAt: now, machines: machines}
+	l.lastUpdate = now
 	return !slices.Equal(known.machines, machines)
 }
 
-// Newest gives when some poller was last heard; the zero time means never.
-func (l *Leaving) Newest() time.Time { return l.newest }
+// LastUpdate returns when the last list was received; zero means never.
+func (l *LeavingMachines) LastUpdate() time.Time { return l.lastUpdate }
 
-// DropSilent forgets pollers that have been silent; true means that some were.
-func (l *Leaving) DropSilent(now time.Time) bool {
+// DropStale drops the lists of pollers that timed out and reports whether there were any.
+func (l *LeavingMachines) DropStale(now time.Time) bool {
 	dropped := false
-	for node, list := range l.told {
-		if now.Sub(list.at) > pollerSilence && len(l.told) > 1 {
-			delete(l.told, node)
+	for node, list := range l.byPoller {
+		if now.Sub(list.receivedAt) > pollerTimeout && len(l.byPoller) > 1 {
+			delete(l.byPoller, node)
 			dropped = true
 		}
 	}
 	return dropped
 }
 
-// Has says whether some poller told that the machine of an address leaves. The
-// list may name the machine with or without a port.
-func (l *Leaving) Has(address string) bool {
+// Has reports whether some list contains the machine of an address. Lists may contain
+// machines with or without a port.
+func (l *LeavingMachines) Has(address string) bool {
 	host := address
 	if parsed, err := netip.ParseAddrPort(address); err == nil {
 		host = parsed.Addr().String()
 	}
-	for _, list := range l.told {
+	for _, list := range l.byPoller {
 		for _, machine := range list.machines {
 			if machine.Address == address || machine.Address == host {
 				return true
@@ -69,7 +71,7 @@
 	return false
 }
 
-// LeavingOf gives the leaving machines of a list.
+// LeavingOf returns the leaving machines of a machine list.
 func LeavingOf(machines []port.Machine) []port.Machine {
 	var leaving []port.Machine
 	for _, machine := range machines {
--- a/internal/core/home/pollpace.go
+++ b/internal/core/home/pollpace.go
@@ -3,39 +3,37 @@
 import "time"
 
 const (
-	// PollBytes is what asking an engine for its load and for cache events costs
-	// both ways, in bytes of two HTTP exchanges without events: 716 as measured by
-	// the fleet emulation.
+	// PollBytes is the cost in bytes of polling an engine for load and cache events:
+	// two HTTP exchanges, both directions, without events.
 	PollBytes = 720
-	// PollBudget bounds the polls of a home's engines, in bytes per second: a
-	// quarter of what a node may spend on control.
+	// PollBudget bounds the polls of a home's engines, in bytes per second: a quarter
+	// of a node's budget for control traffic.
 	PollBudget = 3000
-	// MaxPollInterval bounds the time between two polls of an engine, so that a
-	// restart or a new version is seen within 3 s. An engine that takes questions
-	// and does not answer takes longer: each poll waits for its timeout.
+	// MaxPollInterval bounds the time between two polls of an engine, so that a restart
+	// or a new version is detected within 3 s if the engine answers its polls.
 	MaxPollInterval = time.Second
 )
 
-// PollInterval gives the time between two polls of each engine of a home, such
-// that all of them stay within a budget in bytes per second; it is never less
-// than least, nor more than MaxPollInterval unless least is.
-func PollInterval(least time.Duration, engines, bytes, budget int) time.Duration {
+// PollInterval returns the time between two polls of each engine that keeps the polls of
+// all engines within the budget in bytes per second. It is between minimum and
+// MaxPollInterval, or minimum if that is longer.
+func PollInterval(minimum time.Duration, engines, bytes, budget int) time.Duration {
 	if budget <= 0 {
-		return least
+		return minimum
 	}
 	needed := time.Duration(engines*bytes) * time.Second / time.Duration(budget)
-	return max(least, min(needed, MaxPollInterval))
+	return max(minimum, min(needed, MaxPollInterval))
 }
 
-// PollDue says whether a home that looks every so often polls now: the look that
-// is nearest to the end of the interval does.
-func PollDue(passed, interval, look time.Duration) bool {
-	return passed >= interval-look/2
+// PollDue reports whether a home that checks at checkInterval polls now: it polls at the
+// check nearest to the end of the poll interval.
+func PollDue(passed, interval, checkInterval time.Duration) bool {
+	return passed >= interval-checkInterval/2
 }
 
-// PollSoon says whether polls of the replica must not be put off: it has not
-// answered yet or stopped answering, a rollout keeps it out, or it has staged
-// weights that it is about to switch to.
-func (r *Record) PollSoon(now time.Time) bool {
-	return !r.known() || r.silent > 0 || now.Before(r.outUntil) || r.report.Staged > r.report.Version
+// NeedsFastPolls reports whether the replica must be polled at the minimum interval: it
+// has no report yet, its last poll failed, a rollout excludes it, or it has staged
+// weights that it is about to load.
+func (r *Record) NeedsFastPolls(now time.Time) bool {
+	return !r.hasReport() || r.failedPolls > 0 || now.Before(r.excludedUntil) || r.report.Staged > r.report.Version
 }
--- a/internal/core/home/pollpace_test.go
+++ b/internal/core/home/pollpace_test.go
@@ -9,43 +9,43 @@
 )
 
 func TestPollIntervalKeepsTheBudget(t *testing.T) {
-	const least = 200 * time.Millisecond
+	const minimum = 200 * time.Millisecond
 	cases := []struct {
 		name                   string
 		engines, bytes, budget int
 		want                   time.Duration
 	}{
-		{"none", 0, 720, 3000, least},
-		{"few", 1, 500, 3000, least},
+		{"none", 0, 720, 3000, minimum},
+		{"few", 1, 500, 3000, minimum},
 		{"paced", 2, 750, 3000, 500 * time.Millisecond},
 		{"bounded above", 40, 720, 3000, home.MaxPollInterval},
-		{"no budget", 40, 720, 0, least},
+		{"no budget", 40, 720, 0, minimum},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if got := home.PollInterval(least, test.engines, test.bytes, test.budget); got != test.want {
+			if got := home.PollInterval(minimum, test.engines, test.bytes, test.budget); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
 	}
 	if got := home.PollInterval(2*time.Second, 1, 720, 3000); got != 2*time.Second {
-		t.Errorf("%v, less than the least", got)
+		t.Errorf("%v, below the minimum", got)
 	}
 }
 
 func TestPollsAreDueAtTheNearestLook(t *testing.T) {
-	const look = 200 * time.Millisecond
+	const checkInterval = 200 * time.Millisecond
 	cases := []struct {
 		passed, interval time.Duration
 		want             bool
 	}{
-		{199 * time.Millisecond, look, true},
-		{start.Sub(time.Time{}), time.Second, true}, // never polled: the longest duration
+		{199 * time.Millisecond, checkInterval, true},
+		{start.Sub(time.Time{}), time.Second, true}, // never polled
 		{799 * time.Millisecond, time.Second, false},
 		{999 * time.Millisecond, time.Second, true},
 	}
 	for _, test := range cases {
-		if got := home.PollDue(test.passed, test.interval, look); got != test.want {
+		if got := home.PollDue(test.passed, test.interval, checkInterval); got != test.want {
 			t.Errorf("%+v: %v", test, got)
 		}
 	}
@@ -60,19 +60,19 @@
 		want bool
 	}{
 		{"before the first report", func(*home.Record) {}, true},
-		{"serving", func(r *home.Record) { r.Reported(at(1), at(1), serving) }, false},
-		{"one poll failed", func(r *home.Record) { r.Reported(at(1), at(1), serving); r.Unanswered() }, true},
-		{"answered again", func(r *home.Record) { r.Unanswered(); r.Reported(at(1), at(1), serving) }, false},
-		{"a rollout keeps it out", func(r *home.Record) { r.Reported(at(1), at(1), serving); r.RouteOut(at(9)) }, true},
-		{"the rollout's word ran out", func(r *home.Record) { r.Reported(at(1), at(1), serving); r.RouteOut(at(2)) }, false},
-		{"about to switch", func(r *home.Record) { r.Reported(at(1), at(1), staged) }, true},
+		{"serving", func(r *home.Record) { r.ApplyReport(at(1), at(1), serving) }, false},
+		{"one poll failed", func(r *home.Record) { r.ApplyReport(at(1), at(1), serving); r.PollFailed() }, true},
+		{"poll succeeded again", func(r *home.Record) { r.PollFailed(); r.ApplyReport(at(1), at(1), serving) }, false},
+		{"excluded by a rollout", func(r *home.Record) { r.ApplyReport(at(1), at(1), serving); r.ExcludeUntil(at(9)) }, true},
+		{"exclusion expired", func(r *home.Record) { r.ApplyReport(at(1), at(1), serving); r.ExcludeUntil(at(2)) }, false},
+		{"weights staged", func(r *home.Record) { r.ApplyReport(at(1), at(1), staged) }, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			record := engine()
+			record := newEngineRecord()
 			test.act(record)
-			if got := record.PollSoon(at(3)); got != test.want {
-				t.Errorf("soon %v", got)
+			if got := record.NeedsFastPolls(at(3)); got != test.want {
+				t.Errorf("needs fast polls: %v", got)
 			}
 		})
 	}
--- a/internal/core/home/record.go
+++ b/internal/core/home/record.go
@@ -9,81 +9,81 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// silentPolls is the number of failed polls in a row after which a replica's
-// report no longer holds.
-const silentPolls = 3
+// maxFailedPolls is the number of consecutive failed polls after which a replica's report
+// is no longer valid.
+const maxFailedPolls = 3
 
-// Record is what the home knows of one replica. It is not safe for concurrent
+// Record is the state that the home keeps for one replica. It is not safe for concurrent
 // use.
 type Record struct {
 	Replica port.Replica
-	// Polled says that the replica has load reports; application back ends have
-	// none.
+	// Polled is set for engines, which have load reports, and not for application back
+	// ends.
 	Polled bool
 
-	// report is the last load report, made at reportedAt and asked for at
-	// askedAt; the zero times mean that none came yet.
+	// report is the last load report, made at reportedAt and requested at askedAt; the
+	// times are zero before the first report.
 	report     port.LoadReport
 	reportedAt time.Time
 	askedAt    time.Time
-	// silent counts the polls that failed in a row.
-	silent int
-	// outUntil is how long a weights rollout keeps the replica out of routing.
-	outUntil time.Time
-	// ejectedSince is when the replica was first told as ejected; the zero time
-	// while it is not.
+	// failedPolls counts consecutive failed polls.
+	failedPolls int
+	// excludedUntil is the end of an exclusion from routing by a weights rollout.
+	excludedUntil time.Time
+	// ejectedSince is when a summary first reported the replica as ejected; zero while
+	// it is not ejected.
 	ejectedSince time.Time
 }
 
-// Report gives the last load report, its age brought up to now.
+// Report returns the last load report with its current age.
 func (r *Record) Report(now time.Time) port.LoadReport {
 	report := r.report
 	report.AgeMillis = now.Sub(r.reportedAt).Milliseconds()
 	return report
 }
 
-// Reported takes the answer to a question that was asked at askedAt. A report is
-// not taken if one to a later question was. Restarted says that the engine
-// started anew since the report before: what it cached is gone.
-func (r *Record) Reported(now, askedAt time.Time, report port.LoadReport) (taken, restarted bool) {
-	r.silent = 0
+// ApplyReport applies the report of a poll sent at askedAt, unless the report of a later
+// poll was applied. Restarted reports whether the engine has restarted since the previous
+// report, which clears its cache.
+func (r *Record) ApplyReport(now, askedAt time.Time, report port.LoadReport) (applied, restarted bool) {
+	r.failedPolls = 0
 	if askedAt.Before(r.askedAt) {
 		return false, false
 	}
-	restarted = r.known() && r.report.Incarnation != report.Incarnation
+	restarted = r.hasReport() && r.report.Incarnation != report.Incarnation
 	r.askedAt = askedAt
 	r.report = report
 	r.reportedAt = now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
 	return true, restarted
 }
 
-// Unanswered notes a poll that failed. True says that there were so many in a
-// row that this one counts as a failure of the replica.
-func (r *Record) Unanswered() bool {
-	r.silent++
-	return r.silent >= silentPolls
+// PollFailed records a failed poll. It reports whether the consecutive failures count as a
+// failure of the replica.
+func (r *Record) PollFailed() bool {
+	r.failedPolls++
+	return r.failedPolls >= maxFailedPolls
 }
 
-// RouteOut takes over until when a rollout keeps the replica out of routing; the
-// zero time ends that. True says that the replica came in or went out.
-func (r *Record) RouteOut(until time.Time) bool {
-	changed := r.outUntil.IsZero() != until.IsZero()
-	r.outUntil = until
+// ExcludeUntil sets the end of a rollout's exclusion of the replica from routing; zero ends
+// it. It reports whether an exclusion began or ended.
+func (r *Record) ExcludeUntil(until time.Time) bool {
+	changed := r.excludedUntil.IsZero() != until.IsZero()
+	r.excludedUntil = until
 	return changed
 }
 
-// VersionUnknown says whether it isn't known what a replica serves: before its
-// first report, after it fell silent, and while a rollout keeps it out. It is
-// false for replicas without reports.
+// VersionUnknown reports whether the served version is unknown: before the first report,
+// after too many failed polls, and while a rollout excludes the replica. It is false for
+// replicas without reports.
 func (r *Record) VersionUnknown(now time.Time) bool {
-	return r.Polled && (!r.known() || r.silent >= silentPolls || now.Before(r.outUntil))
+	return r.Polled && (!r.hasReport() || r.failedPolls >= maxFailedPolls || now.Before(r.excludedUntil))
 }
 
-// Reachable says whether the replica answers its polls.
-func (r *Record) Reachable() bool { return r.known() && r.silent < silentPolls }
+// Reachable reports whether the replica answers its polls.
+func (r *Record) Reachable() bool { return r.hasReport() && r.failedPolls < maxFailedPolls }
 
-// Version gives the version that the replica serves of an adapter, or of the base
-// model where the adapter is empty; 0 means not known or not loaded.
+// Version returns the served version of an adapter, or of the base model if adapter is
+// empty; 0 means unknown or not loaded.
 func (r *Record) Version(now time.Time, adapter string) port.WeightVersion {
 	if r.VersionUnknown(now) {
 		return 0
@@ -92,33 +92,33 @@
 	return version
 }
 
-func (r *Record) known() bool { return !r.reportedAt.IsZero() }
+func (r *Record) hasReport() bool { return !r.reportedAt.IsZero() }
 
-// Standing is what the zone holds of a replica's health.
-type Standing struct{ Ejected, Probing bool }
+// Health is a replica's health according to the summaries of its home.
+type Health struct{ Ejected, Probing bool }
 
-// ForGate gives a replica as its gate is told of it. The record is nil at a node
-// that is not its home.
-func ForGate(now time.Time, replica *port.Replica, region port.RegionName, leaving bool, standing Standing, record *Record) gate.Replica {
-	told := gate.Replica{
+// GateReplica returns the description of a replica for its gate. The record is nil on nodes
+// that are not the home of the replica.
+func GateReplica(now time.Time, replica *port.Replica, region port.RegionName, leaving bool, health Health, record *Record) gate.Replica {
+	described := gate.Replica{
 		ID:       replica.ID,
 		Zone:     replica.Zone,
 		Region:   region,
 		Draining: replica.State == port.ReplicaDrain,
 		Leaving:  leaving,
-		Ejected:  standing.Ejected,
-		Probing:  standing.Probing,
+		Ejected:  health.Ejected,
+		Probing:  health.Probing,
 	}
 	if record != nil && record.Polled {
-		told.Report = record.report
-		told.ReportedAt = record.reportedAt
-		told.VersionUnknown = record.VersionUnknown(now)
+		described.Report = record.report
+		described.ReportedAt = record.reportedAt
+		described.VersionUnknown = record.VersionUnknown(now)
 	}
-	return told
+	return described
 }
 
-// Summary tells the zone of the replica. Load and queued are those of its gate;
-// tracker, which may be nil, judges its health.
+// Summary returns the replica's summary for the zone. Load and queued come from its gate,
+// its health from the tracker, which may be nil.
 func (r *Record) Summary(now time.Time, leaving bool, load gate.Load, queued int, tracker *ejection.Tracker) membership.ReplicaSummary {
 	summary := membership.ReplicaSummary{
 		Replica:        r.Replica.ID,
@@ -137,13 +137,13 @@
 		Adapters:       r.report.Loaded(),
 	}
 	if tracker != nil {
-		r.judge(now, tracker, &summary)
+		r.addHealth(now, tracker, &summary)
 	}
 	return summary
 }
 
-// judge enters the replica's health, and since when it is out.
-func (r *Record) judge(now time.Time, tracker *ejection.Tracker, summary *membership.ReplicaSummary) {
+// addHealth sets the health fields of a summary.
+func (r *Record) addHealth(now time.Time, tracker *ejection.Tracker, summary *membership.ReplicaSummary) {
 	state := tracker.State(r.Replica.ID)
 	summary.Ejected = state == ejection.Ejected
 	summary.Probing = state == ejection.Probing
--- a/internal/core/home/serving.go
+++ b/internal/core/home/serving.go
@@ -9,11 +9,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Serving counts the replicas of records by pool and version. A replica counts
-// for every pool that it serves: its own, and those that share it under an
-// adapter, with the version of that adapter. Version 0 stands for not known, and
-// for an adapter that is not loaded.
-func Serving(now time.Time, pools []port.Pool, records iter.Seq[*Record]) []port.ServingCount {
+// ServingCounts counts the replicas by pool and served version. A replica counts for its own
+// pool and for the pools that share it with an adapter, under the version of that adapter.
+// Version 0 means unknown or not loaded.
+func ServingCounts(now time.Time, pools []port.Pool, records iter.Seq[*Record]) []port.ServingCount {
 	var counts []port.ServingCount
 	for record := range records {
 		if !record.Polled {
--- a/internal/core/nodestate/home.go
+++ b/internal/core/nodestate/home.go
@@ -23,12 +23,12 @@
 	}
 	s.changed = true
 	if failure != nil {
-		if record.Unanswered() {
+		if record.PollFailed() {
 			s.observe(now, record.Replica.Pool, CallOutcome{Replica: replica, Failed: true})
 		}
 		return
 	}
-	_, restarted := record.Reported(now, askedAt, report)
+	_, restarted := record.ApplyReport(now, askedAt, report)
 	if poolGate := s.gates[record.Replica.Pool]; restarted && poolGate != nil {
 		poolGate.ResetCache(replica)
 	}
--- a/internal/core/nodestate/machines.go
+++ b/internal/core/nodestate/machines.go
@@ -51,7 +51,7 @@
 
 // Machines handles the machine list received from a poller.
 func (s *State) Machines(now time.Time, message MachinesMessage) {
-	if s.leaving.Told(now, message.Node, message.Leaving) {
+	if s.leaving.Update(now, message.Node, message.Leaving) {
 		s.resetPacing()
 		s.updateDetectorMachines()
 	}
@@ -65,7 +65,7 @@
 // node doesn't know which back ends are leaving.
 func (s *State) mayRoute(now time.Time) bool {
 	view := s.observer.View()
-	if view.Configuration.MachineList == "" || !s.leaving.Newest().IsZero() {
+	if view.Configuration.MachineList == "" || !s.leaving.LastUpdate().IsZero() {
 		return true
 	}
 	if s.machineListAwaitedSince.IsZero() {
@@ -75,4 +75,4 @@
 }
 
 // MachinesHeard returns when the newest machine list was received; zero means never.
-func (s *State) MachinesHeard() time.Time { return s.leaving.Newest() }
+func (s *State) MachinesHeard() time.Time { return s.leaving.LastUpdate() }
--- a/internal/core/nodestate/pollpace.go
+++ b/internal/core/nodestate/pollpace.go
@@ -13,7 +13,7 @@
 // replica's state changes or it is ejected or probed.
 func (s *State) PollInterval(now time.Time, id port.ReplicaID) time.Duration {
 	record := s.records[id]
-	if record == nil || record.PollSoon(now) || s.unhealthy(record) {
+	if record == nil || record.NeedsFastPolls(now) || s.unhealthy(record) {
 		return s.config.Load
 	}
 	return home.PollInterval(s.config.Load, s.polledEngines(), home.PollBytes, home.PollBudget)
--- a/internal/core/nodestate/poolstate.go
+++ b/internal/core/nodestate/poolstate.go
@@ -59,7 +59,7 @@
 				until = now.Add(exclusionTTL)
 			}
 		}
-		if record.RouteOut(until) {
+		if record.ExcludeUntil(until) {
 			s.resetPacing()
 		}
 	}
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -147,19 +147,19 @@
 		QueueLength: pool.Admission.QueueLength,
 	}
 	all := s.tables.byPool[pool.Name]
-	standings := home.Standings(now, s.summaries, s.detector.Assigner(), pool, len(all))
+	health := home.PoolHealth(now, s.summaries, s.detector.Assigner(), pool, len(all))
 	if pool.Kind == port.PoolGeneration {
 		all = owned.byPool[pool.Name]
 	}
 	gateReplicas := make([]gate.Replica, 0, len(all))
 	for index := range all {
-		gateReplicas = append(gateReplicas, s.gateReplica(now, &all[index], standings[all[index].ID]))
+		gateReplicas = append(gateReplicas, s.gateReplica(now, &all[index], health[all[index].ID]))
 	}
 	poolGate.Configure(now, settings, gateReplicas)
 }
 
-func (s *State) gateReplica(now time.Time, replica *port.Replica, standing home.Standing) gate.Replica {
-	return home.ForGate(now, replica, s.config.Region, s.leaving.Has(replica.Address), standing, s.records[replica.ID])
+func (s *State) gateReplica(now time.Time, replica *port.Replica, health home.Health) gate.Replica {
+	return home.GateReplica(now, replica, s.config.Region, s.leaving.Has(replica.Address), health, s.records[replica.ID])
 }
 
 // route returns where requests of a pool can go.
--- a/internal/core/nodestate/report.go
+++ b/internal/core/nodestate/report.go
@@ -22,6 +22,6 @@
 		},
 		Position: view.Position,
 		Revision: view.Revision,
-		Serving:  home.Serving(now, view.Configuration.Pools, maps.Values(s.records)),
+		Serving:  home.ServingCounts(now, view.Configuration.Pools, maps.Values(s.records)),
 	}
 }
--- a/internal/core/nodestate/state.go
+++ b/internal/core/nodestate/state.go
@@ -75,7 +75,7 @@
 	zoneMarks map[ZonePool]zoneMark
 	// fences holds the highest fence received from the rollout of each engine pool.
 	fences  map[port.PoolName]port.Epoch
-	leaving *home.Leaving
+	leaving *home.LeavingMachines
 	// machineListAwaitedSince is when the node started to wait for the machine list.
 	machineListAwaitedSince time.Time
 	outcomes                map[port.NodeID][]CallOutcome
@@ -117,7 +117,7 @@
 		marks:          make(map[port.ReplicaID]placement.Mark),
 		zoneMarks:      make(map[ZonePool]zoneMark),
 		fences:         make(map[port.PoolName]port.Epoch),
-		leaving:        home.NewLeaving(),
+		leaving:        home.NewLeavingMachines(),
 		outcomes:       make(map[port.NodeID][]CallOutcome),
 		homes:          NewHomeTable(config.Zone, nil, nil),
 		snapshot:       EmptySnapshot(config.Zone),
@@ -142,7 +142,7 @@
 func (s *State) Tick(now time.Time, mayReport bool) {
 	s.handleDetectorOutput(s.detector.Tick(now))
 	s.tickTrackers(now)
-	s.changed = s.leaving.DropSilent(now) || s.changed
+	s.changed = s.leaving.DropStale(now) || s.changed
 	s.RebuildIfDue(now)
 	for _, pool := range sortedKeys(s.gates) {
 		s.gates[pool].Tick(now)
