--- a/internal/core/ejection/bound.go
+++ b/internal/core/ejection/bound.go
@@ -8,39 +8,40 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Bound gives the number of replicas of a pool that may be out at a time. It
-// is never the whole pool.
-func Bound(size int, share float64) int {
+// MaxEjected returns the number of replicas of a pool that may be ejected or probed at a
+// time. It is less than the size of the pool.
+func MaxEjected(size int, share float64) int {
 	if size <= 1 || share <= 0 {
 		return 0
 	}
 	return min(int(share*float64(size)), size-1)
 }
 
-// Claim is one home's word that a replica is out.
+// Claim is one home's ejection of a replica.
 type Claim struct {
 	Replica port.ReplicaID
 	Since   time.Time
 }
 
-// Honour says which claims a reader follows when the homes of a pool, each by
-// what it knew, took out more replicas than the bound: the oldest, and the
-// lowest id among equals. Readers with the same claims follow the same ones.
+// Honour returns the replicas that readers of the claims treat as ejected: at most
+// MaxEjected, the oldest claims first and then by id. The homes of a pool eject
+// independently and may exceed the limit together. Readers with the same claims get the
+// same result.
 func Honour(claims []Claim, size int, share float64) []port.ReplicaID {
 	ordered := slices.Clone(claims)
 	slices.SortFunc(ordered, func(a, b Claim) int {
 		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Replica, b.Replica))
 	})
-	bound := min(Bound(size, share), len(ordered))
-	honoured := make([]port.ReplicaID, 0, bound)
+	bound := min(MaxEjected(size, share), len(ordered))
+	accepted := make([]port.ReplicaID, 0, bound)
 	for _, claim := range ordered[:bound] {
-		honoured = append(honoured, claim.Replica)
+		accepted = append(accepted, claim.Replica)
 	}
-	return honoured
+	return accepted
 }
 
-// Median gives the middle of the latencies, the lower one of an even number; 0
-// for none. It sorts its argument.
+// Median returns the median latency, the lower one for an even number and 0 for none. It
+// sorts its argument.
 func Median(latencies []time.Duration) time.Duration {
 	if len(latencies) == 0 {
 		return 0
--- a/internal/core/ejection/ejection_test.go
+++ b/internal/core/ejection/ejection_test.go
@@ -30,7 +30,7 @@
 	return tracker
 }
 
-func fail(tracker *Tracker, now time.Time, replica port.ReplicaID, times int) (Change, bool) {
+func observeFailures(tracker *Tracker, now time.Time, replica port.ReplicaID, times int) (Change, bool) {
 	for range times - 1 {
 		tracker.Observe(now, replica, true, 0)
 	}
@@ -39,13 +39,13 @@
 
 func TestConsecutiveFailuresEject(t *testing.T) {
 	tests := map[string]struct {
-		outcomes string // f failed, o answered
+		outcomes string // f: failure, o: success
 		want     State
 	}{
-		"too few":             {"ff", Healthy},
-		"enough":              {"fff", Ejected},
-		"broken by an answer": {"ffoff", Healthy},
-		"after answers":       {"ooofff", Ejected},
+		"too few":            {"ff", Healthy},
+		"enough":             {"fff", Ejected},
+		"reset by a success": {"ffoff", Healthy},
+		"after successes":    {"ooofff", Ejected},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -63,49 +63,49 @@
 func TestTimeOutDoublesAndProbesBringBack(t *testing.T) {
 	tracker := newTracker(4, 0.5)
 	now := start
-	change, _ := fail(tracker, now, "lm-0", 3)
+	change, _ := observeFailures(tracker, now, "lm-0", 3)
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		if got := change.Until.Sub(now); got != want {
-			t.Fatalf("time out of %v, want %v", got, want)
+			t.Fatalf("ejected for %v, want %v", got, want)
 		}
 		if changes := tracker.Tick(change.Until.Add(-time.Millisecond)); len(changes) != 0 {
-			t.Fatalf("probed before its time: %v", changes)
+			t.Fatalf("probed too early: %v", changes)
 		}
 		now = change.Until
 		if changes := tracker.Tick(now); len(changes) != 1 || changes[0].State != Probing {
-			t.Fatalf("changes %v at the end of the time out", changes)
+			t.Fatalf("changes %v at the end of the ejection", changes)
 		}
 		change, _ = tracker.Observe(now, "lm-0", true, 0)
 		if change.Cause != CauseProbeFailed {
-			t.Fatalf("a failed probe gave %+v", change)
+			t.Fatalf("change after a failed probe: %+v", change)
 		}
 	}
 	now = change.Until
 	tracker.Tick(now)
 	if _, changed := tracker.Observe(now, "lm-0", false, time.Millisecond); changed {
-		t.Error("one successful probe brought the replica back, want two")
+		t.Error("one successful probe ended probing, want two")
 	}
-	if change, _ := tracker.Observe(now, "lm-0", false, time.Millisecond); change.State != Healthy || change.Cause != CauseProbed {
-		t.Errorf("two successful probes gave %+v", change)
+	if change, _ := tracker.Observe(now, "lm-0", false, time.Millisecond); change.State != Healthy || change.Cause != CauseProbesPassed {
+		t.Errorf("change after two successful probes: %+v", change)
 	}
 }
 
 func TestDoublingIsForgottenInCalm(t *testing.T) {
 	tracker := newTracker(4, 0.5)
-	change, _ := fail(tracker, start, "lm-0", 3)
+	change, _ := observeFailures(tracker, start, "lm-0", 3)
 	now := change.Until
 	tracker.Tick(now)
-	fail(tracker, now, "lm-0", 1) // repeats: 2
+	observeFailures(tracker, now, "lm-0", 1) // repeats: 2
 	now = now.Add(2 * time.Second)
 	tracker.Tick(now)
 	tracker.Observe(now, "lm-0", false, 0)
 	tracker.Observe(now, "lm-0", false, 0)
 	for range 2 {
-		now = now.Add(forgetAfter * time.Second)
+		now = now.Add(repeatDecayPeriods * time.Second)
 		tracker.Tick(now)
 	}
-	if change, _ := fail(tracker, now, "lm-0", 3); change.Until.Sub(now) != time.Second {
-		t.Errorf("time out of %v after calm, want the base again", change.Until.Sub(now))
+	if change, _ := observeFailures(tracker, now, "lm-0", 3); change.Until.Sub(now) != time.Second {
+		t.Errorf("ejected for %v after a long time without ejection, want the base duration", change.Until.Sub(now))
 	}
 }
 
@@ -139,13 +139,13 @@
 
 func TestBoundCountsOtherHomes(t *testing.T) {
 	tracker := newTracker(2, 0.25)
-	tracker.SetPool(Pool{Size: 8, OutElsewhere: 2})
-	if _, changed := fail(tracker, start, "lm-0", 10); changed {
-		t.Error("ejected a third of eight at a share of a quarter")
+	tracker.SetPool(Pool{Size: 8, UnhealthyElsewhere: 2})
+	if _, changed := observeFailures(tracker, start, "lm-0", 10); changed {
+		t.Error("ejected a third replica of eight at a maximum share of a quarter")
 	}
-	tracker.SetPool(Pool{Size: 8, OutElsewhere: 1})
-	if change, _ := fail(tracker, start, "lm-0", 1); change.State != Ejected {
-		t.Error("a replica kept in by the bound was not ejected once there was room")
+	tracker.SetPool(Pool{Size: 8, UnhealthyElsewhere: 1})
+	if change, _ := observeFailures(tracker, start, "lm-0", 1); change.State != Ejected {
+		t.Error("a replica was not ejected once the bound allowed it")
 	}
 }
 
@@ -155,14 +155,13 @@
 		share float64
 		want  int
 	}{{0, 0.5, 0}, {1, 1, 0}, {3, 0.3, 0}, {3, 0.34, 1}, {8, 0.5, 4}, {8, 1, 7}, {8, 0, 0}, {8, 9, 7}} {
-		if got := Bound(test.size, test.share); got != test.want {
-			t.Errorf("Bound(%d, %v) = %d, want %d", test.size, test.share, got, test.want)
+		if got := MaxEjected(test.size, test.share); got != test.want {
+			t.Errorf("MaxEjected(%d, %v) = %d, want %d", test.size, test.share, got, test.want)
 		}
 	}
 }
 
-// The share of ejected replicas never passes the bound, in a tracker and for
-// the readers of many.
+// The share of ejected replicas never exceeds the bound.
 func TestShareIsNeverPassed(t *testing.T) {
 	testkit.Check(t, 61, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
@@ -174,8 +173,8 @@
 			replica := rapid.SampledFrom(ids(size)).Draw(t, "replica")
 			tracker.Observe(now, replica, rapid.IntRange(0, 3).Draw(t, "outcome") > 0, time.Millisecond)
 			tracker.Tick(now)
-			if tracker.Out() > Bound(size, share) {
-				t.Fatalf("%d of %d out, share %v", tracker.Out(), size, share)
+			if tracker.Unhealthy() > MaxEjected(size, share) {
+				t.Fatalf("%d of %d ejected or probed, share %v", tracker.Unhealthy(), size, share)
 			}
 		}
 	})
@@ -185,26 +184,26 @@
 	claims := []Claim{{"c", start}, {"a", start.Add(time.Second)}, {"b", start}, {"d", start.Add(-time.Second)}}
 	want := []port.ReplicaID{"d", "b"}
 	if got := Honour(claims, 8, 0.25); !slices.Equal(got, want) {
-		t.Errorf("honoured %v, want %v", got, want)
+		t.Errorf("accepted %v, want %v", got, want)
 	}
 	slices.Reverse(claims)
 	if got := Honour(claims, 8, 0.25); !slices.Equal(got, want) {
-		t.Errorf("honoured %v in another order, want %v", got, want)
+		t.Errorf("accepted %v in another order, want %v", got, want)
 	}
 	if got := Honour(claims[:1], 8, 1); len(got) != 1 {
-		t.Errorf("honoured %v of one claim", got)
+		t.Errorf("accepted %v of one claim", got)
 	}
 }
 
 func TestReplicasComeAndGo(t *testing.T) {
 	tracker := newTracker(4, 0.5)
-	fail(tracker, start, "lm-0", 3)
+	observeFailures(tracker, start, "lm-0", 3)
 	tracker.SetReplicas(ids(4)[1:])
 	tracker.SetReplicas(ids(4))
-	if tracker.State("lm-0") != Healthy || tracker.Out() != 0 {
-		t.Error("the record of a replica that left was kept")
+	if tracker.State("lm-0") != Healthy || tracker.Unhealthy() != 0 {
+		t.Error("the state of a removed replica was kept")
 	}
 	if _, changed := tracker.Observe(start, "foreign", true, 0); changed {
-		t.Error("a replica that is not tracked changed")
+		t.Error("a replica that is not tracked changed state")
 	}
 }
--- a/internal/core/ejection/tracker.go
+++ b/internal/core/ejection/tracker.go
@@ -8,39 +8,39 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config holds the rules of a pool.
+// Config holds the ejection rules of a pool.
 type Config struct {
-	// ConsecutiveFailures ejects; 0 switches the rule off.
+	// ConsecutiveFailures is the number of failures that ejects; 0 disables the rule.
 	ConsecutiveFailures int
-	// LatencyFactor ejects a replica slower than this many times the median; 0
-	// switches the rule off.
+	// LatencyFactor is the multiple of the median latency that ejects; 0 disables the
+	// rule.
 	LatencyFactor float64
-	// BaseDuration is the first time out, doubled on each repeat up to
-	// MaxDuration; zero values take the defaults.
+	// BaseDuration is the first ejection time, doubled on each repetition up to
+	// MaxDuration; 0 selects the default.
 	BaseDuration time.Duration
 	MaxDuration  time.Duration
-	// MaxShare bounds the share of the pool that is out.
+	// MaxShare bounds the share of the pool that is ejected or probed.
 	MaxShare float64
-	// ProbeSuccesses bring a probed replica back; 0 takes the default.
+	// ProbeSuccesses is the number of successes that ends probing; 0 selects the default.
 	ProbeSuccesses int
 }
 
-// Defaults and constants of the rules.
+// Defaults and parameters of the rules.
 const (
 	DefaultBaseDuration   = 5 * time.Second
 	DefaultMaxDuration    = 5 * time.Minute
 	DefaultProbeSuccesses = 2
-	// minLatencySamples is the number of answers before latency is judged.
+	// minLatencySamples is the number of answers required to evaluate latency.
 	minLatencySamples = 20
-	// minReplicasForMedian is the least number of replicas that make a median.
+	// minReplicasForMedian is the number of replicas required for a median.
 	minReplicasForMedian = 3
 	latencySmoothing     = 0.1
-	// forgetAfter is the time without ejection after which the doubling of the
-	// time out steps back once, in multiples of the base duration.
-	forgetAfter = 10
+	// repeatDecayPeriods is the time without ejection after which repeats decreases
+	// by one, in multiples of BaseDuration.
+	repeatDecayPeriods = 10
 )
 
-// FromConfiguration takes the rules out of a pool's settings.
+// FromConfiguration returns the rules of a pool's settings.
 func FromConfiguration(settings port.Ejection) Config {
 	return Config{
 		ConsecutiveFailures: settings.ConsecutiveFailures,
@@ -50,7 +50,7 @@
 	}
 }
 
-// State is a replica's standing.
+// State is a replica's health state.
 type State uint8
 
 // The states.
@@ -60,44 +60,44 @@
 	Probing
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"healthy", "ejected", "probing"}[s]
 }
 
-// Cause says why a replica's state changed, in words for records.
+// Cause is the reason for a change of state, as stored in decision records.
 type Cause string
 
 // The causes.
 const (
-	CauseFailures    Cause = "consecutive failures"
-	CauseLatency     Cause = "slower than the pool"
-	CauseProbeFailed Cause = "failed its probe"
-	CauseProbe       Cause = "time out is over"
-	CauseProbed      Cause = "passed its probes"
+	CauseFailures     Cause = "consecutive failures"
+	CauseLatency      Cause = "slower than the pool"
+	CauseProbeFailed  Cause = "failed its probe"
+	CauseEjectionOver Cause = "time out is over"
+	CauseProbesPassed Cause = "passed its probes"
 )
 
-// Change tells of one replica's new state.
+// Change is a replica's change of state.
 type Change struct {
 	Replica port.ReplicaID
 	State   State
 	Cause   Cause
-	// Until is the end of the time out, when State is Ejected.
+	// Until is the end of the ejection if State is Ejected.
 	Until time.Time
 }
 
-// Pool is what the judge knows of the rest of the pool, perhaps some time late.
+// Pool describes the whole pool. It may be out of date.
 type Pool struct {
-	// Size counts all the pool's replicas; less than the tracked ones means the
-	// tracked ones.
+	// Size is the number of replicas of the pool, at least that of the tracked
+	// replicas.
 	Size int
-	// OutElsewhere counts replicas that other homes have ejected or probe.
-	OutElsewhere int
-	// MedianLatency is the pool's; 0 means to take that of the tracked replicas.
+	// UnhealthyElsewhere counts the replicas that other homes eject or probe.
+	UnhealthyElsewhere int
+	// MedianLatency is the median of the pool; 0 selects that of the tracked replicas.
 	MedianLatency time.Duration
 }
 
-// Tracker judges the replicas that one home owns in one pool. It is not safe
+// Tracker tracks the health of the replicas of one pool that one home owns. It is not safe
 // for concurrent use.
 type Tracker struct {
 	config   Config
@@ -105,19 +105,19 @@
 	replicas map[port.ReplicaID]*health
 }
 
-// health is one replica's record.
+// health is the state of one replica.
 type health struct {
 	state     State
 	failures  int
 	successes int
-	// repeats counts the ejections that double the next time out.
+	// repeats is the number of times that the next ejection time is doubled.
 	repeats int
 	until   time.Time
 	latency time.Duration
 	samples int
 }
 
-// New makes a tracker without replicas.
+// New returns a tracker without replicas.
 func New(config Config) *Tracker {
 	tracker := &Tracker{replicas: make(map[port.ReplicaID]*health)}
 	tracker.Configure(config)
@@ -132,8 +132,8 @@
 	t.config = config
 }
 
-// SetReplicas says which replicas this home owns. A replica new to it starts
-// healthy; the record of one that left is dropped.
+// SetReplicas sets the tracked replicas. New replicas start as healthy; the state of
+// removed ones is dropped.
 func (t *Tracker) SetReplicas(replicas []port.ReplicaID) {
 	wanted := make(map[port.ReplicaID]bool, len(replicas))
 	for _, replica := range replicas {
@@ -149,10 +149,10 @@
 	}
 }
 
-// SetPool tells of the rest of the pool.
+// SetPool updates the description of the whole pool.
 func (t *Tracker) SetPool(pool Pool) { t.pool = pool }
 
-// State gives a replica's state; one that is not tracked is healthy.
+// State returns a replica's state; a replica that is not tracked is healthy.
 func (t *Tracker) State(replica port.ReplicaID) State {
 	if record := t.replicas[replica]; record != nil {
 		return record.state
@@ -160,7 +160,7 @@
 	return Healthy
 }
 
-// Latency gives a replica's mean latency; 0 when not known.
+// Latency returns a replica's mean latency; 0 means unknown.
 func (t *Tracker) Latency(replica port.ReplicaID) time.Duration {
 	if record := t.replicas[replica]; record != nil && record.samples >= minLatencySamples {
 		return record.latency
@@ -168,37 +168,36 @@
 	return 0
 }
 
-// Observe reports the end of one request at a replica. Failed means a fault of
-// the replica, not of the request or the caller. A change of state, if any,
-// comes back with true.
+// Observe records the outcome of one request at a replica. Failed means a fault of the
+// replica, not of the request or the caller. It returns true with a change of state.
 func (t *Tracker) Observe(now time.Time, replica port.ReplicaID, failed bool, latency time.Duration) (Change, bool) {
 	record := t.replicas[replica]
 	if record == nil {
 		return Change{}, false
 	}
 	if failed {
-		return t.failed(now, replica, record)
+		return t.recordFailure(now, replica, record)
 	}
-	return t.succeeded(now, replica, record, latency)
+	return t.recordSuccess(now, replica, record, latency)
 }
 
-// Tick moves replicas whose time out is over to probing.
+// Tick starts probing the replicas whose ejection is over.
 func (t *Tracker) Tick(now time.Time) []Change {
 	var changes []Change
 	for replica, record := range t.replicas {
 		if record.state == Ejected && !now.Before(record.until) {
 			record.state = Probing
 			record.successes = 0
-			changes = append(changes, Change{Replica: replica, State: Probing, Cause: CauseProbe})
+			changes = append(changes, Change{Replica: replica, State: Probing, Cause: CauseEjectionOver})
 		}
-		t.forget(now, record)
+		t.decayRepeats(now, record)
 	}
 	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Replica, b.Replica) })
 	return changes
 }
 
-// Out counts the tracked replicas that are ejected or probed.
-func (t *Tracker) Out() int {
+// Unhealthy counts the tracked replicas that are ejected or probed.
+func (t *Tracker) Unhealthy() int {
 	count := 0
 	for _, record := range t.replicas {
 		if record.state != Healthy {
@@ -208,24 +207,24 @@
 	return count
 }
 
-// failed counts a failure and ejects where the rules say so. A replica that is
-// kept in by the bound stays a candidate for ejection on its next failure.
-func (t *Tracker) failed(now time.Time, replica port.ReplicaID, record *health) (Change, bool) {
+// recordFailure counts a failure and ejects the replica if the rules require it. A replica
+// that can't be ejected because of MaxShare may be ejected on its next failure.
+func (t *Tracker) recordFailure(now time.Time, replica port.ReplicaID, record *health) (Change, bool) {
 	record.failures++
 	switch record.state {
 	case Probing:
 		return t.eject(now, replica, record, CauseProbeFailed), true
 	case Healthy:
 		limit := t.config.ConsecutiveFailures
-		if limit > 0 && record.failures >= limit && t.room() {
+		if limit > 0 && record.failures >= limit && t.canEject() {
 			return t.eject(now, replica, record, CauseFailures), true
 		}
 	}
 	return Change{}, false
 }
 
-// succeeded counts an answer, brings a probed replica back and judges latency.
-func (t *Tracker) succeeded(now time.Time, replica port.ReplicaID, record *health, latency time.Duration) (Change, bool) {
+// recordSuccess counts a success, which may end probing or eject a slow replica.
+func (t *Tracker) recordSuccess(now time.Time, replica port.ReplicaID, record *health, latency time.Duration) (Change, bool) {
 	record.failures = 0
 	record.observe(latency)
 	switch record.state {
@@ -237,16 +236,16 @@
 		record.state = Healthy
 		record.until = now
 		record.samples = 0
-		return Change{Replica: replica, State: Healthy, Cause: CauseProbed}, true
+		return Change{Replica: replica, State: Healthy, Cause: CauseProbesPassed}, true
 	case Healthy:
-		if t.slow(record) && t.room() {
+		if t.isSlow(record) && t.canEject() {
 			return t.eject(now, replica, record, CauseLatency), true
 		}
 	}
 	return Change{}, false
 }
 
-// eject takes a replica out for a time that doubles with each repeat.
+// eject ejects a replica for a time that doubles with each repetition.
 func (t *Tracker) eject(now time.Time, replica port.ReplicaID, record *health, cause Cause) Change {
 	duration := t.config.BaseDuration
 	for count := 0; count < record.repeats && duration < t.config.MaxDuration; count++ {
@@ -260,14 +259,14 @@
 	return Change{Replica: replica, State: Ejected, Cause: cause, Until: record.until}
 }
 
-// room says whether one more replica may go out.
-func (t *Tracker) room() bool {
+// canEject reports whether one more replica may be ejected.
+func (t *Tracker) canEject() bool {
 	size := max(t.pool.Size, len(t.replicas))
-	return t.Out()+t.pool.OutElsewhere < Bound(size, t.config.MaxShare)
+	return t.Unhealthy()+t.pool.UnhealthyElsewhere < MaxEjected(size, t.config.MaxShare)
 }
 
-// slow says whether the replica is much slower than the pool.
-func (t *Tracker) slow(record *health) bool {
+// isSlow reports whether the replica is much slower than the median.
+func (t *Tracker) isSlow(record *health) bool {
 	if t.config.LatencyFactor <= 0 || record.samples < minLatencySamples {
 		return false
 	}
@@ -278,7 +277,7 @@
 	return median > 0 && float64(record.latency) > t.config.LatencyFactor*float64(median)
 }
 
-// median gives the median latency of the tracked replicas, 0 if too few.
+// median returns the median latency of the tracked replicas, or 0 if there are too few.
 func (t *Tracker) median() time.Duration {
 	var latencies []time.Duration
 	for _, record := range t.replicas {
@@ -292,16 +291,16 @@
 	return Median(latencies)
 }
 
-// forget steps the doubling back after a long time without ejection.
-func (t *Tracker) forget(now time.Time, record *health) {
-	calm := forgetAfter * t.config.BaseDuration
-	if record.state == Healthy && record.repeats > 0 && now.Sub(record.until) >= calm {
+// decayRepeats decreases repeats after a long time without ejection.
+func (t *Tracker) decayRepeats(now time.Time, record *health) {
+	period := repeatDecayPeriods * t.config.BaseDuration
+	if record.state == Healthy && record.repeats > 0 && now.Sub(record.until) >= period {
 		record.repeats--
 		record.until = now
 	}
 }
 
-// observe moves the mean latency.
+// observe updates the mean latency.
 func (h *health) observe(latency time.Duration) {
 	h.samples++
 	if h.samples == 1 {
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -112,7 +112,7 @@
 		tracked = append(tracked, own[index].ID)
 	}
 	tracker.SetReplicas(tracked)
-	tracker.SetPool(ejection.Pool{Size: len(s.tables.byPool[pool.Name]), OutElsewhere: s.unhealthyElsewhere(now, pool, owned.byID)})
+	tracker.SetPool(ejection.Pool{Size: len(s.tables.byPool[pool.Name]), UnhealthyElsewhere: s.unhealthyElsewhere(now, pool, owned.byID)})
 }
 
 // unhealthyElsewhere counts the replicas of a pool that other homes eject or probe:
