--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -6,62 +6,61 @@
 )
 
 const (
-	// newSampleShare is the weight of a new latency in the mean.
-	newSampleShare = 0.25
-	// fadeTime is how long it takes an unused replica's latency to come
-	// halfway back to that of its peers.
-	fadeTime = 2 * time.Second
-	// firstBlock and longestBlock bound how long a failed replica is left out;
-	// the time doubles with each failure in a row.
-	firstBlock   = 300 * time.Millisecond
-	longestBlock = 3 * time.Second
-	// leastLatency keeps a very fast replica from drawing everything.
-	leastLatency = time.Millisecond
-	// warmFor is how long after a request a connection to its replica is taken to be
-	// open still.
-	warmFor = 5 * time.Second
-	// coldFactor is how much more a replica without an open connection costs: a round
-	// trip, and work on both sides. It is less than a second request at one that has
-	// one, so that a sender uses as few replicas as its requests in flight need.
-	coldFactor = 1.5
+	// latencySmoothing is the weight of a new latency in the mean.
+	latencySmoothing = 0.25
+	// latencyHalfLife is the time in which the latency estimate of an unused replica
+	// moves halfway to the mean of its service.
+	latencyHalfLife = 2 * time.Second
+	// minBlockTime and maxBlockTime bound the time for which a failed replica is
+	// blocked, which doubles with each consecutive failure.
+	minBlockTime = 300 * time.Millisecond
+	maxBlockTime = 3 * time.Second
+	// minLatency keeps a very fast replica from attracting all requests.
+	minLatency = time.Millisecond
+	// connectionIdleTime is how long after a request its connection is assumed to stay
+	// open.
+	connectionIdleTime = 5 * time.Second
+	// newConnectionCost is the cost factor of a replica without an idle connection, for
+	// the round trip and the work on both sides. It is less than 2, the factor of a second
+	// request in flight, so that a sender uses no more replicas than it needs.
+	newConnectionCost = 1.5
 )
 
-// Result says how a request at a replica ended.
+// Result is the outcome of a request at a replica.
 type Result uint8
 
 const (
-	// ResultServed is an answer that counts for the replica's latency.
+	// ResultServed is an answer whose duration counts as latency.
 	ResultServed Result = iota
-	// ResultFull is a refusal that was not run.
+	// ResultFull is a refusal by a full replica that didn't run the request.
 	ResultFull
-	// ResultFailed is a broken connection, a spoiled or a missing answer.
+	// ResultFailed is a broken connection, or an invalid or missing answer.
 	ResultFailed
-	// ResultGivenUp is a request that its sender cancelled; the time that it
-	// took is a lower bound of the replica's latency.
+	// ResultGivenUp is a request that its sender cancelled; the elapsed time is a
+	// lower bound of the replica's latency.
 	ResultGivenUp
 )
 
-// replica is what is known of one replica.
+// replica is the observed state of one replica.
 type replica struct {
 	inFlight     int
 	latency      time.Duration
 	measuredAt   time.Time
 	failures     int
 	blockedUntil time.Time
-	// load is by how much more a request costs there, as it said at toldAt.
-	load   float64
-	toldAt time.Time
+	// reportedCostFactor is the cost factor of the load reported at loadReportedAt.
+	reportedCostFactor float64
+	loadReportedAt     time.Time
 }
 
-// Balancer holds what is known of replicas by id. It is not safe for concurrent
-// use.
+// Balancer tracks replicas by id. It is not safe for concurrent use.
 type Balancer struct {
 	replicas map[string]*replica
-	// latency is the mean over all replicas of a service.
+	// latency is the mean latency of each service over all replicas.
 	latency map[string]time.Duration
 }
 
-// New makes an empty Balancer.
+// New returns an empty Balancer.
 func New() *Balancer {
 	return &Balancer{replicas: map[string]*replica{}, latency: map[string]time.Duration{}}
 }
@@ -75,10 +74,10 @@
 	return known
 }
 
-// Begin notes that a request was sent.
+// Begin records that a request was sent.
 func (b *Balancer) Begin(id string) { b.get(id).inFlight++ }
 
-// End notes how a request ended and how long it took.
+// End records the outcome and the duration of a request.
 func (b *Balancer) End(service, id string, result Result, took time.Duration, now time.Time) {
 	known := b.get(id)
 	known.inFlight = max(0, known.inFlight-1)
@@ -86,44 +85,44 @@
 	case ResultServed:
 		known.failures = 0
 		known.blockedUntil = time.Time{}
-		b.measure(service, known, took, now)
+		b.recordLatency(service, known, took, now)
 	case ResultGivenUp:
 		if took > known.latency {
-			b.measure(service, known, took, now)
+			b.recordLatency(service, known, took, now)
 		}
 	case ResultFull:
-		known.blockedUntil = now.Add(fullBlock)
+		known.blockedUntil = now.Add(fullBlockTime)
 	case ResultFailed:
 		known.blockedUntil = now.Add(blockTime(known.failures))
 		known.failures++
 	}
 }
 
-// fullBlock is how long a replica that refused for want of room is left out.
-const fullBlock = 20 * time.Millisecond
+// fullBlockTime is how long a replica that refused a request as full is blocked.
+const fullBlockTime = 20 * time.Millisecond
 
 func blockTime(failures int) time.Duration {
-	const longestShift = 6
-	return min(longestBlock, firstBlock<<min(failures, longestShift))
+	const maxShift = 6
+	return min(maxBlockTime, minBlockTime<<min(failures, maxShift))
 }
 
-func (b *Balancer) measure(service string, known *replica, took time.Duration, now time.Time) {
-	known.latency = mean(known.latency, took)
+func (b *Balancer) recordLatency(service string, known *replica, took time.Duration, now time.Time) {
+	known.latency = smoothLatency(known.latency, took)
 	known.measuredAt = now
-	b.latency[service] = mean(b.latency[service], took)
+	b.latency[service] = smoothLatency(b.latency[service], took)
 }
 
-func mean(held, sample time.Duration) time.Duration {
-	if held == 0 {
+func smoothLatency(mean, sample time.Duration) time.Duration {
+	if mean == 0 {
 		return sample
 	}
-	return held + time.Duration(newSampleShare*float64(sample-held))
+	return mean + time.Duration(latencySmoothing*float64(sample-mean))
 }
 
-// Latency gives the mean latency of a service, 0 before any answer.
+// Latency returns the mean latency of a service, 0 before the first answer.
 func (b *Balancer) Latency(service string) time.Duration { return b.latency[service] }
 
-// InFlight gives the requests at a replica.
+// InFlight returns the number of requests in flight at a replica.
 func (b *Balancer) InFlight(id string) int {
 	if known := b.replicas[id]; known != nil {
 		return known.inFlight
@@ -131,9 +130,9 @@
 	return 0
 }
 
-// Pick gives the index of the candidate with the shortest expected wait, or -1
-// if there is none. Candidates that are left out after failures are taken only
-// if there are no others. Draw, in [0, 1), decides among equals.
+// Pick returns the index of the candidate with the shortest expected wait, or -1 if there
+// is none. It returns a blocked candidate only if all are blocked. Draw, in [0, 1), breaks
+// ties.
 func (b *Balancer) Pick(service string, candidates []string, now time.Time, draw float64) int {
 	best, bestCost := -1, math.Inf(1)
 	start := int(draw * float64(len(candidates)))
@@ -146,43 +145,42 @@
 	return best
 }
 
-// blockedCost puts replicas that are left out behind all others, the one that
-// returns first foremost.
-const blockedCost = 1e9
+// blockedBaseCost orders blocked replicas after all others, by the end of their block.
+const blockedBaseCost = 1e9
 
 func (b *Balancer) cost(service, id string, now time.Time) float64 {
-	usual := max(b.latency[service], leastLatency)
+	serviceLatency := max(b.latency[service], minLatency)
 	known := b.replicas[id]
 	if known == nil {
-		return coldFactor * usual.Seconds()
+		return newConnectionCost * serviceLatency.Seconds()
 	}
 	if now.Before(known.blockedUntil) {
-		return blockedCost + known.blockedUntil.Sub(now).Seconds()
+		return blockedBaseCost + known.blockedUntil.Sub(now).Seconds()
 	}
-	latency := max(faded(known, usual, now), leastLatency)
-	cost := latency.Seconds() * float64(known.inFlight+1) * known.loadFactor(now)
-	if !known.warm(now) {
-		cost *= coldFactor
+	latency := max(decayedLatency(known, serviceLatency, now), minLatency)
+	cost := latency.Seconds() * float64(known.inFlight+1) * known.loadCostFactor(now)
+	if !known.hasIdleConnection(now) {
+		cost *= newConnectionCost
 	}
 	return cost
 }
 
-// warm reports whether a connection to the replica is likely to be open and unused.
-func (r *replica) warm(now time.Time) bool {
-	return r.inFlight == 0 && !r.measuredAt.IsZero() && now.Sub(r.measuredAt) < warmFor
+// hasIdleConnection reports whether a connection to the replica is likely open and idle.
+func (r *replica) hasIdleConnection(now time.Time) bool {
+	return r.inFlight == 0 && !r.measuredAt.IsZero() && now.Sub(r.measuredAt) < connectionIdleTime
 }
 
-// faded gives a replica's latency, drawn towards the usual one with the time
-// since it was measured.
-func faded(known *replica, usual time.Duration, now time.Time) time.Duration {
+// decayedLatency returns a replica's latency, which decays towards the mean of the service
+// with the time since the last measurement.
+func decayedLatency(known *replica, serviceLatency time.Duration, now time.Time) time.Duration {
 	if known.latency == 0 {
-		return usual
+		return serviceLatency
 	}
-	share := math.Exp2(-now.Sub(known.measuredAt).Seconds() / fadeTime.Seconds())
-	return usual + time.Duration(share*float64(known.latency-usual))
+	share := math.Exp2(-now.Sub(known.measuredAt).Seconds() / latencyHalfLife.Seconds())
+	return serviceLatency + time.Duration(share*float64(known.latency-serviceLatency))
 }
 
-// Forget drops replicas that are not in the given set.
+// Forget drops replicas that are not present and have no requests in flight.
 func (b *Balancer) Forget(present func(id string) bool) {
 	for id, known := range b.replicas {
 		if known.inFlight == 0 && !present(id) {
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -43,11 +43,11 @@
 	}
 	candidates := []string{"slow", "fast"}
 	if got := b.Pick(service, candidates, start, 0); got != 1 {
-		t.Errorf("picked %d at once", got)
+		t.Errorf("picked %d immediately", got)
 	}
 	b.Begin("fast")
 	if got := b.Pick(service, candidates, start.Add(20*time.Second), 0); got != 0 {
-		t.Errorf("picked %d after the latency faded", got)
+		t.Errorf("picked %d after the latency decayed", got)
 	}
 }
 
@@ -76,12 +76,11 @@
 	served(b, "idle", time.Millisecond)
 	b.Forget(func(string) bool { return false })
 	if b.InFlight("busy") != 1 {
-		t.Error("a request in flight was forgotten")
+		t.Error("a replica with a request in flight was dropped")
 	}
 }
 
-// TestASenderKeepsToReplicasThatItHasConnectionsTo: unless they are busy, slow, or were
-// not used for long.
+// A sender prefers replicas with a recent connection unless they are busy or slow.
 func TestASenderKeepsToReplicasThatItHasConnectionsTo(t *testing.T) {
 	b := balance.New()
 	served(b, "warm", 30*time.Millisecond)
@@ -108,8 +107,8 @@
 	}
 }
 
-// TestManySendersOfFewRequestsUseAllReplicasAlike: each uses few of them, and no replica
-// gets much more than its part.
+// With many senders of few requests, each sender uses few replicas, and the replicas get
+// similar numbers of requests.
 func TestManySendersOfFewRequestsUseAllReplicasAlike(t *testing.T) {
 	const senders, replicas, requests = 240, 15, 40
 	random := rand.New(rand.NewPCG(1, 2))
@@ -131,10 +130,10 @@
 		pairs += len(used)
 	}
 	if most := 4 * senders; pairs > most {
-		t.Errorf("%d pairs of sender and replica, want %d at most of %d", pairs, most, senders*replicas)
+		t.Errorf("%d pairs of sender and replica, want at most %d of %d", pairs, most, senders*replicas)
 	}
 	mean := senders * requests / replicas
 	if busiest, least := slices.Max(loads), slices.Min(loads); busiest > 2*mean || least < mean/2 {
-		t.Errorf("%d to %d requests a replica, %d on average", least, busiest, mean)
+		t.Errorf("%d to %d requests per replica, %d on average", least, busiest, mean)
 	}
 }
--- a/internal/core/balance/doc.go
+++ b/internal/core/balance/doc.go
@@ -1,6 +1,5 @@
-// Package balance chooses the replica that a request is sent to: the one whose
-// expected wait is shortest, by what this process sees of it. It knows requests
-// in flight, how long recent ones took, and failures; a replica that failed is
-// left out for a while, and one that was slow is tried again as its latency
-// fades. The package is pure; its owner guards it with a lock.
+// Package balance chooses the replica with the shortest expected wait for a request, from
+// the requests in flight, recent latencies and failures that this process has seen. A
+// failed replica is blocked for a while; a slow one is retried as its latency estimate
+// decays. The package does no locking.
 package balance
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	// loadFadeTime is how long it takes what a replica said of its load to count half:
-	// replicas share their machines, whose load changes many times a second.
-	loadFadeTime = 100 * time.Millisecond
-	// leastLoadFactor and mostLoadFactor bound what a replica's own word does to its cost:
-	// one that says anything must neither draw everything nor be left out by it alone.
-	leastLoadFactor = 0.5
-	mostLoadFactor  = 4
+	// loadHalfLife is the time in which the weight of a load report halves. It is short
+	// because replicas share machines whose load changes many times per second.
+	loadHalfLife = 100 * time.Millisecond
+	// minCostFactor and maxCostFactor bound the effect of a load report, so that a wrong
+	// one can't attract or deter all requests.
+	minCostFactor = 0.5
+	maxCostFactor = 4
 )
 
-// Load is what a replica says of itself with an answer.
+// Load is the load that a replica reports with an answer.
 type Load struct {
-	// Running and Waiting are requests, of all senders; Slots is how many it works on at once.
+	// Running and Waiting count requests of all senders; Slots is the replica's concurrency.
 	Running, Waiting, Slots float64
-	// Slowness is how long work takes there now, 1 being as usual.
+	// Slowness is the current processing time relative to the normal one.
 	Slowness float64
 }
 
-// factor is by how much longer a further request takes there than its own work.
-func (l Load) factor() float64 {
+// costFactor returns the expected duration of another request relative to an unloaded
+// replica.
+func (l Load) costFactor() float64 {
 	queue := 0.0
 	if l.Slots > 0 {
 		queue = max(0, l.Running+l.Waiting-l.Slots+1) / l.Slots
 	}
-	return min(mostLoadFactor, max(leastLoadFactor, l.Slowness*(1+queue)))
+	return min(maxCostFactor, max(minCostFactor, l.Slowness*(1+queue)))
 }
 
-// Told notes what a replica said of its load.
+// Told records the load reported by a replica.
 func (b *Balancer) Told(id string, load Load, now time.Time) {
 	known := b.get(id)
-	known.load, known.toldAt = load.factor(), now
+	known.reportedCostFactor, known.loadReportedAt = load.costFactor(), now
 }
 
-// loadFactor fades what the replica said towards 1.
-func (r *replica) loadFactor(now time.Time) float64 {
-	if r.toldAt.IsZero() {
+// loadCostFactor returns the reported cost factor, which decays towards 1.
+func (r *replica) loadCostFactor(now time.Time) float64 {
+	if r.loadReportedAt.IsZero() {
 		return 1
 	}
-	share := math.Exp2(-now.Sub(r.toldAt).Seconds() / loadFadeTime.Seconds())
-	return 1 + share*(r.load-1)
+	share := math.Exp2(-now.Sub(r.loadReportedAt).Seconds() / loadHalfLife.Seconds())
+	return 1 + share*(r.reportedCostFactor-1)
 }
