--- a/internal/core/prefix/blocks.go
+++ b/internal/core/prefix/blocks.go
@@ -7,98 +7,98 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// block is one cached block of a replica.
+// block is a cached block of a replica.
 type block struct {
 	hash uint64
-	// expires is set while no event has confirmed the block, waiting is then its
-	// place among the unconfirmed.
-	expires time.Time
-	waiting *list.Element
+	// expires is the expiry of an optimistic block, and optimisticElement its element
+	// in the optimistic list. Both are unset for confirmed blocks.
+	expires           time.Time
+	optimisticElement *list.Element
 }
 
 // replicaBlocks is the index of one replica.
 type replicaBlocks struct {
-	// sequence is the last event applied.
+	// sequence is the sequence number of the last applied event.
 	sequence uint64
 	gaps     uint64
 	byHash   map[uint64]*list.Element
-	// recent orders the blocks by last use, the latest in front.
-	recent *list.List
-	// unconfirmed orders the blocks without an event by expiry, the first in
-	// front, so that looking for expired ones costs nothing while there are none.
-	unconfirmed *list.List
+	// lru orders the blocks by last use, the most recent first.
+	lru *list.List
+	// optimistic orders the unconfirmed blocks by expiry, so that expire visits only
+	// expired ones.
+	optimistic *list.List
 }
 
 func newReplicaBlocks() *replicaBlocks {
-	return &replicaBlocks{byHash: make(map[uint64]*list.Element), recent: list.New(), unconfirmed: list.New()}
+	return &replicaBlocks{byHash: make(map[uint64]*list.Element), lru: list.New(), optimistic: list.New()}
 }
 
-// forget empties the index after a gap; the position stays.
-func (r *replicaBlocks) forget() {
+// reset clears the index after a gap but keeps the sequence number.
+func (r *replicaBlocks) reset() {
 	r.gaps++
 	clear(r.byHash)
-	r.recent.Init()
-	r.unconfirmed.Init()
+	r.lru.Init()
+	r.optimistic.Init()
 }
 
-// apply enters one event.
+// apply applies one event.
 func (r *replicaBlocks) apply(event port.CacheEvent, bound int) {
 	if event.Evicted {
 		r.remove(event.Block)
 		return
 	}
-	r.confirm(r.touch(event.Block, bound))
+	r.confirm(r.getOrInsert(event.Block, bound))
 }
 
-// confirm notes that the engine said it has a block.
+// confirm marks a block as confirmed by an event.
 func (r *replicaBlocks) confirm(entry *block) {
-	if entry.waiting != nil {
-		r.unconfirmed.Remove(entry.waiting)
-		entry.waiting = nil
+	if entry.optimisticElement != nil {
+		r.optimistic.Remove(entry.optimisticElement)
+		entry.optimisticElement = nil
 	}
 	entry.expires = time.Time{}
 }
 
-// insertOptimistic enters a block without an event; a confirmed one stays
-// confirmed.
+// insertOptimistic adds an unconfirmed block; a confirmed one stays confirmed.
 func (r *replicaBlocks) insertOptimistic(hash uint64, expires time.Time, bound int) {
 	_, known := r.byHash[hash]
-	entry := r.touch(hash, bound)
+	entry := r.getOrInsert(hash, bound)
 	if known && entry.expires.IsZero() {
 		return
 	}
 	r.confirm(entry)
 	entry.expires = expires
-	entry.waiting = r.unconfirmed.PushBack(entry)
+	entry.optimisticElement = r.optimistic.PushBack(entry)
 }
 
-// touch gives the block, made if need be, and counts it as the latest used.
-func (r *replicaBlocks) touch(hash uint64, bound int) *block {
+// getOrInsert returns the block, inserting it if necessary, and marks it as most recently
+// used.
+func (r *replicaBlocks) getOrInsert(hash uint64, bound int) *block {
 	if element, found := r.byHash[hash]; found {
-		r.recent.MoveToFront(element)
+		r.lru.MoveToFront(element)
 		return element.Value.(*block)
 	}
 	if len(r.byHash) >= bound {
-		r.remove(r.recent.Back().Value.(*block).hash)
+		r.remove(r.lru.Back().Value.(*block).hash)
 	}
 	entry := &block{hash: hash}
-	r.byHash[hash] = r.recent.PushFront(entry)
+	r.byHash[hash] = r.lru.PushFront(entry)
 	return entry
 }
 
-// remove drops a block if it is there.
+// remove removes a block if present.
 func (r *replicaBlocks) remove(hash uint64) {
 	if element, found := r.byHash[hash]; found {
 		entry := element.Value.(*block)
 		r.confirm(entry)
-		r.recent.Remove(element)
+		r.lru.Remove(element)
 		delete(r.byHash, hash)
 	}
 }
 
-// expire drops unconfirmed blocks whose time has come.
+// expire removes the expired optimistic blocks.
 func (r *replicaBlocks) expire(now time.Time) {
-	for element := r.unconfirmed.Front(); element != nil; element = r.unconfirmed.Front() {
+	for element := r.optimistic.Front(); element != nil; element = r.optimistic.Front() {
 		entry := element.Value.(*block)
 		if now.Before(entry.expires) {
 			return
--- a/internal/core/prefix/doc.go
+++ b/internal/core/prefix/doc.go
@@ -1,9 +1,8 @@
-// Package prefix keeps, for each replica, an index of the prompt prefix blocks
-// that the replica's engine has cached.
+// Package prefix keeps an index, for each replica, of the prompt prefix blocks cached by
+// its engine.
 //
-// The index is a hint for scheduling, never a promise. Engines publish cache
-// events late and with gaps: a gap empties the replica's index, which then
-// fills again from the events that follow. Blocks of a request that was just
-// sent are entered ahead of the events and expire unless an event confirms
-// them. Memory is bounded per replica; the block unused for longest goes first.
+// The index is only a hint for scheduling. Engines publish cache events late and with
+// gaps. A gap clears the replica's index, which later events fill again. The blocks of a
+// request are added optimistically when it is sent, and expire unless an event confirms
+// them. Memory is bounded per replica, with least recently used blocks removed first.
 package prefix
--- a/internal/core/prefix/hash.go
+++ b/internal/core/prefix/hash.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HashBlocks gives the chained hashes of the whole blocks of a prompt, each of
-// blockBytes bytes. Two prompts share their first n hashes when they share
-// their first n blocks. A last block that is not whole has no hash.
+// HashBlocks returns the chained hashes of the complete blocks of a prompt, of blockBytes
+// bytes each. Prompts that share their first n blocks share their first n hashes. An
+// incomplete last block has no hash.
 func HashBlocks(prompt string, blockBytes int) []uint64 {
 	if blockBytes <= 0 {
 		return nil
@@ -23,7 +23,7 @@
 	return hashes
 }
 
-// chainHash joins a block's hash to that of all blocks before it.
+// chainHash combines a block's hash with the chained hash of all previous blocks.
 func chainHash(chain, block uint64) uint64 {
 	var buffer [16]byte
 	binary.LittleEndian.PutUint64(buffer[:8], chain)
--- a/internal/core/prefix/index.go
+++ b/internal/core/prefix/index.go
@@ -7,46 +7,46 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config bounds an Index. Zero fields take the defaults.
+// Config bounds an Index. Zero fields select the defaults.
 type Config struct {
-	// BlocksPerReplica bounds the blocks remembered of one replica.
+	// BlocksPerReplica bounds the indexed blocks of one replica.
 	BlocksPerReplica int
-	// OptimisticFor is how long a block entered ahead of its event stays.
+	// OptimisticFor is the time after which an unconfirmed block expires.
 	OptimisticFor time.Duration
 }
 
 // Defaults of Config.
 const (
 	DefaultBlocksPerReplica = 16384
-	DefaultOptimisticFor    = 10 * time.Second
+	DefaultOptimisticTTL    = 10 * time.Second
 )
 
-// Index holds the blocks of many replicas. It is not safe for concurrent use.
+// Index holds the cached blocks of many replicas. It is not safe for concurrent use.
 type Index struct {
 	config   Config
 	replicas map[port.ReplicaID]*replicaBlocks
 }
 
-// New makes an empty index.
+// New returns an empty index.
 func New(config Config) *Index {
 	if config.BlocksPerReplica <= 0 {
 		config.BlocksPerReplica = DefaultBlocksPerReplica
 	}
 	if config.OptimisticFor <= 0 {
-		config.OptimisticFor = DefaultOptimisticFor
+		config.OptimisticFor = DefaultOptimisticTTL
 	}
 	return &Index{config: config, replicas: make(map[port.ReplicaID]*replicaBlocks)}
 }
 
-// Next gives the sequence number after which to ask a replica for events.
-func (x *Index) Next(replica port.ReplicaID) uint64 {
+// LastSequence returns the sequence number after which to request a replica's events.
+func (x *Index) LastSequence(replica port.ReplicaID) uint64 {
 	if blocks := x.replicas[replica]; blocks != nil {
 		return blocks.sequence
 	}
 	return 0
 }
 
-// Blocks gives the number of blocks remembered of a replica.
+// Blocks returns the number of indexed blocks of a replica.
 func (x *Index) Blocks(replica port.ReplicaID) int {
 	if blocks := x.replicas[replica]; blocks != nil {
 		return len(blocks.byHash)
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// Gaps gives the number of times that a gap emptied a replica's index.
+// Gaps returns how often a gap cleared a replica's index.
 func (x *Index) Gaps(replica port.ReplicaID) uint64 {
 	if blocks := x.replicas[replica]; blocks != nil {
 		return blocks.gaps
@@ -62,13 +62,13 @@
 	return 0
 }
 
-// Apply enters a replica's events. Events already applied are passed over; a
-// sequence number left out, or gap, empties the index of the replica, and
-// Apply goes on from the events after it. It reports whether there was a gap.
+// Apply applies a replica's events and reports whether there was a gap. It skips events
+// that were already applied. A gap, given by the caller or found as a missing sequence
+// number, clears the replica's index before the following events are applied.
 func (x *Index) Apply(replica port.ReplicaID, events []port.CacheEvent, gap bool) bool {
 	blocks := x.replica(replica)
 	if gap {
-		blocks.forget()
+		blocks.reset()
 	}
 	ordered := slices.IsSortedFunc(events, compareSequence)
 	if !ordered {
@@ -81,7 +81,7 @@
 			continue
 		}
 		if event.Sequence != blocks.sequence+1 && !skipFirst {
-			blocks.forget()
+			blocks.reset()
 			gap = true
 		}
 		skipFirst = false
@@ -91,8 +91,8 @@
 	return gap
 }
 
-// Sent enters the blocks of a request that was just sent to a replica, ahead
-// of the engine's events.
+// Sent adds the blocks of a request that was just sent to a replica, before the engine's
+// events confirm them.
 func (x *Index) Sent(now time.Time, replica port.ReplicaID, hashes []uint64) {
 	blocks := x.replica(replica)
 	expires := now.Add(x.config.OptimisticFor)
@@ -101,14 +101,14 @@
 	}
 }
 
-// Expire drops the blocks entered by Sent that no event confirmed in time.
+// Expire removes the blocks added by Sent that no event confirmed in time.
 func (x *Index) Expire(now time.Time) {
 	for _, blocks := range x.replicas {
 		blocks.expire(now)
 	}
 }
 
-// Match gives the number of leading blocks that the replica has cached.
+// Match returns the number of leading blocks that the replica has cached.
 func (x *Index) Match(hashes []uint64, replica port.ReplicaID) int {
 	blocks := x.replicas[replica]
 	if blocks == nil {
@@ -122,11 +122,10 @@
 	return len(hashes)
 }
 
-// Reset forgets a replica's blocks and position, as after its engine started
-// anew.
+// Reset drops a replica's blocks and sequence number, for example after an engine restart.
 func (x *Index) Reset(replica port.ReplicaID) { delete(x.replicas, replica) }
 
-// Retain forgets every replica for which keep is false.
+// Retain drops every replica for which keep returns false.
 func (x *Index) Retain(keep func(port.ReplicaID) bool) {
 	for replica := range x.replicas {
 		if !keep(replica) {
@@ -135,7 +134,7 @@
 	}
 }
 
-// replica gives a replica's blocks, making them if need be.
+// replica returns a replica's blocks, creating them if necessary.
 func (x *Index) replica(id port.ReplicaID) *replicaBlocks {
 	blocks := x.replicas[id]
 	if blocks == nil {
--- a/internal/core/prefix/prefix_test.go
+++ b/internal/core/prefix/prefix_test.go
@@ -39,13 +39,13 @@
 		"eviction":              {[]batch{{[]port.CacheEvent{stored(1, 1), stored(2, 2), evicted(3, 1)}, false}}, 0, 3, false},
 		"eviction out of order": {[]batch{{[]port.CacheEvent{evicted(2, 1), stored(1, 1)}, false}}, 0, 2, false},
 		"resent":                {[]batch{{[]port.CacheEvent{stored(1, 1), evicted(2, 1)}, false}, {[]port.CacheEvent{stored(1, 1)}, false}}, 0, 2, false},
-		"number left out": {[]batch{
+		"missing sequence number": {[]batch{
 			{[]port.CacheEvent{stored(1, 1), stored(2, 2)}, false}, {[]port.CacheEvent{stored(4, 3)}, false}}, 0, 4, true},
-		"gap told": {[]batch{
+		"reported gap": {[]batch{
 			{[]port.CacheEvent{stored(1, 1)}, false}, {[]port.CacheEvent{stored(9, 2), stored(10, 1)}, true}}, 2, 10, true},
-		"gap told without events": {[]batch{
+		"reported gap without events": {[]batch{
 			{[]port.CacheEvent{stored(1, 1)}, false}, {nil, true}}, 0, 1, true},
-		"engine started anew": {[]batch{
+		"engine restarted": {[]batch{
 			{[]port.CacheEvent{stored(1, 1), stored(2, 2), stored(3, 3)}, false}, {[]port.CacheEvent{stored(1, 1)}, true}}, 1, 1, true},
 		"first events after a late start": {[]batch{{[]port.CacheEvent{stored(70, 1), stored(71, 2)}, false}}, 2, 71, true},
 	}
@@ -57,9 +57,9 @@
 				gap = index.Apply(replica, batch.events, batch.gap)
 			}
 			match := index.Match([]uint64{1, 2, 3}, replica)
-			if match != test.wantMatch || index.Next(replica) != test.wantNext || gap != test.wantGap {
+			if match != test.wantMatch || index.LastSequence(replica) != test.wantNext || gap != test.wantGap {
 				t.Errorf("match %d, next %d, gap %v; want %d, %d, %v",
-					match, index.Next(replica), gap, test.wantMatch, test.wantNext, test.wantGap)
+					match, index.LastSequence(replica), gap, test.wantMatch, test.wantNext, test.wantGap)
 			}
 		})
 	}
@@ -72,16 +72,15 @@
 	index.Sent(start, replica, []uint64{1})
 	index.Expire(start.Add(999 * time.Millisecond))
 	if got := index.Match([]uint64{1, 2}, replica); got != 2 {
-		t.Errorf("match %d before the time, want 2", got)
+		t.Errorf("match %d before the expiry, want 2", got)
 	}
 	index.Expire(start.Add(time.Second))
 	if got := index.Match([]uint64{1, 2}, replica); got != 1 {
-		t.Errorf("match %d after the time, want the confirmed block only", got)
+		t.Errorf("match %d after the expiry, want only the confirmed block", got)
 	}
 }
 
-// Whatever arrives, the memory stays bounded and a block that the engine
-// evicted last is not matched.
+// Whatever the events, the index stays bounded and doesn't match an evicted block.
 func TestIndexIsBoundedAndTrue(t *testing.T) {
 	const bound = 5
 	testkit.Check(t, 31, func(t *rapid.T) {
@@ -109,12 +108,12 @@
 	index.Apply("a", []port.CacheEvent{stored(1, 1)}, false)
 	index.Apply("b", []port.CacheEvent{stored(1, 1)}, false)
 	index.Reset("a")
-	if index.Blocks("a") != 0 || index.Next("a") != 0 || index.Blocks("b") != 1 {
-		t.Error("reset did not forget exactly one replica")
+	if index.Blocks("a") != 0 || index.LastSequence("a") != 0 || index.Blocks("b") != 1 {
+		t.Error("reset did not drop exactly one replica")
 	}
 	index.Retain(func(port.ReplicaID) bool { return false })
 	if index.Blocks("b") != 0 {
-		t.Error("a replica that is gone is remembered")
+		t.Error("a removed replica still has blocks")
 	}
 }
 
@@ -124,13 +123,13 @@
 	other := HashBlocks(strings.Repeat("a", 64)+strings.Repeat("c", 64), 64)
 	swapped := HashBlocks(strings.Repeat("b", 64)+strings.Repeat("a", 64), 64)
 	if len(hashes) != 2 || hashes[0] != other[0] || hashes[1] == other[1] {
-		t.Errorf("hashes %x and %x share other than the first block", hashes, other)
+		t.Errorf("hashes %x and %x don't share exactly the first block", hashes, other)
 	}
 	if hashes[1] == swapped[0] || hashes[0] == swapped[1] {
-		t.Error("a block's hash does not depend on those before it")
+		t.Error("a block's hash does not depend on the previous blocks")
 	}
 	if HashBlocks(text, 0) != nil || len(HashBlocks("short", 64)) != 0 {
-		t.Error("a prompt without whole blocks has hashes")
+		t.Error("a prompt without complete blocks has hashes")
 	}
 }
 
