--- a/internal/core/attempt/doc.go
+++ b/internal/core/attempt/doc.go
@@ -1,7 +1,7 @@
-// Package attempt follows one request over its attempts, in the one layer that
-// retries it: which failure allows another attempt, after what wait, whether a
-// completion that was cut off is continued, and which verdict holds in the end.
+// Package attempt tracks the attempts of one request in the single layer that retries it.
+// It decides which failures allow another attempt and after what wait, whether a completion
+// that was cut off is resumed, and the final verdict.
 //
-// A Loop is a state machine: time comes in with each call, and the retry budget
-// and random numbers through the function that decides on a retry.
+// A Loop is a state machine: the function that decides on a retry supplies the time, the
+// retry budget and the random numbers.
 package attempt
--- a/internal/core/attempt/loop.go
+++ b/internal/core/attempt/loop.go
@@ -7,86 +7,86 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Rules are what the caller allows for a request.
+// Rules are the retry rules of a request.
 type Rules struct {
-	// Safe says that the request may run more than once.
+	// Safe allows the request to run more than once.
 	Safe bool
-	// Single switches retries off, for callers that retry themselves.
+	// Single disables retries, for callers that retry themselves.
 	Single bool
-	// Resume says that a completion that was cut off may be continued; otherwise
-	// it is an error once a token has left.
+	// Resume allows a completion that was cut off to be resumed; otherwise a failure
+	// after the first token is final.
 	Resume bool
 	// Deadline is when the caller gives up; the zero time means never.
 	Deadline time.Time
-	// MaxTokens is the length of a completion; 0 means that the engine decides.
+	// MaxTokens bounds the length of a completion; 0 leaves it to the engine.
 	MaxTokens int
 }
 
-// Loop is one request over its attempts. It is not safe for concurrent use.
+// Loop tracks the attempts of one request. It is not safe for concurrent use.
 type Loop struct {
-	rules   Rules
-	made    int
-	failed  []port.ReplicaID
-	verdict port.Verdict
-	// refused is set once the caller refused a chunk.
-	refused bool
-	text    []byte
-	tokens  int
-	spans   []port.Span
+	rules          Rules
+	attempts       int
+	failedReplicas []port.ReplicaID
+	verdict        port.Verdict
+	// chunkRefused is set when the caller refuses a chunk.
+	chunkRefused bool
+	text         []byte
+	tokens       int
+	spans        []port.Span
 }
 
-// New makes the loop of a request that was not attempted yet.
+// New returns the loop of a request before its first attempt.
 func New(rules Rules) *Loop { return &Loop{rules: rules, verdict: port.NotRun} }
 
-// Begin counts an attempt and gives its number, from 1.
+// Begin counts an attempt and returns its number, starting at 1.
 func (l *Loop) Begin() int {
-	l.made++
-	return l.made
+	l.attempts++
+	return l.attempts
 }
 
-// Made counts the attempts.
-func (l *Loop) Made() int { return l.made }
+// Made returns the number of attempts.
+func (l *Loop) Made() int { return l.attempts }
 
-// Single says whether another layer retries the request.
+// Single reports whether another layer retries the request.
 func (l *Loop) Single() bool { return l.rules.Single }
 
-// Tried lists the replicas of the attempts that failed.
-func (l *Loop) Tried() []port.ReplicaID { return l.failed }
+// Tried returns the replicas of the failed attempts.
+func (l *Loop) Tried() []port.ReplicaID { return l.failedReplicas }
 
-// LastTried gives the replica of the last failed attempt, to be avoided by the
-// next; empty means none.
+// LastTried returns the replica of the last failed attempt, to be avoided by the next one;
+// empty means none.
 func (l *Loop) LastTried() port.ReplicaID {
-	if len(l.failed) == 0 {
+	if len(l.failedReplicas) == 0 {
 		return ""
 	}
-	return l.failed[len(l.failed)-1]
+	return l.failedReplicas[len(l.failedReplicas)-1]
 }
 
-// Failure is the end of an attempt without an answer.
+// Failure describes a failed attempt.
 type Failure struct {
-	// Replica is that of the attempt; empty where it is not known.
+	// Replica is the replica of the attempt; empty if unknown.
 	Replica port.ReplicaID
 	Error   *port.Error
-	// Here is set when the layer itself refused: nothing was sent, and another
-	// attempt would meet the same refusal.
+	// Here is set if this layer refused the request: nothing was sent, and another
+	// attempt would be refused as well.
 	Here bool
 }
 
-// Decide decides on another attempt by policy and budget; see retry.Policy.
+// Decide decides whether to retry after a failed attempt; see retry.Policy.
 type Decide func(retry.Attempt) retry.Decision
 
-// Step says what to do after a failed attempt.
+// Step is the action to take after a failed attempt.
 type Step struct {
 	Kind StepKind
 	// After is the wait before the next attempt.
 	After time.Duration
-	// Error is the final answer, with the verdict of all attempts.
+	// Error is the final error, with the verdict of all attempts.
 	Error *port.Error
-	// Reason says why there is no other attempt; empty where the failure says it.
+	// Reason is why there is no retry; empty if Error is the reason.
 	Reason retry.Reason
 }
 
-// StepKind names a Step.
+// StepKind is the kind of a Step.
 type StepKind uint8
 
 // The kinds of step.
@@ -95,49 +95,49 @@
 	Final StepKind = iota
 	// Again: make another attempt after Step.After.
 	Again
-	// Complete: all tokens had left already and only the end was missing.
+	// Complete: all tokens were already sent to the caller; only the end was missing.
 	Complete
 )
 
-// Failed takes the failure of the present attempt.
+// Failed records the failure of the current attempt and returns the next step.
 func (l *Loop) Failed(failure Failure, decide Decide) Step {
-	l.verdict = worst(l.verdict, failure.Error.Verdict)
+	l.verdict = combineVerdicts(l.verdict, failure.Error.Verdict)
 	if failure.Replica != "" {
-		l.failed = append(l.failed, failure.Replica)
+		l.failedReplicas = append(l.failedReplicas, failure.Replica)
 	}
-	if failure.Here || !l.mayGoOn(failure.Error) {
+	if failure.Here || !l.canContinue(failure.Error) {
 		return l.final(failure, "")
 	}
 	if l.tokens > 0 && l.rules.MaxTokens > 0 && l.tokens >= l.rules.MaxTokens {
 		return Step{Kind: Complete}
 	}
-	decided := decide(retry.Attempt{
-		Made:       l.made,
+	decision := decide(retry.Attempt{
+		Made:       l.attempts,
 		Owner:      true,
 		Verdict:    failure.Error.Verdict,
 		Code:       failure.Error.Code,
 		Safe:       l.rules.Safe,
 		Deadline:   l.rules.Deadline,
-		RetryAfter: waitAdvice(failure.Error),
+		RetryAfter: retryAfter(failure.Error),
 	})
-	if !decided.Retry {
-		return l.final(failure, decided.Reason)
+	if !decision.Retry {
+		return l.final(failure, decision.Reason)
 	}
-	return Step{Kind: Again, After: decided.After}
+	return Step{Kind: Again, After: decision.After}
 }
 
-// GiveUp gives the final answer when the caller's time ran out, or the caller
-// left, during the wait before another attempt.
+// GiveUp returns the final error if the deadline passes or the caller leaves during the wait
+// before another attempt.
 func (l *Loop) GiveUp(failure *port.Error) *port.Error { return WithVerdict(failure, l.verdict) }
 
 func (l *Loop) final(failure Failure, reason retry.Reason) Step {
 	return Step{Kind: Final, Error: WithVerdict(failure.Error, l.verdict), Reason: reason}
 }
 
-// mayGoOn says whether another attempt could serve the caller: nothing has left
-// yet, or the completion can be continued.
-func (l *Loop) mayGoOn(failure *port.Error) bool {
-	if l.rules.Single || l.refused {
+// canContinue reports whether another attempt could serve the caller: no tokens were sent
+// yet, or the completion can be resumed.
+func (l *Loop) canContinue(failure *port.Error) bool {
+	if l.rules.Single || l.chunkRefused {
 		return false
 	}
 	if l.tokens == 0 {
@@ -146,9 +146,9 @@
 	return l.rules.Resume && l.rules.Safe && failure.Code != port.CodeInvalid
 }
 
-// waitAdvice is the wait that a failure asks for before a retry. A home that
-// stops or doesn't know the replica says nothing about the other homes.
-func waitAdvice(failure *port.Error) time.Duration {
+// retryAfter returns the wait that a failure requests before a retry. The wait of a home that
+// is draining or unavailable doesn't apply to other homes.
+func retryAfter(failure *port.Error) time.Duration {
 	switch failure.Code {
 	case port.CodeDraining, port.CodeUnavailable, port.CodeNoBackEnd, port.CodeQueueFull:
 		return 0
--- a/internal/core/attempt/loop_test.go
+++ b/internal/core/attempt/loop_test.go
@@ -15,52 +15,52 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// route decides by a policy of four attempts with a budget.
-type route struct {
+// decider decides on retries with a budget and a policy of at most four attempts.
+type decider struct {
 	now    time.Time
 	budget *retry.Budget
 	random *rand.Rand
 }
 
-func newRoute() *route {
-	return &route{now: start, budget: retry.NewBudget(1, start), random: rand.New(rand.NewPCG(1, 2))}
+func newDecider() *decider {
+	return &decider{now: start, budget: retry.NewBudget(1, start), random: rand.New(rand.NewPCG(1, 2))}
 }
 
-func (r *route) decide(made retry.Attempt) retry.Decision {
+func (d *decider) decide(failed retry.Attempt) retry.Decision {
 	policy := retry.Policy{MaxAttempts: 4, BaseBackoff: time.Millisecond, MaxBackoff: time.Second}
-	return policy.Decide(r.now, made, r.budget, r.random)
+	return policy.Decide(d.now, failed, d.budget, d.random)
 }
 
 func TestFailed(t *testing.T) {
-	whole := attempt.Rules{Safe: true, Resume: true, MaxTokens: 10}
+	resumable := attempt.Rules{Safe: true, Resume: true, MaxTokens: 10}
 	cases := []struct {
 		name  string
 		rules attempt.Rules
-		// tokens have left before the failure.
+		// tokens is the number of tokens sent before the failure.
 		tokens  int
-		here    bool
+		local   bool
 		refused bool
 		failure *port.Error
 		want    attempt.StepKind
 		verdict port.Verdict
 	}{
-		{"not run, unsafe", attempt.Rules{}, 0, false, false, failed(port.NotRun, port.CodeBackEnd), attempt.Again, 0},
-		{"may have run, unsafe", attempt.Rules{}, 0, false, false, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
-		{"verdict forgotten, unsafe", attempt.Rules{}, 0, false, false, failed(port.VerdictUnset, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
-		{"ran, unsafe", attempt.Rules{}, 0, false, false, failed(port.Ran, port.CodeBackEnd), attempt.Final, port.Ran},
-		{"may have run, safe", attempt.Rules{Safe: true}, 0, false, false, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Again, 0},
-		{"refused here", attempt.Rules{Safe: true}, 0, true, false, failed(port.NotRun, port.CodeQueueFull), attempt.Final, port.NotRun},
-		{"single", attempt.Rules{Safe: true, Single: true}, 0, false, false, failed(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
-		{"invalid", attempt.Rules{Safe: true}, 0, false, false, failed(port.NotRun, port.CodeInvalid), attempt.Final, port.NotRun},
-		{"cut, continued", whole, 4, false, false, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Again, 0},
-		{"cut, all tokens had left", whole, 10, false, false, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Complete, 0},
-		{"cut, not to be continued", attempt.Rules{Safe: true}, 4, false, false, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
-		{"cut, unsafe", attempt.Rules{Resume: true}, 4, false, false, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
-		{"the caller refused a chunk", whole, 4, false, true, failed(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
-		{"no time left", attempt.Rules{Safe: true, Deadline: start}, 0, false, false, failed(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
-		{"asked to wait past the deadline", attempt.Rules{Safe: true, Deadline: start.Add(time.Second)}, 0, false, false,
+		{"not run, unsafe", attempt.Rules{}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Again, 0},
+		{"may have run, unsafe", attempt.Rules{}, 0, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
+		{"verdict unset, unsafe", attempt.Rules{}, 0, false, false, newError(port.VerdictUnset, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
+		{"ran, unsafe", attempt.Rules{}, 0, false, false, newError(port.Ran, port.CodeBackEnd), attempt.Final, port.Ran},
+		{"may have run, safe", attempt.Rules{Safe: true}, 0, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Again, 0},
+		{"refused locally", attempt.Rules{Safe: true}, 0, true, false, newError(port.NotRun, port.CodeQueueFull), attempt.Final, port.NotRun},
+		{"single", attempt.Rules{Safe: true, Single: true}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
+		{"invalid", attempt.Rules{Safe: true}, 0, false, false, newError(port.NotRun, port.CodeInvalid), attempt.Final, port.NotRun},
+		{"cut off, resumed", resumable, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Again, 0},
+		{"cut off after all tokens", resumable, 10, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Complete, 0},
+		{"cut off, not resumable", attempt.Rules{Safe: true}, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
+		{"cut off, unsafe", attempt.Rules{Resume: true}, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
+		{"chunk refused by the caller", resumable, 4, false, true, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
+		{"deadline passed", attempt.Rules{Safe: true, Deadline: start}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
+		{"RetryAfter past the deadline", attempt.Rules{Safe: true, Deadline: start.Add(time.Second)}, 0, false, false,
 			&port.Error{Verdict: port.NotRun, Code: port.CodeBackEnd, RetryAfter: time.Minute}, attempt.Final, port.NotRun},
-		{"a home's advice says nothing of others", attempt.Rules{Safe: true, Deadline: start.Add(time.Second)}, 0, false, false,
+		{"RetryAfter of one home doesn't apply to others", attempt.Rules{Safe: true, Deadline: start.Add(time.Second)}, 0, false, false,
 			&port.Error{Verdict: port.NotRun, Code: port.CodeDraining, RetryAfter: time.Minute}, attempt.Again, 0},
 	}
 	for _, testCase := range cases {
@@ -73,7 +73,7 @@
 			if testCase.refused {
 				loop.Refuse()
 			}
-			step := loop.Failed(attempt.Failure{Replica: "a", Error: testCase.failure, Here: testCase.here}, newRoute().decide)
+			step := loop.Failed(attempt.Failure{Replica: "a", Error: testCase.failure, Here: testCase.local}, newDecider().decide)
 			if step.Kind != testCase.want {
 				t.Fatalf("step %+v", step)
 			}
@@ -87,7 +87,7 @@
 	}
 }
 
-func failed(verdict port.Verdict, code port.Code) *port.Error {
+func newError(verdict port.Verdict, code port.Code) *port.Error {
 	return &port.Error{Verdict: verdict, Code: code}
 }
 
@@ -106,25 +106,25 @@
 	}
 }
 
-// Over any failures an unsafe request makes another attempt only while none may
-// have run, and the final verdict says NotRun only if all attempts did.
+// After any failures, an unsafe request is attempted again only if no attempt may have run,
+// and the final verdict is NotRun only if no attempt may have run.
 func TestUnsafeRunsAtMostOnce(t *testing.T) {
 	testkit.Check(t, 72, func(t *rapid.T) {
 		safe := rapid.Bool().Draw(t, "safe")
 		loop := attempt.New(attempt.Rules{Safe: safe, Deadline: start.Add(time.Minute)})
-		route := newRoute()
+		decider := newDecider()
 		ran := false
 		for {
 			loop.Begin()
 			if ran && !safe {
-				t.Fatal("an unsafe request goes out again although it may have run")
+				t.Fatal("an unsafe request that may have run is attempted again")
 			}
 			verdict := rapid.SampledFrom([]port.Verdict{port.NotRun, port.MayHaveRun, port.Ran, port.VerdictUnset}).Draw(t, "verdict")
 			code := rapid.SampledFrom([]port.Code{port.CodeBackEnd, port.CodeUnavailable, port.CodeQueueFull}).Draw(t, "code")
 			ran = ran || verdict != port.NotRun
-			step := loop.Failed(attempt.Failure{Replica: "a", Error: failed(verdict, code)}, route.decide)
+			step := loop.Failed(attempt.Failure{Replica: "a", Error: newError(verdict, code)}, decider.decide)
 			if step.Kind == attempt.Again {
-				route.now = route.now.Add(step.After)
+				decider.now = decider.now.Add(step.After)
 				continue
 			}
 			if (step.Error.Verdict == port.NotRun) == ran {
--- a/internal/core/attempt/progress.go
+++ b/internal/core/attempt/progress.go
@@ -2,7 +2,7 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// Took remembers a chunk that has left to the caller.
+// Took records a chunk that was sent to the caller.
 func (l *Loop) Took(chunk port.GenerateChunk) {
 	if !l.rules.Single {
 		l.text = append(l.text, chunk.Text...)
@@ -13,14 +13,14 @@
 	}
 }
 
-// Refuse notes that the caller refused a chunk: no other attempt is made.
-func (l *Loop) Refuse() { l.refused = true }
+// Refuse records that the caller refused a chunk, which rules out another attempt.
+func (l *Loop) Refuse() { l.chunkRefused = true }
 
-// Spans says which versions produced the tokens that have left.
+// Spans returns the versions that produced the tokens sent so far.
 func (l *Loop) Spans() []port.Span { return l.spans }
 
-// Continue makes the request of the next attempt out of the one that was
-// accepted: what has left already is carried as a resumed prefix.
+// Continue returns the request of the next attempt, derived from the accepted one: the text
+// already sent becomes a prefix to resume from.
 func (l *Loop) Continue(accepted port.GenerateRequest) port.GenerateRequest {
 	if l.tokens == 0 {
 		return accepted
--- a/internal/core/attempt/verdict.go
+++ b/internal/core/attempt/verdict.go
@@ -2,10 +2,9 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// worst gives the verdict that holds for a request after several attempts: a
-// request that may have run once stays so, whatever later attempts say. A verdict
-// that was forgotten counts as MayHaveRun.
-func worst(earlier, later port.Verdict) port.Verdict {
+// combineVerdicts returns the verdict of a request after several attempts: Ran takes
+// precedence over MayHaveRun, and both over NotRun. VerdictUnset counts as MayHaveRun.
+func combineVerdicts(earlier, later port.Verdict) port.Verdict {
 	if later == port.VerdictUnset {
 		later = port.MayHaveRun
 	}
@@ -15,13 +14,12 @@
 	return earlier
 }
 
-// WithVerdict gives the failure with another verdict; the given one stays as it
-// is.
+// WithVerdict returns the failure with the given verdict. It doesn't modify its argument.
 func WithVerdict(failure *port.Error, verdict port.Verdict) *port.Error {
 	if failure.Verdict == verdict {
 		return failure
 	}
-	covered := *failure
-	covered.Verdict = verdict
-	return &covered
+	result := *failure
+	result.Verdict = verdict
+	return &result
 }
