--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// Floor and capacity of a budget, in retries.
+// Parameters of a budget, in retries.
 const (
-	floorPerSecond   = 0.2
-	floorCapacity    = 3.0
-	budgetCapacity   = 100.0
-	startingBalance  = floorCapacity
-	nanosPerSecond   = float64(time.Second)
-	retryCost        = 1.0
-	smallestMeasured = 1e-9
+	floorRate            = 0.2
+	floorCapacity        = 3.0
+	budgetCapacity       = 100.0
+	initialBalance       = floorCapacity
+	nanosecondsPerSecond = float64(time.Second)
+	retryCost            = 1.0
+	balanceTolerance     = 1e-9
 )
 
-// Budget bounds the retries of one route to a share of its successes. A small
-// floor lets a quiet route retry now and then. The zero value is not usable.
+// Budget limits the retries of one route to a share of its successes. A small floor allows a
+// quiet route to retry occasionally. The zero value is not usable.
 type Budget struct {
-	ratio   float64
-	balance float64
-	refill  time.Time
+	ratio      float64
+	balance    float64
+	lastRefill time.Time
 }
 
-// NewBudget makes a budget in which each success earns ratio retries.
+// NewBudget returns a budget in which each success earns ratio retries.
 func NewBudget(ratio float64, now time.Time) *Budget {
-	return &Budget{ratio: max(ratio, 0), balance: startingBalance, refill: now}
+	return &Budget{ratio: max(ratio, 0), balance: initialBalance, lastRefill: now}
 }
 
-// SetRatio changes the share of successes that retries may spend.
+// SetRatio sets the number of retries that each success earns.
 func (b *Budget) SetRatio(ratio float64) { b.ratio = max(ratio, 0) }
 
-// Success earns a share of a retry.
+// Success adds the retries earned by one success.
 func (b *Budget) Success(now time.Time) {
-	b.addFloor(now)
+	b.refillFloor(now)
 	b.balance = min(b.balance+b.ratio, budgetCapacity)
 }
 
-// Withdraw takes one retry from the budget, or reports that there is none.
+// Withdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) Withdraw(now time.Time) bool {
-	b.addFloor(now)
-	if b.balance < retryCost-smallestMeasured {
+	b.refillFloor(now)
+	if b.balance < retryCost-balanceTolerance {
 		return false
 	}
 	b.balance = max(b.balance-retryCost, 0)
 	return true
 }
 
-// Balance gives the retries left.
+// Balance returns the number of retries left.
 func (b *Budget) Balance() float64 { return b.balance }
 
-// addFloor earns the floor for the time gone by, up to the floor's capacity. A
-// clock that goes back earns nothing, and time counts from there on.
-func (b *Budget) addFloor(now time.Time) {
-	elapsed := now.Sub(b.refill)
-	b.refill = now
+// refillFloor adds the floor for the elapsed time, up to its capacity. A clock that goes
+// back adds nothing and restarts the measurement.
+func (b *Budget) refillFloor(now time.Time) {
+	elapsed := now.Sub(b.lastRefill)
+	b.lastRefill = now
 	if elapsed > 0 && b.balance < floorCapacity {
-		earned := floorPerSecond * float64(elapsed) / nanosPerSecond
+		earned := floorRate * float64(elapsed) / nanosecondsPerSecond
 		b.balance = min(b.balance+earned, floorCapacity)
 	}
 }
--- a/internal/core/retry/doc.go
+++ b/internal/core/retry/doc.go
@@ -1,8 +1,7 @@
-// Package retry decides whether a failed attempt is made again.
+// Package retry decides whether a failed attempt is retried.
 //
-// The rules: an unsafe request is repeated only when the failed attempt did
-// not run; a request is retried by one layer only, which counts all attempts;
-// retries spend a budget that successes earn; a retry that cannot end before
-// the deadline is not started; waits are drawn with full jitter (M. Brooker,
-// "Exponential Backoff And Jitter", 2015).
+// An unsafe request is retried only if the failed attempt did not run. Only one layer
+// retries a request, and it counts all attempts. Retries spend a budget that successes
+// earn, and are not started if they can't end before the deadline. Waits use full jitter
+// (M. Brooker, "Exponential Backoff And Jitter", 2015).
 package retry
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -7,30 +7,30 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Reason says why an attempt is or is not repeated, in words for records.
+// Reason is why an attempt is or is not retried, as stored in records.
 type Reason string
 
 // The reasons.
 const (
-	ReasonRetry        Reason = "retry"
-	ReasonNotOwner     Reason = "another layer retries this request"
-	ReasonPermanent    Reason = "the error would come again"
-	ReasonMayHaveRun   Reason = "not safe to repeat and may have run"
-	ReasonAttempts     Reason = "all attempts used"
-	ReasonDeadline     Reason = "no time left before the deadline"
-	ReasonBudget       Reason = "retry budget used up"
-	ReasonUnconfigured Reason = "retries are off"
+	ReasonRetry      Reason = "retry"
+	ReasonNotOwner   Reason = "another layer retries this request"
+	ReasonPermanent  Reason = "the error would come again"
+	ReasonMayHaveRun Reason = "not safe to repeat and may have run"
+	ReasonAttempts   Reason = "all attempts used"
+	ReasonDeadline   Reason = "no time left before the deadline"
+	ReasonBudget     Reason = "retry budget used up"
+	ReasonDisabled   Reason = "retries are off"
 )
 
-// Policy bounds the attempts of one route.
+// Policy limits the attempts of one route.
 type Policy struct {
-	// MaxAttempts counts the first attempt too; 1 or less switches retries off.
+	// MaxAttempts includes the first attempt; 1 or less disables retries.
 	MaxAttempts int
 	BaseBackoff time.Duration
 	MaxBackoff  time.Duration
 }
 
-// FromConfiguration takes the policy out of a pool's settings.
+// FromConfiguration returns the policy of a pool's settings.
 func FromConfiguration(settings port.Retry) Policy {
 	return Policy{
 		MaxAttempts: settings.MaxAttempts,
@@ -41,24 +41,24 @@
 
 // Attempt describes a failed attempt and its request.
 type Attempt struct {
-	// Made counts the attempts made so far in all layers, this one included.
+	// Made is the number of attempts so far in all layers, including this one.
 	Made int
-	// Owner is set in the one layer that retries the request: the node that got
-	// it from the caller. All other hops pass the error back.
+	// Owner is set in the one layer that retries the request: the node that received
+	// it from the caller. All other layers return the error.
 	Owner   bool
 	Verdict port.Verdict
 	Code    port.Code
-	// Safe says that the request may run more than once.
+	// Safe allows the request to run more than once.
 	Safe bool
-	// Deadline is the request's; the zero time means none.
+	// Deadline is the deadline of the request; zero means none.
 	Deadline time.Time
-	// Expected is the usual time of an attempt; 0 means not known.
+	// Expected is the expected duration of an attempt; 0 means unknown.
 	Expected time.Duration
-	// RetryAfter is the time that the error asked to wait; 0 means not stated.
+	// RetryAfter is the wait requested by the error; 0 means none.
 	RetryAfter time.Duration
 }
 
-// Decision says what to do after a failed attempt.
+// Decision is the action to take after a failed attempt.
 type Decision struct {
 	Retry bool
 	// After is the time to wait before the retry.
@@ -66,8 +66,8 @@
 	Reason Reason
 }
 
-// Decide says whether to repeat an attempt. It spends the budget only when
-// every other rule allows the retry.
+// Decide decides whether to retry after a failed attempt. It withdraws from the budget only
+// if every other rule allows the retry.
 func (p Policy) Decide(now time.Time, attempt Attempt, budget *Budget, random *rand.Rand) Decision {
 	if reason, refused := p.refuse(attempt); refused {
 		return Decision{Reason: reason}
@@ -82,17 +82,17 @@
 	return Decision{Retry: true, After: after, Reason: ReasonRetry}
 }
 
-// refuse applies the rules that need neither time nor budget.
+// refuse applies the rules that need neither the time nor the budget.
 func (p Policy) refuse(attempt Attempt) (Reason, bool) {
 	switch {
 	case !attempt.Owner:
 		return ReasonNotOwner, true
 	case !attempt.Safe && attempt.Verdict != port.NotRun:
 		return ReasonMayHaveRun, true
-	case permanent(attempt.Code):
+	case isPermanent(attempt.Code):
 		return ReasonPermanent, true
 	case p.MaxAttempts <= 1:
-		return ReasonUnconfigured, true
+		return ReasonDisabled, true
 	case attempt.Made >= p.MaxAttempts:
 		return ReasonAttempts, true
 	default:
@@ -100,8 +100,8 @@
 	}
 }
 
-// permanent says whether another attempt would meet the same error.
-func permanent(code port.Code) bool {
+// isPermanent reports whether another attempt would fail with the same error.
+func isPermanent(code port.Code) bool {
 	switch code {
 	case port.CodeInvalid, port.CodeNotFound, port.CodeConflict, port.CodeChangeIDReused,
 		port.CodeChangeExpired, port.CodeStale, port.CodeDeadline, port.CodeCancelled,
@@ -112,7 +112,8 @@
 	}
 }
 
-// backoff draws a wait between 0 and the doubled base, bounded by MaxBackoff.
+// backoff returns a random wait between 0 and BaseBackoff doubled for each attempt after the
+// first, up to MaxBackoff.
 func (p Policy) backoff(made int, random *rand.Rand) time.Duration {
 	ceiling := p.BaseBackoff
 	for count := 1; count < made && ceiling < p.MaxBackoff; count++ {
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -13,7 +13,7 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(3, 4)) }
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(3, 4)) }
 
 func policy() Policy {
 	return FromConfiguration(port.Retry{
@@ -21,7 +21,7 @@
 	})
 }
 
-// base is a failed attempt that every rule allows to repeat.
+// base is a failed attempt that every rule allows to retry.
 var base = Attempt{
 	Made: 1, Owner: true, Verdict: port.MayHaveRun, Code: port.CodeBackEnd, Safe: true, Deadline: start.Add(time.Second),
 }
@@ -36,40 +36,39 @@
 		attempt Attempt
 		want    Reason
 	}{
-		"safe, may have run":         {base, ReasonRetry},
-		"safe, ran and failed":       {change(func(a *Attempt) { a.Verdict = port.Ran }), ReasonRetry},
-		"unsafe, not run":            {change(func(a *Attempt) { a.Safe, a.Verdict = false, port.NotRun }), ReasonRetry},
-		"unsafe, may have run":       {change(func(a *Attempt) { a.Safe = false }), ReasonMayHaveRun},
-		"unsafe, ran":                {change(func(a *Attempt) { a.Safe, a.Verdict = false, port.Ran }), ReasonMayHaveRun},
-		"unsafe, verdict forgotten":  {change(func(a *Attempt) { a.Safe, a.Verdict = false, port.VerdictUnset }), ReasonMayHaveRun},
-		"another layer's":            {change(func(a *Attempt) { a.Owner = false }), ReasonNotOwner},
-		"invalid":                    {change(func(a *Attempt) { a.Code, a.Verdict = port.CodeInvalid, port.NotRun }), ReasonPermanent},
-		"caller gave up":             {change(func(a *Attempt) { a.Code = port.CodeCancelled }), ReasonPermanent},
-		"last attempt":               {change(func(a *Attempt) { a.Made = 3 }), ReasonAttempts},
-		"deadline passed":            {change(func(a *Attempt) { a.Deadline = start.Add(-time.Second) }), ReasonDeadline},
-		"cannot end in time":         {change(func(a *Attempt) { a.Expected = time.Second }), ReasonDeadline},
-		"asked to wait too long":     {change(func(a *Attempt) { a.RetryAfter = time.Second }), ReasonDeadline},
-		"no deadline":                {change(func(a *Attempt) { a.Deadline, a.Expected = time.Time{}, time.Hour }), ReasonRetry},
-		"just enough time":           {change(func(a *Attempt) { a.Expected = 989 * time.Millisecond }), ReasonRetry},
-		"fenced elsewhere, try anew": {change(func(a *Attempt) { a.Code, a.Verdict = port.CodeFenced, port.NotRun }), ReasonRetry},
+		"safe, may have run":    {base, ReasonRetry},
+		"safe, ran and failed":  {change(func(a *Attempt) { a.Verdict = port.Ran }), ReasonRetry},
+		"unsafe, not run":       {change(func(a *Attempt) { a.Safe, a.Verdict = false, port.NotRun }), ReasonRetry},
+		"unsafe, may have run":  {change(func(a *Attempt) { a.Safe = false }), ReasonMayHaveRun},
+		"unsafe, ran":           {change(func(a *Attempt) { a.Safe, a.Verdict = false, port.Ran }), ReasonMayHaveRun},
+		"unsafe, verdict unset": {change(func(a *Attempt) { a.Safe, a.Verdict = false, port.VerdictUnset }), ReasonMayHaveRun},
+		"not the owner":         {change(func(a *Attempt) { a.Owner = false }), ReasonNotOwner},
+		"invalid":               {change(func(a *Attempt) { a.Code, a.Verdict = port.CodeInvalid, port.NotRun }), ReasonPermanent},
+		"caller gave up":        {change(func(a *Attempt) { a.Code = port.CodeCancelled }), ReasonPermanent},
+		"last attempt":          {change(func(a *Attempt) { a.Made = 3 }), ReasonAttempts},
+		"deadline passed":       {change(func(a *Attempt) { a.Deadline = start.Add(-time.Second) }), ReasonDeadline},
+		"cannot end in time":    {change(func(a *Attempt) { a.Expected = time.Second }), ReasonDeadline},
+		"RetryAfter too long":   {change(func(a *Attempt) { a.RetryAfter = time.Second }), ReasonDeadline},
+		"no deadline":           {change(func(a *Attempt) { a.Deadline, a.Expected = time.Time{}, time.Hour }), ReasonRetry},
+		"just enough time":      {change(func(a *Attempt) { a.Expected = 989 * time.Millisecond }), ReasonRetry},
+		"fenced":                {change(func(a *Attempt) { a.Code, a.Verdict = port.CodeFenced, port.NotRun }), ReasonRetry},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := policy().Decide(start, test.attempt, NewBudget(0.1, start), seeded())
+			got := policy().Decide(start, test.attempt, NewBudget(0.1, start), newRandom())
 			if got.Reason != test.want || got.Retry != (test.want == ReasonRetry) {
 				t.Errorf("decision %+v, want reason %q", got, test.want)
 			}
 		})
 	}
 	off := Policy{MaxAttempts: 1}
-	if got := off.Decide(start, base, NewBudget(1, start), seeded()); got.Retry || got.Reason != ReasonUnconfigured {
+	if got := off.Decide(start, base, NewBudget(1, start), newRandom()); got.Retry || got.Reason != ReasonDisabled {
 		t.Errorf("retries off: %+v", got)
 	}
 }
 
-// For every attempt: an unsafe one that may have run is never repeated, only
-// the owner repeats, never past the attempts nor the deadline; and a refusal
-// spends no budget.
+// An unsafe attempt that may have run is never retried; only the owner retries, within the
+// maximum attempts and the deadline; and a refusal withdraws nothing from the budget.
 func TestDecideKeepsItsPromises(t *testing.T) {
 	verdicts := []port.Verdict{port.VerdictUnset, port.NotRun, port.MayHaveRun, port.Ran}
 	codes := []port.Code{port.CodeBackEnd, port.CodeUnavailable, port.CodeInvalid, port.CodeQueueFull, port.CodeDeadline, ""}
@@ -83,18 +82,18 @@
 		}
 		budget := NewBudget(0.1, start)
 		before := budget.Balance()
-		got := policy().Decide(start, attempt, budget, seeded())
+		got := policy().Decide(start, attempt, budget, newRandom())
 		if !got.Retry {
 			if budget.Balance() != before {
-				t.Fatalf("a refusal spent budget: %+v", got)
+				t.Fatalf("a refusal changed the budget: %+v", got)
 			}
 			return
 		}
 		if !attempt.Safe && attempt.Verdict != port.NotRun {
-			t.Fatalf("unsafe request repeated: %+v", attempt)
+			t.Fatalf("unsafe request retried: %+v", attempt)
 		}
 		if !attempt.Owner || attempt.Made >= 3 || !start.Add(got.After+attempt.Expected).Before(attempt.Deadline) {
-			t.Fatalf("repeated against the rules: %+v, %+v", attempt, got)
+			t.Fatalf("retried against the rules: %+v, %+v", attempt, got)
 		}
 		if got.After < attempt.RetryAfter || got.After > max(attempt.RetryAfter, 40*time.Millisecond) {
 			t.Fatalf("wait %v out of range", got.After)
@@ -102,7 +101,7 @@
 	})
 }
 
-// However much fails, retries stay within the floor plus a share of successes.
+// However many attempts fail, retries stay within the floor plus a share of successes.
 func TestBudgetBoundsRetries(t *testing.T) {
 	tests := map[string]struct {
 		ratio     float64
@@ -110,11 +109,11 @@
 		elapsed   time.Duration
 		want      int
 	}{
-		"all fail at once":        {0.1, 0, 0, 3},
-		"a share of successes":    {0.1, 100, 0, 13},
-		"no share":                {0, 1000, 0, 3},
-		"the floor does not pile": {0.1, 0, time.Hour, 3},
-		"bounded after long calm": {1, 100000, time.Second, 100},
+		"only failures":      {0.1, 0, 0, 3},
+		"share of successes": {0.1, 100, 0, 13},
+		"no share":           {0, 1000, 0, 3},
+		"floor capacity":     {0.1, 0, time.Hour, 3},
+		"budget capacity":    {1, 100000, time.Second, 100},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -139,11 +138,11 @@
 	budget := NewBudget(0.1, start)
 	for budget.Withdraw(start) {
 	}
-	if got := policy().Decide(start, base, budget, seeded()); got.Retry || got.Reason != ReasonBudget {
+	if got := policy().Decide(start, base, budget, newRandom()); got.Retry || got.Reason != ReasonBudget {
 		t.Errorf("with an empty budget: %+v", got)
 	}
 	if budget.Withdraw(start.Add(4 * time.Second)) {
-		t.Error("a retry was granted before the floor refilled")
+		t.Error("a retry was allowed before the floor refilled")
 	}
 	if !budget.Withdraw(start.Add(6 * time.Second)) {
 		t.Error("the floor did not refill")
@@ -158,7 +157,7 @@
 }
 
 func TestBackoffIsFullJitter(t *testing.T) {
-	random := seeded()
+	random := newRandom()
 	for made, ceiling := range map[int]time.Duration{1: 10, 2: 20, 3: 40, 9: 40} {
 		low, high := time.Hour, time.Duration(0)
 		for range 2000 {
