--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -66,12 +66,12 @@
 }
 
 func (b *Balancer) get(id string) *replica {
-	known := b.replicas[id]
-	if known == nil {
-		known = &replica{}
-		b.replicas[id] = known
+	state := b.replicas[id]
+	if state == nil {
+		state = &replica{}
+		b.replicas[id] = state
 	}
-	return known
+	return state
 }
 
 // Begin records that a request was sent.
@@ -79,22 +79,22 @@
 
 // End records the outcome and the duration of a request.
 func (b *Balancer) End(service, id string, result Result, took time.Duration, now time.Time) {
-	known := b.get(id)
-	known.inFlight = max(0, known.inFlight-1)
+	state := b.get(id)
+	state.inFlight = max(0, state.inFlight-1)
 	switch result {
 	case ResultServed:
-		known.failures = 0
-		known.blockedUntil = time.Time{}
-		b.recordLatency(service, known, took, now)
+		state.failures = 0
+		state.blockedUntil = time.Time{}
+		b.recordLatency(service, state, took, now)
 	case ResultGivenUp:
-		if took > known.latency {
-			b.recordLatency(service, known, took, now)
+		if took > state.latency {
+			b.recordLatency(service, state, took, now)
 		}
 	case ResultFull:
-		known.blockedUntil = now.Add(fullBlockTime)
+		state.blockedUntil = now.Add(fullBlockTime)
 	case ResultFailed:
-		known.blockedUntil = now.Add(blockTime(known.failures))
-		known.failures++
+		state.blockedUntil = now.Add(blockTime(state.failures))
+		state.failures++
 	}
 }
 
@@ -106,9 +106,9 @@
 	return min(maxBlockTime, minBlockTime<<min(failures, maxShift))
 }
 
-func (b *Balancer) recordLatency(service string, known *replica, took time.Duration, now time.Time) {
-	known.latency = smoothLatency(known.latency, took)
-	known.measuredAt = now
+func (b *Balancer) recordLatency(service string, state *replica, took time.Duration, now time.Time) {
+	state.latency = smoothLatency(state.latency, took)
+	state.measuredAt = now
 	b.latency[service] = smoothLatency(b.latency[service], took)
 }
 
@@ -124,8 +124,8 @@
 
 // InFlight returns the number of requests in flight at a replica.
 func (b *Balancer) InFlight(id string) int {
-	if known := b.replicas[id]; known != nil {
-		return known.inFlight
+	if state := b.replicas[id]; state != nil {
+		return state.inFlight
 	}
 	return 0
 }
@@ -150,16 +150,16 @@
 
 func (b *Balancer) cost(service, id string, now time.Time) float64 {
 	serviceLatency := max(b.latency[service], minLatency)
-	known := b.replicas[id]
-	if known == nil {
+	state := b.replicas[id]
+	if state == nil {
 		return newConnectionCost * serviceLatency.Seconds()
 	}
-	if now.Before(known.blockedUntil) {
-		return blockedBaseCost + known.blockedUntil.Sub(now).Seconds()
+	if now.Before(state.blockedUntil) {
+		return blockedBaseCost + state.blockedUntil.Sub(now).Seconds()
 	}
-	latency := max(decayedLatency(known, serviceLatency, now), minLatency)
-	cost := latency.Seconds() * float64(known.inFlight+1) * known.loadCostFactor(now)
-	if !known.hasIdleConnection(now) {
+	latency := max(decayedLatency(state, serviceLatency, now), minLatency)
+	cost := latency.Seconds() * float64(state.inFlight+1) * state.loadCostFactor(now)
+	if !state.hasIdleConnection(now) {
 		cost *= newConnectionCost
 	}
 	return cost
@@ -172,18 +172,18 @@
 
 // decayedLatency returns a replica's latency, which decays towards the mean of the service
 // with the time since the last measurement.
-func decayedLatency(known *replica, serviceLatency time.Duration, now time.Time) time.Duration {
-	if known.latency == 0 {
+func decayedLatency(state *replica, serviceLatency time.Duration, now time.Time) time.Duration {
+	if state.latency == 0 {
 		return serviceLatency
 	}
-	share := math.Exp2(-now.Sub(known.measuredAt).Seconds() / latencyHalfLife.Seconds())
-	return serviceLatency + time.Duration(share*float64(known.latency-serviceLatency))
+	share := math.Exp2(-now.Sub(state.measuredAt).Seconds() / latencyHalfLife.Seconds())
+	return serviceLatency + time.Duration(share*float64(state.latency-serviceLatency))
 }
 
 // Forget drops replicas that are not present and have no requests in flight.
 func (b *Balancer) Forget(present func(id string) bool) {
-	for id, known := range b.replicas {
-		if known.inFlight == 0 && !present(id) {
+	for id, state := range b.replicas {
+		if state.inFlight == 0 && !present(id) {
 			delete(b.replicas, id)
 		}
 	}
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -99,7 +99,7 @@
 	}
 	slow := balance.New()
 	for range 4 {
-		served(slow, "usual", 30*time.Millisecond)
+		served(slow, "normal", 30*time.Millisecond)
 	}
 	served(slow, "slow", 300*time.Millisecond)
 	if got := slow.Pick(service, []string{"slow", "cold"}, start.Add(100*time.Millisecond), 0); got != 1 {
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -35,8 +35,8 @@
 
 // Told records the load reported by a replica.
 func (b *Balancer) Told(id string, load Load, now time.Time) {
-	known := b.get(id)
-	known.reportedCostFactor, known.loadReportedAt = load.costFactor(), now
+	state := b.get(id)
+	state.reportedCostFactor, state.loadReportedAt = load.costFactor(), now
 }
 
 // loadCostFactor returns the reported cost factor, which decays towards 1.
--- a/internal/core/gate/dispatch.go
+++ b/internal/core/gate/dispatch.go
@@ -116,9 +116,9 @@
 
 // choose returns the preferred replica if it passes the filters. Otherwise the
 // scheduler chooses, excluding the replica to avoid if another one can serve.
-func (g *Gate) choose(request *scheduling.Request, wanted *Request, candidates []scheduling.Candidate) scheduling.Result {
-	if wanted.Preferred != "" {
-		if index := indexOf(candidates, wanted.Preferred); index >= 0 {
+func (g *Gate) choose(request *scheduling.Request, gateRequest *Request, candidates []scheduling.Candidate) scheduling.Result {
+	if gateRequest.Preferred != "" {
+		if index := indexOf(candidates, gateRequest.Preferred); index >= 0 {
 			result := g.scheduler.Pick(request, candidates[index:index+1], g.random)
 			if result.Chosen == 0 {
 				result.Chosen = index
@@ -126,9 +126,9 @@
 			}
 		}
 	}
-	if wanted.Avoid != "" {
+	if gateRequest.Avoid != "" {
 		excluding := *request
-		excluding.Exclude = append(append([]port.ReplicaID(nil), request.Exclude...), wanted.Avoid)
+		excluding.Exclude = append(append([]port.ReplicaID(nil), request.Exclude...), gateRequest.Avoid)
 		if result := g.scheduler.Pick(&excluding, candidates, g.random); result.Chosen >= 0 {
 			return result
 		}
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -255,7 +255,7 @@
 	g.Configure(start, gate.Settings{MinInflight: 8, MaxInflight: 8, QueueLength: 4}, []gate.Replica{{ID: "fast"}, {ID: "slow"}})
 	times := map[port.ReplicaID]time.Duration{"fast": 5 * time.Millisecond, "slow": 100 * time.Millisecond}
 	for range 20 {
-		call := ticket("known")
+		call := ticket("call")
 		g.Offer(start, call)
 		g.Release(start, call, gate.Outcome{Latency: times[call.Replica], Service: times[call.Replica]})
 	}
--- a/internal/core/home/pollpace.go
+++ b/internal/core/home/pollpace.go
@@ -27,8 +27,8 @@
 
 // PollDue reports whether a home that checks at checkInterval polls now: it polls at the
 // check nearest to the end of the poll interval.
-func PollDue(passed, interval, checkInterval time.Duration) bool {
-	return passed >= interval-checkInterval/2
+func PollDue(elapsed, interval, checkInterval time.Duration) bool {
+	return elapsed >= interval-checkInterval/2
 }
 
 // NeedsFastPolls reports whether the replica must be polled at the minimum interval: it
--- a/internal/core/home/pollpace_test.go
+++ b/internal/core/home/pollpace_test.go
@@ -36,8 +36,8 @@
 func TestPollsAreDueAtTheNearestLook(t *testing.T) {
 	const checkInterval = 200 * time.Millisecond
 	cases := []struct {
-		passed, interval time.Duration
-		want             bool
+		elapsed, interval time.Duration
+		want              bool
 	}{
 		{199 * time.Millisecond, checkInterval, true},
 		{start.Sub(time.Time{}), time.Second, true}, // never polled
@@ -45,7 +45,7 @@
 		{999 * time.Millisecond, time.Second, true},
 	}
 	for _, test := range cases {
-		if got := home.PollDue(test.passed, test.interval, checkInterval); got != test.want {
+		if got := home.PollDue(test.elapsed, test.interval, checkInterval); got != test.want {
 			t.Errorf("%+v: %v", test, got)
 		}
 	}
--- a/internal/core/home/serving.go
+++ b/internal/core/home/serving.go
@@ -33,12 +33,12 @@
 
 // count adds one replica to the count of a pool and version.
 func count(counts []port.ServingCount, pool port.PoolName, version port.WeightVersion) []port.ServingCount {
-	place := slices.IndexFunc(counts, func(known port.ServingCount) bool {
+	index := slices.IndexFunc(counts, func(known port.ServingCount) bool {
 		return known.Pool == pool && known.Version == version
 	})
-	if place < 0 {
+	if index < 0 {
 		return append(counts, port.ServingCount{Pool: pool, Version: version, Replicas: 1})
 	}
-	counts[place].Replicas++
+	counts[index].Replicas++
 	return counts
 }
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -72,10 +72,10 @@
 // RebuildIfDue rebuilds the snapshot if it changed or is due for a refresh. It
 // reports whether it did.
 func (s *State) RebuildIfDue(now time.Time) bool {
-	passed := now.Sub(s.rebuiltAt)
-	due := passed >= min(rebuildShare*s.rebuildCost, maxRebuildInterval)
+	elapsed := now.Sub(s.rebuiltAt)
+	due := elapsed >= min(rebuildShare*s.rebuildCost, maxRebuildInterval)
 	if !s.changed {
-		due = passed >= refreshInterval
+		due = elapsed >= refreshInterval
 	}
 	if due {
 		s.rebuild(now)
--- a/internal/core/nodestate/state.go
+++ b/internal/core/nodestate/state.go
@@ -183,11 +183,11 @@
 
 func (s *State) node(id port.NodeID) (port.NodeAddress, bool) {
 	nodes := s.observer.View().Nodes
-	place, found := slices.BinarySearchFunc(nodes, id, func(node port.NodeAddress, id port.NodeID) int { return cmp.Compare(node.ID, id) })
+	index, found := slices.BinarySearchFunc(nodes, id, func(node port.NodeAddress, id port.NodeID) int { return cmp.Compare(node.ID, id) })
 	if !found {
 		return port.NodeAddress{}, false
 	}
-	return nodes[place], true
+	return nodes[index], true
 }
 
 // sendToZone queues a message to the other live nodes of the zone and returns their
--- a/internal/core/nodestate/state_test.go
+++ b/internal/core/nodestate/state_test.go
@@ -121,9 +121,9 @@
 		t.Errorf("%d of 8 nodes poll", pollers)
 	}
 	cases := []struct {
-		name            string
-		asked, received time.Time
-		want            bool
+		name               string
+		polledAt, received time.Time
+		want               bool
 	}{
 		{"polled recently", at(9.5), at(0), false},
 		{"recent list", at(0), at(9), false},
@@ -133,7 +133,7 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			polls := 0
 			for _, node := range zone {
-				if nodestate.PollsMachines(at(10), time.Second, zone, node, testCase.asked, testCase.received) {
+				if nodestate.PollsMachines(at(10), time.Second, zone, node, testCase.polledAt, testCase.received) {
 					polls++
 				}
 			}
@@ -178,23 +178,23 @@
 		next.Configuration.Replicas = append(next.Configuration.Replicas, port.Replica{ID: id, Pool: "lm", Zone: "z1", Address: string(id)})
 	}
 	update(state, at(0), next)
-	const least, paced = 200 * time.Millisecond, 4 * 240 * time.Millisecond
+	const minimum, paced = 200 * time.Millisecond, 4 * 240 * time.Millisecond
 	steps := []struct {
 		name string
 		act  func()
 		want time.Duration
 	}{
-		{"unknown", func() {}, least},
+		{"unknown", func() {}, minimum},
 		{"serving", func() { state.LoadReported(at(1), at(1), "e1", port.LoadReport{Version: 7}, nil) }, paced},
 		{"a poll failed", func() {
 			state.LoadReported(at(2), at(2), "e1", port.LoadReport{}, port.NewError(port.NotRun, port.CodeUnavailable, "down"))
-		}, least},
+		}, minimum},
 		{"answers again", func() { state.LoadReported(at(3), at(3), "e1", port.LoadReport{Version: 7}, nil) }, paced},
 		{"ejected", func() {
 			for range 50 {
 				state.Outcomes(at(3), []nodestate.CallOutcome{{Replica: "e1", Failed: true}})
 			}
-		}, least},
+		}, minimum},
 	}
 	for _, step := range steps {
 		step.act()
--- a/internal/core/nodestate/tables.go
+++ b/internal/core/nodestate/tables.go
@@ -16,7 +16,7 @@
 }
 
 func newTables(view *port.View) *tables {
-	made := &tables{
+	result := &tables{
 		pools: view.Configuration.Pools, replicaList: view.Configuration.Replicas, nodeList: view.Nodes,
 		replicas: make(map[port.ReplicaID]port.Replica, len(view.Configuration.Replicas)),
 		byPool:   make(map[port.PoolName][]port.Replica, len(view.Configuration.Pools)),
@@ -24,16 +24,16 @@
 		byZone:   make(map[port.ZoneName][]port.NodeAddress),
 	}
 	for _, replica := range view.Configuration.Replicas {
-		made.replicas[replica.ID] = replica
-		made.byPool[replica.Pool] = append(made.byPool[replica.Pool], replica)
+		result.replicas[replica.ID] = replica
+		result.byPool[replica.Pool] = append(result.byPool[replica.Pool], replica)
 	}
 	for _, node := range view.Nodes {
-		made.nodes[node.ID] = node
+		result.nodes[node.ID] = node
 		if !node.Draining {
-			made.byZone[node.Zone] = append(made.byZone[node.Zone], node)
+			result.byZone[node.Zone] = append(result.byZone[node.Zone], node)
 		}
 	}
-	return made
+	return result
 }
 
 // matches reports whether the tables were built from the view. Views share the slices
