--- a/internal/core/controlstate/apply.go
+++ b/internal/core/controlstate/apply.go
@@ -10,10 +10,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Apply applies the command at a position of the log and gives its answer. A
-// refusal stands in Result.Error with verdict NotRun. A command whose change id
-// was seen before gets its first answer, with the ledger as it is now; it is
-// not applied again. Configuration changes must carry a change id, other
+// Apply applies the log entry at index and returns its result. A rejected command
+// returns the reason in Result.Error with verdict NotRun. A command with a known
+// change id is not applied again: Apply returns the result of the first application
+// with the present ledger. Configuration changes must carry a change id, other
 // commands may.
 func (s *State) Apply(index, term uint64, command port.Command) port.Result {
 	s.applied = index
@@ -22,12 +22,12 @@
 
 	digest, refusal := s.check(command)
 	if refusal != nil {
-		return s.refused(index, refusal)
+		return s.errorResult(index, refusal)
 	}
 	if command.ChangeID != "" {
 		first, found, refusal := s.answers.Lookup(command.ChangeID, digest, s.time)
 		if refusal != nil {
-			return s.refused(index, refusal)
+			return s.errorResult(index, refusal)
 		}
 		if found {
 			return s.withLedger(command, first)
@@ -40,8 +40,8 @@
 	return s.withLedger(command, result)
 }
 
-// advanceTime moves the log's time on, and the ends of leases by what of it is a
-// jump.
+// advanceTime advances the log time, and extends the leases by the part of the
+// advance that is a jump.
 func (s *State) advanceTime(command port.Command) []port.ViewChange {
 	before := s.time
 	s.time = max(s.time, command.Time)
@@ -56,11 +56,11 @@
 	return changes
 }
 
-func (s *State) refused(index uint64, refusal *port.Error) port.Result {
+func (s *State) errorResult(index uint64, refusal *port.Error) port.Result {
 	return port.Result{Index: index, Revision: s.revision, Error: refusal}
 }
 
-// withLedger adds the pool's delivery state, which answers are kept without.
+// withLedger adds the pool's delivery state, which cached results don't hold.
 func (s *State) withLedger(command port.Command, result port.Result) port.Result {
 	if command.CommitBatch != nil {
 		state := s.Ledger(command.CommitBatch.Pool)
@@ -69,10 +69,10 @@
 	return result
 }
 
-// check looks at the command's form and gives the digest of its body, if it has
-// a change id.
+// check validates the command's form and returns the digest of its body if it has a
+// change id.
 func (s *State) check(command port.Command) (registry.Digest, *port.Error) {
-	if count := variants(command); count != 1 {
+	if count := countVariants(command); count != 1 {
 		return registry.Digest{}, port.InvalidField("command", strconv.Itoa(count)+" kinds set", "exactly one")
 	}
 	if command.ChangeID == "" {
@@ -90,7 +90,7 @@
 	return registry.Digest(sum[:len(registry.Digest{})]), nil
 }
 
-func variants(command port.Command) int {
+func countVariants(command port.Command) int {
 	count := 0
 	for _, set := range []bool{
 		command.ChangeConfiguration != nil, command.PublishWeights != nil, command.AcquireLease != nil,
@@ -104,8 +104,8 @@
 	return count
 }
 
-// run dispatches a command that is well formed and new. The revision in the
-// result is the one after the command.
+// run executes a well-formed command that was not applied before. Result.Revision is
+// the revision after the command.
 func (s *State) run(index, term uint64, command port.Command) port.Result {
 	result := port.Result{Index: index}
 	var changes []port.ViewChange
@@ -133,7 +133,7 @@
 	return result
 }
 
-// publish makes changes visible to observers.
+// publish adds changes to the view and to the change log.
 func (s *State) publish(index, term uint64, changes []port.ViewChange) {
 	if len(changes) == 0 {
 		return
@@ -171,10 +171,10 @@
 	return changes, nil
 }
 
-// maxTextBytes bounds an author or note in the history.
+// maxTextBytes bounds the author and the note of a history entry.
 const maxTextBytes = 1024
 
-// sampling finds the rules of a pool that feeds a trainer.
+// sampling returns the sampling settings of a pool that feeds a trainer.
 func (s *State) sampling(name port.PoolName) (port.Sampling, *port.Error) {
 	pool, found := s.document.Pool(name)
 	if !found {
--- a/internal/core/controlstate/benchmark_test.go
+++ b/internal/core/controlstate/benchmark_test.go
@@ -7,10 +7,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// replicasPerNode is the target's ratio: 3,500 replicas over 660 nodes.
+// replicasPerNode is the ratio of a fleet of 3,500 replicas and 660 nodes.
 const replicasPerNode = 3500.0 / 660
 
-// fleet makes a state of 16 pools with nodes and replicas in proportion.
+// fleet returns a state with 16 pools, the given number of nodes, and replicas in proportion.
 func fleet(b *testing.B, nodes int) *State {
 	b.Helper()
 	state := New()
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkApplyOneReplica edits one replica, and takes a view after each edit
-// as a member with observers does.
+// BenchmarkApplyOneReplica edits one replica and rebuilds the view after each edit, as
+// a member with observers does.
 func BenchmarkApplyOneReplica(b *testing.B) {
 	eachFleet(b, func(b *testing.B, state *State) {
 		for round := range b.N {
@@ -59,7 +59,7 @@
 	})
 }
 
-// BenchmarkUpdate gives an observer one change.
+// BenchmarkUpdate builds an update with one change.
 func BenchmarkUpdate(b *testing.B) {
 	eachFleet(b, func(b *testing.B, state *State) {
 		member := replica(1, "pool-01")
@@ -71,7 +71,7 @@
 	})
 }
 
-// BenchmarkObserve takes one change in at an observer.
+// BenchmarkObserve applies an update with one change to an observer.
 func BenchmarkObserve(b *testing.B) {
 	eachFleet(b, func(b *testing.B, state *State) {
 		observer := NewObserver()
--- a/internal/core/controlstate/changelog.go
+++ b/internal/core/controlstate/changelog.go
@@ -6,27 +6,27 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Limits of the changes kept for observers.
+// Limits of the change log.
 const (
 	maxChanges     = 8192
 	maxChangeBytes = 8 << 20
-	// maxDelta is the number of changes over which a whole view is cheaper.
+	// maxDelta is the number of changes above which a full view is cheaper.
 	maxDelta = 4096
-	// changeBytes is the assumed size of a change without its policy text.
+	// changeBytes is the assumed size of a change without its policy source.
 	changeBytes = 256
 )
 
-// numberedChange is one change of the view at its position in the log.
+// numberedChange is a change of the view with its position in the log.
 type numberedChange struct {
 	position uint64
 	change   port.ViewChange
 }
 
-// changeLog keeps the last changes of the view, oldest first.
+// changeLog holds the most recent changes of the view, oldest first.
 type changeLog struct {
 	entries []numberedChange
 	bytes   int
-	// floor is the position after which every change is kept.
+	// floor is the position after which the log is complete.
 	floor uint64
 }
 
@@ -45,8 +45,8 @@
 	c.entries = c.entries[drop:]
 }
 
-// since gives the changes after a position; kept is false if some are gone or a
-// whole view is cheaper. Of several changes of one lease only the last counts.
+// since returns the changes after a position. It reports false if some were dropped
+// or a full view is cheaper. Of several changes of one lease it returns the last.
 func (c *changeLog) since(after uint64) (changes []port.ViewChange, kept bool) {
 	if after < c.floor {
 		return nil, false
@@ -55,19 +55,19 @@
 	entries := c.entries[first:]
 	last := make(map[string]int)
 	for position, entry := range entries {
-		if name := leaseOf(entry.change); name != "" {
+		if name := leaseName(entry.change); name != "" {
 			last[name] = position
 		}
 	}
 	for position, entry := range entries {
-		if name := leaseOf(entry.change); name == "" || last[name] == position {
+		if name := leaseName(entry.change); name == "" || last[name] == position {
 			changes = append(changes, entry.change)
 		}
 	}
 	return changes, len(changes) <= maxDelta
 }
 
-func leaseOf(change port.ViewChange) string {
+func leaseName(change port.ViewChange) string {
 	if change.Lease != nil {
 		return change.Lease.Name
 	}
--- a/internal/core/controlstate/fuzz_test.go
+++ b/internal/core/controlstate/fuzz_test.go
@@ -8,8 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// commandSeeds gives a command of each kind, in an order in which a state
-// accepts them.
+// commandSeeds returns a command of each kind, in an order that an empty state accepts.
 func commandSeeds() []port.Command {
 	address := "http://10.0.0.3"
 	pool := port.PoolName("a")
@@ -30,9 +29,8 @@
 	}
 }
 
-// FuzzDecodeCommand decodes arbitrary bytes as a command and applies it to a
-// state that holds something of everything: two states agree, a snapshot
-// restores to the same bytes, and the revision moves by one at most.
+// FuzzDecodeCommand applies an arbitrary decoded command: two states must agree, a
+// snapshot must restore to the same bytes, and the revision grows by one at most.
 func FuzzDecodeCommand(f *testing.F) {
 	for _, command := range commandSeeds() {
 		data, err := EncodeCommand(command)
@@ -55,20 +53,19 @@
 		}
 		one, two := mustSnapshot(t, first), mustSnapshot(t, second)
 		if !bytes.Equal(one, two) {
-			t.Fatal("two states that applied the same differ")
+			t.Fatal("two states that applied the same commands differ")
 		}
 		restored := New()
 		if err := restored.Restore(one); err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(mustSnapshot(t, restored), one) {
-			t.Fatal("a restored state differs")
+			t.Fatal("the restored state differs")
 		}
 	})
 }
 
-// filledState gives a state that accepted one command of each kind but those
-// that remove.
+// filledState returns a state that applied one command of each kind that adds something.
 func filledState() *State {
 	state := New()
 	for number, command := range commandSeeds()[:6] {
@@ -86,7 +83,7 @@
 	return data
 }
 
-// TestCommandSeedsAreAccepted keeps the fuzz targets' starting point alive.
+// TestCommandSeedsAreAccepted checks that the fuzz seeds are valid commands.
 func TestCommandSeedsAreAccepted(t *testing.T) {
 	state := New()
 	for number, command := range commandSeeds() {
@@ -96,8 +93,8 @@
 	}
 }
 
-// FuzzRestore reads arbitrary bytes as a snapshot: what is accepted can be used,
-// and gives a snapshot that restores to the same bytes.
+// FuzzRestore restores arbitrary bytes: an accepted snapshot must be usable, and
+// encoding it again must restore to the same bytes.
 func FuzzRestore(f *testing.F) {
 	f.Add(mustSnapshot(f, filledState()))
 	f.Add(mustSnapshot(f, New()))
@@ -116,7 +113,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(mustSnapshot(t, again), taken) {
-			t.Fatal("a restored state differs")
+			t.Fatal("the restored state differs")
 		}
 	})
 }
--- a/internal/core/controlstate/observer.go
+++ b/internal/core/controlstate/observer.go
@@ -7,13 +7,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ErrGap says that an update does not start where the observer stands; it must
-// ask again with its own position.
-var ErrGap = errors.New("update starts at another position")
+// ErrGap is returned for an update that does not start at the observer's position.
+// The caller must request one from that position.
+var ErrGap = errors.New("update does not start at the observer's position")
 
-// Observer follows the control state through updates of any member. Its
-// position and revision never fall. It is not safe for concurrent use; the
-// views it gives out are immutable.
+// Observer follows the control state through the updates of any member. Its position
+// and revision never decrease. It is not safe for concurrent use; its views are
+// immutable.
 type Observer struct {
 	document *registry.Document
 	weights  registry.Weights
@@ -22,20 +22,20 @@
 	view     *port.View
 }
 
-// NewObserver makes an observer at position 0 with an empty view.
+// NewObserver returns an observer at position 0 with an empty view.
 func NewObserver() *Observer {
 	return &Observer{document: registry.NewDocument(), view: &port.View{}}
 }
 
-// View gives the present view.
+// View returns the current view.
 func (o *Observer) View() *port.View { return o.view }
 
-// Position gives the position to ask updates after.
+// Position returns the position from which to request the next update.
 func (o *Observer) Position() uint64 { return o.view.Position }
 
-// Apply takes an update in. Advanced is false, without an error, for an update
-// that is not ahead of the observer: a member that lags sent it, and even if it
-// is marked as confirmed it proves nothing about a newer view.
+// Apply applies an update. It reports false, without an error, if the update is not
+// newer than the observer's view: the sender lags, and its Confirmed flag proves
+// nothing about the newer view.
 func (o *Observer) Apply(update port.ViewUpdate) (advanced bool, err error) {
 	if update.Position <= o.view.Position || update.Revision < o.view.Revision {
 		return false, nil
@@ -58,8 +58,8 @@
 	return true, nil
 }
 
-// Confirms says whether an update, after Apply, shows that the observer's view
-// was in force at a member in touch with a quorum.
+// Confirms reports whether an update that was passed to Apply proves that a member in
+// contact with a quorum held the observer's view.
 func (o *Observer) Confirms(update port.ViewUpdate) bool {
 	return update.Confirmed && update.Position >= o.view.Position
 }
--- a/internal/core/controlstate/snapshot.go
+++ b/internal/core/controlstate/snapshot.go
@@ -11,10 +11,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// snapshotVersion is the version of the snapshot's encoding.
+// snapshotVersion is the version of the encoding.
 const snapshotVersion = 1
 
-// ErrSnapshot says that bytes are no snapshot of a known version.
+// ErrSnapshot is returned for bytes that are not a snapshot of a supported version.
 var ErrSnapshot = errors.New("unusable control state snapshot")
 
 const (
@@ -43,10 +43,10 @@
 	return mode
 }
 
-// EncodeCommand gives the form in which a command stands in the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(command port.Command) ([]byte, error) { return encoding.Marshal(command) }
 
-// DecodeCommand reads what EncodeCommand gives.
+// DecodeCommand decodes the output of EncodeCommand.
 func DecodeCommand(data []byte) (port.Command, error) {
 	var command port.Command
 	err := decoding.Unmarshal(data, &command)
@@ -73,8 +73,8 @@
 	Members       map[uint64]string       `cbor:"16,keyasint,omitempty"`
 }
 
-// Snapshot encodes the whole state. Members with equal states give equal bytes.
-// The changes kept for observers are not part of it.
+// Snapshot encodes the whole state, except for the change log. Equal states encode to
+// equal bytes.
 func (s *State) Snapshot() ([]byte, error) {
 	answers, floor := s.answers.Export()
 	return encoding.Marshal(snapshot{
@@ -87,8 +87,8 @@
 	})
 }
 
-// Restore replaces the state by a snapshot's. A failure wraps ErrSnapshot and
-// leaves the state as it was.
+// Restore replaces the state by that of a snapshot. An error wraps ErrSnapshot and
+// leaves the state unchanged.
 func (s *State) Restore(data []byte) error {
 	var decoded snapshot
 	if err := decoding.Unmarshal(data, &decoded); err != nil {
--- a/internal/core/controlstate/state.go
+++ b/internal/core/controlstate/state.go
@@ -6,8 +6,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// State is the replicated control state of one member. It is not safe for
-// concurrent use; the views it gives out are immutable.
+// State is the replicated control state of one member. It is not safe for concurrent
+// use; its views are immutable.
 type State struct {
 	document *registry.Document
 	leases   registry.Leases
@@ -18,20 +18,20 @@
 	ledger   ledger.Ledger
 
 	applied  uint64 // index of the last applied entry
-	time     int64  // log time, milliseconds since 1970
+	time     int64  // log time, in Unix milliseconds
 	epoch    port.Epoch
 	revision port.Revision
-	position uint64 // index of the last change that a view shows
+	position uint64 // index of the last entry that changed the view
 	term     uint64 // term at position
 
 	// members holds the addresses of the control members by member id.
 	members map[uint64]string
 
 	changes changeLog
-	view    *port.View // nil after a change
+	view    *port.View // cached; nil after a change
 }
 
-// New makes the empty state before the first entry of the log.
+// New returns the empty state before the first entry of the log.
 func New() *State {
 	return &State{
 		document: registry.NewDocument(),
@@ -40,39 +40,39 @@
 	}
 }
 
-// Applied gives the index of the last entry applied or skipped.
+// Applied returns the index of the last entry applied or skipped.
 func (s *State) Applied() uint64 { return s.applied }
 
-// Time gives the log's time in milliseconds since 1970.
+// Time returns the log time in Unix milliseconds.
 func (s *State) Time() int64 { return s.time }
 
-// Revision gives the configuration's revision; 0 means never changed.
+// Revision returns the configuration's revision; 0 means never changed.
 func (s *State) Revision() port.Revision { return s.revision }
 
-// Position gives the index of the last change that a view shows.
+// Position returns the index of the last entry that changed the view.
 func (s *State) Position() uint64 { return s.position }
 
-// History gives the accepted configuration changes, oldest first.
+// History returns the accepted configuration changes, oldest first.
 func (s *State) History() []registry.HistoryEntry { return s.history.List() }
 
-// Ledger gives the delivery state of a pool.
+// Ledger returns the delivery state of a pool.
 func (s *State) Ledger(pool port.PoolName) port.LedgerState {
 	state := s.ledger.State(pool)
 	state.Published = s.weights.Current(pool)
 	return state
 }
 
-// Lease finds a lease by name.
+// Lease returns a lease by name.
 func (s *State) Lease(name string) (port.Lease, bool) { return s.leases.Get(name) }
 
-// Answers gives the number of answers kept for resends.
+// Answers returns the number of cached results of commands with a change id.
 func (s *State) Answers() int { return s.answers.Len() }
 
-// Skip notes an entry of the log that is no command.
+// Skip records the index of a log entry that is not a command.
 func (s *State) Skip(index uint64) { s.applied = max(s.applied, index) }
 
-// SetMember notes the address that a membership entry gave for a control
-// member; an empty address forgets the member.
+// SetMember sets the address of a control member from a membership entry; an empty
+// address removes the member.
 func (s *State) SetMember(id uint64, address string) {
 	if address == "" {
 		delete(s.members, id)
@@ -81,15 +81,15 @@
 	s.members[id] = address
 }
 
-// MemberAddress gives the address of a control member that joined through the
-// log; first members stand in the settings and are not known here.
+// MemberAddress returns the address of a control member that was added through the
+// log. The initial members are in the settings, not here.
 func (s *State) MemberAddress(id uint64) (string, bool) {
 	address, found := s.members[id]
 	return address, found
 }
 
-// View gives the present view. It is immutable; calls without a change between
-// them give the same pointer.
+// View returns the current view. It is immutable; calls without a change between them
+// return the same pointer.
 func (s *State) View() *port.View {
 	if s.view == nil {
 		s.view = &port.View{
@@ -101,10 +101,10 @@
 	return s.view
 }
 
-// Update gives what an observer at position after lacks: nothing, the changes
-// since, or the whole view if they are no longer kept or too many. An observer
-// that is ahead of this member gets an update without changes whose Position is
-// below its own, and keeps what it has. Confirmed is left for the member to set.
+// Update returns what an observer at position after lacks: nothing, the changes since
+// then, or the full view if the change log no longer holds them or they are too many.
+// An observer ahead of this member gets an update with a lower Position and no
+// changes, which it ignores. The member sets Confirmed.
 func (s *State) Update(after uint64) port.ViewUpdate {
 	update := port.ViewUpdate{After: after, Position: s.position, Term: s.term, Revision: s.revision}
 	if after >= s.position {
--- a/internal/core/controlstate/state_test.go
+++ b/internal/core/controlstate/state_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// change makes a configuration change born at start time.
+// change returns a configuration change with a change id of the start time.
 func change(number int, expected port.Revision, edits ...port.Edit) port.Command {
 	return port.Command{
 		ChangeID: changeID(startTime, number), Time: startTime + int64(number),
@@ -68,7 +68,7 @@
 		t.Fatalf("resend got %+v, want %+v", resend, first)
 	}
 	if refused := state.Apply(4, 2, change(2, 0, putPool("b"))); !reflect.DeepEqual(refused, second) {
-		t.Fatalf("resend of the refused got %+v, want %+v", refused, second)
+		t.Fatalf("resend of the rejected change got %+v, want %+v", refused, second)
 	}
 	if reused := state.Apply(5, 2, change(1, 1, putPool("c"))); code(reused) != port.CodeChangeIDReused {
 		t.Fatalf("same id, other body: %+v", reused)
@@ -101,14 +101,15 @@
 	acquire(1, "n1", startTime)
 	state.Apply(2, 1, port.Command{Time: startTime + 2000, RemoveNode: &port.RemoveNode{ID: "x"}})
 	if taken := acquire(3, "n2", startTime-5000); code(taken) != "" || taken.Lease.Epoch != 2 {
-		t.Fatalf("a clock that is behind revived a lease: %+v", taken)
+		t.Fatalf("a slow clock revived an expired lease: %+v", taken)
 	}
 	if state.Time() != startTime+2000 {
 		t.Fatalf("time %d", state.Time())
 	}
 }
 
-// TestBatchesAgainstPublications walks through the ordering of one log.
+// TestBatchesAgainstPublications checks commits against publications, leases and
+// registrations at earlier positions of the log.
 func TestBatchesAgainstPublications(t *testing.T) {
 	state := New()
 	pool := port.PoolName("a")
@@ -141,10 +142,10 @@
 		run  func() port.Result
 		want port.Code
 	}{
-		{"fresh", func() port.Result { return commit(1, 1) }, ""},
-		{"version again", func() port.Result { return publish(1, 0) }, port.CodeConflict},
-		{"one behind", func() port.Result { publish(2, consumer.Epoch); return commit(2, 1) }, ""},
-		{"too old", func() port.Result { publish(3, consumer.Epoch); return commit(3, 1) }, port.CodeStale},
+		{"current version", func() port.Result { return commit(1, 1) }, ""},
+		{"version published twice", func() port.Result { return publish(1, 0) }, port.CodeConflict},
+		{"one version behind", func() port.Result { publish(2, consumer.Epoch); return commit(2, 1) }, ""},
+		{"over the staleness bound", func() port.Result { publish(3, consumer.Epoch); return commit(3, 1) }, port.CodeStale},
 		{"coordinator replaced", func() port.Result {
 			apply(port.Command{AcquireLease: &port.AcquireLease{Name: port.CoordinatorLease(pool), Holder: "n1", TTL: time.Minute}})
 			return commit(3, 3)
@@ -153,7 +154,7 @@
 			apply(port.Command{RegisterConsumer: &port.RegisterConsumer{Pool: pool, Consumer: "t"}})
 			return publish(4, consumer.Epoch)
 		}, port.CodeFenced},
-		{"no such pool", func() port.Result { pool = "none"; return publish(9, 0) }, port.CodeNotFound},
+		{"unknown pool", func() port.Result { pool = "none"; return publish(9, 0) }, port.CodeNotFound},
 	}
 	for _, step := range steps {
 		if got := code(step.run()); got != step.want {
@@ -165,7 +166,7 @@
 	}
 }
 
-// drawCommand draws a command of any kind over a small space of names.
+// drawCommand draws a command of any kind over a few names.
 func drawCommand(t *rapid.T, revision port.Revision, when int64) port.Command {
 	pools := []port.PoolName{"a", "b"}
 	pool := rapid.SampledFrom(pools).Draw(t, "pool")
@@ -194,9 +195,8 @@
 	return command
 }
 
-// TestMembersAndObserversAgree checks that a member restored from a snapshot in
-// the middle ends in the same state, and that observers that poll at any time,
-// from either member, arrive at the same view without going back.
+// TestMembersAndObserversAgree checks that a member restored from a snapshot reaches
+// the same state, and that an observer that polls either member reaches the same view.
 func TestMembersAndObserversAgree(t *testing.T) {
 	testkit.Check(t, 45, func(t *rapid.T) {
 		first, second := New(), New()
@@ -215,7 +215,7 @@
 			}
 			got, want := second.Apply(index, index/20, decoded), first.Apply(index, index/20, command)
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("index %d: %+v against %+v", index, got, want)
+				t.Fatalf("index %d: got %+v, want %+v", index, got, want)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
 				restoreFrom(t, second, first)
@@ -273,10 +273,10 @@
 		t.Fatalf("advanced %v, error %v", advanced, err)
 	}
 	if advanced, _ := observer.Apply(port.ViewUpdate{Position: 1, Full: behind.View()}); advanced || observer.View().Revision != 3 {
-		t.Fatalf("a full view took the observer back to %d", observer.View().Revision)
+		t.Fatalf("a full view moved the observer back to revision %d", observer.View().Revision)
 	}
 	if _, err := observer.Apply(port.ViewUpdate{After: 1, Position: 9, Revision: 9}); !errors.Is(err, ErrGap) {
-		t.Fatalf("a gap gave %v", err)
+		t.Fatalf("an update with a gap returned %v", err)
 	}
 }
 
@@ -291,7 +291,7 @@
 		state.Apply(index, 1, change(int(index), state.Revision(), port.Edit{PutReplica: &member}))
 	}
 	if update := state.Update(1); update.Full == nil {
-		t.Fatal("want a full view for an observer behind the kept changes")
+		t.Fatal("want a full view for an observer behind the change log")
 	}
 	if update := state.Update(index - 3); update.Full != nil || len(update.Changes) != 3 {
 		t.Fatalf("want 3 changes, got %d", len(update.Changes))
@@ -314,7 +314,7 @@
 	}
 	for _, data := range [][]byte{nil, good[:len(good)-1], foreign, []byte("text")} {
 		if err := state.Restore(data); !errors.Is(err, ErrSnapshot) || state.Revision() != 1 {
-			t.Fatalf("%d bytes gave %v, revision %d", len(data), err, state.Revision())
+			t.Fatalf("restoring %d bytes returned %v, revision %d", len(data), err, state.Revision())
 		}
 	}
 }
