--- a/internal/core/poolworker/action.go
+++ b/internal/core/poolworker/action.go
@@ -8,49 +8,47 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Action is something the caller carries out; the types below implement it.
+// Action is something the caller carries out. The types below implement it.
 type Action interface{ action() }
 
-// Propose sends a command to the control log; Answered with the same Token
-// answers it, within Timeout.
+// Propose sends a command to the control log. The caller passes the result to Answered
+// with the same Token, within Timeout.
 type Propose struct {
 	Token   uint64
 	Command port.Command
 	Timeout time.Duration
 }
 
-// AskHomes asks the homes of an engine pool for their replicas, and tells them
-// which ones a rollout keeps out of routing; StatesPolled answers it.
+// AskHomes polls the home nodes of an engine pool's replicas and sends them the
+// replicas that a rollout excludes from routing. StatesPolled takes the result.
 type AskHomes struct {
 	Pool  port.PoolName
 	Fence port.Epoch
 	Out   []port.ReplicaID
 }
 
-// Order sends an order to an engine; OrderAnswered for the same rollout answers
-// it.
+// Order sends an order to an engine. OrderAnswered takes the result.
 type Order struct {
 	Rollout port.PoolName
 	Send    rollout.SendOrder
 }
 
-// Coordinate carries out an action of the coordinator other than those that the
-// worker turns into Propose, Record and Ended. Sampling holds the settings in
-// force.
+// Coordinate carries out an action of the coordinator that the worker doesn't turn
+// into Propose, Record or Ended. Sampling holds the current settings.
 type Coordinate struct {
 	Action   coordinator.Action
 	Sampling port.Sampling
 }
 
-// Record keeps a decision for explain.
+// Record stores a decision for explain.
 type Record struct{ Decision port.Decision }
 
-// PolicyRefused says that a policy program doesn't compile; the one in force
-// stays.
+// PolicyRefused reports a policy program that doesn't compile. The previous program
+// stays in use.
 type PolicyRefused struct{ Err error }
 
-// Ended says that the worker is done. Cause is nil when the lease was lost or
-// given back.
+// Ended reports that the worker ended. Cause is nil when the lease was lost or
+// released.
 type Ended struct{ Cause error }
 
 func (Propose) action()       {}
--- a/internal/core/poolworker/doc.go
+++ b/internal/core/poolworker/doc.go
@@ -1,7 +1,7 @@
-// Package poolworker coordinates one pool at one node: it seeks the pool's lease,
-// reads the delivery state under it, drives the coordinator and the weights
-// rollouts while the lease lasts, and gives it back or stops when it is lost.
+// Package poolworker coordinates one pool at one node: it acquires the pool's lease,
+// reads the delivery state under it, and runs the coordinator and the weight rollouts
+// until the lease is released or lost.
 //
-// A Worker is a state machine: the time, the view and the outcomes of actions
-// come in as calls, and each call gives back the actions to carry out.
+// A Worker is a state machine: the caller passes in the time, the view and the results
+// of actions, and each call returns the actions to carry out.
 package poolworker
--- a/internal/core/poolworker/lease.go
+++ b/internal/core/poolworker/lease.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// leaseMargin is the share of the lease's length that is given up as a margin
-	// for the drift of clocks.
-	leaseMargin = 10
-	// renewals is the number of renewals sent within the lease's length.
-	renewals = 3
-	// renewalPause is the wait before a renewal that failed is sent again.
-	renewalPause = 100 * time.Millisecond
+	// leaseMarginDivisor is the fraction of the lease, as a divisor, that is kept as a
+	// margin for clock drift.
+	leaseMarginDivisor = 10
+	// renewalsPerLease is the number of renewals sent within one lease.
+	renewalsPerLease = 3
+	// renewalRetryDelay is the wait before a failed renewal is retried.
+	renewalRetryDelay = 100 * time.Millisecond
 )
 
-// acquire asks for the pool's lease. Its time counts from before the request was
-// sent, so that this node gives up before the log does.
+// acquire requests the pool's lease. The lease counts from before the request was
+// sent, so that it expires at this node before it expires in the log.
 func (w *Worker) acquire(sent time.Time) {
 	request := port.AcquireLease{
 		Name: port.CoordinatorLease(w.config.Pool), Holder: w.config.Node, TTL: w.config.Lease,
@@ -28,54 +28,54 @@
 			return
 		}
 		if failure != nil || result.Error != nil || result.Lease == nil {
-			w.lose(now, nil)
+			w.end(now, nil)
 			return
 		}
 		w.epoch = result.Lease.Epoch
-		w.held(sent)
+		w.extendLease(sent)
 		w.readState()
 	})
 }
 
-// readState reads the delivery state under the new lease, if the pool feeds a
-// trainer, and begins.
+// readState reads the delivery state under the new lease and starts the coordinator.
 func (w *Worker) readState() {
 	w.phase = phaseReading
 	w.readLedger(func(now time.Time, state *port.LedgerState, failure *port.Error) {
 		switch {
 		case w.phase != phaseReading:
 		case failure != nil || !now.Before(w.leaseUntil):
-			w.lose(now, nil)
+			w.end(now, nil)
 		default:
-			w.begin(now, state)
+			w.start(now, state)
 		}
 	})
 }
 
-// readLedger reads the pool's delivery state at a position of the log: the log
-// answers any commit with it, also one that it refuses.
-func (w *Worker) readLedger(take func(time.Time, *port.LedgerState, *port.Error)) {
+// readLedger reads the pool's delivery state through the log. The result of any commit
+// holds it, so an empty batch, which the log rejects, is enough.
+func (w *Worker) readLedger(done func(time.Time, *port.LedgerState, *port.Error)) {
 	empty := port.CommitBatch{Pool: w.config.Pool, CoordinatorEpoch: w.epoch}
 	w.propose(port.Command{CommitBatch: &empty}, w.config.CallTimeout, func(now time.Time, result port.Result, failure *port.Error) {
 		if failure == nil && result.Ledger == nil {
-			failure = port.NewError(port.NotRun, port.CodeUnavailable, "no delivery state in the answer")
+			failure = port.NewError(port.NotRun, port.CodeUnavailable, "the commit's result holds no delivery state")
 		}
-		take(now, result.Ledger, failure)
+		done(now, result.Ledger, failure)
 	})
 }
 
-// held notes that the lease was granted or renewed by a request sent then.
-func (w *Worker) held(sent time.Time) {
+// extendLease sets the lease's end and the next renewal from the time at which the
+// granted request was sent.
+func (w *Worker) extendLease(sent time.Time) {
 	length := w.config.Lease
-	w.leaseUntil = sent.Add(length - length/leaseMargin)
-	w.nextRenewal = sent.Add(length / renewals)
+	w.leaseUntil = sent.Add(length - length/leaseMarginDivisor)
+	w.nextRenewal = sent.Add(length / renewalsPerLease)
 }
 
-// renew sends a renewal when it is time, and stops the worker when the lease has
-// run out by the local clock.
+// renew sends a renewal when one is due, and ends the worker when the lease has expired
+// by the local clock.
 func (w *Worker) renew(now time.Time) {
 	if !now.Before(w.leaseUntil) {
-		w.lose(now, nil)
+		w.end(now, nil)
 		return
 	}
 	if w.renewing || now.Before(w.nextRenewal) {
@@ -90,37 +90,37 @@
 	})
 }
 
-// renewed takes the outcome of a renewal that was sent at a time.
+// renewed handles the result of a renewal.
 func (w *Worker) renewed(now, sent time.Time, result port.Result, failure *port.Error) {
 	w.renewing = false
 	switch {
 	case w.phase != phaseRunning:
 	case failure != nil:
-		// The next tick asks again while the lease lasts.
-		w.nextRenewal = now.Add(renewalPause)
+		// A tick retries while the lease lasts.
+		w.nextRenewal = now.Add(renewalRetryDelay)
 	case result.Error != nil:
-		w.lose(now, nil)
+		w.end(now, nil)
 	default:
-		w.held(sent)
+		w.extendLease(sent)
 		w.step(now, coordinator.LeaseRenewed{Until: w.leaseUntil})
 	}
 }
 
-// release gives the lease back and ends the worker.
+// release ends the worker and releases the lease.
 func (w *Worker) release(now time.Time) {
 	if w.phase == phaseEnded {
 		return
 	}
-	w.lose(now, nil)
+	w.end(now, nil)
 	if w.epoch == 0 {
 		return
 	}
-	given := port.ReleaseLease{Name: port.CoordinatorLease(w.config.Pool), Holder: w.config.Node, Epoch: w.epoch}
-	w.propose(port.Command{ReleaseLease: &given}, w.config.CallTimeout, nil)
+	request := port.ReleaseLease{Name: port.CoordinatorLease(w.config.Pool), Holder: w.config.Node, Epoch: w.epoch}
+	w.propose(port.Command{ReleaseLease: &request}, w.config.CallTimeout, nil)
 }
 
-// lose stops at once: the lease ran out or belongs to someone else.
-func (w *Worker) lose(now time.Time, cause error) {
+// end ends the worker at once, without releasing the lease.
+func (w *Worker) end(now time.Time, cause error) {
 	if w.phase == phaseEnded {
 		return
 	}
--- a/internal/core/poolworker/rollouts.go
+++ b/internal/core/poolworker/rollouts.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// pollInterval is the least time between two questions to the homes.
+	// pollInterval is the minimum time between two polls of the home nodes.
 	pollInterval = 500 * time.Millisecond
-	// pollPerReplica lengthens it for a large pool while no weights are being
-	// rolled out, so that a coordinator asks for 100 replicas a second at most.
+	// pollPerReplica lengthens the interval for large pools while no rollout is in
+	// progress, which limits polling to 100 replicas per second.
 	pollPerReplica = 10 * time.Millisecond
 )
 
-// rolloutState is the weights rollout of one sampling pool on the engines.
+// rolloutState is the rollout of one sampling pool's weights to the engines.
 type rolloutState struct {
-	machine *rollout.Rollout
-	weights port.WeightVersion
-	out     map[port.ReplicaID]bool
+	machine  *rollout.Rollout
+	weights  port.WeightVersion
+	excluded map[port.ReplicaID]bool // from routing
 }
 
-// updateRollouts keeps a rollout for each sampling pool that the engines of this
-// worker's pool serve, and tells them of new versions.
+// updateRollouts keeps one rollout for each sampling pool that the engines of this
+// worker's pool serve, and passes new versions to them.
 func (w *Worker) updateRollouts(now time.Time) {
 	served := make(map[port.PoolName]bool)
 	for index := range w.view.Configuration.Pools {
@@ -64,10 +64,10 @@
 	if err != nil {
 		return
 	}
-	w.rollouts[pool.Name] = &rolloutState{machine: machine, weights: weights.Version, out: make(map[port.ReplicaID]bool)}
+	w.rollouts[pool.Name] = &rolloutState{machine: machine, weights: weights.Version, excluded: make(map[port.ReplicaID]bool)}
 }
 
-// stepRollout hands an event to a rollout and takes its actions over.
+// stepRollout passes an event to a rollout and handles the actions it returns.
 func (w *Worker) stepRollout(now time.Time, pool port.PoolName, event rollout.Event) {
 	state := w.rollouts[pool]
 	if state == nil || w.phase != phaseRunning {
@@ -78,48 +78,46 @@
 		case rollout.SendOrder:
 			w.emit(Order{Rollout: pool, Send: action})
 		case rollout.RouteOut:
-			state.out[action.Replica] = true
+			state.excluded[action.Replica] = true
 			w.nextPoll = now
 		case rollout.RouteIn:
-			delete(state.out, action.Replica)
+			delete(state.excluded, action.Replica)
 			w.nextPoll = now
 		case rollout.FencedOff:
-			w.lose(now, nil)
+			w.end(now, nil)
 		case rollout.Record:
-			w.emit(Record{Decision: aboutReplica(action.Decision)})
+			w.emit(Record{Decision: withReplicaSubject(action.Decision)})
 		}
 	}
 }
 
-// aboutReplica keeps a rollout's decision under the subject that operators ask
-// for.
-func aboutReplica(decided port.Decision) port.Decision {
-	if decided.Replica != "" {
-		decided.Subject = nodestate.ReplicaSubject(decided.Replica)
+// withReplicaSubject sets the subject of a decision about a replica.
+func withReplicaSubject(decision port.Decision) port.Decision {
+	if decision.Replica != "" {
+		decision.Subject = nodestate.ReplicaSubject(decision.Replica)
 	}
-	return decided
+	return decision
 }
 
-// OrderAnswered brings the outcome of an order to its rollout.
+// OrderAnswered passes the result of an order to its rollout.
 func (w *Worker) OrderAnswered(now time.Time, pool port.PoolName, answered rollout.OrderAnswered) []Action {
 	w.stepRollout(now, pool, answered)
 	return w.flush()
 }
 
-// pollHomes asks the homes of the pool's replicas for their state when it is
-// time.
+// pollHomes polls the home nodes of the pool's replicas when a poll is due.
 func (w *Worker) pollHomes(now time.Time) {
 	pool := findPool(w.view, w.config.Pool)
 	if w.polling || now.Before(w.nextPoll) || pool == nil {
 		return
 	}
 	w.polling = true
-	w.nextPoll = now.Add(w.untilPoll())
-	w.emit(AskHomes{Pool: pool.EnginePool(), Fence: w.epoch, Out: w.routedOut()})
+	w.nextPoll = now.Add(w.pollDelay())
+	w.emit(AskHomes{Pool: pool.EnginePool(), Fence: w.epoch, Out: w.excludedReplicas()})
 }
 
-// untilPoll gives the time until the homes are asked again.
-func (w *Worker) untilPoll() time.Duration {
+// pollDelay returns the time until the next poll.
+func (w *Worker) pollDelay() time.Duration {
 	for _, state := range w.rollouts {
 		if _, completed := state.machine.Target(); !completed {
 			return pollInterval
@@ -128,17 +126,17 @@
 	return max(pollInterval, time.Duration(w.replicas)*pollPerReplica)
 }
 
-// routedOut lists the replicas that some rollout keeps out of routing.
-func (w *Worker) routedOut() []port.ReplicaID {
-	var out []port.ReplicaID
+// excludedReplicas returns the replicas that any rollout excludes from routing.
+func (w *Worker) excludedReplicas() []port.ReplicaID {
+	var excluded []port.ReplicaID
 	for _, pool := range sortedPools(w.rollouts) {
-		out = slices.AppendSeq(out, maps.Keys(w.rollouts[pool].out))
+		excluded = slices.AppendSeq(excluded, maps.Keys(w.rollouts[pool].excluded))
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(excluded)
+	return slices.Compact(excluded)
 }
 
-// StatesPolled brings the state of the pool's replicas.
+// StatesPolled handles the states of the pool's replicas that a poll returned.
 func (w *Worker) StatesPolled(now time.Time, replicas []nodestate.ReplicaState) []Action {
 	w.polling = false
 	w.replicas = len(replicas)
@@ -164,7 +162,7 @@
 	return w.flush()
 }
 
-// capacity gives the replicas that may serve the pool as its policy sees them.
+// capacity returns the routable replicas as the pool's policy sees them.
 func (w *Worker) capacity(adapter string, replicas []nodestate.ReplicaState) []policy.Replica {
 	zones := make(map[port.ReplicaID]port.ZoneName, len(w.view.Configuration.Replicas))
 	for index := range w.view.Configuration.Replicas {
@@ -194,7 +192,7 @@
 	return nil
 }
 
-// weightsOf gives a pool's published weights; none give the zero value.
+// weightsOf returns a pool's published weights, or version 0 if there are none.
 func weightsOf(view *port.View, pool port.PoolName) port.PublishedWeights {
 	for _, weights := range view.Weights {
 		if weights.Pool == pool {
--- a/internal/core/poolworker/seeker.go
+++ b/internal/core/poolworker/seeker.go
@@ -8,31 +8,30 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// rankDelay is how long a node waits for each node that goes before it in a
-// lease's rendezvous ranking.
+// rankDelay is how long a node waits for each node with a higher rendezvous rank for a
+// lease.
 const rankDelay = 500 * time.Millisecond
 
-// Seeker finds the leases that are free and that it is a node's turn to ask for.
-// There is a lease for each sampling pool, and for each engine pool whose engines
-// serve one: weights are ordered under the lease of the pool that owns the
-// engines. It is not safe for concurrent use.
+// Seeker selects the free leases that a node should acquire. There is a lease for each
+// sampling pool and for each engine pool that serves one, since the holder of the
+// engine pool's lease orders the weights. It is not safe for concurrent use.
 type Seeker struct {
-	node port.NodeID
-	free map[port.PoolName]time.Time
+	node      port.NodeID
+	freeSince map[port.PoolName]time.Time
 }
 
-// NewSeeker makes the seeker of a node.
+// NewSeeker returns the seeker of a node.
 func NewSeeker(node port.NodeID) *Seeker {
-	return &Seeker{node: node, free: make(map[port.PoolName]time.Time)}
+	return &Seeker{node: node, freeSince: make(map[port.PoolName]time.Time)}
 }
 
-// Wanted lists the pools, in order, whose lease this node should ask for now.
-// Running says for which pools a worker runs here already.
+// Wanted returns the pools, in order, whose lease this node should acquire now. running
+// reports whether a worker of a pool runs here already.
 func (s *Seeker) Wanted(now time.Time, view *port.View, running func(port.PoolName) bool) []port.PoolName {
 	leased := leasedPools(view)
-	for pool := range s.free {
+	for pool := range s.freeSince {
 		if _, found := slices.BinarySearch(leased, pool); !found {
-			delete(s.free, pool)
+			delete(s.freeSince, pool)
 		}
 	}
 	var wanted []port.PoolName
@@ -44,11 +43,10 @@
 	return wanted
 }
 
-// Ended notes that a worker of the pool ended here: the next attempt waits its
-// turn again.
-func (s *Seeker) Ended(now time.Time, pool port.PoolName) { s.free[pool] = now }
+// Ended records that a worker of the pool ended here. The next attempt waits by rank.
+func (s *Seeker) Ended(now time.Time, pool port.PoolName) { s.freeSince[pool] = now }
 
-// leasedPools lists the pools that need a lease holder, in order.
+// leasedPools returns the pools that need a lease holder, in order.
 func leasedPools(view *port.View) []port.PoolName {
 	var pools []port.PoolName
 	for index := range view.Configuration.Pools {
@@ -60,25 +58,25 @@
 	return slices.Compact(pools)
 }
 
-// mayAcquire says whether it is this node's turn to ask for a lease: it is free,
-// and the nodes that go before had their chance.
+// mayAcquire reports whether the lease has been free for as long as the nodes with a
+// higher rank may take to acquire it.
 func (s *Seeker) mayAcquire(now time.Time, view *port.View, pool port.PoolName) bool {
 	name := port.CoordinatorLease(pool)
 	for _, lease := range view.Leases {
 		if lease.Name == name && lease.Holder != s.node && lease.Expires > now.UnixMilli() {
-			delete(s.free, pool)
+			delete(s.freeSince, pool)
 			return false
 		}
 	}
-	since, known := s.free[pool]
+	since, known := s.freeSince[pool]
 	if !known {
 		since = now
-		s.free[pool] = now
+		s.freeSince[pool] = now
 	}
 	return now.Sub(since) >= time.Duration(s.rank(view, name))*rankDelay
 }
 
-// rank gives the number of nodes that go before this one for a lease.
+// rank returns the number of nodes with a higher rank for a lease.
 func (s *Seeker) rank(view *port.View, lease string) int {
 	var ids []port.NodeID
 	for _, node := range view.Nodes {
--- a/internal/core/poolworker/seeker_bench_test.go
+++ b/internal/core/poolworker/seeker_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// BenchmarkRank gives a node's place in the order of one free lease: what every
-// node asks for each free lease, five times a second, after a coordinator was lost.
+// BenchmarkRank ranks a node for one free lease, as every node does on each tick after
+// a coordinator was lost.
 func BenchmarkRank(b *testing.B) {
 	for _, nodes := range []int{20, 60, 200, 660} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
--- a/internal/core/poolworker/worker.go
+++ b/internal/core/poolworker/worker.go
@@ -9,18 +9,18 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config says whose worker it is.
+// Config configures a worker.
 type Config struct {
 	Pool port.PoolName
 	Node port.NodeID
 	Seed uint64
-	// Lease is the length of the lease, CallTimeout bounds one proposal that
-	// isn't a commit.
+	// Lease is the duration of the lease. CallTimeout is the timeout of a proposal
+	// other than a commit.
 	Lease       time.Duration
 	CallTimeout time.Duration
 }
 
-// phase is how far a worker has come.
+// phase is the state of a worker.
 type phase uint8
 
 const (
@@ -38,7 +38,7 @@
 	actions []Action
 
 	token uint64
-	// proposals tells what is done with the answer to each.
+	// proposals holds the callback of each pending proposal by token.
 	proposals map[uint64]func(now time.Time, result port.Result, failure *port.Error)
 
 	epoch       port.Epoch
@@ -54,15 +54,15 @@
 	weights     port.WeightVersion
 
 	rollouts map[port.PoolName]*rolloutState
-	// turn is shared by the rollouts.
+	// turn is shared by all rollouts.
 	turn     rollout.StagingTurn
 	polling  bool
 	nextPoll time.Time
-	// replicas is the number of replicas that the last poll told of.
+	// replicas is the number of replicas in the last poll.
 	replicas int
 }
 
-// New makes a worker and gives its first actions.
+// New returns a worker and its first actions.
 func New(config Config, now time.Time, view *port.View) (*Worker, []Action) {
 	w := &Worker{
 		config:    config,
@@ -74,16 +74,16 @@
 	return w, w.flush()
 }
 
-// Epoch gives that of the lease; 0 before there is one.
+// Epoch returns the epoch of the lease; 0 before it was granted.
 func (w *Worker) Epoch() port.Epoch { return w.epoch }
 
-// Running says whether the worker coordinates the pool now.
+// Running reports whether the worker coordinates the pool.
 func (w *Worker) Running() bool { return w.phase == phaseRunning }
 
-// Ended says whether the worker is done.
+// Ended reports whether the worker ended.
 func (w *Worker) Ended() bool { return w.phase == phaseEnded }
 
-// Tick lets time pass under the present view. Call it every 100 ms or so.
+// Tick advances the time and updates the view. Call it about every 100 ms.
 func (w *Worker) Tick(now time.Time, view *port.View) []Action {
 	w.view = view
 	if w.phase != phaseRunning {
@@ -103,38 +103,38 @@
 	return w.flush()
 }
 
-// retryQuestion is the advised wait of a trainer whose question came before the
-// coordinator was there.
-const retryQuestion = 500 * time.Millisecond
+// requestRetryAfter is the RetryAfter of a batch request rejected for lack of a
+// coordinator.
+const requestRetryAfter = 500 * time.Millisecond
 
-// Coordinator hands an event to the coordinator. While there is none, as before
-// the lease is acquired, a trainer's question is refused at once.
+// Coordinator passes an event to the coordinator. While there is none, batch requests
+// are rejected at once.
 func (w *Worker) Coordinator(now time.Time, event coordinator.Event) []Action {
 	if w.phase == phaseRunning && w.coordinator != nil {
 		w.step(now, event)
-	} else if asked, isQuestion := event.(coordinator.BatchRequested); isQuestion {
-		w.refuse(asked.Token)
+	} else if request, isRequest := event.(coordinator.BatchRequested); isRequest {
+		w.refuse(request.Token)
 	}
 	return w.flush()
 }
 
 func (w *Worker) refuse(token uint64) {
 	refusal := port.NewError(port.NotRun, port.CodeUnavailable, "pool %s has no coordinator at this moment", w.config.Pool)
-	refusal.RetryAfter = retryQuestion
+	refusal.RetryAfter = requestRetryAfter
 	w.emit(Coordinate{Action: coordinator.Refuse{Token: token, Err: refusal}})
 }
 
-// Answered gives the outcome of a Propose.
+// Answered handles the result of a Propose.
 func (w *Worker) Answered(now time.Time, token uint64, result port.Result, failure *port.Error) []Action {
-	if take := w.proposals[token]; take != nil {
+	if done := w.proposals[token]; done != nil {
 		delete(w.proposals, token)
-		take(now, result, failure)
+		done(now, result, failure)
 	}
 	return w.flush()
 }
 
-// Drain prepares a planned stop: nothing new is started, and the lease is given
-// back once nothing is in doubt.
+// Drain starts a planned stop: the worker starts nothing new, and releases the lease
+// once no commit has an unknown outcome.
 func (w *Worker) Drain(now time.Time) []Action {
 	w.draining = true
 	switch {
@@ -147,14 +147,14 @@
 	return w.flush()
 }
 
-// Stop ends the worker at once, as when its node dies in order.
+// Stop ends the worker at once.
 func (w *Worker) Stop(now time.Time) []Action {
-	w.lose(now, nil)
+	w.end(now, nil)
 	return w.flush()
 }
 
-// begin makes the state machines from the ledger and the view.
-func (w *Worker) begin(now time.Time, state *port.LedgerState) {
+// start creates the rollouts and the coordinator from the ledger and the view.
+func (w *Worker) start(now time.Time, state *port.LedgerState) {
 	pool := findPool(w.view, w.config.Pool)
 	if pool == nil {
 		w.release(now)
@@ -166,21 +166,21 @@
 		return
 	}
 	weights := weightsOf(w.view, w.config.Pool)
-	made, err := coordinator.New(coordinator.Config{
+	created, err := coordinator.New(coordinator.Config{
 		Pool: w.config.Pool, Sampling: *pool.Sampling, Epoch: w.epoch, Node: w.config.Node,
 		LeaseUntil: w.leaseUntil, Ledger: *state, Weights: weights,
 		Program: w.compile(pool.Sampling.Policy), Seed: w.config.Seed ^ uint64(w.epoch),
 	})
 	if err != nil {
-		w.lose(now, err)
+		w.end(now, err)
 		return
 	}
-	w.coordinator = made
+	w.coordinator = created
 	w.sampling = *pool.Sampling
 	w.weights = weights.Version
 }
 
-// compile gives the pool's program, or nil, which leaves the one in force.
+// compile returns the compiled program, or nil if it is invalid: the previous one stays.
 func (w *Worker) compile(source string) *policy.Program {
 	w.policy = source
 	program, err := policy.Compile(source)
@@ -191,7 +191,7 @@
 	return program
 }
 
-// followView takes over what changed in the view.
+// followView applies changes of the view.
 func (w *Worker) followView(now time.Time) {
 	w.updateRollouts(now)
 	pool := findPool(w.view, w.config.Pool)
@@ -216,18 +216,18 @@
 	}
 }
 
-// step hands an event to the coordinator and takes its actions over.
+// step passes an event to the coordinator and handles the actions it returns.
 func (w *Worker) step(now time.Time, event coordinator.Event) {
 	if w.coordinator == nil {
 		return
 	}
 	for _, action := range w.coordinator.Step(now, event) {
-		w.takeOver(now, action)
+		w.dispatch(now, action)
 	}
 }
 
-// takeOver turns an action of the coordinator into those of the worker.
-func (w *Worker) takeOver(now time.Time, action coordinator.Action) {
+// dispatch converts an action of the coordinator into actions of the worker.
+func (w *Worker) dispatch(now time.Time, action coordinator.Action) {
 	switch action := action.(type) {
 	case coordinator.Commit:
 		w.commit(action)
@@ -258,17 +258,17 @@
 	})
 }
 
-func (w *Worker) propose(command port.Command, timeout time.Duration, take func(time.Time, port.Result, *port.Error)) {
+func (w *Worker) propose(command port.Command, timeout time.Duration, done func(time.Time, port.Result, *port.Error)) {
 	w.token++
-	if take != nil {
-		w.proposals[w.token] = take
+	if done != nil {
+		w.proposals[w.token] = done
 	}
 	w.emit(Propose{Token: w.token, Command: command, Timeout: timeout})
 }
 
 func (w *Worker) emit(action Action) { w.actions = append(w.actions, action) }
 
-// flush gives the actions gathered by a call.
+// flush returns the pending actions and clears them.
 func (w *Worker) flush() []Action {
 	actions := w.actions
 	w.actions = nil
--- a/internal/core/poolworker/worker_test.go
+++ b/internal/core/poolworker/worker_test.go
@@ -25,27 +25,27 @@
 	}
 }
 
-// world answers the proposals of one worker.
-type world struct {
+// harness runs one worker and answers its proposals.
+type harness struct {
 	t       *testing.T
 	worker  *poolworker.Worker
 	actions []poolworker.Action
 }
 
-func newWorld(t *testing.T) *world {
-	made := &world{t: t}
+func newHarness(t *testing.T) *harness {
+	created := &harness{t: t}
 	worker, actions := poolworker.New(poolworker.Config{
 		Pool: "lm", Node: "n1", Seed: 1, Lease: 6 * time.Second, CallTimeout: time.Second,
 	}, at(0), view())
-	made.worker, made.actions = worker, actions
-	return made
+	created.worker, created.actions = worker, actions
+	return created
 }
 
-// proposal takes the newest proposal out of the actions.
-func (w *world) proposal() poolworker.Propose {
+// proposal removes the newest proposal from the actions and returns it.
+func (w *harness) proposal() poolworker.Propose {
 	w.t.Helper()
 	for index := len(w.actions) - 1; index >= 0; index-- {
-		if proposed, is := w.actions[index].(poolworker.Propose); is {
+		if proposed, ok := w.actions[index].(poolworker.Propose); ok {
 			w.actions = append(w.actions[:index], w.actions[index+1:]...)
 			return proposed
 		}
@@ -54,36 +54,36 @@
 	return poolworker.Propose{}
 }
 
-func (w *world) answer(now time.Time, proposed poolworker.Propose, result port.Result, failure *port.Error) {
+func (w *harness) answer(now time.Time, proposed poolworker.Propose, result port.Result, failure *port.Error) {
 	w.actions = append(w.actions, w.worker.Answered(now, proposed.Token, result, failure)...)
 }
 
-// lead lets the worker get its lease at a time, and begin.
-func (w *world) lead(now time.Time) {
+// acquire grants the lease at a time and returns the delivery state.
+func (w *harness) acquire(now time.Time) {
 	lease := &port.Lease{Name: "coordinator/lm", Holder: "n1", Epoch: 3}
 	w.answer(now, w.proposal(), port.Result{Lease: lease}, nil)
 	w.answer(now, w.proposal(), port.Result{Ledger: &port.LedgerState{Pool: "lm"}}, nil)
 }
 
-func (w *world) tick(now time.Time) {
+func (w *harness) tick(now time.Time) {
 	w.actions = append(w.actions, w.worker.Tick(now, view())...)
 }
 
 func TestLeaseCountsFromBeforeItWasAskedFor(t *testing.T) {
-	w := newWorld(t)
-	w.lead(at(2))
+	w := newHarness(t)
+	w.acquire(at(2))
 	if !w.worker.Running() || w.worker.Epoch() != 3 {
 		t.Fatalf("running %v under epoch %d", w.worker.Running(), w.worker.Epoch())
 	}
-	// Renewals get no answer. Nine tenths of six seconds after the question was
-	// sent, not after it was answered, the worker stops.
+	// Renewals get no answer. The lease ends nine tenths of 6 s after the request was
+	// sent, not after it was granted.
 	w.tick(at(5.3))
 	if w.worker.Ended() {
-		t.Fatal("ended before its lease")
+		t.Fatal("ended before its lease expired")
 	}
 	w.tick(at(5.4))
 	if !w.worker.Ended() {
-		t.Error("coordinates beyond its lease")
+		t.Error("still coordinates after its lease expired")
 	}
 }
 
@@ -92,39 +92,39 @@
 	lost := port.NewError(port.MayHaveRun, port.CodeUnavailable, "no answer")
 	cases := []struct {
 		name  string
-		act   func(w *world)
+		act   func(w *harness)
 		ended bool
 	}{
-		{"the lease is held by another", func(w *world) { w.answer(at(1), w.proposal(), port.Result{Error: refused}, nil) }, true},
-		{"no answer to the question for the lease", func(w *world) { w.answer(at(1), w.proposal(), port.Result{}, lost) }, true},
-		{"a renewal is refused", func(w *world) {
-			w.lead(at(0))
+		{"the lease is held by another node", func(w *harness) { w.answer(at(1), w.proposal(), port.Result{Error: refused}, nil) }, true},
+		{"no answer to the lease request", func(w *harness) { w.answer(at(1), w.proposal(), port.Result{}, lost) }, true},
+		{"a renewal is rejected", func(w *harness) {
+			w.acquire(at(0))
 			w.tick(at(2.1))
 			w.answer(at(2.2), w.proposal(), port.Result{Error: refused}, nil)
 		}, true},
-		{"a renewal has no answer", func(w *world) {
-			w.lead(at(0))
+		{"a renewal gets no answer", func(w *harness) {
+			w.acquire(at(0))
 			w.tick(at(2.1))
 			w.answer(at(3), w.proposal(), port.Result{}, lost)
 			w.tick(at(4))
 		}, false},
-		{"a renewal is granted", func(w *world) {
-			w.lead(at(0))
+		{"a renewal is granted", func(w *harness) {
+			w.acquire(at(0))
 			w.tick(at(2.1))
 			w.answer(at(2.2), w.proposal(), port.Result{Lease: &port.Lease{Epoch: 3}}, nil)
 			w.tick(at(7))
 		}, false},
-		{"drained with nothing in doubt", func(w *world) {
-			w.lead(at(0))
+		{"drained with no pending commit", func(w *harness) {
+			w.acquire(at(0))
 			w.actions = append(w.actions, w.worker.Drain(at(1))...)
-			if given := w.proposal().Command.ReleaseLease; given == nil || given.Epoch != 3 {
-				w.t.Errorf("released %+v", given)
+			if release := w.proposal().Command.ReleaseLease; release == nil || release.Epoch != 3 {
+				w.t.Errorf("released %+v", release)
 			}
 		}, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newHarness(t)
 			testCase.act(w)
 			if w.worker.Ended() != testCase.ended {
 				t.Errorf("ended: %v", w.worker.Ended())
@@ -158,38 +158,38 @@
 	seeker := poolworker.NewSeeker("n1")
 	for step := range 49 {
 		if wanted := seeker.Wanted(at(float64(step)/10), held, none); len(wanted) > 0 {
-			t.Fatalf("asks for %v after %d ms", wanted, 100*step)
+			t.Fatalf("requests %v after %d ms", wanted, 100*step)
 		}
 	}
 }
 
-// A question that comes while the lease is asked for, or to the holder of a pool
-// of engines that feeds no trainer, gets an answer: nobody else gives one.
+// A batch request to a worker without a coordinator must be rejected: nobody else
+// answers it.
 func TestQuestionWithoutCoordinatorIsRefused(t *testing.T) {
-	question := coordinator.BatchRequested{Token: 7, Number: 1, ConsumerEpoch: 1, Deadline: at(9)}
+	request := coordinator.BatchRequested{Token: 7, Number: 1, ConsumerEpoch: 1, Deadline: at(9)}
 	refused := func(actions []poolworker.Action) bool {
 		for _, action := range actions {
-			coordinate, is := action.(poolworker.Coordinate)
-			if !is {
+			coordinate, ok := action.(poolworker.Coordinate)
+			if !ok {
 				continue
 			}
-			refusal, is := coordinate.Action.(coordinator.Refuse)
-			if is && refusal.Token == 7 && refusal.Err.Verdict == port.NotRun && refusal.Err.RetryAfter > 0 {
+			refusal, ok := coordinate.Action.(coordinator.Refuse)
+			if ok && refusal.Token == 7 && refusal.Err.Verdict == port.NotRun && refusal.Err.RetryAfter > 0 {
 				return true
 			}
 		}
 		return false
 	}
-	w := newWorld(t)
-	if !refused(w.worker.Coordinator(at(1), question)) {
-		t.Error("a question before the lease was acquired is not answered")
+	w := newHarness(t)
+	if !refused(w.worker.Coordinator(at(1), request)) {
+		t.Error("a request before the lease was granted is not answered")
 	}
-	w.lead(at(2))
-	if refused(w.worker.Coordinator(at(2), question)) {
-		t.Error("a question to the coordinator is refused")
+	w.acquire(at(2))
+	if refused(w.worker.Coordinator(at(2), request)) {
+		t.Error("a request to the coordinator is rejected")
 	}
 	w.actions = append(w.actions, w.worker.Stop(at(3))...)
-	if !refused(w.worker.Coordinator(at(3), question)) {
-		t.Error("a question after the worker stopped is not answered")
+	if !refused(w.worker.Coordinator(at(3), request)) {
+		t.Error("a request after the worker ended is not answered")
 	}
 }
