--- a/internal/core/scheduling/candidate.go
+++ b/internal/core/scheduling/candidate.go
@@ -6,62 +6,61 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Candidate is what the caller knows of one replica at the time of a decision.
+// Candidate holds what the caller knows of one replica at the time of a decision.
 type Candidate struct {
 	Replica port.ReplicaID
 	Zone    port.ZoneName
 	Region  port.RegionName
-	// Home is the node that queues and judges the replica.
+	// Home is the node that queues the replica's requests and checks its health.
 	Home port.NodeID
 
-	// Version is what the replica last reported to serve, Staged what it has
-	// loaded besides. VersionUnknown keeps the replica out of routing, as after
-	// a swap that failed partway.
+	// Version is the weight version the replica last reported to serve, Staged the one
+	// it has loaded in addition. VersionUnknown excludes the replica from routing, as
+	// after a swap that failed partway.
 	Version        port.WeightVersion
 	Staged         port.WeightVersion
 	VersionUnknown bool
 	Role           port.EngineRole
 	Adapters       []string
 
-	// Draining is an operator's order, Leaving the machine list's word.
+	// Draining is set by an operator, Leaving by the machine list.
 	Draining bool
 	Leaving  bool
-	// Ejected and Probing are the home's verdict on health.
+	// Ejected and Probing are the health state at the home.
 	Ejected bool
 	Probing bool
 
-	// Running and Waiting are the replica's own counts, ReportAge old.
+	// Running and Waiting are the replica's own counts, of age ReportAge.
 	Running   int
 	Waiting   int
 	ReportAge time.Duration
-	// Inflight is exact: requests that this node (at the home: any node) has
-	// sent and not seen the end of. SentSinceReport and FinishedSinceReport
-	// count those sent and ended after the report was made.
+	// Inflight is the exact number of requests that this node, or any node if this is
+	// the home, has sent and that have not finished. SentSinceReport and
+	// FinishedSinceReport count those sent and finished after the report.
 	Inflight            int
 	SentSinceReport     int
 	FinishedSinceReport int
-	// InflightTokens is the number of tokens that requests in flight may still
-	// add to the KV cache.
+	// InflightTokens is the number of tokens that requests in flight may still add to
+	// the KV cache.
 	InflightTokens int
 
-	// KVUsed and KVTotal are in cache blocks, as reported; a KVTotal of 0 means
-	// that the replica has no KV cache.
+	// KVUsed and KVTotal are in cache blocks, as reported; KVTotal is 0 for a replica
+	// without a KV cache.
 	KVUsed  int
 	KVTotal int
-	// Latency is the mean time that this node's own requests took at the
-	// replica; 0 means not known.
+	// Latency is the mean latency of this node's own requests at the replica; 0 means
+	// unknown.
 	Latency time.Duration
-	// Limit is the present concurrency limit; 0 means none.
+	// Limit is the concurrency limit; 0 means none.
 	Limit int
 }
 
-// maxReportAge is the age in time after which a load report says nothing.
+// maxReportAge is the age above which a load report is ignored.
 const maxReportAge = 10 * time.Second
 
-// Load gives the replica's load in requests, corrected for the report's lag:
-// the exact count of own requests in flight, plus those of others as far as
-// the report shows them. Own requests that the report already counts are the
-// ones in flight when it was made, and are not counted twice.
+// Load returns the replica's load in requests: the exact count of this node's requests
+// in flight, plus the requests of others in the report. This node's requests that the
+// report includes are not counted twice.
 func (c *Candidate) Load() int {
 	if c.ReportAge > maxReportAge {
 		return c.Inflight
@@ -71,32 +70,32 @@
 	return c.Inflight + max(others, 0)
 }
 
-// PrefixIndex tells how many leading blocks of a prompt a replica has cached.
+// PrefixIndex returns how many leading blocks of a prompt a replica has cached.
 type PrefixIndex interface {
 	Match(hashes []uint64, replica port.ReplicaID) int
 }
 
-// Request is what the steps may ask about the request.
+// Request holds the properties of a request that filters and scorers use.
 type Request struct {
 	Pool port.PoolName
-	// Zone and Region are those of the node that decides.
+	// Zone and Region are those of the deciding node.
 	Zone     port.ZoneName
 	Region   port.RegionName
 	Priority port.Priority
-	// PromptTokens and MaxTokens bound the KV cache that the request needs.
+	// PromptTokens and MaxTokens bound the request's KV cache use.
 	PromptTokens int
 	MaxTokens    int
-	// MinVersion is the oldest version that may serve; 0 means any known one.
+	// MinVersion is the oldest weight version that may serve; 0 means any known one.
 	MinVersion port.WeightVersion
-	// Adapter must be loaded; empty means none.
+	// Adapter is the adapter that must be loaded; empty means none.
 	Adapter string
-	// Role is the phase wanted; empty means a replica that serves all phases.
+	// Role is the required phase; empty means a replica that serves all phases.
 	Role port.EngineRole
-	// PrefixHashes are looked up in Prefix, which may be nil.
+	// PrefixHashes are matched against Prefix, which may be nil.
 	PrefixHashes []uint64
 	Prefix       PrefixIndex
-	// Exclude names the replicas of earlier attempts.
+	// Exclude lists the replicas of earlier attempts.
 	Exclude []port.ReplicaID
-	// Record asks for Filtered and Scores in the Result.
+	// Record requests Result.Filtered and Result.Scores.
 	Record bool
 }
--- a/internal/core/scheduling/filter.go
+++ b/internal/core/scheduling/filter.go
@@ -6,11 +6,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Filter takes replicas out of a decision.
+// Filter removes replicas from a decision.
 type Filter interface {
-	// Name stands in decision records.
+	// Name is the filter's name in decision records.
 	Name() string
-	// Keep says whether the replica may serve the request.
+	// Keep reports whether the replica may serve the request.
 	Keep(request *Request, candidate *Candidate) bool
 }
 
@@ -26,8 +26,7 @@
 	FilterExcluded = "tried before"
 )
 
-// Health drops ejected replicas. One that is probed gets a single request at a
-// time.
+// Health drops ejected replicas. A replica in probing gets a single request at a time.
 type Health struct{}
 
 // Name implements Filter.
@@ -41,7 +40,7 @@
 	return !candidate.Ejected
 }
 
-// Leaving drops replicas that the machine list says are leaving.
+// Leaving drops replicas that the machine list marks as leaving.
 type Leaving struct{}
 
 // Name implements Filter.
@@ -50,7 +49,7 @@
 // Keep implements Filter.
 func (Leaving) Keep(_ *Request, candidate *Candidate) bool { return !candidate.Leaving }
 
-// Draining drops replicas that operators ordered to drain.
+// Draining drops replicas that an operator is draining.
 type Draining struct{}
 
 // Name implements Filter.
@@ -59,7 +58,7 @@
 // Keep implements Filter.
 func (Draining) Keep(_ *Request, candidate *Candidate) bool { return !candidate.Draining }
 
-// Role drops replicas that do not serve the wanted phases.
+// Role drops replicas that do not serve the required phase.
 type Role struct{}
 
 // Name implements Filter.
@@ -73,7 +72,7 @@
 	return candidate.Role == request.Role
 }
 
-// Version drops replicas whose version is unknown or older than asked for.
+// Version drops replicas whose weight version is unknown or older than required.
 type Version struct{}
 
 // Name implements Filter.
@@ -84,7 +83,7 @@
 	return !candidate.VersionUnknown && candidate.Version >= request.MinVersion
 }
 
-// Adapter drops replicas that have not loaded the wanted adapter.
+// Adapter drops replicas that have not loaded the required adapter.
 type Adapter struct{}
 
 // Name implements Filter.
@@ -95,7 +94,7 @@
 	return request.Adapter == "" || slices.Contains(candidate.Adapters, request.Adapter)
 }
 
-// Limit drops replicas that run as many requests as they may.
+// Limit drops replicas at their concurrency limit.
 type Limit struct{}
 
 // Name implements Filter.
--- a/internal/core/scheduling/filter_test.go
+++ b/internal/core/scheduling/filter_test.go
@@ -22,19 +22,19 @@
 		"healthy":                         {Health{}, Request{}, Candidate{}, true},
 		"ejected":                         {Health{}, Request{}, Candidate{Ejected: true}, false},
 		"probing and idle":                {Health{}, Request{}, Candidate{Probing: true}, true},
-		"probing with a probe under way":  {Health{}, Request{}, Candidate{Probing: true, Inflight: 1}, false},
+		"probing with a probe in flight":  {Health{}, Request{}, Candidate{Probing: true, Inflight: 1}, false},
 		"leaving":                         {Leaving{}, Request{}, Candidate{Leaving: true}, false},
-		"staying":                         {Leaving{}, Request{}, Candidate{}, true},
+		"not leaving":                     {Leaving{}, Request{}, Candidate{}, true},
 		"draining":                        {Draining{}, Request{}, Candidate{Draining: true}, false},
-		"role not told":                   {Role{}, Request{}, Candidate{}, true},
+		"role unknown":                    {Role{}, Request{}, Candidate{}, true},
 		"decode only for a whole request": {Role{}, Request{}, Candidate{Role: port.RoleDecode}, false},
 		"decode for decode":               {Role{}, Request{Role: port.RoleDecode}, Candidate{Role: port.RoleDecode}, true},
 		"both for prefill":                {Role{}, Request{Role: port.RolePrefill}, Candidate{Role: port.RoleBoth}, true},
 		"prefill for decode":              {Role{}, Request{Role: port.RoleDecode}, Candidate{Role: port.RolePrefill}, false},
-		"version as asked":                {Version{}, Request{MinVersion: 7}, Candidate{Version: 7}, true},
+		"version as required":             {Version{}, Request{MinVersion: 7}, Candidate{Version: 7}, true},
 		"version too old":                 {Version{}, Request{MinVersion: 7}, Candidate{Version: 6, Staged: 7}, false},
-		"version unknown, any asked":      {Version{}, Request{}, Candidate{Version: 9, VersionUnknown: true}, false},
-		"no adapter asked":                {Adapter{}, Request{}, Candidate{}, true},
+		"version unknown, none required":  {Version{}, Request{}, Candidate{Version: 9, VersionUnknown: true}, false},
+		"no adapter required":             {Adapter{}, Request{}, Candidate{}, true},
 		"adapter loaded":                  {Adapter{}, Request{Adapter: "a"}, Candidate{Adapters: []string{"b", "a"}}, true},
 		"adapter missing":                 {Adapter{}, Request{Adapter: "a"}, Candidate{Adapters: []string{"b"}}, false},
 		"below limit":                     {Limit{}, Request{}, Candidate{Limit: 2, Inflight: 1}, true},
@@ -52,7 +52,7 @@
 	}
 }
 
-// drawCandidates draws replicas in any mixture of states.
+// drawCandidates draws replicas in random states.
 func drawCandidates(t *rapid.T) []Candidate {
 	candidates := make([]Candidate, rapid.IntRange(0, 12).Draw(t, "count"))
 	for index := range candidates {
@@ -68,9 +68,8 @@
 	return candidates
 }
 
-// Whatever the profile, a replica that may not serve is never chosen, one is
-// chosen if any may serve, and the counts add up. It fails when a filter is
-// left out of a profile.
+// No profile may pick a replica that the required filters drop, each must pick one if
+// any is left, and the counts must add up.
 func TestEveryProfileKeepsThePromises(t *testing.T) {
 	names := []string{ProfileGeneration, ProfileApplication, ProfileRoundRobin, ProfileRandom, ProfileLeastInflight, ProfileTwoChoices}
 	for _, name := range names {
@@ -105,14 +104,14 @@
 	}
 }
 
-// allowedReplicas states the promises once more, apart from the filters.
+// allowedReplicas computes the allowed replicas independently of the filters.
 func allowedReplicas(candidates []Candidate) []port.ReplicaID {
 	var allowed []port.ReplicaID
 	for _, c := range candidates {
-		out := c.Leaving || c.Draining || c.VersionUnknown || c.Version < 2 || c.Replica == "b"
-		out = out || c.Probing && c.Inflight > 0 || c.Ejected && !c.Probing
-		out = out || c.Limit > 0 && c.Inflight >= c.Limit
-		if !out {
+		dropped := c.Leaving || c.Draining || c.VersionUnknown || c.Version < 2 || c.Replica == "b"
+		dropped = dropped || c.Probing && c.Inflight > 0 || c.Ejected && !c.Probing
+		dropped = dropped || c.Limit > 0 && c.Inflight >= c.Limit
+		if !dropped {
 			allowed = append(allowed, c.Replica)
 		}
 	}
--- a/internal/core/scheduling/picker.go
+++ b/internal/core/scheduling/picker.go
@@ -7,21 +7,21 @@
 
 // Scored is a replica that passed the filters, with its weighted score.
 type Scored struct {
-	// Index is the position among the candidates.
+	// Index is the index in the candidates.
 	Index int
 	Score float64
 }
 
 // Picker chooses among the scored replicas.
 type Picker interface {
-	// Pick gives a position in scored, which is never empty.
+	// Pick returns an index into scored, which is not empty.
 	Pick(candidates []Candidate, scored []Scored, random *rand.Rand) int
 }
 
-// scoreTie is the difference up to which two scores count as equal.
+// scoreTie is the difference up to which two scores are equal.
 const scoreTie = 1e-9
 
-// HighestScore picks the highest score, and one at random among equals.
+// HighestScore picks the highest score, at random among equals.
 type HighestScore struct{}
 
 // Pick implements Picker.
@@ -42,9 +42,9 @@
 	return best
 }
 
-// TwoChoices draws two replicas and picks the less loaded one, as a share of
-// its limit; equal loads are decided by score. It avoids the herd that
-// forms when many nodes follow the same lagging counts.
+// TwoChoices draws two replicas and picks the one with the lower load relative to its
+// limit; ties are broken by score. Unlike picking the minimum, it does not send every
+// node's requests to the same replica while the reported counts lag.
 type TwoChoices struct{}
 
 // Pick implements Picker.
@@ -61,23 +61,23 @@
 	return first
 }
 
-// ShortestOfTwo draws two replicas and picks the one with the shorter expected
-// time: the mean latency that this node saw, times its own requests in flight
-// and the new one (as the peak EWMA balancer of Finagle). While the latency of
-// either is not known, the fewer in flight decide. Equals are decided by score.
+// LowerLatencyOfTwo draws two replicas and picks the one with the lower expected
+// latency: this node's mean latency times its own requests in flight plus one, as the
+// peak EWMA balancer of Finagle does. While either latency is unknown, it compares the
+// requests in flight. Ties are broken by score.
 //
-// It leaves out the load that others report: a report that is older than the
-// requests are long tells of requests that have ended.
-type ShortestOfTwo struct{}
+// It ignores the load reported by others, since reports are older than short requests
+// take.
+type LowerLatencyOfTwo struct{}
 
 // Pick implements Picker.
-func (ShortestOfTwo) Pick(candidates []Candidate, scored []Scored, random *rand.Rand) int {
+func (LowerLatencyOfTwo) Pick(candidates []Candidate, scored []Scored, random *rand.Rand) int {
 	first, second := drawTwo(len(scored), random)
-	one, other := &candidates[scored[first].Index], &candidates[scored[second].Index]
-	firstCost, secondCost := float64(one.Inflight+1), float64(other.Inflight+1)
-	if one.Latency > 0 && other.Latency > 0 {
-		firstCost *= float64(one.Latency)
-		secondCost *= float64(other.Latency)
+	left, right := &candidates[scored[first].Index], &candidates[scored[second].Index]
+	firstCost, secondCost := float64(left.Inflight+1), float64(right.Inflight+1)
+	if left.Latency > 0 && right.Latency > 0 {
+		firstCost *= float64(left.Latency)
+		secondCost *= float64(right.Latency)
 	}
 	if secondCost < firstCost {
 		return second
@@ -88,11 +88,11 @@
 	return first
 }
 
-// BetterOfTwo draws two replicas and picks the one with the higher score.
-type BetterOfTwo struct{}
+// HigherScoreOfTwo draws two replicas and picks the one with the higher score.
+type HigherScoreOfTwo struct{}
 
 // Pick implements Picker.
-func (BetterOfTwo) Pick(_ []Candidate, scored []Scored, random *rand.Rand) int {
+func (HigherScoreOfTwo) Pick(_ []Candidate, scored []Scored, random *rand.Rand) int {
 	first, second := drawTwo(len(scored), random)
 	if scored[second].Score > scored[first].Score {
 		return second
@@ -100,7 +100,7 @@
 	return first
 }
 
-// LeastInflight picks the lowest load of all, and one at random among equals.
+// LeastInflight picks the lowest load of all, at random among equals.
 type LeastInflight struct{}
 
 // Pick implements Picker.
@@ -122,7 +122,7 @@
 	return best
 }
 
-// Random picks any replica with equal chance.
+// Random picks any replica with equal probability.
 type Random struct{}
 
 // Pick implements Picker.
@@ -130,7 +130,7 @@
 	return random.IntN(len(scored))
 }
 
-// RoundRobin picks the replicas in turn. It alone keeps state: a counter.
+// RoundRobin picks the replicas in turn. It is the only picker with state.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Pick implements Picker.
@@ -139,7 +139,7 @@
 	return int(turn % uint64(len(scored)))
 }
 
-// drawTwo gives two positions below count, different ones where it can.
+// drawTwo returns two random indexes below count, different if count is above 1.
 func drawTwo(count int, random *rand.Rand) (first, second int) {
 	if count == 1 {
 		return 0, 0
@@ -152,7 +152,7 @@
 	return first, second
 }
 
-// relativeLoad is the load as a share of the limit, or the load without one.
+// relativeLoad returns the load divided by the limit, or the load if there is no limit.
 func relativeLoad(candidate *Candidate) float64 {
 	return float64(candidate.Load()) / float64(max(candidate.Limit, 1))
 }
--- a/internal/core/scheduling/profile.go
+++ b/internal/core/scheduling/profile.go
@@ -1,13 +1,13 @@
 package scheduling
 
-// WeightedScorer is a scorer with its share of the total.
+// WeightedScorer is a scorer with its weight in the total.
 type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Profile is the full recipe of a decision. Filters run in order, and the
-// first one that drops a replica is the one that is counted.
+// Profile configures a decision. Filters run in order; a dropped replica is counted
+// under the first filter that drops it.
 type Profile struct {
 	Name    string
 	Filters []Filter
@@ -15,7 +15,7 @@
 	Picker  Picker
 }
 
-// Names of the profiles; those after the first two are baselines.
+// Names of the profiles. All but the first two are baselines for experiments.
 const (
 	ProfileGeneration    = "generation"
 	ProfileApplication   = "application"
@@ -25,8 +25,7 @@
 	ProfileTwoChoices    = "two-choices"
 )
 
-// DefaultBlockTokens is the number of tokens in a KV cache block of the
-// common engines.
+// DefaultBlockTokens is the number of tokens in a KV cache block of common engines.
 const DefaultBlockTokens = 16
 
 // Weights of the generation profile's scorers.
@@ -37,19 +36,18 @@
 	weightZone       = 0.25
 )
 
-// correctnessFilters are those that no profile may leave out: each keeps a
-// promise, not a preference.
-func correctnessFilters() []Filter {
+// requiredFilters returns the filters that every profile must have for correctness.
+func requiredFilters() []Filter {
 	return []Filter{
 		Leaving{}, Draining{}, Health{}, Version{}, Role{}, Adapter{}, Excluded{}, Limit{},
 	}
 }
 
-// Generation is the profile for model engines.
+// Generation returns the profile for model engines.
 func Generation() Profile {
 	return Profile{
 		Name:    ProfileGeneration,
-		Filters: correctnessFilters(),
+		Filters: requiredFilters(),
 		Scorers: []WeightedScorer{
 			{LoadScorer{}, weightLoad},
 			{PrefixScorer{}, weightPrefix},
@@ -60,20 +58,20 @@
 	}
 }
 
-// Application is the profile for short calls to application back ends.
+// Application returns the profile for short calls to application back ends.
 func Application() Profile {
 	return Profile{
 		Name:    ProfileApplication,
-		Filters: correctnessFilters(),
+		Filters: requiredFilters(),
 		Scorers: []WeightedScorer{{ZoneScorer{}, 1}},
-		Picker:  ShortestOfTwo{},
+		Picker:  LowerLatencyOfTwo{},
 	}
 }
 
-// Baseline gives one of the plain profiles for comparison in experiments. They
-// keep the filters and differ in the choice only; false means no such name.
+// Baseline returns a baseline profile for experiments, which has the required filters
+// but no scorers. It reports false for an unknown name.
 func Baseline(name string) (Profile, bool) {
-	profile := Profile{Name: name, Filters: correctnessFilters()}
+	profile := Profile{Name: name, Filters: requiredFilters()}
 	switch name {
 	case ProfileRoundRobin:
 		profile.Picker = &RoundRobin{}
@@ -89,7 +87,7 @@
 	return profile, true
 }
 
-// Named gives any profile by its name, or false.
+// Named returns the profile with a name. It reports false for an unknown name.
 func Named(name string) (Profile, bool) {
 	switch name {
 	case ProfileGeneration:
--- a/internal/core/scheduling/race_on_test.go
+++ b/internal/core/scheduling/race_on_test.go
@@ -2,6 +2,6 @@
 
 package scheduling
 
-// raceEnabled says that the race detector runs, which makes sync.Pool drop
-// items at random.
+// raceEnabled is set under the race detector, which makes sync.Pool drop items at
+// random.
 const raceEnabled = true
--- a/internal/core/scheduling/scheduler.go
+++ b/internal/core/scheduling/scheduler.go
@@ -7,35 +7,35 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// recordedScores is the number of best replicas that a record shows.
+// recordedScores is the number of best replicas in a record.
 const recordedScores = 3
 
 // Result is the outcome of one decision.
 type Result struct {
-	// Chosen is the position among the candidates; -1 when none passed.
+	// Chosen is the index of the chosen candidate; -1 if none passed.
 	Chosen     int
 	Considered int
-	// Filtered says how many replicas each filter took out. It is set when a
-	// record was asked for and whenever nothing was chosen.
+	// Filtered counts the replicas that each filter dropped. It is set if a record was
+	// requested or no replica was chosen.
 	Filtered []port.FilterCount
-	// Scores are those of the best few replicas, when a record was asked for.
+	// Scores holds the best scores, if a record was requested.
 	Scores []port.ReplicaScore
 }
 
-// Scheduler makes decisions by one profile. It is safe for concurrent use, as
-// long as each goroutine brings its own random source.
+// Scheduler makes decisions by one profile. It is safe for concurrent use if each
+// goroutine passes its own random source.
 type Scheduler struct {
 	profile Profile
 	scratch sync.Pool
 }
 
-// scratch is the working memory of one decision.
+// scratch holds the buffers of one decision.
 type scratch struct {
 	scored  []Scored
 	dropped []int
 }
 
-// New makes a scheduler of a profile, which must have a picker.
+// New returns a scheduler for a profile, which must have a picker.
 func New(profile Profile) *Scheduler {
 	scheduler := &Scheduler{profile: profile}
 	scheduler.scratch.New = func() any {
@@ -44,7 +44,7 @@
 	return scheduler
 }
 
-// Profile gives the profile's name.
+// Profile returns the profile's name.
 func (s *Scheduler) Profile() string { return s.profile.Name }
 
 // Pick chooses a replica for the request.
@@ -74,7 +74,7 @@
 	return result
 }
 
-// keep runs the filters and counts the one that drops the replica.
+// keep runs the filters and counts the one that dropped the replica.
 func (s *Scheduler) keep(request *Request, candidate *Candidate, dropped []int) bool {
 	for index, filter := range s.profile.Filters {
 		if !filter.Keep(request, candidate) {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// score gives the weighted sum of the scorers.
+// score returns the weighted sum of the scorers.
 func (s *Scheduler) score(request *Request, candidate *Candidate) float64 {
 	total := 0.0
 	for _, weighted := range s.profile.Scorers {
@@ -94,7 +94,7 @@
 	return total
 }
 
-// filterCounts lists the filters that took out at least one replica.
+// filterCounts returns the filters that dropped at least one replica.
 func (s *Scheduler) filterCounts(dropped []int) []port.FilterCount {
 	var counts []port.FilterCount
 	for index, count := range dropped {
@@ -105,7 +105,7 @@
 	return counts
 }
 
-// bestScores records the best few replicas with the parts of their scores.
+// bestScores returns the best scores with their parts.
 func (s *Scheduler) bestScores(request *Request, candidates []Candidate, scored []Scored) []port.ReplicaScore {
 	best := topScored(scored, recordedScores)
 	scores := make([]port.ReplicaScore, 0, len(best))
@@ -121,8 +121,7 @@
 	return scores
 }
 
-// topScored gives up to count entries of the highest scores, best first, in
-// one pass over the scored.
+// topScored returns up to count entries with the highest scores, best first.
 func topScored(scored []Scored, count int) []Scored {
 	best := make([]Scored, 0, count+1)
 	for _, entry := range scored {
--- a/internal/core/scheduling/scheduler_test.go
+++ b/internal/core/scheduling/scheduler_test.go
@@ -9,9 +9,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func seededRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// replicas makes healthy replicas with a spread of loads.
+// replicas returns healthy replicas with various loads.
 func replicas(count int) []Candidate {
 	candidates := make([]Candidate, count)
 	for index := range candidates {
@@ -31,13 +31,13 @@
 		}
 		return candidates
 	}
-	// latencies takes pairs of requests in flight and milliseconds.
+	// latencies takes pairs of requests in flight and latency in milliseconds.
 	latencies := func(pairs ...int) []Candidate {
 		candidates := make([]Candidate, len(pairs)/2)
 		for index := range candidates {
 			candidates[index].Inflight = pairs[2*index]
 			candidates[index].Latency = time.Duration(pairs[2*index+1]) * time.Millisecond
-			candidates[index].Running = 50 // of others, not looked at
+			candidates[index].Running = 50 // requests of others, ignored
 		}
 		return candidates
 	}
@@ -45,26 +45,26 @@
 		picker Picker
 		loads  []Candidate
 		scores []float64
-		// counts are the picks of 6000, within a tenth.
+		// counts are the expected picks of 6000, within a tenth.
 		counts []int
 	}{
-		"highest score":                  {HighestScore{}, loads(0, 0, 0), []float64{1, 3, 2}, []int{0, 6000, 0}},
-		"ties are even":                  {HighestScore{}, loads(0, 0, 0), []float64{3, 1, 3}, []int{3000, 0, 3000}},
-		"two choices":                    {TwoChoices{}, loads(0, 1, 2), []float64{0, 0, 0}, []int{4000, 2000, 0}},
-		"two choices, ties by score":     {TwoChoices{}, loads(1, 1), []float64{0, 1}, []int{0, 6000}},
-		"two choices of one":             {TwoChoices{}, loads(1), []float64{0}, []int{6000}},
-		"shortest of two, by latency":    {ShortestOfTwo{}, latencies(0, 9, 0, 1, 0, 5), []float64{0, 0, 0}, []int{0, 4000, 2000}},
-		"shortest of two, by both":       {ShortestOfTwo{}, latencies(3, 2, 1, 9), []float64{0, 0}, []int{6000, 0}},
-		"shortest of two, not yet known": {ShortestOfTwo{}, latencies(1, 1, 0, 0), []float64{0, 0}, []int{0, 6000}},
-		"shortest of two, ties by score": {ShortestOfTwo{}, latencies(1, 1, 1, 1), []float64{0, 1}, []int{0, 6000}},
-		"better of two":                  {BetterOfTwo{}, loads(0, 0, 0), []float64{1, 3, 2}, []int{0, 4000, 2000}},
-		"least in flight":                {LeastInflight{}, loads(2, 1, 1), []float64{0, 0, 0}, []int{0, 3000, 3000}},
-		"random":                         {Random{}, loads(9, 0, 0), []float64{0, 0, 0}, []int{2000, 2000, 2000}},
-		"round robin":                    {&RoundRobin{}, loads(9, 0, 0), []float64{0, 0, 0}, []int{2000, 2000, 2000}},
+		"highest score":                 {HighestScore{}, loads(0, 0, 0), []float64{1, 3, 2}, []int{0, 6000, 0}},
+		"ties are split evenly":         {HighestScore{}, loads(0, 0, 0), []float64{3, 1, 3}, []int{3000, 0, 3000}},
+		"two choices":                   {TwoChoices{}, loads(0, 1, 2), []float64{0, 0, 0}, []int{4000, 2000, 0}},
+		"two choices, ties by score":    {TwoChoices{}, loads(1, 1), []float64{0, 1}, []int{0, 6000}},
+		"two choices of one":            {TwoChoices{}, loads(1), []float64{0}, []int{6000}},
+		"latency of two, idle":          {LowerLatencyOfTwo{}, latencies(0, 9, 0, 1, 0, 5), []float64{0, 0, 0}, []int{0, 4000, 2000}},
+		"latency of two, in flight":     {LowerLatencyOfTwo{}, latencies(3, 2, 1, 9), []float64{0, 0}, []int{6000, 0}},
+		"latency of two, one unknown":   {LowerLatencyOfTwo{}, latencies(1, 1, 0, 0), []float64{0, 0}, []int{0, 6000}},
+		"latency of two, ties by score": {LowerLatencyOfTwo{}, latencies(1, 1, 1, 1), []float64{0, 1}, []int{0, 6000}},
+		"higher score of two":           {HigherScoreOfTwo{}, loads(0, 0, 0), []float64{1, 3, 2}, []int{0, 4000, 2000}},
+		"least in flight":               {LeastInflight{}, loads(2, 1, 1), []float64{0, 0, 0}, []int{0, 3000, 3000}},
+		"random":                        {Random{}, loads(9, 0, 0), []float64{0, 0, 0}, []int{2000, 2000, 2000}},
+		"round robin":                   {&RoundRobin{}, loads(9, 0, 0), []float64{0, 0, 0}, []int{2000, 2000, 2000}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			random := seeded()
+			random := seededRand()
 			scored := make([]Scored, len(test.scores))
 			for index, score := range test.scores {
 				scored[index] = Scored{Index: index, Score: score}
@@ -90,13 +90,13 @@
 			{Replica: "cached", Inflight: cachedInflight, Limit: 10},
 			{Replica: "idle", Limit: 10},
 		}
-		return candidates[scheduler.Pick(&request, candidates, seeded()).Chosen].Replica
+		return candidates[scheduler.Pick(&request, candidates, seededRand()).Chosen].Replica
 	}
 	if got := pick(5); got != "cached" {
-		t.Errorf("half loaded with the prefix cached: picked %s", got)
+		t.Errorf("half loaded, prefix cached: picked %s", got)
 	}
 	if got := pick(8); got != "idle" {
-		t.Errorf("nearly full with the prefix cached: picked %s", got)
+		t.Errorf("nearly full, prefix cached: picked %s", got)
 	}
 }
 
@@ -105,7 +105,7 @@
 	candidates[0].Draining = true
 	candidates[1].Ejected = true
 	request := Request{Zone: "a", Record: true}
-	result := New(Generation()).Pick(&request, candidates, seeded())
+	result := New(Generation()).Pick(&request, candidates, seededRand())
 	if len(result.Scores) != recordedScores || result.Considered != 8 || len(result.Filtered) != 2 {
 		t.Fatalf("record %+v", result)
 	}
@@ -127,7 +127,7 @@
 }
 
 func TestRefusalSaysWhyWithoutRecord(t *testing.T) {
-	result := New(Application()).Pick(&Request{}, []Candidate{{Leaving: true}, {Limit: 1, Inflight: 1}}, seeded())
+	result := New(Application()).Pick(&Request{}, []Candidate{{Leaving: true}, {Limit: 1, Inflight: 1}}, seededRand())
 	want := []port.FilterCount{{Filter: FilterLeaving, Count: 1}, {Filter: FilterLimit, Count: 1}}
 	if result.Chosen != -1 || len(result.Filtered) != 2 || result.Filtered[0] != want[0] || result.Filtered[1] != want[1] {
 		t.Errorf("result %+v, want none chosen and %v", result, want)
@@ -136,12 +136,12 @@
 
 func TestPickAllocatesNothing(t *testing.T) {
 	for _, profile := range []Profile{Generation(), Application()} {
-		scheduler, candidates, random := New(profile), replicas(250), seeded()
+		scheduler, candidates, random := New(profile), replicas(250), seededRand()
 		request := &Request{Zone: "a"}
 		scheduler.Pick(request, candidates, random)
-		// A collection may empty the pool of working memory now and then.
+		// A garbage collection may empty the sync.Pool.
 		if mean := testing.AllocsPerRun(1000, func() { scheduler.Pick(request, candidates, random) }); mean >= 1 && !raceEnabled {
-			t.Errorf("%s: %v allocations a pick, want none", profile.Name, mean)
+			t.Errorf("%s: %v allocations per pick, want none", profile.Name, mean)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 		for _, count := range []int{10, 250, 3500} {
 			b.Run(fmt.Sprintf("%s/%d", name, count), func(b *testing.B) {
 				profile, _ := Named(name)
-				scheduler, candidates, random := New(profile), replicas(count), seeded()
+				scheduler, candidates, random := New(profile), replicas(count), seededRand()
 				request := &Request{Zone: "a", PromptTokens: 500, MaxTokens: 500}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/core/scheduling/scorer.go
+++ b/internal/core/scheduling/scorer.go
@@ -2,7 +2,7 @@
 
 // Scorer rates a replica from 0, the worst, to 1.
 type Scorer interface {
-	// Name stands in decision records.
+	// Name is the scorer's name in decision records.
 	Name() string
 	// Score rates the replica for the request.
 	Score(request *Request, candidate *Candidate) float64
@@ -16,8 +16,7 @@
 	ScorerKVHeadroom = "kv headroom"
 )
 
-// LoadScorer prefers the least loaded replica, by Candidate.Load as a share of
-// the limit.
+// LoadScorer prefers replicas with a low Candidate.Load relative to their limit.
 type LoadScorer struct{}
 
 // Name implements Scorer.
@@ -32,7 +31,7 @@
 	return clamp(1 - load/float64(candidate.Limit))
 }
 
-// PrefixScorer prefers replicas that have cached the start of the prompt.
+// PrefixScorer prefers replicas that have cached a prefix of the prompt.
 type PrefixScorer struct{}
 
 // Name implements Scorer.
@@ -47,10 +46,10 @@
 	return clamp(float64(matched) / float64(len(request.PrefixHashes)))
 }
 
-// otherZoneScore is the rating of a replica in another zone of the region.
+// otherZoneScore is the score of a replica in another zone of the same region.
 const otherZoneScore = 0.5
 
-// ZoneScorer prefers the own zone, then the own region.
+// ZoneScorer prefers the deciding node's zone, then its region.
 type ZoneScorer struct{}
 
 // Name implements Scorer.
@@ -68,8 +67,8 @@
 	}
 }
 
-// KVHeadroomScorer prefers replicas whose KV cache still has room when all
-// that is in flight, and this request, have grown to their full length.
+// KVHeadroomScorer prefers replicas with free KV cache after this request and all
+// requests in flight have grown to their full length.
 type KVHeadroomScorer struct {
 	// BlockTokens is the number of tokens in a cache block.
 	BlockTokens int
@@ -89,8 +88,8 @@
 	return clamp(float64(free) / float64(candidate.KVTotal))
 }
 
-// clamp bounds a rating to 0..1. Plain comparisons cost less than the built-in
-// min and max, which order NaN and signed zeros too.
+// clamp limits a score to 0..1. Plain comparisons are cheaper than the built-in min and
+// max, which handle NaN and signed zeros.
 func clamp(value float64) float64 {
 	if value < 0 {
 		return 0
