--- a/internal/core/policy/check.go
+++ b/internal/core/policy/check.go
@@ -15,8 +15,8 @@
 	Err   error
 }
 
-// Check compiles a program and runs it on the standard views. The error tells
-// of the first failure; the trials show every view.
+// Check compiles a program and runs it on the standard views. It returns the results of
+// all views and the first error.
 func Check(source string) ([]Trial, error) {
 	program, err := Compile(source)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return CheckProgram(program, StandardViews())
 }
 
-// CheckProgram runs a program on the given views.
+// CheckProgram runs a program on the given views. Errors are those of Check.
 func CheckProgram(program *Program, views []NamedView) ([]Trial, error) {
 	var first error
 	trials := make([]Trial, 0, len(views))
@@ -45,9 +45,9 @@
 	View View
 }
 
-// StandardViews gives the situations that every program must have an answer
-// for: an empty pool, the start, normal running, a waiting trainer, replicas on
-// mixed versions, a full buffer, and a large pool.
+// StandardViews returns the views that every program must accept: an empty pool, the
+// start, normal running, a waiting trainer, replicas on mixed versions, a full buffer
+// and a large pool.
 func StandardViews() []NamedView {
 	running := standardView(8, 24, 7)
 	running.InFlight, running.Buffered, running.Scoring = 120, 64, 8
@@ -80,7 +80,7 @@
 	}
 }
 
-// standardView makes a view of a pool with like replicas in three zones.
+// standardView returns a view of a pool with equal replicas in three zones.
 func standardView(replicas, limit int, version port.WeightVersion) View {
 	view := View{
 		Name: "standard", Version: version, StalenessBound: 4,
--- a/internal/core/policy/configuration.go
+++ b/internal/core/policy/configuration.go
@@ -2,8 +2,8 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// CheckConfiguration refuses a configuration that holds a policy program which
-// does not pass its dry run. The error is a *port.Error naming the pool.
+// CheckConfiguration returns an error if a policy program of the configuration fails its
+// dry run. The error is a *port.Error that names the pool.
 func CheckConfiguration(configuration port.Configuration) error {
 	for _, pool := range configuration.Pools {
 		if pool.Sampling == nil {
--- a/internal/core/policy/page_test.go
+++ b/internal/core/policy/page_test.go
@@ -12,7 +12,7 @@
 
 const page = "docs/operators/policies.md"
 
-// fieldsOf lists the names of a struct's fields as programs know them.
+// fieldsOf returns the names of a struct's fields in programs, sorted.
 func fieldsOf(described reflect.Type) []string {
 	var names []string
 	for index := range described.NumField() {
@@ -22,8 +22,8 @@
 	return names
 }
 
-// documented lists the quoted names of the first cells under a heading.
-func documented(t *testing.T, heading string) []string {
+// documentedFields returns the quoted names in the first column under a heading, sorted.
+func documentedFields(t *testing.T, heading string) []string {
 	t.Helper()
 	var names []string
 	for _, row := range testkit.PageRows(t, page, heading) {
@@ -36,16 +36,16 @@
 func TestFieldsAreThoseOfThePage(t *testing.T) {
 	seen := append(fieldsOf(reflect.TypeFor[policy.View]()), fieldsOf(reflect.TypeFor[policy.Replica]())...)
 	slices.Sort(seen)
-	if listed := documented(t, "What a program sees"); !slices.Equal(listed, seen) {
+	if listed := documentedFields(t, "What a program sees"); !slices.Equal(listed, seen) {
 		t.Errorf("the page lists\n%v\na program sees\n%v", listed, seen)
 	}
 	decided := fieldsOf(reflect.TypeFor[policy.Plan]())
-	if listed := documented(t, "What a program decides"); !slices.Equal(listed, decided) {
+	if listed := documentedFields(t, "What a program decides"); !slices.Equal(listed, decided) {
 		t.Errorf("the page lists\n%v\na program decides\n%v", listed, decided)
 	}
 }
 
-// TestPagesExampleIsAllowed runs the program of the page.
+// TestPagesExampleIsAllowed checks the page's example program.
 func TestPagesExampleIsAllowed(t *testing.T) {
 	_, rest, found := strings.Cut(testkit.Page(t, page), "    def plan")
 	if !found {
--- a/internal/core/policy/program.go
+++ b/internal/core/policy/program.go
@@ -20,34 +20,34 @@
 	// list of any size.
 	MaxRange = 10_000
 
-	// FileName stands for the program in its error messages.
+	// FileName is the program's file name in error messages.
 	FileName = "policy.star"
 
 	functionName = "plan"
 )
 
-// Default is the source of the program for pools that name none.
+// Default is the source of the program for pools without one.
 //
 //go:embed default.star
 var Default string
 
-// ErrStepLimit says that a program ran past its step limit.
+// ErrStepLimit is returned when a program exceeds its step limit.
 var ErrStepLimit = errors.New("policy program ran past its step limit")
 
-// Program is a compiled program. It is immutable: runs share nothing.
+// Program is a compiled program. It is immutable; runs share no state.
 type Program struct {
 	source   string
 	function *starlark.Function
 	maxSteps uint64
 }
 
-// Compile parses and initialises a program. An empty source is Default. The
-// error names file, line and column.
+// Compile parses and initialises a program. An empty source means Default. Errors name
+// file, line and column.
 func Compile(source string) (*Program, error) {
 	return CompileLimited(source, DefaultMaxSteps)
 }
 
-// CompileLimited is Compile with a step limit other than DefaultMaxSteps.
+// CompileLimited is Compile with the given step limit.
 func CompileLimited(source string, maxSteps uint64) (*Program, error) {
 	if source == "" {
 		source = Default
@@ -58,7 +58,7 @@
 	thread := newThread(maxSteps)
 	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{Set: true}, thread, FileName, source, predeclared())
 	if err != nil {
-		return nil, describe(err, thread, maxSteps)
+		return nil, withPosition(err, thread, maxSteps)
 	}
 	globals.Freeze()
 	function, isFunction := globals[functionName].(*starlark.Function)
@@ -68,23 +68,23 @@
 	return &Program{source: source, function: function, maxSteps: maxSteps}, nil
 }
 
-// Source gives the program's text.
+// Source returns the program's source.
 func (p *Program) Source() string { return p.source }
 
-// Run calls plan(pool) and gives the checked plan with the steps it took. After
-// an error the caller keeps the last plan that was good.
+// Run calls plan(pool) and returns the validated plan and the steps it took. After an
+// error the caller keeps the last valid plan.
 func (p *Program) Run(view View) (Plan, uint64, error) {
 	thread := newThread(p.maxSteps)
 	result, err := starlark.Call(thread, p.function, starlark.Tuple{viewValue(view)}, nil)
 	steps := thread.ExecutionSteps()
 	if err != nil {
-		return Plan{}, steps, describe(err, thread, p.maxSteps)
+		return Plan{}, steps, withPosition(err, thread, p.maxSteps)
 	}
 	plan, err := readPlan(result, view)
 	return plan, steps, err
 }
 
-// newThread makes a thread without load and print, with bounded steps.
+// newThread returns a thread without load and print, with bounded steps.
 func newThread(maxSteps uint64) *starlark.Thread {
 	thread := &starlark.Thread{
 		Name:  FileName,
@@ -94,7 +94,7 @@
 	return thread
 }
 
-// predeclared lists the names a program has besides the language's own.
+// predeclared returns the names that a program has in addition to the language's own.
 func predeclared() starlark.StringDict {
 	return starlark.StringDict{
 		"struct": starlark.NewBuiltin("struct", starlarkstruct.Make),
@@ -114,8 +114,8 @@
 	return value, nil
 }
 
-// describe adds the line to an interpreter error.
-func describe(err error, thread *starlark.Thread, maxSteps uint64) error {
+// withPosition adds the position in the program to an interpreter error.
+func withPosition(err error, thread *starlark.Thread, maxSteps uint64) error {
 	if thread.ExecutionSteps() >= maxSteps {
 		return fmt.Errorf("%w: allowed are %d", ErrStepLimit, maxSteps)
 	}
--- a/internal/core/policy/values.go
+++ b/internal/core/policy/values.go
@@ -12,19 +12,19 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// FieldError says which field of a program's result is not allowed.
+// FieldError reports an invalid field of a program's result.
 type FieldError struct {
 	Field   string
 	Value   string
 	Allowed string
 }
 
-// Error names field, value and what is allowed.
+// Error returns the field, its value and the allowed values.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("policy plan: field %s = %s, allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
-// viewValue makes the frozen argument of plan.
+// viewValue returns the frozen argument of plan.
 func viewValue(view View) starlark.Value {
 	replicas := make([]starlark.Value, len(view.Replicas))
 	for index, replica := range view.Replicas {
@@ -58,7 +58,7 @@
 	return value
 }
 
-// readPlan turns a program's result, a struct or a dict, into a checked Plan.
+// readPlan converts a program's result, a struct or a dict, into a validated Plan.
 func readPlan(result starlark.Value, view View) (Plan, error) {
 	fields, err := resultFields(result)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return plan, reader.err
 }
 
-// resultFields reads the fields of a struct or dict.
+// resultFields returns the fields of a struct or dict.
 func resultFields(result starlark.Value) (map[string]starlark.Value, error) {
 	fields := make(map[string]starlark.Value)
 	switch value := result.(type) {
@@ -109,13 +109,13 @@
 	return fields, nil
 }
 
-// planReader takes fields one by one and keeps the first error.
+// planReader reads fields one by one and keeps the first error.
 type planReader struct {
 	fields map[string]starlark.Value
 	err    error
 }
 
-// take removes a field; a None counts as left out.
+// take removes and returns a field; None counts as omitted.
 func (r *planReader) take(name string) starlark.Value {
 	value, found := r.fields[name]
 	delete(r.fields, name)
@@ -194,7 +194,7 @@
 	}
 }
 
-// refuseUnknown turns a misspelt field into an error.
+// refuseUnknown reports an unknown field, such as a misspelt one.
 func (r *planReader) refuseUnknown() {
 	if r.err != nil || len(r.fields) == 0 {
 		return
@@ -207,11 +207,11 @@
 	r.refuse(unknown[0], r.fields[unknown[0]], "a field of docs/operators/policies.md")
 }
 
-// shorten bounds a value in a message.
+// shorten truncates a value for an error message.
 func shorten(text string) string {
-	const most = 80
-	if len(text) <= most {
+	const maxLen = 80
+	if len(text) <= maxLen {
 		return text
 	}
-	return text[:most] + "..."
+	return text[:maxLen] + "..."
 }
