--- a/internal/core/logstory/delays.go
+++ b/internal/core/logstory/delays.go
@@ -6,44 +6,43 @@
 	"strconv"
 )
 
-// Events that delays are made of.
+// Events that Delays reads.
 const (
 	eventJobAccepted      = "job.accepted"
 	eventJobEnded         = "job.ended"
 	eventWeightsPublished = "weights.published"
 )
 
-// Delay is where the time of one step of a trainer went, from when its job was kept until the
-// next one was: the parts follow each other and add up to Total, but for Unexplained.
-// Milliseconds.
+// Delay splits the time of one step of a trainer, from the acceptance of its job to that
+// of the next one, into consecutive parts. They and Unexplained add up to Total. Times
+// are in milliseconds.
 type Delay struct {
 	Model string `json:"model"`
 	Step  uint64 `json:"step"`
 	Job   string `json:"job"`
-	// Kept is when a front had the job kept, in milliseconds since 1970, and Accept how long
-	// that took before.
+	// Kept is the Unix time at which the job was stored, Accept how long storing it took.
 	Kept   int64 `json:"kept"`
 	Accept int64 `json:"accept_ms"`
-	// TakenOver is until the runner had the job.
+	// TakenOver is the time until a runner started the job.
 	TakenOver int64 `json:"taken_over_ms"`
-	// FirstWait, LaterWaits, Ran, Unused and Scored are of the item that made so many groups
-	// whole that the client likely waited for no more: Deciding.
+	// FirstWait, LaterWaits, Ran, Unused and Scored are those of the item Deciding, which
+	// completed enough groups for the client to stop waiting.
 	FirstWait  int64  `json:"first_wait_ms"`
 	LaterWaits int64  `json:"later_waits_ms"`
 	Ran        int64  `json:"ran_ms"`
 	Unused     int64  `json:"unused_ms"`
 	Scored     int64  `json:"scored_ms"`
 	Deciding   string `json:"deciding_item"`
-	// Read is until the client ended the job.
+	// Read is the time until the client ended the job.
 	Read int64 `json:"read_ms"`
-	// Named is until the next version was published, Asked from then until the next job was
-	// kept. Both are 0 for a model's last job.
+	// Named is the time until the next version was published, Asked the time from then
+	// until the next job was stored. Both are 0 for a model's last job.
 	Named int64 `json:"named_ms"`
 	Asked int64 `json:"asked_ms"`
-	// Total is from the job to the next one, or to the end of this one if there is none.
+	// Total is the time until the next job, or until the end of this one if it is the last.
 	Total int64 `json:"total_ms"`
-	// Unexplained is what the parts leave: waits of the runner between two runs of the item
-	// that its line does not show, or lines that are missing.
+	// Unexplained is the rest: the runner's waits between two runs of the item that its
+	// line does not show, or missing lines.
 	Unexplained int64 `json:"unexplained_ms"`
 	Whole       bool  `json:"whole"`
 	Refused     int64 `json:"refused"`
@@ -51,17 +50,17 @@
 	Items       int64 `json:"items"`
 }
 
-// Delays gives the steps of all models in the order in which they were kept.
+// Delays returns the steps of all models in the order in which their jobs were stored.
 func Delays(lines []Line) []Delay {
 	jobs := map[string]*Delay{}
 	done, ended := map[string]Line{}, map[string]int64{}
-	named := map[string][]int64{} // by model, the times of published versions
+	published := map[string][]int64{} // times of published versions by model
 	for _, line := range lines {
 		id := line.field("id")
 		switch line.Event {
 		case eventJobAccepted:
-			if held := jobs[id]; held == nil || line.Time < held.Kept {
-				jobs[id] = keptOf(line)
+			if stored := jobs[id]; stored == nil || line.Time < stored.Kept {
+				jobs[id] = newDelay(line)
 			}
 		case EventJobDone:
 			if line.field("ended") == "true" {
@@ -72,20 +71,20 @@
 				ended[id] = line.Time
 			}
 		case eventWeightsPublished:
-			named[line.field("model")] = append(named[line.field("model")], line.Time)
+			published[line.field("model")] = append(published[line.field("model")], line.Time)
 		}
 	}
 	delays := make([]Delay, 0, len(jobs))
 	for id, job := range jobs {
-		job.work(done[id], ended[id])
+		job.addJobDone(done[id], ended[id])
 		delays = append(delays, *job)
 	}
 	slices.SortFunc(delays, func(a, b Delay) int { return cmp.Or(cmp.Compare(a.Kept, b.Kept), cmp.Compare(a.Job, b.Job)) })
-	follow(delays, ended, named)
+	addNextJobs(delays, ended, published)
 	return delays
 }
 
-func keptOf(line Line) *Delay {
+func newDelay(line Line) *Delay {
 	step, _ := strconv.ParseUint(line.field("step"), 10, 64)
 	return &Delay{
 		Model: line.field("model"), Step: step, Job: line.field("id"), Kept: line.Time, Accept: line.number("took"),
@@ -93,8 +92,8 @@
 	}
 }
 
-// work takes over what the runner and the end of the job tell.
-func (d *Delay) work(done Line, ended int64) {
+// addJobDone sets the parts that come from the runner's line and from the job's end.
+func (d *Delay) addJobDone(done Line, ended int64) {
 	if done.Event == "" {
 		return
 	}
@@ -110,15 +109,15 @@
 	}
 }
 
-// follow joins each job with the next one of its model.
-func follow(delays []Delay, ended map[string]int64, named map[string][]int64) {
+// addNextJobs sets the parts that depend on the next job of the same model.
+func addNextJobs(delays []Delay, ended map[string]int64, published map[string][]int64) {
 	next := map[string]*Delay{}
 	for i := len(delays) - 1; i >= 0; i-- {
 		d := &delays[i]
 		end := ended[d.Job]
 		if after := next[d.Model]; after != nil {
 			d.Total = after.Kept - d.Kept
-			if at, found := between(named[d.Model], end, after.Kept); found && end > 0 {
+			if at, found := firstBetween(published[d.Model], end, after.Kept); found && end > 0 {
 				d.Named, d.Asked = at-end, after.Kept-at
 			}
 		} else if end > 0 {
@@ -129,8 +128,8 @@
 	}
 }
 
-// between gives the first of some times within two.
-func between(times []int64, from, to int64) (int64, bool) {
+// firstBetween returns the first of the times in a range.
+func firstBetween(times []int64, from, to int64) (int64, bool) {
 	for _, at := range times {
 		if at >= from && at <= to {
 			return at, true
--- a/internal/core/logstory/delays_test.go
+++ b/internal/core/logstory/delays_test.go
@@ -6,8 +6,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/logstory"
 )
 
-// TestTheTimeOfAStepAddsUp: a job with an item that was refused once, and the next job of its
-// trainer. The lines come from three processes, in any order.
+// TestTheTimeOfAStepAddsUp reads unordered lines of three processes about a job, with an
+// item that was rejected once, and about the next job of its trainer.
 func TestTheTimeOfAStepAddsUp(t *testing.T) {
 	var lines []logstory.Line
 	for _, text := range []string{
@@ -23,7 +23,7 @@
 	} {
 		line, ok := logstory.Parse([]byte(text))
 		if !ok {
-			t.Fatalf("not read: %s", text)
+			t.Fatalf("not parsed: %s", text)
 		}
 		lines = append(lines, line)
 	}
--- a/internal/core/logstory/logstory.go
+++ b/internal/core/logstory/logstory.go
@@ -1,5 +1,5 @@
-// Package logstory puts the log lines of one id, from several processes, in
-// order and tells in plain words what happened. It is pure.
+// Package logstory merges the log lines of one id from several processes and formats
+// them with the cause of a failure.
 package logstory
 
 import (
@@ -14,21 +14,21 @@
 
 // Line is one structured log line.
 type Line struct {
-	// Time is in milliseconds since 1970.
+	// Time is in Unix milliseconds.
 	Time    int64
 	Process string
 	Level   string
 	Event   string
 	Message string
-	// Fields are the others.
+	// Fields holds all other fields.
 	Fields map[string]any
 }
 
-// known are the fields that Line names.
-var known = []string{"time", "process", "level", "event", "message"}
+// lineFields are the fields that Line holds outside Fields.
+var lineFields = []string{"time", "process", "level", "event", "message"}
 
-// Parse reads one line, which may have something before its JSON object, such
-// as a collector's time stamp. Ok is false for a line that is none of ours.
+// Parse parses one line, which may have a prefix before its JSON object, such as a
+// collector's timestamp. It reports false if the line is not an event of loomgrade.
 func Parse(text []byte) (line Line, ok bool) {
 	begin := bytes.IndexByte(text, '{')
 	if begin < 0 {
@@ -50,7 +50,7 @@
 	if number, isNumber := fields["time"].(json.Number); isNumber {
 		line.Time, _ = number.Int64()
 	}
-	for _, name := range known {
+	for _, name := range lineFields {
 		delete(fields, name)
 	}
 	line.Fields = fields
@@ -74,7 +74,7 @@
 	return false
 }
 
-// field gives a field as text, empty if it is not there.
+// field returns a field as text, or "" if it is missing.
 func (l Line) field(name string) string {
 	value, found := l.Fields[name]
 	if !found || value == nil {
@@ -83,9 +83,8 @@
 	return fmt.Sprint(value)
 }
 
-// Select gives the lines about an id in order of time, and with them the lines
-// about the replicas that these name and the changes of what was believed in
-// between, by the processes that wrote the former.
+// Select returns the lines about an id in order of time. It adds the lines about the
+// replicas that they name, and the state changes of the processes that wrote them.
 func Select(lines []Line, id string) []Line {
 	about := slices.DeleteFunc(slices.Clone(lines), func(line Line) bool { return !line.About(id) })
 	if len(about) == 0 {
@@ -104,9 +103,9 @@
 		if line.Time < first || line.Time > last || line.About(id) {
 			continue
 		}
-		believed := processes[line.Process] && slices.Contains(beliefs, line.Event)
+		stateChange := processes[line.Process] && slices.Contains(stateEvents, line.Event)
 		replica := replicas[line.field("replica")] && strings.HasPrefix(line.Event, "replica.")
-		if believed || replica {
+		if stateChange || replica {
 			about = append(about, line)
 		}
 	}
@@ -114,35 +113,35 @@
 	return about
 }
 
-// contextBefore is how far before the first line of an id changes of belief
-// count, in milliseconds.
+// contextBefore is how long before the first line of an id Select adds other lines, in
+// milliseconds.
 const contextBefore = 3000
 
-// beliefs are events that change what a process believes.
-var beliefs = []string{
+// stateEvents are the events that change a process's view of the system.
+var stateEvents = []string{
 	"control.watched", "control.lost", "control.provisional", "configuration.inforce",
 	"runner.started", "runner.stopped", "runner.notkept", "process.started", "process.stopping",
 }
 
-// Tell gives one sentence a line, with what decided in brackets, and at the end
-// the cause where the lines show one. Meanings say what an event tells.
+// Tell formats each line with its fields in brackets, followed by the cause of the
+// failure if the lines show one. meanings has the text of events without a message.
 func Tell(lines []Line, meanings map[string]string) []string {
 	if len(lines) == 0 {
 		return nil
 	}
-	var told []string
+	var formatted []string
 	start := lines[0].Time
 	for _, line := range lines {
 		text := line.Message
 		if text == "" {
 			text = meanings[line.Event]
 		}
-		told = append(told, fmt.Sprintf("%+7d ms  %s  %s: %s [%s]", line.Time-start, line.Process, line.Event, text, details(line)))
+		formatted = append(formatted, fmt.Sprintf("%+7d ms  %s  %s: %s [%s]", line.Time-start, line.Process, line.Event, text, details(line)))
 	}
 	if cause := Cause(lines); cause != "" {
-		told = append(told, "cause: "+cause)
+		formatted = append(formatted, "cause: "+cause)
 	}
-	return told
+	return formatted
 }
 
 func details(line Line) string {
@@ -155,8 +154,8 @@
 	return strings.Join(parts, " ")
 }
 
-// Cause says in words why the thing that the lines are about failed; empty if
-// they show no failure.
+// Cause returns why the request or item of the lines failed, or "" if they show no
+// failure.
 func Cause(lines []Line) string {
 	for _, line := range slices.Backward(lines) {
 		if cause := causeOf(line, lines); cause != "" {
@@ -178,7 +177,7 @@
 	case "request.carried":
 		return causeOfCarried(line)
 	case "request.failed":
-		if carried := lastOf(lines, "request.carried"); carried != nil && causeOfCarried(*carried) != "" {
+		if carried := lastEvent(lines, "request.carried"); carried != nil && causeOfCarried(*carried) != "" {
 			return causeOfCarried(*carried)
 		}
 		return fmt.Sprintf("%s answered %s by itself: %s (its view was confirmed by a quorum: %s)", line.Process, line.field("status"), line.field("reason"), line.field("confirmed"))
@@ -218,7 +217,7 @@
 	return text
 }
 
-func lastOf(lines []Line, event string) *Line {
+func lastEvent(lines []Line, event string) *Line {
 	for i := range slices.Backward(lines) {
 		if lines[i].Event == event {
 			return &lines[i]
--- a/internal/core/logstory/logstory_test.go
+++ b/internal/core/logstory/logstory_test.go
@@ -87,10 +87,10 @@
 	if got := strings.Join(events, ", "); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
-	if told := logstory.Tell(selected, nil); len(told) != 5 || !strings.HasPrefix(told[4], "cause: ") {
-		t.Errorf("%q", told)
+	if formatted := logstory.Tell(selected, nil); len(formatted) != 5 || !strings.HasPrefix(formatted[4], "cause: ") {
+		t.Errorf("%q", formatted)
 	}
 	if logstory.Select(lines, "nobody") != nil {
-		t.Error("lines about nobody")
+		t.Error("selected lines about an unknown id")
 	}
 }
--- a/internal/core/logstory/steps.go
+++ b/internal/core/logstory/steps.go
@@ -6,18 +6,18 @@
 	"strconv"
 )
 
-// EventJobDone is the event of a line that sums a job up.
+// EventJobDone is the event of the line that summarizes a job.
 const EventJobDone = "job.done"
 
-// Step is when what of a job was done, from one runner's line about it. Times are in
-// milliseconds from when the runner took the job over; 0 is never.
+// Step holds the times of one job from one runner's line about it, in milliseconds since
+// the runner started the job; 0 means never.
 type Step struct {
 	Job     string `json:"job"`
 	Step    uint64 `json:"step"`
 	Process string `json:"process"`
-	// Begun is when the runner took the job over, in milliseconds since 1970.
+	// Begun is the time at which the runner started the job, in Unix milliseconds.
 	Begun int64 `json:"begun"`
-	// Ended is set if the job was ended, and not only the runner's work on it.
+	// Ended is set if the job ended, not only the runner's work on it.
 	Ended       bool   `json:"ended"`
 	Items       int64  `json:"items"`
 	Runs        int64  `json:"runs"`
@@ -33,7 +33,7 @@
 	LastWaited  int64  `json:"last_waited_ms"`
 }
 
-// Steps gives the jobs that runners have done with, in order of when they began.
+// Steps returns the jobs that runners finished, in order of their start.
 func Steps(lines []Line) []Step {
 	var steps []Step
 	for _, line := range lines {
@@ -53,7 +53,7 @@
 	return steps
 }
 
-// number gives a field as a whole number, 0 if it is none.
+// number returns a field as an integer, or 0 if it is not a number.
 func (l Line) number(name string) int64 {
 	value, err := strconv.ParseFloat(l.field(name), 64)
 	if err != nil {
--- a/internal/core/logstory/steps_test.go
+++ b/internal/core/logstory/steps_test.go
@@ -16,7 +16,7 @@
 	} {
 		line, ok := logstory.Parse([]byte(text))
 		if !ok {
-			t.Fatalf("not read: %s", text)
+			t.Fatalf("not parsed: %s", text)
 		}
 		lines = append(lines, line)
 	}
@@ -32,6 +32,6 @@
 		t.Errorf("%+v, want %+v", steps[0], want)
 	}
 	if !steps[1].Ended {
-		t.Error("the job that was ended counts as left")
+		t.Error("the ended job is not marked as ended")
 	}
 }
