--- a/internal/core/decision/decision_test.go
+++ b/internal/core/decision/decision_test.go
@@ -80,14 +80,14 @@
 		})
 	}
 	if got := Explain("r-n1-1", nil); len(got) != 1 || !strings.HasPrefix(got[0], "No decision about r-n1-1") {
-		t.Errorf("nothing on record gives %q", got)
+		t.Errorf("without decisions: got %q", got)
 	}
 }
 
-// The memory bound holds, the oldest go first, and nothing is lost uncounted.
+// The store keeps within its memory bound, drops the oldest and counts what it drops.
 func TestStoreIsBounded(t *testing.T) {
 	testkit.Check(t, 71, func(t *rapid.T) {
-		// No single record is over the bound: that case has its own test.
+		// No record alone exceeds the bound: TestStoreDropsWhatCannotFit covers that.
 		bound := rapid.IntRange(1500, 9000).Draw(t, "bound")
 		store := NewStore(bound)
 		added := rapid.IntRange(0, 80).Draw(t, "added")
@@ -128,11 +128,11 @@
 		t.Errorf("dropped %d, kept %d", store.Dropped(), store.Len())
 	}
 	if len(store.Recent(-1)) != 0 || len(store.Recent(9)) != 1 {
-		t.Error("recent does not keep to what there is")
+		t.Error("Recent returns more or fewer decisions than the store holds")
 	}
 }
 
-// A sample is found by the batches that it was committed in and voided from.
+// A sample is found by the batches that committed or voided it.
 func TestSamplesAreFoundByTheirBatches(t *testing.T) {
 	store := NewStore(4000)
 	store.Add(port.Decision{Kind: port.DecisionAnswered, Subject: "s-lm-1-1", Time: 1})
@@ -150,13 +150,13 @@
 	}
 	lines := Explain("s-lm-1-1", store.Get("s-lm-1-1"))
 	if last := lines[len(lines)-1]; last != "00:00:00.002 Batch lm/4 was committed." {
-		t.Errorf("the sample's batch is told as %q", last)
+		t.Errorf("the sample's batch is explained as %q", last)
 	}
 	for index := range 50 {
 		store.Add(port.Decision{Kind: port.DecisionPlaced, Subject: fmt.Sprint("r-", index)})
 	}
 	if left := store.Get("s-lm-1-2"); left != nil || len(store.bySubject) != store.Len() {
-		t.Errorf("dropped records left %v, %d subjects of %d records", left, len(store.bySubject), store.Len())
+		t.Errorf("dropped records left %v, %d subjects for %d records", left, len(store.bySubject), store.Len())
 	}
 }
 
--- a/internal/core/decision/doc.go
+++ b/internal/core/decision/doc.go
@@ -1,3 +1,3 @@
-// Package decision keeps the records of decisions that an operator may ask
-// about, bounded in memory, and tells them in plain words.
+// Package decision stores records of decisions in bounded memory and formats them as
+// sentences for operators.
 package decision
--- a/internal/core/decision/explain.go
+++ b/internal/core/decision/explain.go
@@ -8,11 +8,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// timeFormat is that of the times in explanations, always UTC.
+// timeFormat is the format of times in explanations, in UTC.
 const timeFormat = "15:04:05.000"
 
-// Explain tells the decisions about a subject in plain words, one sentence or
-// two a decision, oldest first.
+// Explain formats the decisions about a subject, one or two sentences per decision,
+// oldest first.
 func Explain(subject string, decisions []port.Decision) []string {
 	if len(decisions) == 0 {
 		return []string{fmt.Sprintf("No decision about %s is on record here. "+
@@ -25,8 +25,8 @@
 	return lines
 }
 
-// explainOne tells one decision to somebody who asked about a subject. What a
-// batch holds is left out for those who asked about one of its samples.
+// explainOne formats one decision. It omits the related ids of a batch if the subject is
+// one of its samples.
 func explainOne(subject string, decision *port.Decision) string {
 	when := time.UnixMilli(decision.Time).UTC().Format(timeFormat)
 	text := fmt.Sprintf("%s %s %s", when, Describe(decision.Subject), action(decision))
@@ -37,7 +37,7 @@
 	return text
 }
 
-// reason tells why, or what else is known of the decision.
+// reason formats the decision's detail.
 func reason(decision *port.Decision) string {
 	switch {
 	case decision.Detail == "" && decision.Kind == port.DecisionPlaced && hasHighestScore(decision):
@@ -51,13 +51,13 @@
 	}
 }
 
-// hasHighestScore says whether the replica leads the recorded scores, of which
-// the first is the best.
+// hasHighestScore reports whether the replica is the first, and so the best, of the
+// recorded scores.
 func hasHighestScore(decision *port.Decision) bool {
 	return len(decision.Scores) > 0 && decision.Scores[0].Replica == decision.Replica
 }
 
-// Describe names a subject by its kind, as far as its form tells.
+// Describe returns a subject with its kind, as its prefix shows it.
 func Describe(subject string) string {
 	kinds := []struct{ prefix, name string }{
 		{"r-", "Request"}, {"s-", "Sample"}, {"b-", "Batch"}, {"batch/", "Batch"},
@@ -74,7 +74,7 @@
 	return subject
 }
 
-// action tells what was decided.
+// action formats the kind of the decision.
 func action(decision *port.Decision) string {
 	replica := string(decision.Replica)
 	switch decision.Kind {
@@ -107,7 +107,7 @@
 	}
 }
 
-// outcome tells code and verdict of an answer that was an error.
+// outcome formats the code and verdict of an error.
 func outcome(decision *port.Decision) string {
 	if decision.Code == "" {
 		return ""
@@ -115,7 +115,7 @@
 	return fmt.Sprintf(" with %s (%s)", decision.Code, verdictWords(decision.Verdict))
 }
 
-// verdictWords says what a verdict means for a caller.
+// verdictWords describes a verdict.
 func verdictWords(verdict port.Verdict) string {
 	switch verdict {
 	case port.NotRun:
@@ -127,11 +127,11 @@
 	}
 }
 
-// by and on name a replica, if there is one.
+// by and on return a phrase with the replica, or "" if there is none.
 func by(replica string) string { return withReplica(" by ", replica) }
 func on(replica string) string { return withReplica(" on ", replica) }
 
-// failureOf tells which replica the earlier attempt failed on.
+// failureOf returns a phrase with the replica of the failed attempt.
 func failureOf(replica string) string {
 	if replica == "" {
 		return ""
@@ -139,7 +139,7 @@
 	return " after a failure on " + replica
 }
 
-// withReplica gives nothing for no replica.
+// withReplica returns "" if there is no replica.
 func withReplica(preposition, replica string) string {
 	if replica == "" {
 		return ""
@@ -147,12 +147,12 @@
 	return preposition + replica
 }
 
-// sentences tells the circumstances of a decision.
+// sentences returns the sentences about the circumstances of a decision.
 func sentences(decision *port.Decision, withRelated bool) []string {
-	var told []string
+	var parts []string
 	add := func(sentence string) {
 		if sentence != "" {
-			told = append(told, sentence)
+			parts = append(parts, sentence)
 		}
 	}
 	add(considered(decision))
@@ -168,10 +168,10 @@
 		add("See also " + strings.Join(decision.Related, ", "))
 	}
 	add(origin(decision))
-	return told
+	return parts
 }
 
-// considered tells how many replicas were looked at and which were left out.
+// considered formats the number of candidates and the filter counts.
 func considered(decision *port.Decision) string {
 	if decision.Considered == 0 {
 		return ""
@@ -189,7 +189,7 @@
 	return fmt.Sprintf("%s, %d filtered out: %s", text, total, strings.Join(parts, ", "))
 }
 
-// scores tells the best few scores with the parts that made them.
+// scores formats the best scores with their parts.
 func scores(decision *port.Decision) string {
 	if len(decision.Scores) == 0 {
 		return ""
@@ -201,7 +201,7 @@
 	return "Best scores: " + strings.Join(replicas, "; ")
 }
 
-// oneScore tells a replica's total and its parts.
+// oneScore formats a replica's score with its parts.
 func oneScore(score port.ReplicaScore) string {
 	text := fmt.Sprintf("%s %.2f", score.Replica, score.Total)
 	if len(score.Parts) == 0 {
@@ -214,7 +214,7 @@
 	return fmt.Sprintf("%s (%s)", text, strings.Join(parts, ", "))
 }
 
-// spans tells which versions produced the tokens.
+// spans formats the weight versions that produced the tokens.
 func spans(decision *port.Decision) string {
 	if len(decision.Spans) == 0 {
 		return ""
@@ -226,7 +226,7 @@
 	return "It holds " + strings.Join(parts, ", ")
 }
 
-// origin tells who decided, and under which configuration.
+// origin formats the deciding node and its configuration revision.
 func origin(decision *port.Decision) string {
 	if decision.Node == "" {
 		return ""
@@ -238,7 +238,7 @@
 	return text
 }
 
-// counted gives a number with its noun.
+// counted formats a number with its noun.
 func counted(count int, noun string) string {
 	if count == 1 {
 		return "1 " + noun
--- a/internal/core/decision/store.go
+++ b/internal/core/decision/store.go
@@ -6,26 +6,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// DefaultMaxBytes is the memory that a Store takes when no bound is given.
+// DefaultMaxBytes is the default memory bound of a Store.
 const DefaultMaxBytes = 16 << 20
 
-// Store keeps the latest decisions by subject within a bound of memory; the
-// oldest is dropped first. It is not safe for concurrent use.
+// Store holds the latest decisions, indexed by subject, within a memory bound. It drops
+// the oldest first. It is not safe for concurrent use.
 type Store struct {
 	maxBytes int
 	bytes    int
-	// records is a queue of the kept decisions; first is the sequence number of
-	// records[head], and the dropped ones stand before head until compacted.
+	// records is a queue that starts at head; the records before it are dropped. first
+	// is the sequence number of records[head].
 	records []port.Decision
 	head    int
 	first   uint64
-	// bySubject lists the sequence numbers of a subject's records, rising: those
-	// about it, and those of batches that it is in.
+	// bySubject lists the sequence numbers of a subject's records in ascending order,
+	// including those of the batches that contain the subject.
 	bySubject map[string][]uint64
 	dropped   uint64
 }
 
-// NewStore makes an empty store; maxBytes below 1 takes DefaultMaxBytes.
+// NewStore returns an empty store. A maxBytes below 1 means DefaultMaxBytes.
 func NewStore(maxBytes int) *Store {
 	if maxBytes < 1 {
 		maxBytes = DefaultMaxBytes
@@ -33,8 +33,7 @@
 	return &Store{maxBytes: maxBytes, bySubject: make(map[string][]uint64)}
 }
 
-// Add keeps a decision. One that alone is over the bound is dropped and
-// counted.
+// Add stores a decision. A decision that alone exceeds the bound is dropped and counted.
 func (s *Store) Add(decision port.Decision) {
 	size := sizeOf(&decision)
 	if size > s.maxBytes {
@@ -52,7 +51,7 @@
 	s.bytes += size
 }
 
-// Get gives the decisions about a subject, oldest first.
+// Get returns the decisions about a subject, oldest first.
 func (s *Store) Get(subject string) []port.Decision {
 	sequences := s.bySubject[subject]
 	if len(sequences) == 0 {
@@ -65,22 +64,22 @@
 	return found
 }
 
-// Recent gives up to count of the latest decisions, oldest first.
+// Recent returns up to count of the latest decisions, oldest first.
 func (s *Store) Recent(count int) []port.Decision {
 	count = min(max(count, 0), s.Len())
 	return append([]port.Decision(nil), s.records[len(s.records)-count:]...)
 }
 
-// Len gives the number of kept decisions.
+// Len returns the number of stored decisions.
 func (s *Store) Len() int { return len(s.records) - s.head }
 
-// Bytes estimates the memory of the kept decisions.
+// Bytes returns the estimated memory of the stored decisions.
 func (s *Store) Bytes() int { return s.bytes }
 
-// Dropped counts the decisions dropped since the start.
+// Dropped returns the number of decisions dropped since the start.
 func (s *Store) Dropped() uint64 { return s.dropped }
 
-// dropOldest drops one decision; the store is not empty.
+// dropOldest drops one decision. The store must not be empty.
 func (s *Store) dropOldest() {
 	oldest := &s.records[s.head]
 	s.bytes -= sizeOf(oldest)
@@ -98,8 +97,8 @@
 	s.compact()
 }
 
-// compact moves the kept records to the front once half the slice is dropped
-// ones, so that the cost of a record stays constant on average.
+// compact moves the stored records to the front once half of the slice is dropped, so
+// that the amortized cost of a record is constant.
 func (s *Store) compact() {
 	if s.head*2 < len(s.records) {
 		return
@@ -110,8 +109,8 @@
 	s.head = 0
 }
 
-// subjectsOf lists what a decision is found by: its subject and, for a batch that
-// was committed or voided, the samples in it.
+// subjectsOf returns the subjects under which a decision is indexed: its own and, for a
+// committed or voided batch, its samples.
 func subjectsOf(decision *port.Decision) []string {
 	subjects := []string{decision.Subject}
 	if decision.Kind == port.DecisionCommitted || decision.Kind == port.DecisionVoided {
@@ -120,10 +119,10 @@
 	return subjects
 }
 
-// indexOverhead estimates the memory of a record's place in the index.
+// indexOverhead is the estimated memory of an index entry.
 const indexOverhead = 64
 
-// sizeOf estimates the memory that a record takes.
+// sizeOf returns the estimated memory of a record.
 func sizeOf(decision *port.Decision) int {
 	size := int(unsafe.Sizeof(*decision)) + indexOverhead
 	size += len(decision.Subject) + len(decision.Node) + len(decision.Pool) + len(decision.Replica) + len(decision.Detail)
