--- a/internal/core/controlmember/clock.go
+++ b/internal/core/controlmember/clock.go
@@ -2,55 +2,53 @@
 
 import "time"
 
-// logClock gives the times that a leader stamps on commands, in milliseconds
-// since 1970. Every member runs it: from the log's time that the member has
-// seen it goes on with the ticks, also while there is no leader. A new leader
-// takes its wall clock if that is later. Within its term the wall clock does
-// not count.
+// logClock returns the times that a leader stamps on commands, in Unix milliseconds.
+// Every member advances it with its ticks from the last log time it observed. A new
+// leader starts from its wall clock if that is later, and ignores it for the rest of
+// its term.
 //
-// A leader tells with its first command how far its clock is ahead of what the
-// log's time can have come to, so that no lease ends before its time has passed:
-// that covers a wall clock that is wrong, and an earlier leader whose clock
-// stood still while it was down.
+// The leader's first command reports the jump: how far the clock is ahead of what the
+// log time can have reached. Leases are extended by it, so that neither a wrong wall
+// clock nor an earlier leader whose clock stopped makes them expire early.
 type logClock struct {
 	tick time.Duration
 	time time.Duration // since 1970
-	// seen is the log's time last seen, passed the ticks since then; together
-	// they are a time that the last leader's clock must have reached by now.
-	seen   int64
-	passed time.Duration
-	// jump is the advance that no command told of yet.
-	jump  time.Duration
-	leads bool
+	// observed is the log time last observed, and elapsed the ticks since then. Their sum is
+	// a time that the last leader's clock must have reached.
+	observed int64
+	elapsed  time.Duration
+	// jump is the advance that no command has reported yet.
+	jump    time.Duration
+	leading bool
 }
 
-// start begins a leader's term.
+// start starts a leader's term.
 func (c *logClock) start(wall time.Time) {
 	c.time = max(c.time, sinceEpoch(wall))
-	c.jump = c.time - time.Duration(c.seen)*time.Millisecond - c.passed
-	c.leads = true
+	c.jump = c.time - time.Duration(c.observed)*time.Millisecond - c.elapsed
+	c.leading = true
 }
 
-func (c *logClock) stop() { c.leads, c.jump = false, 0 }
+func (c *logClock) stop() { c.leading, c.jump = false, 0 }
 
-// observe takes over the log's time if it moved.
+// observe updates the clock from the log time.
 func (c *logClock) observe(logTime int64) {
-	if logTime == c.seen {
+	if logTime == c.observed {
 		return
 	}
-	c.seen, c.passed = logTime, 0
+	c.observed, c.elapsed = logTime, 0
 	c.time = max(c.time, time.Duration(logTime)*time.Millisecond)
 }
 
-// advance notes that so many ticks passed.
+// advance advances the clock by a number of ticks.
 func (c *logClock) advance(ticks int) {
 	c.time += time.Duration(ticks) * c.tick
-	c.passed += time.Duration(ticks) * c.tick
+	c.elapsed += time.Duration(ticks) * c.tick
 }
 
 func (c *logClock) now() int64 { return c.time.Milliseconds() }
 
-// jumpMillis gives the advance to tell of, in milliseconds rounded up.
+// jumpMillis returns the unreported jump, in milliseconds rounded up.
 func (c *logClock) jumpMillis() int64 {
 	return (c.jump + time.Millisecond - 1).Milliseconds()
 }
--- a/internal/core/controlmember/ready.go
+++ b/internal/core/controlmember/ready.go
@@ -11,15 +11,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/controlstate"
 )
 
-// HasReady says whether Ready has work to hand out.
+// HasReady reports whether Ready has work.
 func (m *Member) HasReady() bool { return m.node.HasReady() }
 
-// Ready hands out work: first make HardState, Snapshot and Entries durable,
-// with a sync if MustSync is set, then send Messages, then call Advance with it.
+// Ready returns the pending work: first make HardState, Snapshot and Entries durable, with
+// a sync if MustSync is set, then send Messages, then call Advance.
 func (m *Member) Ready() consensus.Ready { return m.node.Ready() }
 
-// Advance notes that ready was carried out, and applies what it committed. An
-// error means that this member's state is unusable, and it must stop.
+// Advance applies the committed entries of a Ready that was carried out. After an error
+// this member's state is invalid, and it must stop.
 func (m *Member) Advance(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := m.install(*ready.Snapshot); err != nil {
@@ -29,14 +29,14 @@
 	for _, entry := range ready.Committed {
 		m.apply(entry)
 	}
-	m.noteReads(ready.ReadStates)
+	m.confirmReads(ready.ReadStates)
 	m.node.Advance(ready)
-	m.refresh()
+	m.updateStatus()
 	m.serveReads()
 	return nil
 }
 
-// install replaces the state by a snapshot that the leader sent.
+// install replaces the state by a snapshot from the leader.
 func (m *Member) install(snapshot consensus.Snapshot) error {
 	if err := m.state.Restore(snapshot.Data); err != nil {
 		return err
@@ -44,14 +44,14 @@
 	m.snapshotIndex = snapshot.Index
 	for _, index := range sortedKeys(m.pending) {
 		if index <= snapshot.Index {
-			m.fail(m.pending[index].token, port.NewError(port.MayHaveRun, port.CodeUnavailable, "the answer was lost in a snapshot"))
+			m.fail(m.pending[index].token, port.NewError(port.MayHaveRun, port.CodeUnavailable, "a snapshot replaced the entry before its result was known"))
 			delete(m.pending, index)
 		}
 	}
 	return nil
 }
 
-// apply applies one committed entry and answers its proposer, if it is here.
+// apply applies one committed entry and replies to a proposer on this member.
 func (m *Member) apply(entry consensus.Entry) {
 	result := port.Result{Index: entry.Index}
 	switch entry.Kind {
@@ -63,25 +63,25 @@
 	default:
 		m.state.Skip(entry.Index)
 	}
-	waiting, found := m.pending[entry.Index]
+	proposed, found := m.pending[entry.Index]
 	if !found {
 		return
 	}
 	delete(m.pending, entry.Index)
-	if waiting.term != entry.Term {
-		m.fail(waiting.token, port.NewError(port.NotRun, port.CodeUnavailable, "another leader's entry took the place in the log"))
+	if proposed.term != entry.Term {
+		m.fail(proposed.token, port.NewError(port.NotRun, port.CodeUnavailable, "another leader's entry took the place in the log"))
 		return
 	}
-	m.replies = append(m.replies, Reply{Token: waiting.token, Result: result})
+	m.replies = append(m.replies, Reply{Token: proposed.token, Result: result})
 }
 
-// applyCommand applies a command. Bytes that are no command can only come from
-// another version of the program; every member skips them alike.
+// applyCommand applies a command. Data that is not a command comes from another version of
+// the program; every member skips it.
 func (m *Member) applyCommand(entry consensus.Entry) port.Result {
 	command, err := controlstate.DecodeCommand(entry.Data)
 	if err != nil {
 		m.state.Skip(entry.Index)
-		reason := port.NewError(port.NotRun, port.CodeInvalid, "entry is no command: %v", err)
+		reason := port.NewError(port.NotRun, port.CodeInvalid, "entry is not a command: %v", err)
 		return port.Result{Index: entry.Index, Revision: m.state.Revision(), Error: reason}
 	}
 	return m.state.Apply(entry.Index, entry.Term, command)
@@ -101,9 +101,9 @@
 	}
 }
 
-// noteReads turns answers about leadership into reads that wait for their
-// position to be applied.
-func (m *Member) noteReads(states []consensus.ReadState) {
+// confirmReads queues the reads whose leadership was confirmed until their index is applied,
+// and fails those that lost their leader.
+func (m *Member) confirmReads(states []consensus.ReadState) {
 	for _, state := range states {
 		token, found := m.reads[state.RequestID]
 		if !found {
@@ -114,13 +114,13 @@
 			m.fail(token, port.NewError(port.NotRun, port.CodeUnavailable, "leadership was lost before the read"))
 			continue
 		}
-		m.waiting = append(m.waiting, waitingRead{token: token, index: state.Index})
+		m.confirmedReads = append(m.confirmedReads, confirmedRead{token: token, index: state.Index})
 	}
 }
 
-// serveReads answers the reads whose position is applied.
+// serveReads replies to the reads whose index is applied.
 func (m *Member) serveReads() {
-	m.waiting = slices.DeleteFunc(m.waiting, func(read waitingRead) bool {
+	m.confirmedReads = slices.DeleteFunc(m.confirmedReads, func(read confirmedRead) bool {
 		if m.state.Applied() < read.index {
 			return false
 		}
@@ -132,13 +132,13 @@
 	})
 }
 
-// WantsSnapshot says that enough was applied since the last snapshot.
+// WantsSnapshot reports whether a snapshot is due.
 func (m *Member) WantsSnapshot() bool {
 	return m.state.Applied() >= m.snapshotIndex+m.config.SnapshotEntries
 }
 
-// BuildSnapshot encodes the applied state. The owner makes it durable and then
-// calls Compact with it.
+// BuildSnapshot encodes the applied state. The caller makes it durable and then calls
+// Compact.
 func (m *Member) BuildSnapshot() (consensus.Snapshot, error) {
 	data, err := m.state.Snapshot()
 	if err != nil {
@@ -147,7 +147,7 @@
 	return m.node.BuildSnapshot(m.state.Applied(), data)
 }
 
-// Compact drops the log up to a snapshot that is durable.
+// Compact drops the log up to a durable snapshot.
 func (m *Member) Compact(snapshot consensus.Snapshot) error {
 	if err := m.node.Compact(snapshot); err != nil {
 		return err
