--- a/internal/core/placement/counts.go
+++ b/internal/core/placement/counts.go
@@ -6,31 +6,30 @@
 	"github.com/loomgrade/loomgrade/internal/core/scheduling"
 )
 
-// Counts are a node's own counts of what it sent to a replica, or to a zone, and
-// saw the end of.
+// Counts holds the numbers of requests that a node sent to a replica or zone, and of those
+// that finished.
 type Counts struct{ Sent, Finished int64 }
 
-// Mark is what the counts were when a word of the replica was made.
+// Mark holds the counts at the time of a replica's report.
 type Mark struct {
 	Counts
 	Reported time.Time
 }
 
-// reportSlack is the least time between two words of a replica; closer ones are
-// the same word, whose age was measured twice.
-const reportSlack = time.Millisecond
+// minReportInterval is the minimum time between two reports of a replica. Closer ones are the
+// same report with a different measured age.
+const minReportInterval = time.Millisecond
 
-// Follow gives the mark for a word made at reported: the known one if the word
-// isn't newer.
+// Follow returns the mark for a report made at reported, or m if the report is not newer.
 func (m Mark) Follow(reported time.Time, counts Counts) Mark {
-	if !m.Reported.IsZero() && !reported.After(m.Reported.Add(reportSlack)) {
+	if !m.Reported.IsZero() && !reported.After(m.Reported.Add(minReportInterval)) {
 		return m
 	}
 	return Mark{Counts: counts, Reported: reported}
 }
 
-// Correct brings a candidate, as its home told of it, up to now by the own
-// counts.
+// Correct updates a candidate, as its home node reported it, by the requests sent and
+// finished since then.
 func (m Mark) Correct(now, reported time.Time, candidate scheduling.Candidate, counts Counts) scheduling.Candidate {
 	candidate.Inflight = int(max(counts.Sent-counts.Finished, 0))
 	candidate.SentSinceReport = int(max(counts.Sent-m.Sent, 0))
--- a/internal/core/placement/doc.go
+++ b/internal/core/placement/doc.go
@@ -1,4 +1,3 @@
-// Package placement chooses, at the node that accepted a request, which replica
-// of the own zone or which other zone gets it. The home that is asked decides in
-// the end; see package gate.
+// Package placement chooses, at the node that accepted a request, a replica of its zone or
+// another zone. The replica's home node makes the final decision; see package gate.
 package placement
