--- a/internal/core/policy/check.go
+++ b/internal/core/policy/check.go
@@ -25,7 +25,7 @@
 	return CheckProgram(program, StandardViews())
 }
 
-// CheckProgram runs a program on the given views. Errors are those of Check.
+// CheckProgram runs a program on the given views and returns all results and the first error.
 func CheckProgram(program *Program, views []NamedView) ([]Trial, error) {
 	var first error
 	trials := make([]Trial, 0, len(views))
--- a/internal/port/api/callers.go
+++ b/internal/port/api/callers.go
@@ -2,23 +2,23 @@
 
 // Headers that loomgrade reads and writes.
 const (
-	// HeaderRequestID carries loomgrade's id of a request, on calls to back
-	// ends and on answers to callers.
+	// HeaderRequestID is loomgrade's id of a request, in calls to back ends and in
+	// responses to callers.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderRequestKey is the caller's own key; a resend with the same key
-	// joins the first attempt or gets its outcome.
+	// HeaderRequestKey is the caller's idempotency key. A resend with the same key joins
+	// the first attempt or returns its result.
 	HeaderRequestKey = "Idempotency-Key"
-	// HeaderSafe says "true" or "false" whether a request may run more than
-	// once; without it GET, HEAD, PUT and DELETE are safe and POST is not.
+	// HeaderSafe is "true" or "false": whether a request may run more than once. Without
+	// it GET, HEAD, PUT and DELETE are safe and POST is not.
 	HeaderSafe = "X-Safe-To-Repeat"
-	// HeaderVerdict carries the verdict on every error.
+	// HeaderVerdict is the verdict of an error.
 	HeaderVerdict = "X-Verdict"
-	// HeaderUnconfirmed marks an answer given while the node's configuration
-	// lease had run out.
+	// HeaderUnconfirmed marks a response sent while the node's configuration lease was
+	// expired.
 	HeaderUnconfirmed = "X-Configuration-Unconfirmed"
-	// HeaderDeadline is what is left of the deadline, in milliseconds.
+	// HeaderDeadline is the remaining time until the deadline, in milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderPriority is the request's priority, a whole number.
+	// HeaderPriority is the request's priority, an integer.
 	HeaderPriority = "X-Priority"
 )
 
@@ -37,12 +37,12 @@
 	PathMetrics     = "/metrics"
 )
 
-// ErrorBody is the JSON body of every error answer.
+// ErrorBody is the JSON body of every error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong and whether the request may have run.
+// ErrorDetail describes an error and whether the request may have run.
 type ErrorDetail struct {
 	Code         string `json:"code"`
 	Verdict      string `json:"verdict"`
--- a/internal/port/api/doc.go
+++ b/internal/port/api/doc.go
@@ -1,4 +1,3 @@
-// Package api holds the bodies, paths and headers of the HTTP interfaces that
-// loomgrade serves and uses, as docs/PROTOCOLS.md describes them. Adapters and
-// stand-ins share it, so that a difference between them cannot hide in a copy.
+// Package api holds the bodies, paths and headers of the HTTP interfaces that loomgrade
+// serves and uses, as described in docs/PROTOCOLS.md. Adapters and stand-ins share them.
 package api
--- a/internal/port/api/engine.go
+++ b/internal/port/api/engine.go
@@ -5,42 +5,43 @@
 // Paths of a model engine, and of a node for PathCompletions.
 const (
 	PathEngineRequest = "/v1/requests/{id}"            // DELETE cancels
-	PathEngineOrders  = "/v1/orders"                   // POST port.Order, answers port.LoadReport
+	PathEngineOrders  = "/v1/orders"                   // POST port.Order, returns port.LoadReport
 	PathEngineLoad    = "/v1/load"                     // GET port.LoadReport
 	PathCacheEvents   = "/v1/cache-events"             // GET ?after=SEQUENCE
-	PathKVExport      = "/v1/kv/export"                // POST KVExport, answers KVHandle
-	PathKVBlob        = "/v1/kv/{handle}"              // GET, from one engine to another
+	PathKVExport      = "/v1/kv/export"                // POST KVExport, returns KVHandle
+	PathKVBlob        = "/v1/kv/{handle}"              // GET, between engines
 	PathWeightsBlob   = "/v1/weights/{pool}/{version}" // GET at the weight store
 )
 
-// Completion is the body of POST /v1/completions: the OpenAI-compatible form
-// with the additions that the field uses for scheduling.
+// Completion is the body of POST /v1/completions: the OpenAI-compatible form with common
+// extensions for scheduling.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
-	// Priority: higher goes first.
+	// Priority is the scheduling priority; higher goes first.
 	Priority int    `json:"priority,omitempty"`
 	Seed     uint64 `json:"seed,omitempty"`
 	Adapter  string `json:"adapter,omitempty"`
-	// ResumeText continues a completion, ResumeTokens long.
+	// ResumeText is a partial completion to continue, ResumeTokens its length.
 	ResumeText   string `json:"resume_text,omitempty"`
 	ResumeTokens int    `json:"resume_tokens,omitempty"`
-	// KVHandle names an exported cache to import, as URL of PathKVBlob.
+	// KVHandle is the PathKVBlob URL of an exported cache to import.
 	KVHandle string `json:"kv_handle,omitempty"`
-	// MinVersion refuses (409, not run) when the engine serves an older version.
+	// MinVersion makes the engine reject the request (409, not run) if its version is
+	// older.
 	MinVersion uint64 `json:"min_version,omitempty"`
 }
 
-// CompletionChunk is one server-sent event of a streamed completion, or the
-// whole answer when Stream was false. The stream ends with "data: [DONE]".
+// CompletionChunk is one server-sent event of a streamed completion, or the complete
+// response if Stream was false. The stream ends with "data: [DONE]".
 type CompletionChunk struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
 	Model   string             `json:"model"`
 	Choices []CompletionChoice `json:"choices"`
-	// Spans says which weight versions produced this chunk's tokens.
+	// Spans lists the weight versions that produced this chunk's tokens.
 	Spans []port.Span `json:"spans,omitempty"`
 	Usage *Usage      `json:"usage,omitempty"`
 }
@@ -52,26 +53,26 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// Usage counts tokens, on the last chunk.
+// Usage counts tokens. It is set on the last chunk.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// CacheEvents answers PathCacheEvents. First is the lowest sequence number
-// still kept: an asker that is behind it has a gap.
+// CacheEvents is the response of PathCacheEvents. First is the lowest sequence number still
+// stored; a caller behind it has missed events.
 type CacheEvents struct {
 	First  uint64            `json:"first"`
 	Events []port.CacheEvent `json:"events"`
 }
 
-// KVExport asks for the cache of a running request.
+// KVExport requests the cache of a running request.
 type KVExport struct {
 	RequestID string `json:"request_id"`
 }
 
-// KVHandle names an exported cache.
+// KVHandle identifies an exported cache.
 type KVHandle struct {
 	Handle string `json:"handle"`
 	Bytes  uint64 `json:"bytes"`
--- a/internal/port/api/trainer.go
+++ b/internal/port/api/trainer.go
@@ -5,54 +5,54 @@
 // Paths that a trainer, scorer and machine list serve.
 const (
 	PathPrompts  = "/v1/prompts"  // GET ?from=INDEX&count=N at the prompt source
-	PathScore    = "/v1/score"    // POST Score at the scorer, answers Reward
+	PathScore    = "/v1/score"    // POST Score at the scorer, returns Reward
 	PathMachines = "/v1/machines" // GET at the machine list
 )
 
-// Prompts answers PathPrompts.
+// Prompts is the response of PathPrompts.
 type Prompts struct {
 	Prompts []port.Prompt `json:"prompts"`
 }
 
-// Score asks for a sample's reward.
+// Score requests the reward of a sample.
 type Score struct {
 	SampleID string `json:"sample_id"`
 	Prompt   string `json:"prompt"`
 	Text     string `json:"text"`
 }
 
-// Reward answers Score.
+// Reward is the response to Score.
 type Reward struct {
 	SampleID string  `json:"sample_id"`
 	Reward   float64 `json:"reward"`
 }
 
-// Machines answers PathMachines.
+// Machines is the response of PathMachines.
 type Machines struct {
 	Machines []port.Machine `json:"machines"`
 }
 
-// RegisterConsumer is the body of POST PathConsumers; it answers
-// port.Consumer. RewindTo needs an operator's token.
+// RegisterConsumer is the body of POST PathConsumers, whose response is port.Consumer.
+// RewindTo needs an operator's token.
 type RegisterConsumer struct {
 	Consumer string `json:"consumer"`
 	RewindTo uint64 `json:"rewind_to,omitempty"`
 }
 
-// Query parameters of GET PathBatch. Asking for batch N acknowledges N-1.
+// Query parameters of GET PathBatch. Requesting batch N acknowledges N-1.
 const (
 	QueryConsumerEpoch = "consumer_epoch"
-	// QueryWaitMs is how long the node may hold the question while the batch is
-	// not whole; then it answers 503 with code not_ready and Retry-After.
+	// QueryWaitMs is how long the node may wait for the batch to be complete, after which
+	// it returns 503 with code not_ready and Retry-After.
 	QueryWaitMs = "wait_ms"
 )
 
-// Batch answers GET PathBatch.
+// Batch is the response of GET PathBatch.
 type Batch struct {
 	Pool    string `json:"pool"`
 	Number  uint64 `json:"number"`
 	Attempt uint32 `json:"attempt"`
-	// TrainerVersion is the pool's published version at the commit's position.
+	// TrainerVersion is the pool's published version at the log position of the commit.
 	TrainerVersion uint64   `json:"trainer_version"`
 	Samples        []Sample `json:"samples"`
 }
@@ -72,12 +72,12 @@
 	Version       uint64 `json:"version"`
 	Bytes         uint64 `json:"bytes"`
 	ConsumerEpoch uint64 `json:"consumer_epoch,omitempty"`
-	// ChangeID may be empty: versions strictly increase, so that a resend is
-	// answered with a conflict that shows the version as current.
+	// ChangeID may be empty: versions strictly increase, so a resend returns a conflict
+	// that shows the version as current.
 	ChangeID string `json:"change_id,omitempty"`
 }
 
-// PublishedWeights answers PublishWeights.
+// PublishedWeights is the response of PathWeights.
 type PublishedWeights struct {
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
--- a/internal/port/configuration.go
+++ b/internal/port/configuration.go
@@ -1,8 +1,7 @@
 package port
 
-// Configuration is the document that operators change. Replicas stand beside
-// the pools, not inside them, so that a change of one replica travels as one
-// small edit.
+// Configuration is the document that operators change. Replicas are not nested in the
+// pools, so that changing one replica is a small edit.
 type Configuration struct {
 	Pools    []Pool    `cbor:"1,keyasint" json:"pools"`
 	Replicas []Replica `cbor:"2,keyasint" json:"replicas"`
@@ -11,7 +10,7 @@
 	MachineList string `cbor:"4,keyasint,omitempty" json:"machine_list,omitempty"`
 }
 
-// PoolKind says what a pool's replicas serve.
+// PoolKind is the kind of service of a pool's replicas.
 type PoolKind string
 
 // The kinds of pool.
@@ -20,28 +19,28 @@
 	PoolApplication PoolKind = "application"
 )
 
-// Pool is a set of like replicas with one set of rules.
+// Pool is a set of equal replicas with common settings.
 type Pool struct {
 	Name      PoolName  `cbor:"1,keyasint" json:"name"`
 	Kind      PoolKind  `cbor:"2,keyasint" json:"kind"`
 	Admission Admission `cbor:"3,keyasint" json:"admission"`
 	Retry     Retry     `cbor:"4,keyasint" json:"retry"`
 	Ejection  Ejection  `cbor:"5,keyasint" json:"ejection"`
-	// RefuseUnconfirmed makes nodes whose configuration lease ran out refuse
-	// this pool's callers; by default they serve and mark the answer.
+	// RefuseUnconfirmed makes nodes with an expired configuration lease reject requests
+	// to this pool. By default they serve them and mark the response.
 	RefuseUnconfirmed bool `cbor:"6,keyasint,omitempty" json:"refuse_unconfirmed,omitempty"`
 	// Sampling is set for pools that feed a trainer.
 	Sampling *Sampling `cbor:"7,keyasint,omitempty" json:"sampling,omitempty"`
-	// ReplicasOf, if set, makes this pool share the replicas of another
-	// generation pool, so that several trainers can feed from one set of
-	// engines; the pool then has no replicas of its own.
+	// ReplicasOf, if set, makes this pool share the replicas of another generation pool,
+	// so that several trainers can use the same engines. The pool then has no replicas of
+	// its own.
 	ReplicasOf PoolName `cbor:"8,keyasint,omitempty" json:"replicas_of,omitempty"`
-	// Adapter, if set, is the adapter that this pool's requests use and its
-	// trainer publishes; versions are then the adapter's, not the base model's.
+	// Adapter, if set, is the adapter that this pool's requests use and its trainer
+	// publishes. Versions are then those of the adapter.
 	Adapter string `cbor:"9,keyasint,omitempty" json:"adapter,omitempty"`
 }
 
-// EnginePool names the pool whose replicas serve this one.
+// EnginePool returns the name of the pool whose replicas serve this one.
 func (p *Pool) EnginePool() PoolName {
 	if p.ReplicasOf != "" {
 		return p.ReplicasOf
@@ -49,64 +48,64 @@
 	return p.Name
 }
 
-// Admission bounds what waits and what runs.
+// Admission limits the running and waiting requests.
 type Admission struct {
-	// MaxInflight bounds requests running on one replica at a time; the
-	// adaptive limit moves between MinInflight and it.
+	// MinInflight and MaxInflight are the limits of the adaptive concurrency limit of a
+	// replica.
 	MinInflight int `cbor:"1,keyasint" json:"min_inflight"`
 	MaxInflight int `cbor:"2,keyasint" json:"max_inflight"`
-	// QueueLength bounds requests waiting at one node for this pool.
+	// QueueLength limits the requests of this pool that wait at one node.
 	QueueLength int `cbor:"3,keyasint" json:"queue_length"`
-	// DefaultDeadline holds for a request that names none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline Duration `cbor:"4,keyasint" json:"default_deadline"`
 }
 
-// Retry bounds repeated attempts.
+// Retry limits retries.
 type Retry struct {
-	// MaxAttempts counts the first attempt too; 1 switches retries off.
+	// MaxAttempts includes the first attempt; 1 disables retries.
 	MaxAttempts int `cbor:"1,keyasint" json:"max_attempts"`
-	// BudgetRatio is the share of successes that may be spent on retries.
+	// BudgetRatio is the allowed ratio of retries to successes.
 	BudgetRatio float64  `cbor:"2,keyasint" json:"budget_ratio"`
 	BaseBackoff Duration `cbor:"3,keyasint" json:"base_backoff"`
 	MaxBackoff  Duration `cbor:"4,keyasint" json:"max_backoff"`
 }
 
-// Ejection says when a replica gets no more requests for a while.
+// Ejection configures when a replica is taken out of routing for a while.
 type Ejection struct {
 	ConsecutiveFailures int `cbor:"1,keyasint" json:"consecutive_failures"`
-	// LatencyFactor ejects a replica slower than this many times the pool's
-	// median; 0 switches the rule off.
+	// LatencyFactor ejects replicas slower than this multiple of the pool's median; 0
+	// disables the rule.
 	LatencyFactor float64 `cbor:"2,keyasint" json:"latency_factor"`
-	// BaseDuration is the first ejection's length; it doubles on each repeat.
+	// BaseDuration is the duration of the first ejection; it doubles on each repeat.
 	BaseDuration Duration `cbor:"3,keyasint" json:"base_duration"`
-	// MaxShare bounds the share of a pool that may be ejected at a time.
+	// MaxShare limits the share of a pool that may be ejected at a time.
 	MaxShare float64 `cbor:"4,keyasint" json:"max_share"`
 }
 
-// Sampling says how a pool feeds its trainer.
+// Sampling configures how a pool feeds its trainer.
 type Sampling struct {
 	// Policy is the Starlark source of the pool's policy program.
 	Policy string `cbor:"1,keyasint" json:"policy"`
-	// StalenessBound is the largest allowed age, in weight versions, of the
-	// oldest span of a delivered sample.
+	// StalenessBound is the maximum age, in weight versions, of the oldest span of a
+	// delivered sample.
 	StalenessBound uint64 `cbor:"2,keyasint" json:"staleness_bound"`
 	// BatchSamples is the number of samples of a batch, a multiple of GroupSize.
 	BatchSamples int `cbor:"3,keyasint" json:"batch_samples"`
 	// GroupSize is the number of samples of one prompt.
 	GroupSize int `cbor:"4,keyasint" json:"group_size"`
-	// MaxTokens bounds the tokens generated for a sample.
+	// MaxTokens limits the tokens generated for a sample.
 	MaxTokens int `cbor:"5,keyasint" json:"max_tokens"`
 	// PromptSource, Scorer and WeightStore are base URLs.
 	PromptSource string `cbor:"6,keyasint" json:"prompt_source"`
 	Scorer       string `cbor:"7,keyasint" json:"scorer"`
 	WeightStore  string `cbor:"8,keyasint" json:"weight_store"`
-	// Priority is that of the pool's generation requests among callers'.
+	// Priority is the priority of the pool's generation requests.
 	Priority Priority `cbor:"9,keyasint" json:"priority"`
-	// BufferBatches bounds finished samples that wait, in batches.
+	// BufferBatches limits the buffered finished samples, in batches.
 	BufferBatches int `cbor:"10,keyasint" json:"buffer_batches"`
 }
 
-// ReplicaState is what operators ordered for a replica.
+// ReplicaState is the state that operators set for a replica.
 type ReplicaState string
 
 // The states of a replica.
@@ -115,32 +114,32 @@
 	ReplicaDrain  ReplicaState = "drain"
 )
 
-// Replica is one back end of a pool.
+// Replica is a back end of a pool.
 type Replica struct {
 	ID   ReplicaID `cbor:"1,keyasint" json:"id"`
 	Pool PoolName  `cbor:"2,keyasint" json:"pool"`
 	Zone ZoneName  `cbor:"3,keyasint" json:"zone"`
-	// Address is IP:port of its HTTP service.
+	// Address is the IP:port of its HTTP service.
 	Address string       `cbor:"4,keyasint" json:"address"`
 	State   ReplicaState `cbor:"5,keyasint" json:"state"`
 }
 
-// Tenant is a caller with a token of its own.
+// Tenant is a caller with its own token.
 type Tenant struct {
 	Name TenantName `cbor:"1,keyasint" json:"name"`
 	// TokenSHA256 is the hex SHA-256 of the tenant's token.
 	TokenSHA256 string `cbor:"2,keyasint" json:"token_sha256"`
-	// QueueShare is the share of a pool's queue the tenant may fill, over 0 up to 1.
+	// QueueShare is the share of a pool's queue that the tenant may use, above 0 up to 1.
 	QueueShare float64 `cbor:"3,keyasint" json:"queue_share"`
 }
 
-// Edit is one change of a Configuration: exactly one field is set.
+// Edit is a change of a Configuration. Exactly one field is set.
 type Edit struct {
 	PutPool       *Pool     `cbor:"1,keyasint,omitempty" json:"put_pool,omitempty"`
 	RemovePool    PoolName  `cbor:"2,keyasint,omitempty" json:"remove_pool,omitempty"`
 	PutReplica    *Replica  `cbor:"3,keyasint,omitempty" json:"put_replica,omitempty"`
 	RemoveReplica ReplicaID `cbor:"4,keyasint,omitempty" json:"remove_replica,omitempty"`
-	// Tenants and MachineList replace the whole list or address.
+	// Tenants and MachineList replace the previous value.
 	Tenants     *[]Tenant `cbor:"5,keyasint,omitempty" json:"tenants,omitempty"`
 	MachineList *string   `cbor:"6,keyasint,omitempty" json:"machine_list,omitempty"`
 }
--- a/internal/port/decision.go
+++ b/internal/port/decision.go
@@ -1,9 +1,9 @@
 package port
 
-// DecisionKind says what was decided.
+// DecisionKind is the kind of a decision.
 type DecisionKind string
 
-// The kinds of decision that leave a record.
+// The kinds of recorded decisions.
 const (
 	DecisionPlaced    DecisionKind = "placed"
 	DecisionHeld      DecisionKind = "held"
@@ -19,20 +19,20 @@
 	DecisionOrdered   DecisionKind = "ordered"
 )
 
-// Decision is the record of one decision. Subject is the id that an operator
-// asks about: a request, sample, batch, replica or revision.
+// Decision records one decision. Subject is the id that an operator looks up: of a
+// request, sample, batch, replica or revision.
 type Decision struct {
 	Kind    DecisionKind `cbor:"1,keyasint" json:"kind"`
 	Subject string       `cbor:"2,keyasint" json:"subject"`
-	// Time is in milliseconds since 1970.
+	// Time is in Unix milliseconds.
 	Time     int64     `cbor:"3,keyasint" json:"time_ms"`
 	Node     NodeID    `cbor:"4,keyasint" json:"node"`
 	Pool     PoolName  `cbor:"5,keyasint,omitempty" json:"pool,omitempty"`
 	Replica  ReplicaID `cbor:"6,keyasint,omitempty" json:"replica,omitempty"`
 	Revision Revision  `cbor:"7,keyasint,omitempty" json:"revision,omitempty"`
 	Attempt  int       `cbor:"8,keyasint,omitempty" json:"attempt,omitempty"`
-	// Considered counts the replicas looked at; Filtered says how many each
-	// filter took out; Scores are those of the best few.
+	// Considered counts the candidates, Filtered counts those that each filter dropped,
+	// and Scores holds the best scores.
 	Considered int            `cbor:"9,keyasint,omitempty" json:"considered,omitempty"`
 	Filtered   []FilterCount  `cbor:"10,keyasint,omitempty" json:"filtered,omitempty"`
 	Scores     []ReplicaScore `cbor:"11,keyasint,omitempty" json:"scores,omitempty"`
@@ -44,7 +44,7 @@
 	Version    WeightVersion  `cbor:"17,keyasint,omitempty" json:"version,omitempty"`
 }
 
-// FilterCount says how many replicas a filter took out.
+// FilterCount is the number of replicas that a filter dropped.
 type FilterCount struct {
 	Filter string `cbor:"1,keyasint" json:"filter"`
 	Count  int    `cbor:"2,keyasint" json:"count"`
@@ -57,7 +57,7 @@
 	Parts   []ScorePart `cbor:"3,keyasint,omitempty" json:"parts,omitempty"`
 }
 
-// ScorePart is one scorer's weighted share of a total.
+// ScorePart is the weighted score of one scorer.
 type ScorePart struct {
 	Scorer string  `cbor:"1,keyasint" json:"scorer"`
 	Value  float64 `cbor:"2,keyasint" json:"value"`
--- a/internal/port/doc.go
+++ b/internal/port/doc.go
@@ -1,9 +1,7 @@
-// Package port holds what the parts of loomgrade agree on: identifiers, the
-// verdict carried by every error, the configuration document, the commands of
-// the replicated control log with their results, and the small interfaces that
-// decision logic and processes need from the outside.
+// Package port defines the types that the parts of loomgrade share: identifiers, errors
+// with a verdict, the configuration, the commands and results of the replicated control
+// log, and the interfaces to engines, back ends and control.
 //
-// The package has no behaviour beyond validation and formatting. Types that
-// cross a process border carry cbor tags (internal protocol) or json tags
-// (HTTP, settings files), never both by accident.
+// The package only validates and formats. Types of the internal protocol have cbor tags,
+// types of HTTP bodies and settings files have json tags.
 package port
--- a/internal/port/duration.go
+++ b/internal/port/duration.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written as text ("250ms", "5s") in
-// settings files and JSON, and as nanoseconds in CBOR.
+// Duration is a time.Duration that is encoded as text ("250ms", "5s") in settings files
+// and JSON, and as nanoseconds in CBOR.
 type Duration time.Duration
 
-// MarshalText gives the text form.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads the text form; a number without a unit is refused.
+// UnmarshalText implements encoding.TextUnmarshaler. It rejects a number without a unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/internal/port/generation.go
+++ b/internal/port/generation.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// GenerateRequest asks for one completion from a generation pool.
+// GenerateRequest requests one completion from a generation pool.
 type GenerateRequest struct {
 	ID     RequestID  `cbor:"1,keyasint"`
 	Pool   PoolName   `cbor:"2,keyasint"`
 	Tenant TenantName `cbor:"3,keyasint,omitempty"`
-	// Prompt is the text; PromptTokens its estimated length in tokens.
+	// Prompt is the text, PromptTokens its estimated length in tokens.
 	Prompt       string   `cbor:"4,keyasint"`
 	PromptTokens int      `cbor:"5,keyasint"`
 	MaxTokens    int      `cbor:"6,keyasint"`
 	Priority     Priority `cbor:"7,keyasint"`
-	// Seed makes two samples of one prompt differ.
+	// Seed makes samples of the same prompt differ.
 	Seed uint64 `cbor:"8,keyasint,omitempty"`
-	// Resume is text already generated, to continue from, with its token count.
+	// Resume is the text generated so far, to be continued, and ResumeTokens its length.
 	Resume       string `cbor:"9,keyasint,omitempty"`
 	ResumeTokens int    `cbor:"10,keyasint,omitempty"`
 	// KVHandle names an exported KV cache to import; empty means none.
 	KVHandle string `cbor:"11,keyasint,omitempty"`
-	// MinVersion is the oldest weight version that may serve it; 0 means any.
+	// MinVersion is the oldest weight version that may serve the request; 0 means any.
 	MinVersion WeightVersion `cbor:"12,keyasint,omitempty"`
-	// Safe says that the request may run more than once.
+	// Safe is set if the request may run more than once.
 	Safe bool `cbor:"13,keyasint,omitempty"`
 	// PrefixHashes are the block hashes of the prompt, for prefix affinity.
 	PrefixHashes []uint64 `cbor:"14,keyasint,omitempty"`
-	// Replica, if set, is the replica the sending node chose; its home decides
-	// whether it still takes the request.
+	// Replica, if set, is the replica that the sending node chose. Its home node may
+	// reject the request.
 	Replica ReplicaID `cbor:"15,keyasint,omitempty"`
 	// Adapter names the adapter to use; empty means the base model.
 	Adapter string `cbor:"16,keyasint,omitempty"`
 }
 
-// Span says which version produced a run of tokens.
+// Span is a run of tokens produced by one weight version.
 type Span struct {
 	Version WeightVersion `cbor:"1,keyasint" json:"version"`
 	Tokens  int           `cbor:"2,keyasint" json:"tokens"`
 }
 
-// OldestVersion gives the lowest version of the spans, 0 if there are none or
-// one of them is not known.
+// OldestVersion returns the lowest version of the spans: 0 if there are none or one is
+// unknown.
 func OldestVersion(spans []Span) WeightVersion {
 	var oldest WeightVersion
 	for index, span := range spans {
@@ -50,7 +50,8 @@
 	return oldest
 }
 
-// AppendTokens adds tokens of a version to spans, joining equal neighbours.
+// AppendTokens appends tokens of a version to spans, merging them with a last span of the
+// same version.
 func AppendTokens(spans []Span, version WeightVersion, tokens int) []Span {
 	last := len(spans) - 1
 	if last >= 0 && spans[last].Version == version {
@@ -60,7 +61,7 @@
 	return append(spans, Span{Version: version, Tokens: tokens})
 }
 
-// GenerateChunk is a piece of a streamed completion.
+// GenerateChunk is a part of a streamed completion.
 type GenerateChunk struct {
 	Text    string        `cbor:"1,keyasint"`
 	Tokens  int           `cbor:"2,keyasint"`
@@ -69,16 +70,16 @@
 	Finish FinishReason `cbor:"4,keyasint,omitempty"`
 }
 
-// FinishReason says why a completion ended.
+// FinishReason is the reason why a completion ended.
 type FinishReason string
 
-// The reasons.
+// The finish reasons.
 const (
 	FinishStop   FinishReason = "stop"
 	FinishLength FinishReason = "length"
 )
 
-// LoadReport is what an engine says of itself, some time late.
+// LoadReport is the load and weight state that an engine reports, with a delay.
 type LoadReport struct {
 	Running int           `cbor:"1,keyasint" json:"running"`
 	Waiting int           `cbor:"2,keyasint" json:"waiting"`
@@ -91,14 +92,14 @@
 	// Adapters lists the adapters loaded, with their versions.
 	Adapters    []AdapterVersion `cbor:"9,keyasint,omitempty" json:"adapters,omitempty"`
 	Incarnation uint64           `cbor:"10,keyasint" json:"incarnation"`
-	// AgeMillis is how old the report was when it was sent.
+	// AgeMillis is the age of the report when it was sent, in milliseconds.
 	AgeMillis int64 `cbor:"11,keyasint" json:"age_ms"`
-	// Staging is the version being loaded from the weight store; 0 means none.
+	// Staging is the version in transfer from the weight store; 0 means none.
 	Staging WeightVersion `cbor:"12,keyasint,omitempty" json:"staging_version,omitempty"`
 }
 
-// AdapterVersion says which version of an adapter an engine serves, which it has
-// staged and which it is loading.
+// AdapterVersion holds the versions of an adapter that an engine serves, has staged and is
+// staging.
 type AdapterVersion struct {
 	Name    string        `cbor:"1,keyasint" json:"name"`
 	Version WeightVersion `cbor:"2,keyasint" json:"version"`
@@ -106,8 +107,8 @@
 	Staging WeightVersion `cbor:"4,keyasint,omitempty" json:"staging_version,omitempty"`
 }
 
-// Loads gives the version that the engine is loading of an adapter, or of the
-// base model where the adapter is empty; 0 means none.
+// Loads returns the version of an adapter that the engine is staging, or of the base
+// model if adapter is empty; 0 means none.
 func (r *LoadReport) Loads(adapter string) WeightVersion {
 	if adapter == "" {
 		return r.Staging
@@ -120,8 +121,8 @@
 	return 0
 }
 
-// Serves gives the version that the engine serves of an adapter, or of the base
-// model where the adapter is empty, and the version it has staged; 0 means none.
+// Serves returns the versions of an adapter that the engine serves and has staged, or of
+// the base model if adapter is empty; 0 means none.
 func (r *LoadReport) Serves(adapter string) (version, staged WeightVersion) {
 	if adapter == "" {
 		return r.Version, r.Staged
@@ -134,8 +135,8 @@
 	return 0, 0
 }
 
-// Loaded lists the adapters that the engine serves a known version of. One that
-// is only staged, or was left in an unknown state by a swap, is not among them.
+// Loaded returns the adapters of which the engine serves a known version. It leaves out
+// adapters that are only staged or were left in an unknown state by a failed swap.
 func (r *LoadReport) Loaded() []string {
 	var names []string
 	for _, adapter := range r.Adapters {
@@ -146,7 +147,7 @@
 	return names
 }
 
-// EngineRole says which phases an engine serves.
+// EngineRole is the phase that an engine serves.
 type EngineRole string
 
 // The roles.
@@ -156,7 +157,7 @@
 	RoleDecode  EngineRole = "decode"
 )
 
-// OrderKind names a fenced order to an engine.
+// OrderKind is the kind of an order to an engine.
 type OrderKind string
 
 // The kinds of order.
@@ -167,26 +168,26 @@
 	OrderSetRole     OrderKind = "set_role"
 )
 
-// Order tells an engine to change what it serves. An engine refuses an order
-// whose fence is lower than the highest it has seen.
+// Order orders an engine to change what it serves. An engine rejects an order with a
+// lower fence than the highest it has seen.
 type Order struct {
 	Kind    OrderKind     `cbor:"1,keyasint" json:"kind"`
 	Fence   Epoch         `cbor:"2,keyasint" json:"fence"`
 	Version WeightVersion `cbor:"3,keyasint" json:"version,omitempty"`
-	// Source is the URL to load weights from, for OrderStage.
+	// Source is the URL of the weights, for OrderStage.
 	Source  string     `cbor:"4,keyasint" json:"source,omitempty"`
 	Adapter string     `cbor:"5,keyasint" json:"adapter,omitempty"`
 	Role    EngineRole `cbor:"6,keyasint" json:"role,omitempty"`
 }
 
-// CacheEvent says that an engine stored or evicted a prefix block.
+// CacheEvent records that an engine stored or evicted a prefix block.
 type CacheEvent struct {
 	Sequence uint64 `cbor:"1,keyasint" json:"sequence"`
 	Block    uint64 `cbor:"2,keyasint" json:"block"`
 	Evicted  bool   `cbor:"3,keyasint,omitempty" json:"evicted,omitempty"`
 }
 
-// MachineState is what the machine list says of a machine.
+// MachineState is the state of a machine in the machine list.
 type MachineState string
 
 // The states of a machine.
@@ -199,30 +200,29 @@
 type Machine struct {
 	Address string       `json:"address"`
 	State   MachineState `json:"state"`
-	// Since is the time of the last change in milliseconds since 1970.
+	// Since is the time of the last change, in Unix milliseconds.
 	Since int64 `json:"since_ms"`
 }
 
-// ApplicationRequest is a short call that passes through to an application
-// back end.
+// ApplicationRequest is a short call to an application back end.
 type ApplicationRequest struct {
 	ID       RequestID
 	Pool     PoolName
 	Tenant   TenantName
 	Method   string
-	Path     string // with query
+	Path     string // including the query
 	Header   []HeaderField
 	Body     []byte
 	Priority Priority
 	Safe     bool
-	Key      string // the caller's request key; empty means none
+	Key      string // idempotency key of the caller; empty means none
 	Deadline time.Time
 }
 
 // HeaderField is one HTTP header line.
 type HeaderField struct{ Name, Value string }
 
-// ApplicationResponse is a whole answer.
+// ApplicationResponse is a complete response.
 type ApplicationResponse struct {
 	Status int
 	Header []HeaderField
--- a/internal/port/identifiers.go
+++ b/internal/port/identifiers.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Names and numbers of the things loomgrade decides about.
+// Identifiers and numbers.
 type (
 	// PoolName names a rollout pool or an application pool.
 	PoolName string
-	// ReplicaID names one back-end replica, unique over all pools.
+	// ReplicaID names a back-end replica, unique across pools.
 	ReplicaID string
-	// NodeID names one loomgrade node process.
+	// NodeID names a loomgrade node process.
 	NodeID string
 	// ZoneName names a failure zone.
 	ZoneName string
@@ -21,17 +21,15 @@
 	RegionName string
 	// TenantName names a caller with its own token and queue share.
 	TenantName string
-	// RequestID names one caller's request. It starts with the id of the node
-	// that holds its decision record.
+	// RequestID names a request. It starts with the id of the node that stores its
+	// decision record.
 	RequestID string
-	// WeightVersion numbers the weights that a trainer published; 0 means that
-	// the version is not known.
+	// WeightVersion numbers the weights that a trainer published; 0 means unknown.
 	WeightVersion uint64
-	// Revision numbers accepted configurations and control views, strictly
-	// increasing.
+	// Revision numbers accepted configurations. It strictly increases.
 	Revision uint64
-	// Epoch is a fencing number: of a lease, a consumer or a connection. The
-	// holder of a higher epoch fences off all lower ones.
+	// Epoch is a fencing token of a lease, a consumer or a connection. A higher epoch
+	// fences all lower ones.
 	Epoch uint64
 	// BatchNumber counts the batches of a pool from 1.
 	BatchNumber uint64
@@ -41,24 +39,24 @@
 	Priority int
 )
 
-// ErrMalformedSampleID says that a text is no sample id.
+// ErrMalformedSampleID is returned for a text that is not a sample id.
 var ErrMalformedSampleID = errors.New("malformed sample id")
 
-// SampleID names one generated sample. It is unique without a write per
-// sample: Epoch is the coordinator's lease epoch, Sequence counts under it.
+// SampleID identifies a generated sample. It is unique without a write per sample: Epoch is
+// the coordinator's lease epoch, and Sequence counts within it.
 type SampleID struct {
 	Pool     PoolName `cbor:"1,keyasint" json:"pool"`
 	Epoch    Epoch    `cbor:"2,keyasint" json:"epoch"`
 	Sequence uint64   `cbor:"3,keyasint" json:"sequence"`
 }
 
-// String gives the form that ParseSampleID reads: s-POOL-EPOCH-SEQUENCE.
+// String returns the id as s-POOL-EPOCH-SEQUENCE.
 func (id SampleID) String() string {
 	return fmt.Sprintf("s-%s-%d-%d", id.Pool, id.Epoch, id.Sequence)
 }
 
-// ParseSampleID reads the form that SampleID.String gives; a failure wraps
-// ErrMalformedSampleID. A pool's name may itself hold hyphens.
+// ParseSampleID parses the output of SampleID.String. Errors wrap ErrMalformedSampleID. The
+// pool's name may contain hyphens.
 func ParseSampleID(text string) (SampleID, error) {
 	malformed := fmt.Errorf("%w: %q is not s-POOL-EPOCH-SEQUENCE", ErrMalformedSampleID, text)
 	body, found := strings.CutPrefix(text, "s-")
--- a/internal/port/interfaces.go
+++ b/internal/port/interfaces.go
@@ -2,34 +2,34 @@
 
 import "context"
 
-// Engine is a node's way to one model engine. Every error carries an *Error.
+// Engine is a client of one model engine. Every error wraps an *Error.
 type Engine interface {
-	// Generate starts a completion and hands each chunk to receive until the
-	// last; an error from receive cancels the request at the engine.
+	// Generate runs a completion and passes each chunk to receive. An error from receive
+	// cancels the request at the engine.
 	Generate(ctx context.Context, request GenerateRequest, receive func(GenerateChunk) error) error
-	// Order sends a fenced order; a lower fence gives CodeFenced.
+	// Order sends a fenced order. An engine that has seen a higher fence returns CodeFenced.
 	Order(ctx context.Context, order Order) (LoadReport, error)
-	// Load asks for the engine's load report.
+	// Load returns the engine's load report.
 	Load(ctx context.Context) (LoadReport, error)
-	// CacheEvents gives the events after a sequence number; gap says that some
-	// are missing, and that the index must be built anew from Next on.
+	// CacheEvents returns the events after a sequence number. gap reports that some are
+	// missing; the caller must rebuild its index.
 	CacheEvents(ctx context.Context, after uint64) (events []CacheEvent, gap bool, err error)
-	// ExportKV gives a handle for the cache of a running request.
+	// ExportKV returns a handle for the KV cache of a running request.
 	ExportKV(ctx context.Context, id RequestID) (handle string, err error)
 }
 
-// Application is a node's way to one application back end.
+// Application is a client of one application back end.
 type Application interface {
-	// Call sends the request once and gives the whole answer or an *Error.
+	// Call sends the request once and returns the complete response or an *Error.
 	Call(ctx context.Context, request ApplicationRequest) (ApplicationResponse, error)
 }
 
-// Scorer gives rewards; asking twice for one sample gives the same answer.
+// Scorer scores samples. Scoring is idempotent.
 type Scorer interface {
 	Score(ctx context.Context, sample SampleID, prompt, text string) (reward float64, err error)
 }
 
-// PromptSource gives prompts by index; the same index gives the same prompt.
+// PromptSource returns prompts by index. An index always returns the same prompt.
 type PromptSource interface {
 	Prompts(ctx context.Context, from PromptIndex, count int) ([]Prompt, error)
 }
@@ -41,19 +41,19 @@
 	Tokens int         `cbor:"3,keyasint" json:"tokens"`
 }
 
-// MachineList tells which machines exist, some time late.
+// MachineList returns the existing machines, with a delay.
 type MachineList interface {
 	Machines(ctx context.Context) ([]Machine, error)
 }
 
-// Control is a node's way to the replicated control state.
+// Control is a client of the replicated control state.
 type Control interface {
-	// Propose puts a command through the log. A refusal by the state machine
-	// comes back in Result.Error; err tells of everything else, with a verdict.
+	// Propose proposes a command and waits until it is applied. Errors of the state
+	// machine are in Result.Error; err reports all others, with a verdict.
 	Propose(ctx context.Context, command Command) (Result, error)
-	// Watch hands over updates after a position until ctx ends; it moves from
-	// member to member by itself and never goes back in position.
+	// Watch passes the updates after a position to receive until ctx ends. It switches
+	// between members, and its position never decreases.
 	Watch(ctx context.Context, after uint64, receive func(ViewUpdate)) error
-	// Report tells control about this node.
+	// Report sends this node's report to control.
 	Report(ctx context.Context, report NodeReport) error
 }
--- a/internal/port/verdict.go
+++ b/internal/port/verdict.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Verdict says whether a request that failed may have had an effect.
+// Verdict reports whether a failed request may have had an effect.
 type Verdict uint8
 
-// The verdicts. The zero value is VerdictUnset, so that a forgotten verdict
-// shows; readers treat it as MayHaveRun.
+// The verdicts. The zero value is VerdictUnset, which exposes a missing verdict; readers
+// treat it as MayHaveRun.
 const (
 	VerdictUnset Verdict = iota
-	// NotRun: nothing of the request reached a back end. It may be sent again.
+	// NotRun: nothing of the request reached a back end. It may be retried.
 	NotRun
-	// MayHaveRun: some of the request left and no answer tells what became of it.
+	// MayHaveRun: part of the request was sent, and its outcome is unknown.
 	MayHaveRun
-	// Ran: the back end ran the request, and the error concerns its outcome.
+	// Ran: the back end ran the request; the error concerns its outcome.
 	Ran
 )
 
-// String gives the verdict as it stands in HTTP headers and reports.
+// String returns the verdict's name in HTTP headers and reports.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -35,7 +35,7 @@
 	}
 }
 
-// ParseVerdict reads what Verdict.String gives; anything else is VerdictUnset.
+// ParseVerdict parses the output of Verdict.String; anything else is VerdictUnset.
 func ParseVerdict(text string) Verdict {
 	for _, verdict := range []Verdict{NotRun, MayHaveRun, Ran} {
 		if verdict.String() == text {
@@ -45,62 +45,60 @@
 	return VerdictUnset
 }
 
-// Code names the reason of an Error, stable across versions.
+// Code is the reason of an Error, stable across versions.
 type Code string
 
-// The codes of errors that cross a border of the system.
+// The error codes.
 const (
-	CodeInvalid        Code = "invalid"          // a field of the request is not allowed
-	CodeNotFound       Code = "not_found"        // the named thing does not exist
-	CodeConflict       Code = "conflict"         // expected revision is not the current one
-	CodeChangeIDReused Code = "change_id_reused" // same change id, other body
-	CodeChangeExpired  Code = "change_expired"   // the answer to this change id is no longer kept
+	CodeInvalid        Code = "invalid"          // a field of the request is invalid
+	CodeNotFound       Code = "not_found"        // the named object does not exist
+	CodeConflict       Code = "conflict"         // the expected revision is not the current one
+	CodeChangeIDReused Code = "change_id_reused" // same change id, different body
+	CodeChangeExpired  Code = "change_expired"   // the result of this change id is no longer stored
 	CodeFenced         Code = "fenced"           // a higher epoch exists
-	CodeLeaseHeld      Code = "lease_held"       // another holder's lease is still valid
-	CodeStale          Code = "stale"            // a sample is older than its bound
-	CodeQueueFull      Code = "queue_full"       // admission refused early
+	CodeLeaseHeld      Code = "lease_held"       // another holder's lease is valid
+	CodeStale          Code = "stale"            // a sample is older than the staleness bound
+	CodeQueueFull      Code = "queue_full"       // admission rejected the request
 	CodeDeadline       Code = "deadline"         // the deadline passed or cannot be met
 	CodeNoBackEnd      Code = "no_back_end"      // no replica passed the filters
 	CodeBackEnd        Code = "back_end"         // the back end failed
-	CodeWithheld       Code = "withheld"         // replicas ended under the request; it is not sent
+	CodeWithheld       Code = "withheld"         // replicas failed while running the request; it is not sent
 	CodeUnavailable    Code = "unavailable"      // no quorum, leader or peer
 	CodeDraining       Code = "draining"         // the process is stopping
-	CodeCancelled      Code = "cancelled"        // the caller gave up
-	CodeUnauthorized   Code = "unauthorized"     // no or wrong token
-	CodeTooLarge       Code = "too_large"        // a body, header or frame over its bound
-	CodeNotReady       Code = "not_ready"        // ask again later: a batch is not whole yet
-	CodeInternal       Code = "internal"         // a fault of loomgrade itself
-	CodeUnconfirmed    Code = "unconfirmed"      // configuration lease lost and the route refuses
+	CodeCancelled      Code = "cancelled"        // the caller cancelled the request
+	CodeUnauthorized   Code = "unauthorized"     // missing or wrong token
+	CodeTooLarge       Code = "too_large"        // a body, header or frame exceeds its limit
+	CodeNotReady       Code = "not_ready"        // the batch is not complete; retry later
+	CodeInternal       Code = "internal"         // a fault of loomgrade
+	CodeUnconfirmed    Code = "unconfirmed"      // the configuration lease expired and the pool rejects requests
 )
 
-// Error is the error that crosses every border of the system.
+// Error is the error type of all interfaces of the system.
 type Error struct {
 	Verdict Verdict `cbor:"1,keyasint" json:"verdict"`
 	Code    Code    `cbor:"2,keyasint" json:"code"`
 	Message string  `cbor:"3,keyasint" json:"message"`
-	// Field and Value name the offending input where there is one, Allowed says
-	// what would be accepted.
+	// Field and Value are the invalid input, if any, and Allowed describes valid input.
 	Field   string `cbor:"4,keyasint,omitempty" json:"field,omitempty"`
 	Value   string `cbor:"5,keyasint,omitempty" json:"value,omitempty"`
 	Allowed string `cbor:"6,keyasint,omitempty" json:"allowed,omitempty"`
-	// RetryAfter says when it makes sense to ask again; 0 means not stated.
+	// RetryAfter is the time to wait before a retry; 0 means unspecified.
 	RetryAfter time.Duration `cbor:"7,keyasint,omitempty" json:"retry_after_ns,omitempty"`
 
-	// cause is what errors.Is and errors.As find behind it, in this process only.
+	// cause is the wrapped error. It is not encoded.
 	cause error
 }
 
-// WithCause sets the error behind e, for errors.Is and errors.As in this process, and
-// gives e.
+// WithCause sets the error that e wraps and returns e.
 func (e *Error) WithCause(cause error) *Error {
 	e.cause = cause
 	return e
 }
 
-// Unwrap gives the cause, nil for none.
+// Unwrap returns the wrapped error, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Error gives one line with code, field, value and what is allowed.
+// Error formats the code, verdict, message, field, value and allowed values.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%s (%s): %s", e.Code, e.Verdict, e.Message)
 	if e.Field != "" {
@@ -115,27 +113,27 @@
 	return text
 }
 
-// MarshalText gives the verdict's name, so that JSON bodies carry it in words.
+// MarshalText encodes the verdict by name, for JSON.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// UnmarshalText reads a verdict's name; an unknown one is VerdictUnset.
+// UnmarshalText decodes a verdict's name; an unknown one is VerdictUnset.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	*v = ParseVerdict(string(text))
 	return nil
 }
 
-// NewError makes an Error with a formatted message.
+// NewError returns an Error with a formatted message.
 func NewError(verdict Verdict, code Code, format string, arguments ...any) *Error {
 	return &Error{Verdict: verdict, Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// InvalidField makes the NotRun error for input that is not allowed.
+// InvalidField returns the NotRun error for an invalid field.
 func InvalidField(field, value, allowed string) *Error {
 	return &Error{Verdict: NotRun, Code: CodeInvalid, Message: "not allowed", Field: field, Value: value, Allowed: allowed}
 }
 
-// AsError finds the Error in err's chain. An error without one becomes a
-// CodeInternal error with verdict MayHaveRun, the careful reading.
+// AsError returns the Error in err's chain. For an error without one it returns a
+// CodeInternal error with verdict MayHaveRun.
 func AsError(err error) *Error {
 	if err == nil {
 		return nil
