--- a/internal/core/consensus/benchmark_test.go
+++ b/internal/core/consensus/benchmark_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkReplicate commits entries on three members in one process, without
-// disks or connections.
+// BenchmarkReplicate commits entries on three members in one process, without disk or
+// network.
 func BenchmarkReplicate(b *testing.B) {
 	payload := make([]byte, 256)
 	for _, batch := range []int{1, 64} {
@@ -14,7 +14,7 @@
 			net := newNetwork(b, 3, nil)
 			leader := net.elect()
 			messages := 0
-			net.oneHop = func(Message) bool { messages++; return true }
+			net.filter = func(Message) bool { messages++; return true }
 			b.ReportAllocs()
 			for done := 0; b.Loop(); done++ {
 				if _, _, err := net.node(leader).Propose(payload); err != nil {
@@ -25,7 +25,7 @@
 				}
 				if done%4096 == 4095 {
 					net.settle()
-					net.forget()
+					net.compactAll()
 				}
 			}
 			b.ReportMetric(float64(messages)/float64(b.N), "messages/commit")
@@ -33,8 +33,8 @@
 	}
 }
 
-// forget compacts all members, so that a long benchmark stays in memory.
-func (net *network) forget() {
+// compactAll compacts the logs of all members, to bound the memory of a long benchmark.
+func (net *network) compactAll() {
 	for _, id := range net.order {
 		member := net.members[id]
 		member.state = nil
@@ -46,14 +46,14 @@
 	clear(net.history)
 }
 
-// BenchmarkRead compares reads under the lease with a heartbeat round for each.
+// BenchmarkRead compares lease reads with reads confirmed by a heartbeat round.
 func BenchmarkRead(b *testing.B) {
 	for _, rounds := range []bool{false, true} {
 		b.Run(fmt.Sprintf("rounds=%v", rounds), func(b *testing.B) {
 			net := newNetwork(b, 3, func(c *Config) { c.NoLeaseReads = rounds })
 			leader := net.elect()
 			messages, request := 0, uint64(0)
-			net.oneHop = func(Message) bool { messages++; return true }
+			net.filter = func(Message) bool { messages++; return true }
 			b.ReportAllocs()
 			for b.Loop() {
 				request++
--- a/internal/core/consensus/config.go
+++ b/internal/core/consensus/config.go
@@ -7,61 +7,60 @@
 
 // Limits and defaults of a Node.
 const (
-	// MaxEntryBytes is the largest data of one entry.
+	// MaxEntryBytes is the maximum size of an entry's data.
 	MaxEntryBytes = 4 << 20
-	// MaxSnapshotBytes is the largest snapshot that a member accepts.
+	// MaxSnapshotBytes is the maximum size of a snapshot that a member accepts.
 	MaxSnapshotBytes = 1 << 30
 
 	defaultMaxBatchBytes      = 1 << 20
 	defaultMaxInflight        = 32
 	defaultSnapshotChunkBytes = 256 << 10
-	// defaultSnapshotWindow lets 1 MB be on its way: a chunk alone takes 18 ms with its
-	// acknowledgement, of which 4 ms are the link's (600 Mbit/s).
+	// defaultSnapshotWindow allows 1 MB of unacknowledged chunks, to hide the round-trip time.
 	defaultSnapshotWindow = 4
 	defaultMaxUncommitted = 16384
 	minElectionTicks      = 4
 )
 
-// Safeguards switches protections off. The zero value has all of them on; only
-// tests that show what a protection is for switch one off.
+// Safeguards disables individual protections. The zero value enables all of them; only
+// tests disable one, to show what it prevents.
 type Safeguards struct {
-	// NoPreVote lets a member raise its term without asking first.
+	// NoPreVote lets a member start an election without a pre-vote.
 	NoPreVote bool
-	// NoCheckQuorum lets a leader go on without contact to a quorum, and lets
-	// voters grant a vote while they hear from a leader.
+	// NoCheckQuorum lets a leader stay leader without contact to a quorum, and lets
+	// voters grant a vote while they have an active leader.
 	NoCheckQuorum bool
 	// NoTermCommitRule lets a leader commit entries of earlier terms by
 	// counting replicas (figure 8 of the paper).
 	NoTermCommitRule bool
 }
 
-// Config sets a Node up. Zero sizes take defaults.
+// Config holds the settings of a Node. Zero sizes select the defaults.
 type Config struct {
 	ID MemberID
-	// ElectionTicks is the shortest election timeout; the random timeout lies
+	// ElectionTicks is the minimum election timeout; the randomized timeout lies
 	// in (ElectionTicks, 2*ElectionTicks].
 	ElectionTicks int
-	// HeartbeatTicks is the time between a leader's heartbeats.
+	// HeartbeatTicks is the interval between a leader's heartbeats.
 	HeartbeatTicks int
-	// Seed feeds the random election timeouts, together with ID.
+	// Seed and ID seed the randomized election timeouts.
 	Seed uint64
-	// MaxBatchBytes bounds the entry data of one append message.
+	// MaxBatchBytes limits the entry data of one append message.
 	MaxBatchBytes int
-	// MaxInflight bounds the unacknowledged append messages per member.
+	// MaxInflight limits the unacknowledged append messages per member.
 	MaxInflight int
-	// SnapshotChunkBytes is the size of a snapshot's parts on the network.
+	// SnapshotChunkBytes is the size of a snapshot chunk.
 	SnapshotChunkBytes int
-	// SnapshotWindow bounds the unacknowledged parts per member.
+	// SnapshotWindow limits the unacknowledged snapshot chunks per member.
 	SnapshotWindow int
-	// MaxUncommitted bounds the entries that wait for commit on a leader.
+	// MaxUncommitted limits a leader's uncommitted entries and its pending reads.
 	MaxUncommitted int
-	// RetainEntries is how many entries before a snapshot stay in memory, for
-	// followers that are a little behind.
+	// RetainEntries is how many entries before a snapshot stay in memory, so that slow
+	// followers can catch up without the snapshot.
 	RetainEntries int
-	// RetainBytes bounds the data of these entries; 0 does not.
+	// RetainBytes limits the data of the retained entries; 0 means no limit.
 	RetainBytes int
-	// NoLeaseReads confirms every read with a heartbeat round. It is for
-	// clocks whose rates cannot be trusted.
+	// NoLeaseReads confirms every read with a heartbeat round, for clocks whose rates
+	// cannot be trusted.
 	NoLeaseReads bool
 	Safeguards   Safeguards
 }
@@ -88,20 +87,19 @@
 	return nil
 }
 
-// leaseTicks is how long a leader may serve reads after a quorum accepted a
-// message that it sent. Voters refuse other candidates for ElectionTicks after
-// they received it; one tick is left for the phase of their clocks and a
-// quarter for differing rates.
+// leaseTicks returns how long a leader may serve reads after it sent a message that a
+// quorum accepted. Voters refuse other candidates for ElectionTicks after they received
+// it; one tick covers the phase of their clocks and a quarter covers rate differences.
 func (c Config) leaseTicks() uint64 {
 	return uint64(c.ElectionTicks - 1 - c.ElectionTicks/4)
 }
 
-// retransmitTicks is how long a leader waits for an acknowledgement.
+// retransmitTicks returns how long a leader waits for an acknowledgement.
 func (c Config) retransmitTicks() uint64 {
 	return uint64(2*c.HeartbeatTicks + 1)
 }
 
-// randomSource is the splitmix64 generator.
+// randomSource is a splitmix64 generator.
 type randomSource struct{ state uint64 }
 
 func (r *randomSource) next() uint64 {
--- a/internal/core/consensus/doc.go
+++ b/internal/core/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package consensus is the Raft consensus algorithm as a pure state machine.
+// Package consensus implements the Raft consensus algorithm as a state machine without I/O.
 //
 // It follows Ongaro and Ousterhout, "In Search of an Understandable Consensus
 // Algorithm" (2014), and Ongaro's dissertation "Consensus: Bridging Theory and
@@ -7,10 +7,10 @@
 //
 // A Node has no clock, storage, network or goroutine of its own. Its owner
 //
-//   - calls Tick once per tick of a monotonic clock, including every tick that
-//     passed while the process was stopped, before it does anything else;
-//   - hands received messages to Step and commands to Propose;
-//   - while HasReady, takes a Ready, makes its HardState, Snapshot and Entries
+//   - calls Tick once per tick of a monotonic clock; if ticks passed while the owner
+//     did not run, it calls TickMissed and then Tick before any other method;
+//   - passes received messages to Step and commands to Propose;
+//   - while HasReady, calls Ready, makes its HardState, Snapshot and Entries
 //     durable, then sends its Messages, applies its Committed entries and
 //     calls Advance. One Ready is outstanding at a time.
 //
--- a/internal/core/consensus/election.go
+++ b/internal/core/consensus/election.go
@@ -6,12 +6,12 @@
 const (
 	voteRefused vote = iota
 	voteGranted
-	// voteFresh is a pre-vote that is refused by a member that has just started.
-	voteFresh
+	// voteRefusedJustStarted refuses a pre-vote only because the voter has just started.
+	voteRefusedJustStarted
 )
 
-// standForElection starts with a pre-vote, which changes no term.
-func (n *Node) standForElection() {
+// startElection begins with a pre-vote, which changes no term.
+func (n *Node) startElection() {
 	if n.config.Safeguards.NoPreVote {
 		n.campaign(Message{})
 		return
@@ -19,34 +19,33 @@
 	n.role = RolePreCandidate
 	n.leader = None
 	n.resetElectionTimer()
-	n.standEarly()
+	n.useStartupTimeout()
 	n.votes = map[MemberID]vote{}
 	n.requestVotes(Message{Kind: MessagePreVote, Term: n.term + 1})
 	n.countVote(n.config.ID, voteGranted)
 }
 
-// standEarly has a member that has just started ask the others soon, and again and again.
-// As long as it may have helped a leader to a lease before it stopped, it counts on nothing
-// less than all voters: if none leads and none has heard a leader since it started, there
-// is no leader, and nobody needs to wait for an election timeout. So it is after all
-// processes were killed.
-func (n *Node) standEarly() {
-	if n.fresh() && !n.config.Safeguards.NoPreVote {
-		n.electionTimeout = n.earlyPause()
+// useStartupTimeout shortens the election timeout of a member that has just started. Such
+// a member may have renewed a leader's lease before it stopped, so it needs the consent of
+// all voters: if none leads and none has had contact with a leader since it started, there
+// is no leader. A group whose processes were all killed thus elects without delay.
+func (n *Node) useStartupTimeout() {
+	if n.justStarted() && !n.config.Safeguards.NoPreVote {
+		n.electionTimeout = n.startupTimeoutTicks()
 	}
 }
 
-// earlyPause gives the ticks until a member that has just started asks, and asks again.
-// Two ticks are enough for the others to be up, if all started together.
-func (n *Node) earlyPause() int { return 1 + n.random.intn(2) }
+// startupTimeoutTicks returns the election timeout of a member that has just started. Two
+// ticks give the others time to start.
+func (n *Node) startupTimeoutTicks() int { return 1 + n.random.intn(2) }
 
-// fresh reports whether this member still counts as hearing a leader only because it has
-// just started.
-func (n *Node) fresh() bool {
-	return !n.heard && n.role != RoleLeader && n.hearsLeader()
+// justStarted reports whether this member assumes a leader only because it has just
+// started.
+func (n *Node) justStarted() bool {
+	return !n.contactedLeader && n.role != RoleLeader && n.leaderMayExist()
 }
 
-// campaign raises the term and asks for votes, of the kind of a request.
+// campaign increments the term and sends request as a vote request to all voters.
 func (n *Node) campaign(request Message) {
 	n.term++
 	n.votedFor = n.config.ID
@@ -55,7 +54,7 @@
 	n.resetElectionTimer()
 	n.unanimous = request.Unanimous
 	if n.unanimous {
-		n.electionTimeout = n.refusedPause()
+		n.electionTimeout = n.retryTicks()
 	}
 	n.votes = map[MemberID]vote{}
 	request.Kind = MessageVote
@@ -75,7 +74,7 @@
 	}
 }
 
-// countVote records an answer and acts once enough voters have decided.
+// countVote records a vote and ends the election once its outcome is certain.
 func (n *Node) countVote(from MemberID, answer vote) {
 	if _, answered := n.votes[from]; !answered {
 		n.votes[from] = answer
@@ -98,7 +97,7 @@
 	}
 }
 
-// votesNeeded gives how many voters have to vote for this candidate.
+// votesNeeded returns how many votes this candidate needs.
 func (n *Node) votesNeeded() int {
 	if n.unanimous {
 		return len(n.membership.Voters)
@@ -106,35 +105,35 @@
 	return n.membership.Quorum()
 }
 
-// countPreVotes goes on to the vote, or sets the time of the next try.
+// countPreVotes starts the election proper, or schedules the next pre-vote.
 func (n *Node) countPreVotes(counts map[vote]int) {
 	quorum, voters := n.membership.Quorum(), len(n.membership.Voters)
 	switch {
-	case counts[voteGranted] >= quorum && !n.fresh():
+	case counts[voteGranted] >= quorum && !n.justStarted():
 		n.campaign(Message{})
-	case counts[voteGranted]+counts[voteFresh] == voters:
+	case counts[voteGranted]+counts[voteRefusedJustStarted] == voters:
 		n.campaign(Message{Unanimous: true})
-	case counts[voteRefused]+counts[voteFresh] >= quorum:
-		n.electionTimeout = min(n.electionTimeout, n.electionElapsed+n.refusedPause())
+	case counts[voteRefused]+counts[voteRefusedJustStarted] >= quorum:
+		n.electionTimeout = min(n.electionTimeout, n.electionElapsed+n.retryTicks())
 		if counts[voteRefused] > 0 {
 			n.role = RoleFollower
 		}
 	}
 }
 
-// refusedPause gives the ticks until a pre-vote that was refused is repeated. It is
-// short: a pre-vote changes nothing, and members that have just started refuse it
-// until an election timeout has passed, though there may be no leader.
-func (n *Node) refusedPause() int {
+// retryTicks returns the delay before a refused pre-vote is repeated. It is short: a
+// pre-vote changes no state, and members that have just started refuse it for an election
+// timeout even if there is no leader.
+func (n *Node) retryTicks() int {
 	const pausesPerElection = 4
 	pause := max(1, n.config.ElectionTicks/pausesPerElection)
 	return pause + n.random.intn(pause)
 }
 
-// becomeFollower enters term, which is at least the present one.
+// becomeFollower enters term, which is at least the current one.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if n.role == RoleLeader {
-		n.resign()
+		n.clearLeadership()
 	}
 	if term > n.term {
 		n.term = term
@@ -145,54 +144,54 @@
 	n.resetElectionTimer()
 }
 
-// resign drops what only a leader keeps.
-func (n *Node) resign() {
+// clearLeadership discards the leader state and fails the pending reads.
+func (n *Node) clearLeadership() {
 	for _, read := range n.leadership.reads {
 		n.outbox.readStates = append(n.outbox.readStates, ReadState{RequestID: read.requestID, Lost: true})
 	}
 	n.leadership = leadership{round: n.leadership.round}
-	n.sinceLeader = n.config.ElectionTicks
+	n.ticksSinceLeader = n.config.ElectionTicks
 }
 
 func (n *Node) becomeLeader() {
 	n.role = RoleLeader
 	n.leader = n.config.ID
-	n.heard = true
+	n.contactedLeader = true
 	n.heartbeatElapsed = 0
 	n.leadership = leadership{round: n.leadership.round, promotionFloor: n.log.lastIndex() + 1}
 	n.reconcilePeers()
 	n.leadership.termStart = n.appendEntry(EntryEmpty, nil).Index
 }
 
-// hearsLeader reports whether this member leads, or accepted a leader's
-// message less than the shortest election timeout ago. Then it grants no vote,
-// on which the leader lease rests. A member that has just started counts as
-// hearing from a leader, as it may have done so before it stopped.
-func (n *Node) hearsLeader() bool {
+// leaderMayExist reports whether this member leads, or accepted a leader's message less
+// than the minimum election timeout ago. It then grants no vote, which the leader lease
+// relies on. A member that has just started may have accepted one before it stopped.
+func (n *Node) leaderMayExist() bool {
 	if n.config.Safeguards.NoCheckQuorum {
 		return false
 	}
-	return n.role == RoleLeader || n.sinceLeader < n.config.ElectionTicks
+	return n.role == RoleLeader || n.ticksSinceLeader < n.config.ElectionTicks
 }
 
-// refusesVote reports whether a vote request gets no answer, as there may be a leader. A
-// transfer is at the leader's wish; and if all voters grant a vote, none of them leads.
-func (n *Node) refusesVote(request Message) bool {
-	return n.hearsLeader() && !request.Transfer && !(request.Unanimous && n.fresh())
+// ignoresVoteRequest reports whether a vote request gets no answer because there may be a
+// leader. The leader itself requests a transfer; and if all voters grant a vote, none of
+// them leads.
+func (n *Node) ignoresVoteRequest(request Message) bool {
+	return n.leaderMayExist() && !request.Transfer && !(request.Unanimous && n.justStarted())
 }
 
-// adoptTerm handles a higher term. It reports whether the message is to be
-// handled further.
+// adoptTerm handles a message with a higher term. It reports whether the message is to
+// be processed further.
 func (n *Node) adoptTerm(message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
 		return true
 	case MessagePreVoteReply:
-		if !message.Reject || message.Fresh {
+		if !message.Reject || message.JustStarted {
 			return true
 		}
 	case MessageVote:
-		if n.refusesVote(message) {
+		if n.ignoresVoteRequest(message) {
 			return false
 		}
 	}
@@ -200,8 +199,8 @@
 	return true
 }
 
-// refuseOldTerm tells the sender of the newer term, so that an old leader
-// steps down and a candidate that fell behind catches up.
+// refuseOldTerm replies with the current term, so that an old leader steps down and a
+// candidate with an old term updates it.
 func (n *Node) refuseOldTerm(message Message) {
 	reply := Message{To: message.From, Reject: true}
 	switch message.Kind {
@@ -218,26 +217,26 @@
 }
 
 func (n *Node) handlePreVote(message Message) {
-	if n.tellRemoved(message) {
+	if n.replyIfRemoved(message) {
 		return
 	}
-	sound := message.Term > n.term && n.log.isUpToDate(message.Index, message.LogTerm)
-	// Of two that stand at once the lower id goes on: otherwise each would vote for
-	// itself, and neither would lead.
-	rival := n.role == RolePreCandidate && message.From > n.config.ID
+	eligible := message.Term > n.term && n.log.isUpToDate(message.Index, message.LogTerm)
+	// Of two concurrent pre-candidates the one with the lower id continues; otherwise
+	// each would vote for itself and neither would win.
+	lowerPriority := n.role == RolePreCandidate && message.From > n.config.ID
 	switch {
-	case sound && !n.hearsLeader():
+	case eligible && !n.leaderMayExist():
 		n.send(Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term})
-	case sound && n.fresh() && n.role != RoleCandidate && !rival:
-		n.send(Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term, Reject: true, Fresh: true})
+	case eligible && n.justStarted() && n.role != RoleCandidate && !lowerPriority:
+		n.send(Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term, Reject: true, JustStarted: true})
 	default:
 		n.send(Message{Kind: MessagePreVoteReply, To: message.From, Reject: true})
 		return
 	}
-	if n.role == RolePreCandidate && !rival {
+	if n.role == RolePreCandidate && !lowerPriority {
 		n.role = RoleFollower
 		n.resetElectionTimer()
-		n.standEarly()
+		n.useStartupTimeout()
 	}
 }
 
@@ -245,31 +244,31 @@
 	if n.role != RolePreCandidate {
 		return
 	}
-	if (!message.Reject || message.Fresh) && message.Term != n.term+1 {
+	if (!message.Reject || message.JustStarted) && message.Term != n.term+1 {
 		return
 	}
-	n.countVote(message.From, answerOf(message))
+	n.countVote(message.From, voteFromReply(message))
 }
 
-func answerOf(reply Message) vote {
+func voteFromReply(reply Message) vote {
 	switch {
 	case !reply.Reject:
 		return voteGranted
-	case reply.Fresh:
-		return voteFresh
+	case reply.JustStarted:
+		return voteRefusedJustStarted
 	default:
 		return voteRefused
 	}
 }
 
-// handleVote grants at most one vote a term, to a candidate whose log holds
-// every committed entry.
+// handleVote grants at most one vote per term, to a candidate whose log holds every
+// committed entry.
 func (n *Node) handleVote(message Message) {
-	if n.refusesVote(message) {
+	if n.ignoresVoteRequest(message) {
 		return
 	}
-	free := n.votedFor == message.From || n.votedFor == None && n.leader == None
-	if !free || !n.log.isUpToDate(message.Index, message.LogTerm) {
+	canVote := n.votedFor == message.From || n.votedFor == None && n.leader == None
+	if !canVote || !n.log.isUpToDate(message.Index, message.LogTerm) {
 		n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: true})
 		return
 	}
@@ -280,21 +279,20 @@
 
 func (n *Node) handleVoteReply(message Message) {
 	if n.role == RoleCandidate {
-		n.countVote(message.From, answerOf(message))
+		n.countVote(message.From, voteFromReply(message))
 	}
 }
 
-// handleTimeoutNow takes over leadership at the leader's wish.
+// handleTimeoutNow starts an election because the leader requested it.
 func (n *Node) handleTimeoutNow(message Message) {
 	if n.role == RoleFollower && n.membership.IsVoter(n.config.ID) {
 		n.campaign(Message{Transfer: true})
 	}
 }
 
-// TransferLeadership hands leadership to another voter once that one has the
-// whole log. Proposals are refused meanwhile; after the election timeout the
-// transfer is given up. It fails with ErrNotLeader, ErrNotMember or
-// ErrNotCaughtUp.
+// TransferLeadership transfers leadership to another voter once that voter has the whole
+// log. Proposals are refused until then; the transfer is aborted after an election
+// timeout. It fails with ErrNotLeader, ErrNotMember or ErrNotCaughtUp.
 func (n *Node) TransferLeadership(to MemberID) error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
--- a/internal/core/consensus/election_test.go
+++ b/internal/core/consensus/election_test.go
@@ -2,14 +2,13 @@
 
 import "testing"
 
-// TestMembersThatRestartApartElectSoon: after all processes were killed they are
-// back within a part of an election timeout of each other. The first to stand is
-// refused by those that have just started, and is not to wait a whole timeout more.
+// A pre-candidate that is refused by members that have just started must retry before a
+// whole election timeout has passed.
 func TestMembersThatRestartApartElectSoon(t *testing.T) {
 	const (
 		apart = testElectionTicks / 2
-		// most is counted from the start of the last one: the time in which it
-		// grants nothing, and a pause between two pre-votes.
+		// most covers the time after the last start in which the member grants no vote,
+		// and the delay before a repeated pre-vote.
 		most = testElectionTicks + testElectionTicks/2 + 1
 	)
 	for seed := range uint64(50) {
@@ -29,15 +28,14 @@
 		if net.leader() == None {
 			t.Errorf("seed %d: no leader %d ticks after the last start", seed, ticks)
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
 
-// TestMembersThatAllRestartElectAtOnce: none of them leads, and none has heard a leader
-// since it started, so none waits for an election timeout.
+// If all members restart, there is no leader to wait for.
 func TestMembersThatAllRestartElectAtOnce(t *testing.T) {
-	// most is two pauses between pre-votes: that of the first to stand, and one more if
-	// several stood at once.
+	// most covers two pre-vote delays: that of the first pre-candidate, and one more if
+	// there are several at once.
 	const most = 2 * 2 * (testElectionTicks / 4)
 	for _, voters := range []int{1, 3, 5, 9} {
 		for seed := range uint64(50) {
@@ -57,13 +55,13 @@
 			} else if grown := net.node(net.leader()).Status().Term - term; grown > 2 {
 				t.Errorf("%d voters, seed %d: the term grew by %d", voters, seed, grown)
 			}
-			net.noFaults()
+			net.checkNoViolations()
 		}
 	}
 }
 
-// TestAMemberThatRestartedWaitsIfOneIsMissing: the missing one may lead, under a lease
-// that those which restarted gave it.
+// A member that is missing after the others restarted may still lead under a lease that
+// they granted.
 func TestAMemberThatRestartedWaitsIfOneIsMissing(t *testing.T) {
 	for seed := range uint64(50) {
 		net := newNetwork(t, 3, func(config *Config) { config.Seed = seed })
@@ -81,7 +79,7 @@
 			}
 			for _, id := range net.others(leader) {
 				if status := net.node(id).Status(); status.Term != term {
-					t.Fatalf("seed %d: member %d went to term %d under another's lease", seed, id, status.Term)
+					t.Fatalf("seed %d: member %d is in term %d while the leader's lease is valid", seed, id, status.Term)
 				}
 			}
 		}
@@ -89,11 +87,11 @@
 		if net.leader() == leader || net.leader() == None {
 			t.Errorf("seed %d: leader %d after %d ticks", seed, net.leader(), 4*testElectionTicks)
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
 
-// TestALeaderIsNotVotedOutByThoseThatRestart: they ask early, and it answers.
+// A leader answers the pre-votes of restarted members and stays leader.
 func TestALeaderIsNotVotedOutByThoseThatRestart(t *testing.T) {
 	for seed := range uint64(50) {
 		net := newNetwork(t, 5, func(config *Config) { config.Seed = seed })
@@ -102,15 +100,15 @@
 		for _, id := range net.others(leader) {
 			net.crash(id)
 			net.start(id)
-			// The leader's messages take a while, so that they stand before.
-			net.cut[[2]MemberID{leader, id}] = true
+			// Delay the leader's messages until the members have sent pre-votes.
+			net.blocked[[2]MemberID{leader, id}] = true
 		}
 		net.tick(testElectionTicks / 2)
-		net.cut = map[[2]MemberID]bool{}
+		net.blocked = map[[2]MemberID]bool{}
 		net.tick(testElectionTicks)
 		if status := net.node(leader).Status(); status.Role != RoleLeader || status.Term != term {
 			t.Errorf("seed %d: the leader of term %d became %v in term %d", seed, term, status.Role, status.Term)
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
--- a/internal/core/consensus/explore_test.go
+++ b/internal/core/consensus/explore_test.go
@@ -11,24 +11,24 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// explorer drives a network through random faults. choose returns a number
-// below its argument.
+// explorer runs a network with random faults. choose returns a random number below its
+// argument.
 type explorer struct {
-	net      *network
-	choose   func(int) int
-	proposed int
-	requests uint64
-	floors   map[uint64]uint64
-	answered int
-	changes  int
-	actions  []action
-	// crashOdds is how many Readys are carried out for each crash of a kind.
+	net          *network
+	choose       func(int) int
+	proposed     int
+	requests     uint64
+	minReadIndex map[uint64]uint64
+	answered     int
+	changes      int
+	actions      []action
+	// crashOdds is the average number of processed Readys per crash of each kind.
 	crashOdds int
-	// slow is a member that messages mostly do not reach for now, or none.
-	slow MemberID
-	// heldUp is a member that misses its ticks for now, or none.
-	heldUp MemberID
-	// unevenClocks lets members tick apart, which leases do not allow.
+	// slowMember is a member that rarely receives messages, or None.
+	slowMember MemberID
+	// pausedMember is a member that misses its ticks, or None.
+	pausedMember MemberID
+	// unevenClocks lets members tick at different rates, which leases do not support.
 	unevenClocks bool
 }
 
@@ -36,20 +36,20 @@
 	return e.net.order[e.choose(len(e.net.order))]
 }
 
-// action is one kind of step, taken in proportion to its weight.
+// action is a kind of step, chosen in proportion to its weight.
 type action struct {
 	weight int
-	take   func()
+	run    func()
 }
 
-// drawActions weighs the kinds of step differently in every run, so that each
-// fault is at times frequent and at times absent.
-func (e *explorer) drawActions() {
+// initActions sets the weights of the actions for this run, so that each fault is
+// frequent in some runs and absent in others.
+func (e *explorer) initActions() {
 	net := e.net
 	actions := []action{
 		{1, func() { e.net.members[e.member()].down = true }},
 		{1, e.restartAll},
-		{1, func() { net.cut[[2]MemberID{e.member(), e.member()}] = true }},
+		{1, func() { net.blocked[[2]MemberID{e.member(), e.member()}] = true }},
 		{1, func() { net.isolate(e.member(), true) }},
 		{1, func() { net.isolate(net.leader(), true) }},
 		{2, func() { e.compact(e.member()) }},
@@ -63,14 +63,14 @@
 		actions[i].weight *= []int{0, 1, 1, 2, 4}[e.choose(5)]
 	}
 	e.crashOdds = []int{40, 400, 4000}[e.choose(3)]
-	e.slow = MemberID(e.choose(6))
+	e.slowMember = MemberID(e.choose(6))
 	e.actions = append(actions,
-		action{42, e.deliverOne}, action{34, e.carryOutOne}, action{8, e.tick}, action{4, e.propose},
+		action{42, e.deliverOne}, action{34, e.processOneReady}, action{8, e.tick}, action{4, e.propose},
 		action{1, e.heal}, action{2, e.startOne},
 	)
 }
 
-// step takes one random action and checks the invariants.
+// step runs one random action and checks the reads.
 func (e *explorer) step() {
 	total := 0
 	for _, candidate := range e.actions {
@@ -80,14 +80,14 @@
 	for _, candidate := range e.actions {
 		drawn -= candidate.weight
 		if drawn < 0 {
-			candidate.take()
+			candidate.run()
 			break
 		}
 	}
 	e.checkReads()
 }
 
-// deliverOne delivers, loses or repeats one message, out of order.
+// deliverOne delivers, drops or duplicates a random queued message.
 func (e *explorer) deliverOne() {
 	net := e.net
 	if len(net.queue) == 0 {
@@ -95,7 +95,7 @@
 	}
 	at := e.choose(len(net.queue))
 	message := net.queue[at]
-	if message.To == e.slow && e.choose(10) > 0 {
+	if message.To == e.slowMember && e.choose(10) > 0 {
 		return
 	}
 	switch e.choose(20) {
@@ -109,15 +109,15 @@
 	net.deliver(message)
 }
 
-// carryOutOne carries out a Ready, at times with a crash in the middle.
-func (e *explorer) carryOutOne() {
+// processOneReady processes a Ready, sometimes with a crash partway.
+func (e *explorer) processOneReady() {
 	id := e.member()
 	member := e.net.members[id]
 	if member.down || !member.node.HasReady() {
 		return
 	}
 	switch e.choose(e.crashOdds) {
-	case 0: // crash before the write, after the sends that need not wait for it
+	case 0: // crash before the write, after the sends that may precede it
 		ready := member.node.Ready()
 		for _, message := range ready.Messages {
 			if ready.MayPrecedeSync(message) {
@@ -134,7 +134,7 @@
 		e.net.queue = append(e.net.queue, ready.Messages...)
 		member.down = true
 	default:
-		e.net.carryOut(id)
+		e.net.processReady(id)
 	}
 }
 
@@ -148,14 +148,14 @@
 	for _, id := range e.net.order {
 		switch {
 		case e.net.members[id].down:
-		case id == e.heldUp:
+		case id == e.pausedMember:
 			e.net.node(id).TickMissed(1)
 		default:
 			e.net.node(id).Tick()
 		}
 	}
 	if e.choose(testElectionTicks) == 0 {
-		e.heldUp = MemberID(e.choose(6))
+		e.pausedMember = MemberID(e.choose(6))
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-// restartAll has all members stop, and most of them start again at once.
+// restartAll stops all members and restarts most of them at once.
 func (e *explorer) restartAll() {
 	for _, id := range e.net.order {
 		e.net.members[id].down = true
@@ -184,10 +184,10 @@
 	}
 }
 
-// heal ends all cuts and slows another member down.
+// heal restores all links and selects another slow member.
 func (e *explorer) heal() {
-	e.net.cut = map[[2]MemberID]bool{}
-	e.slow = MemberID(e.choose(6))
+	e.net.blocked = map[[2]MemberID]bool{}
+	e.slowMember = MemberID(e.choose(6))
 }
 
 func (e *explorer) compact(id MemberID) {
@@ -212,7 +212,7 @@
 	}
 	e.requests++
 	if e.net.node(id).ReadIndex(e.requests) == nil {
-		e.floors[e.requests] = uint64(len(e.net.history))
+		e.minReadIndex[e.requests] = uint64(len(e.net.history))
 	}
 }
 
@@ -224,16 +224,15 @@
 				continue
 			}
 			e.answered++
-			if floor := e.floors[read.RequestID]; read.Index < floor {
-				e.net.fault("stale read on %d: index %d, %d was committed before", id, read.Index, floor)
+			if minIndex := e.minReadIndex[read.RequestID]; read.Index < minIndex {
+				e.net.reportViolation("stale read on %d: index %d, %d was committed before", id, read.Index, minIndex)
 			}
 		}
 		member.reads = nil
 	}
 }
 
-// changeMembership adds, promotes or removes a member and keeps three voters
-// or more.
+// changeMembership adds, promotes or removes a member and keeps at least three voters.
 func (e *explorer) changeMembership() {
 	id := e.net.leader()
 	if id == None {
@@ -256,10 +255,10 @@
 	}
 }
 
-// finish heals everything and checks that all members come to agree.
+// finish ends all faults and checks that all members converge.
 func (e *explorer) finish() {
 	net := e.net
-	net.cut = map[[2]MemberID]bool{}
+	net.blocked = map[[2]MemberID]bool{}
 	for _, id := range net.order {
 		if net.members[id].down {
 			net.start(id)
@@ -268,27 +267,27 @@
 	net.tick(30 * testElectionTicks)
 	leader := net.leader()
 	if leader == None {
-		net.fault("no leader after the faults ended")
+		net.reportViolation("no leader after the faults ended")
 		return
 	}
 	if _, _, err := net.node(leader).Propose([]byte("end")); err != nil {
-		net.fault("propose after the faults ended: %v", err)
+		net.reportViolation("propose after the faults ended: %v", err)
 		return
 	}
 	net.tick(5 * testElectionTicks)
 	want := net.members[leader]
 	if int(want.applied) != len(net.history) {
-		net.fault("leader %d applied %d of %d committed entries", leader, want.applied, len(net.history))
+		net.reportViolation("leader %d applied %d of %d committed entries", leader, want.applied, len(net.history))
 	}
 	for _, id := range net.node(leader).Status().Membership.Members() {
 		if got := net.members[id]; !bytes.Equal(got.state, want.state) {
-			net.fault("member %d differs from leader %d: applied %d and %d", id, leader, got.applied, want.applied)
+			net.reportViolation("member %d differs from leader %d: applied %d and %d", id, leader, got.applied, want.applied)
 		}
 	}
 	e.checkLogs()
 }
 
-// checkLogs verifies log matching between all pairs of members.
+// checkLogs verifies the log matching property for all pairs of members.
 func (e *explorer) checkLogs() {
 	for _, a := range e.net.order {
 		for _, b := range e.net.order {
@@ -298,7 +297,7 @@
 				termA, _ := logA.term(index)
 				same := logB.matches(index, termA)
 				if agree && !same {
-					e.net.fault("logs of %d and %d agree after %d but not at it", a, b, index)
+					e.net.reportViolation("logs of %d and %d agree after %d but not at it", a, b, index)
 				}
 				agree = agree || same
 			}
@@ -315,14 +314,14 @@
 			adjust(c)
 		}
 	})
-	e := &explorer{net: net, choose: choose, floors: map[uint64]uint64{}, unevenClocks: uneven}
-	e.drawActions()
+	e := &explorer{net: net, choose: choose, minReadIndex: map[uint64]uint64{}, unevenClocks: uneven}
+	e.initActions()
 	for range steps {
 		e.step()
 		if uneven || e.proposed%16 == 0 {
 			e.checkLogs()
 		}
-		if len(net.faults) > 0 {
+		if len(net.violations) > 0 {
 			return e
 		}
 	}
@@ -334,8 +333,8 @@
 	testkit.Check(t, 20240601, func(t *rapid.T) {
 		choose := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 		e := explore(t, choose, 400, rapid.Bool().Draw(t, "uneven clocks"), nil)
-		for _, fault := range e.net.faults {
-			t.Error(fault)
+		for _, violation := range e.net.violations {
+			t.Error(violation)
 		}
 	})
 }
@@ -345,8 +344,8 @@
 	for seed := range uint64(150) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		e := explore(t, random.IntN, 1500, seed%2 == 0, nil)
-		for _, fault := range e.net.faults {
-			t.Errorf("seed %d: %s", seed, fault)
+		for _, violation := range e.net.violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		applied += len(e.net.history)
 		answered += e.answered
@@ -354,6 +353,6 @@
 	}
 	t.Logf("%d entries committed, %d reads answered, %d membership changes", applied, answered, changes)
 	if applied == 0 || answered == 0 || changes == 0 {
-		t.Error("the faults left nothing to check")
+		t.Error("no entries, reads or membership changes were checked")
 	}
 }
--- a/internal/core/consensus/harness_test.go
+++ b/internal/core/consensus/harness_test.go
@@ -11,14 +11,14 @@
 	testHeartbeatTicks = 2
 )
 
-// disk is what survives a crash of a test member.
+// disk holds the state of a test member that survives a crash.
 type disk struct {
 	hard     HardState
 	snapshot Snapshot
 	entries  []Entry
 }
 
-// persist writes a Ready as the log storage would.
+// persist writes a Ready like the log storage.
 func (d *disk) persist(ready Ready) {
 	if snapshot := ready.Snapshot; snapshot != nil {
 		d.install(*snapshot)
@@ -45,20 +45,20 @@
 	d.snapshot = snapshot
 }
 
-// testMember is a Node with its disk and a state machine that keeps the hash
-// chain of the commands that it applied.
+// testMember is a Node with its disk and a state machine that records the applied
+// commands.
 type testMember struct {
 	node    *Node
 	disk    disk
 	state   []byte
 	applied uint64
 	reads   []ReadState
-	// skipSync drops what is written, as if the sync were left out.
+	// skipSync discards writes, as if the sync were missing.
 	skipSync bool
 	down     bool
 }
 
-// reporter is what the network needs of testing.TB and rapid.T.
+// reporter is the common part of testing.TB and rapid.T that network uses.
 type reporter interface {
 	Helper()
 	Error(arguments ...any)
@@ -67,25 +67,25 @@
 	Fatalf(format string, arguments ...any)
 }
 
-// network is a group of members in one process, stepped by the test.
+// network is a group of members in one process, driven by the test.
 type network struct {
-	t       reporter
-	config  Config
-	members map[MemberID]*testMember
-	order   []MemberID
-	queue   []Message
-	cut     map[[2]MemberID]bool
-	oneHop  func(Message) bool
-	leaders map[uint64]MemberID
-	history map[uint64]Entry
-	faults  []string
+	t          reporter
+	config     Config
+	members    map[MemberID]*testMember
+	order      []MemberID
+	queue      []Message
+	blocked    map[[2]MemberID]bool
+	filter     func(Message) bool
+	leaders    map[uint64]MemberID
+	history    map[uint64]Entry
+	violations []string
 }
 
 func newNetwork(t reporter, voters int, adjust func(*Config)) *network {
 	t.Helper()
 	net := &network{
 		t: t, config: Config{ElectionTicks: testElectionTicks, HeartbeatTicks: testHeartbeatTicks, Seed: 42},
-		members: map[MemberID]*testMember{}, cut: map[[2]MemberID]bool{},
+		members: map[MemberID]*testMember{}, blocked: map[[2]MemberID]bool{},
 		leaders: map[uint64]MemberID{}, history: map[uint64]Entry{},
 	}
 	if adjust != nil {
@@ -116,7 +116,7 @@
 	config.ID = id
 	node, err := New(config, Restored{HardState: member.disk.hard, Snapshot: member.disk.snapshot, Entries: member.disk.entries})
 	if err != nil {
-		net.fault("start member %d: %v", id, err)
+		net.reportViolation("start member %d: %v", id, err)
 		return
 	}
 	member.node, member.down = node, false
@@ -124,8 +124,8 @@
 	member.reads = nil
 }
 
-func (net *network) fault(format string, arguments ...any) {
-	net.faults = append(net.faults, fmt.Sprintf(format, arguments...))
+func (net *network) reportViolation(format string, arguments ...any) {
+	net.violations = append(net.violations, fmt.Sprintf(format, arguments...))
 }
 
 func (net *network) crash(id MemberID) {
@@ -134,16 +134,15 @@
 
 func (net *network) isolate(id MemberID, isolated bool) {
 	for _, other := range net.order {
-		net.cut[[2]MemberID{id, other}] = isolated
-		net.cut[[2]MemberID{other, id}] = isolated
+		net.blocked[[2]MemberID{id, other}] = isolated
+		net.blocked[[2]MemberID{other, id}] = isolated
 	}
 }
 
-// settle carries out every member's work and delivers messages until none are
-// left.
+// settle processes Readys and delivers messages until none are left.
 func (net *network) settle() {
 	for range 10000 {
-		net.work()
+		net.processAll()
 		if len(net.queue) == 0 {
 			return
 		}
@@ -154,15 +153,15 @@
 	net.t.Fatal("network does not settle")
 }
 
-func (net *network) work() {
+func (net *network) processAll() {
 	for _, id := range net.order {
 		for !net.members[id].down && net.members[id].node.HasReady() {
-			net.carryOut(id)
+			net.processReady(id)
 		}
 	}
 }
 
-func (net *network) carryOut(id MemberID) {
+func (net *network) processReady(id MemberID) {
 	member := net.members[id]
 	ready := member.node.Ready()
 	if !member.skipSync {
@@ -183,12 +182,12 @@
 func (net *network) apply(id MemberID, entry Entry) {
 	member := net.members[id]
 	if entry.Index != member.applied+1 {
-		net.fault("member %d applied %d after %d", id, entry.Index, member.applied)
+		net.reportViolation("member %d applied %d after %d", id, entry.Index, member.applied)
 	}
 	member.applied = entry.Index
 	known, seen := net.history[entry.Index]
 	if seen && (known.Term != entry.Term || !bytes.Equal(known.Data, entry.Data)) {
-		net.fault("member %d committed (%d, term %d), another one (term %d)", id, entry.Index, entry.Term, known.Term)
+		net.reportViolation("member %d committed (%d, term %d), another one (term %d)", id, entry.Index, entry.Term, known.Term)
 	}
 	net.history[entry.Index] = entry
 	if entry.Kind == EntryNormal {
@@ -202,21 +201,21 @@
 		return
 	}
 	if other, known := net.leaders[status.Term]; known && other != id {
-		net.fault("members %d and %d both lead term %d", other, id, status.Term)
+		net.reportViolation("members %d and %d both lead term %d", other, id, status.Term)
 	}
 	net.leaders[status.Term] = id
 }
 
 func (net *network) deliver(message Message) {
 	member := net.members[message.To]
-	if member == nil || member.down || net.cut[[2]MemberID{message.From, message.To}] {
+	if member == nil || member.down || net.blocked[[2]MemberID{message.From, message.To}] {
 		return
 	}
-	if net.oneHop != nil && !net.oneHop(message) {
+	if net.filter != nil && !net.filter(message) {
 		return
 	}
 	if err := member.node.Step(message); err != nil {
-		net.fault("member %d, %v from %d: %v", message.To, message.Kind, message.From, err)
+		net.reportViolation("member %d, %v from %d: %v", message.To, message.Kind, message.From, err)
 	}
 }
 
@@ -270,14 +269,14 @@
 	return index
 }
 
-func (net *network) noFaults() {
+func (net *network) checkNoViolations() {
 	net.t.Helper()
-	for _, fault := range net.faults {
-		net.t.Error(fault)
+	for _, violation := range net.violations {
+		net.t.Error(violation)
 	}
 }
 
-func (net *network) sameState(want string, ids ...MemberID) {
+func (net *network) checkState(want string, ids ...MemberID) {
 	net.t.Helper()
 	for _, id := range ids {
 		if got := string(net.members[id].state); got != want {
--- a/internal/core/consensus/log.go
+++ b/internal/core/consensus/log.go
@@ -1,28 +1,28 @@
 package consensus
 
-// raftLog is the log after a base position, whose entries are compacted.
+// raftLog holds the log entries after a base position; earlier ones are compacted.
 type raftLog struct {
 	baseIndex uint64
 	baseTerm  uint64
 	entries   []Entry
-	// taken is the last position handed out for writing, stable the last one
-	// known to be durable.
-	taken   uint64
-	stable  uint64
-	commit  uint64
-	applied uint64
+	// inProgress is the last index returned in a Ready, stable the last one known to be
+	// durable.
+	inProgress uint64
+	stable     uint64
+	commit     uint64
+	applied    uint64
 }
 
 func newRaftLog(snapshot Snapshot, entries []Entry, commit uint64) raftLog {
 	last := snapshot.Index + uint64(len(entries))
 	return raftLog{
-		baseIndex: snapshot.Index,
-		baseTerm:  snapshot.Term,
-		entries:   entries[:len(entries):len(entries)],
-		taken:     last,
-		stable:    last,
-		commit:    max(commit, snapshot.Index),
-		applied:   snapshot.Index,
+		baseIndex:  snapshot.Index,
+		baseTerm:   snapshot.Term,
+		entries:    entries[:len(entries):len(entries)],
+		inProgress: last,
+		stable:     last,
+		commit:     max(commit, snapshot.Index),
+		applied:    snapshot.Index,
 	}
 }
 
@@ -35,7 +35,7 @@
 	return term
 }
 
-// term returns the term at index, and whether the log still knows it.
+// term returns the term at index, and whether the log holds it.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -51,16 +51,16 @@
 	return known && own == term
 }
 
-// isUpToDate reports whether a log that ends in (index, term) holds at least
-// as much as this one (section 5.4.1 of the paper).
+// isUpToDate reports whether a log that ends in (index, term) is at least as up to date
+// as this one (section 5.4.1 of the paper).
 func (l *raftLog) isUpToDate(index, term uint64) bool {
 	last := l.lastTerm()
 	return term > last || term == last && index >= l.lastIndex()
 }
 
-// from returns entries from index on. It stops before maxBytes of data but
-// returns at least one entry if there is one.
-func (l *raftLog) from(index uint64, maxBytes int) []Entry {
+// entriesFrom returns entries from index on, with at most maxBytes of data but at least
+// one entry if there is one.
+func (l *raftLog) entriesFrom(index uint64, maxBytes int) []Entry {
 	if index <= l.baseIndex || index > l.lastIndex() {
 		return nil
 	}
@@ -75,8 +75,8 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// between returns the entries in (after, to].
-func (l *raftLog) between(after, to uint64) []Entry {
+// entriesBetween returns the entries in (after, to].
+func (l *raftLog) entriesBetween(after, to uint64) []Entry {
 	if to <= after {
 		return nil
 	}
@@ -88,18 +88,19 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncateFrom drops the entries from index on. Slices that were handed out
-// keep their contents.
+// truncateFrom removes the entries from index on. Slices returned earlier keep their
+// contents.
 func (l *raftLog) truncateFrom(index uint64) {
 	keep := index - l.baseIndex - 1
 	l.entries = l.entries[:keep:keep]
-	l.taken = min(l.taken, index-1)
+	l.inProgress = min(l.inProgress, index-1)
 	l.stable = min(l.stable, index-1)
 }
 
-// retainedFrom gives the index before the newest entries up to one: so many of them at
-// most, and not more bytes of data unless bytes is 0.
-func (l *raftLog) retainedFrom(index uint64, entries, bytes int) uint64 {
+// compactionIndex returns the index up to which the log may be compacted so that the
+// newest entries up to index are kept: at most so many, and with at most bytes of data
+// unless bytes is 0.
+func (l *raftLog) compactionIndex(index uint64, entries, bytes int) uint64 {
 	size := 0
 	for range entries {
 		if index <= l.baseIndex {
@@ -114,7 +115,7 @@
 	return index
 }
 
-// compact drops the entries up to and including index.
+// compact removes the entries up to and including index.
 func (l *raftLog) compact(index uint64) {
 	term, known := l.term(index)
 	if !known || index <= l.baseIndex {
@@ -124,9 +125,9 @@
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// reset replaces the whole log by a snapshot's position.
+// reset replaces the whole log with a snapshot's position.
 func (l *raftLog) reset(index, term uint64) {
-	*l = raftLog{baseIndex: index, baseTerm: term, taken: index, stable: index, commit: index, applied: index}
+	*l = raftLog{baseIndex: index, baseTerm: term, inProgress: index, stable: index, commit: index, applied: index}
 }
 
 // lastAtOrBelow returns the largest index up to limit whose term is at most
--- a/internal/core/consensus/membership.go
+++ b/internal/core/consensus/membership.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MembershipChangeKind says what a MembershipChange does.
+// MembershipChangeKind is the kind of a MembershipChange.
 type MembershipChangeKind uint8
 
 const (
@@ -15,7 +15,7 @@
 	AddLearner MembershipChangeKind = iota + 1
 	// PromoteLearner makes a learner a voter.
 	PromoteLearner
-	// RemoveMember takes a voter or learner out of the group.
+	// RemoveMember removes a voter or learner from the group.
 	RemoveMember
 )
 
@@ -23,7 +23,7 @@
 type MembershipChange struct {
 	Kind   MembershipChangeKind `cbor:"1,keyasint"`
 	Member MemberID             `cbor:"2,keyasint"`
-	// Context is for the state machine, such as the member's address.
+	// Context is passed to the state machine, for example the member's address.
 	Context []byte `cbor:"3,keyasint,omitempty"`
 }
 
@@ -33,7 +33,7 @@
 	Result Membership       `cbor:"2,keyasint"`
 }
 
-// DecodeMembershipEntry reads the data of an entry of kind EntryMembership.
+// DecodeMembershipEntry decodes the data of an entry of kind EntryMembership.
 func DecodeMembershipEntry(data []byte) (MembershipEntry, error) {
 	var entry MembershipEntry
 	if err := cbor.Unmarshal(data, &entry); err != nil {
@@ -84,25 +84,25 @@
 	n.membership = n.history[len(n.history)-1].membership
 }
 
-// forgetMemberships drops the memberships from index on.
-func (n *Node) forgetMemberships(index uint64) {
+// truncateMemberships removes the memberships from index on.
+func (n *Node) truncateMemberships(index uint64) {
 	for len(n.history) > 1 && n.history[len(n.history)-1].index >= index {
 		n.history = n.history[:len(n.history)-1]
 	}
 	n.membership = n.history[len(n.history)-1].membership
 }
 
-// pruneMemberships drops those that were replaced at or before index.
+// pruneMemberships removes the memberships that were replaced at or before index.
 func (n *Node) pruneMemberships(index uint64) {
 	for len(n.history) > 1 && n.history[1].index <= index {
 		n.history = n.history[1:]
 	}
 }
 
-// ProposeMembership appends a membership change, one at a time (section 4.1 of
-// the dissertation). It is in force as soon as it is in a member's log. Besides
-// the errors of Propose it fails with ErrChangePending, ErrAlreadyMember,
-// ErrReusedID, ErrNotMember, ErrNotCaughtUp or ErrUnsafeChange.
+// ProposeMembership appends a membership change; only one may be pending (section 4.1 of
+// the dissertation). A member uses it as soon as it is in its log. Besides the errors of
+// Propose it fails with ErrChangePending, ErrAlreadyMember, ErrReusedID, ErrNotMember,
+// ErrNotCaughtUp or ErrUnsafeChange.
 func (n *Node) ProposeMembership(change MembershipChange) (index, term uint64, err error) {
 	if err := n.checkProposal(change.Context); err != nil {
 		return 0, 0, err
@@ -142,14 +142,14 @@
 		if !n.caughtUp(change.Member) {
 			return Membership{}, ErrNotCaughtUp
 		}
-		result.Learners = without(result.Learners, change.Member)
+		result.Learners = withoutMember(result.Learners, change.Member)
 		result.Voters = append(result.Voters, change.Member)
 	case RemoveMember:
 		if !result.Contains(change.Member) {
 			return Membership{}, ErrNotMember
 		}
-		result.Learners = without(result.Learners, change.Member)
-		result.Voters = without(result.Voters, change.Member)
+		result.Learners = withoutMember(result.Learners, change.Member)
+		result.Voters = withoutMember(result.Voters, change.Member)
 	default:
 		return Membership{}, ErrMalformed
 	}
@@ -159,14 +159,14 @@
 	return result.normalized(), nil
 }
 
-// caughtUp reports whether a learner is in touch and has made durable what was
-// committed one heartbeat ago.
+// caughtUp reports whether a learner is active and has made durable what was committed
+// one heartbeat ago.
 func (n *Node) caughtUp(id MemberID) bool {
 	peer := n.leadership.peers[id]
 	return peer != nil && n.active(peer) && peer.match >= n.leadership.promotionFloor
 }
 
-// activeQuorum reports whether the voters in touch are a quorum of membership.
+// activeQuorum reports whether the active voters form a quorum of membership.
 func (n *Node) activeQuorum(membership Membership) bool {
 	count := 0
 	for _, id := range membership.Voters {
@@ -178,7 +178,7 @@
 	return len(membership.Voters) > 0 && count >= membership.Quorum()
 }
 
-func without(members []MemberID, id MemberID) []MemberID {
+func withoutMember(members []MemberID, id MemberID) []MemberID {
 	return slices.DeleteFunc(members, func(member MemberID) bool { return member == id })
 }
 
@@ -187,8 +187,8 @@
 	return slices.Equal(a.Voters, b.Voters) && slices.Equal(a.Learners, b.Learners)
 }
 
-// reconcilePeers makes the leader's peers those of the membership. A removed
-// member still gets the log until it knows that its removal is committed.
+// reconcilePeers updates the leader's peers from the membership. A removed member still
+// gets the log until it knows that its removal is committed.
 func (n *Node) reconcilePeers() {
 	lead := &n.leadership
 	if lead.peers == nil {
@@ -200,14 +200,14 @@
 		}
 	}
 	for id, peer := range lead.peers {
-		if !n.membership.Contains(id) && peer.departing == 0 {
-			peer.departing = n.history[len(n.history)-1].index
+		if !n.membership.Contains(id) && peer.removalIndex == 0 {
+			peer.removalIndex = n.history[len(n.history)-1].index
 		}
 	}
-	n.orderPeers()
+	n.sortPeers()
 }
 
-func (n *Node) orderPeers() {
+func (n *Node) sortPeers() {
 	order := make([]MemberID, 0, len(n.leadership.peers))
 	for id := range n.leadership.peers {
 		order = append(order, id)
@@ -218,42 +218,42 @@
 
 func (n *Node) dropPeer(id MemberID) {
 	delete(n.leadership.peers, id)
-	n.orderPeers()
+	n.sortPeers()
 }
 
-// dropDeparted forgets removed members that do not answer.
-func (n *Node) dropDeparted() {
+// dropInactiveRemoved drops removed members that do not answer.
+func (n *Node) dropInactiveRemoved() {
 	for _, id := range slices.Clone(n.leadership.peerOrder) {
 		peer := n.leadership.peers[id]
-		if peer.departing > 0 && n.log.commit >= peer.departing && !n.active(peer) {
+		if peer.removalIndex > 0 && n.log.commit >= peer.removalIndex && !n.active(peer) {
 			n.dropPeer(id)
 		}
 	}
 }
 
-// checkRemoval stops this member once its removal is committed. A member that
-// joins reads memberships from before it was added and is not stopped by them.
+// checkRemoval stops this member once its removal is committed. A member that joins
+// reads memberships from before it was added; they do not stop it.
 func (n *Node) checkRemoval() {
 	if n.membershipAt(n.log.commit).Contains(n.config.ID) {
 		n.wasMember = true
 		return
 	}
 	if n.wasMember {
-		n.stopAsRemoved()
+		n.becomeRemoved()
 	}
 }
 
-func (n *Node) stopAsRemoved() {
+func (n *Node) becomeRemoved() {
 	if n.role == RoleLeader {
 		n.broadcastHeartbeat()
 		n.offerLeadership()
-		n.resign()
+		n.clearLeadership()
 	}
 	n.role = RoleRemoved
 	n.leader = None
 }
 
-// offerLeadership asks the voter with the longest log to take over.
+// offerLeadership asks the active voter with the longest log to start an election.
 func (n *Node) offerLeadership() {
 	best := None
 	for _, id := range n.membership.Voters {
@@ -270,9 +270,9 @@
 	}
 }
 
-// tellRemoved answers a pre-vote of a member that is not in the committed
-// membership, and reports whether it did.
-func (n *Node) tellRemoved(message Message) bool {
+// replyIfRemoved answers a pre-vote of a member that is not in the committed membership,
+// and reports whether it did.
+func (n *Node) replyIfRemoved(message Message) bool {
 	committed := n.history[len(n.history)-1].index <= n.log.commit
 	if n.role != RoleLeader || !committed || n.membership.Contains(message.From) {
 		return false
@@ -281,10 +281,10 @@
 	return true
 }
 
-// handleRemoved believes a leader of this or a later term. A leader that does
+// handleRemoved stops this member if the sender's term is current. A leader that does
 // not know of this member yet has an earlier term.
 func (n *Node) handleRemoved(message Message) {
 	if message.Term >= n.term && n.role != RoleLeader {
-		n.stopAsRemoved()
+		n.becomeRemoved()
 	}
 }
--- a/internal/core/consensus/membership_test.go
+++ b/internal/core/consensus/membership_test.go
@@ -42,8 +42,8 @@
 	if status := net.node(4).Status(); status.Role != RoleFollower || !status.Membership.IsVoter(4) {
 		t.Errorf("status after the promotion: %+v", status)
 	}
-	net.sameState("xxxxxxxxxxxxxxxxxxxx", 1, 2, 3, 4)
-	net.noFaults()
+	net.checkState("xxxxxxxxxxxxxxxxxxxx", 1, 2, 3, 4)
+	net.checkNoViolations()
 }
 
 func TestMembershipChangesRefused(t *testing.T) {
@@ -58,7 +58,7 @@
 		{"add a member", MembershipChange{Kind: AddLearner, Member: 2}, ErrAlreadyMember},
 		{"add with a lower id", MembershipChange{Kind: AddLearner, Member: None}, ErrReusedID},
 		{"promote a voter", MembershipChange{Kind: PromoteLearner, Member: 2}, ErrNotMember},
-		{"remove a stranger", MembershipChange{Kind: RemoveMember, Member: 9}, ErrNotMember},
+		{"remove a non-member", MembershipChange{Kind: RemoveMember, Member: 9}, ErrNotMember},
 		{"no kind", MembershipChange{Member: 4}, ErrMalformed},
 	}
 	for _, test := range cases {
@@ -79,7 +79,7 @@
 	}
 }
 
-// With one voter lost, taking out another live one would leave no quorum.
+// With one voter lost, removing an active one would leave no quorum.
 func TestRemovalMustLeaveActiveQuorum(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
@@ -112,7 +112,7 @@
 		if err := net.change(AddLearner, gone); !errors.Is(err, ErrReusedID) {
 			t.Errorf("added again under its old id: %v", err)
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
 
@@ -123,13 +123,13 @@
 	net.tick(3 * testElectionTicks)
 	second := net.leader()
 	if second == None || second == first || net.node(first).Status().Role != RoleRemoved {
-		t.Fatalf("leader %d after %d left as %v", second, first, net.node(first).Status().Role)
+		t.Fatalf("leader is %d after leader %d became %v", second, first, net.node(first).Status().Role)
 	}
 	net.propose(second, "on")
-	net.noFaults()
+	net.checkNoViolations()
 }
 
-// A lost machine is replaced; then a second one is lost at once.
+// A lost member is replaced; then another one is lost.
 func TestSecondLossAfterRepair(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
@@ -147,11 +147,11 @@
 	net.tick(testElectionTicks)
 	net.propose(net.elect(), "c")
 	net.tick(testHeartbeatTicks)
-	net.sameState("abc", leader, 4)
+	net.checkState("abc", leader, 4)
 	net.crash(leader)
 	net.start(second)
 	net.propose(net.elect(), "d")
 	net.tick(testHeartbeatTicks)
-	net.sameState("abcd", second, 4)
-	net.noFaults()
+	net.checkState("abcd", second, 4)
+	net.checkNoViolations()
 }
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -4,7 +4,7 @@
 	"hash/crc32"
 )
 
-// Node is one member's consensus state. It is not safe for concurrent use.
+// Node is the consensus state of one member. It is not safe for concurrent use.
 type Node struct {
 	config   Config
 	random   randomSource
@@ -16,27 +16,25 @@
 
 	snapshot         Snapshot
 	snapshotChecksum uint32
-	// snapshotReleased is set while the owner has the snapshot's data.
+	// snapshotReleased is set while only the owner holds the snapshot's data.
 	snapshotReleased bool
 	incoming         *incomingSnapshot
 
-	// membership is the latest one in the log, committed or not; it is in
-	// force from the moment it is appended.
+	// membership is the latest one in the log, committed or not.
 	membership Membership
 	history    []membershipAt
 	wasMember  bool
 
 	// now counts ticks. The other counters are ticks since an event.
-	now             uint64
-	electionElapsed int
-	electionTimeout int
-	sinceLeader     int
-	// heard is set once this member has accepted a message of a leader since it
+	now              uint64
+	electionElapsed  int
+	electionTimeout  int
+	ticksSinceLeader int
+	// contactedLeader is set once this member has accepted a leader's message since it
 	// started, or has led.
-	heard            bool
+	contactedLeader  bool
 	heartbeatElapsed int
-	// required is what the leader of requiredTerm last asked a state to have
-	// applied.
+	// required is the highest Message.Required received from the leader of requiredTerm.
 	required     uint64
 	requiredTerm uint64
 	votes        map[MemberID]vote
@@ -48,14 +46,14 @@
 	failed     error
 }
 
-// leadership is what only a leader keeps.
+// leadership holds the state that only a leader has.
 type leadership struct {
 	peers     map[MemberID]*progress
 	peerOrder []MemberID
 	// termStart is the index of the leader's first entry.
 	termStart uint64
-	// promotionFloor is the commit index one heartbeat ago. A learner must
-	// have reached it to be promoted.
+	// promotionFloor is the commit index one heartbeat ago, which a learner must have
+	// reached to be promoted.
 	promotionFloor  uint64
 	round           uint64
 	roundOpen       bool
@@ -63,16 +61,16 @@
 	transferTo      MemberID
 	transferSent    bool
 	transferElapsed int
-	// leaseRevoked is set once a transfer was offered in this term: the
-	// receiver may be elected while voters still hear from this leader.
+	// leaseRevoked is set once a transfer was offered in this term: the receiver may be
+	// elected while voters still accept this leader's messages.
 	leaseRevoked bool
-	// wantsSnapshot is set while a member waits for a snapshot that was released.
-	wantsSnapshot bool
+	// snapshotWanted is set while a member waits for a snapshot whose data was released.
+	snapshotWanted bool
 }
 
-// New returns the member that config and restored describe. It fails with
+// New returns a member with the given configuration and restored state. It fails with
 // ErrConfig or with an InconsistentError. The owner's state machine must hold
-// restored.Snapshot; committed entries after it are handed out again.
+// restored.Snapshot; Ready returns the committed entries after it again.
 func New(config Config, restored Restored) (*Node, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -96,30 +94,29 @@
 	node.membership = history[len(history)-1].membership
 	node.wasMember = node.membershipAt(node.snapshot.Index).Contains(config.ID)
 	node.resetElectionTimer()
-	node.standEarly()
+	node.useStartupTimeout()
 	node.outbox.savedHard = node.hardState()
 	node.outbox.savedSoft = node.softState()
 	node.checkRemoval()
 	return node, nil
 }
 
-// Restored is what the log storage gave back at the start. For a new group,
-// Snapshot.Membership names the first members and all else is zero; for a
-// member that joins an existing group all of it is zero.
+// Restored is the state read from the log storage at startup. For a new group,
+// Snapshot.Membership holds the first members and all else is zero; for a member that
+// joins an existing group all of it is zero.
 type Restored struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// check verifies that a correct member can have left the state behind, and
-// returns the memberships in it.
+// check validates the restored state and returns the memberships in it.
 func (r Restored) check() ([]membershipAt, error) {
 	if !r.Snapshot.Membership.valid() {
 		return nil, &InconsistentError{Reason: "snapshot's membership is invalid", Index: r.Snapshot.Index}
 	}
 	if (r.Snapshot.Index == 0) != (r.Snapshot.Term == 0) {
-		return nil, &InconsistentError{Reason: "snapshot has an index without a term, or the reverse", Index: r.Snapshot.Index}
+		return nil, &InconsistentError{Reason: "snapshot has an index without a term, or a term without an index", Index: r.Snapshot.Index}
 	}
 	if r.Snapshot.Index > 0 && len(r.Snapshot.Membership.Voters) == 0 {
 		return nil, &InconsistentError{Reason: "snapshot without voters", Index: r.Snapshot.Index}
@@ -131,7 +128,7 @@
 			return nil, &InconsistentError{Reason: "gap in the log", Index: entry.Index}
 		}
 		if entry.Term < term || entry.Term == 0 {
-			return nil, &InconsistentError{Reason: "term falls in the log", Index: entry.Index}
+			return nil, &InconsistentError{Reason: "term decreases in the log", Index: entry.Index}
 		}
 		index, term = entry.Index, entry.Term
 		if entry.Kind != EntryMembership {
@@ -155,8 +152,8 @@
 	return history, nil
 }
 
-// Tick tells the member that one tick passed. The owner calls it at each tick, or
-// TickMissed before it for those that it could not.
+// Tick advances the member's clock by one tick. The owner calls it for each tick; for
+// ticks that it missed it calls TickMissed first.
 func (n *Node) Tick() {
 	if n.role == RoleRemoved || n.failed != nil {
 		return
@@ -166,35 +163,34 @@
 		n.tickLeader()
 		return
 	}
-	n.sinceLeader++
+	n.ticksSinceLeader++
 	n.electionElapsed++
 	if n.electionElapsed >= n.electionTimeout && n.membership.IsVoter(n.config.ID) {
-		n.standForElection()
+		n.startElection()
 	}
 }
 
-// TickMissed tells the member that ticks passed while its owner was held up and did not
-// run it: for want of processor time, or in a write. Leases and votes age by them, as they
-// must. But nothing is taken for the silence of others: what they sent meanwhile is not
-// handed over yet. Tick follows.
+// TickMissed advances the clock by ticks during which the owner did not run the member,
+// for example in a slow write. They count for leases and votes, but not as silence of
+// other members, whose messages the owner has not passed on yet. Tick follows.
 func (n *Node) TickMissed(ticks int) {
 	if ticks <= 0 || n.role == RoleRemoved || n.failed != nil {
 		return
 	}
 	n.now += uint64(ticks)
 	if n.role != RoleLeader {
-		n.sinceLeader += ticks
+		n.ticksSinceLeader += ticks
 		return
 	}
 	n.heartbeatElapsed += ticks
 	for _, peer := range n.leadership.peers {
-		peer.missed += uint64(ticks)
+		peer.missedTicks += uint64(ticks)
 		peer.progressTick += uint64(ticks)
 	}
 }
 
-// Step handles a message from another member. Late and repeated messages are
-// harmless. An error of ErrCommittedConflict is final: the member has stopped.
+// Step handles a message from another member. Delayed and duplicate messages are
+// harmless. ErrCommittedConflict is final: the member has stopped.
 func (n *Node) Step(message Message) error {
 	if n.failed != nil {
 		return n.failed
@@ -241,10 +237,10 @@
 	return nil
 }
 
-// Propose appends a command to the log. The command is committed once it is
-// handed out in a Ready with the same index and term; if another entry is
-// handed out at that index, it is lost. It fails with ErrNotLeader,
-// ErrTransferring, ErrQueueFull, ErrTooLarge or ErrRemoved.
+// Propose appends a command to the log. The command is committed once a Ready contains
+// it with the same index and term; if a Ready contains another entry at that index, the
+// command is lost. It fails with ErrNotLeader, ErrTransferring, ErrQueueFull,
+// ErrTooLarge or ErrRemoved.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if err := n.checkProposal(data); err != nil {
 		return 0, 0, err
@@ -278,7 +274,7 @@
 	return entry
 }
 
-// commitTo raises the commit index.
+// commitTo advances the commit index to index, or to the end of the log.
 func (n *Node) commitTo(index uint64) {
 	index = min(index, n.log.lastIndex())
 	if index <= n.log.commit {
--- a/internal/core/consensus/node_test.go
+++ b/internal/core/consensus/node_test.go
@@ -13,8 +13,8 @@
 		net.propose(leader, "a")
 		net.propose(leader, "b")
 		net.tick(testHeartbeatTicks)
-		net.sameState("ab", net.order...)
-		net.noFaults()
+		net.checkState("ab", net.order...)
+		net.checkNoViolations()
 	}
 }
 
@@ -30,12 +30,11 @@
 	net.propose(second, "b")
 	net.start(first)
 	net.tick(3 * testElectionTicks)
-	net.sameState("ab", net.order...)
-	net.noFaults()
+	net.checkState("ab", net.order...)
+	net.checkNoViolations()
 }
 
-// A member cut off appends entries that never commit; they give way to the
-// ones that did.
+// Entries appended by an isolated leader are replaced by committed ones.
 func TestUncommittedEntriesGiveWay(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	old := net.elect()
@@ -49,8 +48,8 @@
 	net.propose(next, "kept")
 	net.isolate(old, false)
 	net.tick(3 * testElectionTicks)
-	net.sameState("kept", net.order...)
-	net.noFaults()
+	net.checkState("kept", net.order...)
+	net.checkNoViolations()
 }
 
 func TestNewRefusesInconsistentState(t *testing.T) {
@@ -58,7 +57,7 @@
 	entry := func(index, term uint64) Entry { return Entry{Index: index, Term: term} }
 	cases := map[string]Restored{
 		"gap":              {HardState: HardState{Term: 1}, Snapshot: Snapshot{Membership: three}, Entries: []Entry{entry(2, 1)}},
-		"term falls":       {HardState: HardState{Term: 2}, Snapshot: Snapshot{Membership: three}, Entries: []Entry{entry(1, 2), entry(2, 1)}},
+		"term decreases":   {HardState: HardState{Term: 2}, Snapshot: Snapshot{Membership: three}, Entries: []Entry{entry(1, 2), entry(2, 1)}},
 		"term behind log":  {HardState: HardState{Term: 1}, Snapshot: Snapshot{Membership: three}, Entries: []Entry{entry(1, 2)}},
 		"commit past end":  {HardState: HardState{Term: 1, Commit: 2}, Snapshot: Snapshot{Membership: three}, Entries: []Entry{entry(1, 1)}},
 		"vote, no term":    {HardState: HardState{VotedFor: 2}, Snapshot: Snapshot{Membership: three}},
@@ -80,9 +79,9 @@
 	}
 }
 
-// compactedBehind gives a network whose leader has compacted what the other member, which
-// is down, lacks; snapshots are sent in parts of 7 bytes.
-func compactedBehind(t *testing.T, configure func(*Config)) (net *network, leader, behind MemberID) {
+// newLaggingNetwork returns a network whose leader has compacted entries that the crashed
+// member behind lacks. Snapshot chunks have 7 bytes.
+func newLaggingNetwork(t *testing.T, configure func(*Config)) (net *network, leader, behind MemberID) {
 	net = newNetwork(t, 3, func(c *Config) {
 		c.SnapshotChunkBytes = 7
 		configure(c)
@@ -111,13 +110,12 @@
 
 func TestSnapshotInChunksAfterCompaction(t *testing.T) {
 	third := func(chunk int) bool { return chunk%3 == 0 }
-	// With all parts on their way at once, a loss of each third one might fall on the same
-	// part for ever.
+	// With a large window, dropping every third chunk might always hit the same one.
 	scattered := func(chunk int) bool { return uint32(chunk)*2654435761>>16%3 == 0 }
 	for window, lost := range map[int]func(chunk int) bool{0: third, 1: third, 2: third, 100: scattered} {
-		net, leader, behind := compactedBehind(t, func(c *Config) { c.SnapshotWindow = window })
+		net, leader, behind := newLaggingNetwork(t, func(c *Config) { c.SnapshotWindow = window })
 		chunks := 0
-		net.oneHop = func(m Message) bool {
+		net.filter = func(m Message) bool {
 			if m.Kind == MessageSnapshotChunk {
 				chunks++
 				return !lost(chunks)
@@ -126,25 +124,25 @@
 		}
 		net.start(behind)
 		net.tick(20 * testElectionTicks)
-		net.sameState(string(net.members[leader].state), net.order...)
+		net.checkState(string(net.members[leader].state), net.order...)
 		if chunks < 8 {
 			t.Errorf("window %d: %d chunks, want at least 8", window, chunks)
 		}
 		if !strings.HasSuffix(string(net.members[behind].state), "!") {
 			t.Errorf("window %d: state %q lacks the entry after the snapshot", window, net.members[behind].state)
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
 
-// TestChunksAreSentAheadWithinTheWindow: so many before the first is acknowledged, and none
-// twice where none is lost.
+// The leader sends no more chunks than the window before the first acknowledgement, and
+// none twice unless one is lost.
 func TestChunksAreSentAheadWithinTheWindow(t *testing.T) {
 	for _, window := range []int{1, 3} {
-		net, leader, behind := compactedBehind(t, func(c *Config) { c.SnapshotWindow = window })
+		net, leader, behind := newLaggingNetwork(t, func(c *Config) { c.SnapshotWindow = window })
 		total := uint64(len(net.members[leader].node.snapshot.Data))
 		ahead, most, sent := uint64(0), uint64(0), map[uint64]int{}
-		net.oneHop = func(m Message) bool {
+		net.filter = func(m Message) bool {
 			switch m.Kind {
 			case MessageSnapshotChunk:
 				sent[m.Chunk.Offset]++
@@ -159,14 +157,14 @@
 		net.start(behind)
 		net.tick(4 * testElectionTicks)
 		if most > uint64(window*7) {
-			t.Errorf("window %d: %d bytes were ahead", window, most)
+			t.Errorf("window %d: %d unacknowledged bytes", window, most)
 		}
 		if parts := int(total+6) / 7; len(sent) != parts {
-			t.Errorf("window %d: %d parts, want %d", window, len(sent), parts)
+			t.Errorf("window %d: %d chunks, want %d", window, len(sent), parts)
 		}
 		for offset, times := range sent {
 			if times != 1 {
-				t.Errorf("window %d: the part at %d was sent %d times", window, offset, times)
+				t.Errorf("window %d: chunk at offset %d was sent %d times", window, offset, times)
 			}
 		}
 	}
--- a/internal/core/consensus/progress.go
+++ b/internal/core/consensus/progress.go
@@ -1,12 +1,12 @@
 package consensus
 
-// ProgressState says how a leader sends the log to one member.
+// ProgressState is the mode in which a leader sends the log to one member.
 type ProgressState uint8
 
 const (
-	// ProgressProbe sends one message at a time until the logs meet.
+	// ProgressProbe sends one message at a time until the logs match.
 	ProgressProbe ProgressState = iota
-	// ProgressReplicate sends ahead of the acknowledgements.
+	// ProgressReplicate pipelines appends without waiting for acknowledgements.
 	ProgressReplicate
 	// ProgressSnapshot sends a snapshot in chunks.
 	ProgressSnapshot
@@ -22,7 +22,7 @@
 	return "unknown"
 }
 
-// progress is what a leader knows about one other member.
+// progress is a leader's view of one other member.
 type progress struct {
 	match uint64
 	next  uint64
@@ -31,33 +31,33 @@
 	inflight []uint64
 	// waiting is set while a probe or a snapshot chunk is unacknowledged.
 	waiting bool
-	// progressTick is when something was last acknowledged, or sent after
-	// nothing was outstanding.
+	// progressTick is the tick of the last acknowledgement, or of the first message sent
+	// while nothing was outstanding.
 	progressTick uint64
-	// contactTick is when the member last answered in this term.
+	// contactTick is the tick of the member's last reply in this term.
 	contactTick uint64
-	// missed counts the ticks since contactTick in which the leader was held up.
-	missed uint64
-	// leaseTick is the latest SentTick that the member answered; 0 is none.
+	// missedTicks counts the ticks since contactTick that the leader missed.
+	missedTicks uint64
+	// leaseTick is the latest SentTick that the member acknowledged, or 0.
 	leaseTick uint64
-	// round is the latest read round that the member answered.
+	// round is the latest read round that the member acknowledged.
 	round uint64
-	// sentCommit is the highest commit index that was sent.
+	// sentCommit is the highest commit index sent.
 	sentCommit uint64
 	snapshot   *Snapshot
 	checksum   uint32
-	// offset is how much of the snapshot is acknowledged, sent how much was sent; resentTick
-	// is when it was last sent again from offset on.
+	// offset counts the snapshot's acknowledged bytes, sent those sent; resentTick is
+	// the tick of the last resend from offset.
 	offset     uint64
 	sent       uint64
 	resentTick uint64
-	// departing is the index of the entry that removes the member, or 0.
-	departing uint64
+	// removalIndex is the index of the entry that removes the member, or 0.
+	removalIndex uint64
 }
 
-// silentFor gives how many ticks the member has been silent while the leader would
-// have heard it.
-func (p *progress) silentFor(now uint64) uint64 { return now - p.contactTick - p.missed }
+// ticksSinceContact returns the ticks since the member's last reply, without those that
+// the leader missed.
+func (p *progress) ticksSinceContact(now uint64) uint64 { return now - p.contactTick - p.missedTicks }
 
 func (p *progress) becomeProbe() {
 	p.state = ProgressProbe
@@ -87,14 +87,14 @@
 	return p.waiting || len(p.inflight) > 0
 }
 
-// acknowledge records that the member's log is durable up to index. It
-// reports whether that is news.
+// acknowledge records that the member's log is durable up to index. It reports whether
+// that advances match.
 func (p *progress) acknowledge(index uint64) bool {
-	free := 0
-	for free < len(p.inflight) && p.inflight[free] <= index {
-		free++
+	acked := 0
+	for acked < len(p.inflight) && p.inflight[acked] <= index {
+		acked++
 	}
-	p.inflight = p.inflight[free:]
+	p.inflight = p.inflight[acked:]
 	if index <= p.match {
 		return false
 	}
--- a/internal/core/consensus/read.go
+++ b/internal/core/consensus/read.go
@@ -1,18 +1,17 @@
 package consensus
 
-// pendingRead is a read that waits for proof of leadership.
+// pendingRead is a read that waits for confirmation of leadership.
 type pendingRead struct {
 	requestID uint64
 	index     uint64
 	round     uint64
 }
 
-// ReadIndex asks for a position that is safe to read at: a state machine that
-// has applied it shows every change that was committed before this call. The
-// answer is a ReadState. It is given at once under the leader lease, else after
-// a quorum has answered a heartbeat sent after the call. The owner must have
-// called Tick for all the time that passed. It fails with ErrNotLeader,
-// ErrRemoved or ErrQueueFull.
+// ReadIndex requests a safe read index: a state machine that has applied it includes
+// every change committed before this call. The answer is a ReadState. It is available at
+// once under the leader lease, else after a quorum has answered a heartbeat sent after
+// the call. The owner must have called Tick for all the time that passed. It fails with
+// ErrNotLeader, ErrRemoved or ErrQueueFull.
 func (n *Node) ReadIndex(requestID uint64) error {
 	lead := &n.leadership
 	switch {
@@ -39,9 +38,8 @@
 	return nil
 }
 
-// leaseValid reports whether no other leader can have been elected yet: a
-// quorum accepted a message of this leader so recently that it still refuses
-// to vote.
+// leaseValid reports whether no other leader can have been elected yet: a quorum accepted
+// a message of this leader so recently that it still refuses to vote.
 func (n *Node) leaseValid() bool {
 	if n.config.NoLeaseReads || n.leadership.leaseRevoked {
 		return false
@@ -52,8 +50,8 @@
 	return start > 0 && n.now-start < n.config.leaseTicks()
 }
 
-// serveReads answers the reads that are proved. A new leader first commits an
-// entry of its term, as it does not know the commit index before.
+// serveReads answers the confirmed reads. A new leader first commits an entry of its
+// term, as it does not know the commit index before.
 func (n *Node) serveReads() {
 	lead := &n.leadership
 	if len(lead.reads) == 0 || n.log.commit < lead.termStart {
--- a/internal/core/consensus/ready.go
+++ b/internal/core/consensus/ready.go
@@ -1,7 +1,6 @@
 package consensus
 
-// SoftState is what a member knows of the leadership; it need not survive a
-// restart.
+// SoftState is a member's volatile state, which need not survive a restart.
 type SoftState struct {
 	Role   Role
 	Leader MemberID
@@ -12,29 +11,29 @@
 type ReadState struct {
 	RequestID uint64
 	// Index is the position that the state machine must have applied before
-	// the read is served.
+	// it serves the read.
 	Index uint64
-	// Lost is set if the member lost its leadership before it could answer.
+	// Lost is set if the member lost leadership before it could answer.
 	Lost bool
 }
 
-// Ready is what the owner has to do next: make HardState, Snapshot and Entries
-// durable (in one sync, if MustSync), then send Messages, restore Snapshot,
-// apply Committed and call Advance.
+// Ready is the pending work of the owner: make HardState, Snapshot and Entries durable
+// (in one sync, if MustSync), then send Messages, restore Snapshot, apply Committed and
+// call Advance.
 type Ready struct {
 	// HardState is nil if it has not changed.
 	HardState *HardState
-	// Entries are to be written at their indexes. Entries already written at
-	// or after the first index are void.
+	// Entries are to be written at their indexes. They replace all entries already
+	// written at or after the first index.
 	Entries []Entry
-	// Snapshot is set if the leader sent one. It replaces the state machine's
-	// state and the log up to its index; a log that does not hold the entry of
-	// its index and term is void altogether.
+	// Snapshot is set if the leader sent one. It replaces the state machine's state and
+	// the log up to its index, and the whole log unless that holds the entry at the
+	// snapshot's index and term.
 	Snapshot *Snapshot
 	// MustSync is set if the messages depend on what is written.
 	MustSync bool
 	// Messages are to be sent only after the writes are durable. They may be
-	// lost, repeated or reordered.
+	// lost, duplicated or reordered.
 	Messages []Message
 	// Committed are to be applied in order, after Snapshot.
 	Committed  []Entry
@@ -43,9 +42,9 @@
 	SoftState *SoftState
 }
 
-// MayPrecedeSync reports whether message may leave before the Ready's writes
-// are durable: a leader's appends, as it counts its own copy only after
-// Advance (section 10.2.1 of the dissertation).
+// MayPrecedeSync reports whether message may be sent before the Ready's writes are
+// durable. This holds for a leader's appends, as the leader counts its own copy only
+// after Advance (section 10.2.1 of the dissertation).
 func (r Ready) MayPrecedeSync(message Message) bool {
 	if r.Snapshot != nil || r.SoftState != nil {
 		return false
@@ -53,7 +52,7 @@
 	return message.Kind == MessageAppend || message.Kind == MessageHeartbeat
 }
 
-// outbox is what waits for the next Ready.
+// outbox collects the contents of the next Ready.
 type outbox struct {
 	messages        []Message
 	readStates      []ReadState
@@ -74,19 +73,19 @@
 	n.outbox.messages = append(n.outbox.messages, message)
 }
 
-// HasReady reports whether Ready has something to hand out.
+// HasReady reports whether there is work for Ready to return.
 func (n *Node) HasReady() bool {
 	box := &n.outbox
 	if box.outstanding {
 		return false
 	}
 	return box.dirty || len(box.messages) > 0 || len(box.readStates) > 0 || box.pendingSnapshot != nil ||
-		n.log.taken < n.log.lastIndex() || n.log.applied < n.log.commit ||
+		n.log.inProgress < n.log.lastIndex() || n.log.applied < n.log.commit ||
 		box.savedHard != n.hardState() || box.savedSoft != n.softState()
 }
 
-// Ready hands out the work that has come up. It returns an empty Ready while
-// an earlier one has not been given to Advance.
+// Ready returns the pending work. It returns an empty Ready until the previous one has
+// been passed to Advance.
 func (n *Node) Ready() Ready {
 	box := &n.outbox
 	if box.outstanding {
@@ -99,8 +98,8 @@
 		Messages:   box.messages,
 		ReadStates: box.readStates,
 		Snapshot:   box.pendingSnapshot,
-		Entries:    n.log.between(n.log.taken, n.log.lastIndex()),
-		Committed:  n.log.between(n.log.applied, n.log.commit),
+		Entries:    n.log.entriesBetween(n.log.inProgress, n.log.lastIndex()),
+		Committed:  n.log.entriesBetween(n.log.applied, n.log.commit),
 	}
 	if hard := n.hardState(); hard != box.savedHard {
 		ready.HardState = &hard
@@ -112,7 +111,7 @@
 		box.savedSoft = soft
 	}
 	ready.MustSync = ready.MustSync || len(ready.Entries) > 0 || ready.Snapshot != nil
-	n.log.taken = n.log.lastIndex()
+	n.log.inProgress = n.log.lastIndex()
 	box.messages, box.readStates, box.pendingSnapshot = nil, nil, nil
 	box.dirty = false
 	box.outstanding = true
@@ -120,7 +119,7 @@
 	return ready
 }
 
-// Advance tells the member that ready was carried out.
+// Advance confirms that the owner has processed ready.
 func (n *Node) Advance(ready Ready) {
 	if !n.outbox.outstanding {
 		return
--- a/internal/core/consensus/replication.go
+++ b/internal/core/consensus/replication.go
@@ -27,9 +27,10 @@
 	return 0
 }
 
-// active reports whether the peer answered within the election timeout.
+// active reports whether the peer answered within the election timeout, without the
+// ticks that the leader missed.
 func (n *Node) active(peer *progress) bool {
-	return peer.silentFor(n.now) < uint64(n.config.ElectionTicks)
+	return peer.ticksSinceContact(n.now) < uint64(n.config.ElectionTicks)
 }
 
 // quorumActive reports whether a quorum answered within the election timeout.
@@ -40,17 +41,17 @@
 	return n.now-contact < uint64(n.config.ElectionTicks)
 }
 
-// quorumSilent reports whether no quorum answered though this member was there for an
-// election timeout to hear it.
-func (n *Node) quorumSilent() bool {
-	heard := n.quorumValue(func(id MemberID) uint64 {
-		return n.peerValue(id, n.now, func(p *progress) uint64 { return p.contactTick + p.missed })
+// quorumLost reports whether no quorum answered within the election timeout, without the
+// ticks that this member missed.
+func (n *Node) quorumLost() bool {
+	contact := n.quorumValue(func(id MemberID) uint64 {
+		return n.peerValue(id, n.now, func(p *progress) uint64 { return p.contactTick + p.missedTicks })
 	})
-	return n.now-heard >= uint64(n.config.ElectionTicks)
+	return n.now-contact >= uint64(n.config.ElectionTicks)
 }
 
 func (n *Node) tickLeader() {
-	if n.quorumSilent() && !n.config.Safeguards.NoCheckQuorum {
+	if n.quorumLost() && !n.config.Safeguards.NoCheckQuorum {
 		n.becomeFollower(n.term, None)
 		return
 	}
@@ -64,10 +65,10 @@
 	for _, id := range n.leadership.peerOrder {
 		n.retransmit(n.leadership.peers[id])
 	}
-	n.dropDeparted()
+	n.dropInactiveRemoved()
 }
 
-// retransmit gives up waiting for an acknowledgement that is overdue.
+// retransmit schedules a resend if the peer's acknowledgement is overdue.
 func (n *Node) retransmit(peer *progress) {
 	if !peer.outstanding() || n.now-peer.progressTick < n.config.retransmitTicks() {
 		return
@@ -98,27 +99,26 @@
 func (n *Node) sendAsLeader(message Message) {
 	message.SentTick = n.now
 	message.Round = n.leadership.round
-	message.Required = n.requiredAsLeader()
+	message.Required = n.leaderRequired()
 	n.send(message)
 }
 
-// requiredAsLeader gives the position that a state must have applied to show
-// every committed entry. Until its first entry is committed a leader does not
-// know which of those before it are.
-func (n *Node) requiredAsLeader() uint64 {
+// leaderRequired returns the index that a state machine must have applied to include
+// every committed entry. Until a leader has committed its first entry, it does not know
+// which earlier ones are committed.
+func (n *Node) leaderRequired() uint64 {
 	return max(n.log.commit, n.leadership.termStart)
 }
 
-// noteRequired takes over the leader's position. The term of the message is
-// this member's.
-func (n *Node) noteRequired(message Message) {
+// updateRequired records the leader's Required index. The message has this member's term.
+func (n *Node) updateRequired(message Message) {
 	if n.requiredTerm != message.Term {
 		n.required, n.requiredTerm = 0, message.Term
 	}
 	n.required = max(n.required, message.Required)
 }
 
-// sendAppends sends every peer what its window allows.
+// sendAppends sends every peer as much as its window allows.
 func (n *Node) sendAppends() {
 	for _, id := range n.leadership.peerOrder {
 		peer := n.leadership.peers[id]
@@ -139,9 +139,9 @@
 	}
 	var entries []Entry
 	if n.active(peer) {
-		entries = n.log.from(peer.next, n.config.MaxBatchBytes)
+		entries = n.log.entriesFrom(peer.next, n.config.MaxBatchBytes)
 	}
-	n.startWaiting(peer)
+	n.startAckTimer(peer)
 	peer.waiting = true
 	n.sendEntries(id, peer, entries)
 }
@@ -149,12 +149,12 @@
 func (n *Node) sendWindow(id MemberID, peer *progress) {
 	sent := false
 	for peer.next <= n.log.lastIndex() && len(peer.inflight) < n.config.MaxInflight {
-		entries := n.log.from(peer.next, n.config.MaxBatchBytes)
+		entries := n.log.entriesFrom(peer.next, n.config.MaxBatchBytes)
 		if !n.sendEntries(id, peer, entries) {
 			return
 		}
 		sent = true
-		n.startWaiting(peer)
+		n.startAckTimer(peer)
 		peer.next += uint64(len(entries))
 		peer.inflight = append(peer.inflight, peer.next-1)
 	}
@@ -163,14 +163,14 @@
 	}
 }
 
-func (n *Node) startWaiting(peer *progress) {
+func (n *Node) startAckTimer(peer *progress) {
 	if !peer.outstanding() {
 		peer.progressTick = n.now
 	}
 }
 
-// sendEntries sends entries from peer.next on. If the position before them is
-// compacted, it starts a snapshot instead and reports false.
+// sendEntries sends entries from peer.next on. If the position before them is compacted,
+// it starts a snapshot instead and returns false.
 func (n *Node) sendEntries(id MemberID, peer *progress, entries []Entry) bool {
 	previous := peer.next - 1
 	term, known := n.log.term(previous)
@@ -186,7 +186,7 @@
 	return true
 }
 
-// handleFromLeader handles what only the leader of this term sends.
+// handleFromLeader handles messages that only the leader of this term sends.
 func (n *Node) handleFromLeader(message Message) error {
 	if n.role == RoleLeader {
 		return ErrMalformed
@@ -195,9 +195,9 @@
 		n.becomeFollower(n.term, message.From)
 	}
 	n.electionElapsed = 0
-	n.sinceLeader = 0
-	n.heard = true
-	n.noteRequired(message)
+	n.ticksSinceLeader = 0
+	n.contactedLeader = true
+	n.updateRequired(message)
 	switch message.Kind {
 	case MessageAppend:
 		return n.handleAppend(message)
@@ -210,7 +210,7 @@
 	}
 }
 
-// reply answers a leader's message and carries back its tick and round.
+// reply answers a leader's message and echoes its tick and round.
 func (n *Node) reply(request, reply Message) {
 	reply.To = request.From
 	reply.SentTick = request.SentTick
@@ -244,8 +244,8 @@
 	return nil
 }
 
-// acceptEntries adds the entries that the log lacks after previous, in place
-// of any that contradict them. It returns the index of the last one.
+// acceptEntries appends the entries after previous that the log lacks, and replaces
+// conflicting ones. It returns the index of the last one.
 func (n *Node) acceptEntries(previous uint64, entries []Entry) (uint64, error) {
 	for i, entry := range entries {
 		if entry.Index != previous+uint64(i)+1 || entry.Term > n.term {
@@ -265,20 +265,20 @@
 	}
 	if entries[0].Index <= n.log.lastIndex() {
 		n.log.truncateFrom(entries[0].Index)
-		n.forgetMemberships(entries[0].Index)
+		n.truncateMemberships(entries[0].Index)
 	}
 	n.log.append(entries...)
 	n.recordMemberships(memberships)
 	return last, nil
 }
 
-// handleFromFollower handles the answers to a leader's messages.
+// handleFromFollower handles replies to a leader's messages.
 func (n *Node) handleFromFollower(message Message) {
 	peer := n.leadership.peers[message.From]
 	if n.role != RoleLeader || peer == nil {
 		return
 	}
-	n.noteContact(message, peer)
+	n.recordContact(message, peer)
 	switch message.Kind {
 	case MessageAppendReply:
 		if message.Reject {
@@ -293,13 +293,13 @@
 		return
 	}
 	n.serveReads()
-	if peer.departing > 0 && message.Commit >= peer.departing {
+	if peer.removalIndex > 0 && message.Commit >= peer.removalIndex {
 		n.dropPeer(message.From)
 	}
 }
 
-func (n *Node) noteContact(message Message, peer *progress) {
-	peer.contactTick, peer.missed = n.now, 0
+func (n *Node) recordContact(message Message, peer *progress) {
+	peer.contactTick, peer.missedTicks = n.now, 0
 	if message.SentTick <= n.now {
 		peer.leaseTick = max(peer.leaseTick, message.SentTick)
 	}
@@ -311,9 +311,9 @@
 	if stale || peer.state == ProgressSnapshot {
 		return
 	}
-	meeting, _ := n.log.lastAtOrBelow(message.HintIndex, message.HintTerm)
+	lastMatch, _ := n.log.lastAtOrBelow(message.HintIndex, message.HintTerm)
 	peer.becomeProbe()
-	peer.next = max(peer.match+1, min(meeting+1, message.Index))
+	peer.next = max(peer.match+1, min(lastMatch+1, message.Index))
 	n.outbox.dirty = true
 }
 
@@ -321,26 +321,26 @@
 	if index > n.log.lastIndex() {
 		return
 	}
-	met := peer.state == ProgressProbe && index >= peer.next-1
-	news := peer.acknowledge(index)
-	if news {
+	matched := peer.state == ProgressProbe && index >= peer.next-1
+	advanced := peer.acknowledge(index)
+	if advanced {
 		peer.progressTick = n.now
 	}
-	if met {
+	if matched {
 		peer.becomeReplicate()
 	}
 	if peer.state == ProgressSnapshot && peer.match >= peer.snapshot.Index {
 		peer.becomeProbe()
 	}
-	n.outbox.dirty = n.outbox.dirty || met || news
-	if news {
+	n.outbox.dirty = n.outbox.dirty || matched || advanced
+	if advanced {
 		n.advanceCommit()
 		n.continueTransfer()
 	}
 }
 
-// advanceCommit commits what a quorum has made durable. Only an entry of the
-// leader's own term is committed by counting (section 5.4.2 of the paper).
+// advanceCommit commits what a quorum has made durable. Only entries of the leader's own
+// term are committed by counting replicas (section 5.4.2 of the paper).
 func (n *Node) advanceCommit() {
 	index := n.quorumValue(func(id MemberID) uint64 {
 		return n.peerValue(id, n.log.stable, func(p *progress) uint64 { return p.match })
--- a/internal/core/consensus/replication_test.go
+++ b/internal/core/consensus/replication_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// leaderOfThree returns member 1 as the leader of three in term 1, with its
-// first Ready carried out.
+// leaderOfThree returns member 1 as the leader of three in term 1, with its first Ready
+// processed.
 func leaderOfThree(t *testing.T, adjust func(*Config)) *Node {
 	t.Helper()
 	config := Config{ID: 1, ElectionTicks: testElectionTicks, HeartbeatTicks: testHeartbeatTicks}
@@ -25,14 +25,14 @@
 	return node
 }
 
-// acknowledge answers as a follower whose log is durable up to index.
+// acknowledge sends an append reply of a follower whose log is durable up to index.
 func acknowledge(t *testing.T, node *Node, from MemberID, index uint64) {
 	t.Helper()
 	mustStep(t, node, Message{Kind: MessageAppendReply, From: from, To: 1, Term: 1, Index: index, SentTick: node.now})
 }
 
-// A leader's own copy counts only once it is durable, although its appends may
-// leave before.
+// A leader's own copy counts only once it is durable, although its appends may be sent
+// earlier.
 func TestLeaderCountsItsCopyOnceDurable(t *testing.T) {
 	node := leaderOfThree(t, nil)
 	acknowledge(t, node, 2, 1)
@@ -75,7 +75,7 @@
 	}
 }
 
-// A candidate whose log lacks entries gets no vote (section 5.4.1).
+// A candidate whose log is not up to date gets no vote (section 5.4.1).
 func TestVoteNeedsUpToDateLog(t *testing.T) {
 	cases := []struct {
 		index, term uint64
@@ -168,7 +168,7 @@
 		if got, want := net.node(2).log.lastIndex(), net.node(1).log.lastIndex(); got != want || !net.node(2).log.matches(4, 4) {
 			t.Errorf("follower %s: log ends at %d, leader's at %d", name, got, want)
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
 
@@ -195,8 +195,8 @@
 	}
 }
 
-// FuzzStep hands arbitrary messages to a leader and to a follower, which must
-// refuse or ignore what does not fit.
+// FuzzStep passes arbitrary messages to a leader and a follower, which must refuse or
+// ignore invalid ones.
 func FuzzStep(f *testing.F) {
 	seeds := []Message{
 		{Kind: MessageAppend, From: 2, To: 1, Term: 2, Entries: []Entry{{Index: 1, Term: 2, Data: []byte("x")}}},
@@ -232,26 +232,26 @@
 	})
 }
 
-// A member that hears from the leader but lacks entries must know that it lags,
-// and a new leader that it does not know yet what is committed.
+// A follower that lacks entries must report that it lags, as must a new leader that does
+// not know the commit index yet.
 func TestLaggingMembersKnowThatTheyLag(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	behind := net.others(leader)[0]
-	net.oneHop = func(m Message) bool { return m.To != behind || m.Kind != MessageAppend }
+	net.filter = func(m Message) bool { return m.To != behind || m.Kind != MessageAppend }
 	committed := net.propose(leader, "a")
 	net.tick(testHeartbeatTicks)
 	status := net.node(behind).Status()
 	if !status.QuorumActive || status.Commit >= committed || status.Required < committed {
 		t.Errorf("a follower without the entry at %d: %+v", committed, status)
 	}
-	net.oneHop = nil
+	net.filter = nil
 	net.tick(testElectionTicks)
 	if status := net.node(behind).Status(); status.Commit < status.Required {
-		t.Errorf("caught up at last: %+v", status)
+		t.Errorf("not caught up: %+v", status)
 	}
 	net.crash(leader)
-	net.oneHop = func(m Message) bool { return m.Kind != MessageAppendReply }
+	net.filter = func(m Message) bool { return m.Kind != MessageAppendReply }
 	for net.leader() == None || net.leader() == leader {
 		net.tick(1)
 	}
--- a/internal/core/consensus/retain_test.go
+++ b/internal/core/consensus/retain_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestRetainedEntriesAreBoundedInNumberAndBytes: what stays of the log before a snapshot.
+// Limits on both the number and the bytes of the entries kept before a snapshot.
 func TestRetainedEntriesAreBoundedInNumberAndBytes(t *testing.T) {
 	log := raftLog{baseIndex: 10, baseTerm: 1}
 	for range 20 { // 11 to 30
@@ -12,7 +12,7 @@
 		entries, bytes int
 		want           uint64
 	}{{5, 0, 20}, {5, 1000, 20}, {5, 250, 23}, {5, 99, 25}, {0, 1000, 25}, {100, 0, 10}, {100, 350, 22}} {
-		if got := log.retainedFrom(25, row.entries, row.bytes); got != row.want {
+		if got := log.compactionIndex(25, row.entries, row.bytes); got != row.want {
 			t.Errorf("%d entries, %d bytes: from %d, want %d", row.entries, row.bytes, got, row.want)
 		}
 	}
--- a/internal/core/consensus/safeguard_test.go
+++ b/internal/core/consensus/safeguard_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// others returns the members that are not id.
+// others returns all members except id.
 func (net *network) others(id MemberID) []MemberID {
 	var others []MemberID
 	for _, other := range net.order {
@@ -31,10 +31,10 @@
 	return ReadState{}, false
 }
 
-// A member that was cut off must not disturb the leader when it comes back.
+// A member that was isolated must not disrupt the leader when it returns.
 func TestPreVoteKeepsTerms(t *testing.T) {
-	for _, removed := range []bool{false, true} {
-		net := newNetwork(t, 3, func(c *Config) { c.Safeguards.NoPreVote = removed })
+	for _, disabled := range []bool{false, true} {
+		net := newNetwork(t, 3, func(c *Config) { c.Safeguards.NoPreVote = disabled })
 		leader := net.elect()
 		term := net.node(leader).Status().Term
 		away := net.others(leader)[0]
@@ -43,34 +43,34 @@
 		net.isolate(away, false)
 		net.tick(5 * testElectionTicks)
 		grown := net.node(net.leader()).Status().Term - term
-		if removed && grown == 0 {
-			t.Error("without pre-vote: the term did not grow, so the test shows nothing")
+		if disabled && grown == 0 {
+			t.Error("without pre-vote: the term did not grow, so the test proves nothing")
 		}
-		if !removed && (grown != 0 || net.leader() != leader) {
+		if !disabled && (grown != 0 || net.leader() != leader) {
 			t.Errorf("term grew by %d, leader %d became %d", grown, leader, net.leader())
 		}
-		net.noFaults()
+		net.checkNoViolations()
 	}
 }
 
-// staleReadAfterElection has a second leader elected by a voter that has just
-// heard from the first one, then reads from the first under its lease. It
+// staleReadAfterElection attempts to elect a second leader with the vote of a voter that
+// has just had contact with the first one, then reads from the first under its lease. It
 // reports whether the read misses an entry that the second leader committed.
 func staleReadAfterElection(t *testing.T, safeguards Safeguards, restartVoter bool) bool {
 	t.Helper()
 	net := newNetwork(t, 3, func(c *Config) { c.Safeguards = safeguards })
 	first := net.elect()
 	voter, second := net.others(first)[0], net.others(first)[1]
-	net.cut[[2]MemberID{first, second}] = true
-	// The second member's timer runs out; the voter still hears the first.
+	net.blocked[[2]MemberID{first, second}] = true
+	// The second member's election timer expires; the voter still has contact with the first.
 	for range 2*testElectionTicks + 1 {
 		net.node(second).Tick()
 	}
 	net.node(first).Tick()
 	net.node(first).Tick()
-	net.cut[[2]MemberID{second, voter}] = true
+	net.blocked[[2]MemberID{second, voter}] = true
 	net.settle()
-	net.cut = map[[2]MemberID]bool{}
+	net.blocked = map[[2]MemberID]bool{}
 	net.isolate(first, true)
 	if restartVoter {
 		net.start(voter)
@@ -89,14 +89,14 @@
 
 func TestCheckQuorumKeepsLeaseReadsFresh(t *testing.T) {
 	if !staleReadAfterElection(t, Safeguards{NoCheckQuorum: true}, false) {
-		t.Error("without check-quorum: no stale read, so the test shows nothing")
+		t.Error("without check-quorum: no stale read, so the test proves nothing")
 	}
 	if staleReadAfterElection(t, Safeguards{}, false) {
 		t.Error("stale read under the lease")
 	}
 }
 
-// A voter that restarts has forgotten whom it heard from; it must wait.
+// A restarted voter no longer knows whether it had contact with a leader; it must wait.
 func TestRestartedVoterKeepsLease(t *testing.T) {
 	if staleReadAfterElection(t, Safeguards{}, true) {
 		t.Error("stale read after a voter restarted")
@@ -104,13 +104,13 @@
 }
 
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
-	for _, removed := range []bool{false, true} {
-		net := newNetwork(t, 3, func(c *Config) { c.Safeguards.NoCheckQuorum = removed })
+	for _, disabled := range []bool{false, true} {
+		net := newNetwork(t, 3, func(c *Config) { c.Safeguards.NoCheckQuorum = disabled })
 		leader := net.elect()
 		net.isolate(leader, true)
 		net.tick(testElectionTicks + 1)
-		if leads := net.node(leader).Status().Role == RoleLeader; leads != removed {
-			t.Errorf("check-quorum removed %v: isolated member leads %v", removed, leads)
+		if leads := net.node(leader).Status().Role == RoleLeader; leads != disabled {
+			t.Errorf("check-quorum disabled %v: isolated member leads %v", disabled, leads)
 		}
 	}
 }
@@ -118,13 +118,13 @@
 // Figure 8 of the paper: an entry of an earlier term on a majority is not
 // committed until one of the leader's own term is.
 func TestOnlyOwnTermIsCommittedByCounting(t *testing.T) {
-	for _, removed := range []bool{false, true} {
+	for _, disabled := range []bool{false, true} {
 		restored := Restored{
 			HardState: HardState{Term: 3},
 			Snapshot:  Snapshot{Membership: Membership{Voters: []MemberID{1, 2, 3, 4, 5}}},
 			Entries:   []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}},
 		}
-		node, err := New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Safeguards: Safeguards{NoTermCommitRule: removed}}, restored)
+		node, err := New(Config{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Safeguards: Safeguards{NoTermCommitRule: disabled}}, restored)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,8 +135,8 @@
 		}
 		// Member 2 answered before the election was won.
 		mustStep(t, node, Message{Kind: MessageAppendReply, From: 2, To: 1, Term: 4, Index: 2})
-		if committed := node.Status().Commit == 2; committed != removed {
-			t.Errorf("term rule removed %v: commit index %d", removed, node.Status().Commit)
+		if committed := node.Status().Commit == 2; committed != disabled {
+			t.Errorf("term rule disabled %v: commit index %d", disabled, node.Status().Commit)
 		}
 	}
 }
@@ -148,8 +148,7 @@
 	}
 }
 
-// With the writes left out, a restart forgets votes and entries, and the
-// checks of the fault search see it.
+// With skipped writes a restart loses votes and entries; the checks must detect it.
 func TestChecksSeeSkippedWrites(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
@@ -164,11 +163,11 @@
 			net.propose(leader, string(rune('A'+random.IntN(26))))
 			net.crash(leader)
 			net.start(follower)
-			net.cut = map[[2]MemberID]bool{}
+			net.blocked = map[[2]MemberID]bool{}
 			net.propose(net.elect(), "other")
 			net.start(leader)
 			net.tick(3 * testElectionTicks)
-			if len(net.faults) > 0 {
+			if len(net.violations) > 0 {
 				found++
 				break
 			}
@@ -184,7 +183,7 @@
 	leader := net.elect()
 	committed := net.propose(leader, "a")
 	if state, answered := net.read(leader, 1); !answered || state.Index < committed {
-		t.Errorf("read in touch: %+v, answered %v", state, answered)
+		t.Errorf("read with a quorum: %+v, answered %v", state, answered)
 	}
 	net.isolate(leader, true)
 	if _, answered := net.read(leader, 2); answered {
@@ -208,10 +207,10 @@
 func TestNewLeaderReadsAfterItsFirstCommit(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	first := net.elect()
-	net.oneHop = func(m Message) bool { return m.Commit == 0 || m.Kind != MessageHeartbeat }
+	net.filter = func(m Message) bool { return m.Commit == 0 || m.Kind != MessageHeartbeat }
 	committed := net.propose(first, "a")
 	net.crash(first)
-	net.oneHop = func(m Message) bool { return m.Kind != MessageAppend }
+	net.filter = func(m Message) bool { return m.Kind != MessageAppend }
 	for net.leader() == None {
 		net.tick(1)
 	}
@@ -219,7 +218,7 @@
 	if _, answered := net.read(second, 1); answered {
 		t.Error("read answered before the first commit")
 	}
-	net.oneHop = nil
+	net.filter = nil
 	net.tick(testElectionTicks)
 	for _, state := range net.members[second].reads {
 		if state.Index < committed {
@@ -251,5 +250,5 @@
 	if net.leader() != to {
 		t.Errorf("leader %d, want %d", net.leader(), to)
 	}
-	net.noFaults()
+	net.checkNoViolations()
 }
--- a/internal/core/consensus/snapshot.go
+++ b/internal/core/consensus/snapshot.go
@@ -2,28 +2,27 @@
 
 import "fmt"
 
-// preparedBytes bounds the space that is set aside for a snapshot before it has
-// arrived, so that it need not be moved as it grows.
-const preparedBytes = 64 << 20
+// maxSnapshotPreallocBytes limits the buffer allocated before a snapshot has arrived.
+const maxSnapshotPreallocBytes = 64 << 20
 
-// incomingSnapshot is a snapshot of which a part has arrived.
+// incomingSnapshot is a partially received snapshot.
 type incomingSnapshot struct {
-	from MemberID
-	term uint64
-	head SnapshotChunk
-	data []byte
+	from   MemberID
+	term   uint64
+	header SnapshotChunk
+	data   []byte
 }
 
 func (s *incomingSnapshot) continues(message Message) bool {
 	chunk := message.Chunk
 	return s != nil && s.from == message.From && s.term == message.Term &&
-		s.head.Index == chunk.Index && s.head.Term == chunk.Term &&
-		s.head.Total == chunk.Total && s.head.Checksum == chunk.Checksum
+		s.header.Index == chunk.Index && s.header.Term == chunk.Term &&
+		s.header.Total == chunk.Total && s.header.Checksum == chunk.Checksum
 }
 
-// BuildSnapshot returns the snapshot to store and then to pass to Compact: the
-// state machine's data after the entry at index, with that entry's term and
-// membership. It fails with ErrNotApplied, ErrCompacted or ErrNoMembership.
+// BuildSnapshot returns a snapshot for the owner to store and then pass to Compact: data
+// is the state machine's state after the entry at index. It fails with ErrNotApplied,
+// ErrCompacted or ErrNoMembership.
 func (n *Node) BuildSnapshot(index uint64, data []byte) (Snapshot, error) {
 	if index > n.log.applied {
 		return Snapshot{}, ErrNotApplied
@@ -39,9 +38,8 @@
 	return Snapshot{Index: index, Term: term, Membership: membership, Data: data}, nil
 }
 
-// Compact drops the log up to a snapshot that is durable. A zero Term or empty
-// Membership is filled in. It fails with ErrNotApplied, ErrCompacted or
-// ErrSnapshotMismatch.
+// Compact truncates the log up to a durable snapshot. It fills in a zero Term or empty
+// Membership. It fails with ErrNotApplied, ErrCompacted or ErrSnapshotMismatch.
 func (n *Node) Compact(snapshot Snapshot) error {
 	built, err := n.BuildSnapshot(snapshot.Index, snapshot.Data)
 	if err != nil {
@@ -57,7 +55,7 @@
 		return fmt.Errorf("%w: membership differs", ErrSnapshotMismatch)
 	}
 	n.setSnapshot(built)
-	n.log.compact(n.log.retainedFrom(built.Index, n.config.RetainEntries, n.config.RetainBytes))
+	n.log.compact(n.log.compactionIndex(built.Index, n.config.RetainEntries, n.config.RetainBytes))
 	return nil
 }
 
@@ -68,16 +66,16 @@
 	n.pruneMemberships(snapshot.Index)
 }
 
-// startSnapshot begins to send the snapshot to a member whose next entry is
-// compacted. A member that does not answer is only probed, and so is any while the
-// snapshot's data is released.
+// startSnapshot starts sending the snapshot to a member whose next entry is compacted. It
+// only probes a member that does not answer, and any member while the snapshot's data is
+// released.
 func (n *Node) startSnapshot(id MemberID, peer *progress) {
 	if n.snapshotReleased && n.active(peer) {
-		n.leadership.wantsSnapshot = true
+		n.leadership.snapshotWanted = true
 	}
 	if !n.active(peer) || n.snapshotReleased {
 		peer.becomeProbe()
-		n.startWaiting(peer)
+		n.startAckTimer(peer)
 		peer.waiting = true
 		return
 	}
@@ -86,12 +84,12 @@
 	n.sendChunks(id, peer)
 }
 
-// sendChunks sends ahead of the acknowledgements, SnapshotWindow chunks at most. While
-// nothing is unacknowledged, or what is is overdue, it goes on from what was acknowledged.
+// sendChunks sends up to SnapshotWindow unacknowledged chunks. It resumes from the
+// acknowledged offset while peer.waiting is not set.
 func (n *Node) sendChunks(id MemberID, peer *progress) {
 	if !peer.waiting {
 		peer.sent = peer.offset
-		n.startWaiting(peer)
+		n.startAckTimer(peer)
 		peer.waiting = true
 		n.sendChunk(id, peer)
 	}
@@ -101,7 +99,7 @@
 	}
 }
 
-// sendChunk sends the part of the snapshot behind what was sent.
+// sendChunk sends the next chunk of the snapshot.
 func (n *Node) sendChunk(id MemberID, peer *progress) {
 	snapshot := peer.snapshot
 	total := uint64(len(snapshot.Data))
@@ -135,8 +133,9 @@
 	}
 }
 
-// resendChunks goes on from what the member has: a chunk was lost, or the member began
-// anew. Each chunk that was on its way behind a lost one is refused; the first refusal does.
+// resendChunks resumes from the offset that the member has: a chunk was lost, or the
+// member started over. The member refuses every chunk after a lost one; only the first
+// refusal counts.
 func (n *Node) resendChunks(have uint64, peer *progress) {
 	if have == peer.offset && peer.resentTick == n.now {
 		return
@@ -153,7 +152,7 @@
 		uint64(len(c.Data)) <= c.Total-c.Offset && len(c.Membership.Voters) > 0 && c.Membership.valid()
 }
 
-// handleChunk collects a snapshot and installs it when it is whole.
+// handleChunk collects the chunks of a snapshot and installs it when it is complete.
 func (n *Node) handleChunk(message Message) error {
 	chunk := message.Chunk
 	if !chunk.valid() {
@@ -166,7 +165,7 @@
 		return nil
 	}
 	if !n.incoming.continues(message) {
-		n.incoming = &incomingSnapshot{from: message.From, term: message.Term, head: *chunk}
+		n.incoming = &incomingSnapshot{from: message.From, term: message.Term, header: *chunk}
 	}
 	n.addChunk(message)
 	return nil
@@ -180,7 +179,7 @@
 		return
 	}
 	if incoming.data == nil {
-		incoming.data = make([]byte, 0, min(chunk.Total, preparedBytes))
+		incoming.data = make([]byte, 0, min(chunk.Total, maxSnapshotPreallocBytes))
 	}
 	incoming.data = append(incoming.data, chunk.Data...)
 	have = uint64(len(incoming.data))
@@ -197,7 +196,7 @@
 	n.reply(message, Message{Kind: MessageSnapshotReply, Index: chunk.Index, Done: true})
 }
 
-// installSnapshot replaces log and state by the leader's snapshot.
+// installSnapshot replaces the log and the state with the leader's snapshot.
 func (n *Node) installSnapshot(snapshot Snapshot) {
 	n.log.reset(snapshot.Index, snapshot.Term)
 	n.history = []membershipAt{{snapshot.Index, snapshot.Membership}}
--- a/internal/core/consensus/snapshotdata.go
+++ b/internal/core/consensus/snapshotdata.go
@@ -1,11 +1,10 @@
 package consensus
 
-// A snapshot's data may be most of what a member has in memory, and is needed only
-// while another member is sent it. The owner, which has it in its storage, may take
-// it from the node and give it back once it is wanted.
+// A snapshot's data may be large and is needed only while it is sent to another member.
+// The owner, which has it in its storage, may release it and provide it again on request.
 
-// ReleaseSnapshot drops the data of the newest snapshot. Members that are being sent
-// it go on to be.
+// ReleaseSnapshot discards the data of the newest snapshot. Transfers in progress
+// continue.
 func (n *Node) ReleaseSnapshot() {
 	if n.snapshot.Index == 0 || n.snapshotReleased {
 		return
@@ -14,14 +13,14 @@
 	n.snapshotReleased = true
 }
 
-// SnapshotWanted reports whether a member waits for the data of the newest snapshot,
-// which was released. Only a leader wants it.
+// SnapshotWanted reports whether a member waits for the released data of the newest
+// snapshot. Only a leader returns true.
 func (n *Node) SnapshotWanted() bool {
-	return n.role == RoleLeader && n.snapshotReleased && n.leadership.wantsSnapshot
+	return n.role == RoleLeader && n.snapshotReleased && n.leadership.snapshotWanted
 }
 
-// SendsSnapshot reports whether a member that answers is being sent a snapshot, or waits
-// for the data of one.
+// SendsSnapshot reports whether an active member is receiving a snapshot, or waits for
+// the data of one.
 func (n *Node) SendsSnapshot() bool {
 	if n.role != RoleLeader {
 		return false
@@ -34,15 +33,15 @@
 	return n.SnapshotWanted()
 }
 
-// ProvideSnapshot gives the data of the newest snapshot back. Another one, or one
-// that differs from what was released, is ignored.
+// ProvideSnapshot restores the data of the newest snapshot. A snapshot that differs from
+// the released one is ignored.
 func (n *Node) ProvideSnapshot(snapshot Snapshot) {
 	if !n.snapshotReleased || snapshot.Index != n.snapshot.Index || checksum(snapshot.Data) != n.snapshotChecksum {
 		return
 	}
 	n.snapshot.Data = snapshot.Data
 	n.snapshotReleased = false
-	n.leadership.wantsSnapshot = false
+	n.leadership.snapshotWanted = false
 	for _, peer := range n.leadership.peers {
 		if peer.state == ProgressProbe {
 			peer.waiting = false
--- a/internal/core/consensus/status.go
+++ b/internal/core/consensus/status.go
@@ -13,24 +13,22 @@
 	// SnapshotIndex is the position of the latest snapshot.
 	SnapshotIndex uint64
 	Membership    Membership
-	// Progress lists the other members in ascending order; only a leader has
-	// it.
+	// Progress lists the other members in ascending order; it is set only on a leader.
 	Progress []PeerStatus
-	// QuorumActive is set on a leader in touch with a quorum, and on a member
-	// in touch with a leader.
+	// QuorumActive is set on a leader with contact to a quorum, and on a member with
+	// contact to a leader.
 	QuorumActive bool
-	// TicksSinceContact is how long ago a follower heard from a leader, or a
-	// leader from a quorum.
+	// TicksSinceContact is the time since a follower's last contact with a leader, or a
+	// leader's with a quorum.
 	TicksSinceContact uint64
-	// Required is the position that this member must have applied to show every
-	// entry that was committed when it last heard from the leader, or is
-	// committed now if it leads itself.
+	// Required is the index that this member must have applied to include every entry
+	// that was committed at its last contact with the leader, or now if it leads.
 	Required uint64
-	// LeaseValid is set on a leader that may answer reads on its own.
+	// LeaseValid is set on a leader that may serve reads without contacting a quorum.
 	LeaseValid bool
 }
 
-// PeerStatus is what a leader knows about another member.
+// PeerStatus is a leader's view of another member.
 type PeerStatus struct {
 	ID      MemberID
 	Learner bool
@@ -39,13 +37,13 @@
 	Next   uint64
 	State  ProgressState
 	Active bool
-	// TicksSinceContact leaves out those in which the leader was held up.
+	// TicksSinceContact excludes ticks that the leader missed.
 	TicksSinceContact uint64
 	// CaughtUp is set if the member could be promoted now.
 	CaughtUp bool
 }
 
-// Status returns a copy of the member's view.
+// Status returns a copy of the member's view of the group.
 func (n *Node) Status() Status {
 	status := Status{
 		ID:            n.config.ID,
@@ -60,9 +58,9 @@
 		Membership:    n.membership.Clone(),
 	}
 	if n.role != RoleLeader {
-		status.TicksSinceContact = uint64(n.sinceLeader)
+		status.TicksSinceContact = uint64(n.ticksSinceLeader)
 		status.Required = n.required
-		status.QuorumActive = n.leader != None && n.sinceLeader < n.config.ElectionTicks
+		status.QuorumActive = n.leader != None && n.ticksSinceLeader < n.config.ElectionTicks
 		return status
 	}
 	contact := n.quorumValue(func(id MemberID) uint64 {
@@ -70,7 +68,7 @@
 	})
 	status.TicksSinceContact = n.now - contact
 	status.QuorumActive = n.quorumActive()
-	status.Required = n.requiredAsLeader()
+	status.Required = n.leaderRequired()
 	status.LeaseValid = n.leaseValid()
 	status.Progress = n.peerStatuses()
 	return status
@@ -82,14 +80,14 @@
 		peer := n.leadership.peers[id]
 		statuses = append(statuses, PeerStatus{
 			ID: id, Learner: n.membership.IsLearner(id), Match: peer.match, Next: peer.next, State: peer.state,
-			Active: n.active(peer), TicksSinceContact: peer.silentFor(n.now), CaughtUp: n.caughtUp(id),
+			Active: n.active(peer), TicksSinceContact: peer.ticksSinceContact(n.now), CaughtUp: n.caughtUp(id),
 		})
 	}
 	return statuses
 }
 
-// TermStart gives the index of the first entry of a leader's own term, and
-// whether this member leads.
+// TermStart returns the index of the first entry of a leader's own term, and whether this
+// member leads.
 func (n *Node) TermStart() (index uint64, leads bool) {
 	return n.leadership.termStart, n.role == RoleLeader
 }
--- a/internal/core/consensus/types.go
+++ b/internal/core/consensus/types.go
@@ -4,14 +4,14 @@
 	"slices"
 )
 
-// MemberID identifies one member of the group for ever: an id is never reused,
-// not even for a machine that lost its disk.
+// MemberID identifies one member of the group. An id is never reused, not even for a
+// machine that lost its disk.
 type MemberID uint64
 
-// None is the id of no member.
+// None is the zero MemberID, which no member has.
 const None MemberID = 0
 
-// EntryKind says how an Entry's data is to be read.
+// EntryKind determines the meaning of an Entry's data.
 type EntryKind uint8
 
 const (
@@ -31,8 +31,7 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a member must have on disk before it sends a message that
-// depends on it.
+// HardState must be durable before a member sends a message that depends on it.
 type HardState struct {
 	Term     uint64   `cbor:"1,keyasint,omitempty"`
 	VotedFor MemberID `cbor:"2,keyasint,omitempty"`
@@ -104,8 +103,8 @@
 	return clone
 }
 
-// valid reports whether m has no zero id and no member twice, and has a voter
-// if it has any member.
+// valid reports whether m has no zero id and no duplicate member, and has a voter if it
+// has any member.
 func (m Membership) valid() bool {
 	members := m.Members()
 	if len(members) > 0 && len(m.Voters) == 0 {
@@ -117,17 +116,17 @@
 	return len(slices.Compact(members)) == len(m.Voters)+len(m.Learners)
 }
 
-// Role is what a member currently does in the group.
+// Role is a member's current role in the group.
 type Role uint8
 
 const (
 	// RoleFollower is a voter that follows a leader or waits for one.
 	RoleFollower Role = iota
-	// RolePreCandidate is a voter that asks whether an election could be won.
+	// RolePreCandidate is a voter that has requested pre-votes.
 	RolePreCandidate
-	// RoleCandidate is a voter that stands for election.
+	// RoleCandidate is a voter that has requested votes.
 	RoleCandidate
-	// RoleLeader is the member that orders the log in its term.
+	// RoleLeader is the member that appends to the log in its term.
 	RoleLeader
 	// RoleLearner is a member that receives the log but has no vote.
 	RoleLearner
