--- a/internal/core/consensus/snapshotdata.go
+++ b/internal/core/consensus/snapshotdata.go
@@ -19,9 +19,9 @@
 	return n.role == RoleLeader && n.snapshotReleased && n.leadership.snapshotWanted
 }
 
-// SendsSnapshot reports whether an active member is receiving a snapshot, or waits for
+// SendingSnapshot reports whether an active member is receiving a snapshot, or waits for
 // the data of one.
-func (n *Node) SendsSnapshot() bool {
+func (n *Node) SendingSnapshot() bool {
 	if n.role != RoleLeader {
 		return false
 	}
--- a/internal/core/groupmember/directory.go
+++ b/internal/core/groupmember/directory.go
@@ -7,24 +7,24 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// Record says who a member is and where it is reached.
+// Record holds the identity and addresses of a member.
 type Record struct {
 	ID consensus.MemberID `cbor:"1,keyasint"`
-	// Address takes the group's messages (host:port).
+	// Address receives the group's messages (host:port).
 	Address string `cbor:"2,keyasint"`
 	// Name is the machine's name.
 	Name string `cbor:"3,keyasint,omitempty"`
-	// Incarnation is drawn anew for each empty data folder. A machine that
-	// lost its disk comes back under another one.
+	// Incarnation is a random value generated for each empty data folder. A machine
+	// that lost its disk returns with a new one.
 	Incarnation string `cbor:"4,keyasint,omitempty"`
-	// Service is where the machine serves calls from outside, if it does.
+	// Service is the address at which the machine serves external calls, if it does.
 	Service string `cbor:"5,keyasint,omitempty"`
 }
 
 // directory holds the records of the group's members by id.
 type directory map[consensus.MemberID]Record
 
-// list gives the records by ascending id.
+// list returns the records by ascending id.
 func (d directory) list() []Record {
 	records := make([]Record, 0, len(d))
 	for _, id := range slices.Sorted(maps.Keys(d)) {
--- a/internal/core/groupmember/member.go
+++ b/internal/core/groupmember/member.go
@@ -13,72 +13,72 @@
 
 // Defaults of Config.
 const (
-	// DefaultSnapshotEntries is the number of applied entries between snapshots.
+	// DefaultSnapshotEntries is the number of entries applied between snapshots.
 	DefaultSnapshotEntries = 8192
-	// DefaultSnapshotBytes is the size of applied entries between snapshots.
+	// DefaultSnapshotBytes is the size of the entries applied between snapshots.
 	DefaultSnapshotBytes = 6 << 20
 )
 
 var (
-	// ErrLeadershipLost answers a proposal whose outcome is not known: another
-	// leader may yet commit it.
+	// ErrLeadershipLost answers a proposal with an unknown outcome: another leader
+	// may still commit it.
 	ErrLeadershipLost = errors.New("groupmember: leadership was lost before the answer")
-	// ErrDisplaced answers a proposal that certainly has no effect.
-	ErrDisplaced = errors.New("groupmember: another leader's entry took the place in the log")
+	// ErrDisplaced answers a proposal that has no effect.
+	ErrDisplaced = errors.New("groupmember: proposal was replaced by another leader's entry")
 )
 
-// StateMachine is the replicated state. Its calls come one at a time.
+// StateMachine is the replicated state. Its methods are not called concurrently.
 type StateMachine interface {
-	// Apply applies the command at a position of the log. The result goes to
+	// Apply applies the command at a position of the log. The result is returned to
 	// the proposer.
 	Apply(index uint64, command []byte) any
-	// Snapshot captures the whole state as it is now. Later calls of Apply do not
-	// change what is captured.
+	// Snapshot captures the whole current state. Later calls of Apply do not change
+	// the capture.
 	Snapshot() Encoder
-	// Restore replaces the state by an encoded one.
+	// Restore replaces the state with the encoded one in data.
 	Restore(data []byte) error
 }
 
-// Encoder writes a captured state behind what a buffer holds, as a state may be most of
-// what a member has in memory. It is called once, and may run in another goroutine beside
-// the calls of the state machine.
+// Encoder appends a captured state to a buffer, which avoids a second copy of a large
+// state. It is called once, and may run concurrently with the methods of the state
+// machine.
 type Encoder func(into *bytes.Buffer) error
 
-// Bytes gives the encoded state alone.
+// Bytes returns the encoded state.
 func (e Encoder) Bytes() ([]byte, error) {
 	var state bytes.Buffer
 	err := e(&state)
 	return state.Bytes(), err
 }
 
-// Config sets a Member up. Zero sizes take defaults.
+// Config holds the settings of a Member. Zero sizes select the defaults.
 type Config struct {
 	Consensus       consensus.Config
 	SnapshotEntries uint64
 	SnapshotBytes   int
-	// Founders are the records of the members that founded the group. Only
-	// they have them; their leader tells those that join.
+	// Founders are the records of the members that founded the group. Only they have
+	// them; their leader adds them to the log for members that join.
 	Founders []Record
 }
 
-// envelope is the data of a normal entry: a command or the directory.
+// envelope is the data of a normal entry: either a command or the directory.
 type envelope struct {
 	Command   []byte   `cbor:"1,keyasint,omitempty"`
 	Directory []Record `cbor:"2,keyasint,omitempty"`
 }
 
-// snapshotHead is what the data of a snapshot begins with, in CBOR and behind its
-// length; the state machine's encoding follows.
-type snapshotHead struct {
-	Directory []Record `cbor:"1,keyasint"`
-	Told      bool     `cbor:"3,keyasint"`
+// snapshotHeader is the CBOR header of a snapshot's data, preceded by its length; the
+// state machine's encoding follows.
+type snapshotHeader struct {
+	Directory       []Record `cbor:"1,keyasint"`
+	DirectoryLogged bool     `cbor:"3,keyasint"`
 }
 
-// Reply answers the call that carried Token.
+// Reply is the result of the call with the same Token.
 type Reply struct {
 	Token  uint64
 	Result any
-	// Err is set if the call did not get through the log.
+	// Err is set if the call has no effect or its outcome is unknown.
 	Err error
 }
 
@@ -88,28 +88,27 @@
 	node      *consensus.Node
 	machine   StateMachine
 	directory directory
-	// told is set once the directory of the founders stands in the log.
-	told    bool
-	status  consensus.Status
-	applied uint64
-	pending map[uint64]proposal // by log index
-	reads   map[uint64]uint64   // token by request id
-	waiting []waitingRead
-	replies []Reply
-
-	// placed is set once the members at the applied position are known. A
+	// directoryLogged is set once the founders' directory is in the log.
+	directoryLogged bool
+	status          consensus.Status
+	applied         uint64
+	pending         map[uint64]proposal // by log index
+	reads           map[uint64]uint64   // token by request id
+	waitingReads    []waitingRead
+	replies         []Reply
+
+	// membershipKnown is set once the members at the applied position are known. A
 	// member that joins reads the log from before it was added.
-	placed bool
-
-	lastRead        uint64
-	snapshotIndex   uint64
-	bytesSinceSaved int
-	// bytesSinceCaptured counts what was applied since the last capture, which is
-	// not in the snapshot that it becomes.
-	bytesSinceCaptured int
-	// savedBytes is the size of the last snapshot: a large state is not saved
-	// again before as much was written.
-	savedBytes int
+	membershipKnown bool
+
+	lastRead           uint64
+	snapshotIndex      uint64
+	bytesSinceSnapshot int
+	// bytesSinceCapture counts the bytes applied since the last capture, which its
+	// snapshot does not contain.
+	bytesSinceCapture int
+	// snapshotBytes is the size of the last snapshot. A large state is saved less often.
+	snapshotBytes int
 }
 
 type proposal struct {
@@ -122,7 +121,7 @@
 	index uint64
 }
 
-// New makes a member from what its storage gave back. Machine must be empty.
+// New returns a member with the restored state. Machine must be empty.
 func New(config Config, restored consensus.Restored, machine StateMachine) (*Member, error) {
 	if config.SnapshotEntries == 0 {
 		config.SnapshotEntries = DefaultSnapshotEntries
@@ -147,51 +146,51 @@
 	member.node = node
 	member.applied = restored.Snapshot.Index
 	member.snapshotIndex = restored.Snapshot.Index
-	member.placed = len(restored.Snapshot.Membership.Voters) > 0
-	member.refresh()
+	member.membershipKnown = len(restored.Snapshot.Membership.Voters) > 0
+	member.updateStatus()
 	return member, nil
 }
 
 func (m *Member) restore(snapshot consensus.Snapshot) error {
 	length, begin := binary.Uvarint(snapshot.Data)
 	if begin <= 0 || length > uint64(len(snapshot.Data)-begin) {
-		return errNoSnapshot
+		return errTruncatedSnapshot
 	}
 	state := begin + int(length)
-	var head snapshotHead
+	var head snapshotHeader
 	if err := cbor.Unmarshal(snapshot.Data[begin:state], &head); err != nil {
 		return eris.Wrap(err, "decode snapshot")
 	}
 	m.directory.replace(head.Directory)
-	m.told = head.Told
+	m.directoryLogged = head.DirectoryLogged
 	return m.machine.Restore(snapshot.Data[state:])
 }
 
-// errNoSnapshot reports bytes that are no snapshot's.
-var errNoSnapshot = errors.New("groupmember: the data of a snapshot is cut short")
+// errTruncatedSnapshot reports snapshot data without a complete header.
+var errTruncatedSnapshot = errors.New("groupmember: snapshot data is truncated")
 
-// Tick notes that one tick passed.
+// Tick advances the member's clock by one tick.
 func (m *Member) Tick() {
 	m.node.Tick()
-	m.refresh()
+	m.updateStatus()
 }
 
-// TickMissed notes that ticks passed while the owner was held up and did not run the
-// member. Tick follows.
+// TickMissed advances the clock by ticks during which the owner did not run the member.
+// Tick follows.
 func (m *Member) TickMissed(ticks int) {
 	m.node.TickMissed(ticks)
-	m.refresh()
+	m.updateStatus()
 }
 
 // Step handles a message from another member. An error that matches
 // consensus.ErrCommittedConflict is final: the member must stop.
 func (m *Member) Step(message consensus.Message) error {
 	err := m.node.Step(message)
-	m.refresh()
+	m.updateStatus()
 	return err
 }
 
-// Propose puts a command into the log. The answer comes as a Reply.
+// Propose appends a command to the log. The answer is a Reply.
 func (m *Member) Propose(token uint64, command []byte) {
 	data, err := cbor.Marshal(envelope{Command: command})
 	if err != nil {
@@ -199,11 +198,11 @@
 		return
 	}
 	index, term, err := m.node.Propose(data)
-	m.await(token, index, term, err)
+	m.trackProposal(token, index, term, err)
 }
 
-// ChangeMembership adds, promotes or removes a member. Record is that of a
-// member to be added.
+// ChangeMembership adds, promotes or removes a member. Record describes a member to be
+// added.
 func (m *Member) ChangeMembership(token uint64, kind consensus.MembershipChangeKind, record Record) {
 	change := consensus.MembershipChange{Kind: kind, Member: record.ID}
 	if kind == consensus.AddLearner {
@@ -215,10 +214,10 @@
 		change.Context = encoded
 	}
 	index, term, err := m.node.ProposeMembership(change)
-	m.await(token, index, term, err)
+	m.trackProposal(token, index, term, err)
 }
 
-func (m *Member) await(token, index, term uint64, err error) {
+func (m *Member) trackProposal(token, index, term uint64, err error) {
 	if err != nil {
 		m.fail(token, err)
 		return
@@ -226,9 +225,9 @@
 	m.pending[index] = proposal{token: token, term: term}
 }
 
-// Read asks for a moment at which this member's state shows every command that
-// was committed before the call. Only a leader can serve it. The state may be
-// read until the next Advance.
+// Read requests a consistent read: once the Reply is returned, this member's state
+// includes every command committed before the call, until the next Advance. Only a
+// leader can serve it.
 func (m *Member) Read(token uint64) {
 	m.lastRead++
 	if err := m.node.ReadIndex(m.lastRead); err != nil {
@@ -238,58 +237,57 @@
 	m.reads[m.lastRead] = token
 }
 
-// TransferTo hands leadership to another voter.
+// TransferTo transfers leadership to another voter.
 func (m *Member) TransferTo(id consensus.MemberID) error { return m.node.TransferLeadership(id) }
 
-// TakeReplies gives the replies that have come up and forgets them.
+// TakeReplies returns and clears the pending replies.
 func (m *Member) TakeReplies() []Reply {
 	replies := m.replies
 	m.replies = nil
 	return replies
 }
 
-// Status gives the consensus view as of the last call.
+// Status returns the consensus status as of the last call.
 func (m *Member) Status() consensus.Status { return m.status }
 
-// Applied gives the index of the last applied entry.
+// Applied returns the index of the last applied entry.
 func (m *Member) Applied() uint64 { return m.applied }
 
-// Directory gives the records of the members by ascending id.
+// Directory returns the records of the members by ascending id.
 func (m *Member) Directory() []Record { return m.directory.list() }
 
-// Record finds a member's record.
+// Record returns a member's record.
 func (m *Member) Record(id consensus.MemberID) (Record, bool) {
 	record, found := m.directory[id]
 	return record, found
 }
 
-// IsLeader says whether this member leads.
+// IsLeader reports whether this member leads.
 func (m *Member) IsLeader() bool { return m.status.Role == consensus.RoleLeader }
 
-// Settled says whether this member leads, is in touch with a quorum, and has
-// applied an entry of its own term: its state shows all that was committed
-// under earlier leaders.
+// Settled reports whether this member leads, has contact to a quorum, and has applied an
+// entry of its own term, so that its state includes all that earlier leaders committed.
 func (m *Member) Settled() bool {
 	start, leads := m.node.TermStart()
 	return leads && m.status.QuorumActive && m.applied >= start
 }
 
-// CaughtUp says whether the member has applied everything that was committed
-// when it last heard from the leader.
+// CaughtUp reports whether the member has applied everything that was committed at its
+// last contact with the leader.
 func (m *Member) CaughtUp() bool {
 	return m.applied >= max(m.status.Commit, m.status.Required)
 }
 
-// refresh takes over the consensus status and reacts to lost leadership.
-func (m *Member) refresh() {
+// updateStatus reads the consensus status and fails the proposals if leadership was lost.
+func (m *Member) updateStatus() {
 	led := m.IsLeader()
 	m.status = m.node.Status()
 	if led && !m.IsLeader() {
-		m.dropProposals()
+		m.failProposals()
 	}
 }
 
-func (m *Member) dropProposals() {
+func (m *Member) failProposals() {
 	for _, index := range sortedKeys(m.pending) {
 		m.fail(m.pending[index].token, ErrLeadershipLost)
 	}
--- a/internal/core/groupmember/overload_test.go
+++ b/internal/core/groupmember/overload_test.go
@@ -2,22 +2,21 @@
 
 import "testing"
 
-// Figures of an overload, at 60 ms a tick.
+// Durations of the overload test; a tick is 60 ms.
 const (
 	// overloadTicks is 5 s.
 	overloadTicks = 83
-	// heldTicks and runTicks alternate: a machine gets a third of its processor. It is
-	// held up for almost the shortest election timeout.
-	heldTicks = 6
-	runTicks  = 3
-	// recoveryTicks is how long after the overload the old rate is back: 0.6 s.
+	// pausedTicks and runTicks alternate, so that the machine runs for a third of the time.
+	// Each pause is almost as long as the minimum election timeout.
+	pausedTicks = 6
+	runTicks    = 3
+	// recoveryTicks is the time until the previous rate is restored: 0.6 s.
 	recoveryTicks = 10
 	rateTicks     = 200
 )
 
-// TestALeaderUnderOverloadGoesOn: it gets a third of the processor for 5 s. It stays the
-// leader, commits at a quarter of its rate at least, over all seeds, and at the whole rate
-// soon after.
+// A leader that runs for a third of the time remains leader, commits at least a quarter of
+// its usual rate (over all seeds), and recovers the full rate soon after.
 func TestALeaderUnderOverloadGoesOn(t *testing.T) {
 	acknowledged, usual := 0, 0
 	for seed := range uint64(40) {
@@ -30,37 +29,37 @@
 			t.Fatalf("seed %d: no leader", seed)
 		}
 		term := leader.member.Status().Term
-		before := w.acknowledged(rateTicks)
-		count := len(w.known)
+		before := w.countAcknowledged(rateTicks)
+		count := len(w.acknowledgedNumbers)
 		for passed := 0; passed < overloadTicks; passed++ {
-			if passed%(heldTicks+runTicks) == 0 {
-				w.hold(leader, heldTicks)
+			if passed%(pausedTicks+runTicks) == 0 {
+				w.pause(leader, pausedTicks)
 			}
 			w.tick()
 		}
-		acknowledged += len(w.known) - count
+		acknowledged += len(w.acknowledgedNumbers) - count
 		usual += before * overloadTicks / rateTicks
-		w.settle(recoveryTicks)
+		w.heal(recoveryTicks)
 		if now := w.leader(); now != leader || now.member.Status().Term != term {
-			t.Errorf("seed %d: another leader, or term", seed)
+			t.Errorf("seed %d: leader or term changed", seed)
 			continue
 		}
-		if after := w.acknowledged(rateTicks); after < before*3/4 {
+		if after := w.countAcknowledged(rateTicks); after < before*3/4 {
 			t.Errorf("seed %d: %d acknowledged in %d ticks before, %d after", seed, before, rateTicks, after)
 		}
 		w.check()
 	}
 	t.Logf("%d acknowledged under overload, %d in the same time without", acknowledged, usual)
 	if acknowledged < usual/4 {
-		t.Errorf("%d acknowledged under overload, a quarter of %d is wanted", acknowledged, usual)
+		t.Errorf("%d acknowledged under overload, want at least a quarter of %d", acknowledged, usual)
 	}
 }
 
-// acknowledged lets ticks pass and gives how many commands were acknowledged meanwhile.
-func (w *world) acknowledged(ticks int) int {
-	before := len(w.known)
+// countAcknowledged returns how many commands are acknowledged during the given ticks.
+func (w *world) countAcknowledged(ticks int) int {
+	before := len(w.acknowledgedNumbers)
 	for range ticks {
 		w.tick()
 	}
-	return len(w.known) - before
+	return len(w.acknowledgedNumbers) - before
 }
--- a/internal/core/groupmember/plan.go
+++ b/internal/core/groupmember/plan.go
@@ -6,48 +6,47 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// Limits say how many voters a group wants and when a silent one is replaced.
+// Limits are the wanted size of a group and the timeouts for replacing its members.
 type Limits struct {
-	// Voters is the wanted number, an odd one.
+	// Voters is the wanted number of voters; it must be odd.
 	Voters int
-	// LeastVoters is how many must stay when a member leaves on request.
+	// LeastVoters is the minimum number of voters that remain when a member leaves.
 	LeastVoters int
-	// ReplaceTicks is how long a voter is silent before a caught-up learner
-	// takes its place.
+	// ReplaceTicks is the time without contact after which a caught-up learner replaces
+	// a voter.
 	ReplaceTicks uint64
-	// ForgetTicks is how long a learner is silent before it is removed.
+	// ForgetTicks is the time without contact after which a learner is removed.
 	ForgetTicks uint64
-	// Learners is how many members without a vote are wanted, or AnyNumber.
+	// Learners is the wanted number of learners, or AnyNumber.
 	Learners int
-	// VacantTicks is how long a member is silent before another machine may have
-	// its place.
+	// VacantTicks is the time without contact after which another machine may take a
+	// member's slot.
 	VacantTicks uint64
 }
 
-// AnyNumber of learners are taken in: a group whose machines all follow its log.
+// AnyNumber allows any number of learners.
 const AnyNumber = -1
 
 // Change is one step towards the wanted membership.
 type Change struct {
 	Kind   consensus.MembershipChangeKind
 	Member consensus.MemberID
-	// Transfer asks the leader to hand over leadership first: it is to leave
-	// itself.
+	// Transfer requests a leadership transfer first: the leader itself is to be removed.
 	Transfer bool
 }
 
-// Plan gives the next change of a settled leader's group, if one is due.
-// Leaving holds the names of machines that are to be emptied. One change at a
-// time is made; the next is planned once it is committed.
+// Plan returns the next change for the group of a settled leader, if one is due. Leaving
+// holds the names of machines that are being drained. The next change is planned once
+// this one is committed.
 func Plan(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) (Change, bool) {
-	group := survey(status, records, leaving, limits)
+	group := newGroupView(status, records, leaving, limits)
 	for _, rule := range []func() (Change, bool){
 		group.removeSuperseded,
 		group.promote,
 		group.removeLeaving,
-		group.removeDead,
+		group.removeReplaced,
 		group.removeSurplus,
-		group.forgetLearner,
+		group.removeSilentLearner,
 	} {
 		if change, due := rule(); due {
 			return change, true
@@ -56,16 +55,16 @@
 	return Change{}, false
 }
 
-// member is what a plan weighs of one member.
+// member is the state of a member that Plan considers.
 type member struct {
-	record     Record
-	voter      bool
-	self       bool
-	active     bool
-	caughtUp   bool
-	silent     uint64
-	leaving    bool
-	superseded bool
+	record            Record
+	voter             bool
+	self              bool
+	active            bool
+	caughtUp          bool
+	ticksSinceContact uint64
+	leaving           bool
+	superseded        bool
 }
 
 type groupView struct {
@@ -73,7 +72,7 @@
 	members []member
 }
 
-func survey(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) *groupView {
+func newGroupView(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) *groupView {
 	group := &groupView{limits: limits}
 	newest := map[string]consensus.MemberID{}
 	for _, record := range records {
@@ -94,7 +93,7 @@
 		}
 		if i := slices.IndexFunc(status.Progress, func(peer consensus.PeerStatus) bool { return peer.ID == record.ID }); i >= 0 {
 			peer := status.Progress[i]
-			current.active, current.caughtUp, current.silent = peer.Active, peer.CaughtUp, peer.TicksSinceContact
+			current.active, current.caughtUp, current.ticksSinceContact = peer.Active, peer.CaughtUp, peer.TicksSinceContact
 		}
 		group.members = append(group.members, current)
 	}
@@ -123,87 +122,85 @@
 	return g.members[i], true
 }
 
-// dead reports whether a voter is to be replaced: it has been silent for long, or
-// for long enough that its place was given to a learner that is ready now.
-func (g *groupView) dead(m member) bool {
+// replaceable reports whether a voter is to be replaced: it had no contact for
+// ReplaceTicks, or for VacantTicks if a caught-up learner may take its slot.
+func (g *groupView) replaceable(m member) bool {
 	if !m.voter || m.self {
 		return false
 	}
-	succeeded := g.limits.Learners != AnyNumber && g.count(ready) > g.limits.Learners
-	return m.silent >= g.limits.ReplaceTicks || succeeded && m.silent >= g.limits.VacantTicks
+	hasReplacement := g.limits.Learners != AnyNumber && g.count(promotable) > g.limits.Learners
+	return m.ticksSinceContact >= g.limits.ReplaceTicks || hasReplacement && m.ticksSinceContact >= g.limits.VacantTicks
 }
 
-func ready(m member) bool { return !m.voter && m.caughtUp && !m.leaving && !m.superseded }
+func promotable(m member) bool { return !m.voter && m.caughtUp && !m.leaving && !m.superseded }
 
-// removeSuperseded takes out a member whose machine came back with an empty
-// folder under a new id: what it once made durable is gone. It waits where that would
-// leave a quorum too small to outlive the losses that the group is to bear: until a
-// learner has caught up nothing could be accepted, which is 3.6 s for 35 MB of jobs after
-// the loss of two disks.
+// removeSuperseded removes a member whose machine returned with an empty folder under a
+// new id: its durable entries are lost. It waits for a learner to catch up if the
+// removal would leave a quorum too small to survive the tolerated losses.
 func (g *groupView) removeSuperseded() (Change, bool) {
 	old, found := g.find(func(m member) bool { return m.superseded })
-	if !found || old.voter && g.shrinksQuorumTooFar() {
+	if !found || old.voter && g.shrinksQuorumBelowMin() {
 		return Change{}, false
 	}
 	return Change{Kind: consensus.RemoveMember, Member: old.record.ID}, true
 }
 
-// shrinksQuorumTooFar reports whether one voter less would make a quorum that is large
-// enough too small.
-func (g *groupView) shrinksQuorumTooFar() bool {
-	least := quorum(g.limits.LeastVoters)
-	return quorum(g.voters()) >= least && quorum(g.voters()-1) < least
+// shrinksQuorumBelowMin reports whether removing one voter would make a quorum that is
+// large enough too small.
+func (g *groupView) shrinksQuorumBelowMin() bool {
+	minimum := quorum(g.limits.LeastVoters)
+	return quorum(g.voters()) >= minimum && quorum(g.voters()-1) < minimum
 }
 
-// quorum gives the size of a majority of so many voters.
+// quorum returns the size of a majority of voters.
 func quorum(voters int) int { return voters/2 + 1 }
 
-// promote makes a caught-up learner a voter: while voters are missing, or in
-// place of one that is dead or leaves. An even number of voters is passed
-// through, not kept: a second learner or a removal follows.
+// promote makes a caught-up learner a voter if voters are missing, or to replace one that
+// is unreachable or leaving. An even number of voters is temporary: a second promotion or
+// a removal follows.
 func (g *groupView) promote() (Change, bool) {
-	learners := g.count(ready)
-	learner, found := g.find(ready)
+	learners := g.count(promotable)
+	learner, found := g.find(promotable)
 	if !found {
 		return Change{}, false
 	}
 	voters := g.voters()
-	useful := g.count(func(m member) bool { return m.voter && !m.leaving && !g.dead(m) })
+	remaining := g.count(func(m member) bool { return m.voter && !m.leaving && !g.replaceable(m) })
 	missing := voters < g.limits.Voters && (voters%2 == 0 || learners > 1)
-	if !missing && (useful >= voters || useful >= g.limits.Voters || voters > g.limits.Voters) {
+	if !missing && (remaining >= voters || remaining >= g.limits.Voters || voters > g.limits.Voters) {
 		return Change{}, false
 	}
 	return Change{Kind: consensus.PromoteLearner, Member: learner.record.ID}, true
 }
 
-// removeLeaving takes out a member whose machine is to be emptied, once enough
-// others are voters, caught up and in touch.
+// removeLeaving removes a member whose machine is being drained, once enough other voters
+// are caught up and active.
 func (g *groupView) removeLeaving() (Change, bool) {
 	leaver, found := g.find(func(m member) bool { return m.leaving })
 	if !found {
 		return Change{}, false
 	}
-	whole := g.count(func(m member) bool { return m.voter && !m.leaving && m.active && m.caughtUp })
-	if leaver.voter && whole < g.limits.LeastVoters {
+	healthy := g.count(func(m member) bool { return m.voter && !m.leaving && m.active && m.caughtUp })
+	if leaver.voter && healthy < g.limits.LeastVoters {
 		return Change{}, false
 	}
 	return Change{Kind: consensus.RemoveMember, Member: leaver.record.ID, Transfer: leaver.self}, true
 }
 
-// removeDead takes out a silent voter once a learner has taken its place.
-func (g *groupView) removeDead() (Change, bool) {
-	silent, found := g.find(g.dead)
+// removeReplaced removes an unreachable voter once a learner has replaced it.
+func (g *groupView) removeReplaced() (Change, bool) {
+	unreachable, found := g.find(g.replaceable)
 	if !found {
 		return Change{}, false
 	}
-	others := g.count(func(m member) bool { return m.voter && !g.dead(m) })
+	others := g.count(func(m member) bool { return m.voter && !g.replaceable(m) })
 	if others < g.limits.Voters && !(g.voters()%2 == 0 && others >= g.limits.LeastVoters) {
 		return Change{}, false
 	}
-	return Change{Kind: consensus.RemoveMember, Member: silent.record.ID}, true
+	return Change{Kind: consensus.RemoveMember, Member: unreachable.record.ID}, true
 }
 
-// removeSurplus brings voters back to the wanted number.
+// removeSurplus reduces the voters to the wanted number.
 func (g *groupView) removeSurplus() (Change, bool) {
 	if g.voters() <= g.limits.Voters {
 		return Change{}, false
@@ -215,8 +212,8 @@
 	return Change{Kind: consensus.RemoveMember, Member: surplus.record.ID}, found
 }
 
-// forgetLearner takes out a learner that has been silent for long.
-func (g *groupView) forgetLearner() (Change, bool) {
-	silent, found := g.find(func(m member) bool { return !m.voter && !m.self && m.silent >= g.limits.ForgetTicks })
+// removeSilentLearner removes a learner that had no contact for ForgetTicks.
+func (g *groupView) removeSilentLearner() (Change, bool) {
+	silent, found := g.find(func(m member) bool { return !m.voter && !m.self && m.ticksSinceContact >= g.limits.ForgetTicks })
 	return Change{Kind: consensus.RemoveMember, Member: silent.record.ID}, found
 }
--- a/internal/core/groupmember/ready.go
+++ b/internal/core/groupmember/ready.go
@@ -13,15 +13,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// HasReady says whether Ready has work to hand out.
+// HasReady reports whether there is work for Ready to return.
 func (m *Member) HasReady() bool { return m.node.HasReady() }
 
-// Ready hands out work: first make HardState, Snapshot and Entries durable,
-// with a sync if MustSync is set, then send Messages, then call Advance with it.
+// Ready returns pending work: first make HardState, Snapshot and Entries durable, with a
+// sync if MustSync is set, then send Messages, then pass it to Advance.
 func (m *Member) Ready() consensus.Ready { return m.node.Ready() }
 
-// Advance notes that ready was carried out, and applies what it committed. An
-// error means that this member's state is unusable, and it must stop.
+// Advance confirms that the owner has processed ready, and applies its committed entries.
+// After an error this member's state is unusable, and it must stop.
 func (m *Member) Advance(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := m.install(*ready.Snapshot); err != nil {
@@ -31,20 +31,20 @@
 	for _, entry := range ready.Committed {
 		m.apply(entry)
 	}
-	m.noteReads(ready.ReadStates)
+	m.queueReads(ready.ReadStates)
 	m.node.Advance(ready)
-	m.refresh()
+	m.updateStatus()
 	m.serveReads()
 	return nil
 }
 
-// install replaces the state by a snapshot that the leader sent.
+// install replaces the state with a snapshot from the leader.
 func (m *Member) install(snapshot consensus.Snapshot) error {
 	if err := m.restore(snapshot); err != nil {
 		return err
 	}
-	m.applied, m.snapshotIndex, m.bytesSinceSaved, m.bytesSinceCaptured = snapshot.Index, snapshot.Index, 0, 0
-	m.placed = true
+	m.applied, m.snapshotIndex, m.bytesSinceSnapshot, m.bytesSinceCapture = snapshot.Index, snapshot.Index, 0, 0
+	m.membershipKnown = true
 	for _, index := range sortedKeys(m.pending) {
 		if index <= snapshot.Index {
 			m.fail(m.pending[index].token, ErrLeadershipLost)
@@ -54,17 +54,17 @@
 	return nil
 }
 
-// apply applies one committed entry and answers its proposer, if it is here.
+// apply applies one committed entry and answers its proposal, if this member made it.
 func (m *Member) apply(entry consensus.Entry) {
 	m.applied = entry.Index
-	m.bytesSinceSaved += len(entry.Data)
-	m.bytesSinceCaptured += len(entry.Data)
+	m.bytesSinceSnapshot += len(entry.Data)
+	m.bytesSinceCapture += len(entry.Data)
 	var result any
 	switch entry.Kind {
 	case consensus.EntryNormal:
 		result = m.applyNormal(entry)
 	case consensus.EntryMembership:
-		m.placed = true
+		m.membershipKnown = true
 		m.applyMembership(entry)
 	case consensus.EntryEmpty:
 	}
@@ -80,15 +80,15 @@
 	m.replies = append(m.replies, Reply{Token: waiting.token, Result: result})
 }
 
-// applyNormal applies a command or the directory. Bytes that are neither can
-// only come from another version of the program; every member skips them alike.
+// applyNormal applies a command or the directory. Every member skips undecodable data
+// alike; only another version of the program can have written it.
 func (m *Member) applyNormal(entry consensus.Entry) any {
 	var decoded envelope
 	if err := cbor.Unmarshal(entry.Data, &decoded); err != nil {
 		return eris.Wrap(err, "decode entry")
 	}
 	if decoded.Directory != nil {
-		m.told = true
+		m.directoryLogged = true
 		for _, record := range decoded.Directory {
 			m.directory[record.ID] = record
 		}
@@ -114,26 +114,24 @@
 	}
 }
 
-// TellDirectory puts the founders' records into the log once, for members that
-// join and cannot know them. The leader calls it; it does nothing if they
-// stand there already.
+// TellDirectory adds the founders' records to the log for members that join. The leader
+// calls it; it does nothing if they are in the log already.
 func (m *Member) TellDirectory() {
-	if m.told || !m.Settled() {
+	if m.directoryLogged || !m.Settled() {
 		return
 	}
-	m.told = true // not again in this leadership; a lost entry is told by the next
+	m.directoryLogged = true // once per leadership; if the entry is lost, the next leader proposes it
 	data, err := cbor.Marshal(envelope{Directory: m.directory.list()})
 	if err != nil {
 		return
 	}
 	if _, _, err := m.node.Propose(data); err != nil {
-		m.told = false
+		m.directoryLogged = false
 	}
 }
 
-// noteReads turns answers about leadership into reads that wait for their
-// position to be applied.
-func (m *Member) noteReads(states []consensus.ReadState) {
+// queueReads queues confirmed reads until their position is applied.
+func (m *Member) queueReads(states []consensus.ReadState) {
 	for _, state := range states {
 		token, found := m.reads[state.RequestID]
 		if !found {
@@ -144,13 +142,13 @@
 			m.fail(token, consensus.ErrNotLeader)
 			continue
 		}
-		m.waiting = append(m.waiting, waitingRead{token: token, index: state.Index})
+		m.waitingReads = append(m.waitingReads, waitingRead{token: token, index: state.Index})
 	}
 }
 
-// serveReads answers the reads whose position is applied.
+// serveReads answers the queued reads whose position is applied.
 func (m *Member) serveReads() {
-	m.waiting = slices.DeleteFunc(m.waiting, func(read waitingRead) bool {
+	m.waitingReads = slices.DeleteFunc(m.waitingReads, func(read waitingRead) bool {
 		if m.applied < read.index {
 			return false
 		}
@@ -159,49 +157,46 @@
 	})
 }
 
-// sendingFactor is how much more may be applied before a snapshot while the one before is
-// being sent. A leader that made one meanwhile held the state three times (166 MB for jobs
-// of 36 MB, at a limit of 182 MB: half of its processor went to collections for 2.7 s), and
-// dropped the entries that the other member needs next, which then had to be sent the new
-// one as well.
-const sendingFactor = 2
+// sendingSnapshotFactor raises the snapshot thresholds while a snapshot is being sent. A
+// new one would add a copy of the state, and compact entries that the receiver needs next.
+const sendingSnapshotFactor = 2
 
-// WantsSnapshot says that enough was applied since the last snapshot.
+// WantsSnapshot reports whether enough was applied since the last snapshot.
 func (m *Member) WantsSnapshot() bool {
 	entries := m.applied - m.snapshotIndex
-	if !m.placed || entries == 0 {
+	if !m.membershipKnown || entries == 0 {
 		return false
 	}
-	enoughEntries, enoughBytes := m.config.SnapshotEntries, max(m.config.SnapshotBytes, m.savedBytes/2)
-	if m.node.SendsSnapshot() {
-		enoughEntries, enoughBytes = sendingFactor*enoughEntries, sendingFactor*enoughBytes
+	enoughEntries, enoughBytes := m.config.SnapshotEntries, max(m.config.SnapshotBytes, m.snapshotBytes/2)
+	if m.node.SendingSnapshot() {
+		enoughEntries, enoughBytes = sendingSnapshotFactor*enoughEntries, sendingSnapshotFactor*enoughBytes
 	}
-	return entries >= enoughEntries || m.bytesSinceSaved >= enoughBytes
+	return entries >= enoughEntries || m.bytesSinceSnapshot >= enoughBytes
 }
 
-// Capture is the applied state at one position of the log, not encoded yet.
+// Capture is the applied state at one position of the log, before it is encoded.
 type Capture struct {
 	snapshot consensus.Snapshot
-	head     snapshotHead
+	header   snapshotHeader
 	state    Encoder
 }
 
-// CaptureSnapshot captures the applied state. The owner encodes it, makes it durable
-// and then calls Compact with it; meanwhile the member goes on.
+// CaptureSnapshot captures the applied state. The owner encodes it, makes it durable and
+// passes it to Compact; the member continues to run.
 func (m *Member) CaptureSnapshot() (Capture, error) {
 	snapshot, err := m.node.BuildSnapshot(m.applied, nil)
 	if err != nil {
 		return Capture{}, err
 	}
-	m.bytesSinceCaptured = 0
-	head := snapshotHead{Directory: m.directory.list(), Told: m.told}
-	return Capture{snapshot: snapshot, head: head, state: m.machine.Snapshot()}, nil
+	m.bytesSinceCapture = 0
+	head := snapshotHeader{Directory: m.directory.list(), DirectoryLogged: m.directoryLogged}
+	return Capture{snapshot: snapshot, header: head, state: m.machine.Snapshot()}, nil
 }
 
-// Encode gives the snapshot. It is called once, and may run in another goroutine
-// beside the member's calls.
+// Encode returns the encoded snapshot. It is called once, and may run concurrently with
+// the member's methods.
 func (c Capture) Encode() (consensus.Snapshot, error) {
-	head, err := cbor.Marshal(c.head)
+	head, err := cbor.Marshal(c.header)
 	if err != nil {
 		return consensus.Snapshot{}, err
 	}
@@ -215,28 +210,29 @@
 	return c.snapshot, nil
 }
 
-// Compact drops the log up to a snapshot that is durable. It fails with
-// consensus.ErrCompacted if the leader sent a later one meanwhile.
+// Compact truncates the log up to a durable snapshot. It fails with
+// consensus.ErrCompacted if the leader has sent a later one.
 func (m *Member) Compact(snapshot consensus.Snapshot) error {
 	if err := m.node.Compact(snapshot); err != nil {
 		return err
 	}
-	m.snapshotIndex, m.bytesSinceSaved, m.savedBytes = snapshot.Index, m.bytesSinceCaptured, len(snapshot.Data)
+	m.snapshotIndex, m.bytesSinceSnapshot, m.snapshotBytes = snapshot.Index, m.bytesSinceCapture, len(snapshot.Data)
 	return nil
 }
 
-// ReleaseSnapshot drops the data of the newest snapshot, which the owner has made
+// ReleaseSnapshot discards the data of the newest snapshot, which the owner has made
 // durable.
 func (m *Member) ReleaseSnapshot() { m.node.ReleaseSnapshot() }
 
-// SnapshotWanted reports whether another member waits for the data of the newest
-// snapshot, which was released.
+// SnapshotWanted reports whether another member waits for the released data of the newest
+// snapshot.
 func (m *Member) SnapshotWanted() bool { return m.node.SnapshotWanted() }
 
-// SendsSnapshot reports whether another member is being sent a snapshot.
-func (m *Member) SendsSnapshot() bool { return m.node.SendsSnapshot() }
+// SendingSnapshot reports whether another member is receiving a snapshot or waits for
+// one.
+func (m *Member) SendingSnapshot() bool { return m.node.SendingSnapshot() }
 
-// ProvideSnapshot gives the data of the newest snapshot back; another one is ignored.
+// ProvideSnapshot restores the data of the newest snapshot; any other one is ignored.
 func (m *Member) ProvideSnapshot(snapshot consensus.Snapshot) { m.node.ProvideSnapshot(snapshot) }
 
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
--- a/internal/core/groupmember/simulation_test.go
+++ b/internal/core/groupmember/simulation_test.go
@@ -15,10 +15,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// The simulation runs a group in virtual time over a network that loses and
-// delays, on machines that crash, lose power, lose their disks, are cut off, are held
-// up, are replaced and are emptied. Every command that a proposer was told of must be in
-// every later state, once, in one order.
+// The simulation runs a group in virtual time over a network that drops and delays
+// messages. Machines crash, lose power or their disks, are isolated, paused, replaced and
+// drained. Every acknowledged command must be in every later state, once, in one order.
 
 const (
 	electionTicks  = 8
@@ -28,10 +27,10 @@
 	forgetTicks    = 333
 )
 
-// record is the state machine: the list of commands, by number.
-type record struct{ numbers []uint64 }
+// commandLog is a state machine that records the numbers of the applied commands.
+type commandLog struct{ numbers []uint64 }
 
-func (r *record) Apply(_ uint64, command []byte) any {
+func (r *commandLog) Apply(_ uint64, command []byte) any {
 	number := binary.BigEndian.Uint64(command)
 	if slices.Contains(r.numbers, number) {
 		return false
@@ -40,17 +39,17 @@
 	return true
 }
 
-func (r *record) Snapshot() groupmember.Encoder {
+func (r *commandLog) Snapshot() groupmember.Encoder {
 	captured := slices.Clone(r.numbers)
 	return func(into *bytes.Buffer) error { return cbor.NewEncoder(into).Encode(captured) }
 }
 
-func (r *record) Restore(data []byte) error {
+func (r *commandLog) Restore(data []byte) error {
 	r.numbers = nil
 	return cbor.Unmarshal(data, &r.numbers)
 }
 
-// disk is what a machine has made durable.
+// disk holds the durable state of a machine.
 type disk struct {
 	hard     consensus.HardState
 	snapshot consensus.Snapshot
@@ -87,28 +86,28 @@
 	d.entries = slices.DeleteFunc(slices.Clone(d.entries), func(entry consensus.Entry) bool { return entry.Index <= snapshot.Index })
 }
 
-// machine is a machine with at most one member running on it.
+// machine runs at most one member.
 type machine struct {
-	name        string
-	incarnation int
-	id          consensus.MemberID // 0 while it has none
-	founders    []groupmember.Record
-	disk        *disk
-	member      *groupmember.Member
-	state       *record
-	downUntil   int
-	cutUntil    int
-	// heldUntil is until when the machine is held up: it is up, but not run, and what
-	// it is sent waits. missed counts the ticks of its member meanwhile.
-	heldUntil int
-	missed    int
-	leaving   bool
-	gone      bool
-	changing  bool
-	wiped     int
-	// saving is a snapshot that is being written until savedAt.
-	saving  *groupmember.Capture
-	savedAt int
+	name          string
+	incarnation   int
+	id            consensus.MemberID // 0 while it has none
+	founders      []groupmember.Record
+	disk          *disk
+	member        *groupmember.Member
+	state         *commandLog
+	downUntil     int
+	isolatedUntil int
+	// pausedUntil ends a pause, during which the machine does not run and its incoming
+	// messages wait. missedTicks counts its member's ticks during the pause.
+	pausedUntil int
+	missedTicks int
+	leaving     bool
+	removed     bool
+	changing    bool
+	wiped       int
+	// pendingSnapshot is a snapshot whose write finishes at snapshotDoneAt.
+	pendingSnapshot *groupmember.Capture
+	snapshotDoneAt  int
 }
 
 type delivery struct {
@@ -117,33 +116,33 @@
 }
 
 type world struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      int
-	machines []*machine
-	mail     []delivery
-	loss     float64
-	// proposed numbers by token, and those that were acknowledged.
+	t          *testing.T
+	random     *rand.Rand
+	now        int
+	machines   []*machine
+	inFlight   []delivery
+	loss       float64
 	lastNumber uint64
-	waiting    map[consensus.MemberID]map[uint64]uint64
-	known      []uint64
-	limits     groupmember.Limits
-	lastWipe   int
-	// snapshotEntries is given to members that start.
+	// waiting holds the unacknowledged numbers by member and token.
+	waiting             map[consensus.MemberID]map[uint64]uint64
+	acknowledgedNumbers []uint64
+	limits              groupmember.Limits
+	lastWipe            int
+	// snapshotEntries is the SnapshotEntries setting of members that start.
 	snapshotEntries uint64
-	// saveTicks is how long the writing of a snapshot takes; overtaken counts those
-	// that came to nothing, as the leader sent a later one meanwhile.
-	saveTicks int
-	overtaken int
-	// releases has members give the data of their snapshots to their disks; provided
-	// counts how often they got it back.
-	releases bool
-	provided int
-	// chunkBytes is the size of a snapshot's parts, 0 the default. Snapshots that a leader
-	// began while it sent one are counted in savedWhileSending.
-	chunkBytes        int
-	savedWhileSending int
-	// batchBytes bounds the entries of one message; 0 is the default.
+	// saveTicks is the duration of a snapshot write; staleSnapshots counts those discarded
+	// because the leader had sent a later one.
+	saveTicks      int
+	staleSnapshots int
+	// releaseData makes members release the data of their snapshots; provided counts how
+	// often it was provided again.
+	releaseData bool
+	provided    int
+	// chunkBytes is the snapshot chunk size, 0 the default. snapshotsWhileSending counts
+	// the snapshots that a leader began while it was sending one.
+	chunkBytes            int
+	snapshotsWhileSending int
+	// batchBytes is the MaxBatchBytes setting; 0 is the default.
 	batchBytes int
 }
 
@@ -168,7 +167,7 @@
 }
 
 func (w *world) start(m *machine) {
-	m.state = &record{}
+	m.state = &commandLog{}
 	member, err := groupmember.New(groupmember.Config{
 		Consensus: consensus.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.random.Uint64(), RetainEntries: 8, MaxBatchBytes: w.batchBytes, SnapshotChunkBytes: w.chunkBytes},
 		Founders:  m.founders, SnapshotEntries: w.snapshotEntries,
@@ -179,12 +178,12 @@
 	m.member = member
 }
 
-// stop ends the member. What it had not synced is not in the disk anyway.
+// stop stops the member, which loses all that is not on its disk.
 func (w *world) stop(m *machine, ticks int) {
 	m.member = nil
-	m.heldUntil, m.missed = 0, 0
+	m.pausedUntil, m.missedTicks = 0, 0
 	m.changing = false
-	m.saving = nil
+	m.pendingSnapshot = nil
 	m.downUntil = max(m.downUntil, w.now+ticks)
 	delete(w.waiting, m.id)
 }
@@ -198,31 +197,31 @@
 	w.lastWipe = w.now
 }
 
-func (w *world) up(m *machine) bool { return !m.gone && w.now >= m.downUntil }
+func (w *world) up(m *machine) bool { return !m.removed && w.now >= m.downUntil }
 
-func (w *world) heldUp(m *machine) bool { return w.now < m.heldUntil }
+func (w *world) paused(m *machine) bool { return w.now < m.pausedUntil }
 
 func (w *world) leader() *machine {
 	var leader *machine
 	for _, m := range w.machines {
-		if m.member != nil && !w.heldUp(m) && m.member.Settled() && (leader == nil || m.member.Status().Term > leader.member.Status().Term) {
+		if m.member != nil && !w.paused(m) && m.member.Settled() && (leader == nil || m.member.Status().Term > leader.member.Status().Term) {
 			leader = m
 		}
 	}
 	return leader
 }
 
-// join gives a machine without an id one, as the leader does.
+// join makes a machine without an id a learner, or returns the id that it already has.
 func (w *world) join(m *machine) {
 	leader := w.leader()
-	if leader == nil || leader.changing || leader.cutUntil > w.now || m.cutUntil > w.now || m.leaving {
+	if leader == nil || leader.changing || leader.isolatedUntil > w.now || m.isolatedUntil > w.now || m.leaving {
 		return
 	}
 	status := leader.member.Status()
 	incarnation := fmt.Sprint(m.incarnation)
-	for _, held := range leader.member.Directory() {
-		if held.Address == m.name && held.Incarnation == incarnation && status.Membership.Contains(held.ID) {
-			m.id = held.ID
+	for _, existing := range leader.member.Directory() {
+		if existing.Address == m.name && existing.Incarnation == incarnation && status.Membership.Contains(existing.ID) {
+			m.id = existing.ID
 			return
 		}
 	}
@@ -235,13 +234,13 @@
 	})
 }
 
-func (w *world) work(m *machine) {
+func (w *world) process(m *machine) {
 	for m.member.HasReady() {
 		ready := m.member.Ready()
 		m.disk.persist(ready)
 		for _, message := range ready.Messages {
 			if w.random.Float64() >= w.loss {
-				w.mail = append(w.mail, delivery{at: w.now + 1 + w.random.IntN(2), message: message})
+				w.inFlight = append(w.inFlight, delivery{at: w.now + 1 + w.random.IntN(2), message: message})
 			}
 		}
 		if err := m.member.Advance(ready); err != nil {
@@ -249,11 +248,11 @@
 		}
 	}
 	for _, reply := range m.member.TakeReplies() {
-		w.take(m, reply)
+		w.handleReply(m, reply)
 	}
 	w.save(m)
-	if w.releases {
-		w.tendSnapshotData(m)
+	if w.releaseData {
+		w.releaseSnapshotData(m)
 	}
 	if m.member.Status().Role == consensus.RoleRemoved {
 		w.stop(m, 1)
@@ -262,30 +261,30 @@
 	}
 }
 
-// save captures a snapshot once the member wants one, and puts it in force once it
-// has been written, unless the leader sent a later one meanwhile.
+// save captures a snapshot once the member wants one, and compacts the log once the
+// snapshot is written, unless the leader has sent a later one.
 func (w *world) save(m *machine) {
-	if m.saving == nil && m.member.WantsSnapshot() {
+	if m.pendingSnapshot == nil && m.member.WantsSnapshot() {
 		capture, err := m.member.CaptureSnapshot()
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		m.saving = &capture
-		if m.member.SendsSnapshot() {
-			w.savedWhileSending++
+		m.pendingSnapshot = &capture
+		if m.member.SendingSnapshot() {
+			w.snapshotsWhileSending++
 		}
-		m.savedAt = w.now + w.saveTicks
+		m.snapshotDoneAt = w.now + w.saveTicks
 	}
-	if m.saving == nil || w.now < m.savedAt {
+	if m.pendingSnapshot == nil || w.now < m.snapshotDoneAt {
 		return
 	}
-	snapshot, err := m.saving.Encode()
+	snapshot, err := m.pendingSnapshot.Encode()
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	m.saving = nil
+	m.pendingSnapshot = nil
 	if snapshot.Index <= m.disk.snapshot.Index {
-		w.overtaken++
+		w.staleSnapshots++
 		return
 	}
 	m.disk.compact(snapshot)
@@ -294,9 +293,9 @@
 	}
 }
 
-// tendSnapshotData takes the data of the newest snapshot from the member, and gives
-// it back a little after it is wanted.
-func (w *world) tendSnapshotData(m *machine) {
+// releaseSnapshotData releases the data of the member's newest snapshot, and provides it
+// again some ticks after it is wanted.
+func (w *world) releaseSnapshotData(m *machine) {
 	switch {
 	case !m.member.SnapshotWanted():
 		m.member.ReleaseSnapshot()
@@ -306,7 +305,7 @@
 	}
 }
 
-func (w *world) take(m *machine, reply groupmember.Reply) {
+func (w *world) handleReply(m *machine, reply groupmember.Reply) {
 	if reply.Token == 0 {
 		m.changing = false
 		return
@@ -314,7 +313,7 @@
 	number := w.waiting[m.id][reply.Token]
 	delete(w.waiting[m.id], reply.Token)
 	if reply.Err == nil && number != 0 {
-		w.known = append(w.known, number)
+		w.acknowledgedNumbers = append(w.acknowledgedNumbers, number)
 	}
 }
 
@@ -349,7 +348,7 @@
 	m.member.ChangeMembership(0, change.Kind, groupmember.Record{ID: change.Member})
 }
 
-// leaving names the machines that are to be emptied.
+// leaving returns the names of the machines that are being drained.
 func (w *world) leaving() map[string]bool {
 	leaving := map[string]bool{}
 	for _, m := range w.machines {
@@ -374,18 +373,18 @@
 	for _, m := range w.machines {
 		switch {
 		case !w.up(m):
-		case w.heldUp(m):
-			m.missed++
+		case w.paused(m):
+			m.missedTicks++
 		case m.member != nil:
-			m.member.TickMissed(m.missed)
-			m.missed = 0
+			m.member.TickMissed(m.missedTicks)
+			m.missedTicks = 0
 			m.member.Tick()
-			w.work(m)
+			w.process(m)
 		case m.id == 0:
 			w.join(m)
 		default:
 			w.start(m)
-			w.work(m)
+			w.process(m)
 		}
 	}
 	w.deliver()
@@ -394,46 +393,45 @@
 		if w.random.IntN(2) == 0 {
 			w.propose(leader)
 		}
-		w.work(leader)
+		w.process(leader)
 	}
 }
 
 func (w *world) deliver() {
-	due := w.mail
-	w.mail = nil
+	due := w.inFlight
+	w.inFlight = nil
 	w.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	for _, mail := range due {
 		if mail.at > w.now {
-			w.mail = append(w.mail, mail)
+			w.inFlight = append(w.inFlight, mail)
 			continue
 		}
 		from, to := w.machineOf(mail.message.From), w.machineOf(mail.message.To)
-		if to == nil || to.cutUntil > w.now || (from != nil && from.cutUntil > w.now) {
+		if to == nil || to.isolatedUntil > w.now || (from != nil && from.isolatedUntil > w.now) {
 			continue
 		}
-		if w.heldUp(to) {
-			w.mail = append(w.mail, delivery{at: to.heldUntil, message: mail.message})
+		if w.paused(to) {
+			w.inFlight = append(w.inFlight, delivery{at: to.pausedUntil, message: mail.message})
 			continue
 		}
 		if err := to.member.Step(mail.message); err != nil && to.member != nil {
 			w.t.Logf("tick %d: %s: %v", w.now, to.name, err)
 		}
-		w.work(to)
+		w.process(to)
 	}
 }
 
-// fault draws one trouble. Disks are lost one at a time, with time between them
-// for the group to make good.
-func (w *world) fault() {
+// injectFault injects a random fault. Disks are lost only while the group is healthy.
+func (w *world) injectFault() {
 	m := w.machines[w.random.IntN(len(w.machines))]
-	if m.gone {
+	if m.removed {
 		return
 	}
 	switch w.random.IntN(11) {
 	case 0, 1:
 		w.stop(m, 1+w.random.IntN(40))
 	case 2:
-		m.cutUntil = w.now + 10 + w.random.IntN(60)
+		m.isolatedUntil = w.now + 10 + w.random.IntN(60)
 	case 3:
 		for _, each := range w.machines {
 			w.stop(each, 1+w.random.IntN(12))
@@ -443,44 +441,44 @@
 	case 5:
 		w.loss = 0
 	case 6:
-		if w.whole() {
+		if w.healthy() {
 			w.stop(m, 5+w.random.IntN(20))
 			w.wipe(m)
 		}
 	case 7:
-		if w.whole() && len(w.machines) < 9 {
+		if w.healthy() && len(w.machines) < 9 {
 			w.stop(m, 1)
-			m.gone = true
+			m.removed = true
 			w.lastWipe = w.now
 			w.machines = append(w.machines, &machine{name: fmt.Sprintf("m%d", len(w.machines)), disk: &disk{}})
 		}
 	case 8:
-		if leader := w.leader(); leader != nil && leader.cutUntil <= w.now {
+		if leader := w.leader(); leader != nil && leader.isolatedUntil <= w.now {
 			w.stop(leader, 3)
-			if w.whole() {
+			if w.healthy() {
 				w.wipe(leader)
 			}
 		}
 	case 9:
-		w.hold(m, 1+w.random.IntN(60))
+		w.pause(m, 1+w.random.IntN(60))
 	case 10:
 		ticks := 1 + w.random.IntN(30)
 		for _, each := range w.machines {
-			w.hold(each, ticks)
+			w.pause(each, ticks)
 		}
 	}
 }
 
-// hold holds a machine with a member up for some ticks from now on.
-func (w *world) hold(m *machine, ticks int) {
+// pause pauses a machine that runs a member.
+func (w *world) pause(m *machine, ticks int) {
 	if m.member != nil {
-		m.heldUntil = w.now + 1 + ticks
+		m.pausedUntil = w.now + 1 + ticks
 	}
 }
 
-// whole reports whether the group has the wanted voters, all of them up, in
-// touch and caught up: only then may another disk be lost.
-func (w *world) whole() bool {
+// healthy reports whether the group has enough voters, all active and caught up: only
+// then may another disk be lost.
+func (w *world) healthy() bool {
 	leader := w.leader()
 	if leader == nil {
 		return false
@@ -497,7 +495,7 @@
 	return true
 }
 
-// check holds every state against the others and against what was acknowledged.
+// check compares all states with each other and with the acknowledged commands.
 func (w *world) check() {
 	var longest []uint64
 	for _, m := range w.machines {
@@ -510,25 +508,25 @@
 			continue
 		}
 		if !slices.Equal(m.state.numbers, longest[:len(m.state.numbers)]) {
-			w.t.Fatalf("tick %d: %s has another order", w.now, m.name)
+			w.t.Fatalf("tick %d: %s has a different order", w.now, m.name)
 		}
 	}
-	held := make(map[uint64]bool, len(longest))
+	found := make(map[uint64]bool, len(longest))
 	for _, number := range longest {
-		held[number] = true
+		found[number] = true
 	}
-	for _, number := range w.known {
-		if !held[number] {
-			w.t.Fatalf("tick %d: acknowledged command %d is nowhere", w.now, number)
+	for _, number := range w.acknowledgedNumbers {
+		if !found[number] {
+			w.t.Fatalf("tick %d: acknowledged command %d is lost", w.now, number)
 		}
 	}
 }
 
-func (w *world) settle(ticks int) {
+func (w *world) heal(ticks int) {
 	w.loss = 0
 	for _, m := range w.machines {
-		m.cutUntil = 0
-		m.heldUntil = min(m.heldUntil, w.now+1)
+		m.isolatedUntil = 0
+		m.pausedUntil = min(m.pausedUntil, w.now+1)
 		m.downUntil = min(m.downUntil, w.now+5)
 	}
 	for range ticks {
@@ -541,55 +539,55 @@
 	if testing.Short() {
 		seeds = 10
 	}
-	loseNothing(t, seeds, 0)
+	testNoAcknowledgedLoss(t, seeds, 0)
 }
 
-// TestNothingIsLostWhileSnapshotsAreWritten: members go on while the snapshots that
-// they captured are written, also when they end or are sent a later one meanwhile.
+// Members keep running while the snapshots that they captured are written, even if they
+// stop or receive a later one before.
 func TestNothingIsLostWhileSnapshotsAreWritten(t *testing.T) {
 	const seeds, saveTicks = 15, 30
-	loseNothing(t, seeds, saveTicks)
+	testNoAcknowledgedLoss(t, seeds, saveTicks)
 }
 
-// loseNothing runs worlds whose members take so many ticks to write a snapshot.
-func loseNothing(t *testing.T, seeds uint64, saveTicks int) {
-	acknowledged, overtaken, provided := 0, 0, 0
+// testNoAcknowledgedLoss runs simulations in which a snapshot write takes saveTicks.
+func testNoAcknowledgedLoss(t *testing.T, seeds uint64, saveTicks int) {
+	acknowledged, staleSnapshots, provided := 0, 0, 0
 	for seed := range seeds {
 		w := newWorld(t, seed, 3+int(seed%3), 3+2*int(seed%2))
-		w.saveTicks, w.releases = saveTicks, saveTicks > 0
+		w.saveTicks, w.releaseData = saveTicks, saveTicks > 0
 		for round := range 60 {
 			for range 15 + w.random.IntN(40) {
 				w.tick()
 			}
-			w.fault()
+			w.injectFault()
 			if round%20 == 19 {
-				w.settle(150)
+				w.heal(150)
 				w.check()
 			}
 		}
-		w.settle(400)
+		w.heal(400)
 		w.check()
 		leader := w.leader()
 		if leader == nil {
-			t.Fatalf("seed %d: no leader after all troubles ended", seed)
+			t.Fatalf("seed %d: no leader after the faults ended", seed)
 		}
 		if voters := len(leader.member.Status().Membership.Voters); voters < 3 {
 			t.Errorf("seed %d: %d voters at the end", seed, voters)
 		}
-		before := len(w.known)
+		before := len(w.acknowledgedNumbers)
 		for range 50 {
 			w.tick()
 		}
-		if len(w.known) == before {
-			t.Errorf("seed %d: nothing is acknowledged any more", seed)
+		if len(w.acknowledgedNumbers) == before {
+			t.Errorf("seed %d: no command acknowledged after the faults ended", seed)
 		}
-		acknowledged += len(w.known)
-		overtaken += w.overtaken
+		acknowledged += len(w.acknowledgedNumbers)
+		staleSnapshots += w.staleSnapshots
 		provided += w.provided
 	}
-	t.Logf("%d commands acknowledged over %d seeds, %d snapshots overtaken, %d read again", acknowledged, seeds, overtaken, provided)
+	t.Logf("%d commands acknowledged over %d seeds, %d snapshots discarded, %d provided again", acknowledged, seeds, staleSnapshots, provided)
 	if saveTicks > 0 && provided == 0 {
-		t.Error("no snapshot was ever read again: nothing was tried")
+		t.Error("no released snapshot was provided again")
 	}
 }
 
@@ -601,32 +599,32 @@
 		}
 		leaver := w.machines[int(seed)%3]
 		leaver.leaving = true
-		out := func() bool {
+		drained := func() bool {
 			leader := w.leader()
 			if leader == nil {
 				return false
 			}
 			names := map[string]bool{}
 			// The directory loses a member once its removal is committed.
-			for _, held := range leader.member.Directory() {
-				names[held.Name] = true
+			for _, existing := range leader.member.Directory() {
+				names[existing.Name] = true
 			}
 			return !names[leaver.name] && len(leader.member.Status().Membership.Voters) == 3
 		}
 		for range 200 {
-			if w.tick(); out() {
+			if w.tick(); drained() {
 				break
 			}
 		}
-		if !out() {
+		if !drained() {
 			t.Fatalf("seed %d: the machine is still a member after 200 ticks", seed)
 		}
 		w.stop(leaver, 1)
-		leaver.gone = true
+		leaver.removed = true
 		lost := w.machines[(int(seed)+1)%3]
 		w.stop(lost, 5)
 		w.wipe(lost)
-		w.settle(300)
+		w.heal(300)
 		w.check()
 		if w.leader() == nil {
 			t.Fatalf("seed %d: no leader", seed)
@@ -651,16 +649,15 @@
 	}
 	voters := leader.member.Status().Membership.Voters
 	if slices.Contains(voters, consensus.MemberID(2)) || len(voters) != 3 {
-		t.Errorf("voters %v: the id that lost its disk must be out and the machine back under another one", voters)
+		t.Errorf("voters %v: the id that lost its disk must be removed and the machine must return under another one", voters)
 	}
 	if got := slices.Sorted(maps.Keys(map[string]bool{lost.name: true})); lost.id <= 3 {
-		t.Errorf("%v came back as %d", got, lost.id)
+		t.Errorf("%v returned as %d", got, lost.id)
 	}
 }
 
-// TestAMemberThatReadsTheWholeLogTakesNoSnapshotTooEarly: what it applies before
-// the entry that added it comes from a time whose members it does not know. (Found
-// by a hunt: an added store machine ended itself again and again.)
+// A joining member that reads the whole log must not take a snapshot before the entry that
+// added it: it does not know the membership of that time.
 func TestAMemberThatReadsTheWholeLogTakesNoSnapshotTooEarly(t *testing.T) {
 	w := newWorld(t, 3, 3, 3)
 	w.snapshotEntries, w.batchBytes = 100000, 100
@@ -670,7 +667,7 @@
 	added := &machine{name: "m3", disk: &disk{}}
 	w.machines = append(w.machines, added)
 	w.snapshotEntries = 20
-	w.settle(100)
+	w.heal(100)
 	if added.member == nil || len(added.state.numbers) == 0 {
 		t.Fatal("the machine did not join")
 	}
--- a/internal/core/groupmember/succession_test.go
+++ b/internal/core/groupmember/succession_test.go
@@ -7,45 +7,41 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// Pauses of the days on which jobs were lost, at 60 ms a tick.
+// Durations of the succession test; a tick is 60 ms.
 const (
-	successionCalm = 170 // between two troubles
+	calmTicks      = 170 // between two faults
 	successorTicks = 17  // from the loss of a machine to the start of its successor
-	// repairTicks bounds the repair, from the start of the successor on: within it
-	// the group has its voters again, all of them up and caught up. Messages take one or
-	// two ticks here, far longer than between real machines.
-	repairTicks = 72
-	cutTicks    = 108
-	powerTicks  = 17
+	// repairTicks limits the time from the start of the successor until the group has
+	// all its voters, running and caught up. A message takes one or two ticks.
+	repairTicks    = 72
+	isolationTicks = 108
+	powerOffTicks  = 17
 )
 
-// replace takes a machine away for good and starts another one, empty, at another
-// address.
-func (w *world) replace(m *machine) {
+// replaceMachine removes a machine permanently and adds an empty one at another address.
+func (w *world) replaceMachine(m *machine) {
 	w.stop(m, 1)
-	m.gone = true
+	m.removed = true
 	for range successorTicks {
 		w.tick()
 	}
 	w.machines = append(w.machines, &machine{name: m.name + "'", disk: &disk{}})
 }
 
-// living gives the machines that are not gone.
-func (w *world) living() []*machine {
+// liveMachines returns the machines that are not removed.
+func (w *world) liveMachines() []*machine {
 	var living []*machine
 	for _, m := range w.machines {
-		if !m.gone {
+		if !m.removed {
 			living = append(living, m)
 		}
 	}
 	return living
 }
 
-// TestSuccessorsOfLostMachinesAreTakenIn: whichever machines of four are replaced
-// one after the other, cut off, and lose their disk while all power goes, the
-// group is whole in time before each next trouble, and nothing acknowledged is
-// lost. (Found by a hunt: a silent learner held its place, so that two successors
-// were refused, and the loss of one more disk lost all jobs.)
+// Two of four machines are replaced, one is isolated, and one loses its disk in a power
+// failure of all. For every choice of machines the group must be repaired in time, and
+// keep all acknowledged commands.
 func TestSuccessorsOfLostMachinesAreTakenIn(t *testing.T) {
 	t.Parallel()
 	for part := range parts {
@@ -54,7 +50,7 @@
 			for choice := part; choice < choices; choice += parts {
 				testSuccession(t, choice, 0)
 			}
-			// A group that keeps a spare follower: a part of the choices.
+			// Also run a subset of the choices with a spare learner.
 			for choice := part; choice < choices; choice += spareStride * parts {
 				testSuccession(t, choice, 1)
 			}
@@ -65,46 +61,46 @@
 const (
 	machines = 4
 	choices  = machines * machines * machines * machines
-	// parts run beside each other; spareStride thins the choices out.
+	// parts run in parallel; spareStride selects the choices run with a spare learner.
 	parts       = 8
 	spareStride = 4
 )
 
-// testSuccession runs one choice of the machines that fail, in a group that wants so
-// many learners beside its voters.
+// testSuccession runs one choice of failing machines, in a group with the given number of
+// learners.
 func testSuccession(t *testing.T, choice, learners int) {
 	t.Helper()
 	w := newWorld(t, uint64(choice), machines, 3)
 	w.limits.Learners = learners
-	victim := func(digit int) *machine { return w.living()[choice/digit%machines] }
-	for range successionCalm {
+	victim := func(digit int) *machine { return w.liveMachines()[choice/digit%machines] }
+	for range calmTicks {
 		w.tick()
 	}
 	for _, digit := range []int{1, machines} {
-		w.replace(victim(digit))
+		w.replaceMachine(victim(digit))
 		w.mustRepair(choice, learners)
-		for range successionCalm - repairTicks {
+		for range calmTicks - repairTicks {
 			w.tick()
 		}
 	}
-	cut := victim(machines * machines)
-	cut.cutUntil = w.now + cutTicks
-	for range cutTicks + repairTicks {
+	isolated := victim(machines * machines)
+	isolated.isolatedUntil = w.now + isolationTicks
+	for range isolationTicks + repairTicks {
 		w.tick()
 	}
 	wiped := victim(machines * machines * machines)
 	for _, m := range w.machines {
-		w.stop(m, powerTicks)
+		w.stop(m, powerOffTicks)
 	}
 	w.wipe(wiped)
-	w.settle(300)
+	w.heal(300)
 	w.check()
 	if w.leader() == nil {
-		t.Fatalf("choice %d, %d learners: no leader after all troubles", choice, learners)
+		t.Fatalf("choice %d, %d learners: no leader after all faults", choice, learners)
 	}
 }
 
-// mustRepair runs the time of a repair and holds the group to it.
+// mustRepair runs for repairTicks and fails unless the group is repaired by then.
 func (w *world) mustRepair(choice, learners int) {
 	w.t.Helper()
 	repaired := false
@@ -117,12 +113,12 @@
 		if leader := w.leader(); leader != nil {
 			status = leader.member.Status()
 		}
-		w.t.Fatalf("choice %d, %d learners, tick %d: not whole %d ticks after a successor started: %+v", choice, learners, w.now, repairTicks, status)
+		w.t.Fatalf("choice %d, %d learners, tick %d: not repaired %d ticks after a successor started: %+v", choice, learners, w.now, repairTicks, status)
 	}
 }
 
-// repaired reports whether the group has the wanted voters, a member running under
-// the id of each, in touch and caught up.
+// repaired reports whether the group has the wanted number of voters, all of them running
+// and caught up.
 func (w *world) repaired() bool {
 	leader := w.leader()
 	if leader == nil {
--- a/internal/core/groupmember/wiped_test.go
+++ b/internal/core/groupmember/wiped_test.go
@@ -6,12 +6,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// wipedTicks is how long two machines that lost their disks may take to be voters again,
-// at 60 ms a tick: 6 s.
-const wipedTicks = 100
+// recoverVotersTicks is how long two machines that lost their disks may take to become
+// voters again: 6 s at 60 ms per tick.
+const recoverVotersTicks = 100
 
-// fiveVoters gives a world of five machines, all voters, that is to bear two losses.
-func fiveVoters(t *testing.T, seed uint64, configure func(*world)) *world {
+// newFiveVoterWorld returns a world of five voters that must tolerate two losses.
+func newFiveVoterWorld(t *testing.T, seed uint64, configure func(*world)) *world {
 	w := newWorld(t, seed, 5, 5)
 	w.limits.LeastVoters = 5
 	configure(w)
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// wipeFollowers takes power and disks from two members that do not lead.
+// wipeFollowers stops two followers and wipes their disks.
 func (w *world) wipeFollowers() {
 	leader, wiped := w.leader(), 0
 	for _, m := range w.machines {
@@ -37,14 +37,14 @@
 	}
 }
 
-// TestAQuorumOutlivesTwoLossesWhileWipedMembersReturn: no quorum is ever of two, so that
-// what is acknowledged meanwhile stands on three disks.
+// While wiped members return, every quorum must have at least three voters, so that
+// acknowledged commands are on three disks.
 func TestAQuorumOutlivesTwoLossesWhileWipedMembersReturn(t *testing.T) {
 	for seed := range uint64(40) {
-		w := fiveVoters(t, seed, func(*world) {})
+		w := newFiveVoterWorld(t, seed, func(*world) {})
 		w.wipeFollowers()
 		returned := false
-		for passed := 0; passed < wipedTicks && !returned; passed++ {
+		for passed := 0; passed < recoverVotersTicks && !returned; passed++ {
 			w.tick()
 			leader := w.leader()
 			if leader == nil {
@@ -54,18 +54,18 @@
 			if len(voters) < 4 {
 				t.Fatalf("seed %d: %d voters", seed, len(voters))
 			}
-			returned = len(voters) == 5 && w.allUpVote(leader.member.Status().Membership)
+			returned = len(voters) == 5 && w.allVoters(leader.member.Status().Membership)
 		}
 		if !returned {
-			t.Errorf("seed %d: not all are voters again", seed)
+			t.Errorf("seed %d: not all machines are voters again", seed)
 		}
-		w.settle(20)
+		w.heal(20)
 		w.check()
 	}
 }
 
-// allUpVote reports whether every machine's member is a voter.
-func (w *world) allUpVote(membership consensus.Membership) bool {
+// allVoters reports whether every machine runs a voter.
+func (w *world) allVoters(membership consensus.Membership) bool {
 	for _, m := range w.machines {
 		if m.member == nil || !membership.IsVoter(m.id) {
 			return false
@@ -74,12 +74,12 @@
 	return true
 }
 
-// TestNoSnapshotIsMadeWhileOneIsSent, unless twice as much was applied: with parts of 64
-// bytes a transfer takes as long as several snapshots are apart.
+// A leader makes no snapshot while it sends one, unless twice the usual amount was
+// applied. With 64-byte chunks a transfer lasts several snapshot intervals.
 func TestNoSnapshotIsMadeWhileOneIsSent(t *testing.T) {
 	saved, total := 0, 0
 	for seed := range uint64(20) {
-		w := fiveVoters(t, seed, func(w *world) { w.chunkBytes, w.snapshotEntries = 64, 10 })
+		w := newFiveVoterWorld(t, seed, func(w *world) { w.chunkBytes, w.snapshotEntries = 64, 10 })
 		for range 100 {
 			w.tick()
 		}
@@ -88,25 +88,25 @@
 			continue
 		}
 		w.wipeFollowers()
-		w.savedWhileSending = 0
+		w.snapshotsWhileSending = 0
 		sending, most := 0, uint64(0)
-		for range wipedTicks {
+		for range recoverVotersTicks {
 			w.tick()
-			if leader = w.leader(); leader != nil && leader.member.SendsSnapshot() {
+			if leader = w.leader(); leader != nil && leader.member.SendingSnapshot() {
 				sending++
 				most = max(most, leader.member.Applied()-leader.member.Status().SnapshotIndex)
 			}
 		}
-		saved += w.savedWhileSending
+		saved += w.snapshotsWhileSending
 		if most > 2*w.snapshotEntries+20 {
 			t.Errorf("seed %d: %d entries without a snapshot, sending for %d ticks", seed, most, sending)
 		}
 		total += sending
-		w.settle(20)
+		w.heal(20)
 		w.check()
 	}
 	t.Logf("%d snapshots were made in %d ticks in which one was sent", saved, total)
-	// At 0.5 entries a tick and 10 entries a snapshot one would be made every 20 ticks.
+	// At 0.5 entries per tick and 10 entries per snapshot, one is due every 20 ticks.
 	if total == 0 || saved > total/30 {
 		t.Errorf("%d snapshots were made in %d ticks in which one was sent", saved, total)
 	}
