--- a/internal/core/membership/aggregate.go
+++ b/internal/core/membership/aggregate.go
@@ -9,8 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// PoolAggregate is what one zone tells the others of a pool. The zone's
-// aggregator for the pool, by Assigner.HomeOf, sends it.
+// PoolAggregate summarizes a pool in one zone for the other zones. It is sent by the
+// zone's aggregator for the pool, given by Assigner.HomeOf.
 type PoolAggregate struct {
 	Zone port.ZoneName `cbor:"1,keyasint"`
 	Pool port.PoolName `cbor:"2,keyasint"`
@@ -18,26 +18,26 @@
 	// Incarnation and Sequence order the aggregates of a node.
 	Incarnation uint64 `cbor:"4,keyasint"`
 	Sequence    uint64 `cbor:"5,keyasint"`
-	// Replicas counts all, Routable those that take requests.
+	// Replicas counts all replicas, Routable those that accept requests.
 	Replicas int `cbor:"6,keyasint"`
 	Routable int `cbor:"7,keyasint"`
-	// Free is the number of requests that would start at once.
+	// Free is the number of requests that could start at once.
 	Free     int            `cbor:"8,keyasint"`
 	Queued   int            `cbor:"9,keyasint,omitempty"`
 	Versions []VersionCount `cbor:"10,keyasint,omitempty"`
-	// Unhealthy counts the replicas that are ejected or probed.
+	// Unhealthy counts the ejected and probed replicas.
 	Unhealthy int `cbor:"11,keyasint,omitempty"`
 }
 
-// VersionCount counts the routable replicas of a version and their free places.
+// VersionCount counts the routable replicas of a version and their free request slots.
 type VersionCount struct {
 	Version  port.WeightVersion `cbor:"1,keyasint"`
 	Replicas int                `cbor:"2,keyasint"`
 	Free     int                `cbor:"3,keyasint"`
 }
 
-// Aggregate sums up a zone's replicas by pool, in order of pool and version.
-// The caller adds the zone, the node and the numbers of the message.
+// Aggregate sums up a zone's replicas by pool, in order of pool and version. The caller
+// sets Zone, Node, Incarnation and Sequence.
 func (s *Summaries) Aggregate(now time.Time, homes *Assigner) []PoolAggregate {
 	byPool := make(map[port.PoolName]*PoolAggregate)
 	s.Each(now, homes, func(_ port.NodeID, replica *ReplicaSummary, _ time.Duration) {
@@ -56,7 +56,7 @@
 	return aggregates
 }
 
-// add counts one replica.
+// add adds one replica.
 func (a *PoolAggregate) add(replica *ReplicaSummary) {
 	a.Replicas++
 	a.Queued += replica.Queued
@@ -78,56 +78,56 @@
 	a.Versions[position].Free += free
 }
 
-// Aggregates holds what other zones tell. It is not safe for concurrent use.
+// Aggregates holds the aggregates of other zones. It is not safe for concurrent use.
 type Aggregates struct {
-	held map[port.PoolName]*poolAggregates
+	byPool map[port.PoolName]*poolAggregates
 }
 
-// poolAggregates holds those of one pool. Sorted has the most free places first;
-// it is nil after a change.
+// poolAggregates holds the aggregates of one pool. Field sorted is in descending order of
+// free slots; it is nil after a change.
 type poolAggregates struct {
-	byZone map[port.ZoneName]heldAggregate
-	sorted []heldAggregate
+	byZone map[port.ZoneName]receivedAggregate
+	sorted []receivedAggregate
 }
 
-type heldAggregate struct {
+type receivedAggregate struct {
 	aggregate PoolAggregate
 	received  time.Time
 }
 
-// NewAggregates makes an empty table.
+// NewAggregates returns an empty table.
 func NewAggregates() *Aggregates {
-	return &Aggregates{held: make(map[port.PoolName]*poolAggregates)}
+	return &Aggregates{byPool: make(map[port.PoolName]*poolAggregates)}
 }
 
-// Apply takes an aggregate; false means that it is not newer than the one
-// held. One from another aggregator of the zone takes the place of the held
-// one: an aggregator that lost its office sends no more.
+// Apply stores an aggregate unless it is not newer than the current one of the same node,
+// and reports whether it did. One from another node always replaces the current one, as
+// the zone's former aggregator sends no more.
 func (a *Aggregates) Apply(now time.Time, aggregate PoolAggregate) bool {
-	pool := a.held[aggregate.Pool]
+	pool := a.byPool[aggregate.Pool]
 	if pool == nil {
-		pool = &poolAggregates{byZone: make(map[port.ZoneName]heldAggregate)}
-		a.held[aggregate.Pool] = pool
+		pool = &poolAggregates{byZone: make(map[port.ZoneName]receivedAggregate)}
+		a.byPool[aggregate.Pool] = pool
 	}
-	held, found := pool.byZone[aggregate.Zone]
-	if found && held.aggregate.Node == aggregate.Node &&
-		!newer(aggregate.Incarnation, aggregate.Sequence, held.aggregate.Incarnation, held.aggregate.Sequence) {
+	current, found := pool.byZone[aggregate.Zone]
+	if found && current.aggregate.Node == aggregate.Node &&
+		!newer(aggregate.Incarnation, aggregate.Sequence, current.aggregate.Incarnation, current.aggregate.Sequence) {
 		return false
 	}
-	pool.byZone[aggregate.Zone] = heldAggregate{aggregate: aggregate, received: now}
+	pool.byZone[aggregate.Zone] = receivedAggregate{aggregate: aggregate, received: now}
 	pool.sorted = nil
 	return true
 }
 
-// Pool lists what the zones told of a pool within maxAge, the most free places
-// first.
+// Pool returns the aggregates of a pool received within maxAge, in descending order of
+// free slots.
 func (a *Aggregates) Pool(now time.Time, pool port.PoolName, maxAge time.Duration) []PoolAggregate {
-	held := a.held[pool]
-	if held == nil {
+	aggregates := a.byPool[pool]
+	if aggregates == nil {
 		return nil
 	}
-	found := make([]PoolAggregate, 0, len(held.byZone))
-	for _, entry := range held.inOrder() {
+	found := make([]PoolAggregate, 0, len(aggregates.byZone))
+	for _, entry := range aggregates.sortedByFree() {
 		if now.Sub(entry.received) <= maxAge {
 			found = append(found, entry.aggregate)
 		}
@@ -135,10 +135,10 @@
 	return found
 }
 
-// inOrder gives the aggregates, the most free places first.
-func (p *poolAggregates) inOrder() []heldAggregate {
+// sortedByFree returns the aggregates in descending order of free slots.
+func (p *poolAggregates) sortedByFree() []receivedAggregate {
 	if p.sorted == nil {
-		p.sorted = slices.SortedFunc(maps.Values(p.byZone), func(x, y heldAggregate) int {
+		p.sorted = slices.SortedFunc(maps.Values(p.byZone), func(x, y receivedAggregate) int {
 			return cmp.Or(cmp.Compare(y.aggregate.Free, x.aggregate.Free), cmp.Compare(x.aggregate.Zone, y.aggregate.Zone))
 		})
 	}
--- a/internal/core/membership/bench_test.go
+++ b/internal/core/membership/bench_test.go
@@ -10,22 +10,22 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// measuredTime is the virtual time over which traffic is counted.
+// measuredTime is the virtual time over which bytes are counted.
 const measuredTime = 10 * time.Second
 
-// BenchmarkDetector runs one zone of n nodes in virtual time and reports, per
-// node and second of that time: messages, encoded bytes and processor time of
-// a quiet zone, and the bytes of the busiest node while a death spreads.
+// BenchmarkDetector runs one zone of n nodes in virtual time. It reports, per node and
+// second, the messages, encoded bytes and processor time of a stable zone, and the bytes
+// of the busiest node while a death spreads.
 func BenchmarkDetector(b *testing.B) {
 	for _, size := range []int{20, 60, 200, 660} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
 			f := newFleet(size, 1)
 			f.run(2 * measuredTime)
-			quiet := f.countBytes(b)
+			quiet := f.maxBytesPerSecond(b)
 			f.stopped[f.nodes[size/2]] = true
-			death := f.countBytes(b)
+			death := f.maxBytesPerSecond(b)
 			clear(f.sent)
-			f.changes = nil // not kept, so that the state does not grow with b.N
+			f.changes = nil // bounds the memory, which would grow with b.N
 			virtual := time.Duration(0)
 			for b.Loop() {
 				f.run(DefaultInterval)
@@ -45,9 +45,9 @@
 	}
 }
 
-// countBytes runs the fleet and gives the encoded bytes a second of the node
-// that sent most.
-func (f *fleet) countBytes(b *testing.B) float64 {
+// maxBytesPerSecond runs the fleet and returns the encoded bytes per second of the node
+// that sends most.
+func (f *fleet) maxBytesPerSecond(b *testing.B) float64 {
 	sent := make(map[port.NodeID]int)
 	f.observe = func(envelope Envelope) {
 		encoded, err := cbor.Marshal(envelope.Message)
--- a/internal/core/membership/detector.go
+++ b/internal/core/membership/detector.go
@@ -10,23 +10,22 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config sets a Detector. Zero fields take the defaults.
+// Config holds the settings of a Detector. Zero fields select the defaults.
 type Config struct {
 	Self port.NodeID
 	Zone port.ZoneName
-	// Incarnation must be higher than that of any earlier process of this node;
-	// the start time in milliseconds will do.
+	// Incarnation must be higher than that of any earlier process of this node, for
+	// example the start time in milliseconds.
 	Incarnation uint64
-	// Successors is the number of nodes that get this node's heartbeats.
+	// Successors is the number of nodes that receive this node's heartbeats.
 	Successors int
-	// Interval lies between two heartbeats.
+	// Interval is the time between two heartbeats.
 	Interval time.Duration
-	// SuspectAfter is the silence after which a monitor suspects a node, and
-	// DeadAfter the silence after which suspicion may become death.
+	// SuspectAfter is the silence after which a monitor suspects a node, and DeadAfter
+	// that after which the node may be declared dead.
 	SuspectAfter time.Duration
 	DeadAfter    time.Duration
-	// MessagesPerInterval bounds the notices sent in one interval besides
-	// heartbeats; the rest wait for the next ones.
+	// MessagesPerInterval limits the queued notices sent per interval.
 	MessagesPerInterval int
 }
 
@@ -41,66 +40,65 @@
 
 // Constants of the detector.
 const (
-	// confirmations is the number of monitors that must agree on a death.
-	confirmations = 2
-	// aloneFactor lengthens DeadAfter for a monitor that suspects all others
-	// and finds nobody to confirm: it may itself be the one cut off.
-	aloneFactor = 2
-	// probeEvery is the number of intervals between probes of a dead node.
-	probeEvery = 4
-	// syncEntries bounds the entries of one Sync message.
-	syncEntries = 32
+	// requiredConfirmations is the number of monitors that must agree on a death.
+	requiredConfirmations = 2
+	// soleMonitorFactor extends DeadAfter for a monitor without another live monitor to
+	// confirm a death: it may be isolated itself.
+	soleMonitorFactor = 2
+	// intervalsPerProbe is the number of intervals between probes of a dead node.
+	intervalsPerProbe = 4
+	// maxSyncEntries limits the entries of a Sync message.
+	maxSyncEntries = 32
 )
 
-// Detector is the pure state of one node's failure detection. The caller feeds
-// it time, messages and views, and sends what it asks for. It is not safe for
+// Detector is one node's failure detector. It does no I/O: the caller passes it the time,
+// messages and views, and sends the messages in each Output. It is not safe for
 // concurrent use.
 type Detector struct {
 	config      Config
 	incarnation uint64
 	sequence    uint64
 	peers       map[port.NodeID]*peer
-	// ring holds the non-dead nodes of the zone, self included, by hash.
+	// ring holds the non-dead nodes of the zone, including this one, ordered by hash.
 	ring         []port.NodeID
 	successors   []port.NodeID
 	predecessors []port.NodeID
-	// digest sums up the dead nodes.
-	digest    uint64
-	nextBeat  time.Time
-	beats     uint64
-	nextProbe int
-	outbox    outbox
-	output    Output
-	// listed says that the control view lists this node, draining and leaving
-	// what the view and the machine list say of it.
+	// digest identifies the set of dead nodes and their incarnations.
+	digest        uint64
+	nextHeartbeat time.Time
+	intervals     uint64
+	nextProbe     int
+	outbox        outbox
+	output        Output
+	// listed is set if the control view lists this node; draining comes from the control
+	// view, leaving from the machine list.
 	listed   bool
 	draining bool
 	leaving  bool
-	// assigner gives the homes for the live nodes; nil after a change of what
-	// Live depends on.
+	// assigner caches the homes for the live nodes; nil after a change of the live nodes.
 	assigner *Assigner
 }
 
-// peer is what the detector holds of another node of the zone.
+// peer is the state of another node of the zone.
 type peer struct {
 	id          port.NodeID
 	address     string
 	incarnation uint64
 	sequence    uint64
 	status      Status
-	// watched is set for predecessors: heard is the last heartbeat, or the time
-	// when watching began.
-	watched bool
-	heard   time.Time
-	// suspecters holds the latest suspicion of other monitors.
-	suspecters map[port.NodeID]time.Time
+	// monitored is set for predecessors; lastHeartbeat is the time of the last heartbeat,
+	// or the time when monitoring began.
+	monitored     bool
+	lastHeartbeat time.Time
+	// suspicions holds the time of the last suspicion of each other monitor.
+	suspicions map[port.NodeID]time.Time
 	draining   bool
 	leaving    bool
-	// unlisted says that the machine list no longer shows the node's machine.
-	unlisted bool
+	// machineMissing is set if the machine list does not contain the node's machine.
+	machineMissing bool
 }
 
-// NewDetector makes a detector that knows no other node yet.
+// NewDetector returns a detector that knows no other node yet.
 func NewDetector(config Config, now time.Time) *Detector {
 	config.Successors = cmp.Or(max(config.Successors, 0), DefaultSuccessors)
 	config.Interval = cmp.Or(max(config.Interval, 0), DefaultInterval)
@@ -108,36 +106,36 @@
 	config.DeadAfter = max(cmp.Or(config.DeadAfter, DefaultDeadAfter), config.SuspectAfter)
 	config.MessagesPerInterval = cmp.Or(max(config.MessagesPerInterval, 0), DefaultMessagesPerInterval)
 	return &Detector{
-		config:      config,
-		incarnation: config.Incarnation,
-		peers:       make(map[port.NodeID]*peer),
-		nextBeat:    now,
+		config:        config,
+		incarnation:   config.Incarnation,
+		peers:         make(map[port.NodeID]*peer),
+		nextHeartbeat: now,
 	}
 }
 
-// Tick does what is due: heartbeats, suspicions, deaths and probes.
+// Tick sends due heartbeats and probes, and updates suspicions and deaths.
 func (d *Detector) Tick(now time.Time) Output {
-	if now.Before(d.nextBeat) {
+	if now.Before(d.nextHeartbeat) {
 		return d.flush(0)
 	}
-	if d.beats > 0 && now.Sub(d.nextBeat) > d.config.SuspectAfter {
-		d.forgiveSilence(now)
+	if d.intervals > 0 && now.Sub(d.nextHeartbeat) > d.config.SuspectAfter {
+		d.restartSilenceTimers(now)
 	}
-	d.nextBeat = now.Add(d.config.Interval)
-	d.beats++
+	d.nextHeartbeat = now.Add(d.config.Interval)
+	d.intervals++
 	d.sendHeartbeats()
-	d.judge(now)
+	d.checkPredecessors(now)
 	d.probeDead()
 	return d.flush(d.config.MessagesPerInterval)
 }
 
-// NextTick gives the time at which Tick next has something to do.
-func (d *Detector) NextTick() time.Time { return d.nextBeat }
+// NextTick returns the time at which Tick next has work.
+func (d *Detector) NextTick() time.Time { return d.nextHeartbeat }
 
-// Incarnation gives this node's present incarnation number.
+// Incarnation returns this node's current incarnation number.
 func (d *Detector) Incarnation() uint64 { return d.incarnation }
 
-// Status gives what is held of a node; one not known is dead.
+// Status returns the status of a node; an unknown one is dead.
 func (d *Detector) Status(node port.NodeID) Status {
 	if node == d.config.Self {
 		return StatusAlive
@@ -148,13 +146,13 @@
 	return StatusDead
 }
 
-// Live lists the nodes of the zone that may be homes, in order: those in the
-// control view that are not dead, draining or leaving. This node is among them
-// by the same rules. The slice must not be changed.
+// Live returns the nodes of the zone that may be homes, in ascending order: those in the
+// control view that are not dead, draining or leaving. The same holds for this node. The
+// caller must not modify the slice.
 func (d *Detector) Live() []port.NodeID { return d.Assigner().nodes }
 
-// Assigner gives the homes for the present live nodes. Calls without a change
-// between them give the same pointer.
+// Assigner returns the homes for the current live nodes. It returns the same pointer until
+// they change.
 func (d *Detector) Assigner() *Assigner {
 	if d.assigner == nil {
 		d.assigner = NewAssigner(d.live())
@@ -175,7 +173,7 @@
 	return live
 }
 
-// sendHeartbeats sends to every successor.
+// sendHeartbeats sends a heartbeat to every successor.
 func (d *Detector) sendHeartbeats() {
 	d.sequence++
 	for _, successor := range d.successors {
@@ -186,31 +184,31 @@
 	}
 }
 
-// forgiveSilence counts all silence from now on: this process itself stood
-// still, so that its inbox says nothing about others.
-func (d *Detector) forgiveSilence(now time.Time) {
+// restartSilenceTimers restarts the silence of all predecessors: this process itself was
+// paused, so that missing messages do not prove that others are silent.
+func (d *Detector) restartSilenceTimers(now time.Time) {
 	for _, id := range d.predecessors {
-		d.peers[id].heard = now
+		d.peers[id].lastHeartbeat = now
 	}
 }
 
-// judge looks at the silence of every predecessor.
-func (d *Detector) judge(now time.Time) {
+// checkPredecessors suspects silent predecessors and declares them dead.
+func (d *Detector) checkPredecessors(now time.Time) {
 	for _, id := range slices.Clone(d.predecessors) {
 		watched := d.peers[id]
-		silence := now.Sub(watched.heard)
+		silence := now.Sub(watched.lastHeartbeat)
 		if silence <= d.config.SuspectAfter {
 			continue
 		}
 		d.suspect(watched)
-		if silence > d.config.DeadAfter && d.confirmed(now, watched, silence) {
+		if silence > d.config.DeadAfter && d.deathConfirmed(now, watched, silence) {
 			d.markDead(now, watched)
-			d.announceDeath(watched)
+			d.broadcastDeath(watched)
 		}
 	}
 }
 
-// suspect tells the node itself and its other monitors, at each interval anew.
+// suspect notifies the node itself and its other monitors, in every interval.
 func (d *Detector) suspect(watched *peer) {
 	if watched.status == StatusAlive {
 		d.setStatus(watched, StatusSuspect)
@@ -226,9 +224,9 @@
 	}
 }
 
-// confirmed says whether a silent node counts as dead.
-func (d *Detector) confirmed(now time.Time, watched *peer, silence time.Duration) bool {
-	if watched.unlisted || watched.leaving {
+// deathConfirmed reports whether a silent node may be declared dead.
+func (d *Detector) deathConfirmed(now time.Time, watched *peer, silence time.Duration) bool {
+	if watched.machineMissing || watched.leaving {
 		return true
 	}
 	agreeing, able := 1, 1
@@ -236,28 +234,28 @@
 		if monitor == d.config.Self {
 			continue
 		}
-		if last, told := watched.suspecters[monitor]; told && now.Sub(last) <= d.config.SuspectAfter {
+		if last, suspected := watched.suspicions[monitor]; suspected && now.Sub(last) <= d.config.SuspectAfter {
 			agreeing++
 		}
 		if d.peers[monitor].status == StatusAlive {
 			able++
 		}
 	}
-	if agreeing >= confirmations {
+	if agreeing >= requiredConfirmations {
 		return true
 	}
-	return able == 1 && silence > aloneFactor*d.config.DeadAfter
+	return able == 1 && silence > soleMonitorFactor*d.config.DeadAfter
 }
 
-// monitors lists the nodes that watch a node: its successors on the ring.
+// monitors returns the nodes that monitor a node: its successors on the ring.
 func (d *Detector) monitors(node port.NodeID) []port.NodeID {
 	return neighbours(d.ring, node, d.config.Successors, 1)
 }
 
-// probeDead asks one dead node at a time whether it lives, so that two sides
-// of a healed cut find each other.
+// probeDead probes one dead node at a time, so that two sides of a healed partition find
+// each other.
 func (d *Detector) probeDead() {
-	if d.beats%probeEvery != 0 || d.digest == 0 {
+	if d.intervals%intervalsPerProbe != 0 || d.digest == 0 {
 		return
 	}
 	dead := d.dead()
@@ -266,7 +264,7 @@
 	d.send(target.id, Message{Kind: Probe, From: d.config.Self, Incarnation: d.incarnation})
 }
 
-// dead lists the dead nodes in order.
+// dead returns the dead nodes in ascending order.
 func (d *Detector) dead() []*peer {
 	var dead []*peer
 	for _, peer := range d.peers {
@@ -278,12 +276,12 @@
 	return dead
 }
 
-// announceDeath queues the notice for the whole zone and the node itself.
-func (d *Detector) announceDeath(gone *peer) {
-	d.broadcast(Message{Kind: Dead, From: d.config.Self, About: gone.id, Incarnation: gone.incarnation})
+// broadcastDeath queues a notice of a death to the whole zone and the node itself.
+func (d *Detector) broadcastDeath(deadPeer *peer) {
+	d.broadcast(Message{Kind: Dead, From: d.config.Self, About: deadPeer.id, Incarnation: deadPeer.incarnation})
 }
 
-// broadcast queues a notice to all nodes of the zone, ring neighbours first.
+// broadcast queues a notice to all other nodes of the zone, in ascending order.
 func (d *Detector) broadcast(message Message) {
 	receivers := make([]port.NodeID, 0, len(d.peers))
 	for id := range d.peers {
@@ -293,12 +291,12 @@
 	d.outbox.add(message, receivers)
 }
 
-// send asks for a message to be sent at once.
+// send adds a message to the current output.
 func (d *Detector) send(to port.NodeID, message Message) {
 	d.output.Messages = append(d.output.Messages, Envelope{To: to, Message: message})
 }
 
-// flush ends a step: it adds up to count queued notices and hands over.
+// flush returns the current output with up to count queued notices.
 func (d *Detector) flush(count int) Output {
 	d.output.Messages = d.outbox.take(count, d.output.Messages)
 	output := d.output
@@ -306,7 +304,7 @@
 	return output
 }
 
-// setStatus moves a node to a status and reports it.
+// setStatus changes the status of a node and reports the change.
 func (d *Detector) setStatus(changed *peer, status Status) {
 	if changed.status == status {
 		return
@@ -316,15 +314,15 @@
 	d.output.Changes = append(d.output.Changes, Change{Node: changed.id, Status: status})
 }
 
-// markDead takes a node off the ring.
-func (d *Detector) markDead(now time.Time, gone *peer) {
-	if gone.status == StatusDead {
+// markDead declares a node dead and removes it from the ring.
+func (d *Detector) markDead(now time.Time, deadPeer *peer) {
+	if deadPeer.status == StatusDead {
 		return
 	}
-	d.setStatus(gone, StatusDead)
-	gone.suspecters = nil
-	d.rebuild(now)
+	d.setStatus(deadPeer, StatusDead)
+	deadPeer.suspicions = nil
+	d.rebuildRing(now)
 }
 
-// nodeHash places a node on the ring and in digests.
+// nodeHash determines a node's position on the ring and its part of the digest.
 func nodeHash(node port.NodeID) uint64 { return xxhash.Sum64String(string(node)) }
--- a/internal/core/membership/fleet_test.go
+++ b/internal/core/membership/fleet_test.go
@@ -12,9 +12,9 @@
 
 const testZone = port.ZoneName("north")
 
-// maxFlight bounds the messages in flight, and with them the memory of a test or
-// benchmark whose nodes send ever more.
-const maxFlight = 1 << 21
+// maxInFlight limits the messages in flight, to bound the memory of a test in which nodes
+// answer each other endlessly.
+const maxInFlight = 1 << 21
 
 var testStart = time.UnixMilli(1_700_000_000_000)
 
@@ -25,13 +25,13 @@
 	nodes     []port.NodeID
 	detectors map[port.NodeID]*Detector
 	stopped   map[port.NodeID]bool
-	cut       func(from, to port.NodeID) bool
+	blocked   func(from, to port.NodeID) bool
 	drop      func(Message) bool
 	loss      float64
 	sent      map[port.NodeID]int
 	changes   map[port.NodeID][]Change
-	flight    []Envelope
-	// observe, if set, sees each message that is sent.
+	inFlight  []Envelope
+	// observe, if set, is called for each message sent.
 	observe func(Envelope)
 }
 
@@ -67,29 +67,29 @@
 }
 
 func (f *fleet) handle(from port.NodeID, output Output) {
-	// Homes that are kept over a change must show in every test.
+	// Fill the cache of homes, so that a missing invalidation shows in every test.
 	f.detectors[from].Assigner()
 	if f.changes != nil {
 		f.changes[from] = append(f.changes[from], output.Changes...)
 	}
-	if len(f.flight)+len(output.Messages) > maxFlight {
-		panic(fmt.Sprintf("over %d messages in flight: the nodes answer each other without end", maxFlight))
+	if len(f.inFlight)+len(output.Messages) > maxInFlight {
+		panic(fmt.Sprintf("over %d messages in flight: nodes answer each other endlessly", maxInFlight))
 	}
 	for _, envelope := range output.Messages {
 		f.sent[from]++
 		if f.observe != nil {
 			f.observe(envelope)
 		}
-		f.flight = append(f.flight, envelope)
+		f.inFlight = append(f.inFlight, envelope)
 	}
 }
 
-// run goes on in steps of 100 ms; each message takes one step.
+// run advances the time in steps of 100 ms; each message takes one step.
 func (f *fleet) run(duration time.Duration) {
 	const step = 100 * time.Millisecond
 	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(step) {
-		arriving := f.flight
-		f.flight = nil
+		arriving := f.inFlight
+		f.inFlight = nil
 		for _, envelope := range arriving {
 			f.deliver(envelope)
 		}
@@ -103,23 +103,23 @@
 
 func (f *fleet) deliver(envelope Envelope) {
 	lost := f.loss > 0 && f.random.Float64() < f.loss
-	cut := f.cut != nil && f.cut(envelope.Message.From, envelope.To)
+	blocked := f.blocked != nil && f.blocked(envelope.Message.From, envelope.To)
 	dropped := f.drop != nil && f.drop(envelope.Message)
-	if lost || cut || dropped || f.stopped[envelope.To] {
+	if lost || blocked || dropped || f.stopped[envelope.To] {
 		return
 	}
 	f.handle(envelope.To, f.detectors[envelope.To].Receive(f.now, envelope.Message))
 }
 
-// wantLive checks that every running node holds exactly these for live.
-func (f *fleet) wantLive(t *testing.T, want []port.NodeID) {
+// checkLive checks that every running node has exactly the wanted nodes as live.
+func (f *fleet) checkLive(t *testing.T, want []port.NodeID) {
 	t.Helper()
 	for _, node := range f.nodes {
 		if f.stopped[node] {
 			continue
 		}
 		if live := f.detectors[node].Live(); !slices.Equal(live, want) {
-			t.Errorf("%s holds %d for live, want %d:\n%v", node, len(live), len(want), live)
+			t.Errorf("%s has %d live nodes, want %d:\n%v", node, len(live), len(want), live)
 		}
 	}
 }
@@ -132,15 +132,15 @@
 	for _, size := range []int{1, 2, 3, 4, 20, 60} {
 		f := newFleet(size, 1)
 		f.run(20 * time.Second)
-		f.wantLive(t, f.nodes)
+		f.checkLive(t, f.nodes)
 	}
 }
 
 func TestDeathsAreFoundAndReturnsToo(t *testing.T) {
 	tests := map[string]struct {
 		size, dead int
-		// within bounds the time to find the deaths: ring neighbours that die
-		// together are found two at a time, as the ring closes over them.
+		// within limits the time to detect the deaths: of ring neighbours that die
+		// together, two are detected at a time.
 		within time.Duration
 	}{
 		"one of two":                    {2, 1, 6 * time.Second},
@@ -161,12 +161,12 @@
 				f.stopped[node] = true
 			}
 			f.run(test.within)
-			f.wantLive(t, without(f.nodes, gone...))
+			f.checkLive(t, without(f.nodes, gone...))
 			for _, node := range gone {
 				f.start(node, 2)
 			}
 			f.run(40 * time.Second)
-			f.wantLive(t, f.nodes)
+			f.checkLive(t, f.nodes)
 		})
 	}
 }
@@ -177,41 +177,40 @@
 	f.run(2 * time.Minute)
 	f.loss = 0
 	f.run(20 * time.Second)
-	f.wantLive(t, f.nodes)
+	f.checkLive(t, f.nodes)
 }
 
 func TestCutHeals(t *testing.T) {
 	f := newFleet(12, 4)
 	side := func(node port.NodeID) bool { return node < f.nodes[6] }
 	f.run(5 * time.Second)
-	f.cut = func(from, to port.NodeID) bool { return side(from) != side(to) }
+	f.blocked = func(from, to port.NodeID) bool { return side(from) != side(to) }
 	f.run(time.Minute)
 	for _, node := range f.nodes {
 		if got := len(f.detectors[node].Live()); got != 6 {
-			t.Errorf("%s holds %d for live during the cut, want its own side of 6", node, got)
+			t.Errorf("%s has %d live nodes during the partition, want its own side of 6", node, got)
 		}
 	}
-	f.cut = nil
+	f.blocked = nil
 	f.run(time.Minute)
-	f.wantLive(t, f.nodes)
+	f.checkLive(t, f.nodes)
 }
 
-// One monitor that hears nothing must not take a node out alone: this fails
-// when confirmation is left out.
+// A monitor that receives no messages must not declare a node dead without confirmation.
 func TestOneDeafMonitorDoesNotKill(t *testing.T) {
 	f := newFleet(10, 5)
 	f.run(2 * time.Second)
 	deaf := f.nodes[3]
-	f.cut = func(_, to port.NodeID) bool { return to == deaf }
+	f.blocked = func(_, to port.NodeID) bool { return to == deaf }
 	f.run(30 * time.Second)
 	for _, node := range without(f.nodes, deaf) {
 		if live := f.detectors[node].Live(); !slices.Equal(live, f.nodes) {
-			t.Fatalf("%s follows a deaf monitor: live %v", node, live)
+			t.Fatalf("%s follows a monitor that receives nothing: live %v", node, live)
 		}
 	}
 }
 
-// A process that stood still must not blame the others for its own silence.
+// A process that was paused must not suspect the others.
 func TestOwnPauseBlamesNobody(t *testing.T) {
 	f := newFleet(3, 6)
 	f.run(5 * time.Second)
@@ -251,7 +250,7 @@
 					machines[index].Address = fmt.Sprintf("127.0.0.%d:7000", position+1)
 				}
 			}
-			f.cut = func(from, to port.NodeID) bool { return from == target && to == watcher }
+			f.blocked = func(from, to port.NodeID) bool { return from == target && to == watcher }
 			f.run(time.Second)
 			detector.SetMachines("127.0.0.1:7000", machines)
 			f.run(2500 * time.Millisecond)
@@ -281,7 +280,7 @@
 	}
 }
 
-// The messages of a node must not grow with the zone.
+// The number of messages per node must not grow with the zone.
 func TestMessagesPerNodeAreBounded(t *testing.T) {
 	const seconds = 20
 	for _, size := range []int{20, 200} {
@@ -297,7 +296,7 @@
 	}
 }
 
-// When every notice of a death is lost, digests on the heartbeats spread it.
+// Digests on heartbeats spread a death if all notices of it are lost.
 func TestDigestsRepairLostNotices(t *testing.T) {
 	f := newFleet(20, 10)
 	f.run(5 * time.Second)
@@ -305,10 +304,10 @@
 	gone := f.nodes[7]
 	f.stopped[gone] = true
 	f.run(30 * time.Second)
-	f.wantLive(t, without(f.nodes, gone))
+	f.checkLive(t, without(f.nodes, gone))
 }
 
-// A heartbeat that is delivered again proves no life.
+// A replayed heartbeat does not keep a node alive.
 func TestReplayedHeartbeatIsIgnored(t *testing.T) {
 	f := newFleet(5, 11)
 	f.run(3 * time.Second)
@@ -322,7 +321,7 @@
 			f.handle(node, f.detectors[node].Receive(f.now, replayed))
 		}
 	}
-	f.wantLive(t, without(f.nodes, target))
+	f.checkLive(t, without(f.nodes, target))
 }
 
 func TestStrangersAndBystandersHaveNoSay(t *testing.T) {
@@ -331,7 +330,7 @@
 	watcher := f.nodes[0]
 	detector := f.detectors[watcher]
 	target := detector.predecessors[0]
-	f.cut = func(from, to port.NodeID) bool { return from == target && to == watcher }
+	f.blocked = func(from, to port.NodeID) bool { return from == target && to == watcher }
 	bystanders := without(f.nodes, append(detector.monitors(target), target)...)
 	for range 50 {
 		f.run(100 * time.Millisecond)
@@ -345,17 +344,16 @@
 			}
 		}
 	}
-	if kept := len(detector.peers[target].suspecters); kept > DefaultSuccessors {
-		t.Errorf("keeps the suspicions of %d nodes, want those of monitors only", kept)
+	if kept := len(detector.peers[target].suspicions); kept > DefaultSuccessors {
+		t.Errorf("keeps the suspicions of %d nodes, want only those of monitors", kept)
 	}
 	if died := slices.Contains(f.changes[watcher], Change{Node: target, Status: StatusDead}); died {
-		t.Error("declared dead on the word of nodes that do not watch it")
+		t.Error("declared dead by nodes that do not monitor it")
 	}
 }
 
-// Notices that wait must not pile up while a zone loses messages: nodes that are
-// suspected again and again announce themselves faster than a small allowance
-// lets notices out.
+// Queued notices must not accumulate while a zone loses messages and nodes refute
+// suspicions faster than MessagesPerInterval allows to send.
 func TestWaitingNoticesAreBounded(t *testing.T) {
 	f := newFleet(60, 7)
 	for _, detector := range f.detectors {
@@ -367,12 +365,12 @@
 		about := make(map[port.NodeID]bool)
 		for _, queued := range detector.outbox.notices {
 			if about[queued.message.about()] {
-				t.Errorf("%s has two notices about %s waiting, want one at most", node, queued.message.about())
+				t.Errorf("%s has two queued notices about %s, want at most one", node, queued.message.about())
 			}
 			about[queued.message.about()] = true
 		}
 	}
 	f.loss = 0
 	f.run(10 * time.Minute)
-	f.wantLive(t, f.nodes)
+	f.checkLive(t, f.nodes)
 }
--- a/internal/core/membership/home.go
+++ b/internal/core/membership/home.go
@@ -8,14 +8,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Assigner gives the home node of replicas, for one set of nodes. It is
-// immutable and safe for concurrent use.
+// Assigner maps replicas to home nodes for one set of nodes. It is immutable and safe for
+// concurrent use.
 type Assigner struct {
 	nodes  []port.NodeID
 	hashes []uint64
 }
 
-// NewAssigner makes an assigner over the live nodes of a zone, in any order.
+// NewAssigner returns an assigner for the live nodes of a zone, in any order.
 func NewAssigner(nodes []port.NodeID) *Assigner {
 	sorted := slices.Clone(nodes)
 	slices.Sort(sorted)
@@ -27,12 +27,12 @@
 	return &Assigner{nodes: sorted, hashes: hashes}
 }
 
-// Home gives the home of a replica; false means that there is no node.
+// Home returns the home of a replica, or false if there are no nodes.
 func (a *Assigner) Home(replica port.ReplicaID) (port.NodeID, bool) {
 	return a.HomeOf(string(replica))
 }
 
-// HomeOf gives the node responsible for any key, such as a pool's aggregates.
+// HomeOf returns the node responsible for any key, for example a pool's aggregates.
 func (a *Assigner) HomeOf(key string) (port.NodeID, bool) {
 	if len(a.nodes) == 0 {
 		return "", false
@@ -47,8 +47,8 @@
 	return a.nodes[best], true
 }
 
-// Rank gives the number of nodes that HomeOf would give for a key before this one,
-// were each taken away in turn. Nodes may be in any order.
+// Rank returns how many nodes HomeOf would choose for a key before this one, if each
+// chosen node were removed in turn. Nodes may be in any order.
 func Rank(key string, nodes []port.NodeID, node port.NodeID) int {
 	keyHash := xxhash.Sum64String(key)
 	own := mix(keyHash ^ xxhash.Sum64String(string(node)))
@@ -62,8 +62,7 @@
 	return before
 }
 
-// mix is the finalizer of SplitMix64; it spreads every input bit over the
-// whole output.
+// mix is the finalizer of SplitMix64.
 func mix(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
--- a/internal/core/membership/home_test.go
+++ b/internal/core/membership/home_test.go
@@ -27,8 +27,8 @@
 	return replicas
 }
 
-// Nodes with equal views, in whatever order they hold them, agree on one home
-// for each replica, and it is one of the view's nodes.
+// Nodes with equal views, in any order, agree on one home for each replica, which is a
+// node of the view.
 func TestEqualViewsNeverClaimTwice(t *testing.T) {
 	testkit.Check(t, 81, func(t *rapid.T) {
 		nodes := nodeIDs(rapid.IntRange(1, 12).Draw(t, "nodes"))
@@ -45,7 +45,7 @@
 						claims++
 					}
 					if first, _ := NewAssigner(views[0]).Home(replica); first != home {
-						t.Fatalf("views in another order give %s and %s", first, home)
+						t.Fatalf("views in different order give %s and %s", first, home)
 					}
 				}
 			}
@@ -55,7 +55,7 @@
 		}
 	})
 	if _, found := NewAssigner(nil).Home("x"); found {
-		t.Error("a home without nodes")
+		t.Error("found a home without nodes")
 	}
 }
 
@@ -69,7 +69,7 @@
 		if old == nodes[0] {
 			moved++
 		} else if old != now {
-			t.Fatalf("%s moved from %s, which lives, to %s", replica, old, now)
+			t.Fatalf("%s moved from live node %s to %s", replica, old, now)
 		}
 	}
 	if moved < 3500/20*7/10 || moved > 3500/20*13/10 {
--- a/internal/core/membership/message.go
+++ b/internal/core/membership/message.go
@@ -2,44 +2,44 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// MessageKind names a message of the failure detector.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
-// The kinds of message.
+// The message kinds.
 const (
-	// Heartbeat says that the sender lives.
+	// Heartbeat shows that the sender is alive.
 	Heartbeat MessageKind = iota + 1
-	// Probe asks a node that the sender holds for dead to answer with Alive.
+	// Probe asks a node that the sender considers dead to answer with Alive.
 	Probe
-	// Suspect says that the sender misses the heartbeats of About.
+	// Suspect reports that the sender misses the heartbeats of About.
 	Suspect
-	// Alive is About's own word that it lives.
+	// Alive reports that the sender is alive.
 	Alive
-	// Dead says that the monitors of About agreed that it is dead.
+	// Dead reports that the monitors of About agreed that it is dead.
 	Dead
-	// Sync lists the nodes that the sender holds for dead, after digests
-	// differed. SyncAnswer carries what the receiver of a Sync knows better.
+	// Sync lists the nodes that the sender considers dead; it is sent after digests
+	// differed. SyncAnswer lists entries that the sender of a Sync lacks.
 	Sync
 	SyncAnswer
 )
 
-// Message is sent from node to node within a zone.
+// Message is sent between nodes of a zone.
 type Message struct {
 	Kind MessageKind `cbor:"1,keyasint"`
 	From port.NodeID `cbor:"2,keyasint"`
-	// About is the node meant; empty means From.
+	// About is the node concerned; empty means From.
 	About port.NodeID `cbor:"3,keyasint,omitempty"`
-	// Incarnation is that of the node meant.
+	// Incarnation is the incarnation of the node concerned.
 	Incarnation uint64 `cbor:"4,keyasint"`
 	// Sequence counts the heartbeats of an incarnation.
 	Sequence uint64 `cbor:"5,keyasint,omitempty"`
-	// Digest of the sender's dead nodes goes with a heartbeat.
+	// Digest is the digest of the sender's dead nodes, set in a heartbeat.
 	Digest uint64 `cbor:"6,keyasint,omitempty"`
-	// Entries go with Sync.
+	// Entries is set in Sync and SyncAnswer.
 	Entries []SyncEntry `cbor:"7,keyasint,omitempty"`
 }
 
-// SyncEntry is what a node holds of another.
+// SyncEntry is a node's incarnation and status as known to the sender.
 type SyncEntry struct {
 	Node        port.NodeID `cbor:"1,keyasint"`
 	Incarnation uint64      `cbor:"2,keyasint"`
@@ -52,7 +52,7 @@
 	Message Message
 }
 
-// Status is what the detector holds of a node.
+// Status is the status of a node as known to the detector.
 type Status uint8
 
 // The statuses.
@@ -62,20 +62,20 @@
 	StatusDead
 )
 
-// String names the status.
+// String returns the name of the status.
 func (s Status) String() string {
 	return [...]string{"alive", "suspect", "dead"}[s]
 }
 
-// Change tells of a node's new status.
+// Change reports a node's new status.
 type Change struct {
 	Node   port.NodeID
 	Status Status
-	// Removed says that the control view no longer lists the node.
+	// Removed is set if the control view no longer lists the node.
 	Removed bool
 }
 
-// Output is what a step of the detector asks its caller to do.
+// Output holds the messages to send and the status changes of a step.
 type Output struct {
 	Messages []Envelope
 	Changes  []Change
--- a/internal/core/membership/outbox.go
+++ b/internal/core/membership/outbox.go
@@ -6,19 +6,17 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// outbox holds the notices that wait to be sent to the whole zone. A later
-// notice about a node takes the place of an earlier one, which it makes void, so
-// that there is at most one for each node of the zone, however often nodes are
-// suspected and refute.
+// outbox queues the notices to the whole zone. A notice replaces an earlier one about the
+// same node, so that the queue holds at most one notice per node.
 type outbox struct{ notices []notice }
 
-// notice is a message with the receivers that it has not been sent to.
+// notice is a message with its remaining receivers.
 type notice struct {
 	message   Message
 	receivers []port.NodeID
 }
 
-// about names the node that a message is about.
+// about returns the node that a message is about.
 func (m *Message) about() port.NodeID {
 	if m.About == "" {
 		return m.From
@@ -26,22 +24,21 @@
 	return m.About
 }
 
-// add queues a notice. In place of an earlier one about the same node, it goes
-// first to those that the earlier one did not reach, so that notices that follow
-// each other quickly don't leave the same receivers out each time.
+// add queues a notice. If it replaces an earlier one, it goes first to the receivers which
+// that one did not reach, so that frequent notices do not always skip the same receivers.
 func (o *outbox) add(message Message, receivers []port.NodeID) {
-	place := slices.IndexFunc(o.notices, func(queued notice) bool {
+	position := slices.IndexFunc(o.notices, func(queued notice) bool {
 		return queued.message.about() == message.about()
 	})
-	if place < 0 {
+	if position < 0 {
 		o.notices = append(o.notices, notice{message: message, receivers: receivers})
 		return
 	}
-	o.notices[place] = notice{message: message, receivers: inTurn(o.notices[place].receivers, receivers)}
+	o.notices[position] = notice{message: message, receivers: unreachedFirst(o.notices[position].receivers, receivers)}
 }
 
-// inTurn gives the sorted receivers, those that are still to be reached first.
-func inTurn(unreached, receivers []port.NodeID) []port.NodeID {
+// unreachedFirst rotates the sorted receivers so that the first unreached one comes first.
+func unreachedFirst(unreached, receivers []port.NodeID) []port.NodeID {
 	if len(unreached) == 0 {
 		return receivers
 	}
@@ -49,7 +46,7 @@
 	return slices.Concat(receivers[start:], receivers[:start])
 }
 
-// take appends up to count messages, those of the oldest notice first.
+// take appends up to count messages, oldest notice first.
 func (o *outbox) take(count int, messages []Envelope) []Envelope {
 	for count > 0 && len(o.notices) > 0 {
 		first := &o.notices[0]
--- a/internal/core/membership/receive.go
+++ b/internal/core/membership/receive.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Receive takes a message from another node. Messages from nodes that the
-// control view does not list are dropped.
+// Receive handles a message from another node. It drops messages from nodes that the
+// control view does not list.
 func (d *Detector) Receive(now time.Time, message Message) Output {
 	sender := d.peers[message.From]
 	if sender == nil {
@@ -18,7 +18,7 @@
 	case Heartbeat:
 		d.receiveHeartbeat(now, sender, message)
 	case Probe:
-		d.learnAlive(now, sender, message.Incarnation)
+		d.updateIncarnation(now, sender, message.Incarnation)
 		d.send(sender.id, d.aliveMessage())
 	case Alive:
 		d.receiveAlive(now, sender, message)
@@ -32,64 +32,63 @@
 	return d.flush(0)
 }
 
-// receiveHeartbeat notes that the sender lives. A heartbeat older than the
-// last one says nothing new.
+// receiveHeartbeat records a heartbeat. One that is not newer than the last is ignored.
 func (d *Detector) receiveHeartbeat(now time.Time, sender *peer, message Message) {
-	d.learnAlive(now, sender, message.Incarnation)
+	d.updateIncarnation(now, sender, message.Incarnation)
 	if message.Incarnation < sender.incarnation {
 		return
 	}
 	if sender.status == StatusDead {
-		d.tellDeath(sender)
+		d.sendDeath(sender)
 		return
 	}
 	if message.Sequence <= sender.sequence {
 		return
 	}
 	sender.sequence = message.Sequence
-	d.hear(now, sender)
+	d.recordHeartbeat(now, sender)
 	if message.Digest != d.digest {
 		d.sendSync(sender.id)
 	}
 }
 
-// hear ends a suspicion of this node's own.
-func (d *Detector) hear(now time.Time, sender *peer) {
-	sender.heard = now
+// recordHeartbeat records the time of a heartbeat and ends this node's suspicion.
+func (d *Detector) recordHeartbeat(now time.Time, sender *peer) {
+	sender.lastHeartbeat = now
 	if sender.status == StatusSuspect {
 		d.setStatus(sender, StatusAlive)
 	}
 }
 
-// tellDeath tells a node that it is held for dead, so that it may refute.
-func (d *Detector) tellDeath(gone *peer) {
-	d.send(gone.id, Message{Kind: Dead, From: d.config.Self, About: gone.id, Incarnation: gone.incarnation})
+// sendDeath informs a node that it is considered dead, so that it can refute.
+func (d *Detector) sendDeath(deadPeer *peer) {
+	d.send(deadPeer.id, Message{Kind: Dead, From: d.config.Self, About: deadPeer.id, Incarnation: deadPeer.incarnation})
 }
 
-// receiveAlive takes a node's own word.
+// receiveAlive handles a node's report that it is alive.
 func (d *Detector) receiveAlive(now time.Time, sender *peer, message Message) {
-	d.learnAlive(now, sender, message.Incarnation)
+	d.updateIncarnation(now, sender, message.Incarnation)
 	if message.Incarnation == sender.incarnation && sender.status == StatusDead {
-		d.tellDeath(sender)
+		d.sendDeath(sender)
 	}
 }
 
-// learnAlive takes a higher incarnation as proof of life.
-func (d *Detector) learnAlive(now time.Time, known *peer, incarnation uint64) {
+// updateIncarnation marks a node alive if the incarnation is higher than the known one.
+func (d *Detector) updateIncarnation(now time.Time, known *peer, incarnation uint64) {
 	if incarnation <= known.incarnation {
 		return
 	}
 	known.incarnation = incarnation
 	known.sequence = 0
-	known.suspecters = nil
-	known.heard = now
+	known.suspicions = nil
+	known.lastHeartbeat = now
 	if known.status != StatusAlive {
 		d.setStatus(known, StatusAlive)
-		d.rebuild(now)
+		d.rebuildRing(now)
 	}
 }
 
-// receiveSuspect notes another monitor's word, or refutes one about this node.
+// receiveSuspect records another monitor's suspicion, or refutes one of this node.
 func (d *Detector) receiveSuspect(now time.Time, message Message) {
 	if message.About == d.config.Self {
 		d.refute(message.Incarnation)
@@ -102,14 +101,13 @@
 	if !slices.Contains(d.monitors(about.id), message.From) {
 		return
 	}
-	if about.suspecters == nil {
-		about.suspecters = make(map[port.NodeID]time.Time, d.config.Successors)
+	if about.suspicions == nil {
+		about.suspicions = make(map[port.NodeID]time.Time, d.config.Successors)
 	}
-	about.suspecters[message.From] = now
+	about.suspicions[message.From] = now
 }
 
-// receiveDead takes the word of agreeing monitors, unless it concerns an
-// earlier incarnation.
+// receiveDead marks a node dead unless the message is about an earlier incarnation.
 func (d *Detector) receiveDead(now time.Time, node port.NodeID, incarnation uint64) {
 	if node == d.config.Self {
 		d.refute(incarnation)
@@ -123,24 +121,23 @@
 		return
 	}
 	about.incarnation = incarnation
-	about.suspecters = nil
+	about.suspicions = nil
 	d.setStatus(about, StatusDead)
-	d.rebuild(now)
+	d.rebuildRing(now)
 }
 
-// refute raises this node's incarnation over the one spoken of and tells the
-// zone.
+// refute raises this node's incarnation above the given one and announces it.
 func (d *Detector) refute(incarnation uint64) {
 	if incarnation < d.incarnation {
 		return
 	}
 	d.incarnation = incarnation + 1
 	d.sequence = 0
-	d.announceSelf()
+	d.broadcastAlive()
 }
 
-// announceSelf tells the monitors at once and the rest of the zone in turn.
-func (d *Detector) announceSelf() {
+// broadcastAlive notifies the monitors at once and queues a notice to the whole zone.
+func (d *Detector) broadcastAlive() {
 	message := d.aliveMessage()
 	for _, successor := range d.successors {
 		d.send(successor, message)
@@ -152,59 +149,59 @@
 	return Message{Kind: Alive, From: d.config.Self, Incarnation: d.incarnation}
 }
 
-// sendSync tells a node what this one holds of dead nodes.
+// sendSync sends this node's dead nodes.
 func (d *Detector) sendSync(to port.NodeID) {
 	message := Message{Kind: Sync, From: d.config.Self, Incarnation: d.incarnation}
-	for _, gone := range d.dead() {
-		if len(message.Entries) == syncEntries {
+	for _, deadPeer := range d.dead() {
+		if len(message.Entries) == maxSyncEntries {
 			break
 		}
-		message.Entries = append(message.Entries, gone.entry())
+		message.Entries = append(message.Entries, deadPeer.entry())
 	}
 	d.send(to, message)
 }
 
-// receiveSync merges what another node holds, and answers what it lacks: the
-// higher incarnation wins, and death wins among equals. Only a Sync, which
-// lists all the sender's dead nodes, is answered with those it leaves out.
+// receiveSync merges the entries and answers with those that the sender lacks: the higher
+// incarnation wins, and death wins among equals. Dead nodes that the message omits are
+// added only for a Sync that lists all of the sender's dead nodes.
 func (d *Detector) receiveSync(now time.Time, sender *peer, message Message) {
 	var answer []SyncEntry
-	told := make(map[port.NodeID]bool, len(message.Entries))
+	reported := make(map[port.NodeID]bool, len(message.Entries))
 	for _, entry := range message.Entries {
-		told[entry.Node] = true
+		reported[entry.Node] = true
 		d.merge(now, entry)
 		about := d.peers[entry.Node]
 		if about != nil && about.incarnation > entry.Incarnation {
 			answer = append(answer, about.entry())
 		}
 	}
-	if message.Kind == Sync && len(message.Entries) < syncEntries {
-		for _, gone := range d.dead() {
-			if !told[gone.id] {
-				answer = append(answer, gone.entry())
+	if message.Kind == Sync && len(message.Entries) < maxSyncEntries {
+		for _, deadPeer := range d.dead() {
+			if !reported[deadPeer.id] {
+				answer = append(answer, deadPeer.entry())
 			}
 		}
 	}
 	if len(answer) > 0 {
-		answer = answer[:min(len(answer), syncEntries)]
+		answer = answer[:min(len(answer), maxSyncEntries)]
 		d.send(sender.id, Message{
 			Kind: SyncAnswer, From: d.config.Self, Incarnation: d.incarnation, Entries: answer,
 		})
 	}
 }
 
-// merge takes one entry of another node's Sync.
+// merge applies one entry of a Sync or SyncAnswer.
 func (d *Detector) merge(now time.Time, entry SyncEntry) {
 	if entry.Dead {
 		d.receiveDead(now, entry.Node, entry.Incarnation)
 		return
 	}
 	if about := d.peers[entry.Node]; about != nil {
-		d.learnAlive(now, about, entry.Incarnation)
+		d.updateIncarnation(now, about, entry.Incarnation)
 	}
 }
 
-// entry gives what is held of a node in the form that travels.
+// entry returns the node's state as a SyncEntry.
 func (p *peer) entry() SyncEntry {
 	return SyncEntry{Node: p.id, Incarnation: p.incarnation, Dead: p.status == StatusDead}
 }
--- a/internal/core/membership/ring.go
+++ b/internal/core/membership/ring.go
@@ -8,9 +8,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// rebuild lays the ring anew after the set of non-dead nodes changed, and
-// starts to watch new predecessors from now.
-func (d *Detector) rebuild(now time.Time) {
+// rebuildRing rebuilds the ring after the set of non-dead nodes changed, and starts to
+// monitor new predecessors.
+func (d *Detector) rebuildRing(now time.Time) {
 	ring := []port.NodeID{d.config.Self}
 	d.digest = 0
 	for id, peer := range d.peers {
@@ -26,25 +26,25 @@
 	d.ring = ring
 	d.successors = neighbours(ring, d.config.Self, d.config.Successors, 1)
 	d.predecessors = neighbours(ring, d.config.Self, d.config.Successors, -1)
-	d.watch(now)
+	d.updateMonitored(now)
 }
 
-// watch marks the predecessors as watched; silence counts from when it began.
-func (d *Detector) watch(now time.Time) {
+// updateMonitored marks the predecessors as monitored; silence counts from then on.
+func (d *Detector) updateMonitored(now time.Time) {
 	for _, peer := range d.peers {
 		watched := slices.Contains(d.predecessors, peer.id)
-		if watched && !peer.watched {
-			peer.heard = now
+		if watched && !peer.monitored {
+			peer.lastHeartbeat = now
 		}
 		if !watched && peer.status == StatusSuspect {
 			d.setStatus(peer, StatusAlive)
 		}
-		peer.watched = watched
+		peer.monitored = watched
 	}
 }
 
-// neighbours lists up to count nodes that follow node on the ring, in the
-// direction of step, node itself left out.
+// neighbours returns up to count nodes that follow node on the ring in the direction of
+// step.
 func neighbours(ring []port.NodeID, node port.NodeID, count, step int) []port.NodeID {
 	position := slices.Index(ring, node)
 	if position < 0 {
--- a/internal/core/membership/summary.go
+++ b/internal/core/membership/summary.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// HomeSummary is what a home tells its zone of its replicas.
+// HomeSummary is a home's report on its replicas to its zone.
 type HomeSummary struct {
 	Node port.NodeID `cbor:"1,keyasint"`
 	// Incarnation and Sequence order the summaries of a node.
@@ -17,48 +17,47 @@
 	Replicas    []ReplicaSummary `cbor:"4,keyasint,omitempty"`
 }
 
-// ReplicaSummary is the state of one replica as its home sees it.
+// ReplicaSummary is the state of one replica as known to its home.
 type ReplicaSummary struct {
 	Replica port.ReplicaID     `cbor:"1,keyasint"`
 	Pool    port.PoolName      `cbor:"2,keyasint"`
 	Version port.WeightVersion `cbor:"3,keyasint,omitempty"`
 	Staged  port.WeightVersion `cbor:"4,keyasint,omitempty"`
-	// VersionUnknown keeps the replica out of routing.
+	// VersionUnknown excludes the replica from routing.
 	VersionUnknown bool            `cbor:"5,keyasint,omitempty"`
 	Role           port.EngineRole `cbor:"6,keyasint,omitempty"`
 	Ejected        bool            `cbor:"7,keyasint,omitempty"`
 	Probing        bool            `cbor:"8,keyasint,omitempty"`
-	// EjectedSince is in milliseconds since 1970, by the home's clock.
+	// EjectedSince is the home's clock in Unix milliseconds.
 	EjectedSince int64 `cbor:"9,keyasint,omitempty"`
 	Draining     bool  `cbor:"10,keyasint,omitempty"`
 	Leaving      bool  `cbor:"11,keyasint,omitempty"`
-	// Inflight counts requests at the replica, Queued those that wait at the
-	// home for it or its pool, Limit is the concurrency limit.
+	// Inflight counts the requests at the replica, Queued those that wait at the home for
+	// the replica or its pool; Limit is the concurrency limit.
 	Inflight int `cbor:"12,keyasint,omitempty"`
 	Queued   int `cbor:"13,keyasint,omitempty"`
 	Limit    int `cbor:"14,keyasint,omitempty"`
 	KVUsed   int `cbor:"15,keyasint,omitempty"`
 	KVTotal  int `cbor:"16,keyasint,omitempty"`
-	// LatencyMicros is the mean latency in microseconds, 0 if not known.
+	// LatencyMicros is the mean latency in microseconds, 0 if unknown.
 	LatencyMicros int64    `cbor:"17,keyasint,omitempty"`
 	Adapters      []string `cbor:"18,keyasint,omitempty"`
 }
 
-// Routable says whether the replica takes requests up to its limit.
+// Routable reports whether the replica accepts requests up to its limit.
 func (r *ReplicaSummary) Routable() bool {
-	return !r.Probing && !r.out()
+	return !r.Probing && !r.unavailable()
 }
 
-func (r *ReplicaSummary) out() bool {
+func (r *ReplicaSummary) unavailable() bool {
 	return r.Ejected || r.Draining || r.Leaving || r.VersionUnknown
 }
 
-// Takes gives the number of requests that the replica takes at a time. A probed
-// one takes a single request: were it to take none, a pool whose replicas are
-// all probed would send nothing and never learn that they are well again.
+// Takes returns the number of concurrent requests that the replica accepts. A probed one
+// accepts a single request, else a pool with only probed replicas could not recover.
 func (r *ReplicaSummary) Takes() int {
 	switch {
-	case r.out():
+	case r.unavailable():
 		return 0
 	case r.Probing:
 		return 1
@@ -67,22 +66,21 @@
 	}
 }
 
-// SummaryInterval gives the time between two summaries of a home, such that
-// sending one of the given size to every peer of the zone stays within a
-// budget in bytes per second; it is never less than least.
-func SummaryInterval(least time.Duration, peers, bytes, budget int) time.Duration {
+// SummaryInterval returns the time between two summaries of a home such that sending bytes
+// to every peer of the zone stays within a budget in bytes per second; it is at least
+// minimum.
+func SummaryInterval(minimum time.Duration, peers, bytes, budget int) time.Duration {
 	if budget <= 0 {
-		return least
+		return minimum
 	}
 	needed := time.Duration(peers*bytes) * time.Second / time.Duration(budget)
-	return max(least, needed)
+	return max(minimum, needed)
 }
 
-// Summaries merges the summaries of a zone. It is not safe for concurrent use.
+// Summaries holds the newest summaries of a zone. It is not safe for concurrent use.
 type Summaries struct {
-	homes map[port.NodeID]*heldSummary
-	// byPool holds what Pool hands over, for the homes of assigned; nil after a
-	// change.
+	homes map[port.NodeID]*receivedSummary
+	// byPool caches the results of Pool for the homes of assigned; nil after a change.
 	byPool   map[port.PoolName][]poolEntry
 	assigned *Assigner
 }
@@ -94,43 +92,43 @@
 	received time.Time
 }
 
-// heldSummary is the newest summary of a home, with the time it came.
-type heldSummary struct {
+// receivedSummary is the newest summary of a home, with its time of receipt.
+type receivedSummary struct {
 	summary  HomeSummary
 	received time.Time
 }
 
-// NewSummaries makes an empty table.
+// NewSummaries returns an empty table.
 func NewSummaries() *Summaries {
-	return &Summaries{homes: make(map[port.NodeID]*heldSummary)}
+	return &Summaries{homes: make(map[port.NodeID]*receivedSummary)}
 }
 
-// Apply takes a summary; false means that it is not newer than the one held.
+// Apply stores a summary if it is newer than the current one, and reports whether it did.
 func (s *Summaries) Apply(now time.Time, summary HomeSummary) bool {
-	held := s.homes[summary.Node]
-	if held != nil && !newer(summary.Incarnation, summary.Sequence, held.summary.Incarnation, held.summary.Sequence) {
+	current := s.homes[summary.Node]
+	if current != nil && !newer(summary.Incarnation, summary.Sequence, current.summary.Incarnation, current.summary.Sequence) {
 		return false
 	}
-	s.homes[summary.Node] = &heldSummary{summary: summary, received: now}
+	s.homes[summary.Node] = &receivedSummary{summary: summary, received: now}
 	s.byPool = nil
 	return true
 }
 
-// Replica gives a replica's state as its home tells it, and how old that is.
+// Replica returns a replica's state as reported by its home, and the age of that report.
 func (s *Summaries) Replica(now time.Time, home port.NodeID, replica port.ReplicaID) (ReplicaSummary, time.Duration, bool) {
-	held := s.homes[home]
-	if held == nil {
+	latest := s.homes[home]
+	if latest == nil {
 		return ReplicaSummary{}, 0, false
 	}
-	for _, summary := range held.summary.Replicas {
+	for _, summary := range latest.summary.Replicas {
 		if summary.Replica == replica {
-			return summary, now.Sub(held.received), true
+			return summary, now.Sub(latest.received), true
 		}
 	}
 	return ReplicaSummary{}, 0, false
 }
 
-// Retain drops the summaries of nodes that are no longer live.
+// Retain removes the summaries of nodes that are not live.
 func (s *Summaries) Retain(live []port.NodeID) {
 	for node := range s.homes {
 		if !slices.Contains(live, node) {
@@ -140,8 +138,8 @@
 	}
 }
 
-// Each hands over every replica that its present home tells of, in order of
-// home and replica; what a former home still tells is left out.
+// Each calls visit for every replica reported by its current home, in order of home and
+// replica; reports of former homes are skipped.
 func (s *Summaries) Each(now time.Time, homes *Assigner, visit func(home port.NodeID, replica *ReplicaSummary, age time.Duration)) {
 	nodes := make([]port.NodeID, 0, len(s.homes))
 	for node := range s.homes {
@@ -149,19 +147,18 @@
 	}
 	slices.Sort(nodes)
 	for _, node := range nodes {
-		held := s.homes[node]
-		for index := range held.summary.Replicas {
-			replica := &held.summary.Replicas[index]
+		latest := s.homes[node]
+		for index := range latest.summary.Replicas {
+			replica := &latest.summary.Replicas[index]
 			if home, found := homes.Home(replica.Replica); found && home == node {
-				visit(node, replica, now.Sub(held.received))
+				visit(node, replica, now.Sub(latest.received))
 			}
 		}
 	}
 }
 
-// Pool hands over what Each does of one pool. The order by pool is kept until a
-// summary comes or the homes change, so that a pass over all pools costs one
-// pass over the zone.
+// Pool calls visit for every replica of one pool that Each would visit. It caches the
+// replicas by pool until a summary arrives or the homes change.
 func (s *Summaries) Pool(now time.Time, homes *Assigner, pool port.PoolName, visit func(home port.NodeID, replica *ReplicaSummary, age time.Duration)) {
 	if s.byPool == nil || s.assigned != homes {
 		s.byPool, s.assigned = make(map[port.PoolName][]poolEntry), homes
@@ -174,7 +171,8 @@
 	}
 }
 
-// newer orders (incarnation, sequence) pairs.
-func newer(incarnation, sequence, heldIncarnation, heldSequence uint64) bool {
-	return cmp.Or(cmp.Compare(incarnation, heldIncarnation), cmp.Compare(sequence, heldSequence)) > 0
+// newer reports whether the first (incarnation, sequence) pair is higher than the current
+// one.
+func newer(incarnation, sequence, currentIncarnation, currentSequence uint64) bool {
+	return cmp.Or(cmp.Compare(incarnation, currentIncarnation), cmp.Compare(sequence, currentSequence)) > 0
 }
--- a/internal/core/membership/summary_test.go
+++ b/internal/core/membership/summary_test.go
@@ -17,11 +17,11 @@
 		incarnation, sequence uint64
 		want                  bool
 	}{
-		"the same again":           {5, 7, false},
-		"earlier":                  {5, 6, false},
-		"later":                    {5, 8, true},
-		"of an earlier process":    {4, 99, false},
-		"of a later process, anew": {6, 1, true},
+		"duplicate":                 {5, 7, false},
+		"earlier":                   {5, 6, false},
+		"later":                     {5, 8, true},
+		"earlier process":           {4, 99, false},
+		"later process, sequence 1": {6, 1, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -30,20 +30,20 @@
 			aggregates.Apply(testStart, PoolAggregate{Node: "n", Incarnation: 5, Sequence: 7})
 			next := HomeSummary{Node: "n", Incarnation: test.incarnation, Sequence: test.sequence, Replicas: []ReplicaSummary{{Replica: "r"}}}
 			if got := summaries.Apply(testStart, next); got != test.want {
-				t.Errorf("summary taken %v, want %v", got, test.want)
+				t.Errorf("summary stored %v, want %v", got, test.want)
 			}
 			if _, _, found := summaries.Replica(testStart, "n", "r"); found != test.want {
 				t.Errorf("replica of the new summary found %v, want %v", found, test.want)
 			}
 			aggregate := PoolAggregate{Node: "n", Incarnation: test.incarnation, Sequence: test.sequence}
 			if got := aggregates.Apply(testStart, aggregate); got != test.want {
-				t.Errorf("aggregate taken %v, want %v", got, test.want)
+				t.Errorf("aggregate stored %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// While two homes tell of one replica, only the present one is followed.
+// If two homes report on one replica, only the current home's report counts.
 func TestOnlyThePresentHomeIsFollowed(t *testing.T) {
 	homes := NewAssigner(nodeIDs(2))
 	home, _ := homes.Home("r")
@@ -106,7 +106,7 @@
 		free = append(free, aggregate.Free)
 	}
 	if !slices.Equal(free, []int{3, 2}) {
-		t.Errorf("free places %v, want the fresh zones, the freest first", free)
+		t.Errorf("free slots %v, want the recent zones in descending order", free)
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 }
 
-// What Pool keeps must follow every summary, loss of a home and change of homes.
+// The cache of Pool must follow every summary, loss of a home and change of homes.
 func TestPoolHandsOverWhatEachDoes(t *testing.T) {
 	testkit.Check(t, 11, func(t *rapid.T) {
 		nodes := []port.NodeID{"a", "b", "c", "d"}
@@ -170,15 +170,15 @@
 			"": func(t *rapid.T) {
 				for _, pool := range pools {
 					var want, got []string
-					note := func(list *[]string) func(port.NodeID, *ReplicaSummary, time.Duration) {
+					record := func(list *[]string) func(port.NodeID, *ReplicaSummary, time.Duration) {
 						return func(home port.NodeID, replica *ReplicaSummary, age time.Duration) {
 							if replica.Pool == pool {
 								*list = append(*list, fmt.Sprint(home, *replica, age))
 							}
 						}
 					}
-					summaries.Each(now, homes, note(&want))
-					summaries.Pool(now, homes, pool, note(&got))
+					summaries.Each(now, homes, record(&want))
+					summaries.Pool(now, homes, pool, record(&got))
 					if !slices.Equal(want, got) {
 						t.Fatalf("pool %s: got %v, want %v", pool, got, want)
 					}
@@ -188,8 +188,8 @@
 	})
 }
 
-// The order of a pool's aggregates is kept between questions; it must follow
-// every aggregate, and old ones must still drop out.
+// The cached order of a pool's aggregates must follow every new aggregate, and old ones
+// must expire.
 func TestAggregatesOfAPoolAreInOrder(t *testing.T) {
 	aggregates := NewAggregates()
 	free := func(now time.Time) (list []int) {
@@ -198,20 +198,20 @@
 		}
 		return list
 	}
-	tell := func(at time.Time, zone port.ZoneName, sequence uint64, places int) {
-		aggregates.Apply(at, PoolAggregate{Zone: zone, Pool: "p", Node: "n", Sequence: sequence, Free: places})
+	apply := func(at time.Time, zone port.ZoneName, sequence uint64, slots int) {
+		aggregates.Apply(at, PoolAggregate{Zone: zone, Pool: "p", Node: "n", Sequence: sequence, Free: slots})
 	}
-	tell(testStart, "x", 1, 3)
-	tell(testStart, "y", 1, 5)
+	apply(testStart, "x", 1, 3)
+	apply(testStart, "y", 1, 5)
 	if got := free(testStart); !slices.Equal(got, []int{5, 3}) {
-		t.Errorf("free places %v, want 5 and 3", got)
+		t.Errorf("free slots %v, want 5 and 3", got)
 	}
 	later := testStart.Add(40 * time.Second)
-	tell(later, "x", 2, 9)
+	apply(later, "x", 2, 9)
 	if got := free(later); !slices.Equal(got, []int{9, 5}) {
-		t.Errorf("free places %v after news, want 9 and 5", got)
+		t.Errorf("free slots %v after an update, want 9 and 5", got)
 	}
 	if got := free(later.Add(40 * time.Second)); !slices.Equal(got, []int{9}) {
-		t.Errorf("free places %v when one is too old, want 9", got)
+		t.Errorf("free slots %v after one expired, want 9", got)
 	}
 }
--- a/internal/core/membership/teller_test.go
+++ b/internal/core/membership/teller_test.go
@@ -17,19 +17,19 @@
 		change func(*PoolAggregate)
 		want   bool
 	}{
-		"nothing new":                {time.Second, func(*PoolAggregate) {}, false},
-		"nothing new, refresh":       {AggregateRefresh, func(*PoolAggregate) {}, true},
-		"a little less room":         {AggregateLeast, func(a *PoolAggregate) { a.Free = 81 }, false},
-		"less room, too soon":        {time.Second, func(a *PoolAggregate) { a.Free = 80 }, false},
-		"less room for each replica": {AggregateLeast, func(a *PoolAggregate) { a.Free = 80 }, true},
-		"more room for each replica": {AggregateLeast, func(a *PoolAggregate) { a.Free = 120 }, true},
-		"a queue":                    {AggregateLeast, func(a *PoolAggregate) { a.Queued = 40 }, true},
-		"a replica went":             {time.Second, func(a *PoolAggregate) { a.Routable, a.Free, a.Queued = 9, 90, 18 }, true},
-		"a replica is ejected":       {time.Second, func(a *PoolAggregate) { a.Unhealthy = 2 }, true},
+		"unchanged":                    {time.Second, func(*PoolAggregate) {}, false},
+		"unchanged, refresh":           {AggregateRefresh, func(*PoolAggregate) {}, true},
+		"slightly fewer free slots":    {MinAggregateInterval, func(a *PoolAggregate) { a.Free = 81 }, false},
+		"fewer free slots, too early":  {time.Second, func(a *PoolAggregate) { a.Free = 80 }, false},
+		"fewer free slots per replica": {MinAggregateInterval, func(a *PoolAggregate) { a.Free = 80 }, true},
+		"more free slots per replica":  {MinAggregateInterval, func(a *PoolAggregate) { a.Free = 120 }, true},
+		"more queued requests":         {MinAggregateInterval, func(a *PoolAggregate) { a.Queued = 40 }, true},
+		"replica removed":              {time.Second, func(a *PoolAggregate) { a.Routable, a.Free, a.Queued = 9, 90, 18 }, true},
+		"replica ejected":              {time.Second, func(a *PoolAggregate) { a.Unhealthy = 2 }, true},
 		"another version": {time.Second, func(a *PoolAggregate) {
 			a.Versions = []VersionCount{{Version: 1, Replicas: 9, Free: 90}, {Version: 2, Replicas: 1, Free: 10}}
 		}, true},
-		"free places of a version": {time.Second, func(a *PoolAggregate) {
+		"free slots of a version": {time.Second, func(a *PoolAggregate) {
 			a.Versions = []VersionCount{{Version: 1, Replicas: 10, Free: 99}}
 		}, false},
 		"another pool": {time.Second, func(a *PoolAggregate) { a.Pool = "q" }, true},
@@ -38,30 +38,30 @@
 		t.Run(name, func(t *testing.T) {
 			teller := NewAggregateTeller()
 			if !teller.Due(testStart, first) {
-				t.Fatal("the first aggregate is not told")
+				t.Fatal("the first aggregate is not due")
 			}
 			next := first
 			test.change(&next)
 			if got := teller.Due(testStart.Add(test.after), next); got != test.want {
-				t.Errorf("told: %v, want %v", got, test.want)
+				t.Errorf("due: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Small changes must not add up to a large one that nobody is told of.
+// Small changes must not add up to a large one that is never sent.
 func TestSmallChangesAddUp(t *testing.T) {
 	teller := NewAggregateTeller()
 	aggregate := PoolAggregate{Pool: "p", Routable: 10, Free: 100}
-	told := 0
+	sent := 0
 	for step := range 9 {
-		if teller.Due(testStart.Add(time.Duration(step)*AggregateLeast/4), aggregate) {
-			told++
+		if teller.Due(testStart.Add(time.Duration(step)*MinAggregateInterval/4), aggregate) {
+			sent++
 		}
 		aggregate.Free -= 5
 	}
-	if told != 3 {
-		t.Errorf("told %d times of 40 places lost in steps of 5, want at the start and for each 20", told)
+	if sent != 3 {
+		t.Errorf("sent %d times for 40 slots lost in steps of 5, want at the start and for each 20", sent)
 	}
 }
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// Every (zone, pool) must be relayed by exactly one node, so that a newcomer who
-// asks all nodes of its zone hears of each once.
+// Exactly one node relays each (zone, pool), so that a new node that asks all nodes of its
+// zone receives each aggregate once.
 func TestNewcomerHearsOfEachAggregateOnce(t *testing.T) {
 	nodes := []port.NodeID{"a", "b", "c"}
 	aggregates, homes := NewAggregates(), NewAssigner(nodes)
@@ -90,18 +90,18 @@
 			aggregates.Apply(testStart, PoolAggregate{Zone: zone, Pool: pool, Node: "far", Sequence: 1})
 		}
 	}
-	heard := make(map[string]int)
+	received := make(map[string]int)
 	for _, node := range nodes {
 		for _, aggregate := range aggregates.RelayedBy(node, homes) {
-			heard[string(aggregate.Zone)+string(aggregate.Pool)]++
+			received[string(aggregate.Zone)+string(aggregate.Pool)]++
 		}
 	}
-	if len(heard) != 6 {
-		t.Errorf("heard of %v, want all six", heard)
+	if len(received) != 6 {
+		t.Errorf("received %v, want all six", received)
 	}
-	for key, times := range heard {
+	for key, times := range received {
 		if times != 1 {
-			t.Errorf("heard of %s %d times", key, times)
+			t.Errorf("received %s %d times", key, times)
 		}
 	}
 }
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// SetView takes the control view's list of nodes, of which those in the own
-// zone count. A node new to it is held for alive until its silence shows.
+// SetView updates the nodes from the control view; only those in this node's zone count. A
+// new node is considered alive until it is silent for too long.
 func (d *Detector) SetView(now time.Time, nodes []port.NodeAddress) Output {
 	listed := make(map[port.NodeID]bool, len(nodes))
 	changed, listedBefore := false, d.listed
@@ -26,7 +26,7 @@
 		listed[node.ID] = true
 		known := d.peers[node.ID]
 		if known == nil {
-			known = &peer{id: node.ID, heard: now}
+			known = &peer{id: node.ID, lastHeartbeat: now}
 			d.peers[node.ID] = known
 			d.output.Changes = append(d.output.Changes, Change{Node: node.ID, Status: StatusAlive})
 			changed = true
@@ -42,17 +42,17 @@
 		}
 	}
 	if changed {
-		d.rebuild(now)
+		d.rebuildRing(now)
 	}
 	if d.listed && !listedBefore {
-		d.announceSelf()
+		d.broadcastAlive()
 	}
 	return d.flush(0)
 }
 
-// SetMachines takes the machine list. A node on a leaving machine is no home;
-// one whose machine is gone from the list is dead as soon as it is silent,
-// without confirmation. The list lags, so that alone it declares nobody dead.
+// SetMachines updates the nodes from the machine list. A node on a leaving machine is no
+// home; a silent node whose machine is not listed needs no confirmation of its death. As
+// the list lags, it does not declare a node dead by itself.
 func (d *Detector) SetMachines(self string, machines []port.Machine) {
 	states := make(map[string]port.MachineState, len(machines))
 	for _, machine := range machines {
@@ -62,12 +62,12 @@
 	d.leaving = states[host(self)] == port.MachineLeaving
 	for _, peer := range d.peers {
 		state, found := states[host(peer.address)]
-		peer.unlisted = !found && len(machines) > 0
+		peer.machineMissing = !found && len(machines) > 0
 		peer.leaving = state == port.MachineLeaving
 	}
 }
 
-// host gives the IP of IP:port, and any other text as it is.
+// host returns the IP of an IP:port address, or any other text unchanged.
 func host(address string) string {
 	if parsed, err := netip.ParseAddrPort(address); err == nil {
 		return parsed.Addr().String()
