--- a/cmd/loomgrade/cmd_drain.go
+++ b/cmd/loomgrade/cmd_drain.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer cancel()
-	command := sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, Back: back}}
+	command := sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, End: back}}
 	answer, err := client.control(ctx, sitecontrol.Request{Command: &command})
 	if err != nil {
 		return err
--- a/cmd/loomgrade/cmd_logs.go
+++ b/cmd/loomgrade/cmd_logs.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 
 	"github.com/loomgrade/loomgrade/internal/adapter/eventlog"
-	"github.com/loomgrade/loomgrade/internal/core/logstory"
+	"github.com/loomgrade/loomgrade/internal/core/logtrace"
 )
 
 // logsCommand reads the log lines that processes wrote.
@@ -47,11 +47,11 @@
 	for _, described := range eventlog.Catalogue {
 		meanings[described.Event] = described.Meaning
 	}
-	selected := logstory.Select(lines, c.ID)
+	selected := logtrace.Select(lines, c.ID)
 	if len(selected) == 0 {
 		return usageError{eris.Errorf("no line of %d is about %q", len(lines), c.ID)}
 	}
-	told := story{ID: c.ID, Lines: logstory.Tell(selected, meanings), Cause: logstory.Cause(selected)}
+	told := story{ID: c.ID, Lines: logtrace.Format(selected, meanings), Cause: logtrace.Cause(selected)}
 	return output(c.outputFlags, std, told, func(_ *table, told story) {
 		for _, line := range told.Lines {
 			fmt.Fprintln(std.stdout, line)
@@ -71,14 +71,14 @@
 	if err != nil {
 		return usageError{err}
 	}
-	return output(c.outputFlags, std, logstory.Steps(lines), func(lines *table, steps []logstory.Step) {
+	return output(c.outputFlags, std, logtrace.Steps(lines), func(lines *table, steps []logtrace.Step) {
 		lines.row("STEP", "JOB", "BEGUN", "ITEMS", "RUNS", "LAST PLACED", "WHOLE 50%", "90%", "100%", "TOOK", "LAST ITEM", "EVENTS", "MOVES", "WAITED", "REPLICA", "")
 		for _, step := range steps {
 			left := ""
 			if !step.Ended {
 				left = "(left by the runner)"
 			}
-			lines.row(step.Step, step.Job, clock(step.Begun), step.Items, step.Runs, step.LastPlaced, step.Whole50, step.Whole90, step.Whole100,
+			lines.row(step.Step, step.Job, clock(step.Started), step.Items, step.Runs, step.LastPlaced, step.Whole50, step.Whole90, step.Whole100,
 				step.Took, step.LastItem, step.LastEvents, step.LastMoves, step.LastWaited, step.LastReplica, left)
 		}
 	})
@@ -97,26 +97,26 @@
 	if err != nil {
 		return usageError{err}
 	}
-	delays := logstory.Delays(lines)
+	delays := logtrace.Delays(lines)
 	if c.Worst > 0 {
-		slices.SortStableFunc(delays, func(a, b logstory.Delay) int { return cmp.Compare(b.Total, a.Total) })
+		slices.SortStableFunc(delays, func(a, b logtrace.Delay) int { return cmp.Compare(b.Total, a.Total) })
 		delays = delays[:min(c.Worst, len(delays))]
 	}
-	return output(c.outputFlags, std, delays, func(lines *table, delays []logstory.Delay) {
+	return output(c.outputFlags, std, delays, func(lines *table, delays []logtrace.Delay) {
 		lines.row("KEPT", "MODEL", "STEP", "ITEMS", "ACCEPT", "TAKEN OVER", "FIRST WAIT", "LATER", "RAN", "UNUSED", "SCORED", "READ", "NAMED", "ASKED", "TOTAL", "UNEXPLAINED", "REFUSED", "CUT", "DECIDING ITEM", "")
 		for _, d := range delays {
 			lost := ""
 			if !d.Whole {
 				lost = "(not whole)"
 			}
-			lines.row(clock(d.Kept), d.Model, d.Step, d.Items, d.Accept, d.TakenOver, d.FirstWait, d.LaterWaits, d.Ran, d.Unused, d.Scored, d.Read,
-				d.Named, d.Asked, d.Total, d.Unexplained, d.Refused, d.Cut, d.Deciding, lost)
+			lines.row(clock(d.AcceptedAt), d.Model, d.Step, d.Items, d.Accept, d.StartDelay, d.FirstWait, d.LaterWaits, d.Ran, d.Unused, d.Scored, d.Read,
+				d.PublishDelay, d.NextJobDelay, d.Total, d.Unexplained, d.Refused, d.Cut, d.Deciding, lost)
 		}
 	})
 }
 
-func readFiles(paths []string) ([]logstory.Line, error) {
-	var lines []logstory.Line
+func readFiles(paths []string) ([]logtrace.Line, error) {
+	var lines []logtrace.Line
 	for _, path := range paths {
 		read, err := readLines(path)
 		if err != nil {
@@ -127,7 +127,7 @@
 	return lines, nil
 }
 
-func readLines(path string) ([]logstory.Line, error) {
+func readLines(path string) ([]logtrace.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "log file")
@@ -135,9 +135,9 @@
 	defer func() { _ = file.Close() }()
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, maxLogLine)
-	var lines []logstory.Line
+	var lines []logtrace.Line
 	for scanner.Scan() {
-		if line, ok := logstory.Parse(scanner.Bytes()); ok {
+		if line, ok := logtrace.Parse(scanner.Bytes()); ok {
 			lines = append(lines, line)
 		}
 	}
--- a/cmd/loomgrade/jobfile.go
+++ b/cmd/loomgrade/jobfile.go
@@ -125,11 +125,11 @@
 	if view.Table == nil || view.Table.Lookup(submission.Host, submission.Path) == nil {
 		return port.NewError(port.NotRun, port.CodeNotFound, "no route leads from host %q and path %q", submission.Host, submission.Path)
 	}
-	outcome, err := client.jobs.Submit(ctx, submission, routing.Homes{})
+	outcome, err := client.jobs.Submit(ctx, submission, routing.AllowedRegions{})
 	if err != nil {
 		return err
 	}
-	accepted := submittedJob{Job: submission.ID, Before: outcome == jobstate.AcceptedBefore}
+	accepted := submittedJob{Job: submission.ID, Before: outcome == jobstate.AlreadyAccepted}
 	return output(c.outputFlags, std, accepted, func(lines *table, accepted submittedJob) {
 		lines.row("kept", accepted.Job, "before:", accepted.Before)
 	})
--- a/internal/adapter/sitesettings/sitesettings.go
+++ b/internal/adapter/sitesettings/sitesettings.go
@@ -16,7 +16,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 )
 
 // File is a settings file. Addresses are host:port by IP number.
@@ -212,8 +212,8 @@
 }
 
 // ColdLimits bound what cold replicas get beyond their service's rate.
-func (f *File) ColdLimits() coldshare.Limits {
-	return coldshare.Limits{Overshoot: f.WarmupOvershoot, Slack: f.WarmupSlack}
+func (f *File) ColdLimits() coldlimit.Limits {
+	return coldlimit.Limits{Overshoot: f.WarmupOvershoot, Slack: f.WarmupSlack}
 }
 
 // Grace is GraceSeconds as a duration.
--- a/internal/app/control/housekeeping.go
+++ b/internal/app/control/housekeeping.go
@@ -22,7 +22,7 @@
 func (m *Member) keepHouse(ctx context.Context) error {
 	ticker := time.NewTicker(houseInterval)
 	defer ticker.Stop()
-	var watcher controlmember.SilenceWatcher
+	var watcher controlmember.NodeTimeouts
 	for {
 		select {
 		case <-ticker.C:
@@ -72,13 +72,13 @@
 
 // removeSilent proposes the removal of silent nodes. A node that lives on is
 // registered again by its next report.
-func (m *Member) removeSilent(ctx context.Context, watcher *controlmember.SilenceWatcher, view *port.View) {
+func (m *Member) removeSilent(ctx context.Context, watcher *controlmember.NodeTimeouts, view *port.View) {
 	reports := m.gatherReports(ctx)
 	ages := make(map[port.NodeID]time.Duration, len(reports.Nodes))
 	for _, report := range reports.Nodes {
 		ages[report.Report.Node.ID] = time.Duration(report.AgeMillis) * time.Millisecond
 	}
-	for _, id := range watcher.Silent(view.Nodes, ages, time.Now(), m.config.NodeTimeout) {
+	for _, id := range watcher.TimedOut(view.Nodes, ages, time.Now(), m.config.NodeTimeout) {
 		attempt, cancel := context.WithTimeout(ctx, controlclient.DefaultAttemptTimeout)
 		_, err := m.propose(attempt, port.Command{RemoveNode: &port.RemoveNode{ID: id}}, true)
 		cancel()
--- a/internal/app/control/loop.go
+++ b/internal/app/control/loop.go
@@ -176,7 +176,7 @@
 			return err
 		}
 	}
-	if l.member.WantsSnapshot() {
+	if l.member.SnapshotDue() {
 		if err := l.saveSnapshot(); err != nil {
 			return err
 		}
--- a/internal/app/front/authorize.go
+++ b/internal/app/front/authorize.go
@@ -49,7 +49,7 @@
 // authorize finds the tenant whose key a request shows; ok is false if the request was
 // answered already. Requests of public routes need no key.
 func (f *Front) authorize(w http.ResponseWriter, r *http.Request, view *siteview.View, public bool) (caller Caller, ok bool) {
-	if !view.Table.WantsKeys() {
+	if !view.Table.RequiresKeys() {
 		return Caller{}, true
 	}
 	keys := r.Header.Values(f.headers.Key)
--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -251,9 +251,9 @@
 			Method: r.Method, Target: target(r), Host: r.Host, ID: r.Header.Get(f.headers.RequestID),
 			Header: header, Body: body,
 		},
-		Service: route.Choose(f.splits.Add(1)), Route: route.Name, Caller: caller.name(),
+		Service: route.ServiceFor(f.splits.Add(1)), Route: route.Name, Caller: caller.name(),
 		Repeatable: route.Repeatable(), MaxAttempts: route.MaxAttempts, Aim: route.Aim,
-		Homes:  routing.HomesOf(route, caller.tenant),
+		Homes:  routing.AllowedRegionsOf(route, caller.tenant),
 		Stream: route.Kind == routing.KindStream,
 	}
 }
--- a/internal/app/front/jobs.go
+++ b/internal/app/front/jobs.go
@@ -47,14 +47,14 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), min(submitTimeout, f.allowed(r, route)))
 	defer cancel()
 	began := time.Now()
-	accepted, err := f.config.Jobs.Submit(ctx, &submission, routing.HomesOf(route, caller.tenant))
+	accepted, err := f.config.Jobs.Submit(ctx, &submission, routing.AllowedRegionsOf(route, caller.tenant))
 	if err != nil {
 		f.jobFailed(w, r, route.Name, err)
 		return
 	}
 	f.config.Logger.Info().Str(eventlog.Field, eventlog.JobAccepted).Str("id", submission.ID).Str("route", route.Name).Str("model", submission.Model).
 		Int("items", len(submission.Items)).Uint64("step", submission.Step).Uint64("min_version", submission.MinVersion).
-		Bool("before", accepted == jobstate.AcceptedBefore).Dur("took", time.Since(began)).Msg("a job is kept")
+		Bool("before", accepted == jobstate.AlreadyAccepted).Dur("took", time.Since(began)).Msg("a job is kept")
 	w.WriteHeader(http.StatusAccepted)
 }
 
--- a/internal/app/front/usage.go
+++ b/internal/app/front/usage.go
@@ -47,7 +47,7 @@
 		return
 	}
 	u.mutex.Lock()
-	u.outbox.Note(tenant, at)
+	u.outbox.Add(tenant, at)
 	u.mutex.Unlock()
 	select {
 	case u.wake <- struct{}{}:
@@ -93,13 +93,13 @@
 	defer cancel()
 	pause, err := u.send(ctx, report)
 	if err != nil {
-		u.logger.Warn().Str(eventlog.Field, eventlog.UsageNotKept).Uint64("sequence", report.Sequence).Int("requests", len(report.Begun)).
+		u.logger.Warn().Str(eventlog.Field, eventlog.UsageNotKept).Uint64("sequence", report.Sequence).Int("requests", len(report.Requests)).
 			Err(err).Msg("counts of tenants' requests are not kept yet")
 		return usageRetry
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	u.outbox.Kept()
+	u.outbox.Acknowledge()
 	return pause
 }
 
--- a/internal/app/front/usage_test.go
+++ b/internal/app/front/usage_test.go
@@ -28,7 +28,7 @@
 	defer k.mutex.Unlock()
 	k.failures--
 	if k.failures < 0 || k.failures%2 == 1 {
-		k.ledger.Note(report.Place(time.Unix(1000, 0), time.Hour))
+		k.ledger.Add(report.AssignWindows(time.Unix(1000, 0), time.Hour))
 	}
 	if k.failures >= 0 {
 		return 0, errors.New("no answer")
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = reporter.Run(ctx) }()
-	if report := <-reports; len(report.Begun) != 1 || report.Begun[0].Age < 10*time.Second {
+	if report := <-reports; len(report.Requests) != 1 || report.Requests[0].Age < 10*time.Second {
 		t.Errorf("%+v", report)
 	}
 }
--- a/internal/app/group/calls.go
+++ b/internal/app/group/calls.go
@@ -13,7 +13,7 @@
 
 // Propose puts a command through the log if this member leads, and gives the
 // state machine's result. A *NotLeaderError and ErrNotReady say that the
-// command has no effect; so does groupmember.ErrDisplaced. Any other error
+// command has no effect; so does groupmember.ErrProposalReplaced. Any other error
 // leaves it open.
 func (m *Member) Propose(ctx context.Context, command []byte) (any, error) {
 	return m.ProposeTo(ctx, AnyShard, command)
--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -105,8 +105,8 @@
 	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
 	c.StandingInterval = cmp.Or(c.StandingInterval, DefaultStandingInterval)
 	c.Limits.ReplaceTicks = cmp.Or(c.Limits.ReplaceTicks, uint64(c.ReplaceAfter/c.Tick))
-	c.Limits.VacantTicks = cmp.Or(c.Limits.VacantTicks, uint64(c.VacantAfter/c.Tick))
-	c.Limits.ForgetTicks = cmp.Or(c.Limits.ForgetTicks, uint64(c.ForgetAfter/c.Tick))
+	c.Limits.FreeSlotTicks = cmp.Or(c.Limits.FreeSlotTicks, uint64(c.VacantAfter/c.Tick))
+	c.Limits.RemoveLearnerTicks = cmp.Or(c.Limits.RemoveLearnerTicks, uint64(c.ForgetAfter/c.Tick))
 	c.Clock = c.Clock.OrSystem()
 	if c.FileSystem == nil {
 		c.FileSystem = wal.OS{}
--- a/internal/app/group/join.go
+++ b/internal/app/group/join.go
@@ -97,7 +97,7 @@
 	work := func(l *loop) {
 		status := l.member.Status()
 		records := l.member.Directory()
-		if !l.member.Settled() {
+		if !l.member.LeaderReady() {
 			leader, _ := l.member.Record(status.Leader)
 			done <- joinAnswer{Leader: leader.Address, Records: records}
 			return
@@ -109,7 +109,7 @@
 			done <- joinAnswer{ID: records[known].ID, Records: records}
 			return
 		}
-		if !groupmember.HasRoom(status, records, l.leaving(), record.Address, l.config.Limits) {
+		if !groupmember.AcceptsLearner(status, records, l.leaving(), record.Address, l.config.Limits) {
 			failed <- errFull
 			return
 		}
--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -202,10 +202,10 @@
 	}
 	l.peers.connect(others)
 	l.tendSnapshotData()
-	if !l.member.Settled() {
+	if !l.member.LeaderReady() {
 		return
 	}
-	l.member.TellDirectory()
+	l.member.ProposeDirectory()
 	if l.changing {
 		return
 	}
@@ -257,7 +257,7 @@
 	if l.removed || l.member.Status().Role == consensus.RoleRemoved {
 		return errRemoved
 	}
-	if l.member.WantsSnapshot() && !l.saving {
+	if l.member.SnapshotDue() && !l.saving {
 		if err := l.beginSnapshot(); err != nil {
 			return err
 		}
@@ -295,7 +295,7 @@
 		l.peers.learn(records, true)
 	}
 	l.shown(Step{
-		Machine: l.machine, Status: l.member.Status(), Settled: l.member.Settled(),
+		Machine: l.machine, Status: l.member.Status(), Settled: l.member.LeaderReady(),
 		CaughtUp: l.member.CaughtUp(), Applied: l.member.Applied(), Records: l.told,
 	})
 }
--- a/internal/app/group/standing.go
+++ b/internal/app/group/standing.go
@@ -111,7 +111,7 @@
 func (l *loop) standing(asked standingRequest) standingAnswer {
 	status, id := l.member.Status(), asked.ID
 	_, known := l.member.Record(id)
-	if asked.Shard != l.shard || !l.member.Settled() || known || id > status.Membership.HighestID || status.Membership.Contains(id) {
+	if asked.Shard != l.shard || !l.member.LeaderReady() || known || id > status.Membership.HighestID || status.Membership.Contains(id) {
 		return standingAnswer{}
 	}
 	return standingAnswer{Removed: true, Term: status.Term}
--- a/internal/app/group/standing_test.go
+++ b/internal/app/group/standing_test.go
@@ -90,7 +90,7 @@
 		Machine: m.newState, Clock: m.clock,
 		Origin:  func(context.Context, string) (group.Origin, error) { return m.origin, nil },
 		Changed: func(group.Step) {}, Logger: &log.Logger{Level: log.PanicLevel},
-		Limits:       groupmember.Limits{Voters: 3, LeastVoters: 3},
+		Limits:       groupmember.Limits{Voters: 3, MinVoters: 3},
 		ReplaceAfter: 400 * time.Millisecond, VacantAfter: 200 * time.Millisecond, StandingInterval: 50 * time.Millisecond,
 	})
 	server := wire.NewServer(options)
--- a/internal/app/guard/guard.go
+++ b/internal/app/guard/guard.go
@@ -32,7 +32,7 @@
 // replica that ended is back after about 2 s: the first trial comes when one is there to
 // answer again. The second is for requests that were unlucky twice, and each trial of one
 // that is the cause takes a replica: it waits until that has been replaced several times over.
-var trialAfter = [quarantine.MostTrials]time.Duration{4 * time.Second, 30 * time.Second}
+var trialAfter = [quarantine.MaxTrials]time.Duration{4 * time.Second, 30 * time.Second}
 
 // SendFunc puts events into the control log and gives the outcome of the last one.
 type SendFunc func(ctx context.Context, events []quarantine.Event) (sitestate.Outcome, error)
@@ -181,7 +181,7 @@
 		g.withheld[suspect.Fingerprint] = seen
 		return suspect.Trials, 0
 	}
-	if suspect.Trials >= quarantine.MostTrials {
+	if suspect.Trials >= quarantine.MaxTrials {
 		return 0, lastRefusal
 	}
 	if seen.asking || seen.used > suspect.Trials {
@@ -268,7 +268,7 @@
 	g.ended[replica] = time.Now()
 	g.endedCount.Store(int64(len(g.ended)))
 	g.mutex.Unlock()
-	g.outbox.add(quarantine.Event{Kind: quarantine.EventEnded, Fingerprint: fingerprint, Replica: replica})
+	g.outbox.add(quarantine.Event{Kind: quarantine.EventCrashed, Fingerprint: fingerprint, Replica: replica})
 }
 
 // Served notes a whole answer to a request that is a suspect.
--- a/internal/app/guard/guard_test.go
+++ b/internal/app/guard/guard_test.go
@@ -256,13 +256,13 @@
 	g.Answered("r1", before)
 	g.Answered("r2", time.Now())
 	drained(t, g)
-	if kinds := control.kinds(); !slices.Equal(kinds, []quarantine.EventKind{quarantine.EventEnded}) {
+	if kinds := control.kinds(); !slices.Equal(kinds, []quarantine.EventKind{quarantine.EventCrashed}) {
 		t.Fatalf("told %v", kinds)
 	}
 	g.Answered("r1", time.Now())
 	g.Answered("r1", time.Now())
 	drained(t, g)
-	if kinds := control.kinds(); !slices.Equal(kinds, []quarantine.EventKind{quarantine.EventEnded, quarantine.EventAlive}) {
+	if kinds := control.kinds(); !slices.Equal(kinds, []quarantine.EventKind{quarantine.EventCrashed, quarantine.EventAlive}) {
 		t.Errorf("told %v", kinds)
 	}
 }
--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -40,7 +40,7 @@
 	Place func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
 	// KeepsWithin reports whether all machines that keep a shard's jobs stand in homes; nil
 	// knows of no regions.
-	KeepsWithin func(shard sitestate.ShardNumber, homes routing.Homes) bool
+	KeepsWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
 }
 
 // Client asks the groups of the shards. It is safe for concurrent use.
@@ -68,12 +68,12 @@
 // Submit hands a job in at the shard of its model. It is safe to repeat: a job is
 // taken once. The error's verdict is NotRun only if no member can have taken it. A job whose
 // shard is kept outside its homes is refused before anything of it leaves this machine.
-func (c *Client) Submit(ctx context.Context, submission *jobstate.Submission, homes routing.Homes) (jobstate.AcceptOutcome, error) {
+func (c *Client) Submit(ctx context.Context, submission *jobstate.Submission, homes routing.AllowedRegions) (jobstate.AcceptOutcome, error) {
 	shard, err := c.shardOfModel(ctx, submission.Model, homes)
 	if err != nil {
 		return 0, err
 	}
-	if homes.Bound() && (c.config.KeepsWithin == nil || !c.config.KeepsWithin(shard, homes)) {
+	if homes.Restricted() && (c.config.KeepsWithin == nil || !c.config.KeepsWithin(shard, homes)) {
 		return 0, port.NewError(port.NotRun, port.CodeUnavailable, "the jobs of the model are kept outside the regions where the job may be: %s", homes)
 	}
 	answer, err := c.call(ctx, Request{Shard: shard, Submit: submission})
@@ -84,7 +84,7 @@
 	return answer.Accepted, nil
 }
 
-func (c *Client) shardOfModel(ctx context.Context, model string, homes routing.Homes) (sitestate.ShardNumber, error) {
+func (c *Client) shardOfModel(ctx context.Context, model string, homes routing.AllowedRegions) (sitestate.ShardNumber, error) {
 	if view := c.config.View(); view != nil {
 		if shard := view.ShardOf(model); shard != 0 {
 			return shard, nil
--- a/internal/app/jobsapi/client_test.go
+++ b/internal/app/jobsapi/client_test.go
@@ -104,7 +104,7 @@
 func TestAJobGoesToTheShardOfItsModelAndIsFoundThere(t *testing.T) {
 	client, shards := shardedClient(t, 3, 0, map[string]sitestate.ShardNumber{"a": 1})
 	for model, want := range map[string]int{"a": 0, "not placed yet": 1} {
-		if _, err := client.Submit(context.Background(), &jobstate.Submission{ID: "job of " + model, Model: model}, routing.Homes{}); err != nil {
+		if _, err := client.Submit(context.Background(), &jobstate.Submission{ID: "job of " + model, Model: model}, routing.AllowedRegions{}); err != nil {
 			t.Fatal(err)
 		}
 		if !slices.Contains(shards[want].jobs, "job of "+model) {
@@ -119,7 +119,7 @@
 		t.Error("all shards are asked about a job whose shard is known")
 	}
 	var refusal *port.Error
-	_, err := client.Submit(shortly(t), &jobstate.Submission{ID: "j", Model: "unplaceable"}, routing.Homes{})
+	_, err := client.Submit(shortly(t), &jobstate.Submission{ID: "j", Model: "unplaceable"}, routing.AllowedRegions{})
 	if !errors.As(err, &refusal) || refusal.Verdict != port.NotRun {
 		t.Errorf("a job that no shard was asked to take: %v", err)
 	}
--- a/internal/app/node/accept.go
+++ b/internal/app/node/accept.go
@@ -61,13 +61,13 @@
 	switch step.Kind {
 	case attempt.Final:
 		// The layer that retries a single attempt records its end.
-		if !loop.Single() {
-			n.recordEnd(accepted, subject, loop.Made(), failure, string(step.Reason))
+		if !loop.CallerRetries() {
+			n.recordEnd(accepted, subject, loop.Attempts(), failure, string(step.Reason))
 		}
-	case attempt.Again:
-		n.recordRetry(accepted, subject, loop.Made(), failure)
+	case attempt.Retry:
+		n.recordRetry(accepted, subject, loop.Attempts(), failure)
 		if !wait(ctx, step.After) {
-			n.recordEnd(accepted, subject, loop.Made(), failure, leftInWait)
+			n.recordEnd(accepted, subject, loop.Attempts(), failure, leftInWait)
 			return attempt.Step{Kind: attempt.Final, Error: loop.GiveUp(failure.Error)}
 		}
 	}
--- a/internal/app/node/actions.go
+++ b/internal/app/node/actions.go
@@ -29,15 +29,15 @@
 		switch action := action.(type) {
 		case poolworker.Propose:
 			w.tasks.Go(func() { w.propose(action) })
-		case poolworker.AskHomes:
+		case poolworker.PollHomes:
 			w.tasks.Go(func() { w.askHomes(action) })
 		case poolworker.Order:
 			w.tasks.Go(func() { w.sendOrder(action) })
-		case poolworker.Coordinate:
+		case poolworker.CoordinatorAction:
 			w.coordinate(action)
 		case poolworker.Record:
 			w.record(action.Decision)
-		case poolworker.PolicyRefused:
+		case poolworker.PolicyRejected:
 			w.node.config.Logger.Error().Str("pool", string(w.pool)).Err(action.Err).Msg("policy program refused")
 		case poolworker.Ended:
 			if action.Cause != nil {
@@ -48,7 +48,7 @@
 }
 
 // coordinate carries out an action of the coordinator.
-func (w *poolWorker) coordinate(asked poolworker.Coordinate) {
+func (w *poolWorker) coordinate(asked poolworker.CoordinatorAction) {
 	switch action := asked.Action.(type) {
 	case coordinator.FetchPrompts:
 		w.tasks.Go(func() { w.fetchPrompts(action, asked.Sampling.PromptSource) })
@@ -76,7 +76,7 @@
 }
 
 func (e answered) apply(w *poolWorker, now time.Time) {
-	w.carryOut(w.machine.Answered(now, e.token, e.result, e.failure))
+	w.carryOut(w.machine.ProposalAnswered(now, e.token, e.result, e.failure))
 }
 
 // propose puts a command through the control log. A lease is given back also
--- a/internal/app/node/application.go
+++ b/internal/app/node/application.go
@@ -28,7 +28,7 @@
 		response, failure := n.applicationAttempt(ctx, accepted, request, loop)
 		if failure.Error == nil {
 			n.budgets.succeeded(accepted.pool)
-			n.recordAnswer(accepted, subject, loop.Made(), failure.Replica)
+			n.recordAnswer(accepted, subject, loop.Attempts(), failure.Replica)
 			return response, nil
 		}
 		if step := n.next(ctx, accepted, subject, loop, failure); step.Kind == attempt.Final {
@@ -40,11 +40,11 @@
 // applicationAttempt makes one attempt on the back end that the gate chooses. The
 // failure names the replica also when there is no error.
 func (n *Node) applicationAttempt(ctx context.Context, accepted acceptance, request port.ApplicationRequest, loop *attempt.Loop) (port.ApplicationResponse, attempt.Failure) {
-	grant, refusal := n.acquireApplication(ctx, accepted, request, loop.LastTried())
+	grant, refusal := n.acquireApplication(ctx, accepted, request, loop.LastFailedReplica())
 	if refusal != nil {
-		return port.ApplicationResponse{}, attempt.Failure{Error: refusal, Here: true}
+		return port.ApplicationResponse{}, attempt.Failure{Error: refusal, Local: true}
 	}
-	n.recordPlaced(accepted, string(request.ID), loop.Made(), grant)
+	n.recordPlaced(accepted, string(request.ID), loop.Attempts(), grant)
 	// The list of machines or the operator may have spoken since the snapshot.
 	replica, configured := n.snapshot.Load().Replicas[grant.Replica]
 	if !configured {
@@ -82,9 +82,9 @@
 
 // endApplication gives the place back and tells how the call ended.
 func (n *Node) endApplication(ctx context.Context, grant *gate.Grant, response port.ApplicationResponse, failure *port.Error, elapsed time.Duration) {
-	judged := home.JudgeCall(failure, ctx.Err() == context.Canceled, response.Status, elapsed)
+	judged := home.ClassifyCall(failure, ctx.Err() == context.Canceled, response.Status, elapsed)
 	grant.Release(judged.Outcome)
-	if judged.Counts {
+	if judged.AffectsHealth {
 		n.post(callEnded{outcomeOf(grant.Replica, judged)})
 	}
 }
--- a/internal/app/node/choose.go
+++ b/internal/app/node/choose.go
@@ -16,7 +16,7 @@
 	mutex   sync.Mutex
 	pure    *placement.Chooser
 	scratch []scheduling.Candidate
-	offers  []placement.Offer
+	offers  []placement.ZoneCapacity
 }
 
 func newChooser(seed uint64) *chooser {
@@ -54,7 +54,7 @@
 	defer c.mutex.Unlock()
 	c.scratch = c.scratch[:0]
 	for index := range accepted.route.Zone {
-		c.scratch = append(c.scratch, accepted.route.Zone[index].Now(now))
+		c.scratch = append(c.scratch, accepted.route.Zone[index].CurrentCandidate(now))
 	}
 	if job.avoid != "" {
 		tried = append(slices.Clip(tried), job.avoid)
@@ -90,14 +90,14 @@
 // chooseZone picks a node of another zone if one has clearly more room for each
 // of its replicas, or if the own zone has no replica for the request.
 func (n *Node) chooseZone(accepted acceptance, job *generation, room float64, none bool) (place, bool) {
-	elsewhere := accepted.route.Elsewhere
+	elsewhere := accepted.route.OtherZones
 	c := n.chooser
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.offers = c.offers[:0]
 	for index := range elsewhere {
 		offer := &elsewhere[index]
-		told := placement.Offer{Routable: offer.Aggregate.Routable, Room: offer.Room()}
+		told := placement.ZoneCapacity{Routable: offer.Aggregate.Routable, FreePerReplica: offer.FreePerReplica()}
 		allowed := len(job.zones) == 0 || slices.Contains(job.zones, offer.Aggregate.Zone)
 		if !allowed || len(offer.Nodes) == 0 {
 			told.Routable = 0
--- a/internal/app/node/controller.go
+++ b/internal/app/node/controller.go
@@ -106,7 +106,7 @@
 func (c *controller) publish(now time.Time) {
 	began := time.Now()
 	if c.state.RebuildIfDue(now) {
-		c.state.RebuildCost(time.Since(began))
+		c.state.SetRebuildCost(time.Since(began))
 	}
 	c.carryOut(c.state.Flush())
 }
@@ -139,7 +139,7 @@
 	for _, decided := range output.Decisions {
 		n.recorder.record(decided)
 	}
-	for _, pool := range output.ForgottenPools {
+	for _, pool := range output.RemovedPools {
 		n.metrics.Forget(pool)
 	}
 	if output.Report != nil {
@@ -207,17 +207,17 @@
 // memberMessage is a message of the failure detector.
 type memberMessage struct{ message membership.Message }
 
-func (e memberMessage) apply(c *controller, now time.Time) { c.state.Member(now, e.message) }
+func (e memberMessage) apply(c *controller, now time.Time) { c.state.HandleMembership(now, e.message) }
 
 // summaryMessage is what a home tells its zone.
 type summaryMessage struct{ summary membership.HomeSummary }
 
-func (e summaryMessage) apply(c *controller, now time.Time) { c.state.Summary(now, e.summary) }
+func (e summaryMessage) apply(c *controller, now time.Time) { c.state.HandleSummary(now, e.summary) }
 
 // aggregatesTold is what another zone tells.
 type aggregatesTold struct{ message nodestate.AggregatesMessage }
 
-func (e aggregatesTold) apply(c *controller, now time.Time) { c.state.Aggregates(now, e.message) }
+func (e aggregatesTold) apply(c *controller, now time.Time) { c.state.HandleAggregates(now, e.message) }
 
 // drainStarted makes the node tell its peers that it stops.
 type drainStarted struct{}
--- a/internal/app/node/gate/gate.go
+++ b/internal/app/node/gate/gate.go
@@ -91,7 +91,7 @@
 func (g *Gate) NextCacheEvent(replica port.ReplicaID) uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.pure.NextCacheEvent(replica)
+	return g.pure.LastCacheEvent(replica)
 }
 
 // ResetCache forgets a replica's blocks, as after its engine started anew.
--- a/internal/app/node/generate.go
+++ b/internal/app/node/generate.go
@@ -47,7 +47,7 @@
 	defer cancel()
 	n.prepare(accepted, job)
 	loop := attempt.New(attempt.Rules{
-		Safe: job.request.Safe, Single: job.single, Resume: job.resume,
+		Safe: job.request.Safe, CallerRetries: job.single, Resume: job.resume,
 		Deadline: accepted.deadline, MaxTokens: job.request.MaxTokens,
 	})
 	progress := &generated{job: job, loop: loop}
@@ -103,10 +103,10 @@
 // take hands a chunk to the caller and remembers it.
 func (g *generated) take(chunk port.GenerateChunk) error {
 	if err := g.job.receive(chunk); err != nil {
-		g.loop.Refuse()
+		g.loop.RefuseChunk()
 		return err
 	}
-	g.loop.Took(chunk)
+	g.loop.AddChunk(chunk)
 	return nil
 }
 
@@ -114,19 +114,19 @@
 // replica served it as far as that is known, also when there is no error.
 func (n *Node) generateAttempt(ctx context.Context, accepted acceptance, job *generation, progress *generated) attempt.Failure {
 	loop := progress.loop
-	place, refusal := n.choose(accepted, job, loop.Tried())
+	place, refusal := n.choose(accepted, job, loop.FailedReplicas())
 	if refusal != nil {
-		return attempt.Failure{Error: refusal, Here: true}
+		return attempt.Failure{Error: refusal, Local: true}
 	}
 	call := peerapi.GenerateCall{
 		Request:     job.request,
 		TenantShare: accepted.snapshot.TenantShare(job.request.Tenant),
-		Attempt:     loop.Made(),
+		Attempt:     loop.Attempts(),
 		Exclude:     job.exclude,
 		Avoid:       job.avoid,
 	}
 	if job.avoid == "" {
-		call.Avoid = loop.LastTried()
+		call.Avoid = loop.LastFailedReplica()
 	}
 	call.Request.Replica = place.replica
 	run := &attemptRun{node: n, job: job, progress: progress, replica: place.replica}
@@ -221,6 +221,6 @@
 func (n *Node) recordCompletion(accepted acceptance, job *generation, loop *attempt.Loop, replica port.ReplicaID) {
 	n.recorder.record(port.Decision{
 		Kind: port.DecisionAnswered, Subject: job.subject, Pool: accepted.pool.Name, Replica: replica,
-		Revision: accepted.snapshot.View.Revision, Attempt: loop.Made(), Verdict: port.Ran, Spans: loop.Spans(),
+		Revision: accepted.snapshot.View.Revision, Attempt: loop.Attempts(), Verdict: port.Ran, Spans: loop.Spans(),
 	})
 }
--- a/internal/app/node/homes.go
+++ b/internal/app/node/homes.go
@@ -20,7 +20,7 @@
 }
 
 func (e loadReported) apply(c *controller, now time.Time) {
-	c.state.LoadReported(now, e.askedAt, e.replica, e.report, e.err)
+	c.state.HandleLoadReport(now, e.askedAt, e.replica, e.report, e.err)
 }
 
 // enginePoll is the polling of one engine.
@@ -102,9 +102,9 @@
 // outcomesTaken brings the outcomes of calls to replicas of this home.
 type outcomesTaken struct{ outcomes []nodestate.CallOutcome }
 
-func (e outcomesTaken) apply(c *controller, now time.Time) { c.state.Outcomes(now, e.outcomes) }
+func (e outcomesTaken) apply(c *controller, now time.Time) { c.state.HandleOutcomes(now, e.outcomes) }
 
 // callEnded is the end of an application call made by this node.
 type callEnded struct{ outcome nodestate.CallOutcome }
 
-func (e callEnded) apply(c *controller, now time.Time) { c.state.CallEnded(now, e.outcome) }
+func (e callEnded) apply(c *controller, now time.Time) { c.state.HandleCallOutcome(now, e.outcome) }
--- a/internal/app/node/machines.go
+++ b/internal/app/node/machines.go
@@ -14,21 +14,21 @@
 type machinesTold struct{ message nodestate.MachinesMessage }
 
 func (e machinesTold) apply(c *controller, now time.Time) {
-	c.state.Machines(now, e.message)
+	c.state.HandleMachines(now, e.message)
 	c.node.machinesHeard.Store(now.UnixNano())
 }
 
 // pollMachines asks the machine list while this node has to, and tells the zone.
 func (n *Node) pollMachines(ctx context.Context) {
 	interval := n.config.Intervals.MachineList
-	ticker := time.NewTicker(nodestate.MachineLook(interval))
+	ticker := time.NewTicker(nodestate.MachinePollCheckInterval(interval))
 	defer ticker.Stop()
 	var asked time.Time
 	for {
 		now, current := time.Now(), n.snapshot.Load()
 		heard := time.Unix(0, n.machinesHeard.Load())
 		base := current.View.Configuration.MachineList
-		if base != "" && nodestate.PollsMachines(now, interval, current.ZoneNodes, n.config.ID, asked, heard) {
+		if base != "" && nodestate.ShouldPollMachines(now, interval, current.ZoneNodes, n.config.ID, asked, heard) {
 			asked = now
 			n.pollMachinesOnce(ctx, base)
 		}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return
 	}
-	message := nodestate.MachinesMessage{Node: n.config.ID, Leaving: home.LeavingOf(machines)}
+	message := nodestate.MachinesMessage{Node: n.config.ID, Leaving: home.FilterLeaving(machines)}
 	n.post(machinesTold{message})
 	for _, node := range n.zonePeers() {
 		n.peers.send(node.PeerAddress, methodMachines, message)
--- a/internal/app/node/poolstate.go
+++ b/internal/app/node/poolstate.go
@@ -19,8 +19,8 @@
 }
 
 // askHomes asks the homes of an engine pool for their replicas.
-func (w *poolWorker) askHomes(action poolworker.AskHomes) {
-	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Out: action.Out}
+func (w *poolWorker) askHomes(action poolworker.PollHomes) {
+	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Excluded: action.Excluded}
 	w.post(statesPolled{w.node.poolStates(w.ctx, call)})
 }
 
--- a/internal/app/node/samplingmanager.go
+++ b/internal/app/node/samplingmanager.go
@@ -19,7 +19,7 @@
 
 	mutex    sync.Mutex
 	workers  map[port.PoolName]*poolWorker
-	seeker   *poolworker.Seeker
+	seeker   *poolworker.LeaseSelector
 	draining bool
 	running  sync.WaitGroup
 }
@@ -28,7 +28,7 @@
 	return &samplingManager{
 		node:    node,
 		workers: make(map[port.PoolName]*poolWorker),
-		seeker:  poolworker.NewSeeker(node.config.ID),
+		seeker:  poolworker.NewLeaseSelector(node.config.ID),
 	}
 }
 
@@ -55,7 +55,7 @@
 		return
 	}
 	running := func(pool port.PoolName) bool { return m.workers[pool] != nil }
-	for _, pool := range m.seeker.Wanted(now, m.node.snapshot.Load().View, running) {
+	for _, pool := range m.seeker.Acquirable(now, m.node.snapshot.Load().View, running) {
 		m.start(pool)
 	}
 }
@@ -69,7 +69,7 @@
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
 		delete(m.workers, pool)
-		m.seeker.Ended(time.Now(), pool)
+		m.seeker.WorkerEnded(time.Now(), pool)
 	})
 }
 
--- a/internal/app/node/serve.go
+++ b/internal/app/node/serve.go
@@ -120,13 +120,13 @@
 
 // endGeneration gives the place back and tells the judge how it went.
 func (n *Node) endGeneration(grant *gate.Grant, tokens int, failure *port.Error, abandoned bool, elapsed time.Duration) {
-	judged := home.JudgeGeneration(failure, abandoned, tokens, elapsed)
+	judged := home.ClassifyGeneration(failure, abandoned, tokens, elapsed)
 	grant.Release(judged.Outcome)
-	if judged.Counts {
+	if judged.AffectsHealth {
 		n.post(outcomesTaken{[]nodestate.CallOutcome{outcomeOf(grant.Replica, judged)}})
 	}
 }
 
-func outcomeOf(replica port.ReplicaID, judged home.Judged) nodestate.CallOutcome {
+func outcomeOf(replica port.ReplicaID, judged home.Classification) nodestate.CallOutcome {
 	return nodestate.CallOutcome{Replica: replica, Failed: judged.Failed, LatencyMicros: judged.Latency.Microseconds()}
 }
--- a/internal/app/proxy/candidates.go
+++ b/internal/app/proxy/candidates.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
@@ -35,7 +35,7 @@
 	defer p.mutex.Unlock()
 	for _, replica := range all {
 		left := view.ColdLeft(replica.ID, now)
-		if left == 0 || (share.Has(p.sender, replica.ID) && p.window(replica.ID).Room(share.PerSpan, now) > 0) {
+		if left == 0 || (share.Has(p.sender, replica.ID) && p.window(replica.ID).Remaining(share.PerSpan, now) > 0) {
 			open.replicas = append(open.replicas, replica)
 		} else if open.coldLeft == 0 || left < open.coldLeft {
 			open.coldLeft = left
@@ -45,10 +45,10 @@
 }
 
 // within lists the replicas that stand in homes.
-func within(view *siteview.View, replicas sitestate.ReplicaList, homes routing.Homes) []*sitestate.Replica {
+func within(view *siteview.View, replicas sitestate.ReplicaList, homes routing.AllowedRegions) []*sitestate.Replica {
 	home := make([]*sitestate.Replica, 0, replicas.Len())
 	for replica := range replicas.All() {
-		if homes.Allow(view.RegionOf(replica.Zone)) {
+		if homes.Allows(view.RegionOf(replica.Zone)) {
 			home = append(home, replica)
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // coldLimits gives what cold replicas of a service bear.
-func (p *Proxy) coldLimits(view *siteview.View, service string) coldshare.Limits {
+func (p *Proxy) coldLimits(view *siteview.View, service string) coldlimit.Limits {
 	limits := p.cold
 	limits.Rate = 0
 	if view.Table == nil {
@@ -69,10 +69,10 @@
 }
 
 // window gives what was sent to a replica lately, under the lock.
-func (p *Proxy) window(id string) *coldshare.Window {
+func (p *Proxy) window(id string) *coldlimit.Window {
 	window := p.windows[id]
 	if window == nil {
-		window = &coldshare.Window{}
+		window = &coldlimit.Window{}
 		p.windows[id] = window
 	}
 	return window
@@ -82,6 +82,6 @@
 func (p *Proxy) noteSent(service, id string, now time.Time) {
 	view := p.view()
 	if view != nil && p.coldLimits(view, service).Bounded() {
-		p.window(id).Note(now)
+		p.window(id).Record(now)
 	}
 }
--- a/internal/app/proxy/candidates_test.go
+++ b/internal/app/proxy/candidates_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/loomgrade/loomgrade/internal/app/replicacall"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 	"github.com/loomgrade/loomgrade/internal/port"
@@ -37,7 +37,7 @@
 func coldSender(name string, view *siteview.View) *Proxy {
 	return New(Config{
 		Dialect: terms{}, Connections: 1, View: func() *siteview.View { return view }, Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
-		Sender: name, Cold: coldshare.Limits{Overshoot: 1.5, Slack: 5},
+		Sender: name, Cold: coldlimit.Limits{Overshoot: 1.5, Slack: 5},
 	})
 }
 
@@ -80,10 +80,10 @@
 		}
 		count++
 	}
-	if want := (coldshare.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}).ShareOf(1).PerSpan; count != want {
+	if want := (coldlimit.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}).ShareOf(1).PerSpan; count != want {
 		t.Errorf("%d requests at once, want %d", count, want)
 	}
-	time.Sleep(coldshare.Span)
+	time.Sleep(coldlimit.Span)
 	if _, found := sender.pick(&Request{Service: "s"}, map[string]bool{}); !found {
 		t.Error("nothing is sent a span later")
 	}
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -304,7 +304,7 @@
 	case ended.class == classRefused:
 		return balance.ResultFull
 	case e.ctx.Err() != nil:
-		return balance.ResultGivenUp
+		return balance.ResultCancelled
 	default:
 		return balance.ResultFailed
 	}
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -17,7 +17,7 @@
 	"github.com/loomgrade/loomgrade/internal/app/replicacall"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
 	"github.com/loomgrade/loomgrade/internal/core/balance"
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 	"github.com/loomgrade/loomgrade/internal/core/quarantine"
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
@@ -39,12 +39,12 @@
 	held *held.Budget
 	// sender and cold say what this process may send cold replicas.
 	sender string
-	cold   coldshare.Limits
+	cold   coldlimit.Limits
 
 	mutex    sync.Mutex
 	balancer *balance.Balancer
 	// windows are what was sent to replicas lately, where cold ones bear little.
-	windows map[string]*coldshare.Window
+	windows map[string]*coldlimit.Window
 }
 
 // Config sets a Proxy up.
@@ -60,7 +60,7 @@
 	// Sender names the process among those that send to replicas, and Cold is what its cold
 	// replicas bear beyond their service's rate.
 	Sender string
-	Cold   coldshare.Limits
+	Cold   coldlimit.Limits
 	// Guard withholds requests under which replicas end; nil withholds none.
 	Guard *guard.Guard
 	// Clock also counts suspended time; nil is that of the machine.
@@ -72,7 +72,7 @@
 	return &Proxy{
 		client: replicacall.New(config.Dialect, config.Connections), headers: config.Dialect.Headers(), readLoad: config.Dialect.ReadLoad,
 		view: config.View, logger: config.Logger, guard: config.Guard, clock: config.Clock.OrSystem(), balancer: balance.New(),
-		held: config.Held, sender: config.Sender, cold: config.Cold, windows: map[string]*coldshare.Window{},
+		held: config.Held, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
 	}
 }
 
@@ -89,7 +89,7 @@
 	// Aim is the time within which an answer is worth most; 0 is none.
 	Aim time.Duration
 	// Homes are the regions in which it may be served.
-	Homes routing.Homes
+	Homes routing.AllowedRegions
 	// Stream hands the answer over with its head, its body unread.
 	Stream bool
 }
@@ -195,7 +195,7 @@
 	if left := p.candidates(request, time.Now()).coldLeft; left > 0 {
 		return "the replicas of the service are cold, and this process has no share of what they bear", left
 	}
-	if request.Homes.Bound() {
+	if request.Homes.Restricted() {
 		return "no replica of the service is known in the regions where the request may be served: " + request.Homes.String(), 0
 	}
 	if view := p.view(); view != nil && len(view.Drained) > 0 {
@@ -226,7 +226,7 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.balancer.Told(id, load, time.Now())
+	p.balancer.RecordLoad(id, load, time.Now())
 }
 
 // Observe takes a new view in: what is known of replicas that are gone is dropped.
@@ -234,8 +234,8 @@
 	p.guard.Observe(view)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.balancer.Forget(view.Replicas.Has)
-	maps.DeleteFunc(p.windows, func(id string, _ *coldshare.Window) bool { return !view.Replicas.Has(id) })
+	p.balancer.Retain(view.Replicas.Has)
+	maps.DeleteFunc(p.windows, func(id string, _ *coldlimit.Window) bool { return !view.Replicas.Has(id) })
 }
 
 // hedgeAfter is how long the first try of a repeatable request is waited for
--- a/internal/app/proxy/suspect.go
+++ b/internal/app/proxy/suspect.go
@@ -39,7 +39,7 @@
 	if e.admitted.Trial || e.sends == 0 {
 		return false
 	}
-	return len(e.broke) >= quarantine.EndsUntilWithheld || e.proxy.guard.Withholds(e.request.identity())
+	return len(e.broke) >= quarantine.CrashesUntilWithheld || e.proxy.guard.Withholds(e.request.identity())
 }
 
 // streamBody is the body of a streamed answer. It tells the guard how the stream ended, and
--- a/internal/app/sitecontrol/calls.go
+++ b/internal/app/sitecontrol/calls.go
@@ -172,7 +172,7 @@
 		return answer, nil
 	case errors.As(err, &refused):
 		return Answer{}, refused
-	case errors.As(err, &notLeader), errors.Is(err, group.ErrNotReady), errors.Is(err, groupmember.ErrDisplaced):
+	case errors.As(err, &notLeader), errors.Is(err, group.ErrNotReady), errors.Is(err, groupmember.ErrProposalReplaced):
 		return Answer{NotLeader: true}, nil
 	default:
 		return Answer{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "%v", err)
--- a/internal/app/sitecontrol/clock.go
+++ b/internal/app/sitecontrol/clock.go
@@ -105,11 +105,11 @@
 func (s *siteClock) readOne(ctx context.Context, address string) *sitetime.Reading {
 	began := s.now()
 	if address == s.control.config.Address {
-		return &sitetime.Reading{Steady: began, Wall: time.Now().Round(0)}
+		return &sitetime.Reading{Monotonic: began, Wall: time.Now().Round(0)}
 	}
 	var answer clockAnswer
 	if s.control.pool.Client(address).Call(ctx, methodClock, clockRequest{}, &answer) != nil {
 		return nil
 	}
-	return &sitetime.Reading{Steady: began + (s.now()-began)/2, Wall: answer.Wall}
+	return &sitetime.Reading{Monotonic: began + (s.now()-began)/2, Wall: answer.Wall}
 }
--- a/internal/app/sitecontrol/clock_test.go
+++ b/internal/app/sitecontrol/clock_test.go
@@ -12,7 +12,7 @@
 func TestTheSitesTimeGoesOnInSuspension(t *testing.T) {
 	passed, wall := time.Hour, time.Unix(1_000_000, 0)
 	clock := newSiteClock(&Control{config: Config{Clock: func() time.Duration { return passed }}})
-	offset, sure := sitetime.Estimate([]sitetime.Reading{{Steady: passed, Wall: wall}}, 1)
+	offset, sure := sitetime.Estimate([]sitetime.Reading{{Monotonic: passed, Wall: wall}}, 1)
 	if !sure {
 		t.Fatal("no estimate")
 	}
--- a/internal/app/sitecontrol/drains.go
+++ b/internal/app/sitecontrol/drains.go
@@ -19,14 +19,14 @@
 	if err := c.needs(sitestate.LevelDrains); err != nil {
 		return Answer{}, err
 	}
-	if drain.Back {
+	if drain.End {
 		drain.ColdMillis = c.warmups()
 	}
 	outcome, err := c.propose(ctx, sitestate.Command{Drain: &drain})
-	if drain.Back && err == nil {
+	if drain.End && err == nil {
 		c.heartbeats.coolZone(drain)
 	}
-	c.config.Logger.Info().Str(eventlog.Field, eventlog.ZoneDrained).Str("zone", drain.Zone).Bool("drained", !drain.Back).
+	c.config.Logger.Info().Str(eventlog.Field, eventlog.ZoneDrained).Str("zone", drain.Zone).Bool("drained", !drain.End).
 		Uint8("outcome", uint8(outcome)).Uint64("position", c.view.Load().Position).Err(err).Msg("a zone was drained, or taken back")
 	return Answer{Outcome: outcome}, err
 }
--- a/internal/app/sitecontrol/heartbeats.go
+++ b/internal/app/sitecontrol/heartbeats.go
@@ -98,7 +98,7 @@
 
 // held gives what the view has of the start that a report comes from.
 func (h *heartbeats) held(report sitestate.Replica) (sitestate.Replica, bool) {
-	return h.control.view.Load().StartOf(report.InstanceName(), report.Born)
+	return h.control.view.Load().StartOf(report.InstanceName(), report.StartedAt)
 }
 
 // checked is held for a report that must be of a service and a zone of the site, unless the
@@ -172,12 +172,12 @@
 // leave takes out a replica that says it ends. An earlier start than the one known has
 // ended already; a later one, of which nothing was heard, has ended that one too.
 func (h *heartbeats) leave(ctx context.Context, left sitestate.Leave) (Answer, error) {
-	identity, err := h.control.identify(ctx, left.ID, left.Born)
-	if err != nil || identity.Standing == sitestate.StandingPast {
+	identity, err := h.control.identify(ctx, left.ID, left.StartedAt)
+	if err != nil || identity.Order == sitestate.StartOutdated {
 		return Answer{}, err
 	}
-	if identity.Standing == sitestate.StandingNext {
-		if _, err := h.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: identity.Earlier}}); err != nil {
+	if identity.Order == sitestate.StartNewer {
+		if _, err := h.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: identity.Replaces}}); err != nil {
 			return Answer{}, err
 		}
 	}
@@ -204,7 +204,7 @@
 func sameReport(held, report sitestate.Replica) bool {
 	sameState := held.State == report.State || held.State == sitestate.ReplicaDraining
 	return sameState && held.Service == report.Service && held.Address == report.Address &&
-		held.Zone == report.Zone && held.Slots == report.Slots && held.Born == report.Born && slices.Equal(held.Models, report.Models)
+		held.Zone == report.Zone && held.Slots == report.Slots && held.StartedAt == report.StartedAt && slices.Equal(held.Models, report.Models)
 }
 
 // tend takes out replicas that have long been silent, or tells the leader which
@@ -225,7 +225,7 @@
 	replicas := h.control.view.Load().Replicas
 	for _, id := range h.silent(replicas, now) {
 		h.control.config.Logger.Warn().Str(eventlog.Field, eventlog.ReplicaSilent).Str("replica", id).Msg("a replica was not heard of and is taken out")
-		_, _ = h.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: id, Silent: true}})
+		_, _ = h.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: id, TimedOut: true}})
 	}
 }
 
--- a/internal/app/sitecontrol/loads.go
+++ b/internal/app/sitecontrol/loads.go
@@ -120,7 +120,7 @@
 func (w *weightsManager) follow(ctx context.Context, target weightplan.Target) bool {
 	answered := time.Now()
 	for {
-		if w.control.view.Load().Drains(target.Replica.Zone) {
+		if w.control.view.Load().IsDrained(target.Replica.Zone) {
 			return false
 		}
 		report, err := w.report(ctx, target.Replica)
--- a/internal/app/sitecontrol/quarantine.go
+++ b/internal/app/sitecontrol/quarantine.go
@@ -18,7 +18,7 @@
 
 const (
 	// suspectFor is how long the leader keeps a suspect to which nothing happens. A request
-	// that comes less often than that takes EndsUntilWithheld replicas each time.
+	// that comes less often than that takes CrashesUntilWithheld replicas each time.
 	suspectFor = time.Hour
 	// suspectLook is how often it looks.
 	suspectLook = 10 * time.Second
--- a/internal/app/sitecontrol/recent.go
+++ b/internal/app/sitecontrol/recent.go
@@ -40,7 +40,7 @@
 
 // answer gives what is sent of it: a large one packed, ahead of one that says its position.
 func (u *recentUpdate) answer() siteview.WatchAnswer {
-	if len(u.update.Replicas)+len(u.update.Gone) < leastShared {
+	if len(u.update.Replicas)+len(u.update.Removed) < leastShared {
 		return siteview.WatchAnswer{Update: u.update}
 	}
 	u.once.Do(func() {
--- a/internal/app/sitecontrol/regions.go
+++ b/internal/app/sitecontrol/regions.go
@@ -25,7 +25,7 @@
 
 // wanted gives how many shards the site is to have.
 func (s *stores) wanted(alive []sitestate.Store, view *sitestate.View) int {
-	wanted := shardplan.Wanted(len(alive), s.places(view), s.limits())
+	wanted := shardplan.ShardCount(len(alive), s.places(view), s.limits())
 	if !s.byRegion() {
 		return wanted
 	}
@@ -114,7 +114,7 @@
 func (s *stores) jobRegions(service string) (regions []string, clear bool) {
 	first := true
 	for _, route := range s.control.table.Load().Document().Routes {
-		if route.Kind != routing.KindJobs || !route.LeadsTo(service) {
+		if route.Kind != routing.KindJobs || !route.RoutesTo(service) {
 			continue
 		}
 		if !first && !slices.Equal(regions, route.Regions) {
--- a/internal/app/sitecontrol/registrar.go
+++ b/internal/app/sitecontrol/registrar.go
@@ -43,7 +43,7 @@
 }
 
 func keyOf(report *sitestate.Replica) reportKey {
-	return reportKey{name: report.InstanceName(), born: report.Born}
+	return reportKey{name: report.InstanceName(), born: report.StartedAt}
 }
 
 // saysTheSame reports whether a report that is under way stands for another one of its start.
@@ -129,7 +129,7 @@
 	identities := make([]sitestate.Identity, len(batch))
 	err := r.control.member.Inspect(ctx, func(machine groupmember.StateMachine) {
 		for i, entry := range batch {
-			identities[i] = machine.(*sitestate.State).Identify(entry.report.InstanceName(), entry.report.Born)
+			identities[i] = machine.(*sitestate.State).Identify(entry.report.InstanceName(), entry.report.StartedAt)
 		}
 	})
 	var tasks errgroup.Group
@@ -150,16 +150,16 @@
 // ended with it, and one that is earlier itself is refused.
 func (r *registrar) commitOne(ctx context.Context, report sitestate.Replica, identity sitestate.Identity) (sitestate.Outcome, error) {
 	name := report.InstanceName()
-	switch identity.Standing {
-	case sitestate.StandingPast:
+	switch identity.Order {
+	case sitestate.StartOutdated:
 		return 0, port.NewError(port.NotRun, port.CodeFenced, "a later start of replica %s is known", name)
-	case sitestate.StandingNext:
-		r.control.config.Logger.Info().Str(eventlog.Field, eventlog.ReplicaRestarted).Str("replica", identity.ID).Str("before", identity.Earlier).
-			Uint64("born", report.Born).Msg("a replica has started again under its name")
-		if _, err := r.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: identity.Earlier}}); err != nil {
+	case sitestate.StartNewer:
+		r.control.config.Logger.Info().Str(eventlog.Field, eventlog.ReplicaRestarted).Str("replica", identity.ID).Str("before", identity.Replaces).
+			Uint64("born", report.StartedAt).Msg("a replica has started again under its name")
+		if _, err := r.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: identity.Replaces}}); err != nil {
 			return 0, err
 		}
-	case sitestate.StandingCurrent:
+	case sitestate.StartCurrent:
 	}
 	if report.ID = identity.ID; report.ID != name {
 		report.Instance = name
--- a/internal/app/sitecontrol/shards.go
+++ b/internal/app/sitecontrol/shards.go
@@ -42,7 +42,7 @@
 
 func (s *stores) limits() shardplan.Limits {
 	return shardplan.Limits{
-		Voters: s.voters(), Spares: s.control.config.ToleratedLosses + 1, PlacesPerShard: s.control.config.PlacesPerShard,
+		Voters: s.voters(), Spares: s.control.config.ToleratedLosses + 1, SlotsPerShard: s.control.config.PlacesPerShard,
 	}
 }
 
@@ -92,7 +92,7 @@
 			ID: number.FounderID(i), Address: store.Address, Name: store.Name, Incarnation: store.Incarnation,
 		})
 	}
-	_, err := s.control.propose(ctx, sitestate.Command{Found: &sitestate.Found{Shard: sitestate.Shard{Number: number, Founders: founders}}})
+	_, err := s.control.propose(ctx, sitestate.Command{CreateShard: &sitestate.CreateShard{Shard: sitestate.Shard{Number: number, Founders: founders}}})
 	s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreGroupFounded).Uint32("shard", uint32(number)).Int("founders", len(founders)).
 		Int("wanted", s.voters()).Err(err).Msg("a shard's group has founders")
 }
@@ -143,7 +143,7 @@
 		return Answer{Shard: held}, nil
 	}
 	view := s.control.view.Load()
-	chosen := shardplan.For(placed, shards, func(shard sitestate.ShardNumber) bool { return s.keptIn(view, shard, request.Regions) })
+	chosen := shardplan.ShardForModel(placed, shards, func(shard sitestate.ShardNumber) bool { return s.keptIn(view, shard, request.Regions) })
 	if chosen == 0 {
 		return Answer{}, port.NewError(port.NotRun, port.CodeUnavailable, "no shard is founded yet that is kept in the regions %v", request.Regions)
 	}
--- a/internal/app/sitecontrol/usage.go
+++ b/internal/app/sitecontrol/usage.go
@@ -125,15 +125,15 @@
 func (u *usageManager) keep(ctx context.Context, batch []usageReport) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	noted := make([]usage.Noted, 0, len(batch))
+	noted := make([]usage.WindowedReport, 0, len(batch))
 	for _, waiting := range batch {
 		at, sure := u.clock.timeOf(waiting.arrived)
 		if !sure {
 			return port.NewError(port.NotRun, port.CodeUnavailable, "the time of the site is not known yet")
 		}
-		noted = append(noted, waiting.report.Place(at, u.control.config.UsageWindow))
+		noted = append(noted, waiting.report.AssignWindows(at, u.control.config.UsageWindow))
 	}
-	outcome, err := u.control.propose(ctx, sitestate.Command{Usage: &sitestate.Usage{Noted: noted}})
+	outcome, err := u.control.propose(ctx, sitestate.Command{Usage: &sitestate.Usage{Reports: noted}})
 	if err == nil && outcome == sitestate.OutcomeIgnored {
 		u.control.config.Logger.Warn().Str(eventlog.Field, eventlog.UsageLate).Int("reports", len(batch)).
 			Msg("requests were not counted: the report of their window is made already")
@@ -160,13 +160,13 @@
 	var unsent []usage.Total
 	var due bool
 	if u.control.member.Inspect(ctx, func(machine groupmember.StateMachine) {
-		unsent = machine.(*sitestate.State).Unsent()
+		unsent = machine.(*sitestate.State).UnreportedUsage()
 		due = machine.(*sitestate.State).UsageDue(over)
 	}) != nil {
 		return
 	}
 	if due {
-		_, _ = u.control.propose(ctx, sitestate.Command{Usage: &sitestate.Usage{FixUpTo: &over}})
+		_, _ = u.control.propose(ctx, sitestate.Command{Usage: &sitestate.Usage{CloseUpTo: &over}})
 		return
 	}
 	if len(unsent) > 0 && !u.sending.Load() && now >= time.Duration(u.retryAt.Load()) && u.control.lease.hold(ctx) {
@@ -189,7 +189,7 @@
 		status, err = u.control.config.Provider.ReportUsage(ctx, Authority{Machine: u.control.config.Machine, Fence: confirmed.term}, total)
 	}
 	if err == nil && status == http.StatusOK {
-		_, err = u.control.propose(ctx, sitestate.Command{Usage: &sitestate.Usage{Sent: &total.Window}})
+		_, err = u.control.propose(ctx, sitestate.Command{Usage: &sitestate.Usage{Reported: &total.Window}})
 	}
 	u.control.config.Logger.Info().Str(eventlog.Field, eventlog.UsageReported).Int64("window", int64(total.Window)).Int("tenants", len(total.Counts)).
 		Uint64("fence", confirmed.term).Int("status", status).Dur("took", time.Since(began)).Err(err).Msg("a window of usage was reported")
--- a/internal/app/sitecontrol/weights.go
+++ b/internal/app/sitecontrol/weights.go
@@ -104,14 +104,14 @@
 	_, open := w.control.stores.reportedDemand()
 	loading, resting := w.underWay(time.Now())
 	limits := weightplan.Limits{
-		Total: max(leastLoadsAtOnce, int(loadsShare*float64(len(replicas)))), Share: loadShare, Resting: resting,
+		Total: max(leastLoadsAtOnce, int(loadsShare*float64(len(replicas)))), Share: loadShare, InBackoff: resting,
 		Shards: view.Placed,
 	}
 	if w.onlyForJobs(service.Name) && len(replicas) > 0 {
-		limits.Needed = weightplan.Need(open, replicas[0].Slots)
+		limits.Needed = weightplan.NeededReplicas(open, replicas[0].Slots)
 	}
 	targets := weightplan.Next(replicas, view.Weights, loading, limits)
-	targets = append(targets, weightplan.Spread(replicas, view.Weights, loading, targets, limits)...)
+	targets = append(targets, weightplan.ExtraLoads(replicas, view.Weights, loading, targets, limits)...)
 	for _, target := range targets {
 		w.mutex.Lock()
 		w.loading[target.Replica.ID] = target.Model
@@ -135,7 +135,7 @@
 // for these is it known how many replicas with new weights are needed.
 func (w *weightsManager) onlyForJobs(service string) bool {
 	for _, route := range w.control.table.Load().Document().Routes {
-		if route.Kind != routing.KindJobs && route.LeadsTo(service) {
+		if route.Kind != routing.KindJobs && route.RoutesTo(service) {
 			return false
 		}
 	}
--- a/internal/app/sitecontrol/wholeview_test.go
+++ b/internal/app/sitecontrol/wholeview_test.go
@@ -11,7 +11,7 @@
 
 // viewOf gives a view of so many replicas at a position.
 func viewOf(position uint64, replicas int) *sitestate.View {
-	update := sitestate.Update{Position: position, Whole: true}
+	update := sitestate.Update{Position: position, Full: true}
 	for i := range replicas {
 		update.Replicas = append(update.Replicas, sitestate.Replica{
 			ID: fmt.Sprint("replica-", i), Service: "lm", Address: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250), Zone: "z", Model: "m",
@@ -47,7 +47,7 @@
 		}
 		before = packed
 		var update sitestate.Update
-		if err := wire.UnmarshalPacked(packed, 1<<20, &update); err != nil || update.Position != step.want || len(update.Replicas) != 3 || !update.Whole {
+		if err := wire.UnmarshalPacked(packed, 1<<20, &update); err != nil || update.Position != step.want || len(update.Replicas) != 3 || !update.Full {
 			t.Errorf("%s: %+v, %v", step.name, update, err)
 		}
 	}
--- a/internal/app/sitestore/calls.go
+++ b/internal/app/sitestore/calls.go
@@ -30,7 +30,7 @@
 	case err == nil:
 	case errors.As(err, &notLeader):
 		answer = jobsapi.Answer{NotLeader: true, Leader: s.leader(group.Shard(request.Shard), notLeader)}
-	case errors.Is(err, group.ErrNotReady), errors.Is(err, groupmember.ErrDisplaced):
+	case errors.Is(err, group.ErrNotReady), errors.Is(err, groupmember.ErrProposalReplaced):
 		return port.NewError(port.NotRun, port.CodeUnavailable, "%v", err)
 	default:
 		return port.AsError(err)
@@ -86,7 +86,7 @@
 		return jobsapi.Answer{}, err
 	}
 	outcome, _ := result.(jobstate.AcceptOutcome)
-	if outcome == jobstate.OfAnotherTenant {
+	if outcome == jobstate.OwnedByOtherTenant {
 		return jobsapi.Answer{}, port.NewError(port.NotRun, port.CodeInvalid, "the job's id is taken")
 	}
 	return jobsapi.Answer{Accepted: outcome}, nil
@@ -99,7 +99,7 @@
 	case err != nil:
 		return jobsapi.Answer{}, err
 	case held:
-		return jobsapi.Answer{Accepted: jobstate.AcceptedBefore}, nil
+		return jobsapi.Answer{Accepted: jobstate.AlreadyAccepted}, nil
 	default:
 		return jobsapi.Answer{}, refusal
 	}
@@ -117,7 +117,7 @@
 // the same id is nobody else's business.
 func reachable(machine groupmember.StateMachine, id string, access *jobstate.Access) *jobstate.Job {
 	job := machine.(*jobstate.State).Job(id)
-	if job == nil || !access.Reaches(job) {
+	if job == nil || !access.Allows(job) {
 		return nil
 	}
 	return job
--- a/internal/app/sitestore/items.go
+++ b/internal/app/sitestore/items.go
@@ -60,7 +60,7 @@
 // openItems copies the items of a job that have no result, in the loop's
 // goroutine.
 func openItems(job *jobstate.Job, now time.Time) []*work {
-	ranks, longest := jobqueue.Ranks(job), job.Longest()
+	ranks, longest := jobqueue.Ranks(job), job.LongestExpected()
 	var open []*work
 	for i := range job.Items {
 		if job.Items[i].Result == jobstate.ResultNone {
@@ -93,16 +93,16 @@
 	if route == nil {
 		return nil, ""
 	}
-	return route, route.Choose(uint64(item.key.Item))
+	return route, route.ServiceFor(uint64(item.key.Item))
 }
 
 // homes gives the regions in which an item may run.
-func (r *runner) homes(item *work) routing.Homes {
+func (r *runner) homes(item *work) routing.AllowedRegions {
 	route, _ := r.route(item)
 	if route == nil {
-		return routing.Homes{}
+		return routing.AllowedRegions{}
 	}
-	return routing.HomesOf(route, r.table.Tenant(item.tenant))
+	return routing.AllowedRegionsOf(route, r.table.Tenant(item.tenant))
 }
 
 // enqueue lets an item wait for a replica, or goes on with its score if its
--- a/internal/app/sitestore/move.go
+++ b/internal/app/sitestore/move.go
@@ -75,7 +75,7 @@
 		_, service := r.route(item)
 		waiting := r.waiting(item, service)
 		waiting.Relaxed = false
-		runs = append(runs, jobqueue.Run{Item: waiting, Replica: item.replica, Pace: pace, Left: r.lengths.left(item)})
+		runs = append(runs, jobqueue.Run{Item: waiting, Replica: item.replica, Pace: pace, RemainingEvents: r.lengths.left(item)})
 	}
 	for replica, measured := range paces {
 		r.replicas.watched(replica, measured, now)
@@ -99,7 +99,7 @@
 func (r *runner) waiting(item *work, service string) jobqueue.Item {
 	return jobqueue.Item{
 		Homes: r.homes(item),
-		Key:   item.key, Service: service, Model: item.model, MinVersion: item.minVersion, Only: item.only(),
+		Key:   item.key, Service: service, Model: item.model, MinVersion: item.minVersion, ExactVersion: item.only(),
 		Group: item.item.Group, Rank: item.rank, Avoid: item.avoid,
 		Relaxed: float64(item.item.ExpectedLength()) < relaxedShare*float64(item.longest),
 	}
--- a/internal/app/sitestore/outcome.go
+++ b/internal/app/sitestore/outcome.go
@@ -69,7 +69,7 @@
 // there, else it waits for another one.
 func (r *runner) goOn(item *work, next string) {
 	view := r.store.config.Watcher.View()
-	if replica, present := view.Replicas.Get(next); present && view.Takes(&replica) && !item.isWhole() {
+	if replica, present := view.Replicas.Get(next); present && view.Routable(&replica) && !item.isWhole() {
 		r.startRun(item, replica, view.Position)
 		return
 	}
--- a/internal/app/sitestore/place.go
+++ b/internal/app/sitestore/place.go
@@ -51,11 +51,11 @@
 func (r *runner) freeStranded(candidates []jobqueue.Replica) {
 	var stranded []jobqueue.Key
 	r.queue.Drop(func(item jobqueue.Item) bool {
-		if item.Only == 0 {
+		if item.ExactVersion == 0 {
 			return false
 		}
 		for _, replica := range candidates {
-			if replica.Version(item.Model) <= item.Only {
+			if replica.Version(item.Model) <= item.ExactVersion {
 				return false
 			}
 		}
--- a/internal/app/sitestore/register.go
+++ b/internal/app/sitestore/register.go
@@ -155,7 +155,7 @@
 		return
 	}
 	heartbeat.Members = []string{}
-	heartbeat.Vacant = groupmember.Vacant(shown.Status, shown.Records, s.leaving(), s.member.Limits())
+	heartbeat.Vacant = groupmember.FreeSlots(shown.Status, shown.Records, s.leaving(), s.member.Limits())
 	whole := 0
 	// A member has a record until its removal is committed: only then may its
 	// machine be taken away.
--- a/internal/app/sitestore/replicabook.go
+++ b/internal/app/sitestore/replicabook.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 	"github.com/loomgrade/loomgrade/internal/core/jobqueue"
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
@@ -23,7 +23,7 @@
 type replicaBook struct {
 	shard sitestate.ShardNumber
 	// cold is what cold replicas bear beyond their service's rate.
-	cold     coldshare.Limits
+	cold     coldlimit.Limits
 	replicas map[string]*replicaEntry
 	// pace is that of all replicas together.
 	pace pace
@@ -44,7 +44,7 @@
 	slots     int
 	known     *replicaEntry
 	// cold is what the replica bears while it is cold.
-	cold coldshare.Limits
+	cold coldlimit.Limits
 }
 
 type replicaEntry struct {
@@ -63,7 +63,7 @@
 	// versions are weight versions that answers showed, newer than the view.
 	versions map[string]uint64
 	// sent counts items against what the replica bears while it is cold.
-	sent coldshare.Window
+	sent coldlimit.Window
 }
 
 func newReplicaBook(shard sitestate.ShardNumber) *replicaBook {
@@ -83,7 +83,7 @@
 func (b *replicaBook) enter(item *work, replica string, now time.Time) {
 	known := b.entry(replica)
 	known.running++
-	known.sent.Note(now)
+	known.sent.Record(now)
 	known.groups[item.item.Group] = now
 	item.replica = replica
 }
@@ -157,7 +157,7 @@
 		candidate.Running = listed.known.running + listed.known.reserved
 		candidate.Free = listed.slots - candidate.Running
 		if listed.cold.Bounded() && view.ColdLeft(candidate.ID, now) > 0 {
-			candidate.Free = min(candidate.Free, listed.known.sent.Room(listed.cold.RunnerPerSpan(), now))
+			candidate.Free = min(candidate.Free, listed.known.sent.Remaining(listed.cold.RunnerPerSpan(), now))
 		}
 		candidate.Pace = b.expected(listed.known, now)
 		b.open = append(b.open, candidate)
@@ -202,8 +202,8 @@
 	cold.Rate = described.WarmupRate
 	return listedReplica{slots: slotsOf(replica, described), known: known, cold: cold, candidate: jobqueue.Replica{
 		ID: replica.ID, Service: service, Region: b.view.RegionOf(replica.Zone),
-		Version: func(model string) uint64 { return max(replica.VersionOf(model), known.versions[model]) },
-		Groups:  func(group string) bool { return b.now.Sub(known.groups[group]) < promptKeptFor },
+		Version:   func(model string) uint64 { return max(replica.VersionOf(model), known.versions[model]) },
+		HasPrompt: func(group string) bool { return b.now.Sub(known.groups[group]) < promptKeptFor },
 	}}
 }
 
--- a/internal/app/sitestore/replicabook_test.go
+++ b/internal/app/sitestore/replicabook_test.go
@@ -35,13 +35,13 @@
 	item := &work{item: jobstate.Item{Group: "g"}}
 	book.enter(item, "a", bookTime)
 	a := candidate(t, book, view, table, "a", bookTime)
-	if a == nil || a.Free != 1 || a.Running != 1 || !a.Groups("g") || a.Groups("h") {
+	if a == nil || a.Free != 1 || a.Running != 1 || !a.HasPrompt("g") || a.HasPrompt("h") {
 		t.Errorf("%+v", a)
 	}
 	if b := candidate(t, book, view, table, "b", bookTime); b == nil || b.Free != 6 {
 		t.Errorf("%+v", b)
 	}
-	if later := candidate(t, book, view, table, "a", bookTime.Add(time.Minute)); later.Groups("g") {
+	if later := candidate(t, book, view, table, "a", bookTime.Add(time.Minute)); later.HasPrompt("g") {
 		t.Error("an old prompt is taken to be kept")
 	}
 	book.leave(item)
--- a/internal/app/sitestore/run.go
+++ b/internal/app/sitestore/run.go
@@ -232,7 +232,7 @@
 	if route == nil {
 		return nil, 1, &proxy.Failure{Verdict: port.NotRun, Code: port.CodeNotFound, Reason: "the reward call has no route"}
 	}
-	service := route.Choose(rand.Uint64())
+	service := route.ServiceFor(rand.Uint64())
 	most := scoresAtOnce(view, service)
 	if err := r.scores.enter(ctx, service, most); err != nil {
 		return nil, 1, &proxy.Failure{Verdict: port.NotRun, Code: port.CodeCancelled, Reason: "the job ended"}
@@ -243,7 +243,7 @@
 	answer, failure := r.store.config.Proxy.Do(ctx, proxy.Request{
 		Request: replicacall.Request{Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, ID: scorer.ID, Body: scorer.Body},
 		Service: service, Route: route.Name, Repeatable: true, MaxAttempts: 1,
-		Homes: routing.HomesOf(route, nil),
+		Homes: routing.AllowedRegionsOf(route, nil),
 	})
 	return answer, max(1, route.MaxAttempts), failure
 }
--- a/internal/app/sitestore/scoregate.go
+++ b/internal/app/sitestore/scoregate.go
@@ -33,7 +33,7 @@
 	for replica := range view.ByService[service].All() {
 		places += max(1, replica.Slots)
 	}
-	return jobqueue.ScoresAtOnce(places, len(view.Shards))
+	return jobqueue.MaxRewardCalls(places, len(view.Shards))
 }
 
 // enter waits for its turn at a service that takes so many calls at once. If it returns
--- a/internal/app/sitestore/store.go
+++ b/internal/app/sitestore/store.go
@@ -17,7 +17,7 @@
 	"github.com/loomgrade/loomgrade/internal/app/proxy"
 	"github.com/loomgrade/loomgrade/internal/app/replicacall"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 	"github.com/loomgrade/loomgrade/internal/core/jobstate"
 	"github.com/loomgrade/loomgrade/internal/dialect"
@@ -52,7 +52,7 @@
 	// ToleratedLosses is how many machines with a disk may be lost at once.
 	ToleratedLosses int
 	// Cold is what cold replicas bear beyond their service's rate.
-	Cold coldshare.Limits
+	Cold coldlimit.Limits
 	// Recorder measures items; nil measures nothing.
 	Recorder Recorder
 	// KeepJobs is how long a finished job can be asked about.
@@ -122,7 +122,7 @@
 		Self: groupmember.Record{Address: config.Address, Name: config.Machine},
 		Wire: config.Wire, Machine: func() groupmember.StateMachine { return jobstate.New() },
 		Origin: s.origin, Changed: s.changed, Leaving: s.leaving, Logger: config.Logger, Clock: config.Clock, Seed: config.Seed,
-		Limits: groupmember.Limits{Voters: s.wantedVoters(), LeastVoters: s.wantedVoters(), Learners: spareMembers},
+		Limits: groupmember.Limits{Voters: s.wantedVoters(), MinVoters: s.wantedVoters(), Learners: spareMembers},
 	})
 	s.runner = newRunner(s, replicacall.New(config.Dialect, connectionsToReplica))
 	return s
--- a/internal/app/sitestore/withhold.go
+++ b/internal/app/sitestore/withhold.go
@@ -11,7 +11,7 @@
 // trialAfter is how long an item that is withheld waits before each trial. An item that
 // only ran beside the cause must not be late by much more than the 5 s for which a job's
 // clients let an item rest; a replica that ended is back after about 2 s.
-var trialAfter = [quarantine.MostTrials]time.Duration{3 * time.Second, 4 * time.Second}
+var trialAfter = [quarantine.MaxTrials]time.Duration{3 * time.Second, 4 * time.Second}
 
 // replicaEnd is a replica that closed the connection while it ran an item.
 type replicaEnd struct {
@@ -46,7 +46,7 @@
 // good; it is given up with the others that are not done in their time.
 func (r *runner) withhold(item *work, now time.Time) bool {
 	ends := r.ends(item)
-	if ends < quarantine.EndsUntilWithheld || item.onTrial || r.trialDue(item, now) {
+	if ends < quarantine.CrashesUntilWithheld || item.onTrial || r.trialDue(item, now) {
 		delete(r.withheld, item.key)
 		return false
 	}
@@ -62,7 +62,7 @@
 // trialDue gives an item its next trial if it has waited long enough.
 func (r *runner) trialDue(item *work, now time.Time) bool {
 	waits := r.withheld[item.key] != nil
-	if !waits || item.trials >= quarantine.MostTrials || now.Sub(item.withheldAt) < trialAfter[item.trials] {
+	if !waits || item.trials >= quarantine.MaxTrials || now.Sub(item.withheldAt) < trialAfter[item.trials] {
 		return false
 	}
 	item.trials++
--- a/internal/app/sitestore/withhold_test.go
+++ b/internal/app/sitestore/withhold_test.go
@@ -89,7 +89,7 @@
 	if runs != 3 || r.ends(item) != 5 {
 		t.Errorf("%d runs, %d ends", runs, r.ends(item))
 	}
-	if kept, dirty := item.take(); !dirty || kept.Ends != 2 {
-		t.Errorf("the log is told of %d ends", kept.Ends)
+	if kept, dirty := item.take(); !dirty || kept.Crashes != 2 {
+		t.Errorf("the log is told of %d ends", kept.Crashes)
 	}
 }
--- a/internal/app/sitestore/work.go
+++ b/internal/app/sitestore/work.go
@@ -95,7 +95,7 @@
 		minVersion: job.Submission.MinVersion, oneVersion: job.Submission.OneVersion, model: job.Submission.Model,
 		item: item.Item, rank: rank, accepted: accepted, idleSince: accepted, longest: longest,
 		events: item.Events, kept: item.Events, lastEvent: item.LastEvent, versions: item.Versions,
-		whole: item.Whole, failures: item.Failures, earlierEnds: item.Ends,
+		whole: item.Complete, failures: item.Failures, earlierEnds: item.Crashes,
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	record = jobstate.ItemRecord{
 		Job: w.key.Job, Item: w.key.Item, Events: w.kept, Reset: w.reset, Text: w.text, LastEvent: w.lastEvent,
-		Versions: w.versions, Whole: w.whole, Failures: w.newFailures, Ends: w.newEnds, Result: w.result, Score: w.score,
+		Versions: w.versions, Complete: w.whole, Failures: w.newFailures, Crashes: w.newEnds, Result: w.result, Score: w.score,
 	}
 	w.kept, w.text, w.newFailures, w.newEnds, w.reset = w.events, nil, 0, 0, false
 	return record, true
--- a/internal/app/siteview/cold.go
+++ b/internal/app/siteview/cold.go
@@ -36,7 +36,7 @@
 	}
 	maps.DeleteFunc(cold, func(_ string, until time.Time) bool { return !until.After(now) })
 	for _, update := range updates {
-		for _, id := range update.Gone {
+		for _, id := range update.Removed {
 			delete(cold, id)
 		}
 		for i := range update.Replicas {
--- a/internal/app/siteview/cold_test.go
+++ b/internal/app/siteview/cold_test.go
@@ -21,7 +21,7 @@
 	again := coldAfter(warm, told("i", 4000), began.Add(2*time.Second))
 	shorter := coldAfter(again, told("i", 500), began.Add(3*time.Second))
 	past := coldAfter(shorter, told("other", 100), began.Add(10*time.Second))
-	gone := coldAfter(first, []sitestate.Update{{Gone: []string{"i"}}}, began.Add(time.Second))
+	gone := coldAfter(first, []sitestate.Update{{Removed: []string{"i"}}}, began.Add(time.Second))
 	for name, row := range map[string]struct {
 		cold  map[string]time.Time
 		after time.Duration
--- a/internal/app/siteview/regions.go
+++ b/internal/app/siteview/regions.go
@@ -10,15 +10,15 @@
 
 // KeepsWithin reports whether all machines that keep a shard's jobs stand in homes: those
 // of its group, and before they told so its founders.
-func (v *View) KeepsWithin(shard sitestate.ShardNumber, homes routing.Homes) bool {
-	if !homes.Bound() {
+func (v *View) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
+	if !homes.Restricted() {
 		return true
 	}
 	members := 0
 	for _, store := range v.Stores {
 		if store.Shard == shard || v.founds(shard, store.Name) {
 			members++
-			if !homes.Allow(v.RegionOf(store.Zone)) {
+			if !homes.Allows(v.RegionOf(store.Zone)) {
 				return false
 			}
 		}
@@ -27,7 +27,7 @@
 }
 
 // KeepsWithin asks the present view.
-func (w *Watcher) KeepsWithin(shard sitestate.ShardNumber, homes routing.Homes) bool {
+func (w *Watcher) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	view := w.View()
 	return view != nil && view.KeepsWithin(shard, homes)
 }
--- a/internal/app/siteview/siteview_test.go
+++ b/internal/app/siteview/siteview_test.go
@@ -14,11 +14,11 @@
 
 // TestAnswerBringsTheWholeStateAndWhatFollowed: in that order, after a way over the wire.
 func TestAnswerBringsTheWholeStateAndWhatFollowed(t *testing.T) {
-	whole, err := wire.MarshalPacked(sitestate.Update{Position: 7, Whole: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
+	whole, err := wire.MarshalPacked(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := WatchAnswer{Whole: whole, Update: sitestate.Update{Position: 9, Gone: []string{"a"}, Replicas: []sitestate.Replica{{ID: "c"}}, Confirmed: true}}
+	sent := WatchAnswer{Whole: whole, Update: sitestate.Update{Position: 9, Removed: []string{"a"}, Replicas: []sitestate.Replica{{ID: "c"}}, Confirmed: true}}
 	encoded, err := wire.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	})
 	confirm := func() {
 		t.Helper()
-		if err := watcher.take("member", []sitestate.Update{{Position: 1, Whole: true, Confirmed: true}}); err != nil {
+		if err := watcher.take("member", []sitestate.Update{{Position: 1, Full: true, Confirmed: true}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/core/admission/limiter_test.go
+++ b/internal/core/admission/limiter_test.go
@@ -74,7 +74,7 @@
 
 // The baseline follows a replica that has become permanently slower, but not a lasting
 // overload.
-func TestLimiterMeasuresTheUsualLatencyAnew(t *testing.T) {
+func TestLimiterProbesNewBaseline(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 64})
 	now := drive(limiter, start, server{1000, 50 * time.Millisecond}, 1000, 30, 0)
 	now = drive(limiter, now, server{1000, 200 * time.Millisecond}, 1000, 15, 0)
@@ -92,7 +92,7 @@
 }
 
 // Without a limit reduced by latency, no probe lowers the limit.
-func TestLimiterIsNotLoweredToMeasureWithoutNeed(t *testing.T) {
+func TestLimiterProbesOnlyWhenLatencyLimited(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 64})
 	serve := server{1000, 50 * time.Millisecond}
 	now := drive(limiter, start, serve, 1000, 60, 0)
@@ -107,7 +107,7 @@
 
 // A pause of 200 ms counts by its share of the time, not by the number of short answers
 // that it delays.
-func TestLimiterWeighsAnswersByTheirTokens(t *testing.T) {
+func TestLimiterWeighsAnswersByTokens(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 32})
 	now := drive(limiter, start, server{1000, 15 * time.Millisecond}, 1000, 60, 0)
 	for range 2000 {
@@ -124,7 +124,7 @@
 
 // A batching engine that takes longer per token of a fuller batch, but produces more
 // tokens per second, is not overloaded.
-func TestLimiterLetsABatchingEngineFillItsBatch(t *testing.T) {
+func TestLimiterAllowsFullBatches(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 1, Max: 32})
 	now := start
 	for range 30_000 {
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -63,7 +63,7 @@
 }
 
 // A skipped request keeps its position and its tenant's virtual time.
-func TestNextFittingPassesOver(t *testing.T) {
+func TestNextFittingSkips(t *testing.T) {
 	queue := NewQueue[int](Config{Length: 10})
 	for index, name := range []string{"a", "b", "c", "d", "e"} {
 		tenant := port.TenantName([]string{"x", "x", "x", "y", "y"}[index])
@@ -204,7 +204,7 @@
 
 // Whatever the operations, the bound holds, no expired request is served, and each
 // accepted request ends exactly once.
-func TestQueueKeepsItsPromises(t *testing.T) {
+func TestQueueInvariants(t *testing.T) {
 	const length = 6
 	testkit.Check(t, 41, func(t *rapid.T) {
 		queue := NewQueue[int](Config{Length: length})
--- a/internal/core/attempt/loop.go
+++ b/internal/core/attempt/loop.go
@@ -11,8 +11,8 @@
 type Rules struct {
 	// Safe allows the request to run more than once.
 	Safe bool
-	// Single disables retries, for callers that retry themselves.
-	Single bool
+	// CallerRetries disables retries, for callers that retry themselves.
+	CallerRetries bool
 	// Resume allows a completion that was cut off to be resumed; otherwise a failure
 	// after the first token is final.
 	Resume bool
@@ -44,18 +44,18 @@
 	return l.attempts
 }
 
-// Made returns the number of attempts.
-func (l *Loop) Made() int { return l.attempts }
+// Attempts returns the number of attempts.
+func (l *Loop) Attempts() int { return l.attempts }
 
-// Single reports whether another layer retries the request.
-func (l *Loop) Single() bool { return l.rules.Single }
+// CallerRetries reports whether another layer retries the request.
+func (l *Loop) CallerRetries() bool { return l.rules.CallerRetries }
 
-// Tried returns the replicas of the failed attempts.
-func (l *Loop) Tried() []port.ReplicaID { return l.failedReplicas }
+// FailedReplicas returns the replicas of the failed attempts.
+func (l *Loop) FailedReplicas() []port.ReplicaID { return l.failedReplicas }
 
-// LastTried returns the replica of the last failed attempt, to be avoided by the next one;
+// LastFailedReplica returns the replica of the last failed attempt, to be avoided by the next one;
 // empty means none.
-func (l *Loop) LastTried() port.ReplicaID {
+func (l *Loop) LastFailedReplica() port.ReplicaID {
 	if len(l.failedReplicas) == 0 {
 		return ""
 	}
@@ -67,9 +67,9 @@
 	// Replica is the replica of the attempt; empty if unknown.
 	Replica port.ReplicaID
 	Error   *port.Error
-	// Here is set if this layer refused the request: nothing was sent, and another
+	// Local is set if this layer refused the request: nothing was sent, and another
 	// attempt would be refused as well.
-	Here bool
+	Local bool
 }
 
 // Decide decides whether to retry after a failed attempt; see retry.Policy.
@@ -93,8 +93,8 @@
 const (
 	// Final: the request ends with Step.Error.
 	Final StepKind = iota
-	// Again: make another attempt after Step.After.
-	Again
+	// Retry: make another attempt after Step.After.
+	Retry
 	// Complete: all tokens were already sent to the caller; only the end was missing.
 	Complete
 )
@@ -105,14 +105,14 @@
 	if failure.Replica != "" {
 		l.failedReplicas = append(l.failedReplicas, failure.Replica)
 	}
-	if failure.Here || !l.canContinue(failure.Error) {
+	if failure.Local || !l.canContinue(failure.Error) {
 		return l.final(failure, "")
 	}
 	if l.tokens > 0 && l.rules.MaxTokens > 0 && l.tokens >= l.rules.MaxTokens {
 		return Step{Kind: Complete}
 	}
 	decision := decide(retry.Attempt{
-		Made:       l.attempts,
+		Number:     l.attempts,
 		Owner:      true,
 		Verdict:    failure.Error.Verdict,
 		Code:       failure.Error.Code,
@@ -123,7 +123,7 @@
 	if !decision.Retry {
 		return l.final(failure, decision.Reason)
 	}
-	return Step{Kind: Again, After: decision.After}
+	return Step{Kind: Retry, After: decision.After}
 }
 
 // GiveUp returns the final error if the deadline passes or the caller leaves during the wait
@@ -137,7 +137,7 @@
 // canContinue reports whether another attempt could serve the caller: no tokens were sent
 // yet, or the completion can be resumed.
 func (l *Loop) canContinue(failure *port.Error) bool {
-	if l.rules.Single || l.chunkRefused {
+	if l.rules.CallerRetries || l.chunkRefused {
 		return false
 	}
 	if l.tokens == 0 {
--- a/internal/core/attempt/loop_test.go
+++ b/internal/core/attempt/loop_test.go
@@ -44,15 +44,15 @@
 		want    attempt.StepKind
 		verdict port.Verdict
 	}{
-		{"not run, unsafe", attempt.Rules{}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Again, 0},
+		{"not run, unsafe", attempt.Rules{}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Retry, 0},
 		{"may have run, unsafe", attempt.Rules{}, 0, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
 		{"verdict unset, unsafe", attempt.Rules{}, 0, false, false, newError(port.VerdictUnset, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
 		{"ran, unsafe", attempt.Rules{}, 0, false, false, newError(port.Ran, port.CodeBackEnd), attempt.Final, port.Ran},
-		{"may have run, safe", attempt.Rules{Safe: true}, 0, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Again, 0},
+		{"may have run, safe", attempt.Rules{Safe: true}, 0, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Retry, 0},
 		{"refused locally", attempt.Rules{Safe: true}, 0, true, false, newError(port.NotRun, port.CodeQueueFull), attempt.Final, port.NotRun},
-		{"single", attempt.Rules{Safe: true, Single: true}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
+		{"single", attempt.Rules{Safe: true, CallerRetries: true}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
 		{"invalid", attempt.Rules{Safe: true}, 0, false, false, newError(port.NotRun, port.CodeInvalid), attempt.Final, port.NotRun},
-		{"cut off, resumed", resumable, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Again, 0},
+		{"cut off, resumed", resumable, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Retry, 0},
 		{"cut off after all tokens", resumable, 10, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Complete, 0},
 		{"cut off, not resumable", attempt.Rules{Safe: true}, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
 		{"cut off, unsafe", attempt.Rules{Resume: true}, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Final, port.MayHaveRun},
@@ -61,27 +61,27 @@
 		{"RetryAfter past the deadline", attempt.Rules{Safe: true, Deadline: start.Add(time.Second)}, 0, false, false,
 			&port.Error{Verdict: port.NotRun, Code: port.CodeBackEnd, RetryAfter: time.Minute}, attempt.Final, port.NotRun},
 		{"RetryAfter of one home doesn't apply to others", attempt.Rules{Safe: true, Deadline: start.Add(time.Second)}, 0, false, false,
-			&port.Error{Verdict: port.NotRun, Code: port.CodeDraining, RetryAfter: time.Minute}, attempt.Again, 0},
+			&port.Error{Verdict: port.NotRun, Code: port.CodeDraining, RetryAfter: time.Minute}, attempt.Retry, 0},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			loop := attempt.New(testCase.rules)
 			loop.Begin()
 			if testCase.tokens > 0 {
-				loop.Took(port.GenerateChunk{Text: "word", Tokens: testCase.tokens, Version: 3})
+				loop.AddChunk(port.GenerateChunk{Text: "word", Tokens: testCase.tokens, Version: 3})
 			}
 			if testCase.refused {
-				loop.Refuse()
+				loop.RefuseChunk()
 			}
-			step := loop.Failed(attempt.Failure{Replica: "a", Error: testCase.failure, Here: testCase.local}, newDecider().decide)
+			step := loop.Failed(attempt.Failure{Replica: "a", Error: testCase.failure, Local: testCase.local}, newDecider().decide)
 			if step.Kind != testCase.want {
 				t.Fatalf("step %+v", step)
 			}
 			if step.Kind == attempt.Final && step.Error.Verdict != testCase.verdict {
 				t.Errorf("verdict %v, want %v", step.Error.Verdict, testCase.verdict)
 			}
-			if loop.LastTried() != "a" {
-				t.Errorf("last tried %q", loop.LastTried())
+			if loop.LastFailedReplica() != "a" {
+				t.Errorf("last tried %q", loop.LastFailedReplica())
 			}
 		})
 	}
@@ -91,12 +91,12 @@
 	return &port.Error{Verdict: verdict, Code: code}
 }
 
-func TestContinueCarriesWhatHasLeft(t *testing.T) {
+func TestContinueResumesSentText(t *testing.T) {
 	accepted := port.GenerateRequest{Resume: "a", ResumeTokens: 1, MaxTokens: 9, KVHandle: "kv"}
 	loop := attempt.New(attempt.Rules{Safe: true, Resume: true, MaxTokens: 9})
 	loop.Begin()
-	loop.Took(port.GenerateChunk{Text: "b", Tokens: 2, Version: 3})
-	loop.Took(port.GenerateChunk{Text: "c", Tokens: 1, Version: 4})
+	loop.AddChunk(port.GenerateChunk{Text: "b", Tokens: 2, Version: 3})
+	loop.AddChunk(port.GenerateChunk{Text: "c", Tokens: 1, Version: 4})
 	got := loop.Continue(accepted)
 	if got.Resume != "abc" || got.ResumeTokens != 4 || got.MaxTokens != 6 || got.KVHandle != "" {
 		t.Errorf("continued with %+v", got)
@@ -123,15 +123,15 @@
 			code := rapid.SampledFrom([]port.Code{port.CodeBackEnd, port.CodeUnavailable, port.CodeQueueFull}).Draw(t, "code")
 			ran = ran || verdict != port.NotRun
 			step := loop.Failed(attempt.Failure{Replica: "a", Error: newError(verdict, code)}, decider.decide)
-			if step.Kind == attempt.Again {
+			if step.Kind == attempt.Retry {
 				decider.now = decider.now.Add(step.After)
 				continue
 			}
 			if (step.Error.Verdict == port.NotRun) == ran {
 				t.Fatalf("final verdict %v, some attempt may have run: %v", step.Error.Verdict, ran)
 			}
-			if loop.Made() > 4 {
-				t.Fatalf("%d attempts of at most 4", loop.Made())
+			if loop.Attempts() > 4 {
+				t.Fatalf("%d attempts of at most 4", loop.Attempts())
 			}
 			return
 		}
--- a/internal/core/attempt/progress.go
+++ b/internal/core/attempt/progress.go
@@ -2,9 +2,9 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// Took records a chunk that was sent to the caller.
-func (l *Loop) Took(chunk port.GenerateChunk) {
-	if !l.rules.Single {
+// AddChunk records a chunk that was sent to the caller.
+func (l *Loop) AddChunk(chunk port.GenerateChunk) {
+	if !l.rules.CallerRetries {
 		l.text = append(l.text, chunk.Text...)
 	}
 	l.tokens += chunk.Tokens
@@ -13,8 +13,8 @@
 	}
 }
 
-// Refuse records that the caller refused a chunk, which rules out another attempt.
-func (l *Loop) Refuse() { l.chunkRefused = true }
+// RefuseChunk records that the caller refused a chunk, which rules out another attempt.
+func (l *Loop) RefuseChunk() { l.chunkRefused = true }
 
 // Spans returns the versions that produced the tokens sent so far.
 func (l *Loop) Spans() []port.Span { return l.spans }
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -36,9 +36,9 @@
 	ResultFull
 	// ResultFailed is a broken connection, or an invalid or missing answer.
 	ResultFailed
-	// ResultGivenUp is a request that its sender cancelled; the elapsed time is a
+	// ResultCancelled is a request that its sender cancelled; the elapsed time is a
 	// lower bound of the replica's latency.
-	ResultGivenUp
+	ResultCancelled
 )
 
 // replica is the observed state of one replica.
@@ -86,7 +86,7 @@
 		state.failures = 0
 		state.blockedUntil = time.Time{}
 		b.recordLatency(service, state, took, now)
-	case ResultGivenUp:
+	case ResultCancelled:
 		if took > state.latency {
 			b.recordLatency(service, state, took, now)
 		}
@@ -180,8 +180,8 @@
 	return serviceLatency + time.Duration(share*float64(state.latency-serviceLatency))
 }
 
-// Forget drops replicas that are not present and have no requests in flight.
-func (b *Balancer) Forget(present func(id string) bool) {
+// Retain drops replicas that are not present and have no requests in flight.
+func (b *Balancer) Retain(present func(id string) bool) {
 	for id, state := range b.replicas {
 		if state.inFlight == 0 && !present(id) {
 			delete(b.replicas, id)
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestSlowReplicaIsLeftOutAndTriedAgain(t *testing.T) {
+func TestSlowReplicaIsAvoidedThenRetried(t *testing.T) {
 	b := balance.New()
 	for range 8 {
 		served(b, "slow", 100*time.Millisecond)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestFailedReplicaIsLeftOutForLonger(t *testing.T) {
+func TestFailedReplicaIsBlockedLonger(t *testing.T) {
 	b := balance.New()
 	candidates := []string{"bad", "good"}
 	b.Begin("good")
@@ -74,14 +74,14 @@
 	b := balance.New()
 	b.Begin("busy")
 	served(b, "idle", time.Millisecond)
-	b.Forget(func(string) bool { return false })
+	b.Retain(func(string) bool { return false })
 	if b.InFlight("busy") != 1 {
 		t.Error("a replica with a request in flight was dropped")
 	}
 }
 
 // A sender prefers replicas with a recent connection unless they are busy or slow.
-func TestASenderKeepsToReplicasThatItHasConnectionsTo(t *testing.T) {
+func TestPickPrefersReplicasWithConnections(t *testing.T) {
 	b := balance.New()
 	served(b, "warm", 30*time.Millisecond)
 	candidates := []string{"cold", "warm", "colder"}
@@ -109,7 +109,7 @@
 
 // With many senders of few requests, each sender uses few replicas, and the replicas get
 // similar numbers of requests.
-func TestManySendersOfFewRequestsUseAllReplicasAlike(t *testing.T) {
+func TestManySendersBalanceReplicas(t *testing.T) {
 	const senders, replicas, requests = 240, 15, 40
 	random := rand.New(rand.NewPCG(1, 2))
 	candidates := make([]string, replicas)
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -33,8 +33,8 @@
 	return min(maxCostFactor, max(minCostFactor, l.Slowness*(1+queue)))
 }
 
-// Told records the load reported by a replica.
-func (b *Balancer) Told(id string, load Load, now time.Time) {
+// RecordLoad records the load reported by a replica.
+func (b *Balancer) RecordLoad(id string, load Load, now time.Time) {
 	state := b.get(id)
 	state.reportedCostFactor, state.loadReportedAt = load.costFactor(), now
 }
--- a/internal/core/balance/load_test.go
+++ b/internal/core/balance/load_test.go
@@ -8,7 +8,7 @@
 )
 
 // Of two equal replicas, the one that reported less load is picked until the reports expire.
-func TestWhatAReplicaSaysOfItsLoadCountsForAMoment(t *testing.T) {
+func TestReportedLoadDecays(t *testing.T) {
 	normal := balance.Load{Running: 1, Slots: 6, Slowness: 1}
 	for name, row := range map[string]struct {
 		first, second balance.Load
@@ -22,8 +22,8 @@
 		b := balance.New()
 		served(b, "first", 30*time.Millisecond)
 		served(b, "second", 30*time.Millisecond)
-		b.Told("first", row.first, start)
-		b.Told("second", row.second, start)
+		b.RecordLoad("first", row.first, start)
+		b.RecordLoad("second", row.second, start)
 		candidates := []string{"first", "second"}
 		if got := b.Pick(service, candidates, start.Add(10*time.Millisecond), 0); got != row.want {
 			t.Errorf("%s: picked %d", name, got)
@@ -37,19 +37,19 @@
 }
 
 // A load report has a bounded effect, and measured latency still counts.
-func TestALiarNeitherDrawsEverythingNorIsLeftOut(t *testing.T) {
+func TestReportedLoadHasBoundedEffect(t *testing.T) {
 	b := balance.New()
 	served(b, "underreporting", 300*time.Millisecond)
 	served(b, "accurate", 30*time.Millisecond)
-	b.Told("underreporting", balance.Load{Slots: 1000}, start)
-	b.Told("accurate", balance.Load{Running: 1, Slots: 6, Slowness: 1}, start)
+	b.RecordLoad("underreporting", balance.Load{Slots: 1000}, start)
+	b.RecordLoad("accurate", balance.Load{Running: 1, Slots: 6, Slowness: 1}, start)
 	if got := b.Pick(service, []string{"underreporting", "accurate"}, start, 0); got != 1 {
 		t.Error("a slow replica attracts requests by reporting no load")
 	}
 	b = balance.New()
 	served(b, "overreporting", 30*time.Millisecond)
 	served(b, "slow", 300*time.Millisecond)
-	b.Told("overreporting", balance.Load{Running: 1e6, Waiting: 1e6, Slots: 1, Slowness: 1e4}, start)
+	b.RecordLoad("overreporting", balance.Load{Running: 1e6, Waiting: 1e6, Slots: 1, Slowness: 1e4}, start)
 	if got := b.Pick(service, []string{"overreporting", "slow"}, start, 0); got != 0 {
 		t.Error("a replica is avoided because of its load report alone")
 	}
--- a/internal/core/coldshare/coldshare.go
+++ b/internal/core/coldlimit/coldlimit.go
@@ -1,4 +1,4 @@
-// Package coldshare divides the limited requests to a cold replica among its senders without
+// Package coldlimit divides the limited requests to a cold replica among its senders without
 // coordination: a replica that just started, or whose zone was idle, fails if all senders use it
 // at once. The package does no I/O.
 //
@@ -6,7 +6,7 @@
 // sender and replica, so that senders decide alone and replicas have different senders. Each
 // sender with a share limits its own requests in any second, so the sum over all senders holds
 // under partitions, restarts and unsynchronized clocks.
-package coldshare
+package coldlimit
 
 import (
 	"time"
@@ -76,14 +76,14 @@
 	sent []time.Time
 }
 
-// Room returns how many more requests may be sent now, given the limit per Span.
-func (w *Window) Room(limit int, now time.Time) int {
+// Remaining returns how many more requests may be sent now, given the limit per Span.
+func (w *Window) Remaining(limit int, now time.Time) int {
 	w.expire(now)
 	return max(0, limit-len(w.sent))
 }
 
-// Note records a request sent now.
-func (w *Window) Note(now time.Time) {
+// Record records a request sent now.
+func (w *Window) Record(now time.Time) {
 	w.expire(now)
 	w.sent = append(w.sent, now)
 }
--- a/internal/core/coldshare/coldshare_test.go
+++ b/internal/core/coldlimit/coldlimit_test.go
@@ -1,4 +1,4 @@
-package coldshare_test
+package coldlimit_test
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 )
 
 // limits allow 16 requests per second, with a tolerance of half of that and 5 more.
-var limits = coldshare.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}
+var limits = coldlimit.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}
 
 const bound = 29
 
@@ -21,10 +21,10 @@
 // requests to send, each with a random delay.
 func arrivals(random *rand.Rand, perSpan int, from time.Duration) (at []time.Duration) {
 	const cold, step, delay = 3 * time.Second, 20 * time.Millisecond, 20 * time.Millisecond
-	var window coldshare.Window
+	var window coldlimit.Window
 	for now := from; now < cold; now += step {
-		if window.Room(perSpan, start.Add(now)) > 0 {
-			window.Note(start.Add(now))
+		if window.Remaining(perSpan, start.Add(now)) > 0 {
+			window.Record(start.Add(now))
 			at = append(at, now+time.Duration(random.Int64N(int64(delay))))
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestNobodySendsWhileTheNumberOfSendersIsNotKnown(t *testing.T) {
+func TestNoShareWithoutSenderCount(t *testing.T) {
 	share := limits.ShareOf(0)
 	for i := range 100 {
 		if share.Has("front", fmt.Sprint(i)) {
@@ -100,19 +100,19 @@
 }
 
 func TestAWindowSlides(t *testing.T) {
-	var window coldshare.Window
-	window.Note(start)
-	window.Note(start.Add(600 * time.Millisecond))
-	for after, want := range map[time.Duration]int{700 * time.Millisecond: 0, coldshare.Span - 1: 0, coldshare.Span: 1, coldshare.Span + 599*time.Millisecond: 1, coldshare.Span + 600*time.Millisecond: 2} {
+	var window coldlimit.Window
+	window.Record(start)
+	window.Record(start.Add(600 * time.Millisecond))
+	for after, want := range map[time.Duration]int{700 * time.Millisecond: 0, coldlimit.Span - 1: 0, coldlimit.Span: 1, coldlimit.Span + 599*time.Millisecond: 1, coldlimit.Span + 600*time.Millisecond: 2} {
 		probe := window
-		if got := probe.Room(2, start.Add(after)); got != want {
+		if got := probe.Remaining(2, start.Add(after)); got != want {
 			t.Errorf("after %v: %d more requests allowed, want %d", after, got, want)
 		}
 	}
 }
 
 func TestServicesWithoutARateAreNotBounded(t *testing.T) {
-	if (coldshare.Limits{Overshoot: 1.5, Slack: 5}).Bounded() || !limits.Bounded() {
+	if (coldlimit.Limits{Overshoot: 1.5, Slack: 5}).Bounded() || !limits.Bounded() {
 		t.Error("Bounded does not depend on Rate")
 	}
 }
--- a/internal/core/consensus/election_test.go
+++ b/internal/core/consensus/election_test.go
@@ -4,7 +4,7 @@
 
 // A pre-candidate that is refused by members that have just started must retry before a
 // whole election timeout has passed.
-func TestMembersThatRestartApartElectSoon(t *testing.T) {
+func TestStaggeredRestartElectsWithinBound(t *testing.T) {
 	const (
 		apart = testElectionTicks / 2
 		// most covers the time after the last start in which the member grants no vote,
@@ -33,7 +33,7 @@
 }
 
 // If all members restart, there is no leader to wait for.
-func TestMembersThatAllRestartElectAtOnce(t *testing.T) {
+func TestFullRestartElectsWithoutDelay(t *testing.T) {
 	// most covers two pre-vote delays: that of the first pre-candidate, and one more if
 	// there are several at once.
 	const most = 2 * 2 * (testElectionTicks / 4)
@@ -62,7 +62,7 @@
 
 // A member that is missing after the others restarted may still lead under a lease that
 // they granted.
-func TestAMemberThatRestartedWaitsIfOneIsMissing(t *testing.T) {
+func TestRestartedMembersRespectLeaseOfMissingLeader(t *testing.T) {
 	for seed := range uint64(50) {
 		net := newNetwork(t, 3, func(config *Config) { config.Seed = seed })
 		leader := net.elect()
@@ -92,7 +92,7 @@
 }
 
 // A leader answers the pre-votes of restarted members and stays leader.
-func TestALeaderIsNotVotedOutByThoseThatRestart(t *testing.T) {
+func TestRestartedMembersDoNotDeposeLeader(t *testing.T) {
 	for seed := range uint64(50) {
 		net := newNetwork(t, 5, func(config *Config) { config.Seed = seed })
 		leader := net.elect()
--- a/internal/core/consensus/missed_test.go
+++ b/internal/core/consensus/missed_test.go
@@ -12,7 +12,7 @@
 
 // A leader that missed more ticks than an election timeout must not take that for the
 // silence of the other members.
-func TestALeaderThatWasHeldUpHearsTheOthersFirst(t *testing.T) {
+func TestLeaderKeepsLeadershipAfterMissedTicks(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	term := net.node(leader).Status().Term
@@ -36,7 +36,7 @@
 
 // A leader that missed ticks and is isolated serves no reads, and steps down after an
 // election timeout of further ticks.
-func TestALeaderThatWasHeldUpAndCutOffStepsDown(t *testing.T) {
+func TestIsolatedLeaderStepsDownAfterMissedTicks(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	net.isolate(leader, true)
@@ -55,7 +55,7 @@
 
 // A follower that missed ticks must not start an election: its leader's messages are
 // still queued. The missed ticks count for its votes.
-func TestAFollowerThatWasHeldUpDoesNotStand(t *testing.T) {
+func TestFollowerStartsNoElectionAfterMissedTicks(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	follower := net.others(leader)[0]
@@ -75,7 +75,7 @@
 }
 
 // Ticks that the leader missed must not make its peers look unreachable.
-func TestPeersAreNotSilentWhileTheLeaderIsHeldUp(t *testing.T) {
+func TestMissedTicksDoNotCountAsPeerSilence(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	lost := net.others(leader)[0]
--- a/internal/core/consensus/node_test.go
+++ b/internal/core/consensus/node_test.go
@@ -35,7 +35,7 @@
 }
 
 // Entries appended by an isolated leader are replaced by committed ones.
-func TestUncommittedEntriesGiveWay(t *testing.T) {
+func TestUncommittedEntriesAreReplaced(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	old := net.elect()
 	net.isolate(old, true)
--- a/internal/core/consensus/replication_test.go
+++ b/internal/core/consensus/replication_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestFollowerFindsWhereLogsMeet(t *testing.T) {
+func TestFollowerLogsConverge(t *testing.T) {
 	// Figure 7 of the paper: followers that lack entries or have extra ones.
 	terms := []uint64{1, 1, 1, 4, 4, 5, 5, 6, 6, 6}
 	followers := map[string][]uint64{
--- a/internal/core/consensus/safeguard_test.go
+++ b/internal/core/consensus/safeguard_test.go
@@ -149,7 +149,7 @@
 }
 
 // With skipped writes a restart loses votes and entries; the checks must detect it.
-func TestChecksSeeSkippedWrites(t *testing.T) {
+func TestChecksDetectSkippedWrites(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 11))
--- a/internal/core/controlmember/ready.go
+++ b/internal/core/controlmember/ready.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// WantsSnapshot reports whether a snapshot is due.
-func (m *Member) WantsSnapshot() bool {
+// SnapshotDue reports whether a snapshot is due.
+func (m *Member) SnapshotDue() bool {
 	return m.state.Applied() >= m.snapshotIndex+m.config.SnapshotEntries
 }
 
--- a/internal/core/controlmember/silence.go
+++ b/internal/core/controlmember/silence.go
@@ -6,19 +6,19 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// SilenceWatcher tracks the last report of each node at the leader. The zero value is
+// NodeTimeouts tracks the last report of each node at the leader. The zero value is
 // ready for use.
-type SilenceWatcher struct {
+type NodeTimeouts struct {
 	lastReport map[port.NodeID]time.Time
 }
 
 // Reset clears the reports. The caller calls it while the member is not the leader.
-func (w *SilenceWatcher) Reset() { w.lastReport = nil }
+func (w *NodeTimeouts) Reset() { w.lastReport = nil }
 
-// Silent returns the registered nodes without a report for the timeout. ages holds the
+// TimedOut returns the registered nodes without a report for the timeout. ages holds the
 // times since the nodes' last reports. For a new leader or a newly registered node, the
 // timeout starts now.
-func (w *SilenceWatcher) Silent(nodes []port.NodeAddress, ages map[port.NodeID]time.Duration, now time.Time, timeout time.Duration) []port.NodeID {
+func (w *NodeTimeouts) TimedOut(nodes []port.NodeAddress, ages map[port.NodeID]time.Duration, now time.Time, timeout time.Duration) []port.NodeID {
 	reports := make(map[port.NodeID]time.Time, len(nodes))
 	var silent []port.NodeID
 	for _, node := range nodes {
--- a/internal/core/controlstate/apply.go
+++ b/internal/core/controlstate/apply.go
@@ -250,7 +250,7 @@
 		return refusal
 	}
 	lease, _ := s.leases.Get(port.CoordinatorLease(command.Pool))
-	return s.ledger.Commit(command, ledger.Terms{
+	return s.ledger.Commit(command, ledger.CommitContext{
 		CoordinatorEpoch: lease.Epoch,
 		Published:        s.weights.Current(command.Pool),
 		Sampling:         sampling,
--- a/internal/core/controlstate/state.go
+++ b/internal/core/controlstate/state.go
@@ -65,8 +65,8 @@
 // Lease returns a lease by name.
 func (s *State) Lease(name string) (port.Lease, bool) { return s.leases.Get(name) }
 
-// Answers returns the number of cached results of commands with a change id.
-func (s *State) Answers() int { return s.answers.Len() }
+// CachedResults returns the number of cached results of commands with a change id.
+func (s *State) CachedResults() int { return s.answers.Len() }
 
 // Skip records the index of a log entry that is not a command.
 func (s *State) Skip(index uint64) { s.applied = max(s.applied, index) }
--- a/internal/core/controlstate/state_test.go
+++ b/internal/core/controlstate/state_test.go
@@ -82,8 +82,8 @@
 	if err := restored.Restore(mustSnapshot(t, state)); err != nil {
 		t.Fatal(err)
 	}
-	if expired := restored.Apply(7, 2, late); code(expired) != port.CodeChangeExpired || restored.Answers() != 0 {
-		t.Fatalf("late resend after a snapshot: %+v, %d answers kept", expired, restored.Answers())
+	if expired := restored.Apply(7, 2, late); code(expired) != port.CodeChangeExpired || restored.CachedResults() != 0 {
+		t.Fatalf("late resend after a snapshot: %+v, %d answers kept", expired, restored.CachedResults())
 	}
 	if missing := state.Apply(7, 2, port.Command{ChangeConfiguration: &port.ChangeConfiguration{}}); code(missing) != port.CodeInvalid {
 		t.Fatalf("without a change id: %+v", missing)
--- a/internal/core/coordinator/coordinator_test.go
+++ b/internal/core/coordinator/coordinator_test.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// TestSamplesWaitForTheWeightsThatTheyNeed publishes faster than the replicas load
+// TestSamplesWaitForRequiredWeights publishes faster than the replicas load
 // weights. A sample must not start before a replica serves its minimum version, since
 // a refusal would delay it by a backoff.
-func TestSamplesWaitForTheWeightsThatTheyNeed(t *testing.T) {
+func TestSamplesWaitForRequiredWeights(t *testing.T) {
 	cases := []struct {
 		name    string
 		serving func(w *world)
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestPlanFollowsTheTrainerBetweenTicks checks that a batch request runs the policy
+// TestBatchRequestRunsPolicyBetweenTicks checks that a batch request runs the policy
 // program before the next tick.
-func TestPlanFollowsTheTrainerBetweenTicks(t *testing.T) {
+func TestBatchRequestRunsPolicyBetweenTicks(t *testing.T) {
 	source := "def plan(pool):\n  return struct(target_in_flight = 7 if pool.trainer_waiting else 3)"
 	w := newWorld(t, smallSampling(), source)
 	w.tick(time.Second)
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestReplacementOfAStaleSampleStartsOnTheNewWeights checks that a replacement waits for
+// TestStaleReplacementWaitsForNewWeights checks that a replacement waits for
 // the new weights although the plan allows the old ones that replicas still serve.
-func TestReplacementOfAStaleSampleStartsOnTheNewWeights(t *testing.T) {
+func TestStaleReplacementWaitsForNewWeights(t *testing.T) {
 	source := "def plan(pool):\n  return struct(target_in_flight = 16)"
 	w := newWorld(t, smallSampling(), source)
 	w.answerFetch(false)
--- a/internal/core/coordinator/fault_test.go
+++ b/internal/core/coordinator/fault_test.go
@@ -852,9 +852,9 @@
 	}
 }
 
-// TestGroupOfUnlikeAges makes groups lose a sample to staleness at every publication,
+// TestMixedAgeGroupsAreDelivered makes groups lose a sample to staleness at every publication,
 // just before the trainer's request. They must still be delivered eventually.
-func TestGroupOfUnlikeAges(t *testing.T) {
+func TestMixedAgeGroupsAreDelivered(t *testing.T) {
 	sampling := smallSampling()
 	sampling.GroupSize = 3
 	w := newWorld(t, sampling, "")
@@ -946,7 +946,7 @@
 	}
 }
 
-func TestNewRefuses(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	valid := coordinator.Config{Pool: poolName, Sampling: smallSampling(), Epoch: 1, LeaseUntil: start}
 	noEpoch, noLease, odd := valid, valid, valid
 	noEpoch.Epoch = 0
--- a/internal/core/coordinator/world_test.go
+++ b/internal/core/coordinator/world_test.go
@@ -367,7 +367,7 @@
 	result, known := w.answers[commit.ChangeID]
 	if !known {
 		result = port.Result{Index: uint64(len(w.answers) + 1)}
-		result.Error = w.log.Commit(commit.Batch, ledger.Terms{
+		result.Error = w.log.Commit(commit.Batch, ledger.CommitContext{
 			CoordinatorEpoch: w.lease, Published: w.published, Sampling: w.sampling,
 		})
 		w.answers[commit.ChangeID] = result
--- a/internal/core/decision/decision_test.go
+++ b/internal/core/decision/decision_test.go
@@ -87,7 +87,7 @@
 // The store keeps within its memory bound, drops the oldest and counts what it drops.
 func TestStoreIsBounded(t *testing.T) {
 	testkit.Check(t, 71, func(t *rapid.T) {
-		// No record alone exceeds the bound: TestStoreDropsWhatCannotFit covers that.
+		// No record alone exceeds the bound: TestStoreDropsOversizedRecord covers that.
 		bound := rapid.IntRange(1500, 9000).Draw(t, "bound")
 		store := NewStore(bound)
 		added := rapid.IntRange(0, 80).Draw(t, "added")
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestStoreDropsWhatCannotFit(t *testing.T) {
+func TestStoreDropsOversizedRecord(t *testing.T) {
 	store := NewStore(600)
 	store.Add(port.Decision{Subject: "r-1"})
 	store.Add(port.Decision{Subject: "r-2", Detail: strings.Repeat("x", 1000)})
--- a/internal/core/ejection/bound.go
+++ b/internal/core/ejection/bound.go
@@ -23,11 +23,11 @@
 	Since   time.Time
 }
 
-// Honour returns the replicas that readers of the claims treat as ejected: at most
+// AcceptedClaims returns the replicas that readers of the claims treat as ejected: at most
 // MaxEjected, the oldest claims first and then by id. The homes of a pool eject
 // independently and may exceed the limit together. Readers with the same claims get the
 // same result.
-func Honour(claims []Claim, size int, share float64) []port.ReplicaID {
+func AcceptedClaims(claims []Claim, size int, share float64) []port.ReplicaID {
 	ordered := slices.Clone(claims)
 	slices.SortFunc(ordered, func(a, b Claim) int {
 		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Replica, b.Replica))
--- a/internal/core/ejection/ejection_test.go
+++ b/internal/core/ejection/ejection_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestTimeOutDoublesAndProbesBringBack(t *testing.T) {
+func TestEjectionTimeDoublesUntilProbesSucceed(t *testing.T) {
 	tracker := newTracker(4, 0.5)
 	now := start
 	change, _ := observeFailures(tracker, now, "lm-0", 3)
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestDoublingIsForgottenInCalm(t *testing.T) {
+func TestRepeatsDecayWithoutEjection(t *testing.T) {
 	tracker := newTracker(4, 0.5)
 	change, _ := observeFailures(tracker, start, "lm-0", 3)
 	now := change.Until
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestBound(t *testing.T) {
+func TestMaxEjected(t *testing.T) {
 	for _, test := range []struct {
 		size  int
 		share float64
@@ -162,7 +162,7 @@
 }
 
 // The share of ejected replicas never exceeds the bound.
-func TestShareIsNeverPassed(t *testing.T) {
+func TestEjectedShareStaysWithinBound(t *testing.T) {
 	testkit.Check(t, 61, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
@@ -180,17 +180,17 @@
 	})
 }
 
-func TestHonourIsBoundedAndTheSameForAll(t *testing.T) {
+func TestAcceptedClaimsAreBoundedAndDeterministic(t *testing.T) {
 	claims := []Claim{{"c", start}, {"a", start.Add(time.Second)}, {"b", start}, {"d", start.Add(-time.Second)}}
 	want := []port.ReplicaID{"d", "b"}
-	if got := Honour(claims, 8, 0.25); !slices.Equal(got, want) {
+	if got := AcceptedClaims(claims, 8, 0.25); !slices.Equal(got, want) {
 		t.Errorf("accepted %v, want %v", got, want)
 	}
 	slices.Reverse(claims)
-	if got := Honour(claims, 8, 0.25); !slices.Equal(got, want) {
+	if got := AcceptedClaims(claims, 8, 0.25); !slices.Equal(got, want) {
 		t.Errorf("accepted %v in another order, want %v", got, want)
 	}
-	if got := Honour(claims[:1], 8, 1); len(got) != 1 {
+	if got := AcceptedClaims(claims[:1], 8, 1); len(got) != 1 {
 		t.Errorf("accepted %v of one claim", got)
 	}
 }
--- a/internal/core/gate/dispatch.go
+++ b/internal/core/gate/dispatch.go
@@ -104,7 +104,7 @@
 	state.sent++
 	state.tokens += request.MaxTokens
 	if len(request.PrefixHashes) > 0 {
-		g.index.Sent(now, state.info.ID, request.PrefixHashes)
+		g.index.AddOptimistic(now, state.info.ID, request.PrefixHashes)
 	}
 	ticket.State = Granted
 	ticket.Replica = state.info.ID
--- a/internal/core/gate/gate.go
+++ b/internal/core/gate/gate.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// NextCacheEvent returns the sequence number after which to request events.
-func (g *Gate) NextCacheEvent(replica port.ReplicaID) uint64 { return g.index.LastSequence(replica) }
+// LastCacheEvent returns the sequence number after which to request events.
+func (g *Gate) LastCacheEvent(replica port.ReplicaID) uint64 { return g.index.LastSequence(replica) }
 
 // ResetCache drops a replica's cached blocks, for example after an engine restart.
 func (g *Gate) ResetCache(replica port.ReplicaID) { g.index.Reset(replica) }
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -30,7 +30,7 @@
 
 // Two attempts of one request may be offered to the same gate: cancelling the first
 // must not remove the second from the queue.
-func TestCancelConcernsItsOwnTicketOnly(t *testing.T) {
+func TestCancelAffectsOnlyItsOwnTicket(t *testing.T) {
 	g := newGate(1, 4, gate.Replica{ID: "a"})
 	first, second := ticket("same"), ticket("same")
 	g.Offer(start, first)
@@ -49,7 +49,7 @@
 
 // When a replica becomes free, a queued request that prefers it goes first, up to a
 // bound and never ahead of a higher priority.
-func TestWaitingRequestsGoToTheirPreferredReplica(t *testing.T) {
+func TestQueuedRequestsGoToPreferredReplica(t *testing.T) {
 	g := newGate(1, 4096, gate.Replica{ID: "a"}, gate.Replica{ID: "b"})
 	offer := func(id string, preferred port.ReplicaID, priority port.Priority) *gate.Ticket {
 		offered := ticket(id)
@@ -250,7 +250,7 @@
 
 // Calls go to the back end with the least expected latency, even if it has more
 // requests in flight than a slow one.
-func TestCallsKeepOffASlowBackEnd(t *testing.T) {
+func TestCallsAvoidSlowBackEnd(t *testing.T) {
 	g := gate.New(scheduling.Application(), newRandom())
 	g.Configure(start, gate.Settings{MinInflight: 8, MaxInflight: 8, QueueLength: 4}, []gate.Replica{{ID: "fast"}, {ID: "slow"}})
 	times := map[port.ReplicaID]time.Duration{"fast": 5 * time.Millisecond, "slow": 100 * time.Millisecond}
--- a/internal/core/gate/slot.go
+++ b/internal/core/gate/slot.go
@@ -56,7 +56,7 @@
 		s.finishedMark = s.finished
 	}
 	s.info = replica
-	s.adapters = replica.Report.Loaded()
+	s.adapters = replica.Report.LoadedAdapters()
 }
 
 const (
@@ -93,7 +93,7 @@
 // candidate returns the scheduling candidate for a request for the adapter.
 func (s *replicaState) candidate(now time.Time, adapter string) scheduling.Candidate {
 	report := &s.info.Report
-	version, staged := report.Serves(adapter)
+	version, staged := report.Versions(adapter)
 	return scheduling.Candidate{
 		Replica:             s.info.ID,
 		Zone:                s.info.Zone,
--- a/internal/core/groupmember/member.go
+++ b/internal/core/groupmember/member.go
@@ -23,8 +23,8 @@
 	// ErrLeadershipLost answers a proposal with an unknown outcome: another leader
 	// may still commit it.
 	ErrLeadershipLost = errors.New("groupmember: leadership was lost before the answer")
-	// ErrDisplaced answers a proposal that has no effect.
-	ErrDisplaced = errors.New("groupmember: proposal was replaced by another leader's entry")
+	// ErrProposalReplaced answers a proposal that has no effect.
+	ErrProposalReplaced = errors.New("groupmember: proposal was replaced by another leader's entry")
 )
 
 // StateMachine is the replicated state. Its methods are not called concurrently.
@@ -265,9 +265,9 @@
 // IsLeader reports whether this member leads.
 func (m *Member) IsLeader() bool { return m.status.Role == consensus.RoleLeader }
 
-// Settled reports whether this member leads, has contact to a quorum, and has applied an
+// LeaderReady reports whether this member leads, has contact to a quorum, and has applied an
 // entry of its own term, so that its state includes all that earlier leaders committed.
-func (m *Member) Settled() bool {
+func (m *Member) LeaderReady() bool {
 	start, leads := m.node.TermStart()
 	return leads && m.status.QuorumActive && m.applied >= start
 }
--- a/internal/core/groupmember/overload_test.go
+++ b/internal/core/groupmember/overload_test.go
@@ -17,7 +17,7 @@
 
 // A leader that runs for a third of the time remains leader, commits at least a quarter of
 // its usual rate (over all seeds), and recovers the full rate soon after.
-func TestALeaderUnderOverloadGoesOn(t *testing.T) {
+func TestLeaderKeepsLeadershipUnderOverload(t *testing.T) {
 	acknowledged, usual := 0, 0
 	for seed := range uint64(40) {
 		w := newWorld(t, seed, 3, 3)
--- a/internal/core/groupmember/plan.go
+++ b/internal/core/groupmember/plan.go
@@ -10,22 +10,22 @@
 type Limits struct {
 	// Voters is the wanted number of voters; it must be odd.
 	Voters int
-	// LeastVoters is the minimum number of voters that remain when a member leaves.
-	LeastVoters int
+	// MinVoters is the minimum number of voters that remain when a member leaves.
+	MinVoters int
 	// ReplaceTicks is the time without contact after which a caught-up learner replaces
 	// a voter.
 	ReplaceTicks uint64
-	// ForgetTicks is the time without contact after which a learner is removed.
-	ForgetTicks uint64
-	// Learners is the wanted number of learners, or AnyNumber.
+	// RemoveLearnerTicks is the time without contact after which a learner is removed.
+	RemoveLearnerTicks uint64
+	// Learners is the wanted number of learners, or UnlimitedLearners.
 	Learners int
-	// VacantTicks is the time without contact after which another machine may take a
+	// FreeSlotTicks is the time without contact after which another machine may take a
 	// member's slot.
-	VacantTicks uint64
+	FreeSlotTicks uint64
 }
 
-// AnyNumber allows any number of learners.
-const AnyNumber = -1
+// UnlimitedLearners allows any number of learners.
+const UnlimitedLearners = -1
 
 // Change is one step towards the wanted membership.
 type Change struct {
@@ -123,13 +123,13 @@
 }
 
 // replaceable reports whether a voter is to be replaced: it had no contact for
-// ReplaceTicks, or for VacantTicks if a caught-up learner may take its slot.
+// ReplaceTicks, or for FreeSlotTicks if a caught-up learner may take its slot.
 func (g *groupView) replaceable(m member) bool {
 	if !m.voter || m.self {
 		return false
 	}
-	hasReplacement := g.limits.Learners != AnyNumber && g.count(promotable) > g.limits.Learners
-	return m.ticksSinceContact >= g.limits.ReplaceTicks || hasReplacement && m.ticksSinceContact >= g.limits.VacantTicks
+	hasReplacement := g.limits.Learners != UnlimitedLearners && g.count(promotable) > g.limits.Learners
+	return m.ticksSinceContact >= g.limits.ReplaceTicks || hasReplacement && m.ticksSinceContact >= g.limits.FreeSlotTicks
 }
 
 func promotable(m member) bool { return !m.voter && m.caughtUp && !m.leaving && !m.superseded }
@@ -148,7 +148,7 @@
 // shrinksQuorumBelowMin reports whether removing one voter would make a quorum that is
 // large enough too small.
 func (g *groupView) shrinksQuorumBelowMin() bool {
-	minimum := quorum(g.limits.LeastVoters)
+	minimum := quorum(g.limits.MinVoters)
 	return quorum(g.voters()) >= minimum && quorum(g.voters()-1) < minimum
 }
 
@@ -181,7 +181,7 @@
 		return Change{}, false
 	}
 	healthy := g.count(func(m member) bool { return m.voter && !m.leaving && m.active && m.caughtUp })
-	if leaver.voter && healthy < g.limits.LeastVoters {
+	if leaver.voter && healthy < g.limits.MinVoters {
 		return Change{}, false
 	}
 	return Change{Kind: consensus.RemoveMember, Member: leaver.record.ID, Transfer: leaver.self}, true
@@ -194,7 +194,7 @@
 		return Change{}, false
 	}
 	others := g.count(func(m member) bool { return m.voter && !g.replaceable(m) })
-	if others < g.limits.Voters && !(g.voters()%2 == 0 && others >= g.limits.LeastVoters) {
+	if others < g.limits.Voters && !(g.voters()%2 == 0 && others >= g.limits.MinVoters) {
 		return Change{}, false
 	}
 	return Change{Kind: consensus.RemoveMember, Member: unreachable.record.ID}, true
@@ -212,8 +212,8 @@
 	return Change{Kind: consensus.RemoveMember, Member: surplus.record.ID}, found
 }
 
-// removeSilentLearner removes a learner that had no contact for ForgetTicks.
+// removeSilentLearner removes a learner that had no contact for RemoveLearnerTicks.
 func (g *groupView) removeSilentLearner() (Change, bool) {
-	silent, found := g.find(func(m member) bool { return !m.voter && !m.self && m.ticksSinceContact >= g.limits.ForgetTicks })
+	silent, found := g.find(func(m member) bool { return !m.voter && !m.self && m.ticksSinceContact >= g.limits.RemoveLearnerTicks })
 	return Change{Kind: consensus.RemoveMember, Member: silent.record.ID}, found
 }
--- a/internal/core/groupmember/plan_test.go
+++ b/internal/core/groupmember/plan_test.go
@@ -76,7 +76,7 @@
 				})
 			}
 		}
-		limits := groupmember.Limits{Voters: row.voters, LeastVoters: row.voters, Learners: 1, ReplaceTicks: 60, VacantTicks: 25, ForgetTicks: 300}
+		limits := groupmember.Limits{Voters: row.voters, MinVoters: row.voters, Learners: 1, ReplaceTicks: 60, FreeSlotTicks: 25, RemoveLearnerTicks: 300}
 		got, due := groupmember.Plan(status, records, row.leaving, limits)
 		if got != row.want || due != (row.want != groupmember.Change{}) {
 			t.Errorf("%s: %+v %v, want %+v", name, got, due, row.want)
--- a/internal/core/groupmember/ready.go
+++ b/internal/core/groupmember/ready.go
@@ -74,7 +74,7 @@
 	}
 	delete(m.pending, entry.Index)
 	if waiting.term != entry.Term {
-		m.fail(waiting.token, ErrDisplaced)
+		m.fail(waiting.token, ErrProposalReplaced)
 		return
 	}
 	m.replies = append(m.replies, Reply{Token: waiting.token, Result: result})
@@ -114,10 +114,10 @@
 	}
 }
 
-// TellDirectory adds the founders' records to the log for members that join. The leader
+// ProposeDirectory adds the founders' records to the log for members that join. The leader
 // calls it; it does nothing if they are in the log already.
-func (m *Member) TellDirectory() {
-	if m.directoryLogged || !m.Settled() {
+func (m *Member) ProposeDirectory() {
+	if m.directoryLogged || !m.LeaderReady() {
 		return
 	}
 	m.directoryLogged = true // once per leadership; if the entry is lost, the next leader proposes it
@@ -161,8 +161,8 @@
 // new one would add a copy of the state, and compact entries that the receiver needs next.
 const sendingSnapshotFactor = 2
 
-// WantsSnapshot reports whether enough was applied since the last snapshot.
-func (m *Member) WantsSnapshot() bool {
+// SnapshotDue reports whether enough was applied since the last snapshot.
+func (m *Member) SnapshotDue() bool {
 	entries := m.applied - m.snapshotIndex
 	if !m.membershipKnown || entries == 0 {
 		return false
--- a/internal/core/groupmember/room.go
+++ b/internal/core/groupmember/room.go
@@ -2,11 +2,11 @@
 
 import "github.com/loomgrade/loomgrade/internal/core/consensus"
 
-// HasRoom reports whether a settled leader's group accepts a machine as a learner. The
+// AcceptsLearner reports whether a settled leader's group accepts a machine as a learner. The
 // number of slots is limited, as the leader sends each new member the whole state. A
 // machine with the address of a member is always accepted.
-func HasRoom(status consensus.Status, records []Record, leaving map[string]bool, address string, limits Limits) bool {
-	if limits.Learners == AnyNumber {
+func AcceptsLearner(status consensus.Status, records []Record, leaving map[string]bool, address string, limits Limits) bool {
+	if limits.Learners == UnlimitedLearners {
 		return true
 	}
 	group := newGroupView(status, records, leaving, limits)
@@ -16,10 +16,10 @@
 	return group.freeSlots() > 0
 }
 
-// Vacant returns how many more machines a settled leader's group accepts, or 0 if their
+// FreeSlots returns how many more machines a settled leader's group accepts, or 0 if their
 // number is not limited.
-func Vacant(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) int {
-	if limits.Learners == AnyNumber {
+func FreeSlots(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) int {
+	if limits.Learners == UnlimitedLearners {
 		return 0
 	}
 	return newGroupView(status, records, leaving, limits).freeSlots()
@@ -29,7 +29,7 @@
 // by a newer id uses none, so that it cannot block its replacement.
 func (g *groupView) freeSlots() int {
 	taken := g.count(func(m member) bool {
-		return !m.leaving && !m.superseded && (m.self || m.ticksSinceContact < g.limits.VacantTicks)
+		return !m.leaving && !m.superseded && (m.self || m.ticksSinceContact < g.limits.FreeSlotTicks)
 	})
 	return max(0, g.limits.Voters+g.limits.Learners-taken)
 }
--- a/internal/core/groupmember/room_test.go
+++ b/internal/core/groupmember/room_test.go
@@ -9,7 +9,7 @@
 
 // The leader accepts only as many joining machines as the group has slots: too many at
 // once overload it. Unreachable members use no slot, so that their replacements can join.
-func TestOnlyAsManyJoinAsAreNeeded(t *testing.T) {
+func TestHasRoom(t *testing.T) {
 	const unreachableTicks = 40
 	for name, row := range map[string]struct {
 		voters, learners                       int
@@ -26,7 +26,7 @@
 		"two voters missing":                       {voters: 3, learners: 2, learnerLimit: 1, address: "x", want: true},
 		"address of a member":                      {voters: 5, learners: 1, learnerLimit: 1, address: "v2", want: true},
 		"address of a former member":               {voters: 5, learners: 1, learnerLimit: 1, address: "gone", want: false},
-		"no limit":                                 {voters: 5, learners: 9, learnerLimit: groupmember.AnyNumber, address: "x", want: true},
+		"no limit":                                 {voters: 5, learners: 9, learnerLimit: groupmember.UnlimitedLearners, address: "x", want: true},
 		"no learner wanted":                        {voters: 5, learnerLimit: 0, address: "x", want: false},
 		"no learner wanted, one voter unreachable": {voters: 5, unreachableVoters: 1, learnerLimit: 0, address: "x", want: true},
 		"learner unreachable":                      {voters: 5, learners: 1, unreachableLearners: 1, learnerLimit: 1, address: "x", want: true},
@@ -44,14 +44,14 @@
 			id := group.add(consensus.MemberID(i+20), "l", i >= row.learners-row.unreachableLearners, unreachableTicks)
 			group.status.Membership.Learners = append(group.status.Membership.Learners, id)
 		}
-		limits := groupmember.Limits{Voters: 5, Learners: row.learnerLimit, VacantTicks: 30}
-		if got := groupmember.HasRoom(group.status, group.records, row.leaving, row.address, limits); got != row.want {
+		limits := groupmember.Limits{Voters: 5, Learners: row.learnerLimit, FreeSlotTicks: 30}
+		if got := groupmember.AcceptsLearner(group.status, group.records, row.leaving, row.address, limits); got != row.want {
 			t.Errorf("%s: %v, want %v", name, got, row.want)
 		}
 	}
 }
 
-// testGroup builds the arguments of HasRoom.
+// testGroup builds the arguments of AcceptsLearner.
 type testGroup struct {
 	status  consensus.Status
 	records []groupmember.Record
--- a/internal/core/groupmember/simulation_test.go
+++ b/internal/core/groupmember/simulation_test.go
@@ -149,7 +149,7 @@
 func newWorld(t *testing.T, seed uint64, count, voters int) *world {
 	w := &world{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), waiting: map[consensus.MemberID]map[uint64]uint64{}, lastWipe: -1000, snapshotEntries: 40,
-		limits: groupmember.Limits{Voters: voters, LeastVoters: 3, Learners: groupmember.AnyNumber, ReplaceTicks: replaceTicks, VacantTicks: vacantTicks, ForgetTicks: forgetTicks},
+		limits: groupmember.Limits{Voters: voters, MinVoters: 3, Learners: groupmember.UnlimitedLearners, ReplaceTicks: replaceTicks, FreeSlotTicks: vacantTicks, RemoveLearnerTicks: forgetTicks},
 	}
 	var founders []groupmember.Record
 	for i := range 3 {
@@ -204,7 +204,7 @@
 func (w *world) leader() *machine {
 	var leader *machine
 	for _, m := range w.machines {
-		if m.member != nil && !w.paused(m) && m.member.Settled() && (leader == nil || m.member.Status().Term > leader.member.Status().Term) {
+		if m.member != nil && !w.paused(m) && m.member.LeaderReady() && (leader == nil || m.member.Status().Term > leader.member.Status().Term) {
 			leader = m
 		}
 	}
@@ -225,7 +225,7 @@
 			return
 		}
 	}
-	if !groupmember.HasRoom(status, leader.member.Directory(), w.leaving(), m.name, w.limits) {
+	if !groupmember.AcceptsLearner(status, leader.member.Directory(), w.leaving(), m.name, w.limits) {
 		return
 	}
 	leader.changing = true
@@ -264,7 +264,7 @@
 // save captures a snapshot once the member wants one, and compacts the log once the
 // snapshot is written, unless the leader has sent a later one.
 func (w *world) save(m *machine) {
-	if m.pendingSnapshot == nil && m.member.WantsSnapshot() {
+	if m.pendingSnapshot == nil && m.member.SnapshotDue() {
 		capture, err := m.member.CaptureSnapshot()
 		if err != nil {
 			w.t.Fatal(err)
@@ -327,7 +327,7 @@
 }
 
 func (w *world) plan(m *machine) {
-	m.member.TellDirectory()
+	m.member.ProposeDirectory()
 	if m.changing {
 		return
 	}
@@ -534,7 +534,7 @@
 	}
 }
 
-func TestNothingAcknowledgedIsLostWhateverHappens(t *testing.T) {
+func TestAcknowledgedCommandsSurviveFaults(t *testing.T) {
 	seeds := uint64(60)
 	if testing.Short() {
 		seeds = 10
@@ -544,7 +544,7 @@
 
 // Members keep running while the snapshots that they captured are written, even if they
 // stop or receive a later one before.
-func TestNothingIsLostWhileSnapshotsAreWritten(t *testing.T) {
+func TestAcknowledgedCommandsSurviveSnapshotWrites(t *testing.T) {
 	const seeds, saveTicks = 15, 30
 	testNoAcknowledgedLoss(t, seeds, saveTicks)
 }
@@ -591,7 +591,7 @@
 	}
 }
 
-func TestAnEmptiedMachineHoldsNothingAndOthersHoldAll(t *testing.T) {
+func TestDrainedMachineIsRemovedWithoutLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, 4, 3)
 		for range 200 {
@@ -632,7 +632,7 @@
 	}
 }
 
-func TestTheLosingOfADiskIsFoundOutWithoutReplacement(t *testing.T) {
+func TestWipedMachineRejoinsUnderNewID(t *testing.T) {
 	w := newWorld(t, 5, 3, 3)
 	for range 200 {
 		w.tick()
@@ -658,7 +658,7 @@
 
 // A joining member that reads the whole log must not take a snapshot before the entry that
 // added it: it does not know the membership of that time.
-func TestAMemberThatReadsTheWholeLogTakesNoSnapshotTooEarly(t *testing.T) {
+func TestJoiningMemberTakesNoSnapshotBeforeItsAddition(t *testing.T) {
 	w := newWorld(t, 3, 3, 3)
 	w.snapshotEntries, w.batchBytes = 100000, 100
 	for range 300 {
--- a/internal/core/groupmember/succession_test.go
+++ b/internal/core/groupmember/succession_test.go
@@ -42,7 +42,7 @@
 // Two of four machines are replaced, one is isolated, and one loses its disk in a power
 // failure of all. For every choice of machines the group must be repaired in time, and
 // keep all acknowledged commands.
-func TestSuccessorsOfLostMachinesAreTakenIn(t *testing.T) {
+func TestReplacementsOfLostMachinesJoin(t *testing.T) {
 	t.Parallel()
 	for part := range parts {
 		t.Run(fmt.Sprint("part ", part), func(t *testing.T) {
--- a/internal/core/groupmember/wiped_test.go
+++ b/internal/core/groupmember/wiped_test.go
@@ -13,7 +13,7 @@
 // newFiveVoterWorld returns a world of five voters that must tolerate two losses.
 func newFiveVoterWorld(t *testing.T, seed uint64, configure func(*world)) *world {
 	w := newWorld(t, seed, 5, 5)
-	w.limits.LeastVoters = 5
+	w.limits.MinVoters = 5
 	configure(w)
 	for range 400 {
 		w.tick()
@@ -39,7 +39,7 @@
 
 // While wiped members return, every quorum must have at least three voters, so that
 // acknowledged commands are on three disks.
-func TestAQuorumOutlivesTwoLossesWhileWipedMembersReturn(t *testing.T) {
+func TestQuorumSurvivesTwoLossesWhileWipedMembersRejoin(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newFiveVoterWorld(t, seed, func(*world) {})
 		w.wipeFollowers()
@@ -76,7 +76,7 @@
 
 // A leader makes no snapshot while it sends one, unless twice the usual amount was
 // applied. With 64-byte chunks a transfer lasts several snapshot intervals.
-func TestNoSnapshotIsMadeWhileOneIsSent(t *testing.T) {
+func TestNoSnapshotIsTakenWhileSendingOne(t *testing.T) {
 	saved, total := 0, 0
 	for seed := range uint64(20) {
 		w := newFiveVoterWorld(t, seed, func(w *world) { w.chunkBytes, w.snapshotEntries = 64, 10 })
--- a/internal/core/home/health.go
+++ b/internal/core/home/health.go
@@ -22,45 +22,45 @@
 			claims = append(claims, ejection.Claim{Replica: replica.Replica, Since: time.UnixMilli(replica.EjectedSince)})
 		}
 	})
-	for _, id := range ejection.Honour(claims, size, pool.Ejection.MaxShare) {
+	for _, id := range ejection.AcceptedClaims(claims, size, pool.Ejection.MaxShare) {
 		health[id] = Health{Ejected: true}
 	}
 	return health
 }
 
-// Judged classifies the end of a request for the gate and the ejection tracker.
-type Judged struct {
+// Classification classifies the end of a request for the gate and the ejection tracker.
+type Classification struct {
 	// Outcome is passed to the gate.
 	Outcome gate.Outcome
-	// Counts is set if the outcome affects the replica's health, Failed if it counts
+	// AffectsHealth is set if the outcome affects the replica's health, Failed if it counts
 	// as a failure. Latency is comparable between requests.
-	Counts, Failed bool
-	Latency        time.Duration
+	AffectsHealth, Failed bool
+	Latency               time.Duration
 }
 
-// JudgeGeneration classifies the end of a completion with the given number of tokens.
+// ClassifyGeneration classifies the end of a completion with the given number of tokens.
 // Abandoned is set if the caller went away.
-func JudgeGeneration(failure *port.Error, abandoned bool, tokens int, elapsed time.Duration) Judged {
+func ClassifyGeneration(failure *port.Error, abandoned bool, tokens int, elapsed time.Duration) Classification {
 	if abandoned || failure != nil && ignoredForHealth(failure) {
-		return Judged{Outcome: gate.Outcome{Abandoned: true}}
+		return Classification{Outcome: gate.Outcome{Abandoned: true}}
 	}
 	perToken := elapsed / time.Duration(max(tokens, 1))
 	failed := failure != nil
-	return Judged{
-		Outcome: gate.Outcome{Overloaded: failed, Latency: perToken, Weight: tokens},
-		Counts:  true, Failed: failed, Latency: perToken,
+	return Classification{
+		Outcome:       gate.Outcome{Overloaded: failed, Latency: perToken, Weight: tokens},
+		AffectsHealth: true, Failed: failed, Latency: perToken,
 	}
 }
 
-// JudgeCall classifies the end of an application call with an HTTP status.
-func JudgeCall(failure *port.Error, abandoned bool, status int, elapsed time.Duration) Judged {
+// ClassifyCall classifies the end of an application call with an HTTP status.
+func ClassifyCall(failure *port.Error, abandoned bool, status int, elapsed time.Duration) Classification {
 	if failure != nil && (abandoned || failure.Code == port.CodeInvalid) {
-		return Judged{Outcome: gate.Outcome{Abandoned: true}}
+		return Classification{Outcome: gate.Outcome{Abandoned: true}}
 	}
 	failed := failure != nil || status >= minServerErrorStatus
-	judged := Judged{
-		Outcome: gate.Outcome{Overloaded: failed, Latency: elapsed},
-		Counts:  true, Failed: failed, Latency: elapsed,
+	judged := Classification{
+		Outcome:       gate.Outcome{Overloaded: failed, Latency: elapsed},
+		AffectsHealth: true, Failed: failed, Latency: elapsed,
 	}
 	if !failed {
 		judged.Outcome.Service = elapsed
--- a/internal/core/home/home_test.go
+++ b/internal/core/home/home_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestLeavingIsTheUnionOfThePollers(t *testing.T) {
+func TestLeavingMachinesIsUnionOfPollers(t *testing.T) {
 	machines := []port.Machine{{Address: "10.0.0.1", State: port.MachineLeaving}}
 	leaving := home.NewLeavingMachines()
 	if !leaving.Update(at(0), "n1", machines) || leaving.Update(at(1), "n1", machines) {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestStandingsStayWithinTheBound(t *testing.T) {
+func TestPoolHealthStaysWithinBound(t *testing.T) {
 	pool := &port.Pool{Name: "lm", Ejection: port.Ejection{MaxShare: 0.25}}
 	summaries := membership.NewSummaries()
 	summaries.Apply(start, membership.HomeSummary{Node: "n1", Sequence: 1, Replicas: []membership.ReplicaSummary{
@@ -132,31 +132,31 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	backEnd := port.NewError(port.MayHaveRun, port.CodeBackEnd, "cut")
 	invalid := port.NewError(port.NotRun, port.CodeInvalid, "no")
 	stale := port.NewError(port.NotRun, port.CodeStale, "old")
 	cases := []struct {
 		name   string
-		judged home.Judged
+		judged home.Classification
 		counts bool
 		failed bool
 	}{
-		{"completion", home.JudgeGeneration(nil, false, 10, time.Second), true, false},
-		{"completion cut off", home.JudgeGeneration(backEnd, false, 10, time.Second), true, true},
-		{"completion abandoned", home.JudgeGeneration(backEnd, true, 10, time.Second), false, false},
-		{"completion refused for stale version", home.JudgeGeneration(stale, false, 0, time.Second), false, false},
-		{"call", home.JudgeCall(nil, false, 200, time.Second), true, false},
-		{"call with client error", home.JudgeCall(nil, false, 404, time.Second), true, false},
-		{"call with server error", home.JudgeCall(nil, false, 503, time.Second), true, true},
-		{"call cut off", home.JudgeCall(backEnd, false, 0, time.Second), true, true},
-		{"call abandoned", home.JudgeCall(backEnd, true, 0, time.Second), false, false},
-		{"invalid call", home.JudgeCall(invalid, false, 0, time.Second), false, false},
+		{"completion", home.ClassifyGeneration(nil, false, 10, time.Second), true, false},
+		{"completion cut off", home.ClassifyGeneration(backEnd, false, 10, time.Second), true, true},
+		{"completion abandoned", home.ClassifyGeneration(backEnd, true, 10, time.Second), false, false},
+		{"completion refused for stale version", home.ClassifyGeneration(stale, false, 0, time.Second), false, false},
+		{"call", home.ClassifyCall(nil, false, 200, time.Second), true, false},
+		{"call with client error", home.ClassifyCall(nil, false, 404, time.Second), true, false},
+		{"call with server error", home.ClassifyCall(nil, false, 503, time.Second), true, true},
+		{"call cut off", home.ClassifyCall(backEnd, false, 0, time.Second), true, true},
+		{"call abandoned", home.ClassifyCall(backEnd, true, 0, time.Second), false, false},
+		{"invalid call", home.ClassifyCall(invalid, false, 0, time.Second), false, false},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			judged := testCase.judged
-			if judged.Counts != testCase.counts || judged.Failed != testCase.failed || judged.Outcome.Abandoned == testCase.counts {
+			if judged.AffectsHealth != testCase.counts || judged.Failed != testCase.failed || judged.Outcome.Abandoned == testCase.counts {
 				t.Errorf("judged %+v", judged)
 			}
 		})
--- a/internal/core/home/leaving.go
+++ b/internal/core/home/leaving.go
@@ -71,8 +71,8 @@
 	return false
 }
 
-// LeavingOf returns the leaving machines of a machine list.
-func LeavingOf(machines []port.Machine) []port.Machine {
+// FilterLeaving returns the leaving machines of a machine list.
+func FilterLeaving(machines []port.Machine) []port.Machine {
 	var leaving []port.Machine
 	for _, machine := range machines {
 		if machine.State == port.MachineLeaving {
--- a/internal/core/home/pollpace_test.go
+++ b/internal/core/home/pollpace_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestPollsAreDueAtTheNearestLook(t *testing.T) {
+func TestPollsAreDueAtNearestCheck(t *testing.T) {
 	const checkInterval = 200 * time.Millisecond
 	cases := []struct {
 		elapsed, interval time.Duration
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestPollsThatMustNotBePutOff(t *testing.T) {
+func TestNeedsFastPolls(t *testing.T) {
 	serving := port.LoadReport{Version: 4, Staged: 4, Incarnation: 1}
 	staged := port.LoadReport{Version: 4, Staged: 5, Incarnation: 1}
 	cases := []struct {
--- a/internal/core/home/record.go
+++ b/internal/core/home/record.go
@@ -88,7 +88,7 @@
 	if r.VersionUnknown(now) {
 		return 0
 	}
-	version, _ := r.report.Serves(adapter)
+	version, _ := r.report.Versions(adapter)
 	return version
 }
 
@@ -134,7 +134,7 @@
 		Inflight:       load.Inflight,
 		Limit:          load.Limit,
 		Queued:         queued,
-		Adapters:       r.report.Loaded(),
+		Adapters:       r.report.LoadedAdapters(),
 	}
 	if tracker != nil {
 		r.addHealth(now, tracker, &summary)
--- a/internal/core/jobqueue/jobqueue.go
+++ b/internal/core/jobqueue/jobqueue.go
@@ -26,13 +26,13 @@
 	Model   string
 	// MinVersion is the oldest weight version that may generate its text.
 	MinVersion uint64
-	// Only, if not 0, is the weight version that must continue its text.
-	Only  uint64
-	Group string
+	// ExactVersion, if not 0, is the weight version that must continue its text.
+	ExactVersion uint64
+	Group        string
 	// Rank orders the items; lower runs first.
 	Rank Rank
 	// Homes are the regions in which it may run.
-	Homes routing.Homes
+	Homes routing.AllowedRegions
 	// Relaxed is set for an item that finishes in time on any replica.
 	Relaxed bool
 	// Avoid is a replica that was slow at the item, used only if there is no other.
@@ -96,8 +96,8 @@
 	Pace time.Duration
 	// Version returns the version of a model that it serves, 0 if none.
 	Version func(model string) uint64
-	// Groups reports whether it recently processed the prompt of a group.
-	Groups func(group string) bool
+	// HasPrompt reports whether it recently processed the prompt of a group.
+	HasPrompt func(group string) bool
 }
 
 // Placement assigns an item to a replica.
@@ -171,7 +171,7 @@
 }
 
 func requirementOf(item Item) requirement {
-	return requirement{service: item.Service, model: item.Model, minVersion: item.MinVersion, exactVersion: item.Only, homes: item.Homes.String()}
+	return requirement{service: item.Service, model: item.Model, minVersion: item.MinVersion, exactVersion: item.ExactVersion, homes: item.Homes.String()}
 }
 
 // choose returns the index of the best replica for an item, or -1.
@@ -198,7 +198,7 @@
 // running items. A replica that processed the group's prompt has a small advantage.
 func cost(replica *Replica, item Item) float64 {
 	warm := 0.0
-	if replica.Groups != nil && replica.Groups(item.Group) {
+	if replica.HasPrompt != nil && replica.HasPrompt(item.Group) {
 		warm = 1
 	}
 	if item.Relaxed {
@@ -219,12 +219,12 @@
 )
 
 func fits(replica *Replica, item Item) bool {
-	if !item.Homes.Allow(replica.Region) {
+	if !item.Homes.Allows(replica.Region) {
 		return false
 	}
 	version := replica.Version(item.Model)
-	if item.Only != 0 {
-		return version == item.Only
+	if item.ExactVersion != 0 {
+		return version == item.ExactVersion
 	}
 	return version >= item.MinVersion
 }
--- a/internal/core/jobqueue/jobqueue_test.go
+++ b/internal/core/jobqueue/jobqueue_test.go
@@ -43,7 +43,7 @@
 	}{{4, 0, "v5"}, {0, 3, "v3"}, {6, 0, ""}, {0, 4, ""}} {
 		var queue jobqueue.Queue
 		waiting := item("j", 0, jobqueue.Rank{})
-		waiting.MinVersion, waiting.Only = row.minVersion, row.exactVersion
+		waiting.MinVersion, waiting.ExactVersion = row.minVersion, row.exactVersion
 		queue.Add(waiting)
 		placed := queue.Place(replicas(), now)
 		got := ""
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestHeldBackItemsLetOthersPass(t *testing.T) {
+func TestDelayedItemDoesNotBlockOthers(t *testing.T) {
 	var queue jobqueue.Queue
 	held := item("j", 0, jobqueue.Rank{})
 	held.NotBefore = now.Add(time.Second)
@@ -70,11 +70,11 @@
 	}
 }
 
-func TestGroupsGoWhereTheirPromptIsUnlessThatIsCrowded(t *testing.T) {
+func TestPlacePrefersReplicaWithGroupPrompt(t *testing.T) {
 	for running, want := range map[int]string{2: "warm", 6: "cold"} {
 		warm := replica("warm", 8, 1)
 		warm.Running = running
-		warm.Groups = func(string) bool { return true }
+		warm.HasPrompt = func(string) bool { return true }
 		var queue jobqueue.Queue
 		queue.Add(item("j", 0, jobqueue.Rank{}))
 		if placed := queue.Place([]jobqueue.Replica{replica("cold", 8, 1), warm}, now); placed[0].Replica != want {
@@ -122,9 +122,9 @@
 	}
 }
 
-func TestAnItemGoesBackToASlowReplicaOnlyIfThereIsNoOther(t *testing.T) {
+func TestAvoidedReplicaIsLastChoice(t *testing.T) {
 	slow := replica("slow", 8, 1)
-	slow.Groups = func(string) bool { return true }
+	slow.HasPrompt = func(string) bool { return true }
 	busy := replica("busy", 1, 1)
 	busy.Running = 7
 	moved := item("j", 0, jobqueue.Rank{})
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestLongItemsGoByPaceAndOthersWhereLeastRuns(t *testing.T) {
+func TestPlaceByPaceOrLoad(t *testing.T) {
 	busy := func(id string, running int, pace time.Duration) jobqueue.Replica {
 		busy := replica(id, 12-running, 1)
 		busy.Running, busy.Pace = running, pace
--- a/internal/core/jobqueue/move.go
+++ b/internal/core/jobqueue/move.go
@@ -23,8 +23,8 @@
 	Replica string
 	// Pace is the recent time between its events.
 	Pace time.Duration
-	// Left is the expected number of remaining events.
-	Left float64
+	// RemainingEvents is the expected number of remaining events.
+	RemainingEvents float64
 }
 
 // Moves selects the runs to move to a faster replica with a free slot, largest saving first. It
@@ -60,7 +60,7 @@
 
 // saving returns the time saved by moving a run to a replica with the given pace.
 func saving(run Run, pace time.Duration) time.Duration {
-	return time.Duration(run.Left*float64(run.Pace-pace)) - moveCost
+	return time.Duration(run.RemainingEvents*float64(run.Pace-pace)) - moveCost
 }
 
 func worthMoving(run Run, pace time.Duration) bool {
--- a/internal/core/jobqueue/move_test.go
+++ b/internal/core/jobqueue/move_test.go
@@ -13,10 +13,10 @@
 	return paced
 }
 
-func TestMovesGoWhereTimeIsSaved(t *testing.T) {
+func TestMovesSaveTime(t *testing.T) {
 	const usual, slow = 40 * time.Millisecond, 60 * time.Millisecond
 	run := func(index int, at string, pace time.Duration, left float64) jobqueue.Run {
-		return jobqueue.Run{Item: item("j", index, jobqueue.Rank{}), Replica: at, Pace: pace, Left: left}
+		return jobqueue.Run{Item: item("j", index, jobqueue.Rank{}), Replica: at, Pace: pace, RemainingEvents: left}
 	}
 	needs := func(r jobqueue.Run, version uint64) jobqueue.Run {
 		r.Item.MinVersion = version
--- a/internal/core/jobqueue/scores.go
+++ b/internal/core/jobqueue/scores.go
@@ -8,9 +8,9 @@
 	reservedForCallers = 1
 )
 
-// ScoresAtOnce returns the maximum number of concurrent reward calls of one runner at a service
+// MaxRewardCalls returns the maximum number of concurrent reward calls of one runner at a service
 // with the given number of slots. The runners of all shards share the slots that are not
 // reserved for callers; calls beyond that would queue at the replicas, time out and be retried.
-func ScoresAtOnce(slots, shards int) int {
+func MaxRewardCalls(slots, shards int) int {
 	return max(minRewardCalls, (slots-reservedForCallers)/max(1, shards))
 }
--- a/internal/core/jobqueue/scores_test.go
+++ b/internal/core/jobqueue/scores_test.go
@@ -97,13 +97,13 @@
 	return count
 }
 
-// TestRewardCallsOfAServiceThatShrank checks that at 70% utilization neither reward calls nor
+// TestRewardCallLimitOfDegradedService checks that at 70% utilization neither reward calls nor
 // callers queue up. With three quarters of the slots the reward calls wait for seconds; with all
 // slots the callers wait.
-func TestRewardCallsOfAServiceThatShrank(t *testing.T) {
+func TestRewardCallLimitOfDegradedService(t *testing.T) {
 	for seed := range uint64(8) {
 		arrivals := drawArrivals(rand.New(rand.NewPCG(seed, 33)))
-		queued, callers := simulateRewardCalls(jobqueue.ScoresAtOnce(scoreLoad.slots, 1), arrivals)
+		queued, callers := simulateRewardCalls(jobqueue.MaxRewardCalls(scoreLoad.slots, 1), arrivals)
 		if queued > scoreLoad.maxWait || callers > scoreLoad.caller {
 			t.Errorf("seed %d: reward calls wait for up to %v, callers for %v", seed, queued, callers)
 		}
@@ -118,7 +118,7 @@
 
 func TestScoresAreSharedByShards(t *testing.T) {
 	for _, row := range []struct{ slots, shards, want int }{{0, 1, 2}, {1, 1, 2}, {6, 1, 5}, {18, 0, 17}, {19, 3, 6}, {4, 4, 2}} {
-		if got := jobqueue.ScoresAtOnce(row.slots, row.shards); got != row.want {
+		if got := jobqueue.MaxRewardCalls(row.slots, row.shards); got != row.want {
 			t.Errorf("%+v: %d", row, got)
 		}
 	}
--- a/internal/core/jobstate/command.go
+++ b/internal/core/jobstate/command.go
@@ -39,9 +39,9 @@
 	Tenant string `cbor:"1,keyasint"`
 }
 
-// Reaches reports whether the call may read and end a job. A job submitted before tenants were
+// Allows reports whether the call may read and end a job. A job submitted before tenants were
 // configured is accessible to all of them.
-func (a *Access) Reaches(job *Job) bool {
+func (a *Access) Allows(job *Job) bool {
 	return a == nil || job.Submission.Tenant == "" || job.Submission.Tenant == a.Tenant
 }
 
@@ -109,16 +109,16 @@
 	LastEvent string `cbor:"6,keyasint,omitempty"`
 	// Versions are the weight versions that generated Text.
 	Versions []uint64 `cbor:"7,keyasint,omitempty"`
-	// Whole is set once the text is complete.
-	Whole bool `cbor:"8,keyasint,omitempty"`
+	// Complete is set once the text is complete.
+	Complete bool `cbor:"8,keyasint,omitempty"`
 	// Failures and ScorerFailures are added to the counts.
 	Failures       int    `cbor:"9,keyasint,omitempty"`
 	ScorerFailures int    `cbor:"10,keyasint,omitempty"`
 	Result         Result `cbor:"11,keyasint,omitempty"`
 	// Score comes with ResultCompleted.
 	Score string `cbor:"12,keyasint,omitempty"`
-	// Ends is added to the number of replicas that crashed while they ran the item.
-	Ends int `cbor:"13,keyasint,omitempty"`
+	// Crashes is added to the number of replicas that crashed while they ran the item.
+	Crashes int `cbor:"13,keyasint,omitempty"`
 }
 
 // Result is the final state of an item.
@@ -144,9 +144,9 @@
 const (
 	// Accepted means that the job is stored.
 	Accepted AcceptOutcome = iota + 1
-	// AcceptedBefore means that a job with this id is already stored.
-	AcceptedBefore
-	// OfAnotherTenant means that the id belongs to another tenant's job and this job is not
+	// AlreadyAccepted means that a job with this id is already stored.
+	AlreadyAccepted
+	// OwnedByOtherTenant means that the id belongs to another tenant's job and this job is not
 	// stored.
-	OfAnotherTenant
+	OwnedByOtherTenant
 )
--- a/internal/core/jobstate/jobstate_test.go
+++ b/internal/core/jobstate/jobstate_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("first: %v", got)
 	}
 	other := submission("j", "b", "c")
-	if got := l.apply(jobstate.Command{Accept: other}); got != jobstate.AcceptedBefore {
+	if got := l.apply(jobstate.Command{Accept: other}); got != jobstate.AlreadyAccepted {
 		t.Errorf("second: %v", got)
 	}
 	if job := l.state.Job("j"); len(job.Items) != 1 || job.Items[0].Item.ID != "a" {
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestTextCountsOnlyWhereItFollows(t *testing.T) {
+func TestRecordAppendsOnlyContiguousText(t *testing.T) {
 	l := newLog(t)
 	l.apply(jobstate.Command{Accept: submission("j", "a")})
 	l.record(text("j", 0, 0, "1", "2"))
@@ -72,11 +72,11 @@
 	l.record(text("j", 7, 0, "1"))      // unknown item
 	l.record(text("nobody", 0, 0, "1")) // unknown job
 	stale := text("j", 0, 1, "2", "3")  // overlaps the stored text
-	stale.Whole = true
+	stale.Complete = true
 	l.record(stale)
 	l.record(text("j", 0, 2, "3"))
 	item := l.state.Job("j").Items[0]
-	if item.Text != "1\n2\n3" || item.Events != 3 || item.LastEvent != "3" || item.Whole {
+	if item.Text != "1\n2\n3" || item.Events != 3 || item.LastEvent != "3" || item.Complete {
 		t.Errorf("%+v", item)
 	}
 	l.record(jobstate.ItemRecord{Job: "j", Item: 0, Reset: true, Text: []string{"x"}, LastEvent: "1", Versions: []uint64{4}})
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestAResultNeedsItsWholeTextAndStays(t *testing.T) {
+func TestResultRequiresCompleteText(t *testing.T) {
 	l := newLog(t)
 	l.apply(jobstate.Command{Accept: submission("j", "a", "b")})
 	early := text("j", 0, 0, "1")
@@ -95,7 +95,7 @@
 		t.Errorf("completed with an incomplete text: %+v", page)
 	}
 	whole := text("j", 0, 1, "2")
-	whole.Whole, whole.Result, whole.Score = true, jobstate.ResultCompleted, "s"
+	whole.Complete, whole.Result, whole.Score = true, jobstate.ResultCompleted, "s"
 	l.record(whole)
 	l.record(jobstate.ItemRecord{Job: "j", Item: 0, Events: 2, Result: jobstate.ResultErrored})
 	l.record(jobstate.ItemRecord{Job: "j", Item: 1, Result: jobstate.ResultErrored})
@@ -113,7 +113,7 @@
 	l.apply(jobstate.Command{Accept: submission("j", "a", "b", "c")})
 	for item := range 3 {
 		done := text("j", item, 0, strings.Repeat("x", 500))
-		done.Whole, done.Result = true, jobstate.ResultCompleted
+		done.Complete, done.Result = true, jobstate.ResultCompleted
 		l.record(done)
 	}
 	for _, row := range []struct{ from, bytes, results, next int }{
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestItemsThatComeBackTakeOverTextThatFits(t *testing.T) {
+func TestResubmittedItemReusesText(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func(*jobstate.Submission)
 		want   string
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestEndsAreKnownAndForgottenJobsAreNot(t *testing.T) {
+func TestEndAndForgetJobs(t *testing.T) {
 	l := newLog(t)
 	l.apply(jobstate.Command{Accept: submission("j", "a")})
 	for range 2 {
@@ -181,7 +181,7 @@
 			record := jobstate.ItemRecord{
 				Job: "j", Item: rapid.IntRange(0, len(items)).Draw(r, "item"), Events: rapid.IntRange(0, 4).Draw(r, "events"),
 				Text:  rapid.SliceOfN(rapid.StringMatching("[a-z]"), 0, 3).Draw(r, "text"),
-				Reset: rapid.IntRange(0, 5).Draw(r, "reset") == 0, Whole: rapid.Bool().Draw(r, "whole"), Versions: []uint64{3},
+				Reset: rapid.IntRange(0, 5).Draw(r, "reset") == 0, Complete: rapid.Bool().Draw(r, "whole"), Versions: []uint64{3},
 				Result: jobstate.Result(rapid.IntRange(0, 2).Draw(r, "result")),
 			}
 			if record.Reset {
@@ -221,9 +221,9 @@
 	})
 }
 
-// TestACaptureHoldsWhatWasThere checks that a snapshot encoded later holds the state at the time
+// TestSnapshotIsPointInTime checks that a snapshot encoded later holds the state at the time
 // of its capture.
-func TestACaptureHoldsWhatWasThere(t *testing.T) {
+func TestSnapshotIsPointInTime(t *testing.T) {
 	testkit.Check(t, 15, func(r *rapid.T) {
 		l := newLog(t)
 		l.apply(jobstate.Command{Accept: submission("j", "a", "b", "c")})
@@ -237,7 +237,7 @@
 			captured, want = append(captured, l.state.Snapshot()), append(want, at)
 			l.record(jobstate.ItemRecord{
 				Job: "j", Item: rapid.IntRange(0, 2).Draw(r, "item"), Events: rapid.IntRange(0, 3).Draw(r, "events"),
-				Text: rapid.SliceOfN(rapid.StringMatching("[a-z]"), 0, 2).Draw(r, "text"), Whole: rapid.Bool().Draw(r, "whole"),
+				Text: rapid.SliceOfN(rapid.StringMatching("[a-z]"), 0, 2).Draw(r, "text"), Complete: rapid.Bool().Draw(r, "whole"),
 				Versions: []uint64{rapid.Uint64Range(3, 5).Draw(r, "version")}, Failures: rapid.IntRange(0, 1).Draw(r, "failures"),
 				Result: jobstate.Result(rapid.IntRange(0, 2).Draw(r, "result")),
 			})
@@ -289,7 +289,7 @@
 	l.apply(jobstate.Command{Accept: benchmarkJob("j")})
 	for item := range 116 {
 		done := text("j", item, 0, strings.Repeat("x", 4700))
-		done.Whole, done.Result = true, jobstate.ResultCompleted
+		done.Complete, done.Result = true, jobstate.ResultCompleted
 		l.record(done)
 	}
 	job := l.state.Job("j")
@@ -299,9 +299,9 @@
 	}
 }
 
-// TestTheBufferOfASnapshotIsMadeOnce checks that encoding a snapshot does not grow its buffer,
+// TestSnapshotBufferDoesNotGrow checks that encoding a snapshot does not grow its buffer,
 // which would hold a large state in memory several times.
-func TestTheBufferOfASnapshotIsMadeOnce(t *testing.T) {
+func TestSnapshotBufferDoesNotGrow(t *testing.T) {
 	l := newLog(t)
 	job := submission("j", "a", "b", "c")
 	for i := range job.Items {
@@ -320,8 +320,8 @@
 	}
 }
 
-// TestBytesCountWhatIsHeld checks Bytes over the life of a job.
-func TestBytesCountWhatIsHeld(t *testing.T) {
+// TestBytesTracksState checks Bytes over the life of a job.
+func TestBytesTracksState(t *testing.T) {
 	l := newLog(t)
 	var before int
 	checkGrowth := func(what string, want bool) {
@@ -335,7 +335,7 @@
 	checkGrowth("accepted job", true)
 	l.record(text("j", 0, 0, strings.Repeat("x", 1000)))
 	checkGrowth("text", true)
-	l.record(jobstate.ItemRecord{Job: "j", Item: 0, Events: 1, Whole: true, Result: jobstate.ResultCompleted})
+	l.record(jobstate.ItemRecord{Job: "j", Item: 0, Events: 1, Complete: true, Result: jobstate.ResultCompleted})
 	checkGrowth("result, which frees the request", false)
 	l.apply(jobstate.Command{Accept: submission("k", "c")})
 	checkGrowth("second job", true)
--- a/internal/core/jobstate/state.go
+++ b/internal/core/jobstate/state.go
@@ -20,15 +20,15 @@
 	Events         int      `cbor:"3,keyasint,omitempty"`
 	LastEvent      string   `cbor:"4,keyasint,omitempty"`
 	Versions       []uint64 `cbor:"5,keyasint,omitempty"`
-	Whole          bool     `cbor:"6,keyasint,omitempty"`
+	Complete       bool     `cbor:"6,keyasint,omitempty"`
 	Failures       int      `cbor:"7,keyasint,omitempty"`
 	ScorerFailures int      `cbor:"8,keyasint,omitempty"`
 	Result         Result   `cbor:"9,keyasint,omitempty"`
 	Score          string   `cbor:"10,keyasint,omitempty"`
 	// BodySum is the hash of the item's body, kept after the body is dropped.
 	BodySum uint64 `cbor:"11,keyasint,omitempty"`
-	// Ends is the number of replicas that crashed while they ran the item.
-	Ends int `cbor:"12,keyasint,omitempty"`
+	// Crashes is the number of replicas that crashed while they ran the item.
+	Crashes int `cbor:"12,keyasint,omitempty"`
 }
 
 // dropRequest frees the parts of the request that only a run needs.
@@ -51,8 +51,8 @@
 // Done reports whether every item has a result.
 func (j *Job) Done() bool { return len(j.Results) == len(j.Items) }
 
-// Longest returns the longest expected length of the job's items.
-func (j *Job) Longest() int {
+// LongestExpected returns the longest expected length of the job's items.
+func (j *Job) LongestExpected() int {
 	longest := 0
 	for i := range j.Items {
 		longest = max(longest, j.Items[i].Item.ExpectedLength())
@@ -207,9 +207,9 @@
 func (s *State) accept(index uint64, submission Submission) AcceptOutcome {
 	if held := s.jobs[submission.ID]; held != nil {
 		if held.Submission.Tenant != submission.Tenant {
-			return OfAnotherTenant
+			return OwnedByOtherTenant
 		}
-		return AcceptedBefore
+		return AlreadyAccepted
 	}
 	job := &Job{Submission: submission, AcceptedAt: index, Items: make([]ItemState, len(submission.Items))}
 	for i, item := range submission.Items {
@@ -236,7 +236,7 @@
 		return fresh
 	}
 	fresh.Text, fresh.Events, fresh.LastEvent = held.Text, held.Events, held.LastEvent
-	fresh.Versions, fresh.Whole = held.Versions, held.Whole
+	fresh.Versions, fresh.Complete = held.Versions, held.Complete
 	return fresh
 }
 
@@ -289,9 +289,9 @@
 func (i *ItemState) apply(record ItemRecord) bool {
 	i.Failures += record.Failures
 	i.ScorerFailures += record.ScorerFailures
-	i.Ends += record.Ends
+	i.Crashes += record.Crashes
 	if record.Reset {
-		i.Text, i.Events, i.LastEvent, i.Versions, i.Whole = "", 0, "", nil, false
+		i.Text, i.Events, i.LastEvent, i.Versions, i.Complete = "", 0, "", nil, false
 	}
 	follows := record.Events == i.Events
 	if follows {
@@ -299,7 +299,7 @@
 	}
 	switch {
 	case record.Result == ResultErrored:
-	case record.Result == ResultCompleted && follows && i.Whole:
+	case record.Result == ResultCompleted && follows && i.Complete:
 		i.Score = record.Score
 	default:
 		return false
@@ -320,7 +320,7 @@
 		i.LastEvent = record.LastEvent
 		i.Versions = union(i.Versions, record.Versions)
 	}
-	i.Whole = i.Whole || record.Whole
+	i.Complete = i.Complete || record.Complete
 }
 
 // union returns the sorted union without modifying its arguments.
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -45,8 +45,8 @@
 	pools []*poolLedger // by name
 }
 
-// Terms are the pool's state at a commit's position in the log.
-type Terms struct {
+// CommitContext are the pool's state at a commit's position in the log.
+type CommitContext struct {
 	// CoordinatorEpoch is the epoch of the pool's coordinator lease, 0 if there
 	// is none.
 	CoordinatorEpoch port.Epoch
@@ -88,7 +88,7 @@
 // Commit records a batch, or returns why it must not be delivered. Committing the last
 // batch again with the same attempt and samples has no effect and is no error, so that a
 // coordinator may resend.
-func (l *Ledger) Commit(command port.CommitBatch, terms Terms) *port.Error {
+func (l *Ledger) Commit(command port.CommitBatch, terms CommitContext) *port.Error {
 	ledger := l.ensure(command.Pool)
 	if refusal := ledger.checkEpochs(command, terms); refusal != nil {
 		return refusal
@@ -152,7 +152,7 @@
 	}
 }
 
-func (p *poolLedger) checkEpochs(command port.CommitBatch, terms Terms) *port.Error {
+func (p *poolLedger) checkEpochs(command port.CommitBatch, terms CommitContext) *port.Error {
 	if command.CoordinatorEpoch == 0 || command.CoordinatorEpoch != terms.CoordinatorEpoch {
 		return port.NewError(port.NotRun, port.CodeFenced, "coordinator epoch %d is not the current one (%d)",
 			command.CoordinatorEpoch, terms.CoordinatorEpoch)
@@ -186,7 +186,7 @@
 		command.Number, command.Attempt, p.Committed, p.Attempt, acknowledged)
 }
 
-func checkStaleness(command port.CommitBatch, terms Terms) *port.Error {
+func checkStaleness(command port.CommitBatch, terms CommitContext) *port.Error {
 	for _, sample := range command.Samples {
 		known := sample.Oldest != 0
 		if known && sample.Oldest+port.WeightVersion(terms.Sampling.StalenessBound) >= terms.Published {
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 
 const testPool port.PoolName = "pool"
 
-var testTerms = Terms{
+var testTerms = CommitContext{
 	CoordinatorEpoch: 5, Published: 10,
 	Sampling: port.Sampling{StalenessBound: 2, BatchSamples: 4, GroupSize: 2},
 }
@@ -54,20 +54,20 @@
 	tests := []struct {
 		name   string
 		modify func(*port.CommitBatch)
-		terms  func(*Terms)
+		terms  func(*CommitContext)
 		want   port.Code
 	}{
 		{"next batch", func(*port.CommitBatch) {}, nil, ""},
 		{"resend of the last batch", func(c *port.CommitBatch) { *c = batch(1, 1, 1, 0, 1) }, nil, ""},
 		{"coordinator fenced", func(c *port.CommitBatch) { c.CoordinatorEpoch = 4 }, nil, port.CodeFenced},
-		{"no coordinator lease", func(*port.CommitBatch) {}, func(t *Terms) { t.CoordinatorEpoch = 0 }, port.CodeFenced},
+		{"no coordinator lease", func(*port.CommitBatch) {}, func(t *CommitContext) { t.CoordinatorEpoch = 0 }, port.CodeFenced},
 		{"consumer fenced", func(c *port.CommitBatch) { c.ConsumerEpoch = 2 }, nil, port.CodeFenced},
 		{"number skipped", func(c *port.CommitBatch) { c.Number = 3 }, nil, port.CodeConflict},
 		{"last not acknowledged", func(c *port.CommitBatch) { c.Acknowledge = 0 }, nil, port.CodeConflict},
 		{"acknowledges an uncommitted batch", func(c *port.CommitBatch) { c.Acknowledge = 2 }, nil, port.CodeConflict},
 		{"stale", func(c *port.CommitBatch) { c.Samples[3].Oldest = 7 }, nil, port.CodeStale},
 		{"at the staleness bound", func(c *port.CommitBatch) { c.Samples[3].Oldest = 8 }, nil, ""},
-		{"stale after a publication", func(*port.CommitBatch) {}, func(t *Terms) { t.Published = 12 }, port.CodeStale},
+		{"stale after a publication", func(*port.CommitBatch) {}, func(t *CommitContext) { t.Published = 12 }, port.CodeStale},
 		{"unknown version", func(c *port.CommitBatch) { c.Samples[0].Oldest = 0 }, nil, port.CodeStale},
 		{"committed prompt", func(c *port.CommitBatch) { *c = batch(2, 1, 5, 1, 2) }, nil, port.CodeConflict},
 		{"committed sample", func(c *port.CommitBatch) { c.Samples[0].ID.Sequence = 1 }, nil, port.CodeConflict},
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestVoidReturnsPromptsAndSpendsIDs(t *testing.T) {
+func TestVoidReopensPromptsAndKeepsIDsUsed(t *testing.T) {
 	ledger := newRegisteredLedger(t)
 	for _, command := range []port.CommitBatch{batch(1, 1, 1, 0, 3), batch(2, 1, 5, 1, 2)} {
 		if refusal := ledger.Commit(command, testTerms); refusal != nil {
--- a/internal/core/logstory/delays.go
+++ b/internal/core/logtrace/delays.go
@@ -1,4 +1,4 @@
-package logstory
+package logtrace
 
 import (
 	"cmp"
@@ -20,11 +20,11 @@
 	Model string `json:"model"`
 	Step  uint64 `json:"step"`
 	Job   string `json:"job"`
-	// Kept is the Unix time at which the job was stored, Accept how long storing it took.
-	Kept   int64 `json:"kept"`
-	Accept int64 `json:"accept_ms"`
-	// TakenOver is the time until a runner started the job.
-	TakenOver int64 `json:"taken_over_ms"`
+	// AcceptedAt is the Unix time at which the job was stored, Accept how long storing it took.
+	AcceptedAt int64 `json:"kept"`
+	Accept     int64 `json:"accept_ms"`
+	// StartDelay is the time until a runner started the job.
+	StartDelay int64 `json:"taken_over_ms"`
 	// FirstWait, LaterWaits, Ran, Unused and Scored are those of the item Deciding, which
 	// completed enough groups for the client to stop waiting.
 	FirstWait  int64  `json:"first_wait_ms"`
@@ -35,10 +35,10 @@
 	Deciding   string `json:"deciding_item"`
 	// Read is the time until the client ended the job.
 	Read int64 `json:"read_ms"`
-	// Named is the time until the next version was published, Asked the time from then
+	// PublishDelay is the time until the next version was published, NextJobDelay the time from then
 	// until the next job was stored. Both are 0 for a model's last job.
-	Named int64 `json:"named_ms"`
-	Asked int64 `json:"asked_ms"`
+	PublishDelay int64 `json:"named_ms"`
+	NextJobDelay int64 `json:"asked_ms"`
 	// Total is the time until the next job, or until the end of this one if it is the last.
 	Total int64 `json:"total_ms"`
 	// Unexplained is the rest: the runner's waits between two runs of the item that its
@@ -59,7 +59,7 @@
 		id := line.field("id")
 		switch line.Event {
 		case eventJobAccepted:
-			if stored := jobs[id]; stored == nil || line.Time < stored.Kept {
+			if stored := jobs[id]; stored == nil || line.Time < stored.AcceptedAt {
 				jobs[id] = newDelay(line)
 			}
 		case EventJobDone:
@@ -79,7 +79,9 @@
 		job.addJobDone(done[id], ended[id])
 		delays = append(delays, *job)
 	}
-	slices.SortFunc(delays, func(a, b Delay) int { return cmp.Or(cmp.Compare(a.Kept, b.Kept), cmp.Compare(a.Job, b.Job)) })
+	slices.SortFunc(delays, func(a, b Delay) int {
+		return cmp.Or(cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.Job, b.Job))
+	})
 	addNextJobs(delays, ended, published)
 	return delays
 }
@@ -87,7 +89,7 @@
 func newDelay(line Line) *Delay {
 	step, _ := strconv.ParseUint(line.field("step"), 10, 64)
 	return &Delay{
-		Model: line.field("model"), Step: step, Job: line.field("id"), Kept: line.Time, Accept: line.number("took"),
+		Model: line.field("model"), Step: step, Job: line.field("id"), AcceptedAt: line.Time, Accept: line.number("took"),
 		Items: line.number("items"),
 	}
 }
@@ -98,7 +100,7 @@
 		return
 	}
 	begun := done.Time - done.number("took_ms")
-	d.TakenOver = max(0, begun-d.Kept)
+	d.StartDelay = max(0, begun-d.AcceptedAt)
 	d.FirstWait, d.LaterWaits = done.number("deciding_first_wait_ms"), done.number("deciding_later_waits_ms")
 	d.Ran, d.Unused, d.Scored = done.number("deciding_ran_ms"), done.number("deciding_unused_ms"), done.number("deciding_scored_ms")
 	d.Deciding, d.Refused, d.Cut = done.field("deciding_item"), done.number("refused"), done.number("cut")
@@ -116,15 +118,15 @@
 		d := &delays[i]
 		end := ended[d.Job]
 		if after := next[d.Model]; after != nil {
-			d.Total = after.Kept - d.Kept
-			if at, found := firstBetween(published[d.Model], end, after.Kept); found && end > 0 {
-				d.Named, d.Asked = at-end, after.Kept-at
+			d.Total = after.AcceptedAt - d.AcceptedAt
+			if at, found := firstBetween(published[d.Model], end, after.AcceptedAt); found && end > 0 {
+				d.PublishDelay, d.NextJobDelay = at-end, after.AcceptedAt-at
 			}
 		} else if end > 0 {
-			d.Total = end - d.Kept
+			d.Total = end - d.AcceptedAt
 		}
 		next[d.Model] = d
-		d.Unexplained = d.Total - (d.TakenOver + d.FirstWait + d.LaterWaits + d.Ran + d.Unused + d.Scored + d.Read + d.Named + d.Asked)
+		d.Unexplained = d.Total - (d.StartDelay + d.FirstWait + d.LaterWaits + d.Ran + d.Unused + d.Scored + d.Read + d.PublishDelay + d.NextJobDelay)
 	}
 }
 
--- a/internal/core/logstory/delays_test.go
+++ b/internal/core/logtrace/delays_test.go
@@ -1,15 +1,15 @@
-package logstory_test
+package logtrace_test
 
 import (
 	"testing"
 
-	"github.com/loomgrade/loomgrade/internal/core/logstory"
+	"github.com/loomgrade/loomgrade/internal/core/logtrace"
 )
 
-// TestTheTimeOfAStepAddsUp reads unordered lines of three processes about a job, with an
+// TestDelayPartsAddUpToTotal reads unordered lines of three processes about a job, with an
 // item that was rejected once, and about the next job of its trainer.
-func TestTheTimeOfAStepAddsUp(t *testing.T) {
-	var lines []logstory.Line
+func TestDelayPartsAddUpToTotal(t *testing.T) {
+	var lines []logtrace.Line
 	for _, text := range []string{
 		`{"time":15100,"process":"f2","event":"job.accepted","id":"second","model":"m","step":8,"items":4,"took":20}`,
 		`{"time":10000,"process":"f1","event":"job.accepted","id":"first","model":"m","step":7,"items":4,"took":30}`,
@@ -21,24 +21,24 @@
 		`{"time":14900,"process":"c1","event":"weights.published","model":"m","version":8}`,
 		`{"time":9000,"process":"c1","event":"weights.published","model":"m","version":7}`,
 	} {
-		line, ok := logstory.Parse([]byte(text))
+		line, ok := logtrace.Parse([]byte(text))
 		if !ok {
 			t.Fatalf("not parsed: %s", text)
 		}
 		lines = append(lines, line)
 	}
-	delays := logstory.Delays(lines)
+	delays := logtrace.Delays(lines)
 	if len(delays) != 3 {
 		t.Fatalf("%+v", delays)
 	}
-	want := logstory.Delay{
-		Model: "m", Step: 7, Job: "first", Kept: 10000, Accept: 30, TakenOver: 50, FirstWait: 900, LaterWaits: 100, Ran: 1800, Unused: 150,
-		Scored: 50, Deciding: "i", Read: 640, Named: 1210, Asked: 200, Total: 5100, Whole: true, Refused: 2, Cut: 1, Items: 4,
+	want := logtrace.Delay{
+		Model: "m", Step: 7, Job: "first", AcceptedAt: 10000, Accept: 30, StartDelay: 50, FirstWait: 900, LaterWaits: 100, Ran: 1800, Unused: 150,
+		Scored: 50, Deciding: "i", Read: 640, PublishDelay: 1210, NextJobDelay: 200, Total: 5100, Whole: true, Refused: 2, Cut: 1, Items: 4,
 	}
 	if delays[0] != want {
 		t.Errorf("%+v\nwant %+v", delays[0], want)
 	}
-	if last := delays[2]; last.Job != "second" || last.Named != 0 || last.Whole {
+	if last := delays[2]; last.Job != "second" || last.PublishDelay != 0 || last.Whole {
 		t.Errorf("the last job: %+v", last)
 	}
 }
--- a/internal/core/logstory/logstory.go
+++ b/internal/core/logtrace/logtrace.go
@@ -1,6 +1,6 @@
-// Package logstory merges the log lines of one id from several processes and formats
+// Package logtrace merges the log lines of one id from several processes and formats
 // them with the cause of a failure.
-package logstory
+package logtrace
 
 import (
 	"bytes"
@@ -123,9 +123,9 @@
 	"runner.started", "runner.stopped", "runner.notkept", "process.started", "process.stopping",
 }
 
-// Tell formats each line with its fields in brackets, followed by the cause of the
+// Format formats each line with its fields in brackets, followed by the cause of the
 // failure if the lines show one. meanings has the text of events without a message.
-func Tell(lines []Line, meanings map[string]string) []string {
+func Format(lines []Line, meanings map[string]string) []string {
 	if len(lines) == 0 {
 		return nil
 	}
--- a/internal/core/logstory/logstory_test.go
+++ b/internal/core/logtrace/logtrace_test.go
@@ -1,17 +1,17 @@
-package logstory_test
+package logtrace_test
 
 import (
 	"strings"
 	"testing"
 
-	"github.com/loomgrade/loomgrade/internal/core/logstory"
+	"github.com/loomgrade/loomgrade/internal/core/logtrace"
 )
 
-func parse(t *testing.T, texts ...string) []logstory.Line {
+func parse(t *testing.T, texts ...string) []logtrace.Line {
 	t.Helper()
-	var lines []logstory.Line
+	var lines []logtrace.Line
 	for _, text := range texts {
-		line, ok := logstory.Parse([]byte(text))
+		line, ok := logtrace.Parse([]byte(text))
 		if !ok {
 			t.Fatalf("not parsed: %s", text)
 		}
@@ -20,19 +20,19 @@
 	return lines
 }
 
-func TestParseTakesOnlyOurLines(t *testing.T) {
+func TestParseRejectsOtherLines(t *testing.T) {
 	for _, text := range []string{"", "plain text", `{"no":"event"}`, `{"event":1}`, `{"event":"x"`} {
-		if _, ok := logstory.Parse([]byte(text)); ok {
+		if _, ok := logtrace.Parse([]byte(text)); ok {
 			t.Errorf("parsed %q", text)
 		}
 	}
-	line, ok := logstory.Parse([]byte(`  12.5 front-1 {"time":1700,"level":"warn","process":"front-1","event":"request.failed","id":"r1","status":503,"message":"m"}`))
+	line, ok := logtrace.Parse([]byte(`  12.5 front-1 {"time":1700,"level":"warn","process":"front-1","event":"request.failed","id":"r1","status":503,"message":"m"}`))
 	if !ok || line.Time != 1700 || line.Process != "front-1" || line.Event != "request.failed" || !line.About("r1") || line.About("r2") {
 		t.Errorf("%+v", line)
 	}
 }
 
-func TestTheCauseIsFoundFromTheLinesAlone(t *testing.T) {
+func TestCause(t *testing.T) {
 	for name, row := range map[string]struct {
 		lines []string
 		want  string
@@ -62,13 +62,13 @@
 		"no failure": {[]string{
 			`{"time":1,"process":"f","event":"request.carried","id":"x","status":200}`}, ""},
 	} {
-		if got := logstory.Cause(parse(t, row.lines...)); got != row.want {
+		if got := logtrace.Cause(parse(t, row.lines...)); got != row.want {
 			t.Errorf("%s: %q, want %q", name, got, row.want)
 		}
 	}
 }
 
-func TestSelectAddsWhatWasBelievedMeanwhile(t *testing.T) {
+func TestSelectAddsStateEvents(t *testing.T) {
 	lines := parse(t,
 		`{"time":9000,"process":"a","event":"request.failed","id":"x"}`,
 		`{"time":8500,"process":"a","event":"request.carried","id":"x","replica":"i1"}`,
@@ -78,7 +78,7 @@
 		`{"time":8600,"process":"c","event":"replica.reported","replica":"i1"}`,
 		`{"time":8600,"process":"c","event":"replica.reported","replica":"i2"}`,
 		`{"time":8700,"process":"a","event":"request.carried","id":"y"}`)
-	selected := logstory.Select(lines, "x")
+	selected := logtrace.Select(lines, "x")
 	var events []string
 	for _, line := range selected {
 		events = append(events, line.Process+" "+line.Event)
@@ -87,10 +87,10 @@
 	if got := strings.Join(events, ", "); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
-	if formatted := logstory.Tell(selected, nil); len(formatted) != 5 || !strings.HasPrefix(formatted[4], "cause: ") {
+	if formatted := logtrace.Format(selected, nil); len(formatted) != 5 || !strings.HasPrefix(formatted[4], "cause: ") {
 		t.Errorf("%q", formatted)
 	}
-	if logstory.Select(lines, "nobody") != nil {
+	if logtrace.Select(lines, "nobody") != nil {
 		t.Error("selected lines about an unknown id")
 	}
 }
--- a/internal/core/logstory/steps.go
+++ b/internal/core/logtrace/steps.go
@@ -1,4 +1,4 @@
-package logstory
+package logtrace
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	Job     string `json:"job"`
 	Step    uint64 `json:"step"`
 	Process string `json:"process"`
-	// Begun is the time at which the runner started the job, in Unix milliseconds.
-	Begun int64 `json:"begun"`
+	// Started is the time at which the runner started the job, in Unix milliseconds.
+	Started int64 `json:"begun"`
 	// Ended is set if the job ended, not only the runner's work on it.
 	Ended       bool   `json:"ended"`
 	Items       int64  `json:"items"`
@@ -42,14 +42,14 @@
 		}
 		took := line.number("took_ms")
 		steps = append(steps, Step{
-			Job: line.field("id"), Step: uint64(line.number("step")), Process: line.Process, Begun: line.Time - took,
+			Job: line.field("id"), Step: uint64(line.number("step")), Process: line.Process, Started: line.Time - took,
 			Ended: line.field("ended") == "true", Items: line.number("items"), Runs: line.number("runs"),
 			LastPlaced: line.number("last_placed_ms"), Whole50: line.number("whole_50_ms"), Whole90: line.number("whole_90_ms"),
 			Whole100: line.number("whole_100_ms"), Took: took, LastItem: line.field("last_item"), LastReplica: line.field("last_replica"),
 			LastEvents: line.number("last_events"), LastMoves: line.number("last_moves"), LastWaited: line.number("last_waited_ms"),
 		})
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.Begun, b.Begun) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.Started, b.Started) })
 	return steps
 }
 
--- a/internal/core/membership/fleet_test.go
+++ b/internal/core/membership/fleet_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestDeathsAreFoundAndReturnsToo(t *testing.T) {
+func TestDeathsAndReturnsAreDetected(t *testing.T) {
 	tests := map[string]struct {
 		size, dead int
 		// within limits the time to detect the deaths: of ring neighbours that die
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestLossAloneKillsNobodyForGood(t *testing.T) {
+func TestMessageLossCausesNoPermanentDeath(t *testing.T) {
 	f := newFleet(20, 3)
 	f.loss = 0.1
 	f.run(2 * time.Minute)
@@ -180,7 +180,7 @@
 	f.checkLive(t, f.nodes)
 }
 
-func TestCutHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	f := newFleet(12, 4)
 	side := func(node port.NodeID) bool { return node < f.nodes[6] }
 	f.run(5 * time.Second)
@@ -197,7 +197,7 @@
 }
 
 // A monitor that receives no messages must not declare a node dead without confirmation.
-func TestOneDeafMonitorDoesNotKill(t *testing.T) {
+func TestSingleMonitorCannotDeclareDeath(t *testing.T) {
 	f := newFleet(10, 5)
 	f.run(2 * time.Second)
 	deaf := f.nodes[3]
@@ -211,7 +211,7 @@
 }
 
 // A process that was paused must not suspect the others.
-func TestOwnPauseBlamesNobody(t *testing.T) {
+func TestPausedNodeSuspectsNobody(t *testing.T) {
 	f := newFleet(3, 6)
 	f.run(5 * time.Second)
 	paused := f.nodes[0]
@@ -324,7 +324,7 @@
 	f.checkLive(t, without(f.nodes, target))
 }
 
-func TestStrangersAndBystandersHaveNoSay(t *testing.T) {
+func TestSuspicionsOfNonMonitorsAreIgnored(t *testing.T) {
 	f := newFleet(12, 12)
 	f.run(2 * time.Second)
 	watcher := f.nodes[0]
--- a/internal/core/membership/home_test.go
+++ b/internal/core/membership/home_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestRankIsTheOrderInWhichNodesAreTaken(t *testing.T) {
+func TestRankMatchesHomeOrder(t *testing.T) {
 	nodes := []port.NodeID{"d", "b", "f", "a", "c", "e"}
 	for _, key := range []string{"coordinator/x", "coordinator/y", ""} {
 		left := slices.Clone(nodes)
--- a/internal/core/membership/summary.go
+++ b/internal/core/membership/summary.go
@@ -53,9 +53,9 @@
 	return r.Ejected || r.Draining || r.Leaving || r.VersionUnknown
 }
 
-// Takes returns the number of concurrent requests that the replica accepts. A probed one
+// Capacity returns the number of concurrent requests that the replica accepts. A probed one
 // accepts a single request, else a pool with only probed replicas could not recover.
-func (r *ReplicaSummary) Takes() int {
+func (r *ReplicaSummary) Capacity() int {
 	switch {
 	case r.unavailable():
 		return 0
--- a/internal/core/membership/summary_test.go
+++ b/internal/core/membership/summary_test.go
@@ -44,7 +44,7 @@
 }
 
 // If two homes report on one replica, only the current home's report counts.
-func TestOnlyThePresentHomeIsFollowed(t *testing.T) {
+func TestOnlyCurrentHomeCounts(t *testing.T) {
 	homes := NewAssigner(nodeIDs(2))
 	home, _ := homes.Home("r")
 	former := nodeIDs(2)[0]
@@ -136,7 +136,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := test.summary.Takes(); got != test.takes {
+			if got := test.summary.Capacity(); got != test.takes {
 				t.Errorf("takes %d, want %d", got, test.takes)
 			}
 			if got := test.summary.Routable(); got != test.routable {
@@ -147,7 +147,7 @@
 }
 
 // The cache of Pool must follow every summary, loss of a home and change of homes.
-func TestPoolHandsOverWhatEachDoes(t *testing.T) {
+func TestPoolVisitsSameReplicasAsEach(t *testing.T) {
 	testkit.Check(t, 11, func(t *rapid.T) {
 		nodes := []port.NodeID{"a", "b", "c", "d"}
 		pools := []port.PoolName{"p", "q"}
--- a/internal/core/membership/teller.go
+++ b/internal/core/membership/teller.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// SummaryBudget limits a node's summaries to its zone, in bytes per second.
-	SummaryBudget = 3000
+	// SummaryBytesPerSecond limits a node's summaries to its zone, in bytes per second.
+	SummaryBytesPerSecond = 3000
 	// AggregateRefresh is the maximum time between two aggregates of a pool.
 	AggregateRefresh = 10 * time.Second
 	// MaxAggregateAge is the age after which another zone's aggregate is ignored; two in a
@@ -24,10 +24,10 @@
 	minFreeChange = 2
 )
 
-// AggregateTeller decides when to send a zone's aggregates to the other zones: at once if
+// AggregateScheduler decides when to send a zone's aggregates to the other zones: at once if
 // replicas or versions changed, after MinAggregateInterval if the free slots changed by
 // minFreeChange, and every AggregateRefresh. It is not safe for concurrent use.
-type AggregateTeller struct {
+type AggregateScheduler struct {
 	lastSent map[port.PoolName]sentAggregate
 }
 
@@ -36,13 +36,13 @@
 	aggregate PoolAggregate
 }
 
-// NewAggregateTeller returns a teller that has sent nothing.
-func NewAggregateTeller() *AggregateTeller {
-	return &AggregateTeller{lastSent: make(map[port.PoolName]sentAggregate)}
+// NewAggregateScheduler returns a teller that has sent nothing.
+func NewAggregateScheduler() *AggregateScheduler {
+	return &AggregateScheduler{lastSent: make(map[port.PoolName]sentAggregate)}
 }
 
 // Due reports whether to send an aggregate now, and if so, records it as sent.
-func (t *AggregateTeller) Due(now time.Time, aggregate PoolAggregate) bool {
+func (t *AggregateScheduler) Due(now time.Time, aggregate PoolAggregate) bool {
 	last, known := t.lastSent[aggregate.Pool]
 	if known && !last.due(now, &aggregate) {
 		return false
--- a/internal/core/membership/teller_test.go
+++ b/internal/core/membership/teller_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func TestAggregatesAreToldWhenTheyMoveRequests(t *testing.T) {
+func TestAggregatesAreSentOnSignificantChange(t *testing.T) {
 	first := PoolAggregate{
 		Pool: "p", Replicas: 12, Routable: 10, Free: 100, Queued: 20, Unhealthy: 1,
 		Versions: []VersionCount{{Version: 1, Replicas: 10, Free: 100}},
@@ -36,7 +36,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			teller := NewAggregateTeller()
+			teller := NewAggregateScheduler()
 			if !teller.Due(testStart, first) {
 				t.Fatal("the first aggregate is not due")
 			}
@@ -51,7 +51,7 @@
 
 // Small changes must not add up to a large one that is never sent.
 func TestSmallChangesAddUp(t *testing.T) {
-	teller := NewAggregateTeller()
+	teller := NewAggregateScheduler()
 	aggregate := PoolAggregate{Pool: "p", Routable: 10, Free: 100}
 	sent := 0
 	for step := range 9 {
@@ -82,7 +82,7 @@
 
 // Exactly one node relays each (zone, pool), so that a new node that asks all nodes of its
 // zone receives each aggregate once.
-func TestNewcomerHearsOfEachAggregateOnce(t *testing.T) {
+func TestEachAggregateIsRelayedOnce(t *testing.T) {
 	nodes := []port.NodeID{"a", "b", "c"}
 	aggregates, homes := NewAggregates(), NewAssigner(nodes)
 	for _, zone := range []port.ZoneName{"x", "y", "z"} {
--- a/internal/core/nodestate/home.go
+++ b/internal/core/nodestate/home.go
@@ -15,8 +15,8 @@
 	gate    Gate
 }
 
-// LoadReported handles an engine's answer to a load poll sent at askedAt.
-func (s *State) LoadReported(now, askedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
+// HandleLoadReport handles an engine's answer to a load poll sent at askedAt.
+func (s *State) HandleLoadReport(now, askedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
 	record := s.records[replica]
 	if record == nil {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// Outcomes records the outcomes of calls to replicas that this node is the home of.
-func (s *State) Outcomes(now time.Time, outcomes []CallOutcome) {
+// HandleOutcomes records the outcomes of calls to replicas that this node is the home of.
+func (s *State) HandleOutcomes(now time.Time, outcomes []CallOutcome) {
 	for _, outcome := range outcomes {
 		if record := s.records[outcome.Replica]; record != nil {
 			s.observe(now, record.Replica.Pool, outcome)
@@ -69,9 +69,9 @@
 	}
 }
 
-// CallEnded records the outcome of an application call made by this node, or queues
+// HandleCallOutcome records the outcome of an application call made by this node, or queues
 // it for the replica's home.
-func (s *State) CallEnded(now time.Time, outcome CallOutcome) {
+func (s *State) HandleCallOutcome(now time.Time, outcome CallOutcome) {
 	if record := s.records[outcome.Replica]; record != nil {
 		s.observe(now, record.Replica.Pool, outcome)
 		return
--- a/internal/core/nodestate/machines.go
+++ b/internal/core/nodestate/machines.go
@@ -21,13 +21,15 @@
 	maxListAge = 1.25
 )
 
-// MachineLook returns the time between two calls of PollsMachines.
-func MachineLook(interval time.Duration) time.Duration { return interval / pollChecksPerInterval }
+// MachinePollCheckInterval returns the time between two calls of ShouldPollMachines.
+func MachinePollCheckInterval(interval time.Duration) time.Duration {
+	return interval / pollChecksPerInterval
+}
 
-// PollsMachines reports whether the node has to poll the machine list now: a poll
+// ShouldPollMachines reports whether the node has to poll the machine list now: a poll
 // interval has passed since its last poll, sent at polledAt, and it is one of the
 // zone's pollers or the newest list, received at receivedAt, is too old.
-func PollsMachines(now time.Time, interval time.Duration, zoneNodes []port.NodeID, self port.NodeID, polledAt, receivedAt time.Time) bool {
+func ShouldPollMachines(now time.Time, interval time.Duration, zoneNodes []port.NodeID, self port.NodeID, polledAt, receivedAt time.Time) bool {
 	if now.Sub(polledAt) < interval {
 		return false
 	}
@@ -49,8 +51,8 @@
 	return len(nodes) == 0
 }
 
-// Machines handles the machine list received from a poller.
-func (s *State) Machines(now time.Time, message MachinesMessage) {
+// HandleMachines handles the machine list received from a poller.
+func (s *State) HandleMachines(now time.Time, message MachinesMessage) {
 	if s.leaving.Update(now, message.Node, message.Leaving) {
 		s.resetPacing()
 		s.updateDetectorMachines()
@@ -74,5 +76,5 @@
 	return now.Sub(s.machineListAwaitedSince) >= machineListTimeout
 }
 
-// MachinesHeard returns when the newest machine list was received; zero means never.
-func (s *State) MachinesHeard() time.Time { return s.leaving.LastUpdate() }
+// MachinesReceivedAt returns when the newest machine list was received; zero means never.
+func (s *State) MachinesReceivedAt() time.Time { return s.leaving.LastUpdate() }
--- a/internal/core/nodestate/message.go
+++ b/internal/core/nodestate/message.go
@@ -33,12 +33,12 @@
 	LatencyMicros int64          `cbor:"3,keyasint,omitempty"`
 }
 
-// PoolStateCall requests the state of a home's replicas of an engine pool. Out lists
+// PoolStateCall requests the state of a home's replicas of an engine pool. Excluded lists
 // the replicas that the pool's weights rollout excludes from routing, under Fence.
 type PoolStateCall struct {
-	Pool  port.PoolName    `cbor:"1,keyasint"`
-	Fence port.Epoch       `cbor:"2,keyasint"`
-	Out   []port.ReplicaID `cbor:"3,keyasint,omitempty"`
+	Pool     port.PoolName    `cbor:"1,keyasint"`
+	Fence    port.Epoch       `cbor:"2,keyasint"`
+	Excluded []port.ReplicaID `cbor:"3,keyasint,omitempty"`
 }
 
 // PoolStateAnswer answers a PoolStateCall.
@@ -75,8 +75,8 @@
 	Stopped []port.ReplicaID
 	// Report, if set, is sent to the control service.
 	Report *port.NodeReport
-	// ForgottenPools are the pools removed from the configuration.
-	ForgottenPools []port.PoolName
+	// RemovedPools are the pools removed from the configuration.
+	RemovedPools []port.PoolName
 }
 
 // Poll is an engine to be polled. Its cache events go to Gate.
--- a/internal/core/nodestate/poolstate.go
+++ b/internal/core/nodestate/poolstate.go
@@ -36,9 +36,9 @@
 		Replica:   record.Replica.ID,
 		Report:    record.Report(now),
 		Reachable: record.Reachable() && !summary.Leaving,
-		Routable:  summary.Takes() > 0,
+		Routable:  summary.Capacity() > 0,
 		Inflight:  load.Inflight,
-		Limit:     summary.Takes(),
+		Limit:     summary.Capacity(),
 	}
 }
 
@@ -54,7 +54,7 @@
 			continue
 		}
 		until := time.Time{}
-		for _, out := range call.Out {
+		for _, out := range call.Excluded {
 			if out == id {
 				until = now.Add(exclusionTTL)
 			}
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -83,8 +83,8 @@
 	return due
 }
 
-// RebuildCost sets the duration of the last rebuild, which paces the next ones.
-func (s *State) RebuildCost(cost time.Duration) { s.rebuildCost = cost }
+// SetRebuildCost sets the duration of the last rebuild, which paces the next ones.
+func (s *State) SetRebuildCost(cost time.Duration) { s.rebuildCost = cost }
 
 // gate returns the pool's gate, creating it on first use.
 func (s *State) gate(pool *port.Pool) Gate {
@@ -173,7 +173,7 @@
 		route.Zone = append(route.Zone, s.zoneReplica(now, homeNode, s.tables.replicas[replica.Replica], replica, age))
 	})
 	for _, aggregate := range s.aggregates.Pool(now, enginePool, membership.MaxAggregateAge) {
-		route.Elsewhere = append(route.Elsewhere, s.zoneOffer(aggregate))
+		route.OtherZones = append(route.OtherZones, s.zoneOffer(aggregate))
 	}
 	return route
 }
@@ -181,7 +181,7 @@
 func (s *State) zoneReplica(now time.Time, homeNode port.NodeID, configured port.Replica, replica *membership.ReplicaSummary, age time.Duration) ZoneReplica {
 	counter := s.config.ReplicaCounter(replica.Replica)
 	reported := now.Add(-age)
-	mark := s.marks[replica.Replica].Follow(reported, counter.Counts())
+	mark := s.marks[replica.Replica].Update(reported, counter.Counts())
 	s.marks[replica.Replica] = mark
 	return ZoneReplica{
 		Reported: reported,
@@ -242,12 +242,12 @@
 	}
 	for _, name := range sortedKeys(s.trackers) {
 		if !pools[name] {
-			s.output.ForgottenPools = append(s.output.ForgottenPools, name)
+			s.output.RemovedPools = append(s.output.RemovedPools, name)
 			delete(s.trackers, name)
 		}
 	}
 	maps.DeleteFunc(s.zoneMarks, func(key ZonePool, _ zoneMark) bool { return !pools[key.Pool] })
-	maps.DeleteFunc(s.marks, func(id port.ReplicaID, _ placement.Mark) bool {
+	maps.DeleteFunc(s.marks, func(id port.ReplicaID, _ placement.CountsAtReport) bool {
 		_, configured := replicas[id]
 		return !configured
 	})
--- a/internal/core/nodestate/rebuild_bench_test.go
+++ b/internal/core/nodestate/rebuild_bench_test.go
@@ -92,7 +92,7 @@
 	}
 	for zone := 1; zone < benchZones; zone++ {
 		for pool := range benchPools {
-			s.Aggregates(benchStart, AggregatesMessage{Relayed: true, Aggregates: []membership.PoolAggregate{{
+			s.HandleAggregates(benchStart, AggregatesMessage{Relayed: true, Aggregates: []membership.PoolAggregate{{
 				Zone: port.ZoneName(fmt.Sprintf("zone-%02d", zone)), Pool: view.Configuration.Pools[pool].Name, Node: "far", Sequence: 1,
 				Replicas: 16, Routable: 16, Free: 500 + zone, Versions: []membership.VersionCount{{Version: 1, Replicas: 16, Free: 500}},
 			}}})
@@ -115,7 +115,7 @@
 				if len(summaries) > 0 {
 					summary := summaries[index%len(summaries)]
 					summary.Sequence = uint64(index + 1)
-					s.Summary(now, summary)
+					s.HandleSummary(now, summary)
 				}
 				s.RebuildIfDue(now)
 				s.Flush()
--- a/internal/core/nodestate/snapshot.go
+++ b/internal/core/nodestate/snapshot.go
@@ -35,8 +35,8 @@
 	Gate Gate
 	// Zone holds the engine pool's replicas in this node's zone.
 	Zone []ZoneReplica
-	// Elsewhere holds the aggregates of the engine pool in other zones.
-	Elsewhere []ZoneOffer
+	// OtherZones holds the aggregates of the engine pool in other zones.
+	OtherZones []ZoneOffer
 }
 
 // ZoneReplica is a replica of this node's zone as reported by its home.
@@ -45,12 +45,12 @@
 	Reported  time.Time
 	Counter   Counter
 	// mark holds the counter's values at the time of the report.
-	mark placement.Mark
+	mark placement.CountsAtReport
 }
 
-// Now returns the candidate corrected by the requests counted since the report.
-func (r *ZoneReplica) Now(now time.Time) scheduling.Candidate {
-	return r.mark.Correct(now, r.Reported, r.Candidate, r.Counter.Counts())
+// CurrentCandidate returns the candidate corrected by the requests counted since the report.
+func (r *ZoneReplica) CurrentCandidate(now time.Time) scheduling.Candidate {
+	return r.mark.Apply(now, r.Reported, r.Candidate, r.Counter.Counts())
 }
 
 // ZoneOffer is the aggregate of another zone with the nodes that accept its requests.
@@ -62,9 +62,9 @@
 	sentMark int64
 }
 
-// Room returns the free slots per replica of the zone, less the queued requests and
+// FreePerReplica returns the free slots per replica of the zone, less the queued requests and
 // those that this node has sent since the aggregate.
-func (o *ZoneOffer) Room() float64 {
+func (o *ZoneOffer) FreePerReplica() float64 {
 	sent := o.Counter.Counts().Sent - o.sentMark
 	free := o.Aggregate.Free - o.Aggregate.Queued - int(max(sent, 0))
 	return float64(free) / float64(max(o.Aggregate.Routable, 1))
--- a/internal/core/nodestate/state.go
+++ b/internal/core/nodestate/state.go
@@ -63,7 +63,7 @@
 	detector       *membership.Detector
 	summaries      *membership.Summaries
 	aggregates     *membership.Aggregates
-	aggregatePacer *membership.AggregateTeller
+	aggregatePacer *membership.AggregateScheduler
 	// aggregateRequests counts the requests for aggregates sent since the start.
 	aggregateRequests int
 	// gates holds the gates of application pools and of engine pools with a replica
@@ -71,7 +71,7 @@
 	gates     map[port.PoolName]Gate
 	trackers  map[port.PoolName]*ejection.Tracker
 	records   map[port.ReplicaID]*home.Record
-	marks     map[port.ReplicaID]placement.Mark
+	marks     map[port.ReplicaID]placement.CountsAtReport
 	zoneMarks map[ZonePool]zoneMark
 	// fences holds the highest fence received from the rollout of each engine pool.
 	fences  map[port.PoolName]port.Epoch
@@ -110,11 +110,11 @@
 		detector:       membership.NewDetector(membership.Config{Self: config.Self, Zone: config.Zone, Incarnation: config.Incarnation}, now),
 		summaries:      membership.NewSummaries(),
 		aggregates:     membership.NewAggregates(),
-		aggregatePacer: membership.NewAggregateTeller(),
+		aggregatePacer: membership.NewAggregateScheduler(),
 		gates:          make(map[port.PoolName]Gate),
 		trackers:       make(map[port.PoolName]*ejection.Tracker),
 		records:        make(map[port.ReplicaID]*home.Record),
-		marks:          make(map[port.ReplicaID]placement.Mark),
+		marks:          make(map[port.ReplicaID]placement.CountsAtReport),
 		zoneMarks:      make(map[ZonePool]zoneMark),
 		fences:         make(map[port.PoolName]port.Epoch),
 		leaving:        home.NewLeavingMachines(),
@@ -225,21 +225,21 @@
 	return true, confirmed, nil
 }
 
-// Member handles a message of the failure detector.
-func (s *State) Member(now time.Time, message membership.Message) {
+// HandleMembership handles a message of the failure detector.
+func (s *State) HandleMembership(now time.Time, message membership.Message) {
 	s.handleDetectorOutput(s.detector.Receive(now, message))
 }
 
-// Summary applies the summary of a home of the zone.
-func (s *State) Summary(now time.Time, summary membership.HomeSummary) {
+// HandleSummary applies the summary of a home of the zone.
+func (s *State) HandleSummary(now time.Time, summary membership.HomeSummary) {
 	if s.summaries.Apply(now, summary) {
 		s.changed = true
 	}
 }
 
-// Aggregates applies the aggregates of another zone and relays new ones to the own
+// HandleAggregates applies the aggregates of another zone and relays new ones to the own
 // zone, or answers a node's request for them.
-func (s *State) Aggregates(now time.Time, message AggregatesMessage) {
+func (s *State) HandleAggregates(now time.Time, message AggregatesMessage) {
 	if message.Requester != "" {
 		s.sendRelayedAggregates(message.Requester)
 		return
