--- a/internal/core/nodestate/state_test.go
+++ b/internal/core/nodestate/state_test.go
@@ -62,7 +62,7 @@
 	state.RebuildIfDue(now)
 }
 
-func TestNothingIsRoutedBeforeTheMachineListWasHeard(t *testing.T) {
+func TestNoRoutesBeforeMachineListReceived(t *testing.T) {
 	cases := []struct {
 		name     string
 		list     string
@@ -80,7 +80,7 @@
 			state := newState(&recordingGate{})
 			update(state, at(0), view(testCase.list))
 			if testCase.received {
-				state.Machines(at(0.5), nodestate.MachinesMessage{Node: "n2"})
+				state.HandleMachines(at(0.5), nodestate.MachinesMessage{Node: "n2"})
 			}
 			state.Tick(at(testCase.waited), true)
 			snapshot := state.Flush().Snapshot
@@ -94,15 +94,15 @@
 	}
 }
 
-func TestWordOfALeavingMachineReachesTheGateAtOnce(t *testing.T) {
+func TestLeavingMachineUpdatesGateImmediately(t *testing.T) {
 	recorder := &recordingGate{}
 	state := newState(recorder)
 	update(state, at(0), view("http://list"))
-	state.Machines(at(0.5), nodestate.MachinesMessage{Node: "n1"})
+	state.HandleMachines(at(0.5), nodestate.MachinesMessage{Node: "n1"})
 	state.RebuildIfDue(at(0.5))
 	leaving := []port.Machine{{Address: "10.1.0.1", State: port.MachineLeaving}}
-	state.RebuildCost(time.Second)
-	state.Machines(at(0.51), nodestate.MachinesMessage{Node: "n2", Leaving: leaving})
+	state.SetRebuildCost(time.Second)
+	state.HandleMachines(at(0.51), nodestate.MachinesMessage{Node: "n2", Leaving: leaving})
 	state.RebuildIfDue(at(0.51))
 	if len(recorder.replicas) != 1 || !recorder.replicas[0].Leaving {
 		t.Errorf("gate configured with %+v", recorder.replicas)
@@ -113,7 +113,7 @@
 	zone := []port.NodeID{"a", "b", "c", "d", "e", "f", "g", "h"}
 	pollers := 0
 	for _, node := range zone {
-		if nodestate.PollsMachines(at(10), time.Second, zone, node, at(9), at(9.9)) {
+		if nodestate.ShouldPollMachines(at(10), time.Second, zone, node, at(9), at(9.9)) {
 			pollers++
 		}
 	}
@@ -133,7 +133,7 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			polls := 0
 			for _, node := range zone {
-				if nodestate.PollsMachines(at(10), time.Second, zone, node, testCase.polledAt, testCase.received) {
+				if nodestate.ShouldPollMachines(at(10), time.Second, zone, node, testCase.polledAt, testCase.received) {
 					polls++
 				}
 			}
@@ -151,8 +151,8 @@
 	if len(started) != 1 || started[0].Replica.ID != "e1" {
 		t.Fatalf("polls %+v", started)
 	}
-	state.LoadReported(at(1), at(1), "e1", port.LoadReport{Version: 7, Incarnation: 1}, nil)
-	answer := state.PoolState(at(1), nodestate.PoolStateCall{Pool: "lm", Fence: 4, Out: []port.ReplicaID{"e1"}})
+	state.HandleLoadReport(at(1), at(1), "e1", port.LoadReport{Version: 7, Incarnation: 1}, nil)
+	answer := state.PoolState(at(1), nodestate.PoolStateCall{Pool: "lm", Fence: 4, Excluded: []port.ReplicaID{"e1"}})
 	if len(answer.Replicas) != 1 || answer.Replicas[0].Routable || answer.Replicas[0].Report.Version != 7 {
 		t.Errorf("answer %+v", answer)
 	}
@@ -185,14 +185,14 @@
 		want time.Duration
 	}{
 		{"unknown", func() {}, minimum},
-		{"serving", func() { state.LoadReported(at(1), at(1), "e1", port.LoadReport{Version: 7}, nil) }, paced},
+		{"serving", func() { state.HandleLoadReport(at(1), at(1), "e1", port.LoadReport{Version: 7}, nil) }, paced},
 		{"a poll failed", func() {
-			state.LoadReported(at(2), at(2), "e1", port.LoadReport{}, port.NewError(port.NotRun, port.CodeUnavailable, "down"))
+			state.HandleLoadReport(at(2), at(2), "e1", port.LoadReport{}, port.NewError(port.NotRun, port.CodeUnavailable, "down"))
 		}, minimum},
-		{"answers again", func() { state.LoadReported(at(3), at(3), "e1", port.LoadReport{Version: 7}, nil) }, paced},
+		{"answers again", func() { state.HandleLoadReport(at(3), at(3), "e1", port.LoadReport{Version: 7}, nil) }, paced},
 		{"ejected", func() {
 			for range 50 {
-				state.Outcomes(at(3), []nodestate.CallOutcome{{Replica: "e1", Failed: true}})
+				state.HandleOutcomes(at(3), []nodestate.CallOutcome{{Replica: "e1", Failed: true}})
 			}
 		}, minimum},
 	}
--- a/internal/core/nodestate/summaries.go
+++ b/internal/core/nodestate/summaries.go
@@ -47,7 +47,7 @@
 	summary := s.ownSummary(now)
 	sent := s.sendToZone(summary)
 	s.lastSummary = now
-	s.summaryInterval = membership.SummaryInterval(s.config.Summary, sent, s.config.MessageBytes(summary), membership.SummaryBudget)
+	s.summaryInterval = membership.SummaryInterval(s.config.Summary, sent, s.config.MessageBytes(summary), membership.SummaryBytesPerSecond)
 }
 
 // sendAggregates sends the other zones the aggregates that this node is responsible
--- a/internal/core/nodestate/tables_test.go
+++ b/internal/core/nodestate/tables_test.go
@@ -8,7 +8,7 @@
 )
 
 // Cached tables must follow every kind of change of the view.
-func TestKeptTablesFollowTheView(t *testing.T) {
+func TestCachedTablesFollowView(t *testing.T) {
 	newReplica := port.Replica{ID: "new", Pool: "pool-00", Zone: "zone-03", Address: "10.9.9.9:8000", State: port.ReplicaActive}
 	newNode := port.NodeAddress{ID: "node-new", Zone: "zone-00", PeerAddress: "10.9.9.8:7000"}
 	tests := map[string]struct {
@@ -57,7 +57,7 @@
 }
 
 // A node that has just started requests the aggregates that its peers relay.
-func TestNewcomerIsToldAggregates(t *testing.T) {
+func TestNewNodeReceivesAggregates(t *testing.T) {
 	s, _ := benchState(benchView(20))
 	s.RebuildIfDue(benchStart.Add(time.Second))
 	s.Flush()
@@ -71,7 +71,7 @@
 	if requests != 1 {
 		t.Errorf("sent %d requests, want one to the other node of the zone", requests)
 	}
-	s.Aggregates(benchStart, AggregatesMessage{Requester: "node-014"})
+	s.HandleAggregates(benchStart, AggregatesMessage{Requester: "node-014"})
 	messages := s.Flush().Messages
 	if len(messages) != 1 || messages[0].To.ID != "node-014" {
 		t.Fatalf("answered with %d messages", len(messages))
@@ -84,7 +84,7 @@
 }
 
 // An unchanged aggregate is sent once, not at every tick.
-func TestUnchangedAggregatesAreToldOnce(t *testing.T) {
+func TestUnchangedAggregatesAreSentOnce(t *testing.T) {
 	view := benchView(20)
 	s, summaries := benchState(view)
 	sent := 0
@@ -92,7 +92,7 @@
 		now := benchStart.Add(time.Duration(second) * time.Second)
 		for _, summary := range summaries {
 			summary.Sequence = uint64(second + 1)
-			s.Summary(now, summary)
+			s.HandleSummary(now, summary)
 		}
 		s.Tick(now, false)
 		for _, envelope := range s.Flush().Messages {
--- a/internal/core/placement/chooser.go
+++ b/internal/core/placement/chooser.go
@@ -40,7 +40,7 @@
 	return &Chooser{
 		scheduler: scheduling.New(profile),
 		random:    random,
-		index:     prefix.New(prefix.Config{OptimisticFor: affinityLifetime}),
+		index:     prefix.New(prefix.Config{OptimisticTTL: affinityLifetime}),
 	}
 }
 
@@ -64,7 +64,7 @@
 	if result.Chosen < 0 {
 		return -1, 0, NoReplica(result.Filtered)
 	}
-	c.index.Sent(now, zone[result.Chosen].Replica, request.PrefixHashes)
+	c.index.AddOptimistic(now, zone[result.Chosen].Replica, request.PrefixHashes)
 	return result.Chosen, freePerReplica(zone), nil
 }
 
@@ -81,17 +81,17 @@
 	return float64(free) / float64(max(routable, 1))
 }
 
-// Offer is the free capacity of a pool in another zone.
-type Offer struct {
+// ZoneCapacity is the free capacity of a pool in another zone.
+type ZoneCapacity struct {
 	Routable int
-	// Room is the number of free slots per replica.
-	Room float64
+	// FreePerReplica is the number of free slots per replica.
+	FreePerReplica float64
 }
 
 // Zone picks another zone if it has clearly more free slots per replica than this node's
 // zone, or if noReplica is set: this zone cannot serve the request. It returns the index
 // of the offer, or false if the request stays.
-func (c *Chooser) Zone(offers []Offer, free float64, noReplica bool) (int, bool) {
+func (c *Chooser) Zone(offers []ZoneCapacity, free float64, noReplica bool) (int, bool) {
 	usable := make([]int, 0, len(offers))
 	for index := range offers {
 		if offers[index].Routable > 0 {
@@ -104,10 +104,10 @@
 	// The better of two random zones: with the best of all, every node of a zone would
 	// send its requests to the same one until the next report.
 	chosen, other := usable[c.Draw(len(usable))], usable[c.Draw(len(usable))]
-	if offers[other].Room > offers[chosen].Room {
+	if offers[other].FreePerReplica > offers[chosen].FreePerReplica {
 		chosen = other
 	}
-	if !noReplica && offers[chosen].Room < free+zoneMargin {
+	if !noReplica && offers[chosen].FreePerReplica < free+zoneMargin {
 		return 0, false
 	}
 	return chosen, true
--- a/internal/core/placement/chooser_test.go
+++ b/internal/core/placement/chooser_test.go
@@ -63,16 +63,16 @@
 func TestZone(t *testing.T) {
 	cases := []struct {
 		name      string
-		offers    []placement.Offer
+		offers    []placement.ZoneCapacity
 		free      float64
 		noReplica bool
 		want      bool
 	}{
 		{"no other zone", nil, 0, true, false},
-		{"no routable replica in the other zone", []placement.Offer{{Room: 9}}, 0, true, false},
-		{"few more free slots", []placement.Offer{{Routable: 1, Room: 2}}, 1, false, false},
-		{"many more free slots", []placement.Offer{{Routable: 1, Room: 3}}, 1, false, true},
-		{"no replica in this zone", []placement.Offer{{Routable: 1, Room: -5}}, 0, true, true},
+		{"no routable replica in the other zone", []placement.ZoneCapacity{{FreePerReplica: 9}}, 0, true, false},
+		{"few more free slots", []placement.ZoneCapacity{{Routable: 1, FreePerReplica: 2}}, 1, false, false},
+		{"many more free slots", []placement.ZoneCapacity{{Routable: 1, FreePerReplica: 3}}, 1, false, true},
+		{"no replica in this zone", []placement.ZoneCapacity{{Routable: 1, FreePerReplica: -5}}, 0, true, true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -85,12 +85,12 @@
 
 // Requests sent and finished after a report correct it; those in the report are not
 // counted twice.
-func TestMarkCorrectsALateReport(t *testing.T) {
-	mark := placement.Mark{}.Follow(start, placement.Counts{Sent: 10, Finished: 8})
-	mark = mark.Follow(start.Add(time.Microsecond), placement.Counts{Sent: 12, Finished: 9})
+func TestCountsCorrectALateReport(t *testing.T) {
+	mark := placement.CountsAtReport{}.Update(start, placement.Counts{Sent: 10, Finished: 8})
+	mark = mark.Update(start.Add(time.Microsecond), placement.Counts{Sent: 12, Finished: 9})
 	candidate := scheduling.Candidate{Running: 5}
 	now := start.Add(time.Second)
-	candidate = mark.Correct(now, start, candidate, placement.Counts{Sent: 12, Finished: 9})
+	candidate = mark.Apply(now, start, candidate, placement.Counts{Sent: 12, Finished: 9})
 	// 3 are in flight, of which the report counted 2; the other 3 of its 5 are from others.
 	if got := candidate.Load(); got != 6 || candidate.ReportAge != time.Second {
 		t.Errorf("load %d of %+v", got, candidate)
--- a/internal/core/placement/counts.go
+++ b/internal/core/placement/counts.go
@@ -10,8 +10,8 @@
 // that finished.
 type Counts struct{ Sent, Finished int64 }
 
-// Mark holds the counts at the time of a replica's report.
-type Mark struct {
+// CountsAtReport holds the counts at the time of a replica's report.
+type CountsAtReport struct {
 	Counts
 	Reported time.Time
 }
@@ -20,17 +20,17 @@
 // same report with a different measured age.
 const minReportInterval = time.Millisecond
 
-// Follow returns the mark for a report made at reported, or m if the report is not newer.
-func (m Mark) Follow(reported time.Time, counts Counts) Mark {
+// Update returns the mark for a report made at reported, or m if the report is not newer.
+func (m CountsAtReport) Update(reported time.Time, counts Counts) CountsAtReport {
 	if !m.Reported.IsZero() && !reported.After(m.Reported.Add(minReportInterval)) {
 		return m
 	}
-	return Mark{Counts: counts, Reported: reported}
+	return CountsAtReport{Counts: counts, Reported: reported}
 }
 
-// Correct updates a candidate, as its home node reported it, by the requests sent and
+// Apply updates a candidate, as its home node reported it, by the requests sent and
 // finished since then.
-func (m Mark) Correct(now, reported time.Time, candidate scheduling.Candidate, counts Counts) scheduling.Candidate {
+func (m CountsAtReport) Apply(now, reported time.Time, candidate scheduling.Candidate, counts Counts) scheduling.Candidate {
 	candidate.Inflight = int(max(counts.Sent-counts.Finished, 0))
 	candidate.SentSinceReport = int(max(counts.Sent-m.Sent, 0))
 	candidate.FinishedSinceReport = int(max(counts.Finished-m.Finished, 0))
--- a/internal/core/policy/page_test.go
+++ b/internal/core/policy/page_test.go
@@ -33,7 +33,7 @@
 	return names
 }
 
-func TestFieldsAreThoseOfThePage(t *testing.T) {
+func TestFieldsMatchDocumentation(t *testing.T) {
 	seen := append(fieldsOf(reflect.TypeFor[policy.View]()), fieldsOf(reflect.TypeFor[policy.Replica]())...)
 	slices.Sort(seen)
 	if listed := documentedFields(t, "What a program sees"); !slices.Equal(listed, seen) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestPagesExampleIsAllowed checks the page's example program.
-func TestPagesExampleIsAllowed(t *testing.T) {
+// TestDocumentedExamplePassesCheck checks the page's example program.
+func TestDocumentedExamplePassesCheck(t *testing.T) {
 	_, rest, found := strings.Cut(testkit.Page(t, page), "    def plan")
 	if !found {
 		t.Fatal("the page has no example")
--- a/internal/core/poolworker/action.go
+++ b/internal/core/poolworker/action.go
@@ -11,7 +11,7 @@
 // Action is something the caller carries out. The types below implement it.
 type Action interface{ action() }
 
-// Propose sends a command to the control log. The caller passes the result to Answered
+// Propose sends a command to the control log. The caller passes the result to ProposalAnswered
 // with the same Token, within Timeout.
 type Propose struct {
 	Token   uint64
@@ -19,12 +19,12 @@
 	Timeout time.Duration
 }
 
-// AskHomes polls the home nodes of an engine pool's replicas and sends them the
+// PollHomes polls the home nodes of an engine pool's replicas and sends them the
 // replicas that a rollout excludes from routing. StatesPolled takes the result.
-type AskHomes struct {
-	Pool  port.PoolName
-	Fence port.Epoch
-	Out   []port.ReplicaID
+type PollHomes struct {
+	Pool     port.PoolName
+	Fence    port.Epoch
+	Excluded []port.ReplicaID
 }
 
 // Order sends an order to an engine. OrderAnswered takes the result.
@@ -33,9 +33,9 @@
 	Send    rollout.SendOrder
 }
 
-// Coordinate carries out an action of the coordinator that the worker doesn't turn
+// CoordinatorAction carries out an action of the coordinator that the worker doesn't turn
 // into Propose, Record or Ended. Sampling holds the current settings.
-type Coordinate struct {
+type CoordinatorAction struct {
 	Action   coordinator.Action
 	Sampling port.Sampling
 }
@@ -43,18 +43,18 @@
 // Record stores a decision for explain.
 type Record struct{ Decision port.Decision }
 
-// PolicyRefused reports a policy program that doesn't compile. The previous program
+// PolicyRejected reports a policy program that doesn't compile. The previous program
 // stays in use.
-type PolicyRefused struct{ Err error }
+type PolicyRejected struct{ Err error }
 
 // Ended reports that the worker ended. Cause is nil when the lease was lost or
 // released.
 type Ended struct{ Cause error }
 
-func (Propose) action()       {}
-func (AskHomes) action()      {}
-func (Order) action()         {}
-func (Coordinate) action()    {}
-func (Record) action()        {}
-func (PolicyRefused) action() {}
-func (Ended) action()         {}
+func (Propose) action()           {}
+func (PollHomes) action()         {}
+func (Order) action()             {}
+func (CoordinatorAction) action() {}
+func (Record) action()            {}
+func (PolicyRejected) action()    {}
+func (Ended) action()             {}
--- a/internal/core/poolworker/rollouts.go
+++ b/internal/core/poolworker/rollouts.go
@@ -59,7 +59,7 @@
 func (w *Worker) startRollout(now time.Time, pool *port.Pool, weights port.PublishedWeights) {
 	machine, err := rollout.New(rollout.Config{
 		Pool: pool.Name, Adapter: pool.Adapter, Fence: w.epoch, Node: w.config.Node,
-		WeightStore: pool.Sampling.WeightStore, Weights: weights, Seed: w.config.Seed, Turn: &w.turn,
+		WeightStore: pool.Sampling.WeightStore, Weights: weights, Seed: w.config.Seed, StagingLock: &w.turn,
 	}, now)
 	if err != nil {
 		return
@@ -113,7 +113,7 @@
 	}
 	w.polling = true
 	w.nextPoll = now.Add(w.pollDelay())
-	w.emit(AskHomes{Pool: pool.EnginePool(), Fence: w.epoch, Out: w.excludedReplicas()})
+	w.emit(PollHomes{Pool: pool.EnginePool(), Fence: w.epoch, Excluded: w.excludedReplicas()})
 }
 
 // pollDelay returns the time until the next poll.
@@ -174,7 +174,7 @@
 		if !replica.Routable {
 			continue
 		}
-		version, _ := replica.Report.Serves(adapter)
+		version, _ := replica.Report.Versions(adapter)
 		usable = append(usable, policy.Replica{
 			ID: replica.Replica, Zone: zones[replica.Replica], Version: version,
 			Running: replica.Inflight, Limit: replica.Limit,
--- a/internal/core/poolworker/seeker.go
+++ b/internal/core/poolworker/seeker.go
@@ -12,22 +12,22 @@
 // lease.
 const rankDelay = 500 * time.Millisecond
 
-// Seeker selects the free leases that a node should acquire. There is a lease for each
+// LeaseSelector selects the free leases that a node should acquire. There is a lease for each
 // sampling pool and for each engine pool that serves one, since the holder of the
 // engine pool's lease orders the weights. It is not safe for concurrent use.
-type Seeker struct {
+type LeaseSelector struct {
 	node      port.NodeID
 	freeSince map[port.PoolName]time.Time
 }
 
-// NewSeeker returns the seeker of a node.
-func NewSeeker(node port.NodeID) *Seeker {
-	return &Seeker{node: node, freeSince: make(map[port.PoolName]time.Time)}
+// NewLeaseSelector returns the seeker of a node.
+func NewLeaseSelector(node port.NodeID) *LeaseSelector {
+	return &LeaseSelector{node: node, freeSince: make(map[port.PoolName]time.Time)}
 }
 
-// Wanted returns the pools, in order, whose lease this node should acquire now. running
+// Acquirable returns the pools, in order, whose lease this node should acquire now. running
 // reports whether a worker of a pool runs here already.
-func (s *Seeker) Wanted(now time.Time, view *port.View, running func(port.PoolName) bool) []port.PoolName {
+func (s *LeaseSelector) Acquirable(now time.Time, view *port.View, running func(port.PoolName) bool) []port.PoolName {
 	leased := leasedPools(view)
 	for pool := range s.freeSince {
 		if _, found := slices.BinarySearch(leased, pool); !found {
@@ -43,8 +43,8 @@
 	return wanted
 }
 
-// Ended records that a worker of the pool ended here. The next attempt waits by rank.
-func (s *Seeker) Ended(now time.Time, pool port.PoolName) { s.freeSince[pool] = now }
+// WorkerEnded records that a worker of the pool ended here. The next attempt waits by rank.
+func (s *LeaseSelector) WorkerEnded(now time.Time, pool port.PoolName) { s.freeSince[pool] = now }
 
 // leasedPools returns the pools that need a lease holder, in order.
 func leasedPools(view *port.View) []port.PoolName {
@@ -60,7 +60,7 @@
 
 // mayAcquire reports whether the lease has been free for as long as the nodes with a
 // higher rank may take to acquire it.
-func (s *Seeker) mayAcquire(now time.Time, view *port.View, pool port.PoolName) bool {
+func (s *LeaseSelector) mayAcquire(now time.Time, view *port.View, pool port.PoolName) bool {
 	name := port.CoordinatorLease(pool)
 	for _, lease := range view.Leases {
 		if lease.Name == name && lease.Holder != s.node && lease.Expires > now.UnixMilli() {
@@ -77,7 +77,7 @@
 }
 
 // rank returns the number of nodes with a higher rank for a lease.
-func (s *Seeker) rank(view *port.View, lease string) int {
+func (s *LeaseSelector) rank(view *port.View, lease string) int {
 	var ids []port.NodeID
 	for _, node := range view.Nodes {
 		if !node.Draining {
--- a/internal/core/poolworker/seeker_bench_test.go
+++ b/internal/core/poolworker/seeker_bench_test.go
@@ -16,9 +16,9 @@
 			for node := range nodes {
 				view.Nodes = append(view.Nodes, port.NodeAddress{ID: port.NodeID(fmt.Sprintf("node-%03d", node))})
 			}
-			seekers := make([]*Seeker, nodes)
+			seekers := make([]*LeaseSelector, nodes)
 			for node := range nodes {
-				seekers[node] = NewSeeker(view.Nodes[node].ID)
+				seekers[node] = NewLeaseSelector(view.Nodes[node].ID)
 			}
 			for index := 0; b.Loop(); index++ {
 				seekers[index%nodes].rank(view, "coordinator/pool")
--- a/internal/core/poolworker/worker.go
+++ b/internal/core/poolworker/worker.go
@@ -55,7 +55,7 @@
 
 	rollouts map[port.PoolName]*rolloutState
 	// turn is shared by all rollouts.
-	turn     rollout.StagingTurn
+	turn     rollout.StagingLock
 	polling  bool
 	nextPoll time.Time
 	// replicas is the number of replicas in the last poll.
@@ -121,11 +121,11 @@
 func (w *Worker) refuse(token uint64) {
 	refusal := port.NewError(port.NotRun, port.CodeUnavailable, "pool %s has no coordinator at this moment", w.config.Pool)
 	refusal.RetryAfter = requestRetryAfter
-	w.emit(Coordinate{Action: coordinator.Refuse{Token: token, Err: refusal}})
+	w.emit(CoordinatorAction{Action: coordinator.Refuse{Token: token, Err: refusal}})
 }
 
-// Answered handles the result of a Propose.
-func (w *Worker) Answered(now time.Time, token uint64, result port.Result, failure *port.Error) []Action {
+// ProposalAnswered handles the result of a Propose.
+func (w *Worker) ProposalAnswered(now time.Time, token uint64, result port.Result, failure *port.Error) []Action {
 	if done := w.proposals[token]; done != nil {
 		delete(w.proposals, token)
 		done(now, result, failure)
@@ -185,7 +185,7 @@
 	w.policy = source
 	program, err := policy.Compile(source)
 	if err != nil {
-		w.emit(PolicyRefused{Err: err})
+		w.emit(PolicyRejected{Err: err})
 		return nil
 	}
 	return program
@@ -244,7 +244,7 @@
 	case coordinator.Drained:
 		w.release(now)
 	default:
-		w.emit(Coordinate{Action: action, Sampling: w.sampling})
+		w.emit(CoordinatorAction{Action: action, Sampling: w.sampling})
 	}
 }
 
--- a/internal/core/poolworker/worker_test.go
+++ b/internal/core/poolworker/worker_test.go
@@ -55,7 +55,7 @@
 }
 
 func (w *harness) answer(now time.Time, proposed poolworker.Propose, result port.Result, failure *port.Error) {
-	w.actions = append(w.actions, w.worker.Answered(now, proposed.Token, result, failure)...)
+	w.actions = append(w.actions, w.worker.ProposalAnswered(now, proposed.Token, result, failure)...)
 }
 
 // acquire grants the lease at a time and returns the delivery state.
@@ -69,7 +69,7 @@
 	w.actions = append(w.actions, w.worker.Tick(now, view())...)
 }
 
-func TestLeaseCountsFromBeforeItWasAskedFor(t *testing.T) {
+func TestLeaseStartsWhenRequestIsSent(t *testing.T) {
 	w := newHarness(t)
 	w.acquire(at(2))
 	if !w.worker.Running() || w.worker.Epoch() != 3 {
@@ -133,14 +133,14 @@
 	}
 }
 
-func TestSeekersTakeTurns(t *testing.T) {
+func TestNodesWaitByRank(t *testing.T) {
 	none := func(port.PoolName) bool { return false }
 	asked := make(map[port.NodeID]time.Duration)
 	for _, id := range []port.NodeID{"n1", "n2", "n3"} {
-		seeker := poolworker.NewSeeker(id)
+		seeker := poolworker.NewLeaseSelector(id)
 		for step := range 20 {
 			after := time.Duration(step) * 100 * time.Millisecond
-			if _, done := asked[id]; !done && len(seeker.Wanted(start.Add(after), view(), none)) > 0 {
+			if _, done := asked[id]; !done && len(seeker.Acquirable(start.Add(after), view(), none)) > 0 {
 				asked[id] = after
 			}
 		}
@@ -151,13 +151,13 @@
 	}
 }
 
-func TestNobodyAsksForALeaseThatIsHeld(t *testing.T) {
+func TestHeldLeaseIsNotRequested(t *testing.T) {
 	held := view()
 	held.Leases = []port.Lease{{Name: "coordinator/lm", Holder: "n2", Epoch: 1, Expires: at(5).UnixMilli()}}
 	none := func(port.PoolName) bool { return false }
-	seeker := poolworker.NewSeeker("n1")
+	seeker := poolworker.NewLeaseSelector("n1")
 	for step := range 49 {
-		if wanted := seeker.Wanted(at(float64(step)/10), held, none); len(wanted) > 0 {
+		if wanted := seeker.Acquirable(at(float64(step)/10), held, none); len(wanted) > 0 {
 			t.Fatalf("requests %v after %d ms", wanted, 100*step)
 		}
 	}
@@ -165,11 +165,11 @@
 
 // A batch request to a worker without a coordinator must be rejected: nobody else
 // answers it.
-func TestQuestionWithoutCoordinatorIsRefused(t *testing.T) {
+func TestBatchRequestWithoutCoordinatorIsRejected(t *testing.T) {
 	request := coordinator.BatchRequested{Token: 7, Number: 1, ConsumerEpoch: 1, Deadline: at(9)}
 	refused := func(actions []poolworker.Action) bool {
 		for _, action := range actions {
-			coordinate, ok := action.(poolworker.Coordinate)
+			coordinate, ok := action.(poolworker.CoordinatorAction)
 			if !ok {
 				continue
 			}
--- a/internal/core/prefix/index.go
+++ b/internal/core/prefix/index.go
@@ -11,8 +11,8 @@
 type Config struct {
 	// BlocksPerReplica bounds the indexed blocks of one replica.
 	BlocksPerReplica int
-	// OptimisticFor is the time after which an unconfirmed block expires.
-	OptimisticFor time.Duration
+	// OptimisticTTL is the time after which an unconfirmed block expires.
+	OptimisticTTL time.Duration
 }
 
 // Defaults of Config.
@@ -32,8 +32,8 @@
 	if config.BlocksPerReplica <= 0 {
 		config.BlocksPerReplica = DefaultBlocksPerReplica
 	}
-	if config.OptimisticFor <= 0 {
-		config.OptimisticFor = DefaultOptimisticTTL
+	if config.OptimisticTTL <= 0 {
+		config.OptimisticTTL = DefaultOptimisticTTL
 	}
 	return &Index{config: config, replicas: make(map[port.ReplicaID]*replicaBlocks)}
 }
@@ -91,17 +91,17 @@
 	return gap
 }
 
-// Sent adds the blocks of a request that was just sent to a replica, before the engine's
+// AddOptimistic adds the blocks of a request that was just sent to a replica, before the engine's
 // events confirm them.
-func (x *Index) Sent(now time.Time, replica port.ReplicaID, hashes []uint64) {
+func (x *Index) AddOptimistic(now time.Time, replica port.ReplicaID, hashes []uint64) {
 	blocks := x.replica(replica)
-	expires := now.Add(x.config.OptimisticFor)
+	expires := now.Add(x.config.OptimisticTTL)
 	for _, hash := range hashes {
 		blocks.insertOptimistic(hash, expires, x.config.BlocksPerReplica)
 	}
 }
 
-// Expire removes the blocks added by Sent that no event confirmed in time.
+// Expire removes the blocks added by AddOptimistic that no event confirmed in time.
 func (x *Index) Expire(now time.Time) {
 	for _, blocks := range x.replicas {
 		blocks.expire(now)
--- a/internal/core/prefix/prefix_test.go
+++ b/internal/core/prefix/prefix_test.go
@@ -66,10 +66,10 @@
 }
 
 func TestSentBlocksExpireUnlessConfirmed(t *testing.T) {
-	index := New(Config{OptimisticFor: time.Second})
-	index.Sent(start, replica, []uint64{1, 2})
+	index := New(Config{OptimisticTTL: time.Second})
+	index.AddOptimistic(start, replica, []uint64{1, 2})
 	index.Apply(replica, []port.CacheEvent{stored(1, 1)}, false)
-	index.Sent(start, replica, []uint64{1})
+	index.AddOptimistic(start, replica, []uint64{1})
 	index.Expire(start.Add(999 * time.Millisecond))
 	if got := index.Match([]uint64{1, 2}, replica); got != 2 {
 		t.Errorf("match %d before the expiry, want 2", got)
@@ -81,7 +81,7 @@
 }
 
 // Whatever the events, the index stays bounded and doesn't match an evicted block.
-func TestIndexIsBoundedAndTrue(t *testing.T) {
+func TestIndexIsBoundedAndMatchesNoEvictedBlock(t *testing.T) {
 	const bound = 5
 	testkit.Check(t, 31, func(t *rapid.T) {
 		index := New(Config{BlocksPerReplica: bound})
@@ -136,7 +136,7 @@
 func BenchmarkMatch(b *testing.B) {
 	index := New(Config{})
 	hashes := HashBlocks(strings.Repeat("prompt ", 400), 64)
-	index.Sent(start, replica, hashes)
+	index.AddOptimistic(start, replica, hashes)
 	b.ReportAllocs()
 	for b.Loop() {
 		index.Match(hashes, replica)
--- a/internal/core/quarantine/fingerprint_test.go
+++ b/internal/core/quarantine/fingerprint_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	first := Request{Caller: "tenant-a", Method: "POST", Host: "a.example", Target: "/read/7?x=1", Body: []byte("body")}
 	same := first
 	if first.Fingerprint() != same.Fingerprint() {
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	// EndsUntilWithheld is the number of crashed replicas after which a request is withheld.
+	// CrashesUntilWithheld is the number of crashed replicas after which a request is withheld.
 	// One crash makes suspects of all requests in flight there; two may share a rack.
-	EndsUntilWithheld = 3
-	// MostTrials is the maximum number of trials of a withheld request. The second one is for
+	CrashesUntilWithheld = 3
+	// MaxTrials is the maximum number of trials of a withheld request. The second one is for
 	// a request whose first trial ran concurrently with another crash.
-	MostTrials = 2
+	MaxTrials = 2
 	// shareThreshold is the number of crashes from which all processes receive a suspect. Each
 	// crash briefly makes suspects of all requests in flight there.
-	shareThreshold = EndsUntilWithheld - 1
+	shareThreshold = CrashesUntilWithheld - 1
 	// maxSuspects limits the ledger to about the requests in flight in a rack, so that its loss
 	// does not evict withheld requests.
 	maxSuspects = 512
@@ -21,8 +21,8 @@
 type EventKind uint8
 
 const (
-	// EventEnded means that a replica closed the connection while it ran the request.
-	EventEnded EventKind = iota + 1
+	// EventCrashed means that a replica closed the connection while it ran the request.
+	EventCrashed EventKind = iota + 1
 	// EventServed means that a replica sent a complete response to the request.
 	EventServed
 	// EventAlive means that a replica responded to a request sent after its presumed crash.
@@ -56,7 +56,7 @@
 }
 
 // Withheld reports whether the request must not be sent, except as a trial.
-func (s *Suspect) Withheld() bool { return len(s.Replicas) >= EndsUntilWithheld }
+func (s *Suspect) Withheld() bool { return len(s.Replicas) >= CrashesUntilWithheld }
 
 // Ledger holds the suspects of a site, the most recent one last. It changes only by Apply, so
 // that equal events produce equal ledgers. The zero Ledger is empty.
@@ -68,7 +68,7 @@
 // had an effect; a trial that had one is granted to the sender.
 func (l *Ledger) Apply(event Event) (changed, applied bool) {
 	switch event.Kind {
-	case EventEnded:
+	case EventCrashed:
 		return l.recordCrash(event.Fingerprint, event.Replica)
 	case EventServed, EventReleased:
 		return l.release(event.Fingerprint)
@@ -163,7 +163,7 @@
 	if suspect.Trials == event.Trial && suspect.Sender == event.Sender {
 		return false, true
 	}
-	if !suspect.Withheld() || event.Trial != suspect.Trials+1 || event.Trial > MostTrials {
+	if !suspect.Withheld() || event.Trial != suspect.Trials+1 || event.Trial > MaxTrials {
 		return false, false
 	}
 	suspect.Trials, suspect.Sender = event.Trial, event.Sender
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -19,7 +19,7 @@
 
 func crashed(body string, replicas ...string) (events []Event) {
 	for _, replica := range replicas {
-		events = append(events, Event{Kind: EventEnded, Fingerprint: request(body), Replica: replica})
+		events = append(events, Event{Kind: EventCrashed, Fingerprint: request(body), Replica: replica})
 	}
 	return events
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestATrialIsOneSendOnTheWholeSite(t *testing.T) {
+func TestTrialIsGrantedOnce(t *testing.T) {
 	var ledger Ledger
 	for _, event := range crashed("fatal", "r1", "r2", "r3") {
 		ledger.Apply(event)
@@ -127,7 +127,7 @@
 		var ledger, restored Ledger
 		events := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) Event {
 			return Event{
-				Kind:        rapid.SampledFrom([]EventKind{EventEnded, EventEnded, EventEnded, EventServed, EventAlive, EventTrial, EventReleased}).Draw(r, "kind"),
+				Kind:        rapid.SampledFrom([]EventKind{EventCrashed, EventCrashed, EventCrashed, EventServed, EventAlive, EventTrial, EventReleased}).Draw(r, "kind"),
 				Fingerprint: request(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "body")),
 				Replica:     rapid.SampledFrom([]string{"r1", "r2", "r3", "r4", "r5"}).Draw(r, "replica"),
 				Trial:       rapid.IntRange(1, 3).Draw(r, "trial"), Sender: rapid.SampledFrom([]string{"x", "y"}).Draw(r, "sender"),
@@ -144,7 +144,7 @@
 				r.Fatalf("%v changed the shared suspects without reporting it", event)
 			}
 			for _, suspect := range ledger.Suspects {
-				if suspect.Trials > MostTrials || len(suspect.Replicas) == 0 {
+				if suspect.Trials > MaxTrials || len(suspect.Replicas) == 0 {
 					r.Fatalf("%+v", suspect)
 				}
 			}
--- a/internal/core/registry/answers.go
+++ b/internal/core/registry/answers.go
@@ -64,7 +64,7 @@
 	}
 	if created <= a.expiredThrough {
 		return port.Result{}, false, port.NewError(port.NotRun, port.CodeChangeExpired,
-			"answers to changes created at or before %d have expired; check the state and send a new change", a.expiredThrough)
+			"answers to changes born at or before %d are no longer kept; look at the state and send a new change", a.expiredThrough)
 	}
 	if created > now+MaxCreatedAhead.Milliseconds() {
 		return port.Result{}, false, port.InvalidField("change_id", id, "not more than an hour ahead of the control members' time")
--- a/internal/core/registry/document.go
+++ b/internal/core/registry/document.go
@@ -173,7 +173,7 @@
 func (d *Document) checkNotShared(field string, name port.PoolName) *port.Error {
 	for _, other := range d.pools {
 		if other.ReplicasOf == name {
-			return port.InvalidField(field, string(name), "a pool whose replicas no other pool uses; "+string(other.Name)+" uses them")
+			return port.InvalidField(field, string(name), "a pool whose replicas no other uses; "+string(other.Name)+" does")
 		}
 	}
 	return nil
@@ -212,7 +212,7 @@
 		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].pool", replica.ID), string(replica.Pool), "a pool with replicas of its own")
 	}
 	if other, taken := d.addresses[replica.Address]; taken && other != replica.ID {
-		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].address", replica.ID), replica.Address, "an address that no other replica uses; "+string(other)+" uses it")
+		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].address", replica.ID), replica.Address, "an address no other replica has; "+string(other)+" has it")
 	}
 	position, found := d.findReplica(replica.ID)
 	if found {
--- a/internal/core/registry/leases.go
+++ b/internal/core/registry/leases.go
@@ -52,7 +52,7 @@
 		}
 	}
 	if !exists && len(l.list) >= MaxLeases {
-		return port.Lease{}, false, port.NewError(port.NotRun, port.CodeTooLarge, "limit of %d leases reached", MaxLeases)
+		return port.Lease{}, false, port.NewError(port.NotRun, port.CodeTooLarge, "%d leases exist, the most there may be", MaxLeases)
 	}
 	granted := port.Lease{Name: request.Name, Holder: request.Holder, Epoch: next, Expires: now + request.TTL.Milliseconds()}
 	l.put(position, exists, granted)
--- a/internal/core/registry/nodes.go
+++ b/internal/core/registry/nodes.go
@@ -26,7 +26,7 @@
 		return false, nil
 	}
 	if !found && len(n.list) >= MaxNodes {
-		return false, port.NewError(port.NotRun, port.CodeTooLarge, "limit of %d nodes reached", MaxNodes)
+		return false, port.NewError(port.NotRun, port.CodeTooLarge, "%d nodes are registered, the most there may be", MaxNodes)
 	}
 	n.Put(node)
 	return true, nil
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestConfigurationGivenOutNeverChanges(t *testing.T) {
+func TestReturnedConfigurationIsImmutable(t *testing.T) {
 	document := LoadDocument(testConfiguration(3))
 	returned := document.Configuration()
 	drained := returned.Replicas[1]
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestAnswersNeverForgetIntoASecondApplication(t *testing.T) {
+func TestChangeIsAppliedOnceAfterExpiry(t *testing.T) {
 	testkit.Check(t, 42, func(t *rapid.T) {
 		answers := NewAnswers(4)
 		applied := map[string]int{}
@@ -238,9 +238,9 @@
 	}
 }
 
-// TestClockAheadShutsNobodyOut checks that a client whose clock is ahead does not make the changes
+// TestClientClockAheadDoesNotExpireOthers checks that a client whose clock is ahead does not make the changes
 // of others count as expired.
-func TestClockAheadShutsNobodyOut(t *testing.T) {
+func TestClientClockAheadDoesNotExpireOthers(t *testing.T) {
 	now := int64(1_000_000_000)
 	answers := NewAnswers(8)
 	ahead := FormatChangeID(time.UnixMilli(now+MaxCreatedAhead.Milliseconds()), []byte{1, 2, 3, 4})
--- a/internal/core/registry/validate.go
+++ b/internal/core/registry/validate.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	if field, duplicate := firstDuplicate(configuration); field != "" {
-		return port.InvalidField(field, duplicate, "unique names")
+		return port.InvalidField(field, duplicate, "each name once")
 	}
 	return nil
 }
@@ -183,9 +183,9 @@
 		hexDigits := len(token) == tokenHexDigits && strings.Trim(token, "0123456789abcdef") == ""
 		refusal := firstViolation(fmt.Sprintf("tenants[%s].", tenant.Name), []rule{
 			{validName(string(tenant.Name)), "name", string(tenant.Name), allowedName},
-			{!seen[tenant.Name], "name", string(tenant.Name), "unique names"},
+			{!seen[tenant.Name], "name", string(tenant.Name), "each name once"},
 			{hexDigits, "token_sha256", token, "64 lower-case hex digits"},
-			{tenant.QueueShare > 0 && tenant.QueueShare <= 1, "queue_share", fmt.Sprint(tenant.QueueShare), "above 0, at most 1"},
+			{tenant.QueueShare > 0 && tenant.QueueShare <= 1, "queue_share", fmt.Sprint(tenant.QueueShare), "over 0, up to 1"},
 		})
 		if refusal != nil {
 			return refusal
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -41,8 +41,8 @@
 
 // Attempt describes a failed attempt and its request.
 type Attempt struct {
-	// Made is the number of attempts so far in all layers, including this one.
-	Made int
+	// Number is the number of attempts so far in all layers, including this one.
+	Number int
 	// Owner is set in the one layer that retries the request: the node that received
 	// it from the caller. All other layers return the error.
 	Owner   bool
@@ -72,7 +72,7 @@
 	if reason, refused := p.refuse(attempt); refused {
 		return Decision{Reason: reason}
 	}
-	after := max(p.backoff(attempt.Made, random), attempt.RetryAfter)
+	after := max(p.backoff(attempt.Number, random), attempt.RetryAfter)
 	if !attempt.Deadline.IsZero() && !now.Add(after+attempt.Expected).Before(attempt.Deadline) {
 		return Decision{Reason: ReasonDeadline}
 	}
@@ -93,7 +93,7 @@
 		return ReasonPermanent, true
 	case p.MaxAttempts <= 1:
 		return ReasonDisabled, true
-	case attempt.Made >= p.MaxAttempts:
+	case attempt.Number >= p.MaxAttempts:
 		return ReasonAttempts, true
 	default:
 		return "", false
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -23,7 +23,7 @@
 
 // base is a failed attempt that every rule allows to retry.
 var base = Attempt{
-	Made: 1, Owner: true, Verdict: port.MayHaveRun, Code: port.CodeBackEnd, Safe: true, Deadline: start.Add(time.Second),
+	Number: 1, Owner: true, Verdict: port.MayHaveRun, Code: port.CodeBackEnd, Safe: true, Deadline: start.Add(time.Second),
 }
 
 func TestDecide(t *testing.T) {
@@ -45,7 +45,7 @@
 		"not the owner":         {change(func(a *Attempt) { a.Owner = false }), ReasonNotOwner},
 		"invalid":               {change(func(a *Attempt) { a.Code, a.Verdict = port.CodeInvalid, port.NotRun }), ReasonPermanent},
 		"caller gave up":        {change(func(a *Attempt) { a.Code = port.CodeCancelled }), ReasonPermanent},
-		"last attempt":          {change(func(a *Attempt) { a.Made = 3 }), ReasonAttempts},
+		"last attempt":          {change(func(a *Attempt) { a.Number = 3 }), ReasonAttempts},
 		"deadline passed":       {change(func(a *Attempt) { a.Deadline = start.Add(-time.Second) }), ReasonDeadline},
 		"cannot end in time":    {change(func(a *Attempt) { a.Expected = time.Second }), ReasonDeadline},
 		"RetryAfter too long":   {change(func(a *Attempt) { a.RetryAfter = time.Second }), ReasonDeadline},
@@ -69,12 +69,12 @@
 
 // An unsafe attempt that may have run is never retried; only the owner retries, within the
 // maximum attempts and the deadline; and a refusal withdraws nothing from the budget.
-func TestDecideKeepsItsPromises(t *testing.T) {
+func TestDecideInvariants(t *testing.T) {
 	verdicts := []port.Verdict{port.VerdictUnset, port.NotRun, port.MayHaveRun, port.Ran}
 	codes := []port.Code{port.CodeBackEnd, port.CodeUnavailable, port.CodeInvalid, port.CodeQueueFull, port.CodeDeadline, ""}
 	testkit.Check(t, 21, func(t *rapid.T) {
 		attempt := Attempt{
-			Made: rapid.IntRange(1, 5).Draw(t, "made"), Owner: rapid.Bool().Draw(t, "owner"),
+			Number: rapid.IntRange(1, 5).Draw(t, "made"), Owner: rapid.Bool().Draw(t, "owner"),
 			Verdict: rapid.SampledFrom(verdicts).Draw(t, "verdict"), Code: rapid.SampledFrom(codes).Draw(t, "code"),
 			Safe: rapid.Bool().Draw(t, "safe"), Deadline: start.Add(time.Duration(rapid.IntRange(-5, 200).Draw(t, "left")) * time.Millisecond),
 			Expected:   time.Duration(rapid.IntRange(0, 100).Draw(t, "expected")) * time.Millisecond,
@@ -92,7 +92,7 @@
 		if !attempt.Safe && attempt.Verdict != port.NotRun {
 			t.Fatalf("unsafe request retried: %+v", attempt)
 		}
-		if !attempt.Owner || attempt.Made >= 3 || !start.Add(got.After+attempt.Expected).Before(attempt.Deadline) {
+		if !attempt.Owner || attempt.Number >= 3 || !start.Add(got.After+attempt.Expected).Before(attempt.Deadline) {
 			t.Fatalf("retried against the rules: %+v, %+v", attempt, got)
 		}
 		if got.After < attempt.RetryAfter || got.After > max(attempt.RetryAfter, 40*time.Millisecond) {
--- a/internal/core/rollout/ask_test.go
+++ b/internal/core/rollout/ask_test.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func TestAcceptedOrdersAreAskedAfter(t *testing.T) {
+func TestAcceptedOrdersAreRepeated(t *testing.T) {
 	cases := []struct {
 		name string
 		run  func(t *testing.T, f *fleet)
--- a/internal/core/rollout/config.go
+++ b/internal/core/rollout/config.go
@@ -49,9 +49,9 @@
 	ActivateTimeout time.Duration
 	// Rolling activates each replica as soon as it has staged, instead of all together.
 	Rolling bool
-	// Turn is shared by the rollouts on the same engines; nil means that there is only
+	// StagingLock is shared by the rollouts on the same engines; nil means that there is only
 	// one rollout.
-	Turn *StagingTurn
+	StagingLock *StagingLock
 	// Seed drives backoff jitter.
 	Seed uint64
 }
@@ -76,8 +76,8 @@
 	if c.ActivateTimeout == 0 {
 		c.ActivateTimeout = DefaultActivateTimeout
 	}
-	if c.Turn == nil {
-		c.Turn = &StagingTurn{}
+	if c.StagingLock == nil {
+		c.StagingLock = &StagingLock{}
 	}
 	return c
 }
--- a/internal/core/rollout/doc.go
+++ b/internal/core/rollout/doc.go
@@ -9,6 +9,6 @@
 //
 // Orders carry a fence, the epoch of a lease. Engines store a single highest fence, so
 // all rollouts on the same engines, one per adapter, must run under the lease of the
-// pool that owns the engines. They also share a StagingTurn, since an engine keeps few
+// pool that owns the engines. They also share a StagingLock, since an engine keeps few
 // staged versions.
 package rollout
--- a/internal/core/rollout/reports.go
+++ b/internal/core/rollout/reports.go
@@ -85,9 +85,9 @@
 		member.order, member.tries, member.notBefore = nil, 0, time.Time{}
 	}
 	before := member.version
-	member.version, member.staged = report.Serves(r.config.Adapter)
+	member.version, member.staged = report.Versions(r.config.Adapter)
 	r.updateOrder(member, before, reportedAt)
-	r.checkLoading(member, report.Loads(r.config.Adapter))
+	r.checkLoading(member, report.StagingVersion(r.config.Adapter))
 	r.updateRouting(member, reportedAt)
 }
 
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -201,23 +201,23 @@
 // not wait for other replicas.
 func (r *Rollout) mayStage() bool {
 	if r.switching || r.completed {
-		r.config.Turn.release(r.config.Pool)
+		r.config.StagingLock.release(r.config.Pool)
 		return true
 	}
 	behind := func(member *replica) bool {
 		return member.reachable && !member.lastReport.IsZero() && member.version != r.target
 	}
 	if !slices.ContainsFunc(r.replicas, behind) {
-		r.config.Turn.release(r.config.Pool)
+		r.config.StagingLock.release(r.config.Pool)
 		return true
 	}
-	return r.config.Turn.acquire(r.now, r.config.Pool, r.config.StageDeadline)
+	return r.config.StagingLock.acquire(r.now, r.config.Pool, r.config.StageDeadline)
 }
 
 // Stop releases the staging turn; Step must not be called afterwards.
 func (r *Rollout) Stop() {
 	r.fenced = true
-	r.config.Turn.release(r.config.Pool)
+	r.config.StagingLock.release(r.config.Pool)
 }
 
 // needsOrder reports whether a replica is due for an order.
--- a/internal/core/rollout/turn.go
+++ b/internal/core/rollout/turn.go
@@ -7,14 +7,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// StagingTurn is a lock that lets only one of the rollouts on the same engines stage at
+// StagingLock is a lock that lets only one of the rollouts on the same engines stage at
 // a time. An engine keeps few staged versions and evicts the oldest for a new one, so
 // rollouts staging concurrently would evict each other's weights forever.
 //
 // A rollout releases the turn at the switch, since activated weights occupy no staging
 // slot. Waiting rollouts acquire it in the order of their requests. It is not safe for
 // concurrent use.
-type StagingTurn struct {
+type StagingLock struct {
 	holder  port.PoolName
 	expires time.Time
 	waiting []port.PoolName
@@ -23,7 +23,7 @@
 // acquire requests the turn and reports whether the pool holds it. While others wait, a
 // pool holds the turn for at most the given time, so that a pool whose weights cannot be
 // fetched does not block the others.
-func (t *StagingTurn) acquire(now time.Time, pool port.PoolName, duration time.Duration) bool {
+func (t *StagingLock) acquire(now time.Time, pool port.PoolName, duration time.Duration) bool {
 	if t.holder != "" && !now.Before(t.expires) && len(t.waiting) > 0 {
 		t.release(t.holder)
 	}
@@ -42,7 +42,7 @@
 }
 
 // release ends the pool's turn or removes it from the waiting pools.
-func (t *StagingTurn) release(pool port.PoolName) {
+func (t *StagingLock) release(pool port.PoolName) {
 	if t.holder == pool {
 		t.holder = ""
 	}
--- a/internal/core/rollout/turn_test.go
+++ b/internal/core/rollout/turn_test.go
@@ -35,11 +35,11 @@
 			Weights: engine.Weights{Version: 1}, StagedSlots: 2, Store: store, WeightBytes: 1 << 20,
 		})
 	}
-	turn := &rollout.StagingTurn{}
+	turn := &rollout.StagingLock{}
 	for _, pool := range adapters {
 		created, err := rollout.New(rollout.Config{
 			Pool: pool, Adapter: string(pool), Fence: fence, WeightStore: "http://127.0.0.1:9",
-			Weights: port.PublishedWeights{Pool: pool, Version: 1}, Turn: turn, MaxStaging: 2,
+			Weights: port.PublishedWeights{Pool: pool, Version: 1}, StagingLock: turn, MaxStaging: 2,
 			StageDeadline: 30 * time.Second,
 		}, start)
 		if err != nil {
@@ -101,14 +101,14 @@
 	count := 0
 	for _, model := range s.engines {
 		report := model.Load().Report()
-		if serves, _ := report.Serves(string(pool)); serves == version {
+		if serves, _ := report.Versions(string(pool)); serves == version {
 			count++
 		}
 	}
 	return count
 }
 
-func TestRolloutsShareEnginesWithFewStagingPlaces(t *testing.T) {
+func TestRolloutsShareEnginesWithFewStagingSlots(t *testing.T) {
 	shared := newSharedEngines(t, "bulletins", "notes", "summaries")
 	for version := port.WeightVersion(1); version <= 4; version++ {
 		for _, pool := range shared.adapters {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestPoolWithoutWeightsHoldsUpNoOther(t *testing.T) {
+func TestPoolWithoutWeightsDoesNotBlockOthers(t *testing.T) {
 	shared := newSharedEngines(t, "bulletins", "notes", "summaries")
 	shared.storeUnavailable["bulletins"] = true
 	shared.run(45 * time.Second)
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestStoppedRolloutGivesTheTurnBack(t *testing.T) {
+func TestStoppedRolloutReleasesTurn(t *testing.T) {
 	shared := newSharedEngines(t, "bulletins", "notes")
 	shared.run(500 * time.Millisecond)
 	shared.rollouts["bulletins"].Stop()
--- a/internal/core/routing/homes.go
+++ b/internal/core/routing/homes.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Homes is the set of regions in which a request may be served and its body stored. The
-// zero Homes allows all regions.
-type Homes struct {
+// AllowedRegions is the set of regions in which a request may be served and its body stored. The
+// zero AllowedRegions allows all regions.
+type AllowedRegions struct {
 	restricted bool
 	regions    []string
 }
 
-// HomesOf returns the regions allowed by both the route and the tenant of a request.
+// AllowedRegionsOf returns the regions allowed by both the route and the tenant of a request.
 // Tenant is nil for requests without one.
-func HomesOf(route *Route, tenant *Tenant) Homes {
-	homes := Homes{}.intersect(route.Regions)
+func AllowedRegionsOf(route *Route, tenant *Tenant) AllowedRegions {
+	homes := AllowedRegions{}.intersect(route.Regions)
 	if tenant != nil {
 		homes = homes.intersect(tenant.Regions)
 	}
@@ -23,30 +23,32 @@
 }
 
 // intersect returns the regions that are also in the list; an empty list allows all.
-func (h Homes) intersect(regions []string) Homes {
+func (h AllowedRegions) intersect(regions []string) AllowedRegions {
 	switch {
 	case len(regions) == 0:
 		return h
 	case !h.restricted:
-		return Homes{restricted: true, regions: regions}
+		return AllowedRegions{restricted: true, regions: regions}
 	default:
 		common := slices.DeleteFunc(slices.Clone(h.regions), func(region string) bool { return !slices.Contains(regions, region) })
-		return Homes{restricted: true, regions: common}
+		return AllowedRegions{restricted: true, regions: common}
 	}
 }
 
-// Bound reports whether some regions are not allowed.
-func (h Homes) Bound() bool { return h.restricted }
+// Restricted reports whether some regions are not allowed.
+func (h AllowedRegions) Restricted() bool { return h.restricted }
 
-// Allow reports whether a region is allowed. An unknown region is allowed only if all
+// Allows reports whether a region is allowed. An unknown region is allowed only if all
 // regions are.
-func (h Homes) Allow(region string) bool { return !h.restricted || slices.Contains(h.regions, region) }
+func (h AllowedRegions) Allows(region string) bool {
+	return !h.restricted || slices.Contains(h.regions, region)
+}
 
 // Regions returns the allowed regions; it is empty if all or none are allowed.
-func (h Homes) Regions() []string { return h.regions }
+func (h AllowedRegions) Regions() []string { return h.regions }
 
 // String returns the allowed regions for messages.
-func (h Homes) String() string {
+func (h AllowedRegions) String() string {
 	if !h.restricted {
 		return "all regions"
 	}
--- a/internal/core/routing/homes_test.go
+++ b/internal/core/routing/homes_test.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 )
 
-func TestHomesOfRouteAndTenantEachBind(t *testing.T) {
+func TestRouteAndTenantRegionsBothApply(t *testing.T) {
 	for name, row := range map[string]struct {
 		route, tenant []string
 		allowed       map[string]bool
@@ -17,14 +17,14 @@
 		"route and tenant":              {[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
 		"route and tenant, none common": {[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
 	} {
-		homes := routing.HomesOf(&routing.Route{Regions: row.route}, &routing.Tenant{Regions: row.tenant})
+		homes := routing.AllowedRegionsOf(&routing.Route{Regions: row.route}, &routing.Tenant{Regions: row.tenant})
 		for region, want := range row.allowed {
-			if got := homes.Allow(region); got != want {
+			if got := homes.Allows(region); got != want {
 				t.Errorf("%s: region %q allowed %v", name, region, got)
 			}
 		}
 	}
-	if routing.HomesOf(&routing.Route{}, nil).Bound() {
+	if routing.AllowedRegionsOf(&routing.Route{}, nil).Restricted() {
 		t.Error("a request without tenant is restricted on an unrestricted route")
 	}
 }
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -70,12 +70,12 @@
 	}
 }
 
-func TestSplitKeepsItsWeightsOverFewRequests(t *testing.T) {
+func TestSplitFollowsWeightsOverFewRequests(t *testing.T) {
 	route := validRoute("a", "/a/")
 	route.Split = []routing.Share{{Service: "s", Weight: 90}, {Service: "none", Weight: 0}, {Service: "u", Weight: 10}}
 	counts := map[string]int{}
 	for n := range uint64(200) {
-		counts[route.Choose(n)]++
+		counts[route.ServiceFor(n)]++
 	}
 	if counts["none"] != 0 || counts["u"] < 18 || counts["u"] > 22 {
 		t.Errorf("counts %v", counts)
@@ -100,7 +100,7 @@
 
 func TestTenantsAreFoundByTheirKeys(t *testing.T) {
 	doc := document(validRoute("a", "/a/"))
-	if routing.NewTable(doc).WantsKeys() {
+	if routing.NewTable(doc).RequiresKeys() {
 		t.Error("keys are required without tenants")
 	}
 	doc.Tenants = []routing.Tenant{{Name: "ada", Keys: []apikey.Digest{apikey.Of("1"), apikey.Of("2")}}, {Name: "bob"}}
@@ -113,7 +113,7 @@
 		if tenant := table.TenantOf(key); tenant != nil {
 			got = tenant.Name
 		}
-		if got != want || !table.WantsKeys() {
+		if got != want || !table.RequiresKeys() {
 			t.Errorf("key %q: tenant %q, want %q", key, got, want)
 		}
 	}
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -53,8 +53,8 @@
 	return table
 }
 
-// WantsKeys reports whether callers must present a key.
-func (t *Table) WantsKeys() bool { return len(t.document.Tenants) > 0 }
+// RequiresKeys reports whether callers must present a key.
+func (t *Table) RequiresKeys() bool { return len(t.document.Tenants) > 0 }
 
 // TenantOf returns the tenant of a key, or nil.
 func (t *Table) TenantOf(key string) *Tenant { return t.byKey[apikey.Of(key)] }
@@ -96,8 +96,8 @@
 	return strings.ToLower(host)
 }
 
-// Choose returns the service of the route's n-th request.
-func (r *Route) Choose(n uint64) string {
+// ServiceFor returns the service of the route's n-th request.
+func (r *Route) ServiceFor(n uint64) string {
 	if len(r.Split) == 0 {
 		return r.Service
 	}
@@ -116,8 +116,8 @@
 	return r.lastWeightedService()
 }
 
-// LeadsTo reports whether Choose may return the service.
-func (r *Route) LeadsTo(service string) bool {
+// RoutesTo reports whether ServiceFor may return the service.
+func (r *Route) RoutesTo(service string) bool {
 	if len(r.Split) == 0 {
 		return r.Service == service
 	}
@@ -135,7 +135,7 @@
 	return chosen
 }
 
-// Services returns the services that Choose may return.
+// Services returns the services that ServiceFor may return.
 func (r *Route) Services() []string {
 	if len(r.Split) == 0 {
 		return []string{r.Service}
--- a/internal/core/scheduling/filter_test.go
+++ b/internal/core/scheduling/filter_test.go
@@ -70,10 +70,10 @@
 
 // No profile may pick a replica that the required filters drop, each must pick one if
 // any is left, and the counts must add up.
-func TestEveryProfileKeepsThePromises(t *testing.T) {
+func TestEveryProfileAppliesRequiredFilters(t *testing.T) {
 	names := []string{ProfileGeneration, ProfileApplication, ProfileRoundRobin, ProfileRandom, ProfileLeastInflight, ProfileTwoChoices}
 	for _, name := range names {
-		profile, found := Named(name)
+		profile, found := ProfileByName(name)
 		if !found {
 			t.Fatalf("no profile %s", name)
 		}
@@ -99,7 +99,7 @@
 			}
 		})
 	}
-	if _, found := Named("best"); found {
+	if _, found := ProfileByName("best"); found {
 		t.Error("an unknown profile was found")
 	}
 }
--- a/internal/core/scheduling/profile.go
+++ b/internal/core/scheduling/profile.go
@@ -87,8 +87,8 @@
 	return profile, true
 }
 
-// Named returns the profile with a name. It reports false for an unknown name.
-func Named(name string) (Profile, bool) {
+// ProfileByName returns the profile with a name. It reports false for an unknown name.
+func ProfileByName(name string) (Profile, bool) {
 	switch name {
 	case ProfileGeneration:
 		return Generation(), true
--- a/internal/core/scheduling/scheduler_test.go
+++ b/internal/core/scheduling/scheduler_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestRecordShowsTheBestFew(t *testing.T) {
+func TestRecordHoldsBestScores(t *testing.T) {
 	candidates := replicas(8)
 	candidates[0].Draining = true
 	candidates[1].Ejected = true
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestRefusalSaysWhyWithoutRecord(t *testing.T) {
+func TestRejectionHasFilterCounts(t *testing.T) {
 	result := New(Application()).Pick(&Request{}, []Candidate{{Leaving: true}, {Limit: 1, Inflight: 1}}, seededRand())
 	want := []port.FilterCount{{Filter: FilterLeaving, Count: 1}, {Filter: FilterLimit, Count: 1}}
 	if result.Chosen != -1 || len(result.Filtered) != 2 || result.Filtered[0] != want[0] || result.Filtered[1] != want[1] {
@@ -150,7 +150,7 @@
 	for _, name := range []string{ProfileGeneration, ProfileApplication, ProfileLeastInflight} {
 		for _, count := range []int{10, 250, 3500} {
 			b.Run(fmt.Sprintf("%s/%d", name, count), func(b *testing.B) {
-				profile, _ := Named(name)
+				profile, _ := ProfileByName(name)
 				scheduler, candidates, random := New(profile), replicas(count), seededRand()
 				request := &Request{Zone: "a", PromptTokens: 500, MaxTokens: 500}
 				b.ReportAllocs()
--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -25,14 +25,14 @@
 	// Spares is the number of machines kept outside all groups to replace lost ones; a site
 	// with a single shard needs none.
 	Spares int
-	// PlacesPerShard is the number of replica slots, one item each, that a shard can serve.
-	PlacesPerShard int
+	// SlotsPerShard is the number of replica slots, one item each, that a shard can serve.
+	SlotsPerShard int
 }
 
-// Wanted returns the number of shards for a site's store machines and replica slots, at least
+// ShardCount returns the number of shards for a site's store machines and replica slots, at least
 // one.
-func Wanted(machines, slots int, limits Limits) int {
-	byWork := slots / max(1, limits.PlacesPerShard)
+func ShardCount(machines, slots int, limits Limits) int {
+	byWork := slots / max(1, limits.SlotsPerShard)
 	byMachines := (machines - limits.Spares) / max(1, limits.Voters)
 	return max(1, min(byWork, byMachines))
 }
@@ -76,9 +76,9 @@
 	) < 0
 }
 
-// For returns the shard for a new model's jobs: the allowed one with the fewest models, the first
+// ShardForModel returns the shard for a new model's jobs: the allowed one with the fewest models, the first
 // of equals; 0 if none is allowed.
-func For(placed map[string]sitestate.ShardNumber, shards int, allowed func(sitestate.ShardNumber) bool) sitestate.ShardNumber {
+func ShardForModel(placed map[string]sitestate.ShardNumber, shards int, allowed func(sitestate.ShardNumber) bool) sitestate.ShardNumber {
 	models := map[sitestate.ShardNumber]int{}
 	for _, shard := range placed {
 		models[shard]++
--- a/internal/core/shardplan/shardplan_test.go
+++ b/internal/core/shardplan/shardplan_test.go
@@ -9,9 +9,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-func TestAsManyShardsAsTheWorkAsksForAndMachinesAllow(t *testing.T) {
-	three := shardplan.Limits{Voters: 3, Spares: 2, PlacesPerShard: 100}
-	five := shardplan.Limits{Voters: 5, Spares: 3, PlacesPerShard: 100}
+func TestShardCountFollowsSlotsAndMachines(t *testing.T) {
+	three := shardplan.Limits{Voters: 3, Spares: 2, SlotsPerShard: 100}
+	five := shardplan.Limits{Voters: 5, Spares: 3, SlotsPerShard: 100}
 	for _, row := range []struct {
 		machines, slots int
 		limits          shardplan.Limits
@@ -20,7 +20,7 @@
 		{3, 1000, three, 1}, {4, 1000, three, 1}, {8, 1000, three, 2}, {8, 150, three, 1}, {0, 0, three, 1},
 		{45, 462, five, 4}, {45, 5000, five, 8}, {13, 352, five, 2}, {12, 352, five, 1}, {45, 90, five, 1},
 	} {
-		if got := shardplan.Wanted(row.machines, row.slots, row.limits); got != row.want {
+		if got := shardplan.ShardCount(row.machines, row.slots, row.limits); got != row.want {
 			t.Errorf("%d machines, %d slots: %d shards, want %d", row.machines, row.slots, got, row.want)
 		}
 	}
@@ -61,7 +61,7 @@
 	allowAll := func(sitestate.ShardNumber) bool { return true }
 	placed := map[string]sitestate.ShardNumber{}
 	for i := range 7 {
-		placed[fmt.Sprint(i)] = shardplan.For(placed, 3, allowAll)
+		placed[fmt.Sprint(i)] = shardplan.ShardForModel(placed, 3, allowAll)
 	}
 	counts := map[sitestate.ShardNumber]int{}
 	for _, shard := range placed {
@@ -70,19 +70,19 @@
 	if counts[1] != 3 || counts[2] != 2 || counts[3] != 2 {
 		t.Errorf("models by shard: %v", counts)
 	}
-	if got := shardplan.For(placed, 0, allowAll); got != 0 {
+	if got := shardplan.ShardForModel(placed, 0, allowAll); got != 0 {
 		t.Errorf("got shard %d without shards", got)
 	}
 }
 
-func TestAModelGoesToAShardThatMayKeepIt(t *testing.T) {
+func TestForSkipsDisallowedShards(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 2, "b": 2}
 	for want, allowed := range map[sitestate.ShardNumber]func(sitestate.ShardNumber) bool{
 		1: func(shard sitestate.ShardNumber) bool { return shard != 3 },
 		2: func(shard sitestate.ShardNumber) bool { return shard == 2 },
 		0: func(sitestate.ShardNumber) bool { return false },
 	} {
-		if got := shardplan.For(placed, 3, allowed); got != want {
+		if got := shardplan.ShardForModel(placed, 3, allowed); got != want {
 			t.Errorf("shard %d, want %d", got, want)
 		}
 	}
--- a/internal/core/sitestate/byservice.go
+++ b/internal/core/sitestate/byservice.go
@@ -6,7 +6,7 @@
 func (v *View) byService() map[string]ReplicaList {
 	grouped := map[string][]Replica{}
 	for _, replica := range v.Replicas.All() {
-		if v.Takes(&replica) {
+		if v.Routable(&replica) {
 			grouped[replica.Service] = append(grouped[replica.Service], replica)
 		}
 	}
@@ -21,7 +21,7 @@
 // those of the view. Only lists that changed are rebuilt.
 func (v *View) updateByService(before ReplicaSet, update Update) map[string]ReplicaList {
 	lists := serviceEdit{lists: v.ByService, edits: map[string]*listEdit{}}
-	for _, id := range update.Gone {
+	for _, id := range update.Removed {
 		lists.move(id, before, v)
 	}
 	for _, replica := range update.Replicas {
@@ -40,7 +40,7 @@
 func (r *serviceEdit) move(id string, before ReplicaSet, after *View) {
 	old, was := before.Get(id)
 	now, is := after.Replicas.Get(id)
-	is = is && after.Takes(&now)
+	is = is && after.Routable(&now)
 	if was && (!is || old.Service != now.Service) {
 		r.edit(old.Service).remove(id)
 	}
--- a/internal/core/sitestate/byservice_test.go
+++ b/internal/core/sitestate/byservice_test.go
@@ -10,9 +10,9 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestRegroupedListsAreThoseMadeAnew checks that incrementally updated lists equal lists
+// TestUpdateByServiceEqualsRebuild checks that incrementally updated lists equal lists
 // rebuilt from all replicas, and that published views do not change.
-func TestRegroupedListsAreThoseMadeAnew(t *testing.T) {
+func TestUpdateByServiceEqualsRebuild(t *testing.T) {
 	testkit.Check(t, 20, func(r *rapid.T) {
 		var view *View
 		for position := range uint64(rapid.IntRange(1, 30).Draw(r, "updates")) {
@@ -46,7 +46,7 @@
 }
 
 func drawUpdate(r *rapid.T, position uint64) Update {
-	update := Update{Position: position, Whole: position == 1 || rapid.IntRange(0, 9).Draw(r, "whole") == 0}
+	update := Update{Position: position, Full: position == 1 || rapid.IntRange(0, 9).Draw(r, "whole") == 0}
 	for range rapid.IntRange(0, 4).Draw(r, "replicas") {
 		update.Replicas = append(update.Replicas, Replica{
 			ID: fmt.Sprint("i", rapid.IntRange(0, 6).Draw(r, "id")), Service: fmt.Sprint("s", rapid.IntRange(0, 2).Draw(r, "service")),
@@ -58,7 +58,7 @@
 		update.Drains = &Drains{Zones: []string{"z0", "z1"}[:rapid.IntRange(0, 2).Draw(r, "drained")]}
 	}
 	for range rapid.IntRange(0, 2).Draw(r, "gone") {
-		update.Gone = append(update.Gone, fmt.Sprint("i", rapid.IntRange(0, 6).Draw(r, "left")))
+		update.Removed = append(update.Removed, fmt.Sprint("i", rapid.IntRange(0, 6).Draw(r, "left")))
 	}
 	return update
 }
--- a/internal/core/sitestate/command.go
+++ b/internal/core/sitestate/command.go
@@ -19,7 +19,7 @@
 	Leave         *Leave         `cbor:"4,keyasint,omitempty"`
 	Holder        *Holder        `cbor:"5,keyasint,omitempty"`
 	Store         *Store         `cbor:"6,keyasint,omitempty"`
-	Found         *Found         `cbor:"7,keyasint,omitempty"`
+	CreateShard   *CreateShard   `cbor:"7,keyasint,omitempty"`
 	Evacuate      *Evacuate      `cbor:"8,keyasint,omitempty"`
 	Assign        *Assign        `cbor:"9,keyasint,omitempty"`
 	Place         *Place         `cbor:"10,keyasint,omitempty"`
@@ -40,11 +40,11 @@
 
 // Usage updates the request counts of tenants. Its parts are applied in field order.
 type Usage struct {
-	Noted []usage.Noted `cbor:"1,keyasint,omitempty"`
-	// FixUpTo closes all windows up to this one.
-	FixUpTo *usage.Window `cbor:"2,keyasint,omitempty"`
-	// Sent is a window that the provider has acknowledged.
-	Sent *usage.Window `cbor:"3,keyasint,omitempty"`
+	Reports []usage.WindowedReport `cbor:"1,keyasint,omitempty"`
+	// CloseUpTo closes all windows up to this one.
+	CloseUpTo *usage.Window `cbor:"2,keyasint,omitempty"`
+	// Reported is a window that the provider has acknowledged.
+	Reported *usage.Window `cbor:"3,keyasint,omitempty"`
 }
 
 // Configuration is a complete configuration. Raw is the document as the operator sent it,
@@ -94,9 +94,9 @@
 	RoutedAt uint64 `cbor:"11,keyasint,omitempty"`
 	// Instance is the replica's own name, empty if it equals ID.
 	Instance string `cbor:"12,keyasint,omitempty"`
-	// Born is its start time in milliseconds since the Unix epoch by its own clock, 0 if
+	// StartedAt is its start time in milliseconds since the Unix epoch by its own clock, 0 if
 	// not reported.
-	Born uint64 `cbor:"13,keyasint,omitempty"`
+	StartedAt uint64 `cbor:"13,keyasint,omitempty"`
 	// ColdMillis is the remaining warm-up time at the report, during which it handles few
 	// requests; 0 once it is warm.
 	ColdMillis uint32 `cbor:"14,keyasint,omitempty"`
@@ -130,13 +130,13 @@
 // Leave removes a replica.
 type Leave struct {
 	ID string `cbor:"1,keyasint"`
-	// Silent is set if the replica did not ask to leave but stopped reporting; it may
+	// TimedOut is set if the replica did not ask to leave but stopped reporting; it may
 	// return.
-	Silent bool `cbor:"2,keyasint,omitempty"`
-	// Instance and Born identify the start that leaves, if known: they distinguish its
+	TimedOut bool `cbor:"2,keyasint,omitempty"`
+	// Instance and StartedAt identify the start that leaves, if known: they distinguish its
 	// late reports from those of a later start under the same name.
-	Instance string `cbor:"3,keyasint,omitempty"`
-	Born     uint64 `cbor:"4,keyasint,omitempty"`
+	Instance  string `cbor:"3,keyasint,omitempty"`
+	StartedAt uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Holder names the machine that is allowed to order replicas.
@@ -194,9 +194,9 @@
 	Founders []groupmember.Record `cbor:"2,keyasint"`
 }
 
-// Found creates a shard. It is applied only if it has the next number and no model is
+// CreateShard creates a shard. It is applied only if it has the next number and no model is
 // placed yet.
-type Found struct {
+type CreateShard struct {
 	Shard Shard `cbor:"1,keyasint"`
 }
 
--- a/internal/core/sitestate/drain.go
+++ b/internal/core/sitestate/drain.go
@@ -8,9 +8,9 @@
 // DrainZone stops requests to the replicas of a zone, or resumes them.
 type DrainZone struct {
 	Zone string `cbor:"1,keyasint"`
-	// Back ends the drain.
-	Back bool `cbor:"2,keyasint,omitempty"`
-	// ColdMillis is the warm-up time of an idle replica, by service; used with Back.
+	// End ends the drain.
+	End bool `cbor:"2,keyasint,omitempty"`
+	// ColdMillis is the warm-up time of an idle replica, by service; used with End.
 	// Replicas of other services are assumed to be warm.
 	ColdMillis map[string]uint32 `cbor:"3,keyasint,omitempty"`
 }
@@ -22,10 +22,10 @@
 
 // drain starts or ends the drain of a zone.
 func (s *State) drain(index uint64, drain DrainZone) Outcome {
-	if _, drained := s.contents.Drained[drain.Zone]; drained != drain.Back {
+	if _, drained := s.contents.Drained[drain.Zone]; drained != drain.End {
 		return OutcomeDone
 	}
-	if drain.Back {
+	if drain.End {
 		delete(s.contents.Drained, drain.Zone)
 		s.markCold(index, drain)
 	} else {
@@ -51,13 +51,13 @@
 // Drained lists the drained zones.
 func (s *State) Drained() []string { return slices.Sorted(maps.Keys(s.contents.Drained)) }
 
-// Drains reports whether a zone is drained.
-func (v *View) Drains(zone string) bool {
+// IsDrained reports whether a zone is drained.
+func (v *View) IsDrained(zone string) bool {
 	_, drained := slices.BinarySearch(v.Drained, zone)
 	return drained
 }
 
-// Takes reports whether a replica may be sent requests.
-func (v *View) Takes(replica *Replica) bool {
-	return replica.State == ReplicaReady && !v.Drains(replica.Zone)
+// Routable reports whether a replica may be sent requests.
+func (v *View) Routable(replica *Replica) bool {
+	return replica.State == ReplicaReady && !v.IsDrained(replica.Zone)
 }
--- a/internal/core/sitestate/drain_test.go
+++ b/internal/core/sitestate/drain_test.go
@@ -19,9 +19,9 @@
 	return ids
 }
 
-// TestADrainedZoneTakesNothing checks that neither existing nor new replicas of a drained zone
+// TestDrainedZoneAcceptsNoRequests checks that neither existing nor new replicas of a drained zone
 // accept requests, for observers with and without earlier updates.
-func TestADrainedZoneTakesNothing(t *testing.T) {
+func TestDrainedZoneAcceptsNoRequests(t *testing.T) {
 	l := newLog(t)
 	var view *sitestate.View
 	follow := func(want ...string) {
@@ -42,7 +42,7 @@
 	l.apply(reportIn("b1", "b", 0))
 	follow("a1", "b1")
 	drain := func(zone string, back bool) sitestate.Outcome {
-		return l.apply(sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, Back: back, ColdMillis: map[string]uint32{"s": 3000, "other": 9000}}})
+		return l.apply(sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, End: back, ColdMillis: map[string]uint32{"s": 3000, "other": 9000}}})
 	}
 	for range 2 {
 		if got := drain("a", false); got != sitestate.OutcomeDone {
--- a/internal/core/sitestate/formats_test.go
+++ b/internal/core/sitestate/formats_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestWhatEarlierBuildsWroteIsReadAsItWas checks that entries, snapshot and update recorded
+// TestDecodeFormatsOfEarlierBuilds checks that entries, snapshot and update recorded
 // by earlier builds decode to the same state, field by field.
-func TestWhatEarlierBuildsWroteIsReadAsItWas(t *testing.T) {
+func TestDecodeFormatsOfEarlierBuilds(t *testing.T) {
 	builds, err := os.ReadDir("testdata/formats")
 	if err != nil || len(builds) == 0 {
 		t.Fatalf("%d builds recorded, %v", len(builds), err)
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestAnEntryOfALaterBuildIsTakenForNone checks that an entry with unknown fields only is
+// TestUnknownCommandIsMalformed checks that an entry with unknown fields only is
 // reported as malformed and changes nothing.
-func TestAnEntryOfALaterBuildIsTakenForNone(t *testing.T) {
+func TestUnknownCommandIsMalformed(t *testing.T) {
 	state := sitestate.New()
 	later, err := cbor.Marshal(map[int]any{999: map[int]any{1: "x"}})
 	if err != nil {
--- a/internal/core/sitestate/identify.go
+++ b/internal/core/sitestate/identify.go
@@ -6,21 +6,21 @@
 type StartOrder uint8
 
 const (
-	// StandingCurrent is the newest known start under its name, or the first one.
-	StandingCurrent StartOrder = iota
-	// StandingNext is later than the known start, which has therefore ended.
-	StandingNext
-	// StandingPast is earlier than the known start: its message arrived late.
-	StandingPast
+	// StartCurrent is the newest known start under its name, or the first one.
+	StartCurrent StartOrder = iota
+	// StartNewer is later than the known start, which has therefore ended.
+	StartNewer
+	// StartOutdated is earlier than the known start: its message arrived late.
+	StartOutdated
 )
 
 // Identity identifies the sender of a message under a replica's name.
 type Identity struct {
 	// ID is the replica's id in the state.
-	ID       string
-	Standing StartOrder
-	// Earlier is the id of the start that a StandingNext replaces.
-	Earlier string
+	ID    string
+	Order StartOrder
+	// Replaces is the id of the start that a StartNewer replaces.
+	Replaces string
 }
 
 // Identify distinguishes the starts of a replica that keeps its name. The first known start
@@ -34,9 +34,9 @@
 	case born == 0 || newest.born == 0 || born == newest.born:
 		return Identity{ID: newest.id}
 	case born < newest.born:
-		return Identity{Standing: StandingPast}
+		return Identity{Order: StartOutdated}
 	default:
-		return Identity{ID: startID(name, born), Standing: StandingNext, Earlier: newest.id}
+		return Identity{ID: startID(name, born), Order: StartNewer, Replaces: newest.id}
 	}
 }
 
@@ -45,7 +45,7 @@
 
 // StartOf returns the replica for a start under a name.
 func (v *View) StartOf(name string, born uint64) (Replica, bool) {
-	if held, known := v.Replicas.Get(name); known && held.Born == born {
+	if held, known := v.Replicas.Get(name); known && held.StartedAt == born {
 		return held, true
 	}
 	return v.Replicas.Get(startID(name, born))
--- a/internal/core/sitestate/index.go
+++ b/internal/core/sitestate/index.go
@@ -43,7 +43,7 @@
 	}
 	for id, replica := range held.Replicas {
 		i.byAddress[replica.Address] = id
-		i.recordStart(replica.InstanceName(), start{id: id, born: replica.Born})
+		i.recordStart(replica.InstanceName(), start{id: id, born: replica.StartedAt})
 	}
 	i.rebuildChanges(held.Replicas)
 	return i
@@ -73,7 +73,7 @@
 // recordChange adds a replica's change.
 func (i *index) recordChange(changed Replica, replicas map[string]Replica) {
 	i.byAddress[changed.Address] = changed.ID
-	i.recordStart(changed.InstanceName(), start{id: changed.ID, born: changed.Born})
+	i.recordStart(changed.InstanceName(), start{id: changed.ID, born: changed.StartedAt})
 	i.changes = append(i.changes, change{at: changed.ChangedAt, id: changed.ID})
 	if len(i.changes) > minCompactLength+2*len(replicas) {
 		i.rebuildChanges(replicas)
--- a/internal/core/sitestate/record_test.go
+++ b/internal/core/sitestate/record_test.go
@@ -32,19 +32,19 @@
 		{Leave: &sitestate.Leave{ID: "i-3"}},
 		{Holder: &sitestate.Holder{Machine: "core-1", Address: "10.0.1.1:7720"}},
 		{Store: &sitestate.Store{Name: "store-1", Address: "10.0.2.1:7720", Zone: "z", Incarnation: "abc"}},
-		{Found: &sitestate.Found{Shard: sitestate.Shard{Number: 1, Founders: []groupmember.Record{{ID: 1, Address: "10.0.2.1:7720", Name: "store-1", Incarnation: "abc"}}}}},
+		{CreateShard: &sitestate.CreateShard{Shard: sitestate.Shard{Number: 1, Founders: []groupmember.Record{{ID: 1, Address: "10.0.2.1:7720", Name: "store-1", Incarnation: "abc"}}}}},
 		{Place: &sitestate.Place{Model: "m", Shard: 1}},
 		{Assign: &sitestate.Assign{Models: map[string]string{"i-1": "m"}}},
 		{Evacuate: &sitestate.Evacuate{Name: "store-1"}},
-		{Usage: &sitestate.Usage{FixUpTo: &fix}},
-		{Quarantine: &sitestate.Quarantine{Events: []quarantine.Event{{Kind: quarantine.EventEnded, Fingerprint: quarantine.Fingerprint{Head: quarantine.Digest{7}, Body: quarantine.Digest{1, 2}}, Replica: "i-1"}}}},
+		{Usage: &sitestate.Usage{CloseUpTo: &fix}},
+		{Quarantine: &sitestate.Quarantine{Events: []quarantine.Event{{Kind: quarantine.EventCrashed, Fingerprint: quarantine.Fingerprint{Head: quarantine.Digest{7}, Body: quarantine.Digest{1, 2}}, Replica: "i-1"}}}},
 	}
 	level, senders := sitestate.LevelNewest, uint32(70)
 	commands = append(commands,
 		sitestate.Command{Level: &level}, sitestate.Command{Senders: &senders},
 		sitestate.Command{Drain: &sitestate.DrainZone{Zone: "y"}}, sitestate.Command{Drain: &sitestate.DrainZone{Zone: "z"}},
-		sitestate.Command{Drain: &sitestate.DrainZone{Zone: "z", Back: true, ColdMillis: map[string]uint32{"s": 3000}}},
-		sitestate.Command{Replica: &sitestate.Replica{ID: "i-4@17", Instance: "i-4", Born: 17, ColdMillis: 900, Service: "s", Address: "10.0.0.4:80", Zone: "z", Slots: 6, Sequence: 1}},
+		sitestate.Command{Drain: &sitestate.DrainZone{Zone: "z", End: true, ColdMillis: map[string]uint32{"s": 3000}}},
+		sitestate.Command{Replica: &sitestate.Replica{ID: "i-4@17", Instance: "i-4", StartedAt: 17, ColdMillis: 900, Service: "s", Address: "10.0.0.4:80", Zone: "z", Slots: 6, Sequence: 1}},
 	)
 	state := sitestate.New()
 	var entries [][]byte
--- a/internal/core/sitestate/replicas.go
+++ b/internal/core/sitestate/replicas.go
@@ -57,16 +57,16 @@
 // leave removes a replica: permanently, unless it timed out before it started to drain.
 func (s *State) leave(index uint64, left Leave) Outcome {
 	held, known := s.contents.Replicas[left.ID]
-	if left.Silent && !known {
+	if left.TimedOut && !known {
 		return OutcomeIgnored
 	}
 	if s.index.permanent[left.ID] {
 		return OutcomeDone
 	}
 	if !known {
-		held = Replica{ID: left.ID, Instance: left.Instance, Born: left.Born}
+		held = Replica{ID: left.ID, Instance: left.Instance, StartedAt: left.StartedAt}
 	}
-	s.remove(index, held, !left.Silent || held.State == ReplicaDraining)
+	s.remove(index, held, !left.TimedOut || held.State == ReplicaDraining)
 	s.advance(index)
 	return OutcomeDone
 }
@@ -79,7 +79,7 @@
 		delete(s.contents.Replicas, id)
 	}
 	s.removeTombstone(id)
-	left := tombstone{ID: id, ChangedAt: index, Permanent: permanent, Instance: replica.Instance, Born: replica.Born}
+	left := tombstone{ID: id, ChangedAt: index, Permanent: permanent, Instance: replica.Instance, Born: replica.StartedAt}
 	s.contents.Tombstones = append(s.contents.Tombstones, left)
 	s.index.addTombstone(left)
 	if surplus := len(s.contents.Tombstones) - maxTombstones; surplus > 0 {
--- a/internal/core/sitestate/replicaset_test.go
+++ b/internal/core/sitestate/replicaset_test.go
@@ -12,9 +12,9 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestSetsAndListsHoldWhatAMapHolds checks sets and lists against a map, and that edits do not
+// TestReplicaSetAndListMatchMap checks sets and lists against a map, and that edits do not
 // change older sets and lists.
-func TestSetsAndListsHoldWhatAMapHolds(t *testing.T) {
+func TestReplicaSetAndListMatchMap(t *testing.T) {
 	testkit.Check(t, 20, func(r *rapid.T) {
 		var set ReplicaSet
 		var list ReplicaList
--- a/internal/core/sitestate/report.go
+++ b/internal/core/sitestate/report.go
@@ -6,18 +6,18 @@
 
 // Fields of a report.
 const (
-	FieldBody     ReportField = "body"
-	FieldName     ReportField = "name"
-	FieldService  ReportField = "service"
-	FieldAddress  ReportField = "address"
-	FieldZone     ReportField = "zone"
-	FieldSlots    ReportField = "slots"
-	FieldState    ReportField = "state"
-	FieldSequence ReportField = "sequence"
-	FieldSoftware ReportField = "software"
-	FieldWarmup   ReportField = "warmup"
-	FieldModels   ReportField = "models"
-	FieldBorn     ReportField = "born"
+	FieldBody      ReportField = "body"
+	FieldName      ReportField = "name"
+	FieldService   ReportField = "service"
+	FieldAddress   ReportField = "address"
+	FieldZone      ReportField = "zone"
+	FieldSlots     ReportField = "slots"
+	FieldState     ReportField = "state"
+	FieldSequence  ReportField = "sequence"
+	FieldSoftware  ReportField = "software"
+	FieldWarmup    ReportField = "warmup"
+	FieldModels    ReportField = "models"
+	FieldStartedAt ReportField = "born"
 )
 
 // ReportError is the error for an invalid report, one that a replica did not write or that was
--- a/internal/core/sitestate/shards_test.go
+++ b/internal/core/sitestate/shards_test.go
@@ -17,16 +17,16 @@
 	for i, name := range names {
 		shard.Founders = append(shard.Founders, groupmember.Record{ID: number.FounderID(i), Name: name})
 	}
-	return sitestate.Command{Found: &sitestate.Found{Shard: shard}}
+	return sitestate.Command{CreateShard: &sitestate.CreateShard{Shard: shard}}
 }
 
 func place(model string, shard sitestate.ShardNumber) sitestate.Command {
 	return sitestate.Command{Place: &sitestate.Place{Model: model, Shard: shard}}
 }
 
-// TestShardsAreFoundedInTurnAndModelsPlacedForGood checks that outdated decisions of concurrent
+// TestShardCreationAndPlacementOrder checks that outdated decisions of concurrent
 // leaders change nothing.
-func TestShardsAreFoundedInTurnAndModelsPlacedForGood(t *testing.T) {
+func TestShardCreationAndPlacementOrder(t *testing.T) {
 	l := newLog(t)
 	for i, step := range []struct {
 		command sitestate.Command
--- a/internal/core/sitestate/sitestate_test.go
+++ b/internal/core/sitestate/sitestate_test.go
@@ -41,7 +41,7 @@
 	return sitestate.Command{Replica: &sitestate.Replica{ID: id, Service: "s", Address: address, Sequence: sequence, State: state}}
 }
 
-func TestTheHighestConfigurationHolds(t *testing.T) {
+func TestHighestConfigurationVersionWins(t *testing.T) {
 	l := newLog(t)
 	for _, row := range []struct {
 		version uint64
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestLeavingBinds(t *testing.T) {
+func TestLeaveIsPermanent(t *testing.T) {
 	l := newLog(t)
 	l.apply(report("i1", "a1", 5, sitestate.ReplicaReady))
 	l.apply(report("i1", "a1", 6, sitestate.ReplicaDraining))
@@ -78,7 +78,7 @@
 	}
 	// A replica that timed out may return.
 	l.apply(report("i2", "a2", 1, sitestate.ReplicaReady))
-	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: "i2", Silent: true}})
+	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: "i2", TimedOut: true}})
 	l.apply(report("i2", "a2", 2, sitestate.ReplicaReady))
 	if _, known := l.state.Replica("i2"); !known {
 		t.Error("a replica that timed out did not return")
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestStoresAreEmptiedStepByStep(t *testing.T) {
+func TestEvacuationStates(t *testing.T) {
 	l := newLog(t)
 	evacuate := func(name string, done bool) sitestate.Outcome {
 		return l.apply(sitestate.Command{Evacuate: &sitestate.Evacuate{Name: name, Done: done}})
@@ -154,14 +154,14 @@
 		loaded.Replica.Models = []sitestate.ModelVersion{{Name: "m", Version: number}}
 		return loaded
 	case 4:
-		return sitestate.Command{Leave: &sitestate.Leave{ID: id, Silent: rapid.Bool().Draw(r, "silent")}}
+		return sitestate.Command{Leave: &sitestate.Leave{ID: id, TimedOut: rapid.Bool().Draw(r, "silent")}}
 	case 5:
 		return sitestate.Command{Store: &sitestate.Store{Name: name, Address: name, Incarnation: fmt.Sprint(number)}}
 	case 6:
 		return sitestate.Command{Evacuate: &sitestate.Evacuate{Name: name, Done: rapid.Bool().Draw(r, "done")}}
 	case 9, 10, 11:
 		return sitestate.Command{Quarantine: &sitestate.Quarantine{Events: []quarantine.Event{{
-			Kind:        rapid.SampledFrom([]quarantine.EventKind{quarantine.EventEnded, quarantine.EventEnded, quarantine.EventServed, quarantine.EventAlive, quarantine.EventTrial}).Draw(r, "event"),
+			Kind:        rapid.SampledFrom([]quarantine.EventKind{quarantine.EventCrashed, quarantine.EventCrashed, quarantine.EventServed, quarantine.EventAlive, quarantine.EventTrial}).Draw(r, "event"),
 			Fingerprint: quarantine.Fingerprint{Body: quarantine.Digest{byte(number % 2)}}, Replica: id, Trial: 1, Sender: name,
 		}}}}
 	default:
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestObserversSeeWhatTheStateHolds checks that an observer that applies occasional updates,
+// TestObserverViewMatchesState checks that an observer that applies occasional updates,
 // also from a restored state, matches the state and never goes back.
-func TestObserversSeeWhatTheStateHolds(t *testing.T) {
+func TestObserverViewMatchesState(t *testing.T) {
 	testkit.Check(t, 15, func(r *rapid.T) {
 		l := newLog(t)
 		var view, routing *sitestate.View
--- a/internal/core/sitestate/state.go
+++ b/internal/core/sitestate/state.go
@@ -20,7 +20,7 @@
 	ID        string `cbor:"1,keyasint"`
 	ChangedAt uint64 `cbor:"2,keyasint"`
 	Permanent bool   `cbor:"3,keyasint"`
-	// Instance and Born are as in Replica.
+	// Instance and StartedAt are as in Replica.
 	Instance string `cbor:"4,keyasint,omitempty"`
 	Born     uint64 `cbor:"5,keyasint,omitempty"`
 }
@@ -163,9 +163,9 @@
 // Shards returns the shards of the jobs by number.
 func (s *State) Shards() []Shard { return s.contents.Shards }
 
-// Unsent returns the closed usage windows that are not yet reported, oldest first. The caller
+// UnreportedUsage returns the closed usage windows that are not yet reported, oldest first. The caller
 // must not modify them.
-func (s *State) Unsent() []usage.Total { return s.contents.Usage.Closed }
+func (s *State) UnreportedUsage() []usage.Total { return s.contents.Usage.Closed }
 
 // UsageDue reports whether open windows up to upTo have requests, or follow a closed window.
 func (s *State) UsageDue(upTo usage.Window) bool { return s.contents.Usage.Due(upTo) }
@@ -197,8 +197,8 @@
 		return OutcomeDone
 	case command.Store != nil:
 		return s.registerStore(index, *command.Store)
-	case command.Found != nil:
-		return s.createShard(index, *command.Found)
+	case command.CreateShard != nil:
+		return s.createShard(index, *command.CreateShard)
 	case command.Evacuate != nil:
 		return s.evacuate(index, *command.Evacuate)
 	case command.Assign != nil:
@@ -249,16 +249,16 @@
 // counted.
 func (s *State) applyUsage(change Usage) Outcome {
 	outcome := OutcomeDone
-	for _, report := range change.Noted {
-		if s.contents.Usage.Note(report) > 0 {
+	for _, report := range change.Reports {
+		if s.contents.Usage.Add(report) > 0 {
 			outcome = OutcomeIgnored
 		}
 	}
-	if change.FixUpTo != nil {
-		s.contents.Usage.Close(*change.FixUpTo)
+	if change.CloseUpTo != nil {
+		s.contents.Usage.Close(*change.CloseUpTo)
 	}
-	if change.Sent != nil {
-		s.contents.Usage.Acknowledge(*change.Sent)
+	if change.Reported != nil {
+		s.contents.Usage.Acknowledge(*change.Reported)
 	}
 	return outcome
 }
--- a/internal/core/sitestate/stores.go
+++ b/internal/core/sitestate/stores.go
@@ -22,7 +22,7 @@
 
 // createShard adds a shard. It ignores a number that is not the next, which a leader proposed
 // without knowing of another shard. The set of shards is final once a model is placed.
-func (s *State) createShard(index uint64, founding Found) Outcome {
+func (s *State) createShard(index uint64, founding CreateShard) Outcome {
 	if int(founding.Shard.Number) != len(s.contents.Shards)+1 || len(s.contents.Placed) > 0 {
 		return OutcomeIgnored
 	}
--- a/internal/core/sitestate/update.go
+++ b/internal/core/sitestate/update.go
@@ -16,8 +16,8 @@
 	Position      uint64         `cbor:"1,keyasint"`
 	Configuration *Configuration `cbor:"2,keyasint,omitempty"`
 	Replicas      []Replica      `cbor:"3,keyasint,omitempty"`
-	// Gone lists the ids of replicas that left.
-	Gone    []string          `cbor:"4,keyasint,omitempty"`
+	// Removed lists the ids of replicas that left.
+	Removed []string          `cbor:"4,keyasint,omitempty"`
 	Weights map[string]uint64 `cbor:"5,keyasint,omitempty"`
 	Stores  []Store           `cbor:"6,keyasint,omitempty"`
 	// Shards and Placed are set with Stores.
@@ -33,8 +33,8 @@
 	Members []groupmember.Record `cbor:"8,keyasint,omitempty"`
 	// Confirmed is set by a member that is caught up and in contact with a quorum.
 	Confirmed bool `cbor:"9,keyasint,omitempty"`
-	// Whole is set if the update holds the complete state and replaces that of the observer.
-	Whole bool `cbor:"10,keyasint,omitempty"`
+	// Full is set if the update holds the complete state and replaces that of the observer.
+	Full bool `cbor:"10,keyasint,omitempty"`
 }
 
 // Suspects holds the quarantined requests that observers receive.
@@ -54,7 +54,7 @@
 
 // Empty reports whether the update contains no change.
 func (u *Update) Empty() bool {
-	return !u.Whole && u.Configuration == nil && len(u.Replicas) == 0 && len(u.Gone) == 0 && u.Weights == nil && u.Stores == nil && u.Quarantine == nil && u.Drains == nil && u.Senders == nil && len(u.Members) == 0
+	return !u.Full && u.Configuration == nil && len(u.Replicas) == 0 && len(u.Removed) == 0 && u.Weights == nil && u.Stores == nil && u.Quarantine == nil && u.Drains == nil && u.Senders == nil && len(u.Members) == 0
 }
 
 // Update returns what an observer at position after is missing. An observer ahead of this state
@@ -64,15 +64,15 @@
 	if after >= s.contents.Position && after > 0 {
 		return update
 	}
-	update.Whole = after == 0
+	update.Full = after == 0
 	if s.contents.ConfigurationAt > after {
 		configuration := s.contents.Configuration
 		update.Configuration = &configuration
 	}
-	if update.Whole {
+	if update.Full {
 		update.Replicas = s.Replicas()
 	} else {
-		update.Replicas, update.Gone = s.changedReplicas(after, interest), s.departedAfter(after)
+		update.Replicas, update.Removed = s.changedReplicas(after, interest), s.departedAfter(after)
 	}
 	if s.contents.WeightsAt > after {
 		update.Weights = maps.Clone(s.contents.Weights)
@@ -142,7 +142,7 @@
 // Update returns the complete view without the members.
 func (v *View) Update() Update {
 	update := Update{
-		Position: v.Position, Whole: true, Weights: v.Weights, Stores: v.Stores, Shards: v.Shards, Placed: v.Placed,
+		Position: v.Position, Full: true, Weights: v.Weights, Stores: v.Stores, Shards: v.Shards, Placed: v.Placed,
 		Replicas: v.sortedReplicas(),
 	}
 	if v.Configuration.Version > 0 {
@@ -195,7 +195,7 @@
 		next.Stores = update.Stores
 		next.Shards, next.Placed = update.Shards, update.Placed
 	}
-	if update.Whole || update.Quarantine != nil {
+	if update.Full || update.Quarantine != nil {
 		next.Suspects = update.suspects()
 		next.Quarantine = quarantine.NewIndex(next.Suspects)
 	}
@@ -207,12 +207,12 @@
 
 // applyReplicas applies the changes of replicas and drained zones.
 func (v *View) applyReplicas(update Update) {
-	drainsChange := update.Whole || update.Drains != nil
+	drainsChange := update.Full || update.Drains != nil
 	if drainsChange {
 		v.Drained = update.drained()
 	}
 	held := v.Replicas
-	if update.Whole || len(update.Replicas) > 0 || len(update.Gone) > 0 {
+	if update.Full || len(update.Replicas) > 0 || len(update.Removed) > 0 {
 		v.Replicas = replicasAfter(held, update)
 	} else if !drainsChange {
 		return
@@ -239,14 +239,14 @@
 }
 
 func replicasAfter(held ReplicaSet, update Update) ReplicaSet {
-	if update.Whole {
+	if update.Full {
 		held = ReplicaSet{}
 	}
 	edit := held.edit()
 	for _, replica := range update.Replicas {
 		edit.put(replica)
 	}
-	for _, id := range update.Gone {
+	for _, id := range update.Removed {
 		edit.remove(id)
 	}
 	return edit.done()
--- a/internal/core/sitetime/sitetime.go
+++ b/internal/core/sitetime/sitetime.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Reading is a machine's wall clock time, read when the reader's monotonic clock was at Steady.
+// Reading is a machine's wall clock time, read when the reader's monotonic clock was at Monotonic.
 type Reading struct {
-	Steady time.Duration
-	Wall   time.Time
+	Monotonic time.Duration
+	Wall      time.Time
 }
 
 // Offset is the wall clock time at which the reader's monotonic clock was 0.
@@ -24,7 +24,7 @@
 	}
 	zeros := make([]time.Time, 0, len(readings))
 	for _, reading := range readings {
-		zeros = append(zeros, reading.Wall.Add(-reading.Steady))
+		zeros = append(zeros, reading.Wall.Add(-reading.Monotonic))
 	}
 	slices.SortFunc(zeros, time.Time.Compare)
 	return Offset{at: zeros[len(zeros)/2]}, true
--- a/internal/core/sitetime/sitetime_test.go
+++ b/internal/core/sitetime/sitetime_test.go
@@ -7,11 +7,11 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitetime"
 )
 
-// TestAMinorityOfWrongClocksMovesNothing checks the estimate with a minority of wrong clocks.
-func TestAMinorityOfWrongClocksMovesNothing(t *testing.T) {
+// TestEstimateIgnoresMinorityOfWrongClocks checks the estimate with a minority of wrong clocks.
+func TestEstimateIgnoresMinorityOfWrongClocks(t *testing.T) {
 	truth := time.Unix(1_000_000, 0)
 	reading := func(steady, wrong time.Duration) sitetime.Reading {
-		return sitetime.Reading{Steady: steady, Wall: truth.Add(steady + wrong)}
+		return sitetime.Reading{Monotonic: steady, Wall: truth.Add(steady + wrong)}
 	}
 	const ms, late = time.Millisecond, 2 * time.Second
 	for name, row := range map[string]struct {
--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -23,7 +23,7 @@
 	Counts map[string]uint64 `cbor:"2,keyasint"` // by tenant
 }
 
-// Ledger holds the counts of windows. It changes only by Note, Close and Acknowledge in the order
+// Ledger holds the counts of windows. It changes only by Add, Close and Acknowledge in the order
 // of the control log, so that all replicas of it are equal. The zero Ledger is empty.
 type Ledger struct {
 	// Next is the oldest open window; valid only if Started is set.
@@ -43,9 +43,9 @@
 	Window   Window `cbor:"2,keyasint"`
 }
 
-// Note adds a report unless it was added before. It returns the number of requests that were too
+// Add adds a report unless it was added before. It returns the number of requests that were too
 // late because their window is closed.
-func (l *Ledger) Note(noted Noted) (late uint64) {
+func (l *Ledger) Add(noted WindowedReport) (late uint64) {
 	if l.Reporters == nil {
 		l.Reporters, l.Open = map[string]reporter{}, map[Window]map[string]uint64{}
 	}
--- a/internal/core/usage/outbox.go
+++ b/internal/core/usage/outbox.go
@@ -24,9 +24,9 @@
 // NewOutbox returns an empty Outbox; reporter identifies this start of the process.
 func NewOutbox(reporter string) *Outbox { return &Outbox{reporter: reporter} }
 
-// Note counts a request that started at a time of the process's monotonic clock, which includes
+// Add counts a request that started at a time of the process's monotonic clock, which includes
 // suspended time.
-func (o *Outbox) Note(tenant string, at time.Duration) {
+func (o *Outbox) Add(tenant string, at time.Duration) {
 	if len(o.pending) >= maxPending {
 		o.dropped++
 		return
@@ -37,8 +37,8 @@
 // Dropped returns the number of requests that were not counted because the Outbox was full.
 func (o *Outbox) Dropped() uint64 { return o.dropped }
 
-// Next returns the report to send, the same one until Kept is called. It returns false if there
-// is nothing to send. Now is of the same clock as in Note.
+// Next returns the report to send, the same one until Acknowledge is called. It returns false if there
+// is nothing to send. Now is of the same clock as in Add.
 func (o *Outbox) Next(now time.Duration) (Report, bool) {
 	if len(o.sending) == 0 {
 		if len(o.pending) == 0 {
@@ -47,9 +47,9 @@
 		o.sending, o.pending = o.pending, nil
 		o.sequence++
 	}
-	report := Report{Reporter: o.reporter, Sequence: o.sequence, Begun: make([]StartedRequests, 0, len(o.sending))}
+	report := Report{Reporter: o.reporter, Sequence: o.sequence, Requests: make([]StartedRequests, 0, len(o.sending))}
 	for _, begun := range o.sending {
-		report.Begun = append(report.Begun, StartedRequests{Tenant: begun.tenant, Age: now - begun.at, Count: 1})
+		report.Requests = append(report.Requests, StartedRequests{Tenant: begun.tenant, Age: now - begun.at, Count: 1})
 	}
 	return report, true
 }
@@ -57,5 +57,5 @@
 // Empty reports whether the control group acknowledged all counts.
 func (o *Outbox) Empty() bool { return len(o.sending) == 0 && len(o.pending) == 0 }
 
-// Kept records that the control group acknowledged the report in flight.
-func (o *Outbox) Kept() { o.sending = nil }
+// Acknowledge records that the control group acknowledged the report in flight.
+func (o *Outbox) Acknowledge() { o.sending = nil }
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -40,7 +40,7 @@
 	// reports are not counted again.
 	Reporter string            `cbor:"1,keyasint"`
 	Sequence uint64            `cbor:"2,keyasint"`
-	Begun    []StartedRequests `cbor:"3,keyasint"`
+	Requests []StartedRequests `cbor:"3,keyasint"`
 }
 
 // Count is a count of requests in a window.
@@ -50,17 +50,17 @@
 	Count  uint64 `cbor:"3,keyasint"`
 }
 
-// Noted is a Report whose requests are assigned to windows.
-type Noted struct {
+// WindowedReport is a Report whose requests are assigned to windows.
+type WindowedReport struct {
 	Reporter string  `cbor:"1,keyasint"`
 	Sequence uint64  `cbor:"2,keyasint"`
 	Counts   []Count `cbor:"3,keyasint"`
 }
 
-// Place assigns the requests of a report that arrived at a given time to windows.
-func (r Report) Place(arrived time.Time, length time.Duration) Noted {
-	noted := Noted{Reporter: r.Reporter, Sequence: r.Sequence}
-	for _, begun := range r.Begun {
+// AssignWindows assigns the requests of a report that arrived at a given time to windows.
+func (r Report) AssignWindows(arrived time.Time, length time.Duration) WindowedReport {
+	noted := WindowedReport{Reporter: r.Reporter, Sequence: r.Sequence}
+	for _, begun := range r.Requests {
 		window := WindowAt(arrived.Add(-begun.Age), length)
 		noted.Counts = append(noted.Counts, Count{Window: window, Tenant: begun.Tenant, Count: begun.Count})
 	}
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -27,31 +27,31 @@
 	outbox := usage.NewOutbox("front")
 	began := time.Unix(1000, 0)
 	const at = time.Hour // of the front's clock
-	outbox.Note("a", at-time.Millisecond)
-	outbox.Note("a", at)
+	outbox.Add("a", at-time.Millisecond)
+	outbox.Add("a", at)
 	first, _ := outbox.Next(at + time.Second)
-	outbox.Note("b", at)
+	outbox.Add("b", at)
 	again, _ := outbox.Next(at + 9*time.Second)
 	for name, report := range map[string]usage.Report{"first": first, "again": again} {
 		elapsed := map[string]time.Duration{"first": time.Second, "again": 9 * time.Second}[name]
-		noted := report.Place(began.Add(elapsed), length)
+		noted := report.AssignWindows(began.Add(elapsed), length)
 		if report.Sequence != 1 || len(noted.Counts) != 2 || noted.Counts[0].Window != 199 || noted.Counts[1].Window != 200 {
 			t.Errorf("%s: %+v of %+v", name, noted, report)
 		}
 	}
-	outbox.Kept()
+	outbox.Acknowledge()
 	next, found := outbox.Next(at)
-	if !found || next.Sequence != 2 || len(next.Begun) != 1 || next.Begun[0].Tenant != "b" {
+	if !found || next.Sequence != 2 || len(next.Requests) != 1 || next.Requests[0].Tenant != "b" {
 		t.Errorf("%+v", next)
 	}
-	outbox.Kept()
+	outbox.Acknowledge()
 	if _, found := outbox.Next(at); found || !outbox.Empty() {
 		t.Error("the outbox is not empty")
 	}
 }
 
-func noted(reporter string, sequence uint64, window usage.Window, tenant string) usage.Noted {
-	return usage.Noted{Reporter: reporter, Sequence: sequence, Counts: []usage.Count{{Window: window, Tenant: tenant, Count: 1}}}
+func noted(reporter string, sequence uint64, window usage.Window, tenant string) usage.WindowedReport {
+	return usage.WindowedReport{Reporter: reporter, Sequence: sequence, Counts: []usage.Count{{Window: window, Tenant: tenant, Count: 1}}}
 }
 
 func TestLedger(t *testing.T) {
@@ -60,15 +60,15 @@
 		t.Error("windows are due before any request")
 	}
 	ledger.Close(100)
-	ledger.Note(noted("x", 1, 7, "a"))
-	ledger.Note(noted("x", 1, 7, "a")) // duplicate
-	ledger.Note(noted("y", 1, 9, "b"))
-	ledger.Note(noted("y", 2, 6, "a"))
+	ledger.Add(noted("x", 1, 7, "a"))
+	ledger.Add(noted("x", 1, 7, "a")) // duplicate
+	ledger.Add(noted("y", 1, 9, "b"))
+	ledger.Add(noted("y", 2, 6, "a"))
 	if ledger.Due(5) || !ledger.Due(6) {
 		t.Error("Due is wrong")
 	}
 	ledger.Close(8)
-	if late := ledger.Note(noted("x", 2, 8, "a")); late != 1 {
+	if late := ledger.Add(noted("x", 2, 8, "a")); late != 1 {
 		t.Errorf("%d late, want 1", late)
 	}
 	ledger.Close(9)
@@ -104,16 +104,16 @@
 			outbox := outboxes[rapid.IntRange(0, 1).Draw(t, "front")]
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				outbox.Note("a", monotonicAt(now))
+				outbox.Add("a", monotonicAt(now))
 				sent++
 			case 1, 2:
 				report, found := outbox.Next(monotonicAt(now))
 				if !found {
 					continue
 				}
-				late += ledger.Note(report.Place(now, length))
+				late += ledger.Add(report.AssignWindows(now, length))
 				if rapid.Bool().Draw(t, "answered") {
-					outbox.Kept()
+					outbox.Acknowledge()
 				}
 			case 3:
 				ledger.Close(usage.WindowAt(now.Add(-4*time.Second), length) - 1)
@@ -121,8 +121,8 @@
 		}
 		for _, outbox := range outboxes {
 			for report, found := outbox.Next(monotonicAt(now)); found; report, found = outbox.Next(monotonicAt(now)) {
-				late += ledger.Note(report.Place(now, length))
-				outbox.Kept()
+				late += ledger.Add(report.AssignWindows(now, length))
+				outbox.Acknowledge()
 			}
 		}
 		counted := uint64(0)
@@ -141,7 +141,7 @@
 // TestALedgerIsBounded checks the limits after long outages of the provider or the control group.
 func TestALedgerIsBounded(t *testing.T) {
 	var ledger usage.Ledger
-	ledger.Note(noted("x", 1, 0, "a"))
+	ledger.Add(noted("x", 1, 0, "a"))
 	for window := range usage.Window(3000) {
 		ledger.Close(window)
 	}
--- a/internal/core/weightplan/keeper.go
+++ b/internal/core/weightplan/keeper.go
@@ -38,7 +38,7 @@
 	for i := range replicas {
 		replica := &replicas[i]
 		switch {
-		case s.limits.Resting[replica.ID]:
+		case s.limits.InBackoff[replica.ID]:
 		case s.busy(replica.ID):
 			busy[replica.Model]++
 		default:
@@ -70,7 +70,7 @@
 // selects reports whether the plan considers a replica. It must be called once per replica, in
 // list order.
 func (s *selector) selects(replica *sitestate.Replica) bool {
-	if s.limits.Resting[replica.ID] {
+	if s.limits.InBackoff[replica.ID] {
 		return false
 	}
 	if s.limits.Needed == nil || s.busy(replica.ID) {
--- a/internal/core/weightplan/next.go
+++ b/internal/core/weightplan/next.go
@@ -30,9 +30,9 @@
 	// Needed is the number of replicas that a model needs, MinNeeded if absent; the others keep
 	// their weights. If nil, all replicas are needed.
 	Needed map[string]int
-	// Resting contains replicas whose last load failed and that are in backoff. The plan skips
+	// InBackoff contains replicas whose last load failed and that are in backoff. The plan skips
 	// them, so that they do not block the loads of others.
-	Resting map[string]bool
+	InBackoff map[string]bool
 	// Shards maps models to shards. Items of a shard run only on replicas whose assigned model
 	// is in the same shard.
 	Shards map[string]sitestate.ShardNumber
@@ -45,9 +45,9 @@
 	return MinNeeded
 }
 
-// Need returns the number of replicas per model that the open items need, given the slots per
+// NeededReplicas returns the number of replicas per model that the open items need, given the slots per
 // replica, with a reserve for replicas that fail or are slow.
-func Need(open map[string]int, slots int) map[string]int {
+func NeededReplicas(open map[string]int, slots int) map[string]int {
 	needed := make(map[string]int, len(open))
 	for model, items := range open {
 		needed[model] = max(MinNeeded, int(math.Ceil(reserveFactor*float64(items)/float64(max(1, slots)))))
--- a/internal/core/weightplan/scale_bench_test.go
+++ b/internal/core/weightplan/scale_bench_test.go
@@ -26,7 +26,7 @@
 			}
 			replicas = append(replicas, replica)
 		}
-		limits := weightplan.Limits{Total: size / 5, Share: 0.34, Shards: placed, Resting: map[string]bool{}}
+		limits := weightplan.Limits{Total: size / 5, Share: 0.34, Shards: placed, InBackoff: map[string]bool{}}
 		b.Run(fmt.Sprint("assign/", size), func(b *testing.B) {
 			for b.Loop() {
 				weightplan.Assign(replicas, names, demand, true)
@@ -35,7 +35,7 @@
 		b.Run(fmt.Sprint("next/", size), func(b *testing.B) {
 			for b.Loop() {
 				targets := weightplan.Next(replicas, published, weightplan.Loading{}, limits)
-				weightplan.Spread(replicas, published, weightplan.Loading{}, targets, limits)
+				weightplan.ExtraLoads(replicas, published, weightplan.Loading{}, targets, limits)
 			}
 		})
 	}
--- a/internal/core/weightplan/spread.go
+++ b/internal/core/weightplan/spread.go
@@ -8,11 +8,11 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// Spread returns loads in addition to those of Next, for models whose own replicas are too few
+// ExtraLoads returns loads in addition to those of Next, for models whose own replicas are too few
 // for their open items: other replicas load their weights too, since a replica can serve several
 // models. Started are the loads returned by Next. The number of replicas that load a version is
 // limited to an equal share per model.
-func Spread(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, started []Target, limits Limits) []Target {
+func ExtraLoads(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, started []Target, limits Limits) []Target {
 	if limits.Needed == nil || len(loading)+len(started) >= limits.Total {
 		return nil
 	}
@@ -97,7 +97,7 @@
 
 // add adds a replica to the counts.
 func (s *spreadPlan) add(replica sitestate.Replica, loading Loading, limits Limits) {
-	if limits.Resting[replica.ID] {
+	if limits.InBackoff[replica.ID] {
 		return
 	}
 	loads, busy := loading[replica.ID]
--- a/internal/core/weightplan/spread_test.go
+++ b/internal/core/weightplan/spread_test.go
@@ -27,7 +27,7 @@
 	return names
 }
 
-func TestSpreadGivesShortModelsFurtherReplicas(t *testing.T) {
+func TestSpread(t *testing.T) {
 	all := []sitestate.Replica{
 		holding("a0", "a", 5, 1), holding("a1", "a", 5, 1),
 		holding("b0", "b", 1, 5), holding("b1", "b", 1, 5),
@@ -81,8 +81,8 @@
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b1:a"},
 		},
 	} {
-		limits := weightplan.Limits{Total: row.total, Share: 0.34, Needed: row.needed, Resting: row.resting}
-		got := loads(weightplan.Spread(row.list, map[string]uint64{"a": 5, "b": 5}, row.loading, row.begun, limits))
+		limits := weightplan.Limits{Total: row.total, Share: 0.34, Needed: row.needed, InBackoff: row.resting}
+		got := loads(weightplan.ExtraLoads(row.list, map[string]uint64{"a": 5, "b": 5}, row.loading, row.begun, limits))
 		if !slices.Equal(got, row.want) {
 			t.Errorf("%s: %v, want %v", row.name, got, row.want)
 		}
@@ -115,7 +115,7 @@
 		}
 		limits := weightplan.Limits{Total: rapid.IntRange(0, 6).Draw(r, "total"), Share: 0.34, Needed: needed}
 		begun := weightplan.Next(list, versions, loading, limits)
-		targets := weightplan.Spread(list, versions, loading, begun, limits)
+		targets := weightplan.ExtraLoads(list, versions, loading, begun, limits)
 		if len(targets) > 0 && len(loading)+len(begun)+len(targets) > limits.Total {
 			r.Fatalf("%d loading, %d from Next and %d from Spread exceed the limit of %d", len(loading), len(begun), len(targets), limits.Total)
 		}
@@ -153,7 +153,7 @@
 	})
 }
 
-// BenchmarkSpread measures Spread for replicas with many models, half of which need more replicas.
+// BenchmarkSpread measures ExtraLoads for replicas with many models, half of which need more replicas.
 func BenchmarkSpread(b *testing.B) {
 	const models = 16
 	for _, count := range []int{44, 3500} {
@@ -173,7 +173,7 @@
 			}
 			limits := weightplan.Limits{Total: max(2, count/5), Share: 0.34, Needed: needed}
 			for b.Loop() {
-				weightplan.Spread(list, versions, nil, nil, limits)
+				weightplan.ExtraLoads(list, versions, nil, nil, limits)
 			}
 		})
 	}
--- a/internal/core/weightplan/spreadshards_test.go
+++ b/internal/core/weightplan/spreadshards_test.go
@@ -22,7 +22,7 @@
 		{map[string]sitestate.ShardNumber{"a": 1, "b": 2}, nil},
 	} {
 		limits.Shards = row.shards
-		if got := loads(weightplan.Spread(list, versions, nil, nil, limits)); !slices.Equal(got, row.want) {
+		if got := loads(weightplan.ExtraLoads(list, versions, nil, nil, limits)); !slices.Equal(got, row.want) {
 			t.Errorf("shards %v: %v, want %v", row.shards, got, row.want)
 		}
 	}
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -164,16 +164,16 @@
 }
 
 func TestNeedKeepsAReserve(t *testing.T) {
-	needed := weightplan.Need(map[string]int{"idle": 0, "busy": 120}, 8)
+	needed := weightplan.NeededReplicas(map[string]int{"idle": 0, "busy": 120}, 8)
 	if needed["idle"] != weightplan.MinNeeded || needed["busy"] != 23 {
 		t.Errorf("needed %v", needed)
 	}
 }
 
-// TestReplicasThatFailKeepNoOtherFromLoading checks that replicas in backoff, though furthest
+// TestReplicasInBackoffDoNotBlockLoads checks that replicas in backoff, though furthest
 // behind, do not block the loads of others.
-func TestReplicasThatFailKeepNoOtherFromLoading(t *testing.T) {
-	limits := weightplan.Limits{Total: 2, Share: 0.34, Resting: map[string]bool{"i-0": true, "i-1": true}}
+func TestReplicasInBackoffDoNotBlockLoads(t *testing.T) {
+	limits := weightplan.Limits{Total: 2, Share: 0.34, InBackoff: map[string]bool{"i-0": true, "i-1": true}}
 	list := serving(1, 1, 4, 4, 4, 4)
 	if got := targets(weightplan.Next(list, map[string]uint64{"a": 5}, nil, limits)); !slices.Equal(got, []string{"i-2"}) {
 		t.Errorf("loading %v", got)
@@ -181,7 +181,7 @@
 	if list[0].ID != "i-0" || list[5].ID != "i-5" {
 		t.Error("the caller's replicas were modified")
 	}
-	limits.Resting["i-0"] = false
+	limits.InBackoff["i-0"] = false
 	if got := targets(weightplan.Next(list, map[string]uint64{"a": 5}, nil, limits)); !slices.Equal(got, []string{"i-0"}) {
 		t.Errorf("loading %v after the backoff", got)
 	}
--- a/internal/lab/chaos/audit.go
+++ b/internal/lab/chaos/audit.go
@@ -279,7 +279,7 @@
 func (a *Auditor) noteDelivered(batch port.CommitBatch) { a.books.noteDelivered(a.report, batch) }
 
 func printOf(state *controlstate.State) statePrint {
-	return statePrint{revision: state.Revision(), position: state.Position(), time: state.Time(), answers: state.Answers()}
+	return statePrint{revision: state.Revision(), position: state.Position(), time: state.Time(), answers: state.CachedResults()}
 }
 
 func stateDigest(state *controlstate.State) uint64 {
--- a/internal/lab/chaos/machine.go
+++ b/internal/lab/chaos/machine.go
@@ -192,7 +192,7 @@
 		return
 	}
 	m.answerCallers()
-	if m.member.WantsSnapshot() && !m.snapshot() {
+	if m.member.SnapshotDue() && !m.snapshot() {
 		return
 	}
 	m.push()
--- a/internal/lab/engine/translate_test.go
+++ b/internal/lab/engine/translate_test.go
@@ -25,10 +25,10 @@
 	if !reflect.DeepEqual(report.Adapters, want) {
 		t.Errorf("adapters %+v, want %+v", report.Adapters, want)
 	}
-	if report.Loads("") != 6 || report.Loads("notes") != 9 || report.Loads("other") != 0 {
-		t.Errorf("loads %d, %d, %d", report.Loads(""), report.Loads("notes"), report.Loads("other"))
+	if report.StagingVersion("") != 6 || report.StagingVersion("notes") != 9 || report.StagingVersion("other") != 0 {
+		t.Errorf("loads %d, %d, %d", report.StagingVersion(""), report.StagingVersion("notes"), report.StagingVersion("other"))
 	}
-	if loaded := report.Loaded(); len(loaded) != 1 || loaded[0] != "notes" {
+	if loaded := report.LoadedAdapters(); len(loaded) != 1 || loaded[0] != "notes" {
 		t.Errorf("loaded %v", loaded)
 	}
 }
--- a/internal/lab/localsite/trainer.go
+++ b/internal/lab/localsite/trainer.go
@@ -125,7 +125,7 @@
 
 func (s *Site) submit(ctx context.Context, record *jobRecord) bool {
 	return until(ctx, func(ctx context.Context) error {
-		_, err := s.jobs.Submit(ctx, &record.submission, routing.Homes{})
+		_, err := s.jobs.Submit(ctx, &record.submission, routing.AllowedRegions{})
 		return err
 	})
 }
--- a/internal/lab/sim/accept.go
+++ b/internal/lab/sim/accept.go
@@ -37,7 +37,7 @@
 type acceptor struct {
 	chooser  *placement.Chooser
 	counts   map[port.ReplicaID]*placement.Counts
-	marks    map[port.ReplicaID]placement.Mark
+	marks    map[port.ReplicaID]placement.CountsAtReport
 	crossing map[port.ZoneName]*crossing
 	scratch  []scheduling.Candidate
 }
@@ -52,7 +52,7 @@
 	return acceptor{
 		chooser:  placement.New(rand.New(rand.NewPCG(w.options.Seed, nameSeed("chooser "+string(id))))),
 		counts:   make(map[port.ReplicaID]*placement.Counts),
-		marks:    make(map[port.ReplicaID]placement.Mark),
+		marks:    make(map[port.ReplicaID]placement.CountsAtReport),
 		crossing: make(map[port.ZoneName]*crossing),
 	}
 }
@@ -163,9 +163,9 @@
 	for index := range zone.replicas {
 		candidate := zone.replicas[index]
 		counts := *a.countsOf(candidate.Replica)
-		mark := a.marks[candidate.Replica].Follow(zone.reported, counts)
+		mark := a.marks[candidate.Replica].Update(zone.reported, counts)
 		a.marks[candidate.Replica] = mark
-		a.scratch = append(a.scratch, mark.Correct(now, zone.reported, candidate, counts))
+		a.scratch = append(a.scratch, mark.Apply(now, zone.reported, candidate, counts))
 	}
 	var tried []port.ReplicaID
 	if begun.start.Avoid != "" {
@@ -181,7 +181,7 @@
 
 // otherZone chooses another zone if one has clearly more room.
 func (n *homeNode) otherZone(begun *attempt, room float64, none bool) (*zoneState, bool) {
-	var offers []placement.Offer
+	var offers []placement.ZoneCapacity
 	var zones []*zoneState
 	for _, name := range n.world.site.Zones {
 		zone := n.router.zones[name]
@@ -189,7 +189,7 @@
 		if name == n.zone || zone == nil || !allowed {
 			continue
 		}
-		offers = append(offers, placement.Offer{Routable: zone.aggregate.routable, Room: n.room(zone)})
+		offers = append(offers, placement.ZoneCapacity{Routable: zone.aggregate.routable, FreePerReplica: n.room(zone)})
 		zones = append(zones, zone)
 	}
 	chosen, better := n.accepts.chooser.Zone(offers, room, none)
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -98,7 +98,7 @@
 func (a *attempt) finished(completion *engine.Completion) {
 	a.checkSpans(completion)
 	a.sample.ran(a.spans)
-	a.leaveGate(home.JudgeGeneration(nil, false, a.tokens, a.pool.world.now-a.began).Outcome)
+	a.leaveGate(home.ClassifyGeneration(nil, false, a.tokens, a.pool.world.now-a.began).Outcome)
 	a.pool.world.after(a.way(), func() {
 		a.conclude(coordinator.SampleFinished{
 			ID: a.start.ID, Attempt: a.start.Attempt, Replica: a.replica.id,
--- a/internal/lab/sim/fault/call.go
+++ b/internal/lab/sim/fault/call.go
@@ -68,7 +68,7 @@
 	j.loop.Begin()
 	j.out, j.replica = nil, ""
 	j.ticket = &gate.Ticket{Owner: j, Request: gate.Request{
-		ID: j.request.ID, Deadline: j.deadline, Avoid: j.loop.LastTried(),
+		ID: j.request.ID, Deadline: j.deadline, Avoid: j.loop.LastFailedReplica(),
 		Pick: scheduling.Request{Pool: pagesPool, Zone: n.zone, Region: "region"},
 	}}
 	j.gate.offer(j.ticket)
@@ -80,7 +80,7 @@
 	case ticket != j.ticket || j.ended:
 		j.gate.cancel(ticket)
 	case ticket.State == gate.Refused:
-		j.failed(attempt.Failure{Error: ticket.Refusal, Here: true})
+		j.failed(attempt.Failure{Error: ticket.Refusal, Local: true})
 	case ticket.State == gate.Granted:
 		j.send(ticket.Replica)
 	}
@@ -128,15 +128,15 @@
 func (j *callJob) release(failure *port.Error, abandoned bool, status int) {
 	n := j.node
 	elapsed := n.world.queue.Now() - j.started
-	judged := home.JudgeCall(failure, abandoned, status, elapsed)
+	judged := home.ClassifyCall(failure, abandoned, status, elapsed)
 	j.gate.release(j.ticket, judged.Outcome)
-	if judged.Counts {
-		n.state.CallEnded(n.world.clock(), outcomeOf(j.replica, judged))
+	if judged.AffectsHealth {
+		n.state.HandleCallOutcome(n.world.clock(), outcomeOf(j.replica, judged))
 		n.carryOut()
 	}
 }
 
-func outcomeOf(replica port.ReplicaID, judged home.Judged) nodestate.CallOutcome {
+func outcomeOf(replica port.ReplicaID, judged home.Classification) nodestate.CallOutcome {
 	return nodestate.CallOutcome{Replica: replica, Failed: judged.Failed, LatencyMicros: judged.Latency.Microseconds()}
 }
 
--- a/internal/lab/sim/fault/control.go
+++ b/internal/lab/sim/fault/control.go
@@ -27,7 +27,7 @@
 	state   *controlstate.State
 	index   uint64
 	reports map[port.NodeID]time.Duration
-	watcher controlmember.SilenceWatcher
+	watcher controlmember.NodeTimeouts
 	// downUntil is the end of an outage; loseProposals and loseAnswers count the
 	// proposals that meet a fault.
 	downUntil                  time.Duration
@@ -151,7 +151,7 @@
 	for node, at := range c.reports {
 		ages[node] = now - at
 	}
-	for _, node := range c.watcher.Silent(c.state.View().Nodes, ages, c.world.clock(), nodeSilence) {
+	for _, node := range c.watcher.TimedOut(c.state.View().Nodes, ages, c.world.clock(), nodeSilence) {
 		c.apply(port.Command{RemoveNode: &port.RemoveNode{ID: node}})
 	}
 }
--- a/internal/lab/sim/fault/generate.go
+++ b/internal/lab/sim/fault/generate.go
@@ -56,12 +56,12 @@
 	number := g.attempts
 	target, replica, refusal := g.choose()
 	if refusal != nil {
-		g.failed(attempt.Failure{Error: refusal, Here: true})
+		g.failed(attempt.Failure{Error: refusal, Local: true})
 		return
 	}
-	call := homeCall{Request: g.continued(), Attempt: g.loop.Made(), Exclude: g.exclude, Avoid: g.avoid, Deadline: g.deadline}
+	call := homeCall{Request: g.continued(), Attempt: g.loop.Attempts(), Exclude: g.exclude, Avoid: g.avoid, Deadline: g.deadline}
 	if call.Avoid == "" {
-		call.Avoid = g.loop.LastTried()
+		call.Avoid = g.loop.LastFailedReplica()
 	}
 	call.Request.Replica = replica
 	g.replica = replica
@@ -75,7 +75,7 @@
 		},
 		chunk: func(chunk port.GenerateChunk) {
 			if present() {
-				g.loop.Took(chunk)
+				g.loop.AddChunk(chunk)
 				g.sink.chunk(chunk)
 			}
 		},
@@ -128,16 +128,16 @@
 		return nil, "", placement.NoReplica(nil)
 	}
 	target, replica, room, refusal := g.chooseLocal(route)
-	offers := make([]placement.Offer, len(route.Elsewhere))
-	for index := range route.Elsewhere {
-		offer := &route.Elsewhere[index]
+	offers := make([]placement.ZoneCapacity, len(route.OtherZones))
+	for index := range route.OtherZones {
+		offer := &route.OtherZones[index]
 		allowed := len(g.zones) == 0 || slices.Contains(g.zones, offer.Aggregate.Zone)
 		if allowed && len(offer.Nodes) > 0 {
-			offers[index] = placement.Offer{Routable: offer.Aggregate.Routable, Room: offer.Room()}
+			offers[index] = placement.ZoneCapacity{Routable: offer.Aggregate.Routable, FreePerReplica: offer.FreePerReplica()}
 		}
 	}
 	if position, better := n.chooser.Zone(offers, room, refusal != nil); better {
-		offer := &route.Elsewhere[position]
+		offer := &route.OtherZones[position]
 		offer.Counter.(*counter).sent++
 		address := offer.Nodes[n.chooser.Draw(len(offer.Nodes))]
 		return n.world.node(address.ID), "", nil
@@ -153,9 +153,9 @@
 	now := n.world.clock()
 	candidates := make([]scheduling.Candidate, len(route.Zone))
 	for index := range route.Zone {
-		candidates[index] = route.Zone[index].Now(now)
+		candidates[index] = route.Zone[index].CurrentCandidate(now)
 	}
-	tried := g.loop.Tried()
+	tried := g.loop.FailedReplicas()
 	if g.avoid != "" {
 		tried = append(slices.Clip(tried), g.avoid)
 	}
@@ -194,7 +194,7 @@
 	case attempt.Complete:
 		g.sink.chunk(port.GenerateChunk{Finish: port.FinishLength})
 		g.finish(nil)
-	case attempt.Again:
+	case attempt.Retry:
 		g.node.world.count.retries++
 		number := g.attempts
 		g.replica = ""
--- a/internal/lab/sim/fault/homerun.go
+++ b/internal/lab/sim/fault/homerun.go
@@ -175,10 +175,10 @@
 
 func (r *homeRun) release(failure *port.Error, abandoned bool) {
 	n := r.node
-	judged := home.JudgeGeneration(failure, abandoned, r.tokens, n.world.queue.Now()-r.started)
+	judged := home.ClassifyGeneration(failure, abandoned, r.tokens, n.world.queue.Now()-r.started)
 	r.gate.release(r.ticket, judged.Outcome)
-	if judged.Counts {
-		n.state.Outcomes(n.world.clock(), []nodestate.CallOutcome{outcomeOf(r.ticket.Replica, judged)})
+	if judged.AffectsHealth {
+		n.state.HandleOutcomes(n.world.clock(), []nodestate.CallOutcome{outcomeOf(r.ticket.Replica, judged)})
 		n.carryOut()
 	}
 }
--- a/internal/lab/sim/fault/node.go
+++ b/internal/lab/sim/fault/node.go
@@ -44,7 +44,7 @@
 	zoneCounts     map[nodestate.ZonePool]*counter
 	polled         map[port.ReplicaID]int
 	workers        map[port.PoolName]*worker
-	seeker         *poolworker.Seeker
+	seeker         *poolworker.LeaseSelector
 	confirmedUntil time.Time
 	machinesAsked  time.Time
 	requests       uint64
@@ -84,7 +84,7 @@
 	n.zoneCounts = make(map[nodestate.ZonePool]*counter)
 	n.polled = make(map[port.ReplicaID]int)
 	n.workers = make(map[port.PoolName]*worker)
-	n.seeker = poolworker.NewSeeker(n.id)
+	n.seeker = poolworker.NewLeaseSelector(n.id)
 	n.confirmedUntil, n.machinesAsked = time.Time{}, time.Time{}
 	n.snapshot = nodestate.EmptySnapshot(n.zone)
 	n.state = nodestate.New(nodestate.Config{
@@ -96,10 +96,10 @@
 		ZoneCounter:    func(key nodestate.ZonePool) nodestate.Counter { return n.zoneCounter(key) },
 		MessageBytes:   func(summary membership.HomeSummary) int { return summaryBytes * len(summary.Replicas) },
 	}, w.clock())
-	n.state.RebuildCost(rebuildCost)
+	n.state.SetRebuildCost(rebuildCost)
 	w.control.watch(n)
 	n.every(nodeTick, n.tick)
-	n.every(nodestate.MachineLook(machineInterval), n.pollMachines)
+	n.every(nodestate.MachinePollCheckInterval(machineInterval), n.pollMachines)
 	n.every(workerTick, n.tickWorkers)
 	n.every(seekInterval, n.seek)
 }
@@ -174,15 +174,15 @@
 		now := n.world.clock()
 		switch body := message.Body.(type) {
 		case membership.Message:
-			target.state.Member(now, body)
+			target.state.HandleMembership(now, body)
 		case membership.HomeSummary:
-			target.state.Summary(now, body)
+			target.state.HandleSummary(now, body)
 		case nodestate.AggregatesMessage:
-			target.state.Aggregates(now, body)
+			target.state.HandleAggregates(now, body)
 		case nodestate.MachinesMessage:
-			target.state.Machines(now, body)
+			target.state.HandleMachines(now, body)
 		case nodestate.OutcomesMessage:
-			target.state.Outcomes(now, body.Outcomes)
+			target.state.HandleOutcomes(now, body.Outcomes)
 		}
 		target.state.RebuildIfDue(now)
 		target.carryOut()
@@ -227,7 +227,7 @@
 			n.reported(askedAt, target.id, port.LoadReport{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "no answer"))
 		}
 	})
-	after := own.pure.NextCacheEvent(target.id)
+	after := own.pure.LastCacheEvent(target.id)
 	w.tell(&n.process, &target.process, func() {
 		report, visible := target.load()
 		events, gap := target.cacheEvents(after)
@@ -246,7 +246,7 @@
 
 func (n *node) reported(askedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
 	now := n.world.clock()
-	n.state.LoadReported(now, askedAt, replica, report, failure)
+	n.state.HandleLoadReport(now, askedAt, replica, report, failure)
 	n.state.RebuildIfDue(now)
 	n.carryOut()
 }
@@ -255,12 +255,12 @@
 func (n *node) pollMachines() {
 	w := n.world
 	now := w.clock()
-	if !nodestate.PollsMachines(now, machineInterval, n.snapshot.ZoneNodes, n.id, n.machinesAsked, n.state.MachinesHeard()) {
+	if !nodestate.ShouldPollMachines(now, machineInterval, n.snapshot.ZoneNodes, n.id, n.machinesAsked, n.state.MachinesReceivedAt()) {
 		return
 	}
 	n.machinesAsked = now
 	w.tell(&n.process, &w.machines.process, func() {
-		leaving := home.LeavingOf(w.machines.list())
+		leaving := home.FilterLeaving(w.machines.list())
 		w.tell(&w.machines.process, &n.process, func() { n.tellMachines(leaving) })
 	})
 }
@@ -268,7 +268,7 @@
 func (n *node) tellMachines(leaving []port.Machine) {
 	now := n.world.clock()
 	message := nodestate.MachinesMessage{Node: n.id, Leaving: leaving}
-	n.state.Machines(now, message)
+	n.state.HandleMachines(now, message)
 	n.state.RebuildIfDue(now)
 	n.carryOut()
 	for _, id := range n.snapshot.ZoneNodes {
--- a/internal/lab/sim/fault/worker.go
+++ b/internal/lab/sim/fault/worker.go
@@ -48,7 +48,7 @@
 		return
 	}
 	running := func(pool port.PoolName) bool { return n.workers[pool] != nil }
-	for _, pool := range n.seeker.Wanted(n.world.clock(), n.snapshot.View, running) {
+	for _, pool := range n.seeker.Acquirable(n.world.clock(), n.snapshot.View, running) {
 		w := &worker{
 			node: n, pool: pool, attempts: make(map[attemptKey]*generation),
 			questions: make(map[uint64]func(*coordinator.Deliver, *port.Error)),
@@ -85,17 +85,17 @@
 		switch action := action.(type) {
 		case poolworker.Propose:
 			w.node.world.control.propose(&w.node.process, action.Command, action.Timeout, func(result port.Result, failure *port.Error) {
-				w.carryOut(w.machine.Answered(w.node.world.clock(), action.Token, result, failure))
+				w.carryOut(w.machine.ProposalAnswered(w.node.world.clock(), action.Token, result, failure))
 			})
-		case poolworker.AskHomes:
+		case poolworker.PollHomes:
 			w.askHomes(action)
 		case poolworker.Order:
 			w.order(action)
-		case poolworker.Coordinate:
+		case poolworker.CoordinatorAction:
 			w.coordinate(action)
 		case poolworker.Record:
 			w.node.world.decided(w.node, action.Decision)
-		case poolworker.PolicyRefused:
+		case poolworker.PolicyRejected:
 			w.node.world.fail("policy refused: %v", action.Err)
 		case poolworker.Ended:
 			w.ended()
@@ -120,7 +120,7 @@
 	n := w.node
 	n.later(0, func() {
 		delete(n.workers, w.pool)
-		n.seeker.Ended(n.world.clock(), w.pool)
+		n.seeker.WorkerEnded(n.world.clock(), w.pool)
 		n.stopIfIdle()
 	})
 }
@@ -139,7 +139,7 @@
 }
 
 // coordinate carries out an action of the coordinator.
-func (w *worker) coordinate(action poolworker.Coordinate) {
+func (w *worker) coordinate(action poolworker.CoordinatorAction) {
 	switch action := action.Action.(type) {
 	case coordinator.FetchPrompts:
 		w.fetch(action)
@@ -200,7 +200,7 @@
 		Priority: action.Priority, Seed: action.Seed, Resume: action.Resume, ResumeTokens: action.ResumeTokens,
 		MinVersion: action.MinVersion, Safe: true, PrefixHashes: prefix.HashBlocks(action.Prompt.Text, blockBytes),
 	}
-	rules := attempt.Rules{Safe: true, Single: true, MaxTokens: action.MaxTokens, Deadline: n.world.clock().Add(sampleDeadline)}
+	rules := attempt.Rules{Safe: true, CallerRetries: true, MaxTokens: action.MaxTokens, Deadline: n.world.clock().Add(sampleDeadline)}
 	g := n.generate(request, rules, &pool.Pool, sink{
 		placed: func(id port.ReplicaID) { run.replica = id }, chunk: run.chunk, ended: run.ended,
 	})
@@ -250,9 +250,9 @@
 }
 
 // askHomes asks every home of the pool's replicas for their state.
-func (w *worker) askHomes(action poolworker.AskHomes) {
+func (w *worker) askHomes(action poolworker.PollHomes) {
 	n := w.node
-	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Out: action.Out}
+	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Excluded: action.Excluded}
 	known := make(map[port.ReplicaID]nodestate.ReplicaState)
 	homes := make(map[port.NodeID]bool)
 	for _, id := range slices.Sorted(maps.Keys(n.snapshot.Replicas)) {
--- a/internal/lab/sim/home.go
+++ b/internal/lab/sim/home.go
@@ -71,7 +71,7 @@
 func (r *homeRouter) polled(replica *replica) {
 	home := r.home[replica.id]
 	if r.world.options.Variant.with(PartPrefixAffinity) {
-		events, gap := replica.cacheEvents(home.gate.NextCacheEvent(replica.id))
+		events, gap := replica.cacheEvents(home.gate.LastCacheEvent(replica.id))
 		home.gate.CacheEvents(replica.id, events, gap)
 	}
 	home.configure()
@@ -177,7 +177,7 @@
 	for _, n := range r.nodes {
 		loads, _ := n.gate.Loads()
 		for _, replica := range n.replicas {
-			version, _ := replica.report.Serves(pool.settings.Adapter)
+			version, _ := replica.report.Versions(pool.settings.Adapter)
 			if replica.reportedAt.IsZero() || r.world.routedOut(replica.id) {
 				continue
 			}
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -159,7 +159,7 @@
 // checkVersion refuses a request that wants newer weights than are served.
 func (r *replica) checkVersion(begun *attempt) error {
 	report := r.model.Load().Report()
-	served, _ := report.Serves(begun.pool.settings.Adapter)
+	served, _ := report.Versions(begun.pool.settings.Adapter)
 	if served < begun.start.MinVersion {
 		return port.NewError(port.NotRun, port.CodeStale, "serves version %d, asked for %d or newer", served, begun.start.MinVersion)
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -68,7 +68,7 @@
 	r.scratch = r.scratch[:0]
 	adapter := begun.pool.settings.Adapter
 	for _, replica := range r.world.replicas {
-		version, _ := replica.report.Serves(adapter)
+		version, _ := replica.report.Versions(adapter)
 		candidate := scheduling.Candidate{
 			Replica: replica.id, Zone: replica.zone, Version: version, Role: replica.report.Role,
 			VersionUnknown: version == 0, Inflight: r.inflight[replica.id], ReportAge: noReport,
@@ -114,7 +114,7 @@
 func (r *plainRouter) capacity(pool *samplePool) []policy.Replica {
 	var usable []policy.Replica
 	for _, replica := range r.world.replicas {
-		version, _ := replica.report.Serves(pool.settings.Adapter)
+		version, _ := replica.report.Versions(pool.settings.Adapter)
 		if version == 0 {
 			continue
 		}
--- a/internal/lab/standin/completion.go
+++ b/internal/lab/standin/completion.go
@@ -85,7 +85,7 @@
 		return nil, 0
 	}
 	report := e.loadReport()
-	if served, _ := report.Serves(body.Adapter); uint64(served) < body.MinVersion {
+	if served, _ := report.Versions(body.Adapter); uint64(served) < body.MinVersion {
 		fault := port.NewError(port.NotRun, port.CodeStale, "serves version %d, asked for %d or newer", served, body.MinVersion)
 		return fault, http.StatusConflict
 	}
--- a/internal/port/generation.go
+++ b/internal/port/generation.go
@@ -107,9 +107,9 @@
 	Staging WeightVersion `cbor:"4,keyasint,omitempty" json:"staging_version,omitempty"`
 }
 
-// Loads returns the version of an adapter that the engine is staging, or of the base
+// StagingVersion returns the version of an adapter that the engine is staging, or of the base
 // model if adapter is empty; 0 means none.
-func (r *LoadReport) Loads(adapter string) WeightVersion {
+func (r *LoadReport) StagingVersion(adapter string) WeightVersion {
 	if adapter == "" {
 		return r.Staging
 	}
@@ -121,9 +121,9 @@
 	return 0
 }
 
-// Serves returns the versions of an adapter that the engine serves and has staged, or of
+// Versions returns the versions of an adapter that the engine serves and has staged, or of
 // the base model if adapter is empty; 0 means none.
-func (r *LoadReport) Serves(adapter string) (version, staged WeightVersion) {
+func (r *LoadReport) Versions(adapter string) (version, staged WeightVersion) {
 	if adapter == "" {
 		return r.Version, r.Staged
 	}
@@ -135,9 +135,9 @@
 	return 0, 0
 }
 
-// Loaded returns the adapters of which the engine serves a known version. It leaves out
+// LoadedAdapters returns the adapters of which the engine serves a known version. It leaves out
 // adapters that are only staged or were left in an unknown state by a failed swap.
-func (r *LoadReport) Loaded() []string {
+func (r *LoadReport) LoadedAdapters() []string {
 	var names []string
 	for _, adapter := range r.Adapters {
 		if adapter.Version != 0 {
--- a/test/site/drain_test.go
+++ b/test/site/drain_test.go
@@ -25,7 +25,7 @@
 	s.t.Helper()
 	until(s.t, fmt.Sprintf("zone %s drained: %v", zone, drained), func() bool {
 		for _, p := range s.fronts {
-			if view := p.watcher.View(); view == nil || view.Drains(zone) != drained {
+			if view := p.watcher.View(); view == nil || view.IsDrained(zone) != drained {
 				return false
 			}
 		}
--- a/test/site/explain_test.go
+++ b/test/site/explain_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/phuslu/log"
 
-	"github.com/loomgrade/loomgrade/internal/core/logstory"
+	"github.com/loomgrade/loomgrade/internal/core/logtrace"
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
@@ -39,13 +39,13 @@
 func (b *lineBook) cause(id string) string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var lines []logstory.Line
+	var lines []logtrace.Line
 	for text := range bytes.Lines(b.bytes.Bytes()) {
-		if line, ok := logstory.Parse(text); ok {
+		if line, ok := logtrace.Parse(text); ok {
 			lines = append(lines, line)
 		}
 	}
-	return logstory.Cause(logstory.Select(lines, id))
+	return logtrace.Cause(logtrace.Select(lines, id))
 }
 
 // TestTheLinesAloneNameTheCause injects failures and finds each from the log.
--- a/test/site/harness_test.go
+++ b/test/site/harness_test.go
@@ -31,7 +31,7 @@
 	"github.com/loomgrade/loomgrade/internal/app/sitecontrol"
 	"github.com/loomgrade/loomgrade/internal/app/sitestore"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
-	"github.com/loomgrade/loomgrade/internal/core/coldshare"
+	"github.com/loomgrade/loomgrade/internal/core/coldlimit"
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 	"github.com/loomgrade/loomgrade/internal/core/usage"
 	"github.com/loomgrade/loomgrade/internal/testkit"
@@ -52,7 +52,7 @@
 )
 
 // coldLimits are those of all sites.
-var coldLimits = coldshare.Limits{Overshoot: 1.5, Slack: 5}
+var coldLimits = coldlimit.Limits{Overshoot: 1.5, Slack: 5}
 
 func quiet() *log.Logger {
 	return &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
