--- a/internal/app/node/accept.go
+++ b/internal/app/node/accept.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// acceptance is what a node settles when it accepts a request.
+// acceptance is the state that a request uses from its acceptance on.
 type acceptance struct {
 	snapshot *nodestate.Snapshot
 	pool     *port.Pool
@@ -18,16 +18,17 @@
 	deadline time.Time
 }
 
-// accept checks whether a pool's requests are taken now, and gives the request
-// its deadline. The context ends at the deadline; cancel must be called.
+// accept checks that the pool exists and may serve requests now, and sets the
+// request's deadline. The returned context ends at the deadline; the caller must call
+// cancel.
 func (n *Node) accept(ctx context.Context, name port.PoolName, kind port.PoolKind) (context.Context, context.CancelFunc, acceptance, *port.Error) {
 	current := n.snapshot.Load()
 	route := current.Pools[name]
 	if route == nil || route.Pool.Kind != kind {
 		if len(current.Pools) == 0 {
-			return nil, nil, acceptance{}, notReady()
+			return nil, nil, acceptance{}, notReadyError()
 		}
-		return nil, nil, acceptance{}, notFoundPool(name)
+		return nil, nil, acceptance{}, poolNotFoundError(name)
 	}
 	if route.Pool.RefuseUnconfirmed && !n.confirmed() {
 		return nil, nil, acceptance{}, unconfirmedError()
@@ -40,44 +41,44 @@
 	return limited, cancel, acceptance{snapshot: current, pool: &route.Pool, route: route, deadline: deadline}, nil
 }
 
-func notReady() *port.Error {
+func notReadyError() *port.Error {
 	refusal := port.NewError(port.NotRun, port.CodeUnavailable, "the node has no configuration yet")
 	refusal.RetryAfter = time.Second
 	return refusal
 }
 
 func unconfirmedError() *port.Error {
-	refusal := port.NewError(port.NotRun, port.CodeUnconfirmed, "the configuration isn't confirmed and this pool refuses then")
+	refusal := port.NewError(port.NotRun, port.CodeUnconfirmed, "the configuration isn't confirmed and the pool requires it")
 	refusal.RetryAfter = time.Second
 	return refusal
 }
 
-// next takes the failure of an attempt, records what follows from it, and waits
-// before another attempt.
-func (n *Node) next(ctx context.Context, accepted acceptance, subject string, loop *attempt.Loop, failure attempt.Failure) attempt.Step {
-	step := loop.Failed(failure, func(made retry.Attempt) retry.Decision {
-		return n.budgets.decide(accepted.pool, made)
+// handleFailure records a failed attempt and decides whether to retry. Before a retry
+// it waits for the backoff.
+func (n *Node) handleFailure(ctx context.Context, accepted acceptance, subject string, loop *attempt.Loop, failure attempt.Failure) attempt.Step {
+	step := loop.Failed(failure, func(failed retry.Attempt) retry.Decision {
+		return n.budgets.decide(accepted.pool, failed)
 	})
 	switch step.Kind {
 	case attempt.Final:
-		// The layer that retries a single attempt records its end.
+		// The caller that retries records the final failure.
 		if !loop.CallerRetries() {
 			n.recordEnd(accepted, subject, loop.Attempts(), failure, string(step.Reason))
 		}
 	case attempt.Retry:
 		n.recordRetry(accepted, subject, loop.Attempts(), failure)
 		if !wait(ctx, step.After) {
-			n.recordEnd(accepted, subject, loop.Attempts(), failure, leftInWait)
+			n.recordEnd(accepted, subject, loop.Attempts(), failure, endedDuringBackoff)
 			return attempt.Step{Kind: attempt.Final, Error: loop.GiveUp(failure.Error)}
 		}
 	}
 	return step
 }
 
-// leftInWait is the reason for the end of a request before its next attempt.
-const leftInWait = "the caller left, or its deadline passed, before another attempt"
+// endedDuringBackoff is the recorded reason of a request that ended between attempts.
+const endedDuringBackoff = "the caller left, or its deadline passed, before another attempt"
 
-// wait waits; false means that ctx ended first.
+// wait blocks for the duration. It returns false if ctx ended first.
 func wait(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -89,16 +90,16 @@
 	}
 }
 
-func (n *Node) recordRetry(accepted acceptance, subject string, made int, failure attempt.Failure) {
+func (n *Node) recordRetry(accepted acceptance, subject string, attempts int, failure attempt.Failure) {
 	n.recorder.record(port.Decision{
 		Kind: port.DecisionRetried, Subject: subject, Pool: accepted.pool.Name, Replica: failure.Replica,
-		Revision: accepted.snapshot.View.Revision, Attempt: made, Verdict: failure.Error.Verdict,
+		Revision: accepted.snapshot.View.Revision, Attempt: attempts, Verdict: failure.Error.Verdict,
 		Code: failure.Error.Code, Detail: failure.Error.Message,
 	})
 }
 
 // recordEnd records the final answer of a request that failed.
-func (n *Node) recordEnd(accepted acceptance, subject string, made int, failure attempt.Failure, reason string) {
+func (n *Node) recordEnd(accepted acceptance, subject string, attempts int, failure attempt.Failure, reason string) {
 	kind := port.DecisionAnswered
 	if failure.Error.Verdict == port.NotRun {
 		kind = port.DecisionRefused
@@ -109,7 +110,7 @@
 	}
 	n.recorder.record(port.Decision{
 		Kind: kind, Subject: subject, Pool: accepted.pool.Name, Replica: failure.Replica,
-		Revision: accepted.snapshot.View.Revision, Attempt: made,
+		Revision: accepted.snapshot.View.Revision, Attempt: attempts,
 		Verdict: failure.Error.Verdict, Code: failure.Error.Code, Detail: detail,
 	})
 }
--- a/internal/app/node/actions.go
+++ b/internal/app/node/actions.go
@@ -10,48 +10,48 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// coordinatorEvent brings an event to the coordinator.
+// coordinatorEvent passes an event to the coordinator.
 type coordinatorEvent struct{ event coordinator.Event }
 
 func (e coordinatorEvent) apply(w *poolWorker, now time.Time) { w.step(now, e.event) }
 
-func (w *poolWorker) tell(event coordinator.Event) { w.post(coordinatorEvent{event}) }
+func (w *poolWorker) postCoordinatorEvent(event coordinator.Event) { w.post(coordinatorEvent{event}) }
 
-// step hands an event to the coordinator and carries out what follows.
+// step passes an event to the coordinator and runs the resulting actions.
 func (w *poolWorker) step(now time.Time, event coordinator.Event) {
 	w.carryOut(w.machine.Coordinator(now, event))
 }
 
-// carryOut starts actions; whatever waits runs on a goroutine of its own and
-// posts its outcome.
+// carryOut runs actions. Those that block run on their own goroutine and post their
+// outcome.
 func (w *poolWorker) carryOut(actions []poolworker.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case poolworker.Propose:
 			w.tasks.Go(func() { w.propose(action) })
 		case poolworker.PollHomes:
-			w.tasks.Go(func() { w.askHomes(action) })
+			w.tasks.Go(func() { w.pollHomes(action) })
 		case poolworker.Order:
 			w.tasks.Go(func() { w.sendOrder(action) })
 		case poolworker.CoordinatorAction:
-			w.coordinate(action)
+			w.carryOutCoordinator(action)
 		case poolworker.Record:
 			w.record(action.Decision)
 		case poolworker.PolicyRejected:
-			w.node.config.Logger.Error().Str("pool", string(w.pool)).Err(action.Err).Msg("policy program refused")
+			w.node.config.Logger.Error().Str("pool", string(w.pool)).Err(action.Err).Msg("policy program rejected")
 		case poolworker.Ended:
 			if action.Cause != nil {
-				w.node.config.Logger.Error().Str("pool", string(w.pool)).Err(action.Cause).Msg("coordinator can't start")
+				w.node.config.Logger.Error().Str("pool", string(w.pool)).Err(action.Cause).Msg("coordinator failed to start")
 			}
 		}
 	}
 }
 
-// coordinate carries out an action of the coordinator.
-func (w *poolWorker) coordinate(asked poolworker.CoordinatorAction) {
-	switch action := asked.Action.(type) {
+// carryOutCoordinator runs an action of the coordinator.
+func (w *poolWorker) carryOutCoordinator(wrapped poolworker.CoordinatorAction) {
+	switch action := wrapped.Action.(type) {
 	case coordinator.FetchPrompts:
-		w.tasks.Go(func() { w.fetchPrompts(action, asked.Sampling.PromptSource) })
+		w.tasks.Go(func() { w.fetchPrompts(action, wrapped.Sampling.PromptSource) })
 	case coordinator.StartSample:
 		w.startSample(action)
 	case coordinator.CancelSample:
@@ -59,28 +59,28 @@
 			run.cancel()
 		}
 	case coordinator.ScoreSample:
-		w.tasks.Go(func() { w.scoreSample(action, asked.Sampling.Scorer) })
+		w.tasks.Go(func() { w.scoreSample(action, wrapped.Sampling.Scorer) })
 	case coordinator.Deliver:
 		w.countDelivered(&action)
-		w.reply(action.Token, answer{batch: &action})
+		w.reply(action.Token, batchReply{batch: &action})
 	case coordinator.Refuse:
-		w.reply(action.Token, answer{err: action.Err})
+		w.reply(action.Token, batchReply{err: action.Err})
 	}
 }
 
-// answered brings the outcome of a proposal.
-type answered struct {
+// proposalAnswered is the outcome of a proposal.
+type proposalAnswered struct {
 	token   uint64
 	result  port.Result
 	failure *port.Error
 }
 
-func (e answered) apply(w *poolWorker, now time.Time) {
+func (e proposalAnswered) apply(w *poolWorker, now time.Time) {
 	w.carryOut(w.machine.ProposalAnswered(now, e.token, e.result, e.failure))
 }
 
-// propose puts a command through the control log. A lease is given back also
-// when the worker has ended.
+// propose proposes a command to the control log. The release of a lease is proposed
+// even if the worker has ended.
 func (w *poolWorker) propose(action poolworker.Propose) {
 	parent := w.ctx
 	if action.Command.ReleaseLease != nil {
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(parent, action.Timeout)
 	defer cancel()
 	result, err := w.node.config.Control.Propose(ctx, action.Command)
-	w.post(answered{token: action.Token, result: result, failure: port.AsError(err)})
+	w.post(proposalAnswered{token: action.Token, result: result, failure: port.AsError(err)})
 }
 
 func (w *poolWorker) record(decided port.Decision) {
@@ -109,10 +109,10 @@
 	defer cancel()
 	prompts, err := services.NewPromptSource(w.node.backEnds.calls, source, 0).Prompts(ctx, action.From, action.Count)
 	if err != nil {
-		w.tell(coordinator.PromptsFailed{From: action.From, Err: port.AsError(err)})
+		w.postCoordinatorEvent(coordinator.PromptsFailed{From: action.From, Err: port.AsError(err)})
 		return
 	}
-	w.tell(coordinator.PromptsArrived{From: action.From, Prompts: prompts})
+	w.postCoordinatorEvent(coordinator.PromptsArrived{From: action.From, Prompts: prompts})
 }
 
 func (w *poolWorker) scoreSample(action coordinator.ScoreSample, scorer string) {
@@ -120,8 +120,8 @@
 	defer cancel()
 	reward, err := services.NewScorer(w.node.backEnds.calls, scorer, 0).Score(ctx, action.ID, action.Prompt, action.Text)
 	if err != nil {
-		w.tell(coordinator.ScoreFailed{ID: action.ID, Err: port.AsError(err)})
+		w.postCoordinatorEvent(coordinator.ScoreFailed{ID: action.ID, Err: port.AsError(err)})
 		return
 	}
-	w.tell(coordinator.Scored{ID: action.ID, Reward: reward})
+	w.postCoordinatorEvent(coordinator.Scored{ID: action.ID, Reward: reward})
 }
--- a/internal/app/node/application.go
+++ b/internal/app/node/application.go
@@ -11,8 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// callApplication serves an application call that was accepted here: it chooses
-// a back end, sends the call, and tries again where the verdict allows.
+// callApplication serves an application call: it chooses a back end, sends the call,
+// and retries where the verdict allows it.
 func (n *Node) callApplication(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, *port.Error) {
 	ctx, cancel, accepted, refusal := n.accept(ctx, request.Pool, port.PoolApplication)
 	if refusal != nil {
@@ -31,25 +31,25 @@
 			n.recordAnswer(accepted, subject, loop.Attempts(), failure.Replica)
 			return response, nil
 		}
-		if step := n.next(ctx, accepted, subject, loop, failure); step.Kind == attempt.Final {
+		if step := n.handleFailure(ctx, accepted, subject, loop, failure); step.Kind == attempt.Final {
 			return port.ApplicationResponse{}, step.Error
 		}
 	}
 }
 
 // applicationAttempt makes one attempt on the back end that the gate chooses. The
-// failure names the replica also when there is no error.
+// returned failure names the replica even if its error is nil.
 func (n *Node) applicationAttempt(ctx context.Context, accepted acceptance, request port.ApplicationRequest, loop *attempt.Loop) (port.ApplicationResponse, attempt.Failure) {
 	grant, refusal := n.acquireApplication(ctx, accepted, request, loop.LastFailedReplica())
 	if refusal != nil {
 		return port.ApplicationResponse{}, attempt.Failure{Error: refusal, Local: true}
 	}
 	n.recordPlaced(accepted, string(request.ID), loop.Attempts(), grant)
-	// The list of machines or the operator may have spoken since the snapshot.
+	// The replica may have been removed since the request was accepted.
 	replica, configured := n.snapshot.Load().Replicas[grant.Replica]
 	if !configured {
 		grant.Release(gate.Outcome{Abandoned: true})
-		return port.ApplicationResponse{}, attempt.Failure{Replica: grant.Replica, Error: replicaRemoved(grant.Replica)}
+		return port.ApplicationResponse{}, attempt.Failure{Replica: grant.Replica, Error: replicaRemovedError(grant.Replica)}
 	}
 	n.metrics.Attempt(request.Pool)
 	started := time.Now()
@@ -60,7 +60,7 @@
 	return response, attempt.Failure{Replica: grant.Replica, Error: failure}
 }
 
-func replicaRemoved(replica port.ReplicaID) *port.Error {
+func replicaRemovedError(replica port.ReplicaID) *port.Error {
 	return port.NewError(port.NotRun, port.CodeNoBackEnd, "replica %s was removed", replica)
 }
 
@@ -80,12 +80,12 @@
 	}, func(waiting int) { n.recordHeld(accepted, string(request.ID), waiting) })
 }
 
-// endApplication gives the place back and tells how the call ended.
+// endApplication releases the slot and reports the outcome of the call.
 func (n *Node) endApplication(ctx context.Context, grant *gate.Grant, response port.ApplicationResponse, failure *port.Error, elapsed time.Duration) {
-	judged := home.ClassifyCall(failure, ctx.Err() == context.Canceled, response.Status, elapsed)
-	grant.Release(judged.Outcome)
-	if judged.AffectsHealth {
-		n.post(callEnded{outcomeOf(grant.Replica, judged)})
+	classified := home.ClassifyCall(failure, ctx.Err() == context.Canceled, response.Status, elapsed)
+	grant.Release(classified.Outcome)
+	if classified.AffectsHealth {
+		n.post(callEnded{outcomeOf(grant.Replica, classified)})
 	}
 }
 
@@ -113,10 +113,10 @@
 	n.recorder.record(heldDecision(accepted, subject, waiting))
 }
 
-func (n *Node) recordAnswer(accepted acceptance, subject string, made int, replica port.ReplicaID) {
+func (n *Node) recordAnswer(accepted acceptance, subject string, attempts int, replica port.ReplicaID) {
 	n.recorder.record(port.Decision{
 		Kind: port.DecisionAnswered, Subject: subject, Pool: accepted.pool.Name, Replica: replica,
-		Revision: accepted.snapshot.View.Revision, Attempt: made, Verdict: port.Ran,
+		Revision: accepted.snapshot.View.Revision, Attempt: attempts, Verdict: port.Ran,
 	})
 }
 
--- a/internal/app/node/backends.go
+++ b/internal/app/node/backends.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// backEnds keeps the clients of engines and application back ends by address.
+// backEnds caches the clients of engines and application back ends by address.
 type backEnds struct {
 	streams *httpcall.Client
 	control *httpcall.Client
@@ -52,7 +52,7 @@
 	return client
 }
 
-// retain forgets the clients of addresses that are no longer configured.
+// retain drops the clients of addresses that are no longer configured.
 func (b *backEnds) retain(replicas []port.Replica) {
 	inUse := make(map[string]bool, len(replicas))
 	for _, replica := range replicas {
--- a/internal/app/node/budgets.go
+++ b/internal/app/node/budgets.go
@@ -9,8 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// budgetTable holds the retry budget of each pool. It is safe for use by many
-// goroutines.
+// budgetTable holds the retry budget of each pool. It is safe for concurrent use.
 type budgetTable struct {
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -34,7 +33,7 @@
 	return budget
 }
 
-// succeeded earns a share of a retry.
+// succeeded adds a successful request to the pool's retry budget.
 func (t *budgetTable) succeeded(pool *port.Pool) {
 	now := time.Now()
 	t.mutex.Lock()
@@ -42,7 +41,7 @@
 	t.of(pool, now).Success(now)
 }
 
-// decide says whether a failed attempt is made again.
+// decide decides whether a failed attempt is retried.
 func (t *budgetTable) decide(pool *port.Pool, attempt retry.Attempt) retry.Decision {
 	now := time.Now()
 	t.mutex.Lock()
--- a/internal/app/node/choose.go
+++ b/internal/app/node/choose.go
@@ -11,42 +11,42 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// chooser guards the choice of places among traffic goroutines.
+// chooser makes the placement algorithm and its buffers safe for concurrent use.
 type chooser struct {
-	mutex   sync.Mutex
-	pure    *placement.Chooser
-	scratch []scheduling.Candidate
-	offers  []placement.ZoneCapacity
+	mutex      sync.Mutex
+	core       *placement.Chooser
+	scratch    []scheduling.Candidate
+	capacities []placement.ZoneCapacity
 }
 
 func newChooser(seed uint64) *chooser {
-	return &chooser{pure: placement.New(rand.New(rand.NewPCG(seed, 2)))}
+	return &chooser{core: placement.New(rand.New(rand.NewPCG(seed, 2)))}
 }
 
-// place is where an attempt goes. Without a replica the node there chooses.
-type place struct {
+// target is the destination of an attempt. Without a replica, the node chooses one.
+type target struct {
 	node    port.NodeAddress
 	replica port.ReplicaID
-	// crossing counts what goes to another zone; nil within the own one.
-	crossing *replicaCounters
+	// zoneCounters count the requests sent to another zone; nil within this zone.
+	zoneCounters *requestCounters
 }
 
-// choose picks the place of an attempt: a replica of the own zone through its
-// home, or a node of another zone that has more room.
-func (n *Node) choose(accepted acceptance, job *generation, tried []port.ReplicaID) (place, *port.Error) {
-	local, room, refusal := n.chooseLocal(accepted, job, tried)
-	if remote, better := n.chooseZone(accepted, job, room, refusal != nil); better {
-		remote.crossing.sent.Add(1)
+// choose returns the target of an attempt: a replica of this zone, reached through its
+// home, or a node of another zone with more free capacity.
+func (n *Node) choose(accepted acceptance, job *generation, tried []port.ReplicaID) (target, *port.Error) {
+	local, freePerReplica, refusal := n.chooseLocal(accepted, job, tried)
+	if remote, found := n.chooseZone(accepted, job, freePerReplica, refusal != nil); found {
+		remote.zoneCounters.sent.Add(1)
 		return remote, nil
 	}
 	return local, refusal
 }
 
-// chooseLocal picks a replica of the own zone, and tells how many requests each
-// of the zone's replicas could start at once.
-func (n *Node) chooseLocal(accepted acceptance, job *generation, tried []port.ReplicaID) (place, float64, *port.Error) {
+// chooseLocal chooses a replica of this zone. It also returns the free capacity per
+// replica of the zone.
+func (n *Node) chooseLocal(accepted acceptance, job *generation, tried []port.ReplicaID) (target, float64, *port.Error) {
 	if len(job.zones) > 0 && !slices.Contains(job.zones, n.config.Zone) {
-		return place{}, 0, placement.NoReplica(nil)
+		return target{}, 0, placement.NoReplica(nil)
 	}
 	now := time.Now()
 	c := n.chooser
@@ -59,20 +59,20 @@
 	if job.avoid != "" {
 		tried = append(slices.Clip(tried), job.avoid)
 	}
-	position, room, refusal := c.pure.Local(now, n.pick(job), tried, c.scratch)
+	position, freePerReplica, refusal := c.core.Local(now, n.schedulingRequest(job), tried, c.scratch)
 	if refusal != nil {
-		return place{}, 0, refusal
+		return target{}, 0, refusal
 	}
 	chosen := c.scratch[position]
 	home, known := accepted.snapshot.Nodes[chosen.Home]
 	if !known {
-		return place{}, 0, placement.NoReplica(nil)
+		return target{}, 0, placement.NoReplica(nil)
 	}
-	return place{node: home, replica: chosen.Replica}, room, nil
+	return target{node: home, replica: chosen.Replica}, freePerReplica, nil
 }
 
-// pick makes the scheduler's request.
-func (n *Node) pick(job *generation) scheduling.Request {
+// schedulingRequest returns the scheduler's view of a request.
+func (n *Node) schedulingRequest(job *generation) scheduling.Request {
 	return scheduling.Request{
 		Pool:         job.request.Pool,
 		Zone:         n.config.Zone,
@@ -87,27 +87,27 @@
 	}
 }
 
-// chooseZone picks a node of another zone if one has clearly more room for each
-// of its replicas, or if the own zone has no replica for the request.
-func (n *Node) chooseZone(accepted acceptance, job *generation, room float64, none bool) (place, bool) {
-	elsewhere := accepted.route.OtherZones
+// chooseZone chooses a node of another zone, if one has clearly more free capacity per
+// replica or this zone has no replica for the request.
+func (n *Node) chooseZone(accepted acceptance, job *generation, freePerReplica float64, noLocalReplica bool) (target, bool) {
+	zones := accepted.route.OtherZones
 	c := n.chooser
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.offers = c.offers[:0]
-	for index := range elsewhere {
-		offer := &elsewhere[index]
-		told := placement.ZoneCapacity{Routable: offer.Aggregate.Routable, FreePerReplica: offer.FreePerReplica()}
-		allowed := len(job.zones) == 0 || slices.Contains(job.zones, offer.Aggregate.Zone)
-		if !allowed || len(offer.Nodes) == 0 {
-			told.Routable = 0
+	c.capacities = c.capacities[:0]
+	for index := range zones {
+		zone := &zones[index]
+		capacity := placement.ZoneCapacity{Routable: zone.Aggregate.Routable, FreePerReplica: zone.FreePerReplica()}
+		allowed := len(job.zones) == 0 || slices.Contains(job.zones, zone.Aggregate.Zone)
+		if !allowed || len(zone.Nodes) == 0 {
+			capacity.Routable = 0
 		}
-		c.offers = append(c.offers, told)
+		c.capacities = append(c.capacities, capacity)
 	}
-	position, better := c.pure.Zone(c.offers, room, none)
-	if !better {
-		return place{}, false
+	position, found := c.core.Zone(c.capacities, freePerReplica, noLocalReplica)
+	if !found {
+		return target{}, false
 	}
-	chosen := &elsewhere[position]
-	return place{node: chosen.Nodes[c.pure.Draw(len(chosen.Nodes))], crossing: chosen.Counter.(*replicaCounters)}, true
+	chosen := &zones[position]
+	return target{node: chosen.Nodes[c.core.Draw(len(chosen.Nodes))], zoneCounters: chosen.Counter.(*requestCounters)}, true
 }
--- a/internal/app/node/config.go
+++ b/internal/app/node/config.go
@@ -10,39 +10,36 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config says who a node is and what it may use.
+// Config is the configuration of a node.
 type Config struct {
 	ID     port.NodeID
 	Zone   port.ZoneName
 	Region port.RegionName
 	// ClusterID must be equal on all processes of one installation.
 	ClusterID string
-	// PeerToken is shared by the processes of one installation; empty means
-	// none is asked for.
+	// PeerToken is shared by the processes of one installation. If it is empty, no
+	// token is required.
 	PeerToken string
-	// OperatorToken allows operators' requests, such as a rewind; empty refuses
-	// them.
+	// OperatorToken authorizes operators' requests, such as a rewind. If it is empty,
+	// they are refused.
 	OperatorToken string
-	// HTTPAddress and PeerAddress are IP:port to listen on; they are not used
-	// where a listener is given.
+	// HTTPAddress and PeerAddress are the IP:port to listen on, unless a listener is
+	// given.
 	HTTPAddress  string
 	PeerAddress  string
 	HTTPListener net.Listener
 	PeerListener net.Listener
-	// Control is the way to the replicated control state. The node doesn't
-	// close it.
+	// Control gives access to the replicated control state. The node does not close it.
 	Control port.Control
-	// DataFolder keeps the spool of decisions; empty keeps them in memory only.
+	// DataFolder stores the decision spool. If it is empty, decisions are only in memory.
 	DataFolder string
-	// Seed makes the node's random choices repeatable; 0 takes one from the
-	// clock.
+	// Seed makes the node's random choices repeatable; 0 uses the clock.
 	Seed uint64
-	// Intervals are the node's periods and timeouts; a zero one takes its
-	// default.
+	// Intervals are the node's periods and timeouts; zero values take the defaults.
 	Intervals Intervals
-	// Limits bound the node's memory; a zero one takes its default.
+	// Limits bound the node's memory; zero values take the defaults.
 	Limits Limits
-	// HTTPLimits bound what callers can use; a zero one takes its default.
+	// HTTPLimits bound what callers can use; zero values take the defaults.
 	HTTPLimits httpapi.Limits
 	// Logger may be nil.
 	Logger *log.Logger
@@ -50,39 +47,38 @@
 
 // Intervals are the periods and timeouts of a node.
 type Intervals struct {
-	// Tick paces the control goroutine's periodic work.
+	// Tick is the period of the control goroutine's work.
 	Tick time.Duration
-	// ConfigurationLease is how long a confirmed update of the view holds.
+	// ConfigurationLease is how long the configuration stays confirmed after an update.
 	ConfigurationLease time.Duration
-	// Report paces reports to control.
+	// Report is the period of reports to control.
 	Report time.Duration
-	// MachineList paces polls of the machine list.
+	// MachineList is the period of polls of the machine list.
 	MachineList time.Duration
-	// Load is the least time between two polls of a home replica's load and cache
-	// events.
+	// Load is the min interval between polls of a home replica's load and cache events.
 	Load time.Duration
-	// Summary paces summaries to the nodes of the zone.
+	// Summary is the period of summaries sent to the nodes of the zone.
 	Summary time.Duration
-	// Aggregate paces aggregates to other zones.
+	// Aggregate is the period of aggregates sent to other zones.
 	Aggregate time.Duration
-	// PeerSilence is how long a node of the zone may be silent before it is no
-	// longer taken as a home.
+	// PeerSilence is how long a node of the zone may be unresponsive and still be used
+	// as a home.
 	PeerSilence time.Duration
-	// CoordinatorLease is the length of a coordinator's lease.
+	// CoordinatorLease is the duration of a coordinator's lease.
 	CoordinatorLease time.Duration
-	// KeyMemory is how long the outcome of a request key is remembered.
+	// KeyMemory is how long the outcome of a request key is stored.
 	KeyMemory time.Duration
-	// CallTimeout bounds one call between nodes that isn't a caller's request.
+	// CallTimeout limits a call between nodes that is not a caller's request.
 	CallTimeout time.Duration
 }
 
-// Limits bound what a node keeps.
+// Limits bound a node's memory and disk use.
 type Limits struct {
-	// Events bounds the events that wait for the control goroutine.
+	// Events bounds the queued events of the control goroutine.
 	Events int
-	// Decisions bounds the decision records kept in memory.
+	// Decisions bounds the decision records in memory.
 	Decisions int
-	// Keys bounds the remembered request keys.
+	// Keys bounds the stored request keys.
 	Keys int
 	// SpoolBytes bounds the spool of decisions on disk, in bytes.
 	SpoolBytes int64
@@ -108,8 +104,8 @@
 	DefaultSpoolBytes = 64 << 20
 )
 
-// maxMachineList bounds the poll of the machine list, so that a leaving back
-// end gets no new work after three seconds.
+// maxMachineList limits the interval of machine list polls, so that a leaving back end
+// gets no new requests after three seconds.
 const maxMachineList = 2 * time.Second
 
 func orDefault[T comparable](value *T, fallback T) {
@@ -119,7 +115,7 @@
 	}
 }
 
-// normalized gives the configuration with its defaults filled in.
+// normalized validates the configuration and returns it with the defaults filled in.
 func (c Config) normalized() (Config, error) {
 	if c.ID == "" {
 		return c, port.InvalidField("id", "", "a node id")
@@ -128,7 +124,7 @@
 		return c, port.InvalidField("zone", "", "a zone name")
 	}
 	if c.Control == nil {
-		return c, port.InvalidField("control", "", "a way to the control state")
+		return c, port.InvalidField("control", "", "a client of the control state")
 	}
 	orDefault(&c.Region, "default")
 	orDefault(&c.ClusterID, "loomgrade")
--- a/internal/app/node/controller.go
+++ b/internal/app/node/controller.go
@@ -14,14 +14,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// controller owns the node's state. Only the control goroutine touches it.
+// controller owns the node's state. Only the control goroutine uses it.
 type controller struct {
 	node  *Node
 	state *nodestate.State
 	polls map[port.ReplicaID]*enginePoll
 }
 
-// event is something the control goroutine takes in.
+// event is an input of the control goroutine.
 type event interface{ apply(*controller, time.Time) }
 
 func newController(n *Node, now time.Time) *controller {
@@ -37,8 +37,8 @@
 			Report:         n.config.Intervals.Report,
 			Load:           n.config.Intervals.Load,
 			NewGate:        n.newGate,
-			ReplicaCounter: func(id port.ReplicaID) nodestate.Counter { return n.counters.of(id) },
-			ZoneCounter:    func(key nodestate.ZonePool) nodestate.Counter { return n.crossing.of(key) },
+			ReplicaCounter: func(id port.ReplicaID) nodestate.Counter { return n.replicaCounters.of(id) },
+			ZoneCounter:    func(key nodestate.ZonePool) nodestate.Counter { return n.zoneCounters.of(key) },
 			MessageBytes:   summaryBytes,
 		}, now),
 	}
@@ -52,15 +52,14 @@
 	return gate.New(profile, n.config.Seed)
 }
 
-// gateOf gives the gate of a route; nil where the node is the home of none of
-// the pool's replicas.
+// gateOf returns the gate of a route, or nil if this node is the home of none of the
+// pool's replicas.
 func gateOf(route *nodestate.PoolRoute) *gate.Gate {
-	held, _ := route.Gate.(*gate.Gate)
-	return held
+	owned, _ := route.Gate.(*gate.Gate)
+	return owned
 }
 
-// summaryBytes gives the size of a summary as it is sent; one that can't be sent
-// has none.
+// summaryBytes returns the encoded size of a summary, or 0 if it can't be encoded.
 func summaryBytes(summary membership.HomeSummary) int {
 	body, err := wire.Marshal(summary)
 	if err != nil {
@@ -77,7 +76,7 @@
 	for {
 		select {
 		case next := <-c.node.events:
-			c.take(next)
+			c.handleEvents(next)
 		case now := <-ticker.C:
 			c.tick(now)
 		case <-c.node.stopped:
@@ -87,26 +86,25 @@
 	}
 }
 
-// take applies an event and those that wait behind it, and then publishes once.
-func (c *controller) take(next event) {
+// handleEvents applies an event and the queued ones, and then publishes once.
+func (c *controller) handleEvents(next event) {
 	now := time.Now()
 	next.apply(c, now)
 	for range len(c.node.events) {
 		select {
-		case further := <-c.node.events:
-			further.apply(c, now)
+		case queued := <-c.node.events:
+			queued.apply(c, now)
 		default:
 		}
 	}
 	c.publish(now)
 }
 
-// publish rebuilds what follows from the state when it is due, and carries out
-// what the state asks for.
+// publish rebuilds the snapshot if it is due, and runs the actions of the state.
 func (c *controller) publish(now time.Time) {
-	began := time.Now()
+	started := time.Now()
 	if c.state.RebuildIfDue(now) {
-		c.state.SetRebuildCost(time.Since(began))
+		c.state.SetRebuildCost(time.Since(started))
 	}
 	c.carryOut(c.state.Flush())
 }
@@ -115,13 +113,13 @@
 	c.publish(now)
 	c.state.Tick(now, !c.node.reporting.Load())
 	c.carryOut(c.state.Flush())
-	c.pacePolls(now)
+	c.updatePollIntervals(now)
 	for pool, waiting := range c.state.Waiting() {
 		c.node.metrics.Queued(pool, waiting)
 	}
 }
 
-// carryOut does what the state asks for.
+// carryOut runs the actions of the state.
 func (c *controller) carryOut(output nodestate.Output) {
 	n := c.node
 	if output.Snapshot != nil {
@@ -147,7 +145,7 @@
 	}
 }
 
-// methodOf gives the method that a one-way message goes to.
+// methodOf returns the peer method of a one-way message.
 func methodOf(body any) string {
 	switch body.(type) {
 	case membership.HomeSummary:
@@ -163,24 +161,24 @@
 	}
 }
 
-// useSnapshot publishes a snapshot to traffic, and forgets the counters of what
-// is no longer configured.
+// useSnapshot publishes a snapshot to traffic goroutines, and drops the counters of
+// replicas and pools that are no longer configured.
 func (n *Node) useSnapshot(next *nodestate.Snapshot) {
-	n.counters.retain(func(id port.ReplicaID) bool { _, configured := next.Replicas[id]; return configured })
-	n.crossing.retain(func(key nodestate.ZonePool) bool { _, configured := viewPool(next.View, key.Pool); return configured })
+	n.replicaCounters.retain(func(id port.ReplicaID) bool { _, configured := next.Replicas[id]; return configured })
+	n.zoneCounters.retain(func(key nodestate.ZonePool) bool { _, configured := viewPool(next.View, key.Pool); return configured })
 	n.snapshot.Store(next)
 }
 
-// report tells control about this node. The call runs on a goroutine of its own;
-// while it is under way no other is made.
+// report sends a report to control on its own goroutine. The caller does not start
+// another one while it is in flight.
 func (n *Node) report(report port.NodeReport) {
 	n.reporting.Store(true)
 	n.serving.Store(&report.Serving)
 	n.work.Go(func() {
 		defer n.reporting.Store(false)
-		asking, cancel := context.WithTimeout(n.background, n.config.Intervals.CallTimeout)
+		callCtx, cancel := context.WithTimeout(n.background, n.config.Intervals.CallTimeout)
 		defer cancel()
-		_ = n.config.Control.Report(asking, report)
+		_ = n.config.Control.Report(callCtx, report)
 	})
 }
 
@@ -209,17 +207,19 @@
 
 func (e memberMessage) apply(c *controller, now time.Time) { c.state.HandleMembership(now, e.message) }
 
-// summaryMessage is what a home tells its zone.
+// summaryMessage is the summary that a home sends to its zone.
 type summaryMessage struct{ summary membership.HomeSummary }
 
 func (e summaryMessage) apply(c *controller, now time.Time) { c.state.HandleSummary(now, e.summary) }
 
-// aggregatesTold is what another zone tells.
-type aggregatesTold struct{ message nodestate.AggregatesMessage }
+// aggregatesMessage carries the aggregates of another zone.
+type aggregatesMessage struct{ message nodestate.AggregatesMessage }
 
-func (e aggregatesTold) apply(c *controller, now time.Time) { c.state.HandleAggregates(now, e.message) }
+func (e aggregatesMessage) apply(c *controller, now time.Time) {
+	c.state.HandleAggregates(now, e.message)
+}
 
-// drainStarted makes the node tell its peers that it stops.
+// drainStarted makes the state announce to the peers that this node is stopping.
 type drainStarted struct{}
 
 func (drainStarted) apply(c *controller, now time.Time) { c.state.Drain(now) }
--- a/internal/app/node/counters.go
+++ b/internal/app/node/counters.go
@@ -7,40 +7,40 @@
 	"github.com/loomgrade/loomgrade/internal/core/placement"
 )
 
-// replicaCounters count what this node sent to a replica, through any home, or
-// to another zone.
-type replicaCounters struct {
+// requestCounters count the requests that this node sent to a replica, through any
+// home, or to another zone.
+type requestCounters struct {
 	sent     atomic.Int64
 	finished atomic.Int64
 }
 
 // Counts implements nodestate.Counter.
-func (c *replicaCounters) Counts() placement.Counts {
+func (c *requestCounters) Counts() placement.Counts {
 	return placement.Counts{Sent: c.sent.Load(), Finished: c.finished.Load()}
 }
 
-// counterTable finds the counters of replicas, or of other zones.
+// counterTable holds the counters of replicas or of other zones.
 type counterTable[K comparable] struct {
 	mutex  sync.Mutex
-	counts map[K]*replicaCounters
+	counts map[K]*requestCounters
 }
 
 func newCounterTable[K comparable]() *counterTable[K] {
-	return &counterTable[K]{counts: make(map[K]*replicaCounters)}
+	return &counterTable[K]{counts: make(map[K]*requestCounters)}
 }
 
-func (t *counterTable[K]) of(key K) *replicaCounters {
+func (t *counterTable[K]) of(key K) *requestCounters {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.counts[key]
 	if known == nil {
-		known = &replicaCounters{}
+		known = &requestCounters{}
 		t.counts[key] = known
 	}
 	return known
 }
 
-// retain forgets the counters that keep refuses.
+// retain drops the counters for which keep returns false.
 func (t *counterTable[K]) retain(keep func(K) bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/app/node/errors.go
+++ b/internal/app/node/errors.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// drainingRetryAfter is the advised wait on an error of a node that stops.
+// drainingRetryAfter is the RetryAfter of errors of a stopping node.
 const drainingRetryAfter = time.Second
 
 func drainingError() *port.Error {
@@ -17,14 +17,14 @@
 	return refusal
 }
 
-func notFoundPool(name port.PoolName) *port.Error {
+func poolNotFoundError(name port.PoolName) *port.Error {
 	refusal := port.NewError(port.NotRun, port.CodeNotFound, "no such pool")
 	refusal.Field = "pool"
 	refusal.Value = string(name)
 	return refusal
 }
 
-// contextError tells why a context ended before a request was sent.
+// contextError returns the error of a request whose context ended before it was sent.
 func contextError(ctx context.Context) *port.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return port.NewError(port.NotRun, port.CodeDeadline, "the deadline passed")
@@ -32,8 +32,8 @@
 	return port.NewError(port.NotRun, port.CodeCancelled, "the caller gave up")
 }
 
-// orNil gives a plain nil error for a nil *port.Error.
-func orNil(failure *port.Error) error {
+// toError returns a nil error for a nil *port.Error.
+func toError(failure *port.Error) error {
 	if failure == nil {
 		return nil
 	}
--- a/internal/app/node/explain.go
+++ b/internal/app/node/explain.go
@@ -12,25 +12,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// maxAsked bounds the nodes that are asked about a subject whose holder isn't
-// known.
-const maxAsked = 64
+// maxQueriedNodes limits the nodes queried about a subject whose id does not name a node.
+const maxQueriedNodes = 64
 
-// Explain tells the decisions about a subject in plain words, with the records.
-// It looks here, asks the node that the id names, and for what has no such node
-// every node that may hold a record.
+// Explain returns a plain-text explanation of the decisions about a subject, and their
+// records. It reads the local records, and queries the node that the id names or, if
+// it names none, every node that may have a record.
 func (n *Node) Explain(ctx context.Context, subject string) ([]string, []port.Decision, error) {
 	subject = n.canonical(subject)
 	decisions := n.recorder.get(subject)
-	for _, answer := range n.askAbout(ctx, subject, n.holders(subject)) {
+	for _, answer := range n.queryDecisions(ctx, subject, n.holders(subject)) {
 		decisions = append(decisions, answer...)
 	}
 	decisions = distinct(decisions)
 	return decision.Explain(subject, decisions), decisions, nil
 }
 
-// canonical gives the form under which records are kept: operators may name a
-// replica by its id alone, and a batch as b-POOL-NUMBER-ATTEMPT.
+// canonical returns the subject of the records: operators may name a replica by its id
+// alone, and a batch as b-POOL-NUMBER-ATTEMPT.
 func (n *Node) canonical(subject string) string {
 	if _, configured := n.snapshot.Load().Replicas[port.ReplicaID(subject)]; configured {
 		return nodestate.ReplicaSubject(port.ReplicaID(subject))
@@ -41,8 +40,8 @@
 	return subject
 }
 
-// poolOfBatch gives the pool of b-POOL-NUMBER-ATTEMPT; a pool's name may itself
-// hold hyphens.
+// poolOfBatch returns the pool of b-POOL-NUMBER-ATTEMPT; the pool's name may contain
+// hyphens.
 func poolOfBatch(subject string) (pool port.PoolName, found bool) {
 	rest, found := strings.CutPrefix(subject, "b-")
 	parts := strings.Split(rest, "-")
@@ -56,8 +55,8 @@
 	batchPrefix = "batch/"
 )
 
-// batchSubject turns the coordinator's b-POOL-NUMBER-ATTEMPT into
-// batch/POOL/NUMBER, under which all attempts at a batch stand together.
+// batchSubject converts the coordinator's b-POOL-NUMBER-ATTEMPT to batch/POOL/NUMBER,
+// the common subject of all attempts at a batch.
 func batchSubject(pool port.PoolName, subject string) string {
 	rest, found := strings.CutPrefix(subject, "b-"+string(pool)+"-")
 	if !found {
@@ -67,7 +66,7 @@
 	return batchPrefix + string(pool) + "/" + number
 }
 
-// holders lists the nodes to ask about a subject.
+// holders lists the nodes to query about a subject.
 func (n *Node) holders(subject string) []port.NodeAddress {
 	current := n.snapshot.Load()
 	if id, named := nodeOfRequest(subject); named {
@@ -78,32 +77,32 @@
 	}
 	var others []port.NodeAddress
 	for id, node := range current.Nodes {
-		if id != n.config.ID && len(others) < maxAsked {
+		if id != n.config.ID && len(others) < maxQueriedNodes {
 			others = append(others, node)
 		}
 	}
 	return others
 }
 
-// askAbout asks nodes at the same time and gives the answers that came.
-func (n *Node) askAbout(ctx context.Context, subject string, holders []port.NodeAddress) [][]port.Decision {
+// queryDecisions queries nodes concurrently and returns the answers received.
+func (n *Node) queryDecisions(ctx context.Context, subject string, holders []port.NodeAddress) [][]port.Decision {
 	ctx, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
 	defer cancel()
 	answers := make([][]port.Decision, len(holders))
-	var asking sync.WaitGroup
+	var calls sync.WaitGroup
 	for index, holder := range holders {
-		asking.Go(func() {
+		calls.Go(func() {
 			var answer explainAnswer
 			if n.peers.call(ctx, holder.PeerAddress, methodExplain, explainCall{Subject: subject}, &answer) == nil {
 				answers[index] = answer.Decisions
 			}
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 	return answers
 }
 
-// distinct orders decisions by time and drops those that came twice.
+// distinct sorts decisions by time and removes duplicates.
 func distinct(decisions []port.Decision) []port.Decision {
 	slices.SortStableFunc(decisions, func(a, b port.Decision) int { return cmp.Compare(a.Time, b.Time) })
 	return slices.CompactFunc(decisions, func(a, b port.Decision) bool {
--- a/internal/app/node/generate.go
+++ b/internal/app/node/generate.go
@@ -11,33 +11,32 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Constants of the prompt blocks that engines cache.
+// Sizes of the prompt blocks that engines cache.
 const (
 	blockTokens   = 16
 	bytesPerToken = 4
 	blockBytes    = blockTokens * bytesPerToken
 )
 
-// generation is one request for a completion on its way through the node that
-// accepted it.
+// generation is a completion request at the node that accepted it.
 type generation struct {
 	request port.GenerateRequest
-	// subject is what the records are about: the request or a sample.
+	// subject is the subject of the records: the request or a sample.
 	subject string
 	zones   []port.ZoneName
 	exclude []port.ReplicaID
 	avoid   port.ReplicaID
-	// resume says that a cut-off completion is continued elsewhere; otherwise it
-	// is an error once a token has left.
+	// resume continues a cut-off completion on another replica; without it, a
+	// completion that is cut off after its first token fails.
 	resume bool
-	// single switches retries off, for callers who retry themselves.
-	single bool
-	// receive takes the chunks, placed is told of the replica of each attempt.
-	receive func(port.GenerateChunk) error
-	placed  func(port.ReplicaID)
+	// noRetry disables retries, for callers that retry themselves.
+	noRetry bool
+	// receive receives the chunks; onPlaced receives the replica of each attempt.
+	receive  func(port.GenerateChunk) error
+	onPlaced func(port.ReplicaID)
 }
 
-// generate serves a request for a completion that was accepted here.
+// generate serves a completion request that this node accepted.
 func (n *Node) generate(ctx context.Context, job *generation) *port.Error {
 	ctx, cancel, accepted, refusal := n.accept(ctx, job.request.Pool, port.PoolGeneration)
 	if refusal != nil {
@@ -47,10 +46,10 @@
 	defer cancel()
 	n.prepare(accepted, job)
 	loop := attempt.New(attempt.Rules{
-		Safe: job.request.Safe, CallerRetries: job.single, Resume: job.resume,
+		Safe: job.request.Safe, CallerRetries: job.noRetry, Resume: job.resume,
 		Deadline: accepted.deadline, MaxTokens: job.request.MaxTokens,
 	})
-	progress := &generated{job: job, loop: loop}
+	progress := &completionProgress{job: job, loop: loop}
 	original := job.request
 	for {
 		loop.Begin()
@@ -61,7 +60,7 @@
 			n.recordCompletion(accepted, job, loop, failure.Replica)
 			return nil
 		}
-		step := n.next(ctx, accepted, job.subject, loop, failure)
+		step := n.handleFailure(ctx, accepted, job.subject, loop, failure)
 		switch step.Kind {
 		case attempt.Final:
 			return step.Error
@@ -71,16 +70,16 @@
 	}
 }
 
-// complete gives the end of a completion whose tokens have all left already.
-func (n *Node) complete(accepted acceptance, job *generation, progress *generated, replica port.ReplicaID) *port.Error {
-	if err := progress.take(port.GenerateChunk{Finish: port.FinishLength}); err != nil {
+// complete ends a completion whose tokens have all been delivered already.
+func (n *Node) complete(accepted acceptance, job *generation, progress *completionProgress, replica port.ReplicaID) *port.Error {
+	if err := progress.forward(port.GenerateChunk{Finish: port.FinishLength}); err != nil {
 		return attempt.WithVerdict(port.AsError(err), port.Ran)
 	}
 	n.recordCompletion(accepted, job, progress.loop, replica)
 	return nil
 }
 
-// prepare fills in what the choice of a replica and the engine need.
+// prepare fills in the fields that placement and the engine need.
 func (n *Node) prepare(accepted acceptance, job *generation) {
 	request := &job.request
 	if request.Adapter == "" {
@@ -94,14 +93,14 @@
 	}
 }
 
-// generated follows what has left to the caller, over all attempts.
-type generated struct {
+// completionProgress tracks the chunks delivered to the caller over all attempts.
+type completionProgress struct {
 	job  *generation
 	loop *attempt.Loop
 }
 
-// take hands a chunk to the caller and remembers it.
-func (g *generated) take(chunk port.GenerateChunk) error {
+// forward passes a chunk to the caller and records it.
+func (g *completionProgress) forward(chunk port.GenerateChunk) error {
 	if err := g.job.receive(chunk); err != nil {
 		g.loop.RefuseChunk()
 		return err
@@ -110,11 +109,11 @@
 	return nil
 }
 
-// generateAttempt makes one attempt at the place that it chooses, and says which
-// replica served it as far as that is known, also when there is no error.
-func (n *Node) generateAttempt(ctx context.Context, accepted acceptance, job *generation, progress *generated) attempt.Failure {
+// generateAttempt makes one attempt at the chosen target. The returned failure names
+// the replica, if known, even if its error is nil.
+func (n *Node) generateAttempt(ctx context.Context, accepted acceptance, job *generation, progress *completionProgress) attempt.Failure {
 	loop := progress.loop
-	place, refusal := n.choose(accepted, job, loop.FailedReplicas())
+	chosen, refusal := n.choose(accepted, job, loop.FailedReplicas())
 	if refusal != nil {
 		return attempt.Failure{Error: refusal, Local: true}
 	}
@@ -128,70 +127,70 @@
 	if job.avoid == "" {
 		call.Avoid = loop.LastFailedReplica()
 	}
-	call.Request.Replica = place.replica
-	run := &attemptRun{node: n, job: job, progress: progress, replica: place.replica}
+	call.Request.Replica = chosen.replica
+	run := &attemptRun{node: n, job: job, progress: progress, replica: chosen.replica}
 	defer run.end()
-	run.count(place.replica)
-	if place.node.ID == n.config.ID {
-		failure := n.serveGenerate(ctx, &call, run.take)
+	run.countSent(chosen.replica)
+	if chosen.node.ID == n.config.ID {
+		failure := n.serveGenerate(ctx, &call, run.handle)
 		return attempt.Failure{Replica: run.replica, Error: failure}
 	}
-	failure := n.generateRemote(ctx, place.node, &call, run.take)
+	failure := n.generateRemote(ctx, chosen.node, &call, run.handle)
 	return attempt.Failure{Replica: run.replica, Error: failure}
 }
 
-// attemptRun follows one attempt: its replica and this node's count of it.
+// attemptRun tracks one attempt, its replica and the replica's request counters.
 type attemptRun struct {
 	node     *Node
 	job      *generation
-	progress *generated
+	progress *completionProgress
 	replica  port.ReplicaID
-	counted  *replicaCounters
+	counters *requestCounters
 }
 
-// take handles one event of the attempt.
-func (r *attemptRun) take(next peerapi.GenerateEvent) error {
+// handle handles one event of the attempt.
+func (r *attemptRun) handle(next peerapi.GenerateEvent) error {
 	if next.Decision != nil {
 		decided := *next.Decision
 		decided.Subject = r.job.subject
 		r.node.recorder.record(decided)
 		if decided.Kind == port.DecisionPlaced {
-			r.begin(decided.Replica)
+			r.setReplica(decided.Replica)
 		}
 	}
 	if next.Chunk != nil {
-		return r.progress.take(*next.Chunk)
+		return r.progress.forward(*next.Chunk)
 	}
 	return nil
 }
 
-// count counts the attempt at a replica from when it is sent: until its home tells
-// of what waits there, this node would send all that comes at once to one place.
-func (r *attemptRun) count(replica port.ReplicaID) {
+// countSent counts the attempt as sent to a replica. Until the replica's home reports
+// its queue, these counts keep this node from sending every request to one replica.
+func (r *attemptRun) countSent(replica port.ReplicaID) {
 	r.end()
 	if replica != "" {
-		r.counted = r.node.counters.of(replica)
-		r.counted.sent.Add(1)
+		r.counters = r.node.replicaCounters.of(replica)
+		r.counters.sent.Add(1)
 	}
 }
 
-func (r *attemptRun) begin(replica port.ReplicaID) {
+func (r *attemptRun) setReplica(replica port.ReplicaID) {
 	r.replica = replica
-	r.count(replica)
-	if r.job.placed != nil {
-		r.job.placed(replica)
+	r.countSent(replica)
+	if r.job.onPlaced != nil {
+		r.job.onPlaced(replica)
 	}
 }
 
 func (r *attemptRun) end() {
-	if r.counted != nil {
-		r.counted.finished.Add(1)
-		r.counted = nil
+	if r.counters != nil {
+		r.counters.finished.Add(1)
+		r.counters = nil
 	}
 }
 
-// generateRemote lets another node serve the attempt.
-func (n *Node) generateRemote(ctx context.Context, target port.NodeAddress, call *peerapi.GenerateCall, take func(peerapi.GenerateEvent) error) *port.Error {
+// generateRemote runs the attempt on another node.
+func (n *Node) generateRemote(ctx context.Context, target port.NodeAddress, call *peerapi.GenerateCall, handle func(peerapi.GenerateEvent) error) *port.Error {
 	stream, err := n.peers.client(target.PeerAddress).Stream(ctx, peerapi.MethodGenerate, call)
 	if err != nil {
 		return port.AsError(err)
@@ -207,7 +206,7 @@
 		if err != nil {
 			return port.AsError(err)
 		}
-		if err := take(next); err != nil {
+		if err := handle(next); err != nil {
 			return port.AsError(err)
 		}
 		finished = finished || next.Chunk != nil && next.Chunk.Finish != ""
--- a/internal/app/node/harness_test.go
+++ b/internal/app/node/harness_test.go
@@ -18,26 +18,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// patience bounds every wait of these tests; none is expected to come near it.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait of these tests.
+const waitTimeout = 60 * time.Second
 
-// memoryControl is the replicated control state in the test's own memory.
+// memoryControl is an in-memory control state.
 type memoryControl struct {
-	mutex   sync.Mutex
-	state   *controlstate.State
-	index   uint64
-	changed chan struct{}
-	heard   map[port.NodeID]time.Time
+	mutex       sync.Mutex
+	state       *controlstate.State
+	index       uint64
+	changed     chan struct{}
+	lastReports map[port.NodeID]time.Time
 }
 
-// silence is the time after which a node that reports no more is removed.
-const silence = 2 * time.Second
+// reportTimeout is how long a node may not report before it is removed.
+const reportTimeout = 2 * time.Second
 
 func newMemoryControl(t *testing.T) *memoryControl {
-	control := &memoryControl{state: controlstate.New(), changed: make(chan struct{}), heard: make(map[port.NodeID]time.Time)}
+	control := &memoryControl{state: controlstate.New(), changed: make(chan struct{}), lastReports: make(map[port.NodeID]time.Time)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go control.removeSilent(ctx)
+	go control.removeUnresponsive(ctx)
 	return control
 }
 
@@ -52,7 +52,7 @@
 	return result
 }
 
-func (m *memoryControl) removeSilent(ctx context.Context) {
+func (m *memoryControl) removeUnresponsive(ctx context.Context) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -62,21 +62,21 @@
 		case <-ticker.C:
 		}
 		m.mutex.Lock()
-		var silent []port.NodeID
-		for id, heard := range m.heard {
-			if time.Since(heard) > silence {
-				silent = append(silent, id)
-				delete(m.heard, id)
+		var unresponsive []port.NodeID
+		for id, last := range m.lastReports {
+			if time.Since(last) > reportTimeout {
+				unresponsive = append(unresponsive, id)
+				delete(m.lastReports, id)
 			}
 		}
 		m.mutex.Unlock()
-		for _, id := range silent {
+		for _, id := range unresponsive {
 			m.apply(port.Command{RemoveNode: &port.RemoveNode{ID: id}})
 		}
 	}
 }
 
-// configure applies edits at the present revision.
+// configure applies edits to the current revision.
 func (m *memoryControl) configure(t *testing.T, edits ...port.Edit) {
 	t.Helper()
 	m.mutex.Lock()
@@ -105,16 +105,16 @@
 	return lease.Epoch
 }
 
-// controlHandle is one node's way to the control state, which can be cut.
+// controlHandle is one node's connection to the control state.
 type controlHandle struct {
-	control *memoryControl
-	cut     atomic.Bool
-	// deaf takes the news of publications out of views.
-	deaf atomic.Bool
+	control      *memoryControl
+	disconnected atomic.Bool
+	// hidePublications removes publications from the views that the node receives.
+	hidePublications atomic.Bool
 }
 
 func (h *controlHandle) Propose(ctx context.Context, command port.Command) (port.Result, error) {
-	for h.cut.Load() {
+	for h.disconnected.Load() {
 		select {
 		case <-ctx.Done():
 			return port.Result{}, port.NewError(port.NotRun, port.CodeUnavailable, "cut off from control")
@@ -132,9 +132,9 @@
 		changed := h.control.changed
 		update := h.control.state.Update(after)
 		h.control.mutex.Unlock()
-		if !h.cut.Load() {
+		if !h.disconnected.Load() {
 			update.Confirmed = true
-			if h.deaf.Load() {
+			if h.hidePublications.Load() {
 				update.Changes = slices.DeleteFunc(slices.Clone(update.Changes), func(change port.ViewChange) bool { return change.Weights != nil })
 			}
 			receive(update)
@@ -150,17 +150,17 @@
 }
 
 func (h *controlHandle) Report(_ context.Context, report port.NodeReport) error {
-	if h.cut.Load() {
+	if h.disconnected.Load() {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "cut off from control")
 	}
 	h.control.mutex.Lock()
-	h.control.heard[report.Node.ID] = time.Now()
+	h.control.lastReports[report.Node.ID] = time.Now()
 	h.control.mutex.Unlock()
 	h.control.apply(port.Command{RegisterNode: &port.RegisterNode{Node: report.Node}})
 	return nil
 }
 
-// fleet is a set of nodes in one process over loopback.
+// fleet is a set of nodes in one process, connected over loopback.
 type fleet struct {
 	t       *testing.T
 	control *memoryControl
@@ -201,7 +201,7 @@
 	return started
 }
 
-// waitForNodes waits until every node knows all the others and the revision.
+// waitForNodes waits until every node knows all the others and the current revision.
 func (f *fleet) waitForNodes() {
 	f.t.Helper()
 	f.control.mutex.Lock()
@@ -218,12 +218,12 @@
 	})
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
-	for !holds() {
+	deadline := time.Now().Add(waitTimeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -261,11 +261,11 @@
 	}
 }
 
-func replica(id port.ReplicaID, of port.PoolName, zone port.ZoneName, address string) port.Edit {
-	return port.Edit{PutReplica: &port.Replica{ID: id, Pool: of, Zone: zone, Address: address, State: port.ReplicaActive}}
+func replica(id port.ReplicaID, poolName port.PoolName, zone port.ZoneName, address string) port.Edit {
+	return port.Edit{PutReplica: &port.Replica{ID: id, Pool: poolName, Zone: zone, Address: address, State: port.ReplicaActive}}
 }
 
-// sampling gives the settings of a pool that feeds a trainer.
+// sampling returns the settings of a pool that feeds a trainer.
 func sampling(prompts, scorer, store string) *port.Sampling {
 	return &port.Sampling{
 		Policy: policy.Default, StalenessBound: 4, BatchSamples: 8, GroupSize: 2, MaxTokens: 64,
--- a/internal/app/node/homes.go
+++ b/internal/app/node/homes.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// loadReported is the outcome of one question to an engine.
+// loadReported is the outcome of a load request to an engine.
 type loadReported struct {
 	replica port.ReplicaID
 	askedAt time.Time
@@ -23,34 +23,33 @@
 	c.state.HandleLoadReport(now, e.askedAt, e.replica, e.report, e.err)
 }
 
-// enginePoll is the polling of one engine.
+// enginePoll controls the polling of one engine.
 type enginePoll struct {
-	// end stops it.
-	end context.CancelFunc
-	// interval is the time between two polls in nanoseconds; the control goroutine
-	// sets it.
+	// cancel stops the polling.
+	cancel context.CancelFunc
+	// interval is the poll interval in nanoseconds, set by the control goroutine.
 	interval atomic.Int64
 }
 
-// startPoll polls an engine from now on.
+// startPoll starts polling an engine.
 func (c *controller) startPoll(poll nodestate.Poll) {
 	ctx, cancel := context.WithCancel(c.node.background)
-	started := &enginePoll{end: cancel}
+	started := &enginePoll{cancel: cancel}
 	c.polls[poll.Replica.ID] = started
 	c.node.work.Go(func() { c.node.pollEngine(ctx, started, poll.Replica, poll.Gate.(*gate.Gate)) })
 }
 
 func (c *controller) stopPoll(id port.ReplicaID) {
-	if held := c.polls[id]; held != nil {
-		held.end()
+	if poll := c.polls[id]; poll != nil {
+		poll.cancel()
 		delete(c.polls, id)
 	}
 }
 
-// pacePolls sets the time between two polls of each engine.
-func (c *controller) pacePolls(now time.Time) {
-	for id, held := range c.polls {
-		held.interval.Store(int64(c.state.PollInterval(now, id)))
+// updatePollIntervals sets the poll interval of each engine.
+func (c *controller) updatePollIntervals(now time.Time) {
+	for id, poll := range c.polls {
+		poll.interval.Store(int64(c.state.PollInterval(now, id)))
 	}
 }
 
@@ -60,16 +59,17 @@
 	}
 }
 
-// pollEngine asks an engine for its load and cache events until ctx ends. It
-// looks at the least interval whether to, so that a shorter pace holds at once.
+// pollEngine polls an engine's load and cache events until ctx ends. It checks at the
+// min interval whether a poll is due, so that a shorter interval takes effect
+// immediately.
 func (n *Node) pollEngine(ctx context.Context, poll *enginePoll, replica port.Replica, owned *gate.Gate) {
 	engine := n.backEnds.engine(replica.Address)
-	look := n.config.Intervals.Load
-	ticker := time.NewTicker(look)
+	minInterval := n.config.Intervals.Load
+	ticker := time.NewTicker(minInterval)
 	defer ticker.Stop()
 	var polled time.Time
 	for {
-		if now := time.Now(); home.PollDue(now.Sub(polled), time.Duration(poll.interval.Load()), look) {
+		if now := time.Now(); home.PollDue(now.Sub(polled), time.Duration(poll.interval.Load()), minInterval) {
 			polled = now
 			n.pollOnce(ctx, engine, replica.ID, owned)
 		}
@@ -82,10 +82,10 @@
 }
 
 func (n *Node) pollOnce(ctx context.Context, engine port.Engine, replica port.ReplicaID, owned *gate.Gate) {
-	asking, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
 	defer cancel()
 	askedAt := time.Now()
-	report, err := engine.Load(asking)
+	report, err := engine.Load(callCtx)
 	if ctx.Err() != nil {
 		return
 	}
@@ -93,18 +93,18 @@
 	if err != nil {
 		return
 	}
-	events, gap, err := engine.CacheEvents(asking, owned.NextCacheEvent(replica))
+	events, gap, err := engine.CacheEvents(callCtx, owned.NextCacheEvent(replica))
 	if err == nil {
 		owned.CacheEvents(replica, events, gap)
 	}
 }
 
-// outcomesTaken brings the outcomes of calls to replicas of this home.
-type outcomesTaken struct{ outcomes []nodestate.CallOutcome }
+// outcomesMessage carries the outcomes of calls to replicas of this home.
+type outcomesMessage struct{ outcomes []nodestate.CallOutcome }
 
-func (e outcomesTaken) apply(c *controller, now time.Time) { c.state.HandleOutcomes(now, e.outcomes) }
+func (e outcomesMessage) apply(c *controller, now time.Time) { c.state.HandleOutcomes(now, e.outcomes) }
 
-// callEnded is the end of an application call made by this node.
+// callEnded is the outcome of an application call made by this node.
 type callEnded struct{ outcome nodestate.CallOutcome }
 
 func (e callEnded) apply(c *controller, now time.Time) { c.state.HandleCallOutcome(now, e.outcome) }
--- a/internal/app/node/keyed.go
+++ b/internal/app/node/keyed.go
@@ -14,24 +14,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Request keys are remembered by the first three nodes of a key's rendezvous
-// ranking. The first one runs the request; an unsafe request runs only after a
-// second of the three has noted the key. Any two nodes that come to act as the
-// first therefore share a third that tells one of them of the other.
+// Request keys are stored by the first three nodes of a key's rendezvous ranking. The
+// first one runs the request; an unsafe request runs only after a second of the three
+// has recorded the key. Any two nodes that both act as the first therefore share a
+// third one, which reports the earlier claim to the later claimant.
 const (
 	keyNodes = 3
-	// keyWitnesses is the number of other nodes that note an unsafe request.
+	// keyWitnesses is the number of other nodes that record an unsafe request.
 	keyWitnesses = 1
-	// maxKeptBody bounds the body of a remembered answer, in bytes.
-	maxKeptBody = 16 << 10
+	// maxStoredBody limits the body of a stored response, in bytes.
+	maxStoredBody = 16 << 10
 )
 
-// keyName gives the name under which a request's key is remembered.
+// keyName returns the name under which a request's key is stored.
 func keyName(request *port.ApplicationRequest) string {
 	return strings.Join([]string{string(request.Tenant), string(request.Pool), request.Key}, "\x00")
 }
 
-// fingerprint tells requests apart that must not share a key.
+// fingerprint distinguishes different requests that use the same key.
 func fingerprint(request *port.ApplicationRequest) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{request.Method, request.Path, string(request.Body)} {
@@ -41,8 +41,8 @@
 	return digest.Sum64()
 }
 
-// rank gives the nodes that remember a key, first one first.
-func rank(current *nodestate.Snapshot, key string) []port.NodeAddress {
+// rankNodes returns the nodes that store a key, highest rank first.
+func rankNodes(current *nodestate.Snapshot, key string) []port.NodeAddress {
 	var ids []port.NodeID
 	for id, node := range current.Nodes {
 		if !node.Draining {
@@ -71,45 +71,45 @@
 	return kept
 }
 
-// callKeyed serves an application call with a request key: it goes to the node
-// that remembers the key, or to the next one where that one can't be reached.
+// callKeyed serves an application call with a request key. It runs on the highest-ranked
+// node of the key that can be reached, or here if there is none.
 func (n *Node) callKeyed(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, *port.Error) {
-	ranked := rank(n.snapshot.Load(), keyName(&request))
+	ranked := rankNodes(n.snapshot.Load(), keyName(&request))
 	for _, node := range ranked {
 		if node.ID == n.config.ID {
 			return n.runKeyed(ctx, request)
 		}
 		var response port.ApplicationResponse
 		failure := n.peers.call(ctx, node.PeerAddress, methodApplication, applicationCall{request}, &response)
-		elsewhere := failure != nil && failure.Verdict == port.NotRun &&
+		tryNext := failure != nil && failure.Verdict == port.NotRun &&
 			(failure.Code == port.CodeUnavailable || failure.Code == port.CodeDraining)
-		if !elsewhere {
+		if !tryNext {
 			return response, failure
 		}
 	}
 	return n.runKeyed(ctx, request)
 }
 
-// runKeyed runs a request with a key at most once while the key is remembered.
+// runKeyed runs a request with a key at most once while the key is stored.
 func (n *Node) runKeyed(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, *port.Error) {
-	key, print := keyName(&request), fingerprint(&request)
-	attempt, first, err := n.keys.Begin(key, print, time.Now())
+	key, digest := keyName(&request), fingerprint(&request)
+	attempt, first, err := n.keys.Begin(key, digest, time.Now())
 	if err != nil {
 		return port.ApplicationResponse{}, keyError(err)
 	}
 	if !first {
 		return n.joinKeyed(ctx, attempt, &request)
 	}
-	witness, outcome := n.claim(ctx, &request, key, print)
+	witness, outcome := n.claim(ctx, &request, key, digest)
 	if outcome == nil {
 		outcome = n.runFirst(ctx, request)
 	}
-	n.settleKey(attempt, witness, key, print, *outcome)
+	n.finishKeyed(attempt, witness, key, digest, *outcome)
 	return outcome.Response, outcome.Error
 }
 
-// runFirst runs the one attempt. It goes on when its caller gives up, since
-// others may have joined it.
+// runFirst runs the only attempt. It continues if its caller cancels, since other
+// callers may have joined it.
 func (n *Node) runFirst(ctx context.Context, request port.ApplicationRequest) *keyOutcome {
 	var cancel context.CancelFunc
 	deadline, set := ctx.Deadline()
@@ -139,21 +139,21 @@
 	}
 }
 
-// claim notes an unsafe request at a second node before it runs. An outcome
-// means that the request must not run: another attempt is known there, or too
-// few nodes could note it.
-func (n *Node) claim(ctx context.Context, request *port.ApplicationRequest, key string, print uint64) (witness *port.NodeAddress, outcome *keyOutcome) {
+// claim records an unsafe request at a second node before it runs. If it returns an
+// outcome, the request must not run: the witness knows another attempt, or no second
+// node recorded the key.
+func (n *Node) claim(ctx context.Context, request *port.ApplicationRequest, key string, digest uint64) (witness *port.NodeAddress, outcome *keyOutcome) {
 	if request.Safe {
 		return nil, nil
 	}
-	ranked := rank(n.snapshot.Load(), key)
+	ranked := rankNodes(n.snapshot.Load(), key)
 	needed := min(keyWitnesses, len(ranked)-1)
 	for _, node := range ranked {
 		if node.ID == n.config.ID || needed <= 0 {
 			continue
 		}
 		var answer claimAnswer
-		if n.peers.call(ctx, node.PeerAddress, methodClaimKey, claimCall{Key: key, Fingerprint: print}, &answer) != nil {
+		if n.peers.call(ctx, node.PeerAddress, methodClaimKey, claimCall{Key: key, Fingerprint: digest}, &answer) != nil {
 			continue
 		}
 		if !answer.Fresh {
@@ -162,46 +162,46 @@
 		return &node, nil
 	}
 	if needed > 0 {
-		refusal := port.NewError(port.NotRun, port.CodeUnavailable, "no second node could note the request key")
+		refusal := port.NewError(port.NotRun, port.CodeUnavailable, "no second node could record the request key")
 		refusal.RetryAfter = time.Second
 		return nil, &keyOutcome{Error: refusal}
 	}
 	return nil, nil
 }
 
-// settleKey keeps the outcome here and tells the witness. A request that did not
-// run leaves no trace.
-func (n *Node) settleKey(attempt *requestkeys.Attempt[keyOutcome], witness *port.NodeAddress, key string, print uint64, outcome keyOutcome) {
+// finishKeyed stores the outcome here and sends it to the witness. The key of a request
+// that did not run is removed.
+func (n *Node) finishKeyed(attempt *requestkeys.Attempt[keyOutcome], witness *port.NodeAddress, key string, digest uint64, outcome keyOutcome) {
 	notRun := outcome.Error != nil && outcome.Error.Verdict == port.NotRun
 	if notRun {
 		attempt.Forget(outcome)
 	} else {
-		attempt.Finish(kept(outcome), time.Now())
+		attempt.Finish(storedOutcome(outcome), time.Now())
 	}
 	if witness == nil {
 		return
 	}
-	told := claimCall{Key: key, Fingerprint: print, Forget: notRun}
+	update := claimCall{Key: key, Fingerprint: digest, Forget: notRun}
 	if !notRun {
-		short := kept(outcome)
-		told.Outcome = &short
+		stored := storedOutcome(outcome)
+		update.Outcome = &stored
 	}
 	address := witness.PeerAddress
 	n.spawn(func(ctx context.Context) {
-		_ = n.peers.call(ctx, address, methodClaimKey, told, &claimAnswer{})
+		_ = n.peers.call(ctx, address, methodClaimKey, update, &claimAnswer{})
 	})
 }
 
-// kept gives the outcome as it is remembered: without a body that is too large.
-func kept(outcome keyOutcome) keyOutcome {
-	if len(outcome.Response.Body) <= maxKeptBody {
+// storedOutcome returns the outcome to store, without a body that is too large.
+func storedOutcome(outcome keyOutcome) keyOutcome {
+	if len(outcome.Response.Body) <= maxStoredBody {
 		return outcome
 	}
-	return keyOutcome{Error: port.NewError(port.Ran, port.CodeTooLarge, "the request ran; its answer was too large to keep")}
+	return keyOutcome{Error: port.NewError(port.Ran, port.CodeTooLarge, "the request ran; its answer was too large to store")}
 }
 
-// noteClaim is the witness's side of claim and settleKey.
-func (n *Node) noteClaim(call claimCall) (claimAnswer, *port.Error) {
+// handleClaim serves the calls of claim and finishKeyed at the witness.
+func (n *Node) handleClaim(call claimCall) (claimAnswer, *port.Error) {
 	switch {
 	case call.Forget:
 		n.keys.Drop(call.Key, call.Fingerprint)
@@ -228,7 +228,7 @@
 	}
 }
 
-// unknownOutcome is what a witness says while it hasn't heard of the outcome.
+// unknownOutcome is the witness's outcome of a key until it receives the real one.
 func unknownOutcome() keyOutcome {
 	return keyOutcome{Error: port.NewError(port.MayHaveRun, port.CodeUnavailable,
 		"a request with this key was started elsewhere and its outcome isn't known")}
--- a/internal/app/node/machines.go
+++ b/internal/app/node/machines.go
@@ -10,26 +10,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// machinesTold is what a poller of the machine list tells.
-type machinesTold struct{ message nodestate.MachinesMessage }
+// machinesMessage carries the machine list as a node polled it.
+type machinesMessage struct{ message nodestate.MachinesMessage }
 
-func (e machinesTold) apply(c *controller, now time.Time) {
+func (e machinesMessage) apply(c *controller, now time.Time) {
 	c.state.HandleMachines(now, e.message)
-	c.node.machinesHeard.Store(now.UnixNano())
+	c.node.machinesReceivedAt.Store(now.UnixNano())
 }
 
-// pollMachines asks the machine list while this node has to, and tells the zone.
+// pollMachines polls the machine list while this node has to, and sends it to the zone.
 func (n *Node) pollMachines(ctx context.Context) {
 	interval := n.config.Intervals.MachineList
 	ticker := time.NewTicker(nodestate.MachinePollCheckInterval(interval))
 	defer ticker.Stop()
-	var asked time.Time
+	var polled time.Time
 	for {
 		now, current := time.Now(), n.snapshot.Load()
-		heard := time.Unix(0, n.machinesHeard.Load())
+		received := time.Unix(0, n.machinesReceivedAt.Load())
 		base := current.View.Configuration.MachineList
-		if base != "" && nodestate.ShouldPollMachines(now, interval, current.ZoneNodes, n.config.ID, asked, heard) {
-			asked = now
+		if base != "" && nodestate.ShouldPollMachines(now, interval, current.ZoneNodes, n.config.ID, polled, received) {
+			polled = now
 			n.pollMachinesOnce(ctx, base)
 		}
 		select {
@@ -41,20 +41,20 @@
 }
 
 func (n *Node) pollMachinesOnce(ctx context.Context, base string) {
-	asking, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
 	defer cancel()
-	machines, err := services.NewMachineList(n.backEnds.control, base, 0).Machines(asking)
+	machines, err := services.NewMachineList(n.backEnds.control, base, 0).Machines(callCtx)
 	if err != nil {
 		return
 	}
 	message := nodestate.MachinesMessage{Node: n.config.ID, Leaving: home.FilterLeaving(machines)}
-	n.post(machinesTold{message})
+	n.post(machinesMessage{message})
 	for _, node := range n.zonePeers() {
 		n.peers.send(node.PeerAddress, methodMachines, message)
 	}
 }
 
-// zonePeers lists the other live nodes of the zone.
+// zonePeers returns the other live nodes of the zone.
 func (n *Node) zonePeers() []port.NodeAddress {
 	current := n.snapshot.Load()
 	var peers []port.NodeAddress
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -19,7 +19,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// spoolSync paces the syncs of the decision spool.
+// spoolSync is the sync interval of the decision spool.
 const spoolSync = 200 * time.Millisecond
 
 // Node is a running node.
@@ -28,27 +28,27 @@
 	httpAddress string
 	peerAddress string
 
-	peers    *peers
-	server   *wire.Server
-	web      *httpapi.Server
-	metrics  *metrics.Node
-	backEnds *backEnds
-	recorder *recorder
-	counters *counterTable[port.ReplicaID]
-	crossing *counterTable[nodestate.ZonePool]
-	keys     *requestkeys.Memory[keyOutcome]
-	budgets  *budgetTable
-	chooser  *chooser
-	sampling *samplingManager
-
-	snapshot       atomic.Pointer[nodestate.Snapshot]
-	confirmedUntil atomic.Int64
-	machinesHeard  atomic.Int64
-	reporting      atomic.Bool
-	serving        atomic.Pointer[[]port.ServingCount]
-	dropped        atomic.Uint64
-	events         chan event
-	rewatch        chan uint64
+	peers           *peers
+	server          *wire.Server
+	web             *httpapi.Server
+	metrics         *metrics.Node
+	backEnds        *backEnds
+	recorder        *recorder
+	replicaCounters *counterTable[port.ReplicaID]
+	zoneCounters    *counterTable[nodestate.ZonePool]
+	keys            *requestkeys.Memory[keyOutcome]
+	budgets         *budgetTable
+	chooser         *chooser
+	sampling        *samplingManager
+
+	snapshot           atomic.Pointer[nodestate.Snapshot]
+	confirmedUntil     atomic.Int64
+	machinesReceivedAt atomic.Int64
+	reporting          atomic.Bool
+	serving            atomic.Pointer[[]port.ServingCount]
+	dropped            atomic.Uint64
+	events             chan event
+	rewatch            chan uint64
 
 	background     context.Context
 	cancel         context.CancelFunc
@@ -59,8 +59,8 @@
 	closeOnce      sync.Once
 }
 
-// Start starts a node on its listeners. The node serves callers as soon as it
-// has seen a view of the configuration; Ready tells.
+// Start starts a node on its listeners. Ready reports when the node has received a
+// configuration and serves callers.
 func Start(_ context.Context, config Config) (*Node, error) {
 	config, err := config.normalized()
 	if err != nil {
@@ -104,25 +104,25 @@
 	background, cancel := context.WithCancel(context.Background())
 	options := wire.Options{ClusterID: config.ClusterID, Token: config.PeerToken, Name: string(config.ID)}
 	n := &Node{
-		config:         config,
-		httpAddress:    config.HTTPListener.Addr().String(),
-		peerAddress:    config.PeerListener.Addr().String(),
-		peers:          newPeers(options),
-		server:         wire.NewServer(options),
-		backEnds:       newBackEnds(),
-		recorder:       newRecorder(config.ID, config.Limits.Decisions, time.Now()),
-		counters:       newCounterTable[port.ReplicaID](),
-		crossing:       newCounterTable[nodestate.ZonePool](),
-		keys:           requestkeys.New[keyOutcome](config.Intervals.KeyMemory, config.Limits.Keys),
-		budgets:        newBudgetTable(config.Seed),
-		chooser:        newChooser(config.Seed),
-		events:         make(chan event, config.Limits.Events),
-		rewatch:        make(chan uint64, 1),
-		background:     background,
-		cancel:         cancel,
-		stopped:        make(chan struct{}),
-		controllerDone: make(chan struct{}),
-		traffic:        newTraffic(),
+		config:          config,
+		httpAddress:     config.HTTPListener.Addr().String(),
+		peerAddress:     config.PeerListener.Addr().String(),
+		peers:           newPeers(options),
+		server:          wire.NewServer(options),
+		backEnds:        newBackEnds(),
+		recorder:        newRecorder(config.ID, config.Limits.Decisions, time.Now()),
+		replicaCounters: newCounterTable[port.ReplicaID](),
+		zoneCounters:    newCounterTable[nodestate.ZonePool](),
+		keys:            requestkeys.New[keyOutcome](config.Intervals.KeyMemory, config.Limits.Keys),
+		budgets:         newBudgetTable(config.Seed),
+		chooser:         newChooser(config.Seed),
+		events:          make(chan event, config.Limits.Events),
+		rewatch:         make(chan uint64, 1),
+		background:      background,
+		cancel:          cancel,
+		stopped:         make(chan struct{}),
+		controllerDone:  make(chan struct{}),
+		traffic:         newTraffic(),
 	}
 	n.sampling = newSamplingManager(n)
 	n.metrics = metrics.NewNode()
@@ -132,12 +132,12 @@
 	return n
 }
 
-// openSpool loads the decisions of earlier runs where a data folder is given.
+// openSpool loads the decisions of earlier runs if there is a data folder.
 func (n *Node) openSpool() error {
 	if n.config.DataFolder == "" {
 		return nil
 	}
-	kept, decisions, err := spool.Open(spool.Options{
+	opened, decisions, err := spool.Open(spool.Options{
 		Folder:    filepath.Join(n.config.DataFolder, "decisions"),
 		MaxBytes:  n.config.Limits.SpoolBytes,
 		SyncEvery: spoolSync,
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	n.recorder.useSpool(kept, decisions)
+	n.recorder.useSpool(opened, decisions)
 	return nil
 }
 
@@ -154,17 +154,17 @@
 	_ = n.config.PeerListener.Close()
 }
 
-// HTTPAddress gives IP:port where the node serves callers.
+// HTTPAddress returns the IP:port on which the node serves callers.
 func (n *Node) HTTPAddress() string { return n.httpAddress }
 
-// PeerAddress gives IP:port where the node serves its peers.
+// PeerAddress returns the IP:port on which the node serves its peers.
 func (n *Node) PeerAddress() string { return n.peerAddress }
 
-// ID gives the node's id.
+// ID returns the node's id.
 func (n *Node) ID() port.NodeID { return n.config.ID }
 
-// post hands an event to the control goroutine; one too many is dropped and
-// counted. For news that comes again.
+// post queues an event for the control goroutine. If the queue is full, the event is
+// dropped and counted; use post only for events that are repeated.
 func (n *Node) post(next event) {
 	select {
 	case n.events <- next:
@@ -173,7 +173,7 @@
 	}
 }
 
-// postWaiting hands over an event that must not be lost.
+// postWaiting queues an event that must not be lost.
 func (n *Node) postWaiting(next event) {
 	select {
 	case n.events <- next:
@@ -181,9 +181,9 @@
 	}
 }
 
-// Drain stops the node as planned: it refuses new requests as not run, tells its
-// peers, finishes what is in flight, gives its leases back and stops. When ctx
-// ends first, what is left is cut off and ctx's error is returned.
+// Drain stops the node gracefully: it refuses new requests as not run, notifies its
+// peers, finishes the requests in flight, releases its leases and stops. If ctx ends
+// first, the remaining requests are cut off and ctx's error is returned.
 func (n *Node) Drain(ctx context.Context) error {
 	n.web.Drain()
 	n.traffic.drain()
@@ -196,7 +196,7 @@
 	return err
 }
 
-// Close stops the node at once; what is in flight is cut off.
+// Close stops the node immediately and cuts off the requests in flight.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() {
 		n.traffic.drain()
@@ -207,14 +207,14 @@
 		n.waitForTraffic()
 		n.sampling.wait()
 		n.peers.close()
-		<-n.controllerDone // it starts work as long as it runs
+		<-n.controllerDone // the controller starts work until it ends
 		n.work.Wait()
 		n.backEnds.close()
 		n.recorder.close()
 	})
 }
 
-// closeWait bounds the wait for requests that were cut off to end.
+// closeWait limits the wait for the requests that were cut off.
 const closeWait = 5 * time.Second
 
 func (n *Node) waitForTraffic() {
--- a/internal/app/node/node_test.go
+++ b/internal/app/node/node_test.go
@@ -11,38 +11,38 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func call(under interface {
+func call(n interface {
 	Application(context.Context, port.ApplicationRequest) (port.ApplicationResponse, error)
 }, name string, safe bool) (port.ApplicationResponse, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	return under.Application(ctx, port.ApplicationRequest{
+	return n.Application(ctx, port.ApplicationRequest{
 		Pool: "pages", Method: "POST", Path: "/read?" + standin.QueryCall + "=" + name, Safe: safe,
 	})
 }
 
 func TestApplicationCall(t *testing.T) {
 	fleet := newFleet(t)
-	back := startApplication(t)
-	fleet.control.configure(t, port.Edit{PutPool: pool("pages", port.PoolApplication)}, replica("p1", "pages", "z1", back.Addr()))
+	backEnd := startApplication(t)
+	fleet.control.configure(t, port.Edit{PutPool: pool("pages", port.PoolApplication)}, replica("p1", "pages", "z1", backEnd.Addr()))
 	first := fleet.start("n1", "z1")
 	fleet.waitForNodes()
 	response, err := call(first, "one", true)
 	if err != nil || response.Status != 200 {
 		t.Fatalf("status %d, error %v", response.Status, err)
 	}
-	if runs := len(back.Observations().Executions); runs != 1 {
+	if runs := len(backEnd.Observations().Executions); runs != 1 {
 		t.Errorf("%d runs", runs)
 	}
 }
 
-// complete generates one completion and gives its text and token count.
-func complete(under interface {
+// complete generates one completion and returns its text and token count.
+func complete(n interface {
 	Generate(context.Context, port.GenerateRequest, func(port.GenerateChunk) error) error
 }, prompt string, safe bool) (text string, tokens int, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	err = under.Generate(ctx, port.GenerateRequest{Pool: "lm", Prompt: prompt, MaxTokens: 200, Safe: safe},
+	err = n.Generate(ctx, port.GenerateRequest{Pool: "lm", Prompt: prompt, MaxTokens: 200, Safe: safe},
 		func(chunk port.GenerateChunk) error {
 			text += chunk.Text
 			tokens += chunk.Tokens
@@ -86,9 +86,9 @@
 	prompts := startPrompts(t)
 	scorer := startScorer(t)
 	store := startStore(t)
-	made := pool("lm", port.PoolGeneration)
-	made.Sampling = sampling(prompts.URL(), scorer.URL(), store.URL())
-	edits := []port.Edit{{PutPool: made}}
+	sampled := pool("lm", port.PoolGeneration)
+	sampled.Sampling = sampling(prompts.URL(), scorer.URL(), store.URL())
+	edits := []port.Edit{{PutPool: sampled}}
 	for number := range 2 {
 		edits = append(edits, replica(port.ReplicaID(fmt.Sprintf("e%d", number)), "lm", "z1", startEngine(t).Addr()))
 	}
@@ -103,11 +103,11 @@
 		trainer.train(port.BatchNumber(number + 1))
 		trainer.publish(port.WeightVersion(number + 2))
 	}
-	trainer.check(3 * made.Sampling.BatchSamples)
+	trainer.check(3 * sampled.Sampling.BatchSamples)
 }
 
-// A node that knows the others but no configuration refuses every call, and must
-// not tell that it is ready.
+// A node that knows the others but has no configuration refuses every call and must
+// not report that it is ready.
 func TestReadyOnlyWithAConfiguration(t *testing.T) {
 	fleet := newFleet(t)
 	started := fleet.start("n1", "z1")
@@ -119,16 +119,15 @@
 	eventually(t, "the node to be ready", started.Ready)
 }
 
-// TestANodeThatIsClosedStartsNoMoreWork: the control goroutine starts reports and polls as long
-// as it runs. Closing waited for such work first and for that goroutine after it, so that work
-// could begin that nobody waited for; the race detector showed it in a fleet under load.
+// Close must wait for the control goroutine first, and then for the work that it
+// started. The race detector reports a violation.
 func TestANodeThatIsClosedStartsNoMoreWork(t *testing.T) {
-	made := newFleet(t)
-	made.control.configure(t, port.Edit{PutPool: pool("app", port.PoolApplication)})
+	f := newFleet(t)
+	f.control.configure(t, port.Edit{PutPool: pool("app", port.PoolApplication)})
 	for range 40 {
 		started, err := node.Start(context.Background(), node.Config{
 			ID: "n0", Zone: "z1", HTTPAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-			Control: &controlHandle{control: made.control}, Seed: 1,
+			Control: &controlHandle{control: f.control}, Seed: 1,
 			Intervals: node.Intervals{Tick: 100 * time.Microsecond, Report: 100 * time.Microsecond},
 		})
 		if err != nil {
--- a/internal/app/node/peers.go
+++ b/internal/app/node/peers.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// peers keeps one client for each peer address.
+// peers caches one client per peer address.
 type peers struct {
 	options wire.Options
 	mutex   sync.Mutex
@@ -20,7 +20,7 @@
 	return &peers{options: options, clients: make(map[string]*wire.Client)}
 }
 
-// client gives the client of a peer address.
+// client returns the client of a peer address.
 func (p *peers) client(address string) *wire.Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -35,7 +35,7 @@
 	return known
 }
 
-// call asks a peer and waits for the answer.
+// call calls a peer and waits for the answer.
 func (p *peers) call(ctx context.Context, address, method string, request, response any) *port.Error {
 	return port.AsError(p.client(address).Call(ctx, method, request, response))
 }
--- a/internal/app/node/poolstate.go
+++ b/internal/app/node/poolstate.go
@@ -11,21 +11,21 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// statesPolled brings the state of the pool's replicas.
+// statesPolled is the polled state of the pool's replicas.
 type statesPolled struct{ replicas []nodestate.ReplicaState }
 
 func (e statesPolled) apply(w *poolWorker, now time.Time) {
 	w.carryOut(w.machine.StatesPolled(now, e.replicas))
 }
 
-// askHomes asks the homes of an engine pool for their replicas.
-func (w *poolWorker) askHomes(action poolworker.PollHomes) {
+// pollHomes polls the homes of an engine pool for the state of their replicas.
+func (w *poolWorker) pollHomes(action poolworker.PollHomes) {
 	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Excluded: action.Excluded}
 	w.post(statesPolled{w.node.poolStates(w.ctx, call)})
 }
 
-// poolStates asks every home of a pool's replicas. Replicas whose home doesn't
-// answer come back as not reachable.
+// poolStates polls every home of a pool's replicas. Replicas whose home does not
+// answer are returned as not reachable.
 func (n *Node) poolStates(ctx context.Context, call nodestate.PoolStateCall) []nodestate.ReplicaState {
 	homes := make(map[port.NodeID]port.NodeAddress)
 	known := make(map[port.ReplicaID]nodestate.ReplicaState)
@@ -39,10 +39,10 @@
 		}
 	}
 	var mutex sync.Mutex
-	var asking sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, home := range homes {
-		asking.Go(func() {
-			answer := n.askPoolState(ctx, home, call)
+		calls.Go(func() {
+			answer := n.requestPoolState(ctx, home, call)
 			mutex.Lock()
 			defer mutex.Unlock()
 			for _, state := range answer.Replicas {
@@ -52,7 +52,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 	states := make([]nodestate.ReplicaState, 0, len(known))
 	for _, state := range known {
 		states = append(states, state)
@@ -60,7 +60,7 @@
 	return states
 }
 
-func (n *Node) askPoolState(ctx context.Context, home port.NodeAddress, call nodestate.PoolStateCall) nodestate.PoolStateAnswer {
+func (n *Node) requestPoolState(ctx context.Context, home port.NodeAddress, call nodestate.PoolStateCall) nodestate.PoolStateAnswer {
 	ctx, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
 	defer cancel()
 	if home.ID == n.config.ID {
@@ -71,10 +71,10 @@
 	return answer
 }
 
-// servePoolState answers for the replicas that this node is the home of.
+// servePoolState returns the state of the replicas whose home is this node.
 func (n *Node) servePoolState(ctx context.Context, call nodestate.PoolStateCall) nodestate.PoolStateAnswer {
 	reply := make(chan nodestate.PoolStateAnswer, 1)
-	n.postWaiting(stateAsked{call: call, reply: reply})
+	n.postWaiting(poolStateRequest{call: call, reply: reply})
 	select {
 	case answer := <-reply:
 		return answer
@@ -84,12 +84,12 @@
 	return nodestate.PoolStateAnswer{}
 }
 
-// stateAsked asks the control goroutine for the state of a pool's replicas.
-type stateAsked struct {
+// poolStateRequest requests the state of a pool's replicas from the control goroutine.
+type poolStateRequest struct {
 	call  nodestate.PoolStateCall
 	reply chan nodestate.PoolStateAnswer
 }
 
-func (e stateAsked) apply(c *controller, now time.Time) {
+func (e poolStateRequest) apply(c *controller, now time.Time) {
 	e.reply <- c.state.PoolState(now, e.call)
 }
--- a/internal/app/node/poolworker.go
+++ b/internal/app/node/poolworker.go
@@ -15,30 +15,30 @@
 	workerEvents = 1024
 )
 
-// poolWorker coordinates one pool under its lease. One goroutine, run, owns its
-// state; it isn't the node's control goroutine, since a policy program may take
-// many milliseconds of a core.
+// poolWorker coordinates one pool under its lease. One goroutine, run, owns its state.
+// It is separate from the node's control goroutine, since a policy program may use many
+// milliseconds of CPU time.
 type poolWorker struct {
 	node    *Node
 	pool    port.PoolName
 	machine *poolworker.Worker
 
-	// events brings the outcomes of actions, and closed ends with the worker.
-	events chan workerEvent
-	closed chan struct{}
-	ctx    context.Context
-	cancel context.CancelFunc
-	drains chan struct{}
-	once   sync.Once
-	// tasks are the goroutines of actions.
+	// events carries the outcomes of actions; closed is closed when the worker ends.
+	events         chan workerEvent
+	closed         chan struct{}
+	ctx            context.Context
+	cancel         context.CancelFunc
+	drainRequested chan struct{}
+	drainOnce      sync.Once
+	// tasks counts the goroutines of actions.
 	tasks sync.WaitGroup
 
-	attempts  map[attemptKey]*sampleRun
-	questions map[uint64]chan answer
-	tokens    atomic.Uint64
+	attempts        map[attemptKey]*sampleRun
+	pendingRequests map[uint64]chan batchReply
+	tokens          atomic.Uint64
 }
 
-// workerEvent is something that the worker's goroutine takes in.
+// workerEvent is an input of the worker's goroutine.
 type workerEvent interface {
 	apply(worker *poolWorker, now time.Time)
 }
@@ -46,22 +46,22 @@
 func newPoolWorker(node *Node, pool port.PoolName) *poolWorker {
 	ctx, cancel := context.WithCancel(node.background)
 	return &poolWorker{
-		node:      node,
-		pool:      pool,
-		events:    make(chan workerEvent, workerEvents),
-		closed:    make(chan struct{}),
-		ctx:       ctx,
-		cancel:    cancel,
-		drains:    make(chan struct{}),
-		attempts:  make(map[attemptKey]*sampleRun),
-		questions: make(map[uint64]chan answer),
+		node:            node,
+		pool:            pool,
+		events:          make(chan workerEvent, workerEvents),
+		closed:          make(chan struct{}),
+		ctx:             ctx,
+		cancel:          cancel,
+		drainRequested:  make(chan struct{}),
+		attempts:        make(map[attemptKey]*sampleRun),
+		pendingRequests: make(map[uint64]chan batchReply),
 	}
 }
 
-// view gives the node's present view.
+// view returns the node's current view.
 func (w *poolWorker) view() *port.View { return w.node.snapshot.Load().View }
 
-// run acquires the lease, and coordinates until it is lost or given back.
+// run acquires the lease, and coordinates until the lease is lost or released.
 func (w *poolWorker) run() {
 	defer w.end()
 	intervals := &w.node.config.Intervals
@@ -73,15 +73,15 @@
 	w.carryOut(actions)
 	ticker := time.NewTicker(workerTick)
 	defer ticker.Stop()
-	drains := w.drains
+	drainRequested := w.drainRequested
 	for !machine.Ended() {
 		select {
 		case next := <-w.events:
 			next.apply(w, time.Now())
 		case now := <-ticker.C:
 			w.carryOut(machine.Tick(now, w.view()))
-		case <-drains:
-			drains = nil
+		case <-drainRequested:
+			drainRequested = nil
 			w.carryOut(machine.Drain(time.Now()))
 		case <-w.ctx.Done():
 			w.carryOut(machine.Stop(time.Now()))
@@ -89,18 +89,18 @@
 	}
 }
 
-// end answers what is left and cancels what runs.
+// end cancels the running actions and answers the pending requests.
 func (w *poolWorker) end() {
 	w.cancel()
 	close(w.closed)
 	w.tasks.Wait()
-	for token, question := range w.questions {
-		question <- answer{err: notCoordinator(w.pool)}
-		delete(w.questions, token)
+	for token, reply := range w.pendingRequests {
+		reply <- batchReply{err: noCoordinatorError(w.pool)}
+		delete(w.pendingRequests, token)
 	}
 }
 
-// post hands the outcome of an action to the worker's goroutine.
+// post queues the outcome of an action for the worker's goroutine.
 func (w *poolWorker) post(next workerEvent) {
 	select {
 	case w.events <- next:
@@ -108,5 +108,5 @@
 	}
 }
 
-// drain asks the worker to give its lease back.
-func (w *poolWorker) drain() { w.once.Do(func() { close(w.drains) }) }
+// drain requests the worker to release its lease.
+func (w *poolWorker) drain() { w.drainOnce.Do(func() { close(w.drainRequested) }) }
--- a/internal/app/node/publications.go
+++ b/internal/app/node/publications.go
@@ -8,74 +8,74 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// publicationTimeout bounds telling the coordinator of a publication, which waits for
-// it. One that does not answer is not in touch, and the publication goes on.
+// publicationTimeout limits the notification of the coordinator, which delays the
+// publication. The publication continues without a coordinator that does not answer.
 const publicationTimeout = 250 * time.Millisecond
 
-// publicationTold brings the news of a publication to the coordinator.
-type publicationTold struct {
-	news publicationCall
-	done chan struct{}
+// publicationNotice passes a publicationCall to the coordinator.
+type publicationNotice struct {
+	call    publicationCall
+	applied chan struct{}
 }
 
-func (e publicationTold) apply(w *poolWorker, now time.Time) {
-	if e.news.Ended {
-		w.step(now, coordinator.PublicationEnded{Version: e.news.Version, Published: e.news.Published})
+func (e publicationNotice) apply(w *poolWorker, now time.Time) {
+	if e.call.Ended {
+		w.step(now, coordinator.PublicationEnded{Version: e.call.Version, Published: e.call.Published})
 	} else {
-		w.step(now, coordinator.PublicationBegun{Version: e.news.Version})
+		w.step(now, coordinator.PublicationBegun{Version: e.call.Version})
 	}
-	close(e.done)
+	close(e.applied)
 }
 
-// tellCoordinator tells the pool's coordinator, here or at another node, of a
-// publication and waits until it knows, also if the publisher left. Without a
-// coordinator there is nothing to tell.
-func (n *Node) tellCoordinator(ctx context.Context, news publicationCall) {
+// notifyCoordinator notifies the pool's coordinator, on this or another node, of a
+// publication, and waits for the acknowledgement even if the publisher cancels. It does
+// nothing if the pool has no coordinator.
+func (n *Node) notifyCoordinator(ctx context.Context, call publicationCall) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), publicationTimeout)
 	defer cancel()
-	if failure := n.sendToCoordinator(ctx, news); failure != nil {
-		n.config.Logger.Warn().Str("pool", string(news.Pool)).Uint64("version", uint64(news.Version)).Bool("ended", news.Ended).
-			Err(failure).Msg("the pool's coordinator was not told of a publication")
+	if failure := n.sendToCoordinator(ctx, call); failure != nil {
+		n.config.Logger.Warn().Str("pool", string(call.Pool)).Uint64("version", uint64(call.Version)).Bool("ended", call.Ended).
+			Err(failure).Msg("failed to notify the pool's coordinator of a publication")
 	}
 }
 
-func (n *Node) sendToCoordinator(ctx context.Context, news publicationCall) *port.Error {
-	if worker := n.sampling.worker(news.Pool); worker != nil {
-		return worker.publication(ctx, news)
+func (n *Node) sendToCoordinator(ctx context.Context, call publicationCall) *port.Error {
+	if worker := n.sampling.worker(call.Pool); worker != nil {
+		return worker.notifyPublication(ctx, call)
 	}
-	holder, known := n.coordinatorOf(news.Pool)
+	holder, known := n.coordinatorOf(call.Pool)
 	if !known {
 		return nil
 	}
-	var taken publicationAnswer
-	return n.peers.call(ctx, holder.PeerAddress, methodPublication, news, &taken)
+	var answer publicationAnswer
+	return n.peers.call(ctx, holder.PeerAddress, methodPublication, call, &answer)
 }
 
-// handlePublication takes the news of a publication for the coordinator that runs here.
-func (n *Node) handlePublication(ctx context.Context, news publicationCall) (publicationAnswer, *port.Error) {
-	worker := n.sampling.worker(news.Pool)
+// handlePublication passes a publication to the coordinator that runs here.
+func (n *Node) handlePublication(ctx context.Context, call publicationCall) (publicationAnswer, *port.Error) {
+	worker := n.sampling.worker(call.Pool)
 	if worker == nil {
-		return publicationAnswer{}, notCoordinator(news.Pool)
+		return publicationAnswer{}, noCoordinatorError(call.Pool)
 	}
-	return publicationAnswer{}, worker.publication(ctx, news)
+	return publicationAnswer{}, worker.notifyPublication(ctx, call)
 }
 
-// publication hands the news of a publication to the coordinator and waits until it
-// has it.
-func (w *poolWorker) publication(ctx context.Context, news publicationCall) *port.Error {
-	told := publicationTold{news: news, done: make(chan struct{})}
+// notifyPublication passes a publication to the coordinator and waits until it has
+// applied it.
+func (w *poolWorker) notifyPublication(ctx context.Context, call publicationCall) *port.Error {
+	notice := publicationNotice{call: call, applied: make(chan struct{})}
 	select {
-	case w.events <- told:
+	case w.events <- notice:
 	case <-w.closed:
-		return notCoordinator(w.pool)
+		return noCoordinatorError(w.pool)
 	case <-ctx.Done():
 		return contextError(ctx)
 	}
 	select {
-	case <-told.done:
+	case <-notice.applied:
 		return nil
 	case <-w.closed:
-		return notCoordinator(w.pool)
+		return noCoordinatorError(w.pool)
 	case <-ctx.Done():
 		return contextError(ctx)
 	}
--- a/internal/app/node/recorder.go
+++ b/internal/app/node/recorder.go
@@ -12,49 +12,48 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// bytesPerDecision is the estimate from which the bound of records in number
-// becomes one in bytes.
+// bytesPerDecision is the estimated size of a record, which converts a limit in records
+// to one in bytes.
 const bytesPerDecision = 400
 
-// recorder keeps the node's decision records, in memory and on disk. It is safe
-// for use by many goroutines.
+// recorder stores the node's decision records, in memory and on disk. It is safe for
+// concurrent use.
 type recorder struct {
-	node  port.NodeID
-	boot  string
-	count atomic.Uint64
+	node   port.NodeID
+	bootID string
+	count  atomic.Uint64
 
 	mutex sync.Mutex
 	store *decision.Store
 	spool *spool.Spool
 }
 
-// newRecorder makes a recorder; the boot time keeps the ids of two runs of a
-// node apart.
+// newRecorder returns a recorder. The boot time distinguishes the ids of different runs
+// of a node.
 func newRecorder(node port.NodeID, records int, boot time.Time) *recorder {
 	return &recorder{
-		node:  node,
-		boot:  fmt.Sprintf("%x", boot.UnixMilli()),
-		store: decision.NewStore(records * bytesPerDecision),
+		node:   node,
+		bootID: fmt.Sprintf("%x", boot.UnixMilli()),
+		store:  decision.NewStore(records * bytesPerDecision),
 	}
 }
 
-// useSpool loads what an earlier run kept and goes on writing there.
-func (r *recorder) useSpool(kept *spool.Spool, decisions []port.Decision) {
+// useSpool adds the decisions of earlier runs, and appends further ones to the spool.
+func (r *recorder) useSpool(opened *spool.Spool, decisions []port.Decision) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.spool = kept
+	r.spool = opened
 	for _, earlier := range decisions {
 		r.store.Add(earlier)
 	}
 }
 
-// newRequestID gives r-NODE-BOOT-NUMBER, from which nodeOfRequest reads who
-// holds the records.
+// newRequestID returns r-NODE-BOOT-NUMBER; nodeOfRequest parses the node from it.
 func (r *recorder) newRequestID() port.RequestID {
-	return port.RequestID(fmt.Sprintf("r-%s-%s-%d", r.node, r.boot, r.count.Add(1)))
+	return port.RequestID(fmt.Sprintf("r-%s-%s-%d", r.node, r.bootID, r.count.Add(1)))
 }
 
-// nodeOfRequest gives the node that a request id names.
+// nodeOfRequest returns the node named by a request id.
 func nodeOfRequest(subject string) (port.NodeID, bool) {
 	body, found := strings.CutPrefix(subject, "r-")
 	if !found {
@@ -67,7 +66,7 @@
 	return port.NodeID(strings.Join(parts[:len(parts)-2], "-")), true
 }
 
-// record keeps a decision and fills in node and time where they are missing.
+// record stores a decision, with this node and the current time if they are missing.
 func (r *recorder) record(decided port.Decision) {
 	if decided.Node == "" {
 		decided.Node = r.node
@@ -83,7 +82,7 @@
 	}
 }
 
-// get gives the decisions about a subject, oldest first.
+// get returns the decisions about a subject, oldest first.
 func (r *recorder) get(subject string) []port.Decision {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -92,10 +91,10 @@
 
 func (r *recorder) close() {
 	r.mutex.Lock()
-	kept := r.spool
+	opened := r.spool
 	r.spool = nil
 	r.mutex.Unlock()
-	if kept != nil {
-		kept.Close()
+	if opened != nil {
+		opened.Close()
 	}
 }
--- a/internal/app/node/rolloutdriver.go
+++ b/internal/app/node/rolloutdriver.go
@@ -10,10 +10,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// orderTimeout bounds one order to an engine, which may take long to answer.
+// orderTimeout limits one order to an engine, which may take long to answer.
 const orderTimeout = 15 * time.Second
 
-// orderAnswered brings the outcome of an order to its rollout.
+// orderAnswered passes the outcome of an order to its rollout.
 type orderAnswered struct {
 	pool  port.PoolName
 	event rollout.OrderAnswered
@@ -23,8 +23,8 @@
 	w.carryOut(w.machine.OrderAnswered(now, e.pool, e.event))
 }
 
-// sendOrder passes an order to the replica's home. While the configuration isn't
-// confirmed no order is sent.
+// sendOrder sends an order to the replica's home, unless the configuration is
+// unconfirmed.
 func (w *poolWorker) sendOrder(action poolworker.Order) {
 	ctx, cancel := context.WithTimeout(w.ctx, orderTimeout)
 	defer cancel()
@@ -36,7 +36,7 @@
 	w.post(orderAnswered{pool: action.Rollout, event: event})
 }
 
-// order passes a fenced order on to the replica's home.
+// order sends a fenced order to the replica's home.
 func (n *Node) order(ctx context.Context, call peerapi.OrderCall) (port.LoadReport, *port.Error) {
 	home, found := n.homeNode(call.Replica)
 	if !found {
@@ -50,7 +50,7 @@
 	return report, failure
 }
 
-// serveOrder gives an order to the engine and takes its answer as a report.
+// serveOrder sends an order to the engine and uses its answer as a load report.
 func (n *Node) serveOrder(ctx context.Context, call peerapi.OrderCall) (port.LoadReport, *port.Error) {
 	replica, configured := n.snapshot.Load().Replicas[call.Replica]
 	if !configured {
@@ -65,7 +65,7 @@
 	return report, nil
 }
 
-// homeNode gives the node that is the home of a replica, in any zone.
+// homeNode returns the home node of a replica in any zone.
 func (n *Node) homeNode(id port.ReplicaID) (port.NodeAddress, bool) {
 	return n.snapshot.Load().HomeOf(id)
 }
--- a/internal/app/node/samples.go
+++ b/internal/app/node/samples.go
@@ -9,25 +9,25 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Constants of running samples.
+// Time limits of running samples.
 const (
-	// sampleDeadline bounds one attempt; the coordinator's stall timeout and the
-	// policy end it much earlier.
+	// sampleDeadline limits one attempt; the coordinator's stall timeout and the policy
+	// usually end it much earlier.
 	sampleDeadline = time.Hour
-	// progressInterval paces the news of a running sample.
+	// progressInterval is the min interval between progress events of a sample.
 	progressInterval = time.Second
 )
 
-// attemptKey names one attempt at a sample.
+// attemptKey identifies one attempt at a sample.
 type attemptKey struct {
 	id      port.SampleID
 	attempt uint32
 }
 
-// sampleRun is a running attempt.
+// sampleRun is a running attempt at a sample.
 type sampleRun struct{ cancel context.CancelFunc }
 
-// attemptEnded ends an attempt and tells the coordinator.
+// attemptEnded removes an attempt and passes its outcome to the coordinator.
 type attemptEnded struct {
 	key   attemptKey
 	event coordinator.Event
@@ -41,8 +41,8 @@
 	w.step(now, e.event)
 }
 
-// startSample starts one attempt, unless the configuration isn't confirmed: then
-// no new samples are started.
+// startSample starts one attempt. It fails immediately if the configuration is
+// unconfirmed.
 func (w *poolWorker) startSample(action coordinator.StartSample) {
 	key := attemptKey{action.ID, action.Attempt}
 	ctx, cancel := context.WithTimeout(w.ctx, sampleDeadline)
@@ -53,21 +53,21 @@
 	})
 }
 
-// sampleText gathers what an attempt gives.
-type sampleText struct {
-	action   coordinator.StartSample
-	worker   *poolWorker
-	replica  port.ReplicaID
-	text     []byte
-	tokens   int
-	spans    []port.Span
-	reported time.Time
+// sampleOutput collects the output of an attempt.
+type sampleOutput struct {
+	action     coordinator.StartSample
+	worker     *poolWorker
+	replica    port.ReplicaID
+	text       []byte
+	tokens     int
+	spans      []port.Span
+	reportedAt time.Time
 }
 
-// runSample generates one sample through the node's usual path. The coordinator
-// alone tries again.
+// runSample generates one sample like a caller's completion, but without retries: the
+// coordinator retries.
 func (w *poolWorker) runSample(ctx context.Context, action coordinator.StartSample) coordinator.Event {
-	gathered := &sampleText{action: action, worker: w, reported: time.Now()}
+	output := &sampleOutput{action: action, worker: w, reportedAt: time.Now()}
 	failure := unconfirmedError()
 	if w.node.confirmed() {
 		failure = w.node.generate(ctx, &generation{
@@ -77,36 +77,36 @@
 				MaxTokens: action.MaxTokens, Priority: action.Priority, Seed: action.Seed,
 				Resume: action.Resume, ResumeTokens: action.ResumeTokens, MinVersion: action.MinVersion, Safe: true,
 			},
-			subject: action.ID.String(),
-			zones:   action.Zones,
-			exclude: action.Exclude,
-			avoid:   action.Avoid,
-			single:  true,
-			receive: gathered.take,
-			placed:  func(replica port.ReplicaID) { gathered.replica = replica },
+			subject:  action.ID.String(),
+			zones:    action.Zones,
+			exclude:  action.Exclude,
+			avoid:    action.Avoid,
+			noRetry:  true,
+			receive:  output.receive,
+			onPlaced: func(replica port.ReplicaID) { output.replica = replica },
 		})
 	}
 	if failure != nil {
 		return coordinator.SampleFailed{
-			ID: action.ID, Attempt: action.Attempt, Replica: gathered.replica, Err: failure,
-			Text: string(gathered.text), Tokens: gathered.tokens, Spans: gathered.spans,
+			ID: action.ID, Attempt: action.Attempt, Replica: output.replica, Err: failure,
+			Text: string(output.text), Tokens: output.tokens, Spans: output.spans,
 		}
 	}
 	return coordinator.SampleFinished{
-		ID: action.ID, Attempt: action.Attempt, Replica: gathered.replica,
-		Text: string(gathered.text), Tokens: gathered.tokens, Spans: gathered.spans,
+		ID: action.ID, Attempt: action.Attempt, Replica: output.replica,
+		Text: string(output.text), Tokens: output.tokens, Spans: output.spans,
 	}
 }
 
-func (s *sampleText) take(chunk port.GenerateChunk) error {
+func (s *sampleOutput) receive(chunk port.GenerateChunk) error {
 	s.text = append(s.text, chunk.Text...)
 	s.tokens += chunk.Tokens
 	if chunk.Tokens > 0 {
 		s.spans = port.AppendTokens(s.spans, chunk.Version, chunk.Tokens)
 	}
-	if now := time.Now(); now.Sub(s.reported) >= progressInterval {
-		s.reported = now
-		s.worker.tell(coordinator.SampleProgress{
+	if now := time.Now(); now.Sub(s.reportedAt) >= progressInterval {
+		s.reportedAt = now
+		s.worker.postCoordinatorEvent(coordinator.SampleProgress{
 			ID: s.action.ID, Attempt: s.action.Attempt, Replica: s.replica, Tokens: s.tokens,
 			Spans: append([]port.Span(nil), s.spans...),
 		})
--- a/internal/app/node/samplingmanager.go
+++ b/internal/app/node/samplingmanager.go
@@ -9,30 +9,30 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// managerInterval paces the search for pools without a coordinator.
+// managerInterval is the interval of checks for pools without a coordinator.
 const managerInterval = 200 * time.Millisecond
 
-// samplingManager looks for leases that nobody holds and runs a worker under
-// each one that this node acquires.
+// samplingManager runs a worker for each pool whose coordinator lease this node may
+// acquire.
 type samplingManager struct {
 	node *Node
 
 	mutex    sync.Mutex
 	workers  map[port.PoolName]*poolWorker
-	seeker   *poolworker.LeaseSelector
+	selector *poolworker.LeaseSelector
 	draining bool
 	running  sync.WaitGroup
 }
 
 func newSamplingManager(node *Node) *samplingManager {
 	return &samplingManager{
-		node:    node,
-		workers: make(map[port.PoolName]*poolWorker),
-		seeker:  poolworker.NewLeaseSelector(node.config.ID),
+		node:     node,
+		workers:  make(map[port.PoolName]*poolWorker),
+		selector: poolworker.NewLeaseSelector(node.config.ID),
 	}
 }
 
-// run looks for free leases until the node stops.
+// run checks for free leases until the node stops.
 func (m *samplingManager) run() {
 	ticker := time.NewTicker(managerInterval)
 	defer ticker.Stop()
@@ -40,7 +40,7 @@
 		select {
 		case <-ticker.C:
 			if m.node.confirmed() {
-				m.look(time.Now())
+				m.startWorkers(time.Now())
 			}
 		case <-m.node.background.Done():
 			return
@@ -48,19 +48,19 @@
 	}
 }
 
-func (m *samplingManager) look(now time.Time) {
+func (m *samplingManager) startWorkers(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.draining {
 		return
 	}
 	running := func(pool port.PoolName) bool { return m.workers[pool] != nil }
-	for _, pool := range m.seeker.Acquirable(now, m.node.snapshot.Load().View, running) {
+	for _, pool := range m.selector.Acquirable(now, m.node.snapshot.Load().View, running) {
 		m.start(pool)
 	}
 }
 
-// start runs a worker; the caller holds the mutex.
+// start starts a worker. The caller holds the mutex.
 func (m *samplingManager) start(pool port.PoolName) {
 	worker := newPoolWorker(m.node, pool)
 	m.workers[pool] = worker
@@ -69,19 +69,19 @@
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
 		delete(m.workers, pool)
-		m.seeker.WorkerEnded(time.Now(), pool)
+		m.selector.WorkerEnded(time.Now(), pool)
 	})
 }
 
-// worker gives the running worker of a pool; nil if there is none.
+// worker returns the running worker of a pool, or nil.
 func (m *samplingManager) worker(pool port.PoolName) *poolWorker {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.workers[pool]
 }
 
-// drain starts no more workers, and waits until those that run have given their
-// leases back or ctx ends.
+// drain prevents new workers, and waits until the running ones have released their
+// leases or ctx ends.
 func (m *samplingManager) drain(ctx context.Context) {
 	m.mutex.Lock()
 	m.draining = true
@@ -100,7 +100,7 @@
 	}
 }
 
-// wait waits for the workers after the node's background context ended.
+// wait waits for the workers to end. The node's background context must have ended.
 func (m *samplingManager) wait() {
 	m.mutex.Lock()
 	m.draining = true
--- a/internal/app/node/serve.go
+++ b/internal/app/node/serve.go
@@ -18,14 +18,13 @@
 	return fmt.Sprintf("every replica that can serve it is busy; %d requests wait", waiting)
 }
 
-// serveGenerate runs one attempt on a replica that this node is the home of. An
-// attempt without a replica comes from another zone: it goes to a replica of
-// this zone, through its home.
+// serveGenerate runs one attempt on a replica whose home is this node. An attempt
+// without a replica comes from another zone and is relayed to a replica of this zone.
 func (n *Node) serveGenerate(ctx context.Context, call *peerapi.GenerateCall, emit func(peerapi.GenerateEvent) error) *port.Error {
 	current := n.snapshot.Load()
 	route := current.Pools[call.Request.Pool]
 	if route == nil {
-		return notFoundPool(call.Request.Pool)
+		return poolNotFoundError(call.Request.Pool)
 	}
 	accepted := acceptance{snapshot: current, pool: &route.Pool, route: route}
 	accepted.deadline, _ = ctx.Deadline()
@@ -48,19 +47,19 @@
 	return n.runEngine(ctx, accepted, grant, call, emit)
 }
 
-// relayGenerate chooses a replica of this zone for a request of another one.
+// relayGenerate chooses a replica of this zone for a request from another zone.
 func (n *Node) relayGenerate(ctx context.Context, accepted acceptance, call *peerapi.GenerateCall, emit func(peerapi.GenerateEvent) error) *port.Error {
 	job := &generation{request: call.Request, exclude: call.Exclude, avoid: call.Avoid}
-	place, _, refusal := n.chooseLocal(accepted, job, nil)
+	chosen, _, refusal := n.chooseLocal(accepted, job, nil)
 	if refusal != nil {
 		return refusal
 	}
 	relayed := *call
-	relayed.Request.Replica = place.replica
-	if place.node.ID == n.config.ID {
+	relayed.Request.Replica = chosen.replica
+	if chosen.node.ID == n.config.ID {
 		return n.serveGenerate(ctx, &relayed, emit)
 	}
-	return n.generateRemote(ctx, place.node, &relayed, emit)
+	return n.generateRemote(ctx, chosen.node, &relayed, emit)
 }
 
 func (n *Node) acquireEngine(ctx context.Context, accepted acceptance, call *peerapi.GenerateCall, emit func(peerapi.GenerateEvent) error) (*gate.Grant, *port.Error) {
@@ -91,12 +90,12 @@
 	})
 }
 
-// runEngine streams the completion from the engine that the grant names.
+// runEngine streams the completion from the granted engine.
 func (n *Node) runEngine(ctx context.Context, accepted acceptance, grant *gate.Grant, call *peerapi.GenerateCall, emit func(peerapi.GenerateEvent) error) *port.Error {
 	replica, configured := n.snapshot.Load().Replicas[grant.Replica]
 	if !configured {
 		grant.Release(gate.Outcome{Abandoned: true})
-		return replicaRemoved(grant.Replica)
+		return replicaRemovedError(grant.Replica)
 	}
 	request := call.Request
 	request.Replica = grant.Replica
@@ -106,27 +105,27 @@
 	n.metrics.Attempt(request.Pool)
 	started := time.Now()
 	tokens := 0
-	var refused error
+	var emitErr error
 	err := n.backEnds.engine(replica.Address).Generate(ctx, request, func(chunk port.GenerateChunk) error {
 		tokens += chunk.Tokens
-		refused = emit(peerapi.GenerateEvent{Chunk: &chunk})
-		return refused
+		emitErr = emit(peerapi.GenerateEvent{Chunk: &chunk})
+		return emitErr
 	})
 	failure := port.AsError(err)
-	abandoned := refused != nil || ctx.Err() != nil
+	abandoned := emitErr != nil || ctx.Err() != nil
 	n.endGeneration(grant, tokens, failure, abandoned, time.Since(started))
 	return failure
 }
 
-// endGeneration gives the place back and tells the judge how it went.
+// endGeneration releases the slot and reports the outcome of the generation.
 func (n *Node) endGeneration(grant *gate.Grant, tokens int, failure *port.Error, abandoned bool, elapsed time.Duration) {
-	judged := home.ClassifyGeneration(failure, abandoned, tokens, elapsed)
-	grant.Release(judged.Outcome)
-	if judged.AffectsHealth {
-		n.post(outcomesTaken{[]nodestate.CallOutcome{outcomeOf(grant.Replica, judged)}})
+	classified := home.ClassifyGeneration(failure, abandoned, tokens, elapsed)
+	grant.Release(classified.Outcome)
+	if classified.AffectsHealth {
+		n.post(outcomesMessage{[]nodestate.CallOutcome{outcomeOf(grant.Replica, classified)}})
 	}
 }
 
-func outcomeOf(replica port.ReplicaID, judged home.Classification) nodestate.CallOutcome {
-	return nodestate.CallOutcome{Replica: replica, Failed: judged.Failed, LatencyMicros: judged.Latency.Microseconds()}
+func outcomeOf(replica port.ReplicaID, classified home.Classification) nodestate.CallOutcome {
+	return nodestate.CallOutcome{Replica: replica, Failed: classified.Failed, LatencyMicros: classified.Latency.Microseconds()}
 }
--- a/internal/app/node/traffic.go
+++ b/internal/app/node/traffic.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// traffic counts requests in flight and refuses new ones once the node drains.
+// traffic counts requests in flight and rejects new ones while the node drains.
 type traffic struct {
 	mutex    sync.Mutex
 	inflight int
@@ -15,7 +15,7 @@
 
 func newTraffic() *traffic { return &traffic{idle: make(chan struct{})} }
 
-// begin counts a request in; false means that the node drains.
+// begin counts a new request. It returns false while the node drains.
 func (t *traffic) begin() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -26,9 +26,9 @@
 	return true
 }
 
-// enter counts a request in and gives it a context that also ends with the node.
-// The returned function must be called at its end. False means that the node
-// drains.
+// enter counts a new request and returns a context that also ends with the node. The
+// caller must call the returned function at the end of the request. It returns false
+// while the node drains.
 func (n *Node) enter(ctx context.Context) (context.Context, func(), bool) {
 	if !n.traffic.begin() {
 		return nil, nil, false
@@ -46,20 +46,20 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.inflight--
-	t.wake()
+	t.signalIdle()
 }
 
-// drain refuses new requests from now on.
+// drain rejects all further requests.
 func (t *traffic) drain() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.draining {
 		t.draining = true
-		t.wake()
+		t.signalIdle()
 	}
 }
 
-func (t *traffic) wake() {
+func (t *traffic) signalIdle() {
 	if !t.draining || t.inflight > 0 {
 		return
 	}
@@ -70,14 +70,14 @@
 	}
 }
 
-// isDraining says whether new requests are refused.
+// isDraining reports whether new requests are rejected.
 func (t *traffic) isDraining() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.draining
 }
 
-// wait waits until nothing is in flight after drain.
+// wait blocks until no request is in flight after drain.
 func (t *traffic) wait(ctx context.Context) error {
 	select {
 	case <-t.idle:
--- a/internal/app/node/trainer_test.go
+++ b/internal/app/node/trainer_test.go
@@ -42,7 +42,7 @@
 	return started
 }
 
-// trainer asks any node for batches and notes what it got.
+// trainer requests batches from any node and records their samples.
 type trainer struct {
 	t        *testing.T
 	fleet    *fleet
@@ -54,14 +54,14 @@
 	samples  int
 }
 
-func newTrainer(t *testing.T, over *fleet, of port.PoolName) *trainer {
+func newTrainer(t *testing.T, f *fleet, poolName port.PoolName) *trainer {
 	t.Helper()
-	made := &trainer{
-		t: t, fleet: over, pool: of,
+	r := &trainer{
+		t: t, fleet: f, pool: poolName,
 		received: make(map[string]port.BatchNumber), prompts: make(map[port.PromptIndex]port.BatchNumber),
 	}
-	made.register()
-	return made
+	r.register()
+	return r
 }
 
 func (r *trainer) register() {
@@ -77,7 +77,7 @@
 	for _, started := range r.fleet.nodes {
 		return started
 	}
-	r.t.Fatal("no node left")
+	r.t.Fatal("no node is running")
 	return nil
 }
 
@@ -92,7 +92,7 @@
 	})
 }
 
-// train asks for a batch until it comes, and checks and notes its samples.
+// train requests a batch until it is delivered, and checks and records its samples.
 func (r *trainer) train(number port.BatchNumber) {
 	r.t.Helper()
 	var batch api.Batch
@@ -114,17 +114,17 @@
 	})
 	for _, sample := range batch.Samples {
 		if earlier, twice := r.received[sample.ID]; twice {
-			r.t.Errorf("sample %s came in batch %d and %d", sample.ID, earlier, number)
+			r.t.Errorf("sample %s is in batches %d and %d", sample.ID, earlier, number)
 		}
 		if earlier, known := r.prompts[sample.Prompt.Index]; known && earlier != number {
-			r.t.Errorf("prompt %d came in batch %d and %d", sample.Prompt.Index, earlier, number)
+			r.t.Errorf("prompt %d is in batches %d and %d", sample.Prompt.Index, earlier, number)
 		}
 		r.received[sample.ID] = number
 		r.prompts[sample.Prompt.Index] = number
 		r.samples++
 		oldest := port.OldestVersion(sample.Spans)
 		if oldest == 0 || oldest+4 < r.version {
-			r.t.Errorf("sample %s is of version %d, published is %d", sample.ID, oldest, r.version)
+			r.t.Errorf("sample %s has version %d, the current one is %d", sample.ID, oldest, r.version)
 		}
 	}
 }
@@ -132,6 +132,6 @@
 func (r *trainer) check(samples int) {
 	r.t.Helper()
 	if r.samples != samples {
-		r.t.Errorf("%d samples came, want %d", r.samples, samples)
+		r.t.Errorf("%d samples, want %d", r.samples, samples)
 	}
 }
--- a/internal/app/node/trainers.go
+++ b/internal/app/node/trainers.go
@@ -9,82 +9,82 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// notCoordinatorRetry is the advised wait while a pool changes its coordinator.
-const notCoordinatorRetry = 500 * time.Millisecond
+// noCoordinatorRetryAfter is the RetryAfter while a pool has no coordinator.
+const noCoordinatorRetryAfter = 500 * time.Millisecond
 
-// answer is the coordinator's answer to a question for a batch.
-type answer struct {
+// batchReply is the coordinator's reply to a request for a batch.
+type batchReply struct {
 	batch *coordinator.Deliver
 	err   *port.Error
 }
 
-// asked brings a trainer's question to the coordinator.
-type asked struct {
-	event    coordinator.BatchRequested
-	question chan answer
+// batchRequested passes a trainer's request to the coordinator.
+type batchRequested struct {
+	event coordinator.BatchRequested
+	reply chan batchReply
 }
 
-func (e asked) apply(w *poolWorker, now time.Time) {
-	w.questions[e.event.Token] = e.question
+func (e batchRequested) apply(w *poolWorker, now time.Time) {
+	w.pendingRequests[e.event.Token] = e.reply
 	w.step(now, e.event)
 }
 
-// abandoned says that the asker is gone.
-type abandoned struct{ token uint64 }
+// requestAbandoned reports that the caller of a request is gone.
+type requestAbandoned struct{ token uint64 }
 
-func (e abandoned) apply(w *poolWorker, now time.Time) {
-	delete(w.questions, e.token)
+func (e requestAbandoned) apply(w *poolWorker, now time.Time) {
+	delete(w.pendingRequests, e.token)
 	w.step(now, coordinator.RequestAbandoned{Token: e.token})
 }
 
-// reply answers a question once.
-func (w *poolWorker) reply(token uint64, reply answer) {
-	if question := w.questions[token]; question != nil {
-		delete(w.questions, token)
-		question <- reply
+// reply answers a pending request once.
+func (w *poolWorker) reply(token uint64, reply batchReply) {
+	if replies := w.pendingRequests[token]; replies != nil {
+		delete(w.pendingRequests, token)
+		replies <- reply
 	}
 }
 
-func notCoordinator(pool port.PoolName) *port.Error {
+func noCoordinatorError(pool port.PoolName) *port.Error {
 	refusal := port.NewError(port.NotRun, port.CodeUnavailable, "pool %s has no coordinator at this moment", pool)
-	refusal.RetryAfter = notCoordinatorRetry
+	refusal.RetryAfter = noCoordinatorRetryAfter
 	return refusal
 }
 
-// ask puts a trainer's question to the coordinator that runs here.
-func (w *poolWorker) ask(ctx context.Context, call batchCall) (api.Batch, *port.Error) {
+// requestBatch passes a trainer's request to the coordinator that runs here.
+func (w *poolWorker) requestBatch(ctx context.Context, call batchCall) (api.Batch, *port.Error) {
 	token := w.tokens.Add(1)
-	question := make(chan answer, 1)
+	replies := make(chan batchReply, 1)
 	event := coordinator.BatchRequested{
 		Token: token, Number: call.Number, ConsumerEpoch: call.ConsumerEpoch,
 		Deadline: time.Now().Add(time.Duration(call.WaitMillis) * time.Millisecond),
 	}
 	select {
-	case w.events <- asked{event: event, question: question}:
+	case w.events <- batchRequested{event: event, reply: replies}:
 	case <-w.closed:
-		return api.Batch{}, notCoordinator(w.pool)
+		return api.Batch{}, noCoordinatorError(w.pool)
 	case <-ctx.Done():
 		return api.Batch{}, contextError(ctx)
 	}
 	select {
-	case reply := <-question:
+	case reply := <-replies:
 		return w.batchOf(reply)
 	case <-w.closed:
 	case <-ctx.Done():
-		w.post(abandoned{token})
+		w.post(requestAbandoned{token})
 	}
 	select {
-	case reply := <-question:
+	case reply := <-replies:
 		return w.batchOf(reply)
 	default:
 	}
 	if ctx.Err() != nil {
 		return api.Batch{}, contextError(ctx)
 	}
-	return api.Batch{}, notCoordinator(w.pool)
+	return api.Batch{}, noCoordinatorError(w.pool)
 }
 
-func (w *poolWorker) batchOf(reply answer) (api.Batch, *port.Error) {
+func (w *poolWorker) batchOf(reply batchReply) (api.Batch, *port.Error) {
 	if reply.err != nil {
 		return api.Batch{}, reply.err
 	}
@@ -102,33 +102,33 @@
 	return batch, nil
 }
 
-// batch answers a trainer's question here or at the coordinator's node.
+// batch serves a trainer's request here or at the coordinator's node.
 func (n *Node) batch(ctx context.Context, call batchCall) (api.Batch, *port.Error) {
 	if worker := n.sampling.worker(call.Pool); worker != nil {
-		return worker.ask(ctx, call)
+		return worker.requestBatch(ctx, call)
 	}
 	if pool, found := viewPool(n.snapshot.Load().View, call.Pool); !found || pool.Sampling == nil {
-		return api.Batch{}, notFoundPool(call.Pool)
+		return api.Batch{}, poolNotFoundError(call.Pool)
 	}
 	holder, known := n.coordinatorOf(call.Pool)
 	if !known {
-		return api.Batch{}, notCoordinator(call.Pool)
+		return api.Batch{}, noCoordinatorError(call.Pool)
 	}
 	var reply batchAnswer
 	failure := n.peers.call(ctx, holder.PeerAddress, methodBatch, call, &reply)
 	return reply.Batch, failure
 }
 
-// coordinatorOf gives the other node that coordinates a pool, as far as is known.
+// coordinatorOf returns the other node that coordinates a pool, if known.
 func (n *Node) coordinatorOf(pool port.PoolName) (port.NodeAddress, bool) {
 	current := n.snapshot.Load()
-	lease, held := viewLease(current.View, port.CoordinatorLease(pool))
+	lease, found := viewLease(current.View, port.CoordinatorLease(pool))
 	holder, known := current.Nodes[lease.Holder]
-	return holder, held && known && holder.ID != n.config.ID
+	return holder, found && known && holder.ID != n.config.ID
 }
 
-// registerConsumer makes a trainer its pool's only consumer. The coordinator
-// learns of it by the first question that names the new epoch.
+// registerConsumer makes a trainer its pool's only consumer. The coordinator learns of
+// it from the first request with the new epoch.
 func (n *Node) registerConsumer(ctx context.Context, register port.RegisterConsumer) (port.Consumer, *port.Error) {
 	result, err := n.config.Control.Propose(ctx, port.Command{RegisterConsumer: &register})
 	if err != nil {
@@ -143,16 +143,16 @@
 	return *result.Consumer, nil
 }
 
-// publishWeights makes a version of a pool's weights current. The pool's coordinator
-// is told before the log is: the trainer goes on as soon as it has its answer, which the
-// coordinator would otherwise learn of later.
+// publishWeights makes a version of a pool's weights current. The pool's coordinator is
+// notified first: it would otherwise learn of the version after the trainer, which
+// continues as soon as it is answered.
 func (n *Node) publishWeights(ctx context.Context, changeID string, publish port.PublishWeights) (port.Result, *port.Error) {
-	news := publicationCall{Pool: publish.Pool, Version: publish.Version}
-	n.tellCoordinator(ctx, news)
+	call := publicationCall{Pool: publish.Pool, Version: publish.Version}
+	n.notifyCoordinator(ctx, call)
 	result, err := n.config.Control.Propose(ctx, port.Command{ChangeID: changeID, PublishWeights: &publish})
-	// A version that is refused because it is published was accepted before.
-	news.Ended, news.Published = true, err == nil && (result.Error == nil || result.Current >= publish.Version)
-	n.tellCoordinator(ctx, news)
+	// A version refused as already published has taken effect.
+	call.Ended, call.Published = true, err == nil && (result.Error == nil || result.Current >= publish.Version)
+	n.notifyCoordinator(ctx, call)
 	if err != nil {
 		return port.Result{}, port.AsError(err)
 	}
--- a/internal/app/node/view.go
+++ b/internal/app/node/view.go
@@ -2,7 +2,7 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// viewPool finds a pool of the view.
+// viewPool returns a pool of the view.
 func viewPool(view *port.View, name port.PoolName) (port.Pool, bool) {
 	for _, pool := range view.Configuration.Pools {
 		if pool.Name == name {
@@ -12,7 +12,7 @@
 	return port.Pool{}, false
 }
 
-// viewLease finds a lease of the view.
+// viewLease returns a lease of the view.
 func viewLease(view *port.View, name string) (port.Lease, bool) {
 	for _, lease := range view.Leases {
 		if lease.Name == name {
--- a/internal/app/node/watch.go
+++ b/internal/app/node/watch.go
@@ -8,11 +8,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// watchPause is the wait before a broken watch is taken up again.
-const watchPause = 200 * time.Millisecond
+// watchRetryDelay is the delay before an ended watch is restarted.
+const watchRetryDelay = 200 * time.Millisecond
 
-// watch follows the control state until the node stops. A gap starts the watch
-// anew at the observer's position.
+// watch applies updates of the control state until the node stops. After a gap the
+// watch restarts at the observer's position.
 func (n *Node) watch() {
 	var after uint64
 	for n.background.Err() == nil {
@@ -31,13 +31,13 @@
 		cancel()
 		<-ended
 		select {
-		case <-time.After(watchPause):
+		case <-time.After(watchRetryDelay):
 		case <-n.background.Done():
 		}
 	}
 }
 
-// restartWatch asks for the updates after a position again.
+// restartWatch restarts the watch after a position.
 func (n *Node) restartWatch(after uint64) {
 	select {
 	case n.rewatch <- after:
@@ -45,8 +45,8 @@
 	}
 }
 
-// confirmed says whether the configuration lease holds. It is over by the clock that counts
-// suspended time, and does not follow the time of day.
+// confirmed reports whether the configuration lease is valid. The lease expires by the
+// boot time clock, which includes suspended time and ignores wall clock changes.
 func (n *Node) confirmed() bool {
 	return int64(boottime.Now()) < n.confirmedUntil.Load()
 }
--- a/internal/app/node/web.go
+++ b/internal/app/node/web.go
@@ -9,14 +9,14 @@
 
 var _ httpapi.Backend = (*Node)(nil)
 
-// serve starts the listeners for peers and callers.
+// serve starts to serve peers and callers.
 func (n *Node) serve() {
 	n.servePeers()
 	n.work.Go(func() { _ = n.server.Serve(n.config.PeerListener) })
 	n.web.Start(n.background, n.config.HTTPListener)
 }
 
-// newWeb makes the server for callers, trainers and operators.
+// newWeb returns the HTTP server for callers, trainers and operators.
 func newWeb(n *Node) *httpapi.Server {
 	return httpapi.New(httpapi.Config{
 		Backend:       n,
@@ -30,15 +30,15 @@
 	})
 }
 
-// trafficCounter is a way to control that counts its bytes.
+// trafficCounter is implemented by a control client that counts its bytes.
 type trafficCounter interface {
 	Traffic() (sent, received uint64)
 }
 
-// countTraffic lets the measures read the bytes of the internal protocol.
+// countTraffic adds the bytes of the internal protocol to the metrics.
 func (n *Node) countTraffic() {
-	if counted, counts := n.config.Control.(trafficCounter); counts {
-		n.metrics.CountControlBytes(counted.Traffic)
+	if counter, ok := n.config.Control.(trafficCounter); ok {
+		n.metrics.CountControlBytes(counter.Traffic)
 	}
 	n.metrics.CountPeerBytes(func() (sent, received uint64) {
 		totals := n.server.Totals()
@@ -58,7 +58,7 @@
 	}
 }
 
-// countDropped counts samples that won't be delivered.
+// countDropped counts samples that will not be delivered.
 func (w *poolWorker) countDropped(decided port.Decision) {
 	switch decided.Kind {
 	case port.DecisionStale:
--- a/internal/app/node/web_test.go
+++ b/internal/app/node/web_test.go
@@ -14,47 +14,47 @@
 )
 
 func TestHTTPCallersAndTrainer(t *testing.T) {
-	made := newFleet(t)
-	scorer, store, back := startScorer(t), startStore(t), startApplication(t)
+	f := newFleet(t)
+	scorer, store, backEnd := startScorer(t), startStore(t), startApplication(t)
 	prompts := startPrompts(t)
 	sampled := pool("lm", port.PoolGeneration)
 	sampled.Sampling = sampling(prompts.URL(), scorer.URL(), store.URL())
-	made.control.configure(t,
+	f.control.configure(t,
 		port.Edit{PutPool: sampled}, port.Edit{PutPool: pool("pages", port.PoolApplication)},
 		replica("e0", "lm", "z1", startEngine(t).Addr()), replica("e1", "lm", "z1", startEngine(t).Addr()),
-		replica("p0", "pages", "z1", back.Addr()))
+		replica("p0", "pages", "z1", backEnd.Addr()))
 	var bases []string
 	for _, id := range []port.NodeID{"n1", "n2"} {
-		bases = append(bases, "http://"+made.start(id, "z1").HTTPAddress())
+		bases = append(bases, "http://"+f.start(id, "z1").HTTPAddress())
 	}
-	made.waitForNodes()
-	fed, err := standin.StartTrainer(context.Background(), standin.TrainerConfig{
+	f.waitForNodes()
+	trainer, err := standin.StartTrainer(context.Background(), standin.TrainerConfig{
 		Nodes: bases, Pool: "lm", StepTime: 20 * time.Millisecond, MaxSteps: 5, WeightBytes: 1 << 16,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fed.Close)
-	eventually(t, "five steps of the trainer", func() bool { return fed.Stats().Steps >= 5 })
+	t.Cleanup(trainer.Close)
+	eventually(t, "five steps of the trainer", func() bool { return trainer.Stats().Steps >= 5 })
 
 	request, err := http.NewRequest(http.MethodPost, bases[0]+api.PathCompletions,
 		strings.NewReader(`{"model":"lm","prompt":"a caller's prompt","max_tokens":32,"stream":true}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	body := ask(t, request, http.StatusOK)
+	body := sendRequest(t, request, http.StatusOK)
 	if !strings.Contains(body, "[DONE]") {
-		t.Errorf("the stream has no end: %s", body)
+		t.Errorf("the stream has no final event: %s", body)
 	}
 	request, err = http.NewRequest(http.MethodGet, bases[1]+api.PathApplication+"pages/read?call=one", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask(t, request, http.StatusOK)
+	sendRequest(t, request, http.StatusOK)
 }
 
-// ask sends a request and gives the whole body of the answer.
-func ask(t *testing.T, request *http.Request, status int) string {
+// sendRequest sends a request, checks the status and returns the body of the response.
+func sendRequest(t *testing.T, request *http.Request, status int) string {
 	t.Helper()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
