--- a/internal/app/node/gate/doc.go
+++ b/internal/app/node/gate/doc.go
@@ -1,7 +1,7 @@
-// Package gate puts a mutex and channels around the pure gate of
-// internal/core/gate, so that traffic goroutines can wait for a replica.
+// Package gate makes internal/core/gate safe for concurrent use, and blocks the
+// goroutine of a request until the request is granted a replica or refused.
 //
-// The home node of engines has a gate for each engine pool over the replicas
-// that it is the home of. Every node has a gate for each application pool over
-// all replicas, since application calls go to the back ends directly.
+// The home node of engines has a gate for each engine pool, with the replicas whose
+// home it is. Every node has a gate for each application pool, with all replicas, since
+// application calls are sent to the back ends directly.
 package gate
--- a/internal/app/node/gate/gate.go
+++ b/internal/app/node/gate/gate.go
@@ -11,59 +11,58 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// The messages of the pure gate.
+// Types of internal/core/gate.
 type (
-	// Replica is what the gate is told of one replica.
+	// Replica is the configuration and state of one replica.
 	Replica = gate.Replica
-	// Settings are the bounds of a gate.
+	// Settings hold the limits of a gate.
 	Settings = gate.Settings
-	// Request is a request to be admitted.
+	// Request is a request for a replica.
 	Request = gate.Request
-	// Outcome tells how a request ended.
+	// Outcome is the outcome of a granted request.
 	Outcome = gate.Outcome
-	// Load is what runs on a replica, and how much may.
+	// Load is the number of requests running on a replica and its concurrency limit.
 	Load = gate.Load
 )
 
-// Gate admits requests to a set of replicas. It is safe for use by many
-// goroutines.
+// Gate admits requests to a set of replicas. It is safe for concurrent use.
 type Gate struct {
 	mutex sync.Mutex
-	pure  *gate.Gate
+	core  *gate.Gate
 }
 
-// New makes a gate without replicas.
+// New returns a gate without replicas.
 func New(profile scheduling.Profile, seed uint64) *Gate {
 	random := rand.New(rand.NewPCG(seed, uint64(len(profile.Name))))
-	return &Gate{pure: gate.New(profile, random)}
+	return &Gate{core: gate.New(profile, random)}
 }
 
-// Grant is a place on a replica. Release must be called once the request has
-// ended; later calls have no effect.
+// Grant is a slot on a replica. The caller must call Release once the request has
+// ended; further calls have no effect.
 type Grant struct {
 	Replica port.ReplicaID
-	// Result tells of the choice.
+	// Result is the scheduler's choice.
 	Result scheduling.Result
 	// Waited is the time in the queue.
 	Waited time.Duration
 
 	gate   *Gate
 	ticket gate.Ticket
-	// settled is closed when the request no longer waits; nil if it never did.
+	// settled is closed when the queued request is granted or refused; nil if the
+	// request was not queued.
 	settled chan struct{}
 }
 
-// Release gives the place back and serves the next request.
+// Release releases the slot and grants queued requests.
 func (r *Grant) Release(outcome Outcome) {
 	now := time.Now()
 	g := r.gate
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	wake(g.pure.Release(now, &r.ticket, outcome))
+	wake(g.core.Release(now, &r.ticket, outcome))
 }
 
-// wake lets the goroutines go on whose requests were settled. The caller holds
-// the mutex.
+// wake unblocks the callers of settled requests. The caller holds the mutex.
 func wake(settled []*gate.Ticket) {
 	for _, ticket := range settled {
 		if waiting := ticket.Owner.(*Grant); waiting.settled != nil {
@@ -72,71 +71,72 @@
 	}
 }
 
-// Configure replaces the settings and the set of replicas. Counts of replicas
-// that stay are kept; requests that run on one that went away go on.
+// Configure replaces the settings and the set of replicas. Replicas that stay keep their
+// counts; requests running on a removed replica continue.
 func (g *Gate) Configure(now time.Time, settings Settings, replicas []Replica) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	wake(g.pure.Configure(now, settings, replicas))
+	wake(g.core.Configure(now, settings, replicas))
 }
 
-// CacheEvents enters a replica's cache events; see prefix.Index.Apply.
+// CacheEvents applies a replica's cache events; see prefix.Index.Apply.
 func (g *Gate) CacheEvents(replica port.ReplicaID, events []port.CacheEvent, gap bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.pure.CacheEvents(replica, events, gap)
+	g.core.CacheEvents(replica, events, gap)
 }
 
-// NextCacheEvent gives the sequence number after which to ask for events.
-func (g *Gate) NextCacheEvent(replica port.ReplicaID) uint64 {
+// LastCacheEvent returns the sequence number after which to request events.
+func (g *Gate) LastCacheEvent(replica port.ReplicaID) uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.pure.LastCacheEvent(replica)
+	return g.core.LastCacheEvent(replica)
 }
 
-// ResetCache forgets a replica's blocks, as after its engine started anew.
+// ResetCache drops a replica's cached blocks, for example after an engine restart.
 func (g *Gate) ResetCache(replica port.ReplicaID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.pure.ResetCache(replica)
-}
-
-// Acquire waits for a replica. Held is called, if not nil, when the request has
-// to wait. An error is NotRun: the request was refused, its deadline passed or
-// ctx ended while it waited.
-func (g *Gate) Acquire(ctx context.Context, request Request, held func(waiting int)) (*Grant, *port.Error) {
-	asked := &Grant{gate: g}
-	asked.ticket.Request = request
-	asked.ticket.Owner = asked
-	waiting := g.offer(asked)
-	if asked.settled == nil {
-		return asked.outcome()
+	g.core.ResetCache(replica)
+}
+
+// Acquire blocks until the request is granted a replica. If the request is queued and
+// onQueued is not nil, Acquire calls onQueued with the number of queued requests. Errors
+// have the verdict NotRun: the request was refused, its deadline passed, or ctx ended.
+func (g *Gate) Acquire(ctx context.Context, request Request, onQueued func(waiting int)) (*Grant, *port.Error) {
+	grant := &Grant{gate: g}
+	grant.ticket.Request = request
+	grant.ticket.Owner = grant
+	waiting := g.offer(grant)
+	if grant.settled == nil {
+		return grant.outcome()
 	}
-	if held != nil {
-		held(waiting)
+	if onQueued != nil {
+		onQueued(waiting)
 	}
 	select {
-	case <-asked.settled:
-		return asked.outcome()
+	case <-grant.settled:
+		return grant.outcome()
 	case <-ctx.Done():
-		return nil, g.abandon(ctx, asked)
+		return nil, g.abandon(ctx, grant)
 	}
 }
 
-// offer hands the request to the gate; settled is set when it has to wait.
-func (g *Gate) offer(asked *Grant) (waiting int) {
+// offer passes the request to the core gate. It sets grant.settled if the request is
+// queued.
+func (g *Gate) offer(grant *Grant) (waiting int) {
 	now := time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	settled, waiting := g.pure.Offer(now, &asked.ticket)
+	settled, waiting := g.core.Offer(now, &grant.ticket)
 	if waiting > 0 {
-		asked.settled = make(chan struct{})
+		grant.settled = make(chan struct{})
 	}
 	wake(settled)
 	return waiting
 }
 
-// outcome gives the grant or the refusal of a settled request.
+// outcome returns the grant or the refusal of a settled request.
 func (r *Grant) outcome() (*Grant, *port.Error) {
 	if r.ticket.Refusal != nil {
 		return nil, r.ticket.Refusal
@@ -145,11 +145,11 @@
 	return r, nil
 }
 
-// abandon takes the request out of the queue, or gives back its grant.
-func (g *Gate) abandon(ctx context.Context, asked *Grant) *port.Error {
+// abandon withdraws a request whose ctx ended, or releases its slot.
+func (g *Gate) abandon(ctx context.Context, grant *Grant) *port.Error {
 	now := time.Now()
 	g.mutex.Lock()
-	wake(g.pure.Cancel(now, &asked.ticket))
+	wake(g.core.Cancel(now, &grant.ticket))
 	g.mutex.Unlock()
 	if ctx.Err() == context.DeadlineExceeded {
 		return port.NewError(port.NotRun, port.CodeDeadline, "the deadline passed in the queue")
@@ -157,23 +157,23 @@
 	return port.NewError(port.NotRun, port.CodeCancelled, "the caller gave up in the queue")
 }
 
-// Tick ends the requests whose deadline has passed and serves those that can be.
+// Tick refuses queued requests past their deadline and grants those that can run.
 func (g *Gate) Tick(now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	wake(g.pure.Tick(now))
+	wake(g.core.Tick(now))
 }
 
-// Drain refuses all that waits and all that comes, as NotRun. What runs goes on.
+// Drain refuses all queued and all future requests as NotRun. Running requests continue.
 func (g *Gate) Drain() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	wake(g.pure.Drain())
+	wake(g.core.Drain())
 }
 
-// Loads gives the load of every replica, and the number of requests that wait.
+// Loads returns the load of every replica and the number of queued requests.
 func (g *Gate) Loads() (loads map[port.ReplicaID]Load, waiting int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.pure.Loads()
+	return g.core.Loads()
 }
--- a/internal/app/node/gate/gate_test.go
+++ b/internal/app/node/gate/gate_test.go
@@ -11,14 +11,14 @@
 )
 
 func newGate(replicas ...gate.Replica) *gate.Gate {
-	made := gate.New(scheduling.Application(), 1)
-	made.Configure(time.Now(), gate.Settings{MinInflight: 1, MaxInflight: 1, QueueLength: 4}, replicas)
-	return made
+	g := gate.New(scheduling.Application(), 1)
+	g.Configure(time.Now(), gate.Settings{MinInflight: 1, MaxInflight: 1, QueueLength: 4}, replicas)
+	return g
 }
 
-func acquire(t *testing.T, from *gate.Gate, id port.RequestID) *gate.Grant {
+func acquire(t *testing.T, g *gate.Gate, id port.RequestID) *gate.Grant {
 	t.Helper()
-	grant, refusal := from.Acquire(context.Background(), gate.Request{ID: id}, nil)
+	grant, refusal := g.Acquire(context.Background(), gate.Request{ID: id}, nil)
 	if refusal != nil {
 		t.Fatalf("request %s: %v", id, refusal)
 	}
@@ -26,8 +26,8 @@
 }
 
 func TestWaitingRequestIsServedByPriority(t *testing.T) {
-	under := newGate(gate.Replica{ID: "a"})
-	first := acquire(t, under, "first")
+	g := newGate(gate.Replica{ID: "a"})
+	first := acquire(t, g, "first")
 	order := make(chan string, 2)
 	for _, entry := range []struct {
 		id       port.RequestID
@@ -36,7 +36,7 @@
 		queued := make(chan struct{})
 		go func() {
 			request := gate.Request{ID: entry.id, Pick: scheduling.Request{Priority: entry.priority}}
-			grant, refusal := under.Acquire(context.Background(), request, func(int) { close(queued) })
+			grant, refusal := g.Acquire(context.Background(), request, func(int) { close(queued) })
 			if refusal != nil {
 				order <- refusal.Error()
 				return
@@ -48,10 +48,10 @@
 	}
 	first.Release(gate.Outcome{})
 	if got := <-order; got != "high" {
-		t.Errorf("served first: %s", got)
+		t.Errorf("first request served is %s", got)
 	}
 	if got := <-order; got != "low" {
-		t.Errorf("served second: %s", got)
+		t.Errorf("second request served is %s", got)
 	}
 }
 
@@ -74,11 +74,11 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			under := newGate(testCase.replica)
+			g := newGate(testCase.replica)
 			if testCase.code == port.CodeDeadline {
-				acquire(t, under, "running")
+				acquire(t, g, "running")
 			}
-			_, refusal := under.Acquire(context.Background(), testCase.request, nil)
+			_, refusal := g.Acquire(context.Background(), testCase.request, nil)
 			if refusal == nil || refusal.Code != testCase.code || refusal.Verdict != port.NotRun {
 				t.Errorf("refusal %v", refusal)
 			}
@@ -90,34 +90,34 @@
 	leaving := []gate.Replica{{ID: "a", Leaving: true}}
 	cases := []struct {
 		name string
-		act  func(under *gate.Gate, cancel context.CancelFunc)
+		act  func(g *gate.Gate, cancel context.CancelFunc)
 		code port.Code
 	}{
 		{"cancelled", func(_ *gate.Gate, cancel context.CancelFunc) { cancel() }, port.CodeCancelled},
-		{"drained", func(under *gate.Gate, _ context.CancelFunc) { under.Drain() }, port.CodeDraining},
-		{"back end leaves", func(under *gate.Gate, _ context.CancelFunc) {
-			under.Configure(time.Now(), gate.Settings{MaxInflight: 1, QueueLength: 4}, leaving)
+		{"drained", func(g *gate.Gate, _ context.CancelFunc) { g.Drain() }, port.CodeDraining},
+		{"back end leaves", func(g *gate.Gate, _ context.CancelFunc) {
+			g.Configure(time.Now(), gate.Settings{MaxInflight: 1, QueueLength: 4}, leaving)
 		}, port.CodeNoBackEnd},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			under := newGate(gate.Replica{ID: "a"})
-			running := acquire(t, under, "running")
+			g := newGate(gate.Replica{ID: "a"})
+			running := acquire(t, g, "running")
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			queued := make(chan struct{})
 			ended := make(chan *port.Error, 1)
 			go func() {
-				_, refusal := under.Acquire(ctx, gate.Request{ID: "waiting"}, func(int) { close(queued) })
+				_, refusal := g.Acquire(ctx, gate.Request{ID: "waiting"}, func(int) { close(queued) })
 				ended <- refusal
 			}()
 			<-queued
-			testCase.act(under, cancel)
+			testCase.act(g, cancel)
 			if refusal := <-ended; refusal == nil || refusal.Code != testCase.code || refusal.Verdict != port.NotRun {
 				t.Errorf("refusal %v", refusal)
 			}
 			running.Release(gate.Outcome{})
-			if loads, waiting := under.Loads(); loads["a"].Inflight != 0 || waiting != 0 {
+			if loads, waiting := g.Loads(); loads["a"].Inflight != 0 || waiting != 0 {
 				t.Errorf("loads %v, waiting %d", loads, waiting)
 			}
 		})
@@ -125,21 +125,21 @@
 }
 
 func TestPreferredAndAvoidedReplica(t *testing.T) {
-	under := newGate(gate.Replica{ID: "a"}, gate.Replica{ID: "b"})
-	grant, _ := under.Acquire(context.Background(), gate.Request{ID: "1", Preferred: "b"}, nil)
+	g := newGate(gate.Replica{ID: "a"}, gate.Replica{ID: "b"})
+	grant, _ := g.Acquire(context.Background(), gate.Request{ID: "1", Preferred: "b"}, nil)
 	if grant.Replica != "b" {
 		t.Errorf("preferred b, got %s", grant.Replica)
 	}
 	grant.Release(gate.Outcome{})
 	grant.Release(gate.Outcome{})
 	for range 10 {
-		grant, _ = under.Acquire(context.Background(), gate.Request{ID: "2", Avoid: "b"}, nil)
+		grant, _ = g.Acquire(context.Background(), gate.Request{ID: "2", Avoid: "b"}, nil)
 		if grant.Replica != "a" {
-			t.Fatalf("avoided replica was taken")
+			t.Fatalf("the replica to avoid was chosen")
 		}
 		grant.Release(gate.Outcome{})
 	}
-	if loads, _ := under.Loads(); loads["b"].Inflight != 0 {
-		t.Errorf("released twice: %v", loads)
+	if loads, _ := g.Loads(); loads["b"].Inflight != 0 {
+		t.Errorf("released more than once: %v", loads)
 	}
 }
--- a/internal/app/node/homes.go
+++ b/internal/app/node/homes.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return
 	}
-	events, gap, err := engine.CacheEvents(callCtx, owned.NextCacheEvent(replica))
+	events, gap, err := engine.CacheEvents(callCtx, owned.LastCacheEvent(replica))
 	if err == nil {
 		owned.CacheEvents(replica, events, gap)
 	}
