--- a/internal/app/node/keyed.go
+++ b/internal/app/node/keyed.go
@@ -174,7 +174,7 @@
 func (n *Node) finishKeyed(attempt *requestkeys.Attempt[keyOutcome], witness *port.NodeAddress, key string, digest uint64, outcome keyOutcome) {
 	notRun := outcome.Error != nil && outcome.Error.Verdict == port.NotRun
 	if notRun {
-		attempt.Forget(outcome)
+		attempt.Discard(outcome)
 	} else {
 		attempt.Finish(storedOutcome(outcome), time.Now())
 	}
@@ -204,10 +204,10 @@
 func (n *Node) handleClaim(call claimCall) (claimAnswer, *port.Error) {
 	switch {
 	case call.Forget:
-		n.keys.Drop(call.Key, call.Fingerprint)
+		n.keys.Remove(call.Key, call.Fingerprint)
 		return claimAnswer{}, nil
 	case call.Outcome != nil:
-		n.keys.Revise(call.Key, call.Fingerprint, *call.Outcome)
+		n.keys.Update(call.Key, call.Fingerprint, *call.Outcome)
 		return claimAnswer{}, nil
 	}
 	attempt, first, err := n.keys.Begin(call.Key, call.Fingerprint, time.Now())
@@ -235,7 +235,7 @@
 }
 
 func keyError(err error) *port.Error {
-	if errors.Is(err, requestkeys.ErrOtherRequest) {
+	if errors.Is(err, requestkeys.ErrKeyReused) {
 		refusal := port.NewError(port.NotRun, port.CodeInvalid, "%s", err.Error())
 		refusal.Field = "Idempotency-Key"
 		return refusal
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -36,7 +36,7 @@
 	recorder        *recorder
 	replicaCounters *counterTable[port.ReplicaID]
 	zoneCounters    *counterTable[nodestate.ZonePool]
-	keys            *requestkeys.Memory[keyOutcome]
+	keys            *requestkeys.Store[keyOutcome]
 	budgets         *budgetTable
 	chooser         *chooser
 	sampling        *samplingManager
--- a/internal/app/node/requestkeys/doc.go
+++ b/internal/app/node/requestkeys/doc.go
@@ -1,4 +1,4 @@
-// Package requestkeys remembers the outcomes of requests that carry a caller's
-// key, for a stated time and up to a stated number, so that a resend joins the
-// first attempt or gets its outcome.
+// Package requestkeys stores the outcomes of requests that carry a caller's key, for a
+// limited time and up to a limited number, so that a repeated request joins the first
+// attempt or returns its outcome.
 package requestkeys
--- a/internal/app/node/requestkeys/memory.go
+++ b/internal/app/node/requestkeys/memory.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// ErrOtherRequest says that a key was used before for a different request.
-var ErrOtherRequest = errors.New("request key was used for a different request")
+// ErrKeyReused is returned for a key that was used for a different request.
+var ErrKeyReused = errors.New("request key was used for a different request")
 
-// ErrFull says that every remembered key is still in use.
+// ErrFull is returned if every stored key is still in use.
 var ErrFull = errors.New("too many request keys in use")
 
-// Memory remembers attempts by key. It is safe for use by many goroutines.
-type Memory[T any] struct {
-	keep time.Duration
-	max  int
+// Store stores attempts by key. It is safe for concurrent use.
+type Store[T any] struct {
+	retention time.Duration
+	max       int
 
 	mutex   sync.Mutex
 	entries map[string]*Attempt[T]
 	order   *list.List // finished attempts, oldest first
 }
 
-// Attempt is the one attempt that all requests with a key share.
+// Attempt is the one attempt shared by all requests with a key.
 type Attempt[T any] struct {
-	memory      *Memory[T]
+	store       *Store[T]
 	key         string
 	fingerprint uint64
 	done        chan struct{}
@@ -34,107 +34,105 @@
 	element     *list.Element
 }
 
-// New gives a memory that keeps an outcome for keep and at most max keys.
-func New[T any](keep time.Duration, max int) *Memory[T] {
-	return &Memory[T]{keep: keep, max: max, entries: make(map[string]*Attempt[T]), order: list.New()}
+// New returns a store that keeps outcomes for the retention time, and at most max keys.
+func New[T any](retention time.Duration, max int) *Store[T] {
+	return &Store[T]{retention: retention, max: max, entries: make(map[string]*Attempt[T]), order: list.New()}
 }
 
-// Begin gives the attempt of a key. First says that the caller has to run it
-// and to call Finish or Forget; otherwise the caller waits on Done. The
-// fingerprint tells requests apart that must not share a key: another one gives
-// ErrOtherRequest. ErrFull says that no place could be made.
-func (m *Memory[T]) Begin(key string, fingerprint uint64, now time.Time) (attempt *Attempt[T], first bool, err error) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.expire(now)
-	if known, found := m.entries[key]; found {
+// Begin returns the attempt of a key. If first is true, the caller must run the request
+// and call Finish or Discard; otherwise it waits for Done. The fingerprint identifies
+// the request: Begin returns ErrKeyReused if it differs from the stored one, and ErrFull
+// if no key can be added.
+func (s *Store[T]) Begin(key string, fingerprint uint64, now time.Time) (attempt *Attempt[T], first bool, err error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.expire(now)
+	if known, found := s.entries[key]; found {
 		if known.fingerprint != fingerprint {
-			return nil, false, ErrOtherRequest
+			return nil, false, ErrKeyReused
 		}
 		return known, false, nil
 	}
-	if len(m.entries) >= m.max {
+	if len(s.entries) >= s.max {
 		return nil, false, ErrFull
 	}
-	attempt = &Attempt[T]{memory: m, key: key, fingerprint: fingerprint, done: make(chan struct{})}
-	m.entries[key] = attempt
+	attempt = &Attempt[T]{store: s, key: key, fingerprint: fingerprint, done: make(chan struct{})}
+	s.entries[key] = attempt
 	return attempt, true, nil
 }
 
-// Len gives the number of remembered keys.
-func (m *Memory[T]) Len() int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return len(m.entries)
+// Len returns the number of stored keys.
+func (s *Store[T]) Len() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.entries)
 }
 
-func (m *Memory[T]) expire(now time.Time) {
-	for front := m.order.Front(); front != nil; front = m.order.Front() {
+func (s *Store[T]) expire(now time.Time) {
+	for front := s.order.Front(); front != nil; front = s.order.Front() {
 		oldest := front.Value.(*Attempt[T])
-		if now.Sub(oldest.finished) < m.keep {
+		if now.Sub(oldest.finished) < s.retention {
 			return
 		}
-		m.order.Remove(front)
-		delete(m.entries, oldest.key)
+		s.order.Remove(front)
+		delete(s.entries, oldest.key)
 	}
 }
 
-// Done is closed when the attempt has its outcome.
+// Done returns a channel that is closed when the attempt has its outcome.
 func (a *Attempt[T]) Done() <-chan struct{} { return a.done }
 
-// Outcome is valid once Done is closed.
+// Outcome returns the outcome. It is valid once Done is closed.
 func (a *Attempt[T]) Outcome() T {
-	a.memory.mutex.Lock()
-	defer a.memory.mutex.Unlock()
+	a.store.mutex.Lock()
+	defer a.store.mutex.Unlock()
 	return a.outcome
 }
 
-// Finish records the outcome, wakes those who wait and keeps it. Later calls
-// have no effect.
+// Finish stores the outcome and closes Done. Further calls have no effect.
 func (a *Attempt[T]) Finish(outcome T, now time.Time) {
-	a.memory.mutex.Lock()
-	defer a.memory.mutex.Unlock()
-	if a.element != nil || a.memory.entries[a.key] != a {
+	a.store.mutex.Lock()
+	defer a.store.mutex.Unlock()
+	if a.element != nil || a.store.entries[a.key] != a {
 		return
 	}
 	a.outcome = outcome
 	a.finished = now
-	a.element = a.memory.order.PushBack(a)
+	a.element = a.store.order.PushBack(a)
 	close(a.done)
 }
 
-// Forget gives the outcome to those who wait and forgets the key, so that the
-// next request with it runs anew: for requests that did not run.
-func (a *Attempt[T]) Forget(outcome T) {
-	a.memory.mutex.Lock()
-	defer a.memory.mutex.Unlock()
-	if a.element != nil || a.memory.entries[a.key] != a {
+// Discard sets the outcome, closes Done and removes the key, so that the next request
+// with the key runs. It is for requests that did not run.
+func (a *Attempt[T]) Discard(outcome T) {
+	a.store.mutex.Lock()
+	defer a.store.mutex.Unlock()
+	if a.element != nil || a.store.entries[a.key] != a {
 		return
 	}
-	delete(a.memory.entries, a.key)
+	delete(a.store.entries, a.key)
 	a.outcome = outcome
 	close(a.done)
 }
 
-// Revise replaces the outcome of a finished attempt; an unknown or unfinished
-// one is left alone.
-func (m *Memory[T]) Revise(key string, fingerprint uint64, outcome T) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	known := m.entries[key]
+// Update replaces the outcome of a finished attempt; an unknown or unfinished attempt is
+// left unchanged.
+func (s *Store[T]) Update(key string, fingerprint uint64, outcome T) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	known := s.entries[key]
 	if known != nil && known.element != nil && known.fingerprint == fingerprint {
 		known.outcome = outcome
 	}
 }
 
-// Drop forgets a finished attempt, so that the next request with its key runs
-// anew.
-func (m *Memory[T]) Drop(key string, fingerprint uint64) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	known := m.entries[key]
+// Remove removes a finished attempt, so that the next request with its key runs.
+func (s *Store[T]) Remove(key string, fingerprint uint64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	known := s.entries[key]
 	if known != nil && known.element != nil && known.fingerprint == fingerprint {
-		m.order.Remove(known.element)
-		delete(m.entries, key)
+		s.order.Remove(known.element)
+		delete(s.entries, key)
 	}
 }
