--- a/internal/app/node/spool/doc.go
+++ b/internal/app/node/spool/doc.go
@@ -1,8 +1,8 @@
-// Package spool keeps decision records on disk, so that a question about a
-// decision can be answered after the node that took it was restarted. Records
-// are appended in batches, synced, and bounded by two files of which the older
-// one is dropped. A torn end of a file is ignored.
+// Package spool stores decision records on disk, so that decisions can be explained
+// after a restart of the node. Records are appended and synced in batches. The size is
+// limited by rotating between two files and dropping the older one. An incomplete record
+// at the end of a file is ignored.
 //
-// The spool serves explanations only: a record that is lost costs an answer to
-// an operator and nothing else, so a failing disk is counted and not fatal.
+// A lost record only costs an explanation to an operator, so disk errors are counted and
+// not fatal.
 package spool
--- a/internal/app/node/spool/spool.go
+++ b/internal/app/node/spool/spool.go
@@ -30,15 +30,15 @@
 
 // Options are the settings of a spool.
 type Options struct {
-	// Folder is made if it doesn't exist.
+	// Folder is created if it does not exist.
 	Folder string
-	// MaxBytes bounds both files together.
+	// MaxBytes limits the size of both files together.
 	MaxBytes int64
-	// SyncEvery paces writes and syncs.
+	// SyncEvery is the interval of writes and syncs.
 	SyncEvery time.Duration
 }
 
-// Spool appends decisions to disk. It is safe for use by many goroutines.
+// Spool appends decisions to disk. It is safe for concurrent use.
 type Spool struct {
 	options Options
 	queue   chan port.Decision
@@ -52,8 +52,7 @@
 	size int64
 }
 
-// Open reads back what is kept, in the order it was written, and starts the
-// writer.
+// Open returns a spool and the stored decisions, oldest first, and starts the writer.
 func Open(options Options) (*Spool, []port.Decision, error) {
 	if err := os.MkdirAll(options.Folder, 0o750); err != nil {
 		return nil, nil, eris.Wrap(err, "decision spool")
@@ -79,7 +78,7 @@
 	return spool, append(previous, current...), nil
 }
 
-// Append queues a decision. A full queue drops it and counts it.
+// Append queues a decision. If the queue is full, the decision is dropped and counted.
 func (s *Spool) Append(decision port.Decision) {
 	select {
 	case s.queue <- decision:
@@ -88,16 +87,16 @@
 	}
 }
 
-// Lost gives the number of decisions that were dropped or could not be written.
+// Lost returns the number of decisions that were dropped or could not be written.
 func (s *Spool) Lost() uint64 { return s.dropped.Load() + s.failed.Load() }
 
-// Close writes and syncs what is queued and closes the file.
+// Close writes and syncs the queued decisions and closes the file.
 func (s *Spool) Close() {
 	s.once.Do(func() { close(s.stop) })
 	<-s.stopped
 }
 
-// open opens the current file and cuts off a torn end.
+// open opens the current file and truncates it to its complete records.
 func (s *Spool) open(size int64) error {
 	file, err := os.OpenFile(filepath.Join(s.options.Folder, currentName), os.O_RDWR|os.O_CREATE, 0o640)
 	if err != nil {
@@ -185,8 +184,8 @@
 	return append(buffer, body...)
 }
 
-// read gives the whole records of a file and the length that they take; what
-// follows the first record that isn't whole is left out.
+// read returns the complete records of a file and their total length. It stops at the
+// first incomplete or corrupt record.
 func read(path string) ([]port.Decision, int64, error) {
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
@@ -200,8 +199,8 @@
 	var decisions []port.Decision
 	var size int64
 	for {
-		decision, length, whole := readRecord(reader)
-		if !whole {
+		decision, length, complete := readRecord(reader)
+		if !complete {
 			return decisions, size, nil
 		}
 		decisions = append(decisions, decision)
@@ -209,7 +208,7 @@
 	}
 }
 
-func readRecord(reader io.Reader) (decision port.Decision, length int64, whole bool) {
+func readRecord(reader io.Reader) (decision port.Decision, length int64, complete bool) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return decision, 0, false
--- a/internal/app/node/spool/spool_test.go
+++ b/internal/app/node/spool/spool_test.go
@@ -13,11 +13,11 @@
 
 func open(t *testing.T, folder string, maxBytes int64) (*spool.Spool, []port.Decision) {
 	t.Helper()
-	opened, kept, err := spool.Open(spool.Options{Folder: folder, MaxBytes: maxBytes, SyncEvery: time.Millisecond})
+	opened, stored, err := spool.Open(spool.Options{Folder: folder, MaxBytes: maxBytes, SyncEvery: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return opened, kept
+	return opened, stored
 }
 
 func TestDecisionsSurviveARestartAndATornEnd(t *testing.T) {
@@ -35,41 +35,41 @@
 	if err := os.WriteFile(path, content[:len(content)-2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	second, kept := open(t, folder, 1<<20)
-	if len(kept) != 2 || kept[1].Subject != "1" {
-		t.Fatalf("kept %v", kept)
+	second, stored := open(t, folder, 1<<20)
+	if len(stored) != 2 || stored[1].Subject != "1" {
+		t.Fatalf("stored decisions %v", stored)
 	}
 	second.Append(port.Decision{Subject: "after"})
 	second.Close()
-	third, kept := open(t, folder, 1<<20)
+	third, stored := open(t, folder, 1<<20)
 	defer third.Close()
-	if len(kept) != 3 || kept[2].Subject != "after" {
-		t.Fatalf("kept after the torn end %v", kept)
+	if len(stored) != 3 || stored[2].Subject != "after" {
+		t.Fatalf("stored decisions after truncation %v", stored)
 	}
 }
 
 func TestSpoolIsBounded(t *testing.T) {
 	folder := t.TempDir()
 	const maxBytes = 4096
-	for round := range 20 {
+	for run := range 20 {
 		opened, _ := open(t, folder, maxBytes)
 		for range 10 {
-			opened.Append(port.Decision{Subject: fmt.Sprintf("subject-%d", round), Detail: "some detail of a decision"})
+			opened.Append(port.Decision{Subject: fmt.Sprintf("subject-%d", run), Detail: "some detail of a decision"})
 		}
 		opened.Close()
 	}
 	total := int64(0)
 	files, _ := os.ReadDir(folder)
 	for _, file := range files {
-		information, _ := file.Info()
-		total += information.Size()
+		info, _ := file.Info()
+		total += info.Size()
 	}
 	if total > maxBytes {
-		t.Errorf("%d bytes on disk, bound %d", total, maxBytes)
+		t.Errorf("%d bytes on disk, limit %d", total, maxBytes)
 	}
-	last, kept := open(t, folder, maxBytes)
+	last, stored := open(t, folder, maxBytes)
 	defer last.Close()
-	if len(kept) == 0 || kept[len(kept)-1].Subject != "subject-19" {
-		t.Errorf("the newest decisions are gone")
+	if len(stored) == 0 || stored[len(stored)-1].Subject != "subject-19" {
+		t.Errorf("the newest decisions are missing")
 	}
 }
