--- a/internal/app/replicacall/replicacall.go
+++ b/internal/app/replicacall/replicacall.go
@@ -1,6 +1,5 @@
-// Package replicacall sends HTTP requests to replicas under their exact
-// instance: a replica that was started anew, or another one at the same
-// address, refuses them as not run.
+// Package replicacall sends HTTP requests to exact replica instances. A replica that has
+// restarted, or another one at the same address, refuses them as not run.
 package replicacall
 
 import (
@@ -20,11 +19,11 @@
 )
 
 const (
-	dialTimeout = 400 * time.Millisecond
-	silence     = 1500 * time.Millisecond
-	idleTimeout = 20 * time.Second
-	// reportLimit bounds a replica's report, in bytes.
-	reportLimit = 256 << 10
+	dialTimeout    = 400 * time.Millisecond
+	silenceTimeout = 1500 * time.Millisecond
+	idleTimeout    = 20 * time.Second
+	// maxReportBytes limits the size of a replica's report.
+	maxReportBytes = 256 << 10
 )
 
 // Client sends requests to replicas. It is safe for concurrent use.
@@ -34,32 +33,31 @@
 	dialect dialect.Dialect
 }
 
-// New makes a client that opens so many connections to one replica at most.
-func New(terms dialect.Dialect, connections int) *Client {
-	headers := terms.Headers()
+// New returns a client with at most the given number of connections per replica.
+func New(d dialect.Dialect, connections int) *Client {
+	headers := d.Headers()
 	names := httpcall.Names{ID: headers.RequestID, Deadline: headers.Deadline}
-	return &Client{dialect: terms, names: names, http: httpcall.New(httpcall.Limits{
+	return &Client{dialect: d, names: names, http: httpcall.New(httpcall.Limits{
 		DialTimeout: dialTimeout, Connections: connections, IdleConnections: connections,
-		IdleTimeout: idleTimeout, SilenceTimeout: silence, Names: names,
+		IdleTimeout: idleTimeout, SilenceTimeout: silenceTimeout, Names: names,
 	})}
 }
 
-// Request is what is sent to a replica.
+// Request is a request to a replica.
 type Request struct {
 	Method string
-	// Target is the request's path and query, exactly as they are to stand in
-	// the request line.
+	// Target is the path and query, sent unchanged in the request line.
 	Target string
 	Host   string
 	ID     string
 	Header http.Header
 	Body   []byte
-	// NoDeadline leaves the deadline header out although the context has one.
+	// NoDeadline omits the deadline header even if the context has a deadline.
 	NoDeadline bool
 }
 
-// Send sends a request once and gives the answer's head; the caller closes the
-// body. Errors carry a verdict.
+// Send sends a request once and returns the response; the caller closes the body.
+// Errors carry a verdict.
 func (c *Client) Send(ctx context.Context, replica sitestate.Replica, request Request) (*http.Response, error) {
 	names := c.names
 	if request.NoDeadline {
@@ -69,24 +67,24 @@
 	if header == nil {
 		header = http.Header{}
 	}
-	made, err := names.NewRequest(ctx, request.Method, "http://"+replica.Address+"/", request.ID, header, request.Body)
+	httpRequest, err := names.NewRequest(ctx, request.Method, "http://"+replica.Address+"/", request.ID, header, request.Body)
 	if err != nil {
 		return nil, err
 	}
-	if err := setTarget(made, replica.Address, request.Target); err != nil {
+	if err := setTarget(httpRequest, replica.Address, request.Target); err != nil {
 		return nil, err
 	}
 	if request.Host != "" {
-		made.Host = request.Host
+		httpRequest.Host = request.Host
 	}
-	if _, set := made.Header["User-Agent"]; !set {
-		made.Header.Set("User-Agent", "") // net/http would add its own
+	if _, set := httpRequest.Header["User-Agent"]; !set {
+		httpRequest.Header.Set("User-Agent", "") // prevents net/http's default value
 	}
-	made.Header.Set(c.dialect.Headers().ExpectInstance, replica.InstanceName())
-	return c.http.Send(made)
+	httpRequest.Header.Set(c.dialect.Headers().ExpectInstance, replica.InstanceName())
+	return c.http.Send(httpRequest)
 }
 
-// setTarget puts the target into the request line as it is.
+// setTarget sets the target of the request line without normalizing it.
 func setTarget(request *http.Request, address, target string) error {
 	if strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "//") {
 		request.URL = &url.URL{Scheme: "http", Host: address, Opaque: target}
@@ -101,13 +99,13 @@
 	return nil
 }
 
-// RefusedAsNotRun reports whether an answer says that the replica did not run
-// the request.
+// RefusedAsNotRun reports whether the response declares that the replica did not run the
+// request.
 func (c *Client) RefusedAsNotRun(response *http.Response) bool {
 	return response.StatusCode == http.StatusMisdirectedRequest || response.Header.Get(c.dialect.Headers().NotRun) != ""
 }
 
-// Order sends an order and gives the answer's status.
+// Order sends an order and returns the status of the response.
 func (c *Client) Order(ctx context.Context, replica sitestate.Replica, order dialect.Order) (int, error) {
 	call, err := c.dialect.OrderCall(order)
 	if err != nil {
@@ -121,7 +119,7 @@
 	return response.StatusCode, nil
 }
 
-// Report asks a replica how it stands.
+// Report requests a replica's report.
 func (c *Client) Report(ctx context.Context, replica sitestate.Replica) (dialect.Report, error) {
 	response, err := c.call(ctx, replica, c.dialect.ReportCall())
 	if err != nil {
@@ -131,7 +129,7 @@
 	if response.StatusCode != http.StatusOK {
 		return dialect.Report{}, httpcall.Malformed("report with status %d", response.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, reportLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
 		return dialect.Report{}, eris.Wrap(err, "read report")
 	}
@@ -146,8 +144,8 @@
 	return c.Send(ctx, replica, Request{Method: call.Method, Target: call.Path, Header: header, Body: call.Body, NoDeadline: true})
 }
 
-// drain lets the connection be used again.
+// drain reads the rest of the body and closes it, so that the connection can be reused.
 func drain(response *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, reportLimit))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReportBytes))
 	_ = response.Body.Close()
 }
