--- a/internal/app/node/accept.go
+++ b/internal/app/node/accept.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// acceptance is the state that a request uses from its acceptance on.
+// acceptance holds the routing state and the deadline of an accepted request.
 type acceptance struct {
 	snapshot *nodestate.Snapshot
 	pool     *port.Pool
--- a/internal/app/node/actions.go
+++ b/internal/app/node/actions.go
@@ -92,16 +92,16 @@
 	w.post(proposalAnswered{token: action.Token, result: result, failure: port.AsError(err)})
 }
 
-func (w *poolWorker) record(decided port.Decision) {
-	if decided.Revision == 0 {
-		decided.Revision = w.node.snapshot.Load().View.Revision
+func (w *poolWorker) record(d port.Decision) {
+	if d.Revision == 0 {
+		d.Revision = w.node.snapshot.Load().View.Revision
 	}
-	w.countDropped(decided)
-	decided.Subject = batchSubject(w.pool, decided.Subject)
-	for index, related := range decided.Related {
-		decided.Related[index] = batchSubject(w.pool, related)
+	w.countDropped(d)
+	d.Subject = batchSubject(w.pool, d.Subject)
+	for index, related := range d.Related {
+		d.Related[index] = batchSubject(w.pool, related)
 	}
-	w.node.recorder.record(decided)
+	w.node.recorder.record(d)
 }
 
 func (w *poolWorker) fetchPrompts(action coordinator.FetchPrompts, source string) {
--- a/internal/app/node/controller.go
+++ b/internal/app/node/controller.go
@@ -68,7 +68,7 @@
 	return len(body)
 }
 
-// run is the control goroutine.
+// run handles events and periodic work until the node stops.
 func (c *controller) run() {
 	defer close(c.node.controllerDone)
 	ticker := time.NewTicker(c.node.config.Intervals.Tick)
@@ -134,8 +134,8 @@
 	for _, message := range output.Messages {
 		n.peers.send(message.To.PeerAddress, methodOf(message.Body), message.Body)
 	}
-	for _, decided := range output.Decisions {
-		n.recorder.record(decided)
+	for _, d := range output.Decisions {
+		n.recorder.record(d)
 	}
 	for _, pool := range output.RemovedPools {
 		n.metrics.Forget(pool)
--- a/internal/app/node/fault_test.go
+++ b/internal/app/node/fault_test.go
@@ -366,7 +366,7 @@
 			}
 		}
 		_, decisions, _ := f.nodes["n1"].Explain(context.Background(), "p0")
-		return slices.ContainsFunc(decisions, func(decided port.Decision) bool { return decided.Kind == kind })
+		return slices.ContainsFunc(decisions, func(d port.Decision) bool { return d.Kind == kind })
 	}
 	eventually(t, "the ejection", func() bool { return recorded(port.DecisionEjected) })
 	eventually(t, "the return", func() bool { return recorded(port.DecisionReturned) })
--- a/internal/app/node/generate.go
+++ b/internal/app/node/generate.go
@@ -151,11 +151,11 @@
 // handle handles one event of the attempt.
 func (r *attemptRun) handle(next peerapi.GenerateEvent) error {
 	if next.Decision != nil {
-		decided := *next.Decision
-		decided.Subject = r.job.subject
-		r.node.recorder.record(decided)
-		if decided.Kind == port.DecisionPlaced {
-			r.setReplica(decided.Replica)
+		d := *next.Decision
+		d.Subject = r.job.subject
+		r.node.recorder.record(d)
+		if d.Kind == port.DecisionPlaced {
+			r.setReplica(d.Replica)
 		}
 	}
 	if next.Chunk != nil {
--- a/internal/app/node/recorder.go
+++ b/internal/app/node/recorder.go
@@ -67,18 +67,18 @@
 }
 
 // record stores a decision, with this node and the current time if they are missing.
-func (r *recorder) record(decided port.Decision) {
-	if decided.Node == "" {
-		decided.Node = r.node
+func (r *recorder) record(d port.Decision) {
+	if d.Node == "" {
+		d.Node = r.node
 	}
-	if decided.Time == 0 {
-		decided.Time = time.Now().UnixMilli()
+	if d.Time == 0 {
+		d.Time = time.Now().UnixMilli()
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.store.Add(decided)
+	r.store.Add(d)
 	if r.spool != nil {
-		r.spool.Append(decided)
+		r.spool.Append(d)
 	}
 }
 
--- a/internal/app/node/web.go
+++ b/internal/app/node/web.go
@@ -59,8 +59,8 @@
 }
 
 // countDropped counts samples that will not be delivered.
-func (w *poolWorker) countDropped(decided port.Decision) {
-	switch decided.Kind {
+func (w *poolWorker) countDropped(d port.Decision) {
+	switch d.Kind {
 	case port.DecisionStale:
 		w.node.metrics.SampleDropped(w.pool, metrics.DropStale)
 	case port.DecisionVoided:
