--- a/internal/app/control/bench_test.go
+++ b/internal/app/control/bench_test.go
@@ -11,9 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// BenchmarkCommits measures commits a second and syncs of the leader a commit,
-// over real files and loopback, with group commit and with one sync for each
-// request. A commit is a lease acquired under a name of its client.
+// BenchmarkCommits measures commits per second and syncs of the leader per commit,
+// with group commit and with one sync per request. A commit registers a node.
 func BenchmarkCommits(b *testing.B) {
 	modes := []struct {
 		name  string
--- a/internal/app/control/calls.go
+++ b/internal/app/control/calls.go
@@ -11,15 +11,15 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// outcome is the reply of the leader here, or the leader to ask instead.
+// outcome is a reply of the loop or, if this member is not the leader, the leader.
 type outcome struct {
 	reply  controlmember.Reply
 	leader consensus.MemberID
-	// refused is set if this member does not lead.
-	refused bool
+	// notLeader is set if this member is not the leader.
+	notLeader bool
 }
 
-// onLeader runs start in the loop if this member leads, and waits for the
+// onLeader runs start in the loop if this member is the leader, and waits for the
 // reply.
 func (m *Member) onLeader(ctx context.Context, start func(l *loop, token uint64)) (outcome, error) {
 	reply := make(chan controlmember.Reply, 1)
@@ -29,7 +29,7 @@
 			redirect <- l.member.Leader()
 			return
 		}
-		start(l, l.await(reply))
+		start(l, l.addPendingReply(reply))
 	})
 	if refusal != nil {
 		return outcome{}, refusal
@@ -38,16 +38,16 @@
 	case answered := <-reply:
 		return outcome{reply: answered}, nil
 	case leader := <-redirect:
-		return outcome{leader: leader, refused: true}, nil
+		return outcome{leader: leader, notLeader: true}, nil
 	case <-m.loop().stopped:
-		return outcome{}, m.afterStop(reply)
+		return outcome{}, m.errAfterStop(reply)
 	case <-ctx.Done():
 		return outcome{}, port.NewError(port.MayHaveRun, port.CodeDeadline, "no answer in time")
 	}
 }
 
-// afterStop is the outcome of a call that the loop's end overtook.
-func (m *Member) afterStop(reply <-chan controlmember.Reply) *port.Error {
+// errAfterStop returns the error of a call that was pending when the loop stopped.
+func (m *Member) errAfterStop(reply <-chan controlmember.Reply) *port.Error {
 	select {
 	case answered := <-reply:
 		if answered.Error != nil {
@@ -58,7 +58,7 @@
 	return port.NewError(port.MayHaveRun, port.CodeUnavailable, "the control member stopped before the answer")
 }
 
-// withRetryAfter advises when a group without a leader may have one again.
+// withRetryAfter sets the time after which an unavailable group may have a leader.
 func (m *Member) withRetryAfter(refusal *port.Error) *port.Error {
 	if refusal.Code != port.CodeUnavailable || refusal.RetryAfter != 0 {
 		return refusal
@@ -69,20 +69,19 @@
 }
 
 func (m *Member) errNoLeader() *port.Error {
-	return m.withRetryAfter(port.NewError(port.NotRun, port.CodeUnavailable, "the control group has no leader that this member knows"))
+	return m.withRetryAfter(port.NewError(port.NotRun, port.CodeUnavailable, "the control group has no leader known to this member"))
 }
 
-// viaLeader runs start here if this member leads, else sends the request to the
-// leader once. A request that came from a member has no forward and is not
-// passed on again.
+// viaLeader runs start if this member is the leader, and otherwise calls forward
+// once. forward is nil for requests that another member forwarded.
 func (m *Member) viaLeader(ctx context.Context, start func(l *loop, token uint64), forward func(consensus.MemberID) (port.Result, error)) (port.Result, error) {
 	done, err := m.onLeader(ctx, start)
 	switch {
 	case err != nil:
 		return port.Result{}, m.withRetryAfter(port.AsError(err))
-	case !done.refused && done.reply.Error != nil:
+	case !done.notLeader && done.reply.Error != nil:
 		return port.Result{}, m.withRetryAfter(done.reply.Error)
-	case !done.refused:
+	case !done.notLeader:
 		return done.reply.Result, nil
 	case forward == nil || done.leader == consensus.None || uint64(done.leader) == m.config.ID:
 		return port.Result{}, m.errNoLeader()
@@ -94,24 +93,24 @@
 	return result, nil
 }
 
-// propose puts a command through the log, at the leader if need be.
+// propose commits a command through the log, at the leader if necessary.
 func (m *Member) propose(ctx context.Context, command port.Command, forwarded bool) (port.Result, error) {
 	start := func(l *loop, token uint64) { l.member.Propose(token, command) }
 	if forwarded {
 		return m.viaLeader(ctx, start, nil)
 	}
-	began := time.Now()
+	started := time.Now()
 	result, err := m.viaLeader(ctx, start, func(leader consensus.MemberID) (port.Result, error) {
 		var result port.Result
 		err := m.peers.call(ctx, leader, peerapi.MethodForward, command, &result)
 		return result, err
 	})
-	m.measure(result, err, time.Since(began))
+	m.recordCommand(result, err, time.Since(started))
 	return result, err
 }
 
-// measure counts the answer to a command.
-func (m *Member) measure(result port.Result, err error, elapsed time.Duration) {
+// recordCommand records the metrics of a command.
+func (m *Member) recordCommand(result port.Result, err error, elapsed time.Duration) {
 	if m.config.Recorder == nil {
 		return
 	}
@@ -122,7 +121,7 @@
 	m.config.Recorder.CommandDone(refusal, elapsed)
 }
 
-// readIndex gives a position that shows every change accepted before the call.
+// readIndex returns an index that covers every change accepted before the call.
 func (m *Member) readIndex(ctx context.Context, forwarded bool) (uint64, error) {
 	start := func(l *loop, token uint64) { l.member.Read(token) }
 	forward := func(leader consensus.MemberID) (port.Result, error) {
@@ -136,13 +135,13 @@
 	result, err := m.viaLeader(ctx, start, forward)
 	if err != nil {
 		refusal := *port.AsError(err)
-		refusal.Verdict = port.NotRun // a read leaves nothing behind
+		refusal.Verdict = port.NotRun // a read has no effect
 		return 0, &refusal
 	}
 	return result.Index, nil
 }
 
-// readState runs read in the loop, on a state that shows every change accepted
+// readState runs read in the loop, on a state that includes every change accepted
 // before the call.
 func (m *Member) readState(ctx context.Context, read func(member *controlmember.Member)) error {
 	index, err := m.readIndex(ctx, false)
@@ -162,7 +161,7 @@
 			close(done)
 			return
 		}
-		l.reads = append(l.reads, appliedRead{index: index, done: done})
+		l.pendingReads = append(l.pendingReads, pendingRead{index: index, done: done})
 	})
 	if refusal != nil {
 		return refusal
@@ -170,7 +169,7 @@
 	return m.awaitLoop(ctx, done)
 }
 
-// inLoop runs work in the loop and waits for it.
+// inLoop runs work in the loop and waits until it is done.
 func (m *Member) inLoop(ctx context.Context, work request) error {
 	done := make(chan struct{})
 	refusal := m.loop().post(ctx, func(l *loop) {
@@ -195,12 +194,12 @@
 }
 
 // changeMember adds, promotes or removes a control member, at the leader if
-// need be.
+// necessary.
 func (m *Member) changeMember(ctx context.Context, change operatorapi.MemberChange, forwarded bool) (port.Result, error) {
 	start := func(l *loop, token uint64) {
 		if reason := checkMemberChange(l.member.Status().Membership, change); reason != nil {
-			l.awaiting[token] <- controlmember.Reply{Token: token, Error: reason}
-			delete(l.awaiting, token)
+			l.pendingReplies[token] <- controlmember.Reply{Token: token, Error: reason}
+			delete(l.pendingReplies, token)
 			return
 		}
 		l.member.ChangeMembership(token, membershipChange(change))
@@ -229,14 +228,14 @@
 	}
 }
 
-// checkMemberChange refuses what no retry can mend.
+// checkMemberChange rejects changes that cannot succeed on retry.
 func checkMemberChange(membership consensus.Membership, change operatorapi.MemberChange) *port.Error {
 	id := consensus.MemberID(change.ID)
 	switch {
 	case change.Action == operatorapi.MemberAdd && membership.Contains(id):
 		return port.NewError(port.NotRun, port.CodeConflict, "member %d is in the group already", id)
 	case change.Action == operatorapi.MemberAdd && id <= membership.HighestID:
-		return port.InvalidField("id", uintText(change.ID), "a number above "+uintText(uint64(membership.HighestID)))
+		return port.InvalidField("id", formatUint(change.ID), "a number above "+formatUint(uint64(membership.HighestID)))
 	case change.Action != operatorapi.MemberAdd && !membership.Contains(id):
 		return port.NewError(port.NotRun, port.CodeNotFound, "no member %d", id)
 	case change.Action == operatorapi.MemberPromote && membership.IsVoter(id):
--- a/internal/app/control/config.go
+++ b/internal/app/control/config.go
@@ -26,7 +26,7 @@
 	DefaultNodeTimeout     = 15 * time.Second
 	DefaultMaxBatch        = 1024
 
-	// memberBackoffMax bounds the delay between dials to another member.
+	// memberBackoffMax limits the backoff between dials to another member.
 	memberBackoffMax = 500 * time.Millisecond
 )
 
@@ -37,74 +37,74 @@
 	Peer string
 }
 
-// Config sets a control member up. Zero values take their defaults.
+// Config configures a control member. Zero values select the defaults.
 type Config struct {
-	// Cluster names the fleet; processes of another one are refused.
+	// Cluster names the fleet; processes of other fleets are rejected.
 	Cluster string
 	ID      uint64
-	// Members are those that the group was first started with or, with Join,
-	// present members.
+	// Members lists the initial members of the group or, with Join, its current
+	// members.
 	Members []Address
-	// Join makes a member without a data folder wait to be added as a learner.
+	// Join makes a member without a data folder wait until it is added as a learner.
 	Join       bool
 	DataFolder string
-	// PeerAddress and OperatorAddress are IP:port to listen on; they are not
-	// used where a listener is given.
+	// PeerAddress and OperatorAddress are the IP:port to listen on. They are ignored
+	// if a listener is set.
 	PeerAddress      string
 	OperatorAddress  string
 	PeerListener     net.Listener
 	OperatorListener net.Listener
-	// PeerToken is shared by the fleet's own processes; empty asks for none.
+	// PeerToken is shared by the fleet's processes; if empty, none is required.
 	PeerToken string
-	// OperatorToken is what operators present; empty refuses them.
+	// OperatorToken authenticates operators; if empty, all are rejected.
 	OperatorToken string
-	// Tick is the time step of elections and heartbeats.
+	// Tick is the time unit of elections and heartbeats.
 	Tick           time.Duration
 	ElectionTicks  int
 	HeartbeatTicks int
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock includes suspended time; nil selects the system clock.
 	Clock boottime.Clock
-	// Seed feeds the random election timeouts.
+	// Seed seeds the random election timeouts.
 	Seed uint64
 	// SnapshotEntries is the number of log entries between snapshots.
 	SnapshotEntries int
-	// RetainEntries stay in memory before a snapshot, for members that are a
-	// little behind.
+	// RetainEntries is the number of entries that stay in memory before a snapshot,
+	// for members that lag slightly.
 	RetainEntries int
-	// NodeTimeout is how long a node may be silent before it is taken out of
-	// the view.
+	// NodeTimeout is how long a node may go without a report before it is removed
+	// from the view.
 	NodeTimeout time.Duration
-	// MaxBatch bounds the requests and messages that one group commit takes in;
-	// 1 makes one sync each, for measurements.
+	// MaxBatch limits the requests and messages per group commit; 1 syncs for each,
+	// for benchmarks.
 	MaxBatch int
-	// Wire bounds the internal protocol; cluster, token and name are set here.
+	// Wire configures the internal protocol; cluster, token and name are overwritten.
 	Wire wire.Options
-	// CheckConfiguration, if set, looks at configurations before they are
-	// proposed by operators.
+	// CheckConfiguration, if set, validates configurations before operators propose
+	// them.
 	CheckConfiguration func(port.Configuration) error
 	// Metrics, if set, is served to operators at /metrics.
 	Metrics http.Handler
-	// Recorder takes the measures of answered commands; it may be nil.
+	// Recorder records metrics of completed commands; it may be nil.
 	Recorder Recorder
-	// FileSystem keeps the data folder; nil takes the operating system's.
+	// FileSystem stores the data folder; nil selects the operating system's.
 	FileSystem wal.FileSystem
 	// Logger may be nil.
 	Logger *log.Logger
 }
 
-// Recorder takes the measures of a control member.
+// Recorder records metrics of a control member.
 type Recorder interface {
-	// CommandDone counts an answer to a node or an operator; refusal is nil for
-	// an accepted command.
+	// CommandDone counts a reply to a node or an operator; refusal is nil for an
+	// accepted command.
 	CommandDone(refusal *port.Error, elapsed time.Duration)
 }
 
 // Errors of Start.
 var (
-	// ErrConfig refuses a Config that cannot work.
+	// ErrConfig reports an invalid Config.
 	ErrConfig = errors.New("control: invalid configuration")
-	// ErrDataLost refuses to start a voter whose data folder is empty although
-	// the group has been at work: it may have voted and acknowledged before.
+	// ErrDataLost reports a voter whose data folder is empty although the group is
+	// running: it may have voted and acknowledged entries before.
 	ErrDataLost = errors.New("control: the data folder is lost; remove this member from the group and add it as a new one under a higher id")
 )
 
@@ -158,7 +158,7 @@
 	return ""
 }
 
-// others lists the configured members but this one.
+// others returns the configured members except this one.
 func (c Config) others() []Address {
 	others := make([]Address, 0, len(c.Members))
 	for _, member := range c.Members {
@@ -169,7 +169,7 @@
 	return others
 }
 
-// electionTimeout is about how long a group without a leader stays so.
+// electionTimeout is the approximate time that a group stays without a leader.
 func (c Config) electionTimeout() time.Duration {
 	return time.Duration(c.ElectionTicks) * c.Tick
 }
--- a/internal/app/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestKilledLeaderLosesNothing kills the leader between changes, and restarts
-// it.
+// TestKilledLeaderLosesNothing checks that no accepted change is lost when leaders
+// are killed.
 func TestKilledLeaderLosesNothing(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
@@ -39,7 +39,7 @@
 		leader := group.leader().config.ID
 		group.kill(leader)
 		if revision := group.revision(); revision != last {
-			t.Fatalf("revision %d after the leader was killed, %d was accepted", revision, last)
+			t.Fatalf("revision %d after the leader was killed, want %d", revision, last)
 		}
 		last = group.change(client, 1)
 		member := group.restart(leader)
@@ -56,22 +56,22 @@
 	}
 }
 
-// TestResendGetsTheFirstAnswer sends a change again under its id, to another
-// member, after the leader is gone and after a snapshot.
+// TestResendGetsTheFirstAnswer resends a change under its id to another member,
+// after the leader was killed and after a snapshot.
 func TestResendGetsTheFirstAnswer(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 20, 5 })
 	command := machineListChange(0, 1)
 	first := group.mustAccept(group.client(1), command)
 	again := group.mustAccept(group.client(2), command)
 	if again.Index != first.Index || again.Revision != first.Revision {
-		t.Fatalf("resend got %+v, first answer was %+v", again, first)
+		t.Fatalf("resend got %+v, want the first result %+v", again, first)
 	}
 	group.change(group.client(1), 50)
 	leader := group.leader().config.ID
 	group.kill(leader)
 	client := group.client(leader%3 + 1)
 	if result := group.mustAccept(client, command); result.Index != first.Index {
-		t.Fatalf("resend to a new leader got %+v, first answer was %+v", result, first)
+		t.Fatalf("resend to a new leader got %+v, want the first result %+v", result, first)
 	}
 	other := machineListChange(first.Revision, 2)
 	other.ChangeID = command.ChangeID
@@ -84,25 +84,25 @@
 	}
 }
 
-// TestRacingEqualRevisions lets clients race with one expected revision.
+// TestRacingEqualRevisions proposes concurrent changes with one expected revision.
 func TestRacingEqualRevisions(t *testing.T) {
-	const racers, rounds = 4, 5
+	const proposers, rounds = 4, 5
 	group := startGroup(t, 3, nil)
-	clients := make([]*controlclient.Client, racers)
+	clients := make([]*controlclient.Client, proposers)
 	for index := range clients {
 		clients[index] = group.client(uint64(index%3 + 1))
 	}
 	for round := range rounds {
-		results := make([]port.Result, racers)
-		failures := make([]error, racers)
-		var racing sync.WaitGroup
+		results := make([]port.Result, proposers)
+		failures := make([]error, proposers)
+		var proposing sync.WaitGroup
 		for index, client := range clients {
-			racing.Go(func() {
-				command := machineListChange(port.Revision(round), round*racers+index)
+			proposing.Go(func() {
+				command := machineListChange(port.Revision(round), round*proposers+index)
 				results[index], failures[index] = client.Propose(group.context(), command)
 			})
 		}
-		racing.Wait()
+		proposing.Wait()
 		accepted := 0
 		for index, result := range results {
 			switch {
@@ -120,63 +120,63 @@
 	}
 }
 
-// follow runs a watch that applies every update to an observer.
-type follow struct {
-	mutex    sync.Mutex
-	observer *controlstate.Observer
-	full     int
-	fault    error
-	cancel   context.CancelFunc
-	ended    chan struct{}
+// observerWatch is a watch that applies every update to an observer.
+type observerWatch struct {
+	mutex     sync.Mutex
+	observer  *controlstate.Observer
+	fullViews int
+	err       error
+	cancel    context.CancelFunc
+	done      chan struct{}
 }
 
-func startFollow(client *controlclient.Client, observer *controlstate.Observer) *follow {
+func startObserverWatch(client *controlclient.Client, observer *controlstate.Observer) *observerWatch {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &follow{observer: observer, cancel: cancel, ended: make(chan struct{})}
+	f := &observerWatch{observer: observer, cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(f.ended)
-		_ = client.Watch(ctx, observer.Position(), f.take)
+		defer close(f.done)
+		_ = client.Watch(ctx, observer.Position(), f.apply)
 	}()
 	return f
 }
 
-func (f *follow) take(update port.ViewUpdate) {
+func (f *observerWatch) apply(update port.ViewUpdate) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	before := f.observer.View()
 	if update.Full != nil {
-		f.full++
+		f.fullViews++
 	}
 	if _, err := f.observer.Apply(update); err != nil {
-		f.fault = err
+		f.err = err
 	}
 	if after := f.observer.View(); after.Revision < before.Revision || after.Position < before.Position {
-		f.fault = errors.New("the observer went back")
+		f.err = errors.New("the observer went back")
 	}
 }
 
-func (f *follow) revision() port.Revision {
+func (f *observerWatch) revision() port.Revision {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.observer.View().Revision
 }
 
-func (f *follow) stop(t *testing.T) {
+func (f *observerWatch) stop(t *testing.T) {
 	t.Helper()
 	f.cancel()
-	<-f.ended
-	if f.fault != nil {
-		t.Fatal(f.fault)
+	<-f.done
+	if f.err != nil {
+		t.Fatal(f.err)
 	}
 }
 
-// TestWatchResumesAfterMissedChanges stops a watch, makes hundreds of changes
-// past a compaction and restarts, and resumes from the old position.
+// TestWatchResumesAfterMissedChanges resumes a watch from a position before a
+// compaction and restarts of all members.
 func TestWatchResumesAfterMissedChanges(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 50, 10 })
 	client := group.client(1)
 	observer := controlstate.NewObserver()
-	watch := startFollow(group.client(1), observer)
+	watch := startObserverWatch(group.client(1), observer)
 	last := group.change(client, 5)
 	group.eventually("the first changes", func() bool { return watch.revision() == last })
 	watch.stop(t)
@@ -187,21 +187,21 @@
 		<-group.restart(id).Ready()
 		group.leader()
 	}
-	resumed := startFollow(group.client(2), observer)
+	resumed := startObserverWatch(group.client(2), observer)
 	group.eventually("the missed changes", func() bool { return resumed.revision() == last })
 	last = group.change(client, 3)
 	group.eventually("the new changes", func() bool { return resumed.revision() == last })
 	resumed.stop(t)
-	if resumed.full == 0 {
-		t.Fatal("the gap was not filled by a whole view, though the members restarted after it was compacted")
+	if resumed.fullViews == 0 {
+		t.Fatal("the observer got no full view, though the members restarted after the compaction")
 	}
 }
 
-// TestWatchMovesFromAMemberWithoutQuorum leaves one member alone, which the
-// watch must leave; no update of that member may be confirmed.
+// TestWatchMovesFromAMemberWithoutQuorum checks that a watch leaves a member without
+// a quorum, and that such a member confirms no update.
 func TestWatchMovesFromAMemberWithoutQuorum(t *testing.T) {
 	group := startGroup(t, 3, nil)
-	watch := startFollow(group.client(1), controlstate.NewObserver())
+	watch := startObserverWatch(group.client(1), controlstate.NewObserver())
 	last := group.change(group.client(2), 3)
 	group.eventually("the first changes", func() bool { return watch.revision() == last })
 	group.kill(1)
@@ -210,33 +210,33 @@
 	watch.stop(t)
 
 	group.kill(2)
-	alone := group.running[3]
-	group.eventually("the member left alone to notice", func() bool {
-		status, err := alone.Status(group.context())
+	isolated := group.running[3]
+	group.eventually("the remaining member to lose its quorum", func() bool {
+		status, err := isolated.Status(group.context())
 		return err == nil && !status.QuorumActive
 	})
-	update, err := alone.updateAfter(group.context(), 0)
+	update, err := isolated.updateAfter(group.context(), 0)
 	if err != nil || update.Confirmed {
 		t.Fatalf("a member without a quorum confirmed %+v: %v", update, err)
 	}
 	ctx, cancel := context.WithTimeout(group.context(), time.Second)
 	defer cancel()
 	_ = group.client(3).Watch(ctx, 0, func(update port.ViewUpdate) {
-		t.Errorf("an observer that holds nothing got %+v without a quorum", update)
+		t.Errorf("an observer without a view got %+v without a quorum", update)
 	})
 	ctx, cancel = context.WithTimeout(group.context(), time.Second)
 	defer cancel()
-	_, err = alone.Propose(ctx, machineListChange(last, 9))
+	_, err = isolated.Propose(ctx, machineListChange(last, 9))
 	if refusal := port.AsError(err); refusal == nil || refusal.RetryAfter == 0 {
-		t.Fatalf("a proposal without a quorum got %v, want a refusal with a time to retry", err)
+		t.Fatalf("a proposal without a quorum got %v, want a refusal with RetryAfter", err)
 	}
-	if _, err := alone.View(ctx, false); err == nil {
-		t.Fatal("a read that asks for the newest state was served without a quorum")
+	if _, err := isolated.View(ctx, false); err == nil {
+		t.Fatal("a linearizable read was served without a quorum")
 	}
 }
 
-// TestLostDataFolderIsRefused removes a voter's folder: it must not come back
-// under its old id, and may come back as a learner under a new one.
+// TestLostDataFolderIsRefused checks that a voter without its folder cannot restart
+// under its old id, but can be replaced under a new one.
 func TestLostDataFolderIsRefused(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
@@ -248,7 +248,7 @@
 	for _, join := range []bool{false, true} {
 		lost := group.startOn(3, listenLoopback(t, group.members[2].Peer), func(config *Config) { config.Join = join })
 		if err := lost.Wait(); !errors.Is(err, ErrDataLost) {
-			t.Fatalf("join %v: a voter without its folder ended with %v", join, err)
+			t.Fatalf("join %v: a voter without its folder ended with %v, want ErrDataLost", join, err)
 		}
 		delete(group.running, 3)
 	}
@@ -256,7 +256,7 @@
 	group.change(client, 3)
 }
 
-// replace removes a lost member and brings a new one in as learner and voter.
+// replace removes a lost member, and adds and promotes a new one.
 func (g *testGroup) replace(lost, id uint64) {
 	g.t.Helper()
 	g.changeMember(operatorapi.MemberChange{Action: operatorapi.MemberRemove, ID: lost})
@@ -268,8 +268,8 @@
 	g.changeMember(operatorapi.MemberChange{Action: operatorapi.MemberPromote, ID: id})
 }
 
-// changeMember repeats a change until the group is ready for it. A removal that
-// may have run and then finds no such member did run.
+// changeMember retries a change until the group accepts it. A removal that may have
+// run counts as accepted if the member is then not found.
 func (g *testGroup) changeMember(change operatorapi.MemberChange) {
 	g.t.Helper()
 	mayHaveRun := false
@@ -290,8 +290,8 @@
 	})
 }
 
-// TestSecondMachineLostAfterARepair loses another voter right after the repair
-// of the first: what was accepted must still be there.
+// TestSecondMachineLostAfterARepair checks that no accepted change is lost when a
+// voter fails right after another one was replaced.
 func TestSecondMachineLostAfterARepair(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	last := group.change(group.client(1), 10)
@@ -303,7 +303,7 @@
 	}
 }
 
-// TestBadFolderIsRefused starts members on folders that they must not use.
+// TestBadFolderIsRefused starts members on invalid folders.
 func TestBadFolderIsRefused(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	group.change(group.client(1), 3)
@@ -315,10 +315,10 @@
 		make func(*testing.T, Config) Config
 		want error
 	}{
-		{"another member's", func(_ *testing.T, c Config) Config { c.ID = 2; return c }, wal.ErrForeign},
-		{"another cluster's", func(_ *testing.T, c Config) Config { c.Cluster = "other"; return c }, wal.ErrForeign},
-		{"one in use", func(_ *testing.T, c Config) Config { c.ID, c.DataFolder = 1, group.dataFolder(1); return c }, wal.ErrLocked},
-		{"a corrupt one", corruptFolder, wal.ErrCorrupt},
+		{"another member's folder", func(_ *testing.T, c Config) Config { c.ID = 2; return c }, wal.ErrForeign},
+		{"another cluster's folder", func(_ *testing.T, c Config) Config { c.Cluster = "other"; return c }, wal.ErrForeign},
+		{"folder in use", func(_ *testing.T, c Config) Config { c.ID, c.DataFolder = 1, group.dataFolder(1); return c }, wal.ErrLocked},
+		{"corrupt folder", corruptFolder, wal.ErrCorrupt},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -329,7 +329,7 @@
 	}
 }
 
-// corruptFolder changes a byte in the middle of the first segment.
+// corruptFolder flips a byte in the middle of the first segment.
 func corruptFolder(t *testing.T, config Config) Config {
 	t.Helper()
 	segments, err := filepath.Glob(filepath.Join(config.DataFolder, "wal-*.log"))
@@ -347,8 +347,8 @@
 	return config
 }
 
-// TestPlannedStopHandsOver stops the leader as planned: the watch and the
-// proposals go on at another member.
+// TestPlannedStopHandsOver checks that proposals continue at another member after a
+// graceful stop of the leader.
 func TestPlannedStopHandsOver(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
@@ -364,8 +364,8 @@
 	group.change(client, 1)
 }
 
-// TestSilentNodeLeavesTheView lets two nodes report, of which one falls silent,
-// comes back at another address and drains.
+// TestSilentNodeLeavesTheView checks that a node without reports is removed from the
+// view, and registered again when it reports another address and draining.
 func TestSilentNodeLeavesTheView(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.NodeTimeout = 2 * time.Second })
 	client := group.client(1)
@@ -379,19 +379,19 @@
 			t.Fatal(err)
 		}
 	}
-	shows := func(nodes ...port.NodeAddress) bool {
+	viewHas := func(nodes ...port.NodeAddress) bool {
 		view, err := group.leader().View(group.context(), false)
 		return err == nil && slices.Equal(view.Nodes, nodes)
 	}
-	// Both report until they are seen together: a report is lost with its leader, and
-	// on a busy machine one may be too old before the first look.
+	// Repeat both reports: a new leader does not have them, and on a slow machine
+	// one may time out before the check.
 	group.eventually("both nodes to be registered", func() bool {
 		report(silent)
 		report(alive)
-		return shows(alive, silent)
+		return viewHas(alive, silent)
 	})
-	group.eventually("the silent node to go", func() bool { report(alive); return shows(alive) })
+	group.eventually("the timed-out node to be removed", func() bool { report(alive); return viewHas(alive) })
 	silent.PeerAddress, silent.Draining = "127.0.0.1:1003", true
 	report(silent)
-	group.eventually("the node to be back", func() bool { return shows(alive, silent) })
+	group.eventually("the node to be registered again", func() bool { return viewHas(alive, silent) })
 }
--- a/internal/app/control/distribution_bench_test.go
+++ b/internal/app/control/distribution_bench_test.go
@@ -15,9 +15,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// BenchmarkInForce measures the time from sending a change until it was
-// accepted, and until it is in force at the median and the last of so many
-// observers, each with a connection of its own.
+// BenchmarkInForce measures the time from sending a change until it is accepted, and
+// until the median and the last of the observers have it, each on its own connection.
 func BenchmarkInForce(b *testing.B) {
 	for _, observers := range []int{3, 60, 660} {
 		b.Run(fmt.Sprintf("observers=%d", observers), func(b *testing.B) {
@@ -49,7 +48,7 @@
 	b.ReportMetric(float64(durations[len(durations)/2].Microseconds())/1000, name)
 }
 
-// observerFleet stands for nodes that do nothing but watch.
+// observerFleet simulates nodes that only watch.
 type observerFleet struct {
 	arrivals chan arrival
 	clients  []*controlclient.Client
@@ -88,7 +87,7 @@
 	return fleet
 }
 
-// wait gives the times at which each observer had the revision.
+// wait returns the time at which each observer had the revision.
 func (f *observerFleet) wait(revision port.Revision) []time.Time {
 	var times []time.Time
 	for len(times) < f.count {
@@ -103,26 +102,25 @@
 // member leads with a valid lease, at the default tick.
 func BenchmarkFailover(b *testing.B) {
 	group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
-	var without []time.Duration
+	var leaderless []time.Duration
 	b.ResetTimer()
 	for range b.N {
 		leader := group.leader().config.ID
 		start := time.Now()
 		group.kill(leader)
 		group.leader()
-		without = append(without, time.Since(start))
+		leaderless = append(leaderless, time.Since(start))
 		b.StopTimer()
 		<-group.restart(leader).Ready()
-		time.Sleep(time.Second) // the restarted member follows again
+		time.Sleep(time.Second) // until the restarted member follows again
 		b.StartTimer()
 	}
-	reportMillis(b, "leaderless-p50-ms", without)
-	b.ReportMetric(float64(slices.Max(without).Microseconds())/1000, "leaderless-max-ms")
+	reportMillis(b, "leaderless-p50-ms", leaderless)
+	b.ReportMetric(float64(slices.Max(leaderless).Microseconds())/1000, "leaderless-max-ms")
 }
 
-// BenchmarkQuietWatch measures what a watch without news costs: bytes a second
-// and observer both ways, and processor time of members and observers together
-// a second and observer.
+// BenchmarkQuietWatch measures the cost of an idle watch: bytes in both directions
+// and CPU time of members and observers, per second and observer.
 func BenchmarkQuietWatch(b *testing.B) {
 	const observers = 660
 	group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
@@ -138,8 +136,8 @@
 	b.ReportMetric(float64((processorTime(b)-cpuBefore).Microseconds())*share, "cpu-us/s/observer")
 }
 
-// BenchmarkReportingWatch measures what a node costs control and itself: a watch
-// without news and a report each second, as BenchmarkQuietWatch does.
+// BenchmarkReportingWatch measures the same as BenchmarkQuietWatch, for nodes that
+// also send a report each second.
 func BenchmarkReportingWatch(b *testing.B) {
 	const observers = 660
 	group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
@@ -158,7 +156,7 @@
 	b.ReportMetric(float64((processorTime(b)-cpuBefore).Microseconds())*share, "cpu-us/s/node")
 }
 
-// report sends a report of each observer, some at a time.
+// report sends a report for each observer, with limited concurrency.
 func (f *observerFleet) report(group *testGroup) {
 	group.t.Helper()
 	const together = 16
--- a/internal/app/control/doc.go
+++ b/internal/app/control/doc.go
@@ -1,13 +1,14 @@
-// Package control is the process of a control member: it joins the consensus
-// and control state cores to the write-ahead log, the protocol between own
-// processes and the operators' interface.
+// Package control runs a control member process. It connects the consensus and
+// control state cores to the write-ahead log, the internal protocol and the
+// operator API.
 //
-// One goroutine, the loop, owns the core and the log. It takes messages,
-// requests and ticks, makes writes durable in groups with one sync each, sends
-// what depends on them afterwards, and answers. Traffic goroutines hand it
-// requests and read an immutable snapshot that it publishes.
+// One goroutine, the loop, owns the core and the log. It processes messages,
+// requests and ticks, persists writes in batches with one sync each, sends the
+// messages that depend on them, and replies. Other goroutines submit requests to
+// it and read the immutable status that it publishes.
 //
-// A member whose data folder is corrupt, foreign, or lost while the group knows
-// it as a voter does not start, and a member whose write or sync failed stops:
-// it must not vote any more. It comes back as a learner under a new id.
+// A member does not start if its data folder is corrupt, belongs to another
+// member, or is lost while the group lists the member as a voter. A member stops
+// if a write or sync fails, because it must no longer vote; it can rejoin as a
+// learner under a new id.
 package control
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -16,10 +16,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestLeaderCutOffInSilence cuts the leader off while the others go on. It must
-// accept nothing, confirm nothing and serve no read of the newest state; a
-// client that only knows it is told that its change may have run; back again it
-// catches up, and no observer goes back.
+// TestLeaderCutOffInSilence isolates the leader while the others continue. It must
+// accept no change, confirm no update and serve no linearizable read. After the
+// partition it catches up, and no observer may go back.
 func TestLeaderCutOffInSilence(t *testing.T) {
 	network := newTestNetwork()
 	group := startGroup(t, 3, func(config *Config) {
@@ -28,28 +27,28 @@
 	last := group.change(group.client(1), 3)
 	old := group.leader()
 	address := group.members[old.config.ID-1].Peer
-	watch := startFollow(group.client(old.config.ID), controlstate.NewObserver())
+	watch := startObserverWatch(group.client(old.config.ID), controlstate.NewObserver())
 	group.eventually("the first changes", func() bool { return watch.revision() == last })
 
-	network.set(address, true)
+	network.setIsolated(address, true)
 	delete(group.running, old.config.ID)
 	lost := machineListChange(last, 77)
 	ctx, cancel := context.WithTimeout(group.context(), 3*time.Second)
 	defer cancel()
 	if result, err := old.Propose(ctx, lost); err == nil {
-		t.Fatalf("a leader that is cut off accepted %+v", result)
+		t.Fatalf("an isolated leader accepted %+v", result)
 	}
 	others := group.client(old.config.ID%3 + 1)
 	last = group.change(others, 5)
 	if _, err := old.View(ctx, false); err == nil {
-		t.Fatal("a member that is cut off served a read of the newest state")
+		t.Fatal("an isolated member served a linearizable read")
 	}
 	if update, err := old.updateAfter(ctx, 0); err == nil && update.Confirmed {
-		t.Fatal("a member that is cut off confirmed its view")
+		t.Fatal("an isolated member confirmed its view")
 	}
 	group.eventually("the watch to move on", func() bool { return watch.revision() == last })
 
-	network.set(address, false)
+	network.setIsolated(address, false)
 	group.running[old.config.ID] = old
 	group.eventually("the old leader to catch up", func() bool {
 		view, err := old.View(group.context(), false)
@@ -57,15 +56,15 @@
 	})
 	result, err := others.Propose(group.context(), lost)
 	if err != nil || result.Error == nil || result.Error.Code != port.CodeConflict {
-		t.Fatalf("the change that was given up got %+v, %v", result, err)
+		t.Fatalf("the uncommitted change got %+v, %v", result, err)
 	}
 	last = group.change(others, 1)
 	group.eventually("the last change", func() bool { return watch.revision() == last })
 	watch.stop(t)
 }
 
-// TestDiskFaultsStopAMember lets the disk of one member fail: it must stop and
-// say so, and the others go on.
+// TestDiskFaultsStopAMember checks that a member stops with an error when its disk
+// fails, while the others continue.
 func TestDiskFaultsStopAMember(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -92,7 +91,7 @@
 			delete(group.running, victim.config.ID)
 			result, err := client.Propose(group.context(), machineListChange(last, 9))
 			if err != nil || result.Error != nil {
-				t.Fatalf("the others did not go on: %v, %v", result.Error, err)
+				t.Fatalf("the other members do not accept changes: %v, %v", result.Error, err)
 			}
 			if err := victim.Wait(); !errors.Is(err, test.want) {
 				t.Fatalf("the member ended with %v, want %v", err, test.want)
@@ -105,7 +104,7 @@
 }
 
 // TestPowerLossOfAllMembersKeepsWhatWasAccepted crashes all disks, which lose
-// what was not synced, in the middle of changes.
+// unsynced data, between changes.
 func TestPowerLossOfAllMembersKeepsWhatWasAccepted(t *testing.T) {
 	disks := map[uint64]*faultfs.FileSystem{}
 	group := startGroup(t, 3, func(config *Config) {
@@ -120,19 +119,19 @@
 		last := group.change(client, 15)
 		for id := uint64(1); id <= 3; id++ {
 			disks[id].Crash()
-			_ = group.running[id].Kill() // its log is gone from under it
+			_ = group.running[id].Kill() // its log may fail after the crash
 		}
 		for id := uint64(1); id <= 3; id++ {
 			group.restart(id)
 		}
 		if revision := group.revision(); revision != last {
-			t.Fatalf("revision %d after a loss of power, %d was accepted", revision, last)
+			t.Fatalf("revision %d after a power loss, want %d", revision, last)
 		}
 	}
 }
 
-// TestOnlyAMemberOfTheClusterIsHeard offers calls and messages with a wrong
-// token and cluster.
+// TestOnlyAMemberOfTheClusterIsHeard sends calls and messages with a wrong token or
+// cluster, and malformed messages.
 func TestOnlyAMemberOfTheClusterIsHeard(t *testing.T) {
 	group := startGroup(t, 1, nil)
 	for _, options := range []wire.Options{{ClusterID: "test", Token: "wrong"}, {ClusterID: "other", Token: "peer"}} {
@@ -143,7 +142,7 @@
 		}
 		client.Close()
 	}
-	// A message that no member sends must not stop the loop.
+	// An invalid message must not stop the loop.
 	client := wire.NewClient(group.members[0].Peer, wire.Options{ClusterID: "test", Token: "peer"})
 	defer client.Close()
 	_ = client.Call(group.context(), "none", 0, nil) // connects
--- a/internal/app/control/founding.go
+++ b/internal/app/control/founding.go
@@ -16,50 +16,50 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/wire"
 )
 
-// A first member with an empty data folder may be new, or may have lost its
-// disk; in the second case it must not vote again. Only the others can tell.
-// Each first member asks all others before it makes its log. A member that is
-// itself new notes durably that the asker is new before it says so. A member
-// that finds another one founded goes on only if it noted that one as new:
-// then the group was founded while it was asking. If there is no such note, its
-// own folder is lost.
+// An initial member with an empty data folder may be new, or may have lost its
+// disk and must then not vote again. Only the other members know. Each initial
+// member therefore queries all others before it creates its log. A member that is
+// itself new durably records the requester as new before it answers. If a member
+// finds another one bootstrapped, it continues only if it has recorded that one as
+// new: then the group was bootstrapped in the meantime. Otherwise its own folder
+// is lost.
 
 const (
-	foundingFile     = "founding"
-	foundingInterval = 200 * time.Millisecond
-	foundingTimeout  = time.Second
+	bootstrapFile     = "founding"
+	bootstrapInterval = 200 * time.Millisecond
+	bootstrapTimeout  = time.Second
 )
 
-// foundingRequest is asked by a member without a log.
-type foundingRequest struct {
+// bootstrapRequest is sent by a member without a log.
+type bootstrapRequest struct {
 	Member uint64 `cbor:"1,keyasint"`
 }
 
-// foundingAnswer says what the asked member knows.
-type foundingAnswer struct {
-	// Founded is set once the asked member has a log.
-	Founded bool `cbor:"1,keyasint"`
-	// Voter is set if the asked member's group has the asker as a voter.
+// bootstrapAnswer is the state of the queried member.
+type bootstrapAnswer struct {
+	// Bootstrapped is set once the queried member has a log.
+	Bootstrapped bool `cbor:"1,keyasint"`
+	// Voter is set if the requester is a voter in the queried member's group.
 	Voter bool `cbor:"2,keyasint"`
 }
 
-// foundingNote is what a new member keeps until it has a log.
-type foundingNote struct {
+// bootstrapRecord is the record that a new member stores until it has a log.
+type bootstrapRecord struct {
 	Cluster string `cbor:"1,keyasint"`
 	Member  uint64 `cbor:"2,keyasint"`
-	// New lists members that said they were new while this one was.
+	// New lists members that were new while this one was.
 	New []uint64 `cbor:"3,keyasint"`
 }
 
-// founding decides whether a member without a log may make one.
-type founding struct {
+// bootstrapper decides whether a member without a log may create one.
+type bootstrapper struct {
 	config Config
 	mutex  sync.Mutex
-	note   foundingNote
+	record bootstrapRecord
 }
 
-func openFounding(config Config) (*founding, error) {
-	f := &founding{config: config, note: foundingNote{Cluster: config.Cluster, Member: config.ID}}
+func openBootstrapper(config Config) (*bootstrapper, error) {
+	f := &bootstrapper{config: config, record: bootstrapRecord{Cluster: config.Cluster, Member: config.ID}}
 	if err := config.FileSystem.MkdirAll(config.DataFolder); err != nil {
 		return nil, eris.Wrap(err, "make data folder")
 	}
@@ -68,46 +68,46 @@
 		return f, nil
 	}
 	if err != nil {
-		return nil, eris.Wrap(err, "read founding note")
+		return nil, eris.Wrap(err, "read bootstrap record")
 	}
-	var note foundingNote
-	if err := wire.Unmarshal(data, &note); err != nil {
-		return nil, eris.Wrapf(wal.ErrCorrupt, "founding note: %v", err)
+	var record bootstrapRecord
+	if err := wire.Unmarshal(data, &record); err != nil {
+		return nil, eris.Wrapf(wal.ErrCorrupt, "bootstrap record: %v", err)
 	}
-	if note.Cluster != config.Cluster || note.Member != config.ID {
-		return nil, eris.Wrapf(wal.ErrForeign, "founding note of member %d of cluster %q", note.Member, note.Cluster)
+	if record.Cluster != config.Cluster || record.Member != config.ID {
+		return nil, eris.Wrapf(wal.ErrForeign, "bootstrap record of member %d of cluster %q", record.Member, record.Cluster)
 	}
-	f.note = note
+	f.record = record
 	return f, nil
 }
 
-func (f *founding) path() string { return filepath.Join(f.config.DataFolder, foundingFile) }
+func (f *bootstrapper) path() string { return filepath.Join(f.config.DataFolder, bootstrapFile) }
 
-// answer notes that the asker is new, durably, and says that this member is
+// recordNew durably records that the requester is new and returns that this member is
 // new as well.
-func (f *founding) answer(asker uint64) (foundingAnswer, error) {
+func (f *bootstrapper) recordNew(requester uint64) (bootstrapAnswer, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if slices.Contains(f.note.New, asker) {
-		return foundingAnswer{}, nil
+	if slices.Contains(f.record.New, requester) {
+		return bootstrapAnswer{}, nil
 	}
-	note := f.note
-	note.New = append(slices.Clone(note.New), asker)
-	if err := f.save(note); err != nil {
-		return foundingAnswer{}, err
+	record := f.record
+	record.New = append(slices.Clone(record.New), requester)
+	if err := f.save(record); err != nil {
+		return bootstrapAnswer{}, err
 	}
-	f.note = note
-	return foundingAnswer{}, nil
+	f.record = record
+	return bootstrapAnswer{}, nil
 }
 
-func (f *founding) knowsAsNew(member uint64) bool {
+func (f *bootstrapper) isRecordedNew(member uint64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return slices.Contains(f.note.New, member)
+	return slices.Contains(f.record.New, member)
 }
 
-func (f *founding) save(note foundingNote) error {
-	data, err := wire.Marshal(note)
+func (f *bootstrapper) save(record bootstrapRecord) error {
+	data, err := wire.Marshal(record)
 	if err != nil {
 		return err
 	}
@@ -115,59 +115,59 @@
 	temporary := f.path() + ".tmp"
 	file, err := files.Create(temporary)
 	if err != nil {
-		return eris.Wrap(err, "create founding note")
+		return eris.Wrap(err, "create bootstrap record")
 	}
 	if _, err := file.Write(data); err != nil {
-		return eris.Wrap(errors.Join(err, file.Close()), "write founding note")
+		return eris.Wrap(errors.Join(err, file.Close()), "write bootstrap record")
 	}
 	if err := file.Sync(); err != nil {
-		return eris.Wrap(errors.Join(err, file.Close()), "sync founding note")
+		return eris.Wrap(errors.Join(err, file.Close()), "sync bootstrap record")
 	}
 	if err := file.Close(); err != nil {
-		return eris.Wrap(err, "close founding note")
+		return eris.Wrap(err, "close bootstrap record")
 	}
 	if err := files.Rename(temporary, f.path()); err != nil {
-		return eris.Wrap(err, "rename founding note")
+		return eris.Wrap(err, "rename bootstrap record")
 	}
 	return eris.Wrap(files.SyncDir(f.config.DataFolder), "sync data folder")
 }
 
-// forgetFounding removes the note durably from the folder of a member that has a
-// log. Were it kept, a member whose log is lost would take the group for new.
-func forgetFounding(config Config) error {
+// removeBootstrapRecord durably removes the bootstrap record of a member that has a log.
+// Otherwise a member that loses its log later would take the group for new.
+func removeBootstrapRecord(config Config) error {
 	files := config.FileSystem
-	err := files.Remove(filepath.Join(config.DataFolder, foundingFile))
+	err := files.Remove(filepath.Join(config.DataFolder, bootstrapFile))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
-		return eris.Wrap(err, "remove founding note")
+		return eris.Wrap(err, "remove bootstrap record")
 	}
 	return eris.Wrap(files.SyncDir(config.DataFolder), "sync data folder")
 }
 
-// settle waits until every other first member has answered that the group may
-// be founded. It fails with ErrDataLost.
-func (f *founding) settle(ctx context.Context, ask func(context.Context, Address) (foundingAnswer, error)) error {
-	open := f.config.others()
-	ticker := time.NewTicker(foundingInterval)
+// awaitInitialMembers blocks until every other initial member has answered and the
+// group may be bootstrapped. It returns ErrDataLost if this member's log is lost.
+func (f *bootstrapper) awaitInitialMembers(ctx context.Context, request func(context.Context, Address) (bootstrapAnswer, error)) error {
+	pending := f.config.others()
+	ticker := time.NewTicker(bootstrapInterval)
 	defer ticker.Stop()
 	for {
-		var waiting []Address
-		for _, member := range open {
-			answered, err := f.askOne(ctx, member, ask)
+		var remaining []Address
+		for _, member := range pending {
+			answered, err := f.requestOne(ctx, member, request)
 			if err != nil {
 				return err
 			}
 			if !answered {
-				waiting = append(waiting, member)
+				remaining = append(remaining, member)
 			}
 		}
-		if len(waiting) == 0 {
+		if len(remaining) == 0 {
 			return nil
 		}
-		open = waiting
-		f.config.Logger.Info().Str("waiting_for", fmt.Sprint(open)).Msg("a group is founded once all its first members answer")
+		pending = remaining
+		f.config.Logger.Info().Str("waiting_for", fmt.Sprint(pending)).Msg("waiting for all initial members to bootstrap the group")
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -176,34 +176,33 @@
 	}
 }
 
-func (f *founding) askOne(ctx context.Context, member Address, ask func(context.Context, Address) (foundingAnswer, error)) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, foundingTimeout)
+func (f *bootstrapper) requestOne(ctx context.Context, member Address, request func(context.Context, Address) (bootstrapAnswer, error)) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
-	answer, err := ask(ctx, member)
+	answer, err := request(ctx, member)
 	if err != nil {
 		return false, nil
 	}
-	if answer.Founded && !f.knowsAsNew(member.ID) {
-		return false, eris.Wrapf(ErrDataLost, "%s has no log, and member %d says that the group is at work", f.config.DataFolder, member.ID)
+	if answer.Bootstrapped && !f.isRecordedNew(member.ID) {
+		return false, eris.Wrapf(ErrDataLost, "%s has no log, but member %d reports a running group", f.config.DataFolder, member.ID)
 	}
 	return true, nil
 }
 
-// settleJoin lets a member without a log wait to be added, unless the group
-// has it as a voter: then the folder with its votes is lost. One answer is
-// needed.
-func (f *founding) settleJoin(ctx context.Context, ask func(context.Context, Address) (foundingAnswer, error)) error {
-	ticker := time.NewTicker(foundingInterval)
+// awaitGroup blocks until one member of the group has answered. It returns
+// ErrDataLost if the group lists this member as a voter.
+func (f *bootstrapper) awaitGroup(ctx context.Context, request func(context.Context, Address) (bootstrapAnswer, error)) error {
+	ticker := time.NewTicker(bootstrapInterval)
 	defer ticker.Stop()
 	for {
 		for _, member := range f.config.others() {
-			attempt, cancel := context.WithTimeout(ctx, foundingTimeout)
-			answer, err := ask(attempt, member)
+			attempt, cancel := context.WithTimeout(ctx, bootstrapTimeout)
+			answer, err := request(attempt, member)
 			cancel()
 			switch {
-			case err != nil || !answer.Founded:
+			case err != nil || !answer.Bootstrapped:
 			case answer.Voter:
-				return eris.Wrapf(ErrDataLost, "%s has no log, and member %d has member %d as a voter", f.config.DataFolder, member.ID, f.config.ID)
+				return eris.Wrapf(ErrDataLost, "%s has no log, but member %d lists member %d as a voter", f.config.DataFolder, member.ID, f.config.ID)
 			default:
 				return nil
 			}
--- a/internal/app/control/group_test.go
+++ b/internal/app/control/group_test.go
@@ -22,17 +22,17 @@
 
 // testGroup is a group of members over loopback TCP in one process.
 type testGroup struct {
-	t       testing.TB
-	folder  string
-	members []Address
-	running map[uint64]*Member
-	adjust  func(*Config)
+	t         testing.TB
+	folder    string
+	members   []Address
+	running   map[uint64]*Member
+	configure func(*Config)
 }
 
-// startGroup founds a group of so many members and waits for its leader.
-func startGroup(t testing.TB, count int, adjust func(*Config)) *testGroup {
+// startGroup bootstraps a group of count members and waits for its leader.
+func startGroup(t testing.TB, count int, configure func(*Config)) *testGroup {
 	t.Helper()
-	group := &testGroup{t: t, folder: t.TempDir(), running: make(map[uint64]*Member), adjust: adjust}
+	group := &testGroup{t: t, folder: t.TempDir(), running: make(map[uint64]*Member), configure: configure}
 	listeners := make([]net.Listener, count)
 	for index := range listeners {
 		listeners[index] = listenLoopback(t, "127.0.0.1:0")
@@ -61,20 +61,20 @@
 		OperatorAddress: "127.0.0.1:0", OperatorToken: "operator", PeerToken: "peer",
 		Tick: testTick, Seed: id,
 	}
-	if g.adjust != nil {
-		g.adjust(&config)
+	if g.configure != nil {
+		g.configure(&config)
 	}
 	return config
 }
 
 func (g *testGroup) dataFolder(id uint64) string { return filepath.Join(g.folder, memberName(id)) }
 
-func (g *testGroup) startOn(id uint64, listener net.Listener, adjust func(*Config)) *Member {
+func (g *testGroup) startOn(id uint64, listener net.Listener, configure func(*Config)) *Member {
 	g.t.Helper()
 	config := g.config(id)
 	config.PeerListener = listener
-	if adjust != nil {
-		adjust(&config)
+	if configure != nil {
+		configure(&config)
 	}
 	member, err := Start(config)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return member
 }
 
-// restart starts a stopped member on its old address.
+// restart starts a stopped member on its previous address.
 func (g *testGroup) restart(id uint64) *Member {
 	g.t.Helper()
 	return g.startOn(id, listenLoopback(g.t, g.members[id-1].Peer), nil)
@@ -105,7 +105,7 @@
 	}
 }
 
-// leader waits until one member leads, in touch with a quorum.
+// leader waits until one member leads with a valid lease.
 func (g *testGroup) leader() *Member {
 	g.t.Helper()
 	var leader *Member
@@ -125,18 +125,18 @@
 	return leader
 }
 
-func (g *testGroup) eventually(what string, holds func() bool) {
+func (g *testGroup) eventually(what string, condition func() bool) {
 	g.t.Helper()
 	deadline := time.Now().Add(testTimeout)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
-			g.t.Fatalf("waited in vain for %s", what)
+			g.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(pollPause)
 	}
 }
 
-// client gives a control client of all members, beginning with the given one.
+// client returns a control client of all members, starting with the given one.
 func (g *testGroup) client(first uint64) *controlclient.Client {
 	g.t.Helper()
 	addresses := make([]string, 0, len(g.members))
@@ -170,7 +170,7 @@
 	return view.Revision
 }
 
-// machineListChange is a small configuration change.
+// machineListChange returns a small configuration change.
 func machineListChange(expected port.Revision, number int) port.Command {
 	address := fmt.Sprintf("http://127.0.0.1:%d", 10000+number)
 	return port.Command{
@@ -192,7 +192,7 @@
 	return result
 }
 
-// change makes so many configuration changes in a row.
+// change makes count sequential configuration changes.
 func (g *testGroup) change(client *controlclient.Client, count int) port.Revision {
 	g.t.Helper()
 	revision := g.revision()
--- a/internal/app/control/housekeeping.go
+++ b/internal/app/control/housekeeping.go
@@ -11,16 +11,15 @@
 )
 
 const (
-	houseInterval = time.Second
-	// connectsATimeout is how often in an election timeout the connections to
-	// the other members are looked after.
-	connectsATimeout = 4
+	maintenanceInterval = time.Second
+	// connectsPerElectionTimeout is the number of connection checks per election timeout.
+	connectsPerElectionTimeout = 4
 )
 
-// keepHouse does what no request asks for: it learns the addresses of members
-// that joined, and as the leader takes silent nodes out of the view.
-func (m *Member) keepHouse(ctx context.Context) error {
-	ticker := time.NewTicker(houseInterval)
+// runMaintenance runs the periodic tasks: it updates the addresses of the members and,
+// on the leader, removes timed-out nodes from the view.
+func (m *Member) runMaintenance(ctx context.Context) error {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	var watcher controlmember.NodeTimeouts
 	for {
@@ -29,19 +28,19 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		m.learnAddresses(ctx)
+		m.updateAddresses(ctx)
 		published := m.loop().published.Load()
 		if published.status.Role != consensus.RoleLeader || !published.status.QuorumActive {
 			watcher.Reset()
 			continue
 		}
-		m.removeSilent(ctx, &watcher, published.view)
+		m.removeTimedOut(ctx, &watcher, published.view)
 	}
 }
 
 // keepConnected keeps connections to the other members open.
 func (m *Member) keepConnected(ctx context.Context) error {
-	ticker := time.NewTicker(m.config.electionTimeout() / connectsATimeout)
+	ticker := time.NewTicker(m.config.electionTimeout() / connectsPerElectionTimeout)
 	defer ticker.Stop()
 	for {
 		var others []consensus.MemberID
@@ -59,20 +58,20 @@
 	}
 }
 
-// learnAddresses takes over the addresses of members that joined by the log.
-func (m *Member) learnAddresses(ctx context.Context) {
+// updateAddresses copies the member addresses from the log to peers.
+func (m *Member) updateAddresses(ctx context.Context) {
 	_ = m.inLoop(ctx, func(l *loop) {
 		for _, id := range l.member.Status().Membership.Members() {
 			if address, known := l.member.State().MemberAddress(uint64(id)); known {
-				m.peers.learn(id, address)
+				m.peers.setAddress(id, address)
 			}
 		}
 	})
 }
 
-// removeSilent proposes the removal of silent nodes. A node that lives on is
-// registered again by its next report.
-func (m *Member) removeSilent(ctx context.Context, watcher *controlmember.NodeTimeouts, view *port.View) {
+// removeTimedOut proposes the removal of timed-out nodes. The next report of a node
+// registers it again.
+func (m *Member) removeTimedOut(ctx context.Context, watcher *controlmember.NodeTimeouts, view *port.View) {
 	reports := m.gatherReports(ctx)
 	ages := make(map[port.NodeID]time.Duration, len(reports.Nodes))
 	for _, report := range reports.Nodes {
@@ -82,6 +81,6 @@
 		attempt, cancel := context.WithTimeout(ctx, controlclient.DefaultAttemptTimeout)
 		_, err := m.propose(attempt, port.Command{RemoveNode: &port.RemoveNode{ID: id}}, true)
 		cancel()
-		m.config.Logger.Warn().Str("node", string(id)).Err(err).Msg("removed a silent node from the view")
+		m.config.Logger.Warn().Str("node", string(id)).Err(err).Msg("removed a timed-out node from the view")
 	}
 }
--- a/internal/app/control/loop.go
+++ b/internal/app/control/loop.go
@@ -18,28 +18,28 @@
 	messageQueue = 4096
 )
 
-// snapshotOfLoop is what the loop publishes after each step. It is immutable.
-type snapshotOfLoop struct {
+// loopStatus is the immutable status that the loop publishes after each step.
+type loopStatus struct {
 	view     *port.View
 	status   consensus.Status
 	caughtUp bool
-	at       time.Duration // by the configuration's clock
+	at       time.Duration // by Config.Clock
 	syncs    uint64
 	applied  uint64
 }
 
-// confirmed says whether the member was in touch with a quorum and caught up
-// not longer than maxAge before now. A loop that hangs in a sync confirms nothing, nor does one
-// on a machine that wakes up.
-func (s *snapshotOfLoop) confirmed(now, maxAge time.Duration) bool {
+// confirmed reports whether, less than maxAge before now, the member was caught up
+// and in contact with a quorum. It is false while the loop hangs in a sync, and
+// after the machine was suspended.
+func (s *loopStatus) confirmed(now, maxAge time.Duration) bool {
 	return s.status.QuorumActive && s.caughtUp && now-s.at < maxAge
 }
 
-// request is a piece of work for the loop's goroutine.
+// request is a function that the loop's goroutine runs.
 type request func(l *loop)
 
-// loop owns the core and the log of a member. Only run's goroutine touches it,
-// but for the channels and the published snapshot.
+// loop owns the core and the log of a member. Only the goroutine of run accesses
+// it, except for the channels and the published status.
 type loop struct {
 	config    Config
 	member    *controlmember.Member
@@ -47,26 +47,26 @@
 	requests  chan request
 	messages  chan consensus.Message
 	stopped   chan struct{}
-	published atomic.Pointer[snapshotOfLoop]
-	// send hands a message to the network without waiting.
+	published atomic.Pointer[loopStatus]
+	// send passes a message to the network without blocking.
 	send func(consensus.Message)
-	// changed is called when the view's position has moved.
+	// changed is called when the position of the view has changed.
 	changed func()
 
-	started   time.Duration // by the configuration's clock
-	ticks     int64
-	lastToken uint64
-	awaiting  map[uint64]chan<- controlmember.Reply
-	reads     []appliedRead
+	startedAt      time.Duration // by Config.Clock
+	ticks          int64
+	lastToken      uint64
+	pendingReplies map[uint64]chan<- controlmember.Reply
+	pendingReads   []pendingRead
 }
 
-// appliedRead waits until the member has applied a position.
-type appliedRead struct {
+// pendingRead is a read that waits until the member has applied index.
+type pendingRead struct {
 	index uint64
 	done  chan<- struct{}
 }
 
-// newLoop builds the core on an open log.
+// newLoop creates the core on an open log.
 func newLoop(config Config, log *wal.Log, restored consensus.Restored) (*loop, error) {
 	member, err := controlmember.New(controlmember.Config{
 		Consensus:       config.consensus(),
@@ -77,40 +77,40 @@
 		return nil, eris.Wrap(err, config.DataFolder)
 	}
 	l := &loop{
-		config:   config,
-		member:   member,
-		log:      log,
-		requests: make(chan request, requestQueue),
-		messages: make(chan consensus.Message, messageQueue),
-		stopped:  make(chan struct{}),
-		started:  config.Clock(),
-		awaiting: make(map[uint64]chan<- controlmember.Reply),
+		config:         config,
+		member:         member,
+		log:            log,
+		requests:       make(chan request, requestQueue),
+		messages:       make(chan consensus.Message, messageQueue),
+		stopped:        make(chan struct{}),
+		startedAt:      config.Clock(),
+		pendingReplies: make(map[uint64]chan<- controlmember.Reply),
 	}
 	l.publish()
 	return l, nil
 }
 
-// run works until the context ends or the member must stop.
+// run processes events until ctx is done or the member must stop.
 func (l *loop) run(ctx context.Context) error {
 	defer close(l.stopped)
-	defer l.failAll()
+	defer l.failPending()
 	ticker := time.NewTicker(l.config.Tick)
 	defer ticker.Stop()
 	for {
 		if err := l.wait(ctx, ticker.C); err != nil {
 			return err
 		}
-		if err := l.takeMore(); err != nil {
+		if err := l.drainQueues(); err != nil {
 			return err
 		}
-		if err := l.work(); err != nil {
+		if err := l.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// wait blocks for the first event of a group. Ticks that passed meanwhile come
-// before it.
+// wait blocks for the first event of a batch and processes it, after the ticks
+// that have passed.
 func (l *loop) wait(ctx context.Context, tick <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -128,8 +128,8 @@
 	}
 }
 
-// takeMore takes in what else is waiting, so that one sync serves the group.
-func (l *loop) takeMore() error {
+// drainQueues processes the queued events, so that one sync covers the batch.
+func (l *loop) drainQueues() error {
 	for range l.config.MaxBatch - 1 {
 		select {
 		case message := <-l.messages:
@@ -137,7 +137,7 @@
 				return err
 			}
 		case request := <-l.requests:
-			l.catchUpTicks() // a read must not be answered under a lease that is over
+			l.catchUpTicks() // a read must not be served under an expired lease
 			request(l)
 		default:
 			return nil
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// step hands a message to the core. Only the error that is final counts; a
-// malformed message is dropped.
+// step passes a message to the core. It returns only the fatal error and drops
+// malformed messages.
 func (l *loop) step(message consensus.Message) error {
 	err := l.member.Step(message)
 	if eris.Is(err, consensus.ErrCommittedConflict) {
@@ -156,10 +156,10 @@
 	return nil
 }
 
-// catchUpTicks tells the core of the ticks that passed. Those before the last one were
-// missed: the loop was held up, or its machine suspended.
+// catchUpTicks passes elapsed ticks to the core. All but the last one were missed:
+// the loop was blocked or the machine suspended.
 func (l *loop) catchUpTicks() {
-	due := int64((l.config.Clock() - l.started) / l.config.Tick)
+	due := int64((l.config.Clock() - l.startedAt) / l.config.Tick)
 	passed := due - l.ticks
 	if passed <= 0 {
 		return
@@ -169,10 +169,10 @@
 	l.member.Tick(time.Now())
 }
 
-// work carries out what the core wants done, then publishes and answers.
-func (l *loop) work() error {
+// processReady handles all Readys of the core, then publishes the status and replies.
+func (l *loop) processReady() error {
 	for l.member.HasReady() {
-		if err := l.carryOut(l.member.Ready()); err != nil {
+		if err := l.persistAndSend(l.member.Ready()); err != nil {
 			return err
 		}
 	}
@@ -181,22 +181,22 @@
 			return err
 		}
 	}
-	// Published first: who gets an answer sees its effect.
+	// Publish before replying, so that callers see the effect of their requests.
 	l.publish()
-	l.answer()
+	l.sendReplies()
 	return nil
 }
 
-// carryOut makes a Ready's writes durable before any message that depends on
-// them leaves. A failed write or sync is final.
-func (l *loop) carryOut(ready consensus.Ready) error {
+// persistAndSend persists a Ready before it sends the messages that depend on its
+// writes. A failed write or sync is fatal.
+func (l *loop) persistAndSend(ready consensus.Ready) error {
 	for _, message := range ready.Messages {
 		if ready.MayPrecedeSync(message) {
 			l.send(message)
 		}
 	}
 	if err := l.log.Persist(ready); err != nil {
-		return eris.Wrap(err, "this member must not vote any more")
+		return eris.Wrap(err, "this member must no longer vote")
 	}
 	for _, message := range ready.Messages {
 		if !ready.MayPrecedeSync(message) {
@@ -217,45 +217,46 @@
 	return eris.Wrap(l.member.Compact(snapshot), "compact")
 }
 
-// answer gives replies to those who wait for them.
-func (l *loop) answer() {
+// sendReplies sends the replies of the core and completes the reads that are applied.
+func (l *loop) sendReplies() {
 	for _, reply := range l.member.TakeReplies() {
-		if waiting, found := l.awaiting[reply.Token]; found {
-			delete(l.awaiting, reply.Token)
-			waiting <- reply
+		if replyTo, found := l.pendingReplies[reply.Token]; found {
+			delete(l.pendingReplies, reply.Token)
+			replyTo <- reply
 		}
 	}
 	applied := l.member.State().Applied()
-	open := l.reads[:0]
-	for _, read := range l.reads {
+	remaining := l.pendingReads[:0]
+	for _, read := range l.pendingReads {
 		if read.index > applied {
-			open = append(open, read)
+			remaining = append(remaining, read)
 			continue
 		}
 		close(read.done)
 	}
-	l.reads = open
+	l.pendingReads = remaining
 }
 
-// await gives a token whose reply goes to the channel, which has room for it.
-func (l *loop) await(waiting chan<- controlmember.Reply) uint64 {
+// addPendingReply returns a token whose reply is sent to replyTo, which must have
+// capacity.
+func (l *loop) addPendingReply(replyTo chan<- controlmember.Reply) uint64 {
 	l.lastToken++
-	l.awaiting[l.lastToken] = waiting
+	l.pendingReplies[l.lastToken] = replyTo
 	return l.lastToken
 }
 
-// failAll answers what is open when the loop ends.
-func (l *loop) failAll() {
-	for token, waiting := range l.awaiting {
-		delete(l.awaiting, token)
-		waiting <- controlmember.Reply{Token: token, Error: port.NewError(port.MayHaveRun, port.CodeUnavailable, "the member stopped before the answer")}
+// failPending fails all pending requests when the loop ends.
+func (l *loop) failPending() {
+	for token, replyTo := range l.pendingReplies {
+		delete(l.pendingReplies, token)
+		replyTo <- controlmember.Reply{Token: token, Error: port.NewError(port.MayHaveRun, port.CodeUnavailable, "the member stopped before the answer")}
 	}
 }
 
 func (l *loop) publish() {
 	previous := l.published.Load()
 	state := l.member.State()
-	current := &snapshotOfLoop{
+	current := &loopStatus{
 		view:     state.View(),
 		status:   l.member.Status(),
 		caughtUp: l.member.CaughtUp(),
@@ -269,7 +270,7 @@
 	}
 }
 
-// post hands a request to the loop. Its errors say that it will not run.
+// post queues work for the loop. An error means that work will not run.
 func (l *loop) post(ctx context.Context, work request) *port.Error {
 	select {
 	case <-l.stopped:
@@ -282,7 +283,7 @@
 	case <-l.stopped:
 		return errStopped()
 	case <-ctx.Done():
-		return port.NewError(port.NotRun, port.CodeDeadline, "the member did not take the request in time")
+		return port.NewError(port.NotRun, port.CodeDeadline, "the member did not accept the request in time")
 	}
 }
 
--- a/internal/app/control/member.go
+++ b/internal/app/control/member.go
@@ -18,18 +18,18 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// stopTimeout bounds a planned stop that Run makes.
+// stopTimeout limits the graceful stop in Run.
 const stopTimeout = 10 * time.Second
 
 // Member is a running control member.
 type Member struct {
-	config    Config
-	server    *wire.Server
-	operators *operatorapi.Server
-	peers     *peers
-	reports   *reports
-	watches   *watches
-	founding  *founding
+	config       Config
+	server       *wire.Server
+	operators    *operatorapi.Server
+	peers        *peers
+	reports      *reports
+	watches      *watches
+	bootstrapper *bootstrapper
 
 	peerListener     net.Listener
 	operatorListener net.Listener
@@ -43,7 +43,7 @@
 	failure  error
 }
 
-// Run runs a control member until the context ends, then stops it as planned.
+// Run runs a control member until ctx is done, then stops it gracefully.
 func Run(ctx context.Context, config Config) error {
 	member, err := Start(config)
 	if err != nil {
@@ -59,9 +59,9 @@
 	return member.Stop(stop)
 }
 
-// Start opens the data folder, listens and begins to take part. A corrupt or
-// foreign folder is refused at once; ErrDataLost comes from Wait, as the other
-// members have to be asked.
+// Start opens the data folder, listens and starts the member. It rejects a corrupt
+// or foreign folder itself; Wait returns ErrDataLost, which depends on the answers
+// of the other members.
 func Start(config Config) (*Member, error) {
 	config = config.normalized()
 	if err := config.check(); err != nil {
@@ -100,21 +100,21 @@
 	return member, nil
 }
 
-// openExisting opens the log, or prepares the founding of a member without one.
+// openExisting opens the log, or prepares the bootstrap of a member without one.
 func (m *Member) openExisting() (*loop, error) {
 	log, recovery, err := wal.Open(m.walOptions())
 	if errors.Is(err, wal.ErrMissing) {
-		m.founding, err = openFounding(m.config)
+		m.bootstrapper, err = openBootstrapper(m.config)
 		return nil, err
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := forgetFounding(m.config); err != nil {
+	if err := removeBootstrapRecord(m.config); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	if recovery.TornBytes > 0 {
-		m.config.Logger.Warn().Str("file", recovery.TornFile).Int64("bytes", recovery.TornBytes).Msg("cut off a torn write")
+		m.config.Logger.Warn().Str("file", recovery.TornFile).Int64("bytes", recovery.TornBytes).Msg("truncated a torn write")
 	}
 	return newLoop(m.config, log, recovery.Restored)
 }
@@ -146,13 +146,13 @@
 	return listener, eris.Wrapf(err, "listen on %s", address)
 }
 
-// run serves until the member fails or is stopped.
+// run serves until the member fails or stops.
 func (m *Member) run(ctx context.Context, opened *loop) {
 	defer close(m.done)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return m.server.Serve(m.peerListener) })
 	group.Go(func() error { return m.operators.Serve(m.operatorListener) })
-	group.Go(func() error { return m.takePart(ctx, opened) })
+	group.Go(func() error { return m.runLoop(ctx, opened) })
 	group.Go(func() error {
 		<-ctx.Done()
 		m.server.Close()
@@ -166,14 +166,14 @@
 	}
 }
 
-// takePart founds the member if need be and runs its loop.
-func (m *Member) takePart(ctx context.Context, l *loop) error {
+// runLoop bootstraps a member without a log, then runs its loop.
+func (m *Member) runLoop(ctx context.Context, l *loop) error {
 	if l == nil {
-		made, err := m.found(ctx)
+		created, err := m.bootstrap(ctx)
 		if err != nil {
 			return err
 		}
-		l = made
+		l = created
 	}
 	l.send = m.peers.send
 	l.changed = m.viewChanged
@@ -182,21 +182,21 @@
 	close(m.ready)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return l.run(ctx) })
-	group.Go(func() error { return m.keepHouse(ctx) })
+	group.Go(func() error { return m.runMaintenance(ctx) })
 	group.Go(func() error { return m.keepConnected(ctx) })
 	err := group.Wait()
 	return errors.Join(err, l.log.Close())
 }
 
-// found makes the log of a new member once the others allow it.
-func (m *Member) found(ctx context.Context) (*loop, error) {
+// bootstrap creates the log of a new member once the other members permit it.
+func (m *Member) bootstrap(ctx context.Context) (*loop, error) {
 	initial := consensus.Membership{}
 	if m.config.Join {
-		if err := m.founding.settleJoin(ctx, m.askFounding); err != nil {
+		if err := m.bootstrapper.awaitGroup(ctx, m.requestBootstrap); err != nil {
 			return nil, err
 		}
 	} else {
-		if err := m.founding.settle(ctx, m.askFounding); err != nil {
+		if err := m.bootstrapper.awaitInitialMembers(ctx, m.requestBootstrap); err != nil {
 			return nil, err
 		}
 		for _, member := range m.config.Members {
@@ -207,81 +207,81 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := forgetFounding(m.config); err != nil {
+	if err := removeBootstrapRecord(m.config); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	return newLoop(m.config, log, restored)
 }
 
-func (m *Member) askFounding(ctx context.Context, member Address) (foundingAnswer, error) {
-	var answer foundingAnswer
-	err := m.peers.call(ctx, consensus.MemberID(member.ID), methodFounding, foundingRequest{Member: m.config.ID}, &answer)
+func (m *Member) requestBootstrap(ctx context.Context, member Address) (bootstrapAnswer, error) {
+	var answer bootstrapAnswer
+	err := m.peers.call(ctx, consensus.MemberID(member.ID), methodBootstrap, bootstrapRequest{Member: m.config.ID}, &answer)
 	return answer, err
 }
 
-// viewChanged runs in the loop's goroutine after the view has moved.
+// viewChanged wakes the watches. The loop's goroutine calls it.
 func (m *Member) viewChanged() {
 	m.watches.wakeAll()
 }
 
-// loop gives the running loop; callers check started first.
+// loop returns the running loop. Callers call checkStarted first.
 func (m *Member) loop() *loop { return m.current.Load() }
 
-// started refuses calls before the loop runs.
-func (m *Member) started() error {
+// checkStarted returns an error until the loop runs.
+func (m *Member) checkStarted() error {
 	if m.current.Load() == nil {
 		return m.withRetryAfter(port.NewError(port.NotRun, port.CodeUnavailable, "the control member is starting"))
 	}
 	return nil
 }
 
-// PeerAddress is where the member serves the internal protocol.
+// PeerAddress returns the address of the internal protocol.
 func (m *Member) PeerAddress() string { return m.peerListener.Addr().String() }
 
-// OperatorAddress is where the member serves operators.
+// OperatorAddress returns the address of the operator API.
 func (m *Member) OperatorAddress() string { return m.operatorListener.Addr().String() }
 
-// Ready is closed once the member takes part.
+// Ready returns a channel that is closed once the loop runs.
 func (m *Member) Ready() <-chan struct{} { return m.ready }
 
-// Done is closed once the member has stopped; Wait then gives the reason.
+// Done returns a channel that is closed once the member has stopped.
 func (m *Member) Done() <-chan struct{} { return m.done }
 
-// Wait waits until the member has stopped and gives the failure, if one
-// stopped it.
+// Wait blocks until the member has stopped and returns the error that stopped it,
+// if any.
 func (m *Member) Wait() error {
 	<-m.done
 	return m.failure
 }
 
-// Stop hands leadership over, refuses new calls, finishes those in flight and
-// stops. When the context ends it stops at once.
+// Stop transfers leadership, rejects new calls, finishes those in flight and stops.
+// When ctx is done it stops immediately.
 func (m *Member) Stop(ctx context.Context) error {
 	m.stopOnce.Do(func() { close(m.stopping) })
-	m.handOver(ctx)
-	_ = m.operators.Shutdown(ctx) // what is left is cut off by cancel
+	m.transferLeadership(ctx)
+	_ = m.operators.Shutdown(ctx) // cancel closes what remains
 	m.server.Shutdown(ctx)
 	m.cancel()
 	return m.Wait()
 }
 
-// Kill stops at once, as a crash would.
+// Kill stops immediately, as a crash would.
 func (m *Member) Kill() error {
 	m.stopOnce.Do(func() { close(m.stopping) })
 	m.cancel()
 	return m.Wait()
 }
 
-// handOver gives leadership to the voter with the longest log and waits for
-// another leader for a while.
-func (m *Member) handOver(ctx context.Context) {
+// transferLeadership transfers leadership and waits up to an election timeout for another
+// member to lead.
+func (m *Member) transferLeadership(ctx context.Context) {
 	l := m.current.Load()
 	if l == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.config.electionTimeout())
 	defer cancel()
-	if m.inLoop(ctx, func(l *loop) { l.transfer() }) != nil {
+	if m.inLoop(ctx, func(l *loop) { l.startTransfer() }) != nil {
 		return
 	}
 	ticker := time.NewTicker(m.config.Tick)
@@ -295,8 +295,8 @@
 	}
 }
 
-// transfer asks the active voter with the longest log to take over.
-func (l *loop) transfer() {
+// startTransfer starts a leadership transfer to the active voter with the longest log.
+func (l *loop) startTransfer() {
 	var best consensus.PeerStatus
 	for _, peer := range l.member.Status().Progress {
 		if !peer.Learner && peer.Active && peer.Match > best.Match {
--- a/internal/app/control/network_test.go
+++ b/internal/app/control/network_test.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// testNetwork can cut members off in silence: connections stay open, and
-// nothing passes until the member is back. Bytes held up then arrive late.
+// testNetwork can isolate members silently: connections stay open, but block until
+// the member is reconnected. Delayed bytes then arrive late.
 type testNetwork struct {
-	mutex sync.Mutex
-	cut   map[string]bool
-	// changed is closed and replaced when cut changes.
+	mutex    sync.Mutex
+	isolated map[string]bool
+	// changed is closed and replaced when isolated changes.
 	changed chan struct{}
 }
 
 func newTestNetwork() *testNetwork {
-	return &testNetwork{cut: make(map[string]bool), changed: make(chan struct{})}
+	return &testNetwork{isolated: make(map[string]bool), changed: make(chan struct{})}
 }
 
-// set cuts a peer address off or brings it back.
-func (n *testNetwork) set(address string, cut bool) {
+// setIsolated isolates a peer address or reconnects it.
+func (n *testNetwork) setIsolated(address string, isolated bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut[address] = cut
+	n.isolated[address] = isolated
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// pass waits until neither end is cut off, or until done is closed.
-func (n *testNetwork) pass(ends [2]string, done <-chan struct{}) bool {
+// awaitConnected blocks until neither end is isolated. It returns false if done is
+// closed first.
+func (n *testNetwork) awaitConnected(ends [2]string, done <-chan struct{}) bool {
 	for {
 		n.mutex.Lock()
-		blocked, changed := n.cut[ends[0]] || n.cut[ends[1]], n.changed
+		blocked, changed := n.isolated[ends[0]] || n.isolated[ends[1]], n.changed
 		n.mutex.Unlock()
 		if !blocked {
 			return true
@@ -45,14 +46,14 @@
 	}
 }
 
-// dialer gives the way a process at an address opens connections.
+// dialer returns the dial function of the process at an address.
 func (n *testNetwork) dialer(from string) func(string, time.Duration) (net.Conn, error) {
 	return func(to string, timeout time.Duration) (net.Conn, error) {
 		ends := [2]string{from, to}
 		expired := make(chan struct{})
 		timer := time.AfterFunc(timeout, func() { close(expired) })
 		defer timer.Stop()
-		if !n.pass(ends, expired) {
+		if !n.awaitConnected(ends, expired) {
 			return nil, net.ErrClosed
 		}
 		conn, err := net.DialTimeout("tcp", to, timeout)
@@ -71,24 +72,24 @@
 	once    sync.Once
 }
 
-// Read delivers only while neither end is cut off.
+// Read delivers only while neither end is isolated.
 func (c *testConn) Read(data []byte) (int, error) {
 	count, err := c.Conn.Read(data)
-	if !c.network.pass(c.ends, c.done) {
+	if !c.network.awaitConnected(c.ends, c.done) {
 		return 0, net.ErrClosed
 	}
 	return count, err
 }
 
-// Write sends only while neither end is cut off.
+// Write sends only while neither end is isolated.
 func (c *testConn) Write(data []byte) (int, error) {
-	if !c.network.pass(c.ends, c.done) {
+	if !c.network.awaitConnected(c.ends, c.done) {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(data)
 }
 
-// Close ends the connection and what waits on it.
+// Close closes the connection and unblocks its reads and writes.
 func (c *testConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
--- a/internal/app/control/operator.go
+++ b/internal/app/control/operator.go
@@ -14,7 +14,7 @@
 
 // Propose implements operatorapi.Backend.
 func (m *Member) Propose(ctx context.Context, command port.Command) (port.Result, error) {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return port.Result{}, err
 	}
 	return m.propose(ctx, command, false)
@@ -22,7 +22,7 @@
 
 // View implements operatorapi.Backend.
 func (m *Member) View(ctx context.Context, local bool) (*port.View, error) {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return nil, err
 	}
 	if local {
@@ -37,7 +37,7 @@
 
 // History implements operatorapi.Backend.
 func (m *Member) History(ctx context.Context) ([]registry.HistoryEntry, error) {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return nil, err
 	}
 	var history []registry.HistoryEntry
@@ -49,7 +49,7 @@
 
 // Ledger implements operatorapi.Backend.
 func (m *Member) Ledger(ctx context.Context, pool port.PoolName) (port.LedgerState, error) {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return port.LedgerState{}, err
 	}
 	var ledger port.LedgerState
@@ -61,7 +61,7 @@
 
 // Reports implements operatorapi.Backend.
 func (m *Member) Reports(ctx context.Context) (operatorapi.Reports, error) {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return operatorapi.Reports{}, err
 	}
 	return m.gatherReports(ctx), nil
@@ -69,23 +69,23 @@
 
 // ChangeMember implements operatorapi.Backend.
 func (m *Member) ChangeMember(ctx context.Context, change operatorapi.MemberChange) error {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return err
 	}
 	result, err := m.changeMember(ctx, change, false)
 	if err != nil {
 		return err
 	}
-	// The change is accepted; that this member shows it is a courtesy.
+	// The change is accepted; waiting for this member to apply it is best effort.
 	if m.waitApplied(ctx, result.Index) == nil {
-		m.learnAddresses(ctx)
+		m.updateAddresses(ctx)
 	}
 	return nil
 }
 
 // Status implements operatorapi.Backend.
 func (m *Member) Status(_ context.Context) (operatorapi.Status, error) {
-	if err := m.started(); err != nil {
+	if err := m.checkStarted(); err != nil {
 		return operatorapi.Status{}, err
 	}
 	published := m.loop().published.Load()
@@ -105,13 +105,13 @@
 		Position:      published.view.Position,
 		Nodes:         len(published.view.Nodes),
 		Watches:       m.watches.count(),
-		Members:       m.memberList(status),
+		Members:       m.members(status),
 		Syncs:         published.syncs,
 		Commits:       status.Commit,
 	}, nil
 }
 
-// PeerTraffic gives the bytes on connections that nodes and members opened.
+// PeerTraffic returns the bytes on connections that nodes and members opened.
 func (m *Member) PeerTraffic() (sent, received uint64) {
 	totals := m.server.Totals()
 	return totals.BytesOut, totals.BytesIn
@@ -121,8 +121,8 @@
 	return int64(ticks) * m.config.Tick.Milliseconds()
 }
 
-// memberList joins the membership with what a leader knows of the others.
-func (m *Member) memberList(status consensus.Status) []operatorapi.Member {
+// members combines the membership with the leader's progress of each peer.
+func (m *Member) members(status consensus.Status) []operatorapi.Member {
 	progress := make(map[consensus.MemberID]consensus.PeerStatus, len(status.Progress))
 	for _, peer := range status.Progress {
 		progress[peer.ID] = peer
--- a/internal/app/control/peers.go
+++ b/internal/app/control/peers.go
@@ -33,8 +33,8 @@
 	return p
 }
 
-// learn notes the address of a member that joined through the log.
-func (p *peers) learn(id consensus.MemberID, address string) {
+// setAddress sets the address of a member that joined through the log.
+func (p *peers) setAddress(id consensus.MemberID, address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if address == "" || p.addresses[id] == address {
@@ -68,8 +68,8 @@
 	return client
 }
 
-// connect keeps connections to members open. Followers seldom talk to each
-// other, and without a connection the first request for a vote would be lost.
+// connect keeps connections to members open. Followers rarely communicate, and
+// without a connection the first vote request would be lost.
 func (p *peers) connect(ids []consensus.MemberID) {
 	for _, id := range ids {
 		if client := p.client(id); client != nil {
@@ -78,8 +78,8 @@
 	}
 }
 
-// send hands a consensus message to the network. It may be lost; the core
-// sends again.
+// send passes a consensus message to the network. A lost message is sent again by
+// the core.
 func (p *peers) send(message consensus.Message) {
 	if client := p.client(message.To); client != nil {
 		_ = client.Send(context.Background(), peerapi.MethodConsensus, message)
@@ -89,7 +89,7 @@
 func (p *peers) call(ctx context.Context, id consensus.MemberID, method string, request, response any) error {
 	client := p.client(id)
 	if client == nil {
-		return port.NewError(port.NotRun, port.CodeUnavailable, "the address of member %d is not known", id)
+		return port.NewError(port.NotRun, port.CodeUnavailable, "the address of member %d is unknown", id)
 	}
 	return client.Call(ctx, method, request, response)
 }
@@ -103,4 +103,4 @@
 	}
 }
 
-func uintText(value uint64) string { return strconv.FormatUint(value, 10) }
+func formatUint(value uint64) string { return strconv.FormatUint(value, 10) }
--- a/internal/app/control/process_bench_test.go
+++ b/internal/app/control/process_bench_test.go
@@ -7,8 +7,8 @@
 )
 
 // BenchmarkProcessFailover measures how long no change is accepted after the
-// leader's process is killed, at the default tick. The leader is found by
-// killing: a gap under half an election timeout was a follower's.
+// leader's process is killed, at the default tick. It kills the members in turn; a
+// gap below half an election timeout means that a follower was killed.
 func BenchmarkProcessFailover(b *testing.B) {
 	const follower = DefaultTick * DefaultElectionTicks / 2
 	group := startProcesses(b)
@@ -34,7 +34,7 @@
 		}
 		b.StopTimer()
 		group.start(id)
-		time.Sleep(2 * time.Second) // it follows again
+		time.Sleep(2 * time.Second) // until it follows again
 		b.StartTimer()
 	}
 	reportMillis(b, "unavailing-p50-ms", gaps)
--- a/internal/app/control/process_folder_test.go
+++ b/internal/app/control/process_folder_test.go
@@ -15,8 +15,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// segmentsOf lists the log's segments in a member's folder, oldest first.
-func (g *processGroup) segmentsOf(id uint64) []string {
+// segments returns the log segments in a member's folder, oldest first.
+func (g *processGroup) segments(id uint64) []string {
 	g.t.Helper()
 	segments, err := filepath.Glob(filepath.Join(g.dataFolder(id), "wal-*.log"))
 	if err != nil || len(segments) == 0 {
@@ -26,23 +26,23 @@
 	return segments
 }
 
-// awaitRefusal waits until a member's process ends by itself and demands exit
-// code 1 and a message.
-func (g *processGroup) awaitRefusal(id uint64, message string) {
+// awaitFailure waits until a member's process exits and requires exit code 1 and a
+// message on stderr.
+func (g *processGroup) awaitFailure(id uint64, message string) {
 	g.t.Helper()
-	refused := g.children[id]
-	delete(g.children, id)
-	patience := time.AfterFunc(testTimeout, func() { _ = refused.command.Process.Kill() })
-	defer patience.Stop()
-	err := refused.command.Wait()
+	failed := g.processes[id]
+	delete(g.processes, id)
+	timer := time.AfterFunc(testTimeout, func() { _ = failed.command.Process.Kill() })
+	defer timer.Stop()
+	err := failed.command.Wait()
 	var exit *exec.ExitError
-	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(refused.stderr.String(), message) {
-		g.t.Fatalf("member %d ended with %v: %s", id, err, refused.stderr)
+	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(failed.stderr.String(), message) {
+		g.t.Fatalf("member %d ended with %v: %s", id, err, failed.stderr)
 	}
 }
 
-// TestProcessesRefuseBadFolders starts a process on a folder that it must not
-// use, while the others go on.
+// TestProcessesRefuseBadFolders checks that a process does not start on an invalid
+// folder, while the others continue.
 func TestProcessesRefuseBadFolders(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -50,10 +50,10 @@
 		message string
 	}{
 		{"byte flipped in the middle", func(t *testing.T, group *processGroup) {
-			flipMiddle(t, group.segmentsOf(3)[0])
+			flipMiddle(t, group.segments(3)[0])
 		}, "data folder is corrupt"},
 		{"only segment missing", func(t *testing.T, group *processGroup) {
-			removeFile(t, group.segmentsOf(3)[0])
+			removeFile(t, group.segments(3)[0])
 		}, "data folder is lost"},
 		{"snapshot missing", func(t *testing.T, group *processGroup) {
 			snapshots, err := filepath.Glob(filepath.Join(group.dataFolder(3), "snapshot-*.snap"))
@@ -73,20 +73,20 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			group, writing, client := startWritten(t, 20)
+			group, writing, client := startWithChanges(t, 20)
 			group.kill(3)
 			test.damage(t, group)
 			group.start(3)
-			group.awaitRefusal(3, test.message)
+			group.awaitFailure(3, test.message)
 			if err := writing.change(client); err != nil {
-				t.Fatalf("the others did not go on: %v", err)
+				t.Fatalf("the other members do not accept changes: %v", err)
 			}
 		})
 	}
 }
 
-// startWritten starts three processes and makes some changes.
-func startWritten(t *testing.T, changes int) (*processGroup, *writer, *controlclient.Client) {
+// startWithChanges starts three processes and makes the given number of changes.
+func startWithChanges(t *testing.T, changes int) (*processGroup, *writer, *controlclient.Client) {
 	t.Helper()
 	group := startProcesses(t)
 	for id := uint64(1); id <= 3; id++ {
@@ -120,14 +120,13 @@
 	}
 }
 
-// TestProcessWithFullDiskStopsAndComesBack lets the next segment of one process
-// meet a full disk: a link leads its temporary file to /dev/full. The process
-// must stop and say so, the others go on, and with room it is back with all that
-// was accepted.
+// TestProcessWithFullDiskStopsAndComesBack fills the disk of one process by a link
+// from its next segment to /dev/full. The process must report that and exit while
+// the others continue, and later restart with every accepted change.
 func TestProcessWithFullDiskStopsAndComesBack(t *testing.T) {
-	group, writing, client := startWritten(t, 5)
+	group, writing, client := startWithChanges(t, 5)
 	var sequence uint64
-	segments := group.segmentsOf(2)
+	segments := group.segments(2)
 	if _, err := fmt.Sscanf(filepath.Base(segments[len(segments)-1]), "wal-%016x.log", &sequence); err != nil {
 		t.Fatal(err)
 	}
@@ -135,15 +134,15 @@
 	if err := os.Symlink("/dev/full", next); err != nil {
 		t.Fatal(err)
 	}
-	for range 60 { // past the next snapshot, which begins a segment
+	for range 60 { // past the next snapshot, which starts a segment
 		if err := writing.change(client); err != nil {
-			t.Fatalf("the others did not go on: %v", err)
+			t.Fatalf("the other members do not accept changes: %v", err)
 		}
 	}
-	group.awaitRefusal(2, "no space left on device")
+	group.awaitFailure(2, "no space left on device")
 	removeFile(t, next)
 	group.start(2)
-	group.kill(1) // now the group needs the process that is back
+	group.kill(1) // the restarted process is now needed for a quorum
 	for range 3 {
 		if err := writing.change(client); err != nil {
 			t.Fatal(err)
--- a/internal/app/control/process_test.go
+++ b/internal/app/control/process_test.go
@@ -23,10 +23,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// childVariable makes the test binary run one member, as a process of its own.
+// childVariable is the environment variable that makes the test binary run one
+// member.
 const childVariable = "LOOMGRADE_TEST_MEMBER"
 
-// childConfig is what a member process is told.
+// childConfig is the JSON value of childVariable.
 type childConfig struct {
 	ID      uint64
 	Members []Address
@@ -34,7 +35,7 @@
 	Tick    time.Duration
 }
 
-// TestMain runs the tests, or a member if this process is to be one.
+// TestMain runs the tests, or a member in a child process.
 func TestMain(m *testing.M) {
 	if encoded := os.Getenv(childVariable); encoded != "" {
 		os.Exit(runChild(encoded))
@@ -63,13 +64,13 @@
 	return 0
 }
 
-// processGroup is three members as processes.
+// processGroup is a group of three member processes.
 type processGroup struct {
-	t        testing.TB
-	tick     time.Duration
-	folder   string
-	members  []Address
-	children map[uint64]*child
+	t         testing.TB
+	tick      time.Duration
+	folder    string
+	members   []Address
+	processes map[uint64]*child
 }
 
 type child struct {
@@ -79,14 +80,14 @@
 
 func startProcesses(t testing.TB) *processGroup {
 	t.Helper()
-	group := &processGroup{t: t, tick: 2 * testTick, folder: t.TempDir(), children: make(map[uint64]*child)}
+	group := &processGroup{t: t, tick: 2 * testTick, folder: t.TempDir(), processes: make(map[uint64]*child)}
 	for id := uint64(1); id <= 3; id++ {
 		listener := listenLoopback(t, "127.0.0.1:0")
 		group.members = append(group.members, Address{ID: id, Peer: listener.Addr().String()})
 		defer func() { _ = listener.Close() }()
 	}
 	t.Cleanup(func() {
-		for id := range group.children {
+		for id := range group.processes {
 			group.kill(id)
 		}
 	})
@@ -108,21 +109,21 @@
 	if err := command.Start(); err != nil {
 		g.t.Fatal(err)
 	}
-	g.children[id] = started
+	g.processes[id] = started
 	return started
 }
 
 // kill ends a member with SIGKILL.
 func (g *processGroup) kill(id uint64) {
-	process := g.children[id].command
+	process := g.processes[id].command
 	_ = process.Process.Kill()
-	_ = process.Wait() // it was killed, which is an error by design
-	delete(g.children, id)
+	_ = process.Wait() // reports the kill as an error
+	delete(g.processes, id)
 }
 
 func (g *processGroup) signal(id uint64, signal os.Signal) {
 	g.t.Helper()
-	if err := g.children[id].command.Process.Signal(signal); err != nil {
+	if err := g.processes[id].command.Process.Signal(signal); err != nil {
 		g.t.Fatal(err)
 	}
 }
@@ -144,23 +145,23 @@
 	return client
 }
 
-// writer makes changes one after the other, each until it is answered.
+// writer makes sequential changes.
 type writer struct {
 	accepted port.Revision
-	fault    error
+	err      error
 	stop     chan struct{}
-	ended    sync.WaitGroup
+	done     sync.WaitGroup
 }
 
 func startWriter(client *controlclient.Client) *writer {
 	w := &writer{stop: make(chan struct{})}
-	w.ended.Go(func() {
-		for w.fault == nil {
+	w.done.Go(func() {
+		for w.err == nil {
 			select {
 			case <-w.stop:
 				return
 			default:
-				w.fault = w.change(client)
+				w.err = w.change(client)
 			}
 		}
 	})
@@ -183,9 +184,9 @@
 	return nil
 }
 
-// TestProcessesUnderKillAndSilence kills members at random with SIGKILL and
-// silences others with SIGSTOP while one writer and two observers go on. Each
-// change must take effect once, and no observer may go back.
+// TestProcessesUnderKillAndSilence kills members at random with SIGKILL and suspends
+// others with SIGSTOP during writes. Each change must take effect once, and no
+// observer may go back.
 func TestProcessesUnderKillAndSilence(t *testing.T) {
 	const rounds = 6
 	group := startProcesses(t)
@@ -193,9 +194,9 @@
 		group.start(id)
 	}
 	writing := startWriter(group.client())
-	watches := []*follow{
-		startFollow(group.client(), controlstate.NewObserver()),
-		startFollow(group.client(), controlstate.NewObserver()),
+	watches := []*observerWatch{
+		startObserverWatch(group.client(), controlstate.NewObserver()),
+		startObserverWatch(group.client(), controlstate.NewObserver()),
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range rounds {
@@ -212,9 +213,9 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	close(writing.stop)
-	writing.ended.Wait()
-	if writing.fault != nil || writing.accepted == 0 {
-		t.Fatalf("after %d changes: %v", writing.accepted, writing.fault)
+	writing.done.Wait()
+	if writing.err != nil || writing.accepted == 0 {
+		t.Fatalf("after %d changes: %v", writing.accepted, writing.err)
 	}
 	deadline := time.Now().Add(testTimeout)
 	for _, watch := range watches {
@@ -229,8 +230,8 @@
 	t.Logf("%d changes accepted", writing.accepted)
 }
 
-// TestProcessWithoutItsFolderExits removes the folder of a killed process, which
-// must not come back, and stops another as planned.
+// TestProcessWithoutItsFolderExits checks that a killed process whose folder was
+// removed does not start, and that SIGTERM stops a process gracefully.
 func TestProcessWithoutItsFolderExits(t *testing.T) {
 	group := startProcesses(t)
 	for id := uint64(1); id <= 3; id++ {
@@ -246,7 +247,7 @@
 		t.Fatal(err)
 	}
 	lost := group.start(3)
-	delete(group.children, 3)
+	delete(group.processes, 3)
 	err := lost.command.Wait()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(lost.stderr.String(), "data folder is lost") {
@@ -256,9 +257,9 @@
 		t.Fatal(err)
 	}
 	group.signal(1, syscall.SIGTERM)
-	stopped := group.children[1]
-	delete(group.children, 1)
+	stopped := group.processes[1]
+	delete(group.processes, 1)
 	if err := stopped.command.Wait(); err != nil {
-		t.Fatalf("a planned stop ended with %v: %s", err, stopped.stderr)
+		t.Fatalf("graceful stop: %v: %s", err, stopped.stderr)
 	}
 }
--- a/internal/app/control/protocol.go
+++ b/internal/app/control/protocol.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Methods that members serve to each other, besides those of controlclient.
+// Methods that members serve to each other, in addition to those of controlclient.
 const (
-	// methodReadIndex asks the leader for a position to read at.
+	// methodReadIndex requests a read index from the leader.
 	methodReadIndex = "member.read_index"
-	// methodChangeMember takes an operatorapi.MemberChange to the leader.
+	// methodChangeMember forwards an operatorapi.MemberChange to the leader.
 	methodChangeMember = "member.change_member"
-	// methodFounding asks a member whether the group has been founded.
-	methodFounding = "member.founding"
+	// methodBootstrap asks a member whether the group has been bootstrapped.
+	methodBootstrap = "member.founding"
 )
 
-// readIndexAnswer is a position that shows every change accepted before.
+// readIndexAnswer holds the log index that a read must wait for.
 type readIndexAnswer struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
--- a/internal/app/control/reports.go
+++ b/internal/app/control/reports.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// reportLifetime is how long the last report of a silent node is kept.
+	// reportLifetime is how long the last report of a node is stored.
 	reportLifetime = 10 * time.Minute
 	reportsTimeout = time.Second
 )
 
-// reports holds the last report of each node that told this member. Other
-// members are asked for theirs when an operator wants to know.
+// reports stores the last report of each node that reports to this member. The
+// reports of the other members are requested on demand.
 type reports struct {
 	mutex sync.Mutex
 	nodes map[port.NodeID]receivedReport
@@ -38,14 +38,14 @@
 
 func newReports() *reports { return &reports{nodes: make(map[port.NodeID]receivedReport)} }
 
-// add keeps a report. Past the largest number of nodes it drops old ones, and
-// refuses if there is none.
+// add stores a report. At the maximum number of nodes it removes expired reports,
+// and fails if there are none.
 func (r *reports) add(report port.NodeReport, now time.Time) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	previous, known := r.nodes[report.Node.ID]
 	if !known && len(r.nodes) >= registry.MaxNodes && !r.expire(now) {
-		return port.NewError(port.NotRun, port.CodeTooLarge, "reports of %d nodes are held, the most there may be", registry.MaxNodes)
+		return port.NewError(port.NotRun, port.CodeTooLarge, "reports of %d nodes are stored, which is the limit", registry.MaxNodes)
 	}
 	received := receivedReport{report: report, at: now, revisionSince: now}
 	if known && previous.report.Revision == report.Revision {
@@ -79,7 +79,7 @@
 	return list
 }
 
-// gatherReports asks all members and keeps the youngest report of each node.
+// gatherReports merges the reports of all members.
 func (m *Member) gatherReports(ctx context.Context) operatorapi.Reports {
 	ctx, cancel := context.WithTimeout(ctx, reportsTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 			continue
 		}
 		group.Go(func() error {
-			answer, err := m.askReports(ctx, id)
+			answer, err := m.requestReports(ctx, id)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
@@ -108,14 +108,14 @@
 	return operatorapi.Reports{Nodes: sortedReports(merged), Unreachable: unreachable}
 }
 
-func (m *Member) askReports(ctx context.Context, id consensus.MemberID) (peerapi.ReportsAnswer, error) {
+func (m *Member) requestReports(ctx context.Context, id consensus.MemberID) (peerapi.ReportsAnswer, error) {
 	var answer peerapi.ReportsAnswer
 	err := m.peers.call(ctx, id, peerapi.MethodReports, peerapi.Empty{}, &answer)
 	return answer, err
 }
 
-// mergeReports keeps the youngest report of each node, with the earliest time
-// from which its revision was reported.
+// mergeReports keeps the latest report of each node, with the earliest time at
+// which its revision was reported.
 func mergeReports(merged map[port.NodeID]operatorapi.NodeReport, more []operatorapi.NodeReport) map[port.NodeID]operatorapi.NodeReport {
 	if merged == nil {
 		merged = make(map[port.NodeID]operatorapi.NodeReport, len(more))
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -14,10 +14,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// register sets the handlers of the internal protocol.
+// register registers the handlers of the internal protocol.
 func (m *Member) register() {
-	m.server.HandleMessage(peerapi.MethodConsensus, m.takeMessage)
-	m.server.Handle(methodFounding, m.serveFounding)
+	m.server.HandleMessage(peerapi.MethodConsensus, m.enqueueMessage)
+	m.server.Handle(methodBootstrap, m.serveBootstrap)
 	for method, handler := range map[string]wire.Handler{
 		controlclient.MethodPropose: m.serveProposal(false),
 		peerapi.MethodForward:       m.serveProposal(true),
@@ -27,22 +27,22 @@
 		methodReadIndex:             m.serveReadIndex,
 		methodChangeMember:          m.serveMemberChange,
 	} {
-		m.server.Handle(method, m.whenStarted(handler))
+		m.server.Handle(method, m.requireStarted(handler))
 	}
 }
 
-// whenStarted refuses calls as not run before the member takes part.
-func (m *Member) whenStarted(handler wire.Handler) wire.Handler {
+// requireStarted rejects calls until the loop runs.
+func (m *Member) requireStarted(handler wire.Handler) wire.Handler {
 	return func(ctx context.Context, call *wire.Call) error {
-		if err := m.started(); err != nil {
+		if err := m.checkStarted(); err != nil {
 			return err
 		}
 		return handler(ctx, call)
 	}
 }
 
-// takeMessage queues a consensus message; one that finds no room is lost.
-func (m *Member) takeMessage(_ context.Context, call *wire.Call) {
+// enqueueMessage queues a consensus message, or drops it if the queue is full.
+func (m *Member) enqueueMessage(_ context.Context, call *wire.Call) {
 	l := m.current.Load()
 	var message consensus.Message
 	if l == nil || call.Decode(&message) != nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// serveReport keeps a node's report. A node that the view does not show as it
-// reports itself is registered; a failure to do so is mended by its next report.
+// serveReport stores a node's report and registers the node if the view does not
+// match it. A failed registration is retried on the next report.
 func (m *Member) serveReport(ctx context.Context, call *wire.Call) error {
 	var report port.NodeReport
 	if err := call.Decode(&report); err != nil {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// isRegistered says whether a view shows a node with the same addresses and
-// draining mark.
+// isRegistered reports whether the view has the node with the same addresses and
+// draining flag.
 func isRegistered(view *port.View, node port.NodeAddress) bool {
 	byID := func(registered port.NodeAddress, id port.NodeID) int { return cmp.Compare(registered.ID, id) }
 	position, found := slices.BinarySearchFunc(view.Nodes, node.ID, byID)
@@ -120,27 +120,27 @@
 	return call.Send(result)
 }
 
-// serveFounding answers a member without a log.
-func (m *Member) serveFounding(_ context.Context, call *wire.Call) error {
-	var request foundingRequest
+// serveBootstrap answers the bootstrap request of a member without a log.
+func (m *Member) serveBootstrap(_ context.Context, call *wire.Call) error {
+	var request bootstrapRequest
 	if err := call.Decode(&request); err != nil {
 		return err
 	}
-	answer, err := m.answerFounding(request.Member)
+	answer, err := m.answerBootstrap(request.Member)
 	if err != nil {
 		return err
 	}
 	return call.Send(answer)
 }
 
-func (m *Member) answerFounding(asker uint64) (foundingAnswer, error) {
+func (m *Member) answerBootstrap(requester uint64) (bootstrapAnswer, error) {
 	l := m.current.Load()
 	if l != nil {
 		membership := l.published.Load().status.Membership
-		return foundingAnswer{Founded: true, Voter: membership.IsVoter(consensus.MemberID(asker))}, nil
+		return bootstrapAnswer{Bootstrapped: true, Voter: membership.IsVoter(consensus.MemberID(requester))}, nil
 	}
-	if m.founding == nil || m.config.Join {
-		return foundingAnswer{}, port.NewError(port.NotRun, port.CodeUnavailable, "the control member is starting")
+	if m.bootstrapper == nil || m.config.Join {
+		return bootstrapAnswer{}, port.NewError(port.NotRun, port.CodeUnavailable, "the control member is starting")
 	}
-	return m.founding.answer(asker)
+	return m.bootstrapper.recordNew(requester)
 }
--- a/internal/app/control/suspend_test.go
+++ b/internal/app/control/suspend_test.go
@@ -9,19 +9,19 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/boottime"
 )
 
-// TestASuspendedLeaderReadsNothingOnItsOwn: a leader that is suspended for longer than an
-// election timeout may have a successor when it wakes up, and its steady clock does not show
-// that. Here the others cannot answer.
+// TestASuspendedLeaderReadsNothingOnItsOwn checks that a leader that was suspended
+// for longer than an election timeout, which its monotonic clock does not show,
+// serves no read without its followers.
 func TestASuspendedLeaderReadsNothingOnItsOwn(t *testing.T) {
-	var slept [4]atomic.Int64 // by member
+	var suspended [4]atomic.Int64 // by member
 	group := startGroup(t, 3, func(config *Config) {
 		id := config.ID
-		config.Clock = func() time.Duration { return boottime.Now() + time.Duration(slept[id].Load()) }
+		config.Clock = func() time.Duration { return boottime.Now() + time.Duration(suspended[id].Load()) }
 	})
 	group.change(group.client(1), 1)
 	leader := group.leader()
-	read := func(patience time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	read := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		_, err := leader.View(ctx, false)
 		return err
@@ -34,8 +34,8 @@
 			group.kill(id)
 		}
 	}
-	slept[leader.config.ID].Store(int64(10 * time.Second))
+	suspended[leader.config.ID].Store(int64(10 * time.Second))
 	if err := read(300 * time.Millisecond); err == nil {
-		t.Error("it answered a read on its own")
+		t.Error("the leader served a read without a quorum")
 	}
 }
--- a/internal/app/control/watch.go
+++ b/internal/app/control/watch.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// watchInterval is the shortest time between two updates of one watch.
+	// watchInterval is the minimum time between two updates of one watch.
 	watchInterval = 10 * time.Millisecond
-	// newestTimeout bounds the wait for an observer's first view.
-	newestTimeout = 5 * time.Second
-	// maxWatches bounds the watches of a member.
+	// firstViewTimeout limits the wait for an observer's first view.
+	firstViewTimeout = 5 * time.Second
+	// maxWatches limits the watches of a member.
 	maxWatches = 4096
 )
 
@@ -62,10 +62,10 @@
 	}
 }
 
-// serveWatch streams updates to one observer: what it lacks at once, then
-// changes as they come, and a heartbeat while there are none. An observer that
-// holds nothing may have shown the newest view before it restarted, so that its
-// first view must be as new; without a leader it gets none.
+// serveWatch streams updates to one observer: first the changes it lacks, then new
+// changes, and a heartbeat when there are none. An observer without a view may have
+// served the latest one before it restarted, so its first view must be
+// linearizable; without a leader it receives none.
 func (m *Member) serveWatch(ctx context.Context, call *wire.Call) error {
 	var request controlclient.WatchRequest
 	if err := call.Decode(&request); err != nil {
@@ -73,11 +73,11 @@
 	}
 	wake, added := m.watches.add()
 	if !added {
-		return port.NewError(port.NotRun, port.CodeQueueFull, "%d watches are open, the most there may be", maxWatches)
+		return port.NewError(port.NotRun, port.CodeQueueFull, "%d watches are open, which is the limit", maxWatches)
 	}
 	defer m.watches.remove(wake)
 	if request.After == 0 {
-		if err := m.awaitNewest(ctx); err != nil {
+		if err := m.awaitLatest(ctx); err != nil {
 			return err
 		}
 	}
@@ -93,23 +93,23 @@
 			return err
 		}
 		after = max(after, update.Position)
-		if err := m.waitForNews(ctx, wake, heartbeat.C); err != nil {
+		if err := m.waitForChange(ctx, wake, heartbeat.C); err != nil {
 			return err
 		}
 	}
 }
 
-// awaitNewest waits until this member shows every change that was accepted
+// awaitLatest blocks until this member has applied every change that was accepted
 // before the call.
-func (m *Member) awaitNewest(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, newestTimeout)
+func (m *Member) awaitLatest(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, firstViewTimeout)
 	defer cancel()
 	return m.readState(ctx, func(*controlmember.Member) {})
 }
 
-// waitForNews waits for a change, though not less than watchInterval, or for
-// the next heartbeat.
-func (m *Member) waitForNews(ctx context.Context, wake <-chan struct{}, heartbeat <-chan time.Time) error {
+// waitForChange blocks until the next change or heartbeat, but at least for
+// watchInterval.
+func (m *Member) waitForChange(ctx context.Context, wake <-chan struct{}, heartbeat <-chan time.Time) error {
 	pause := time.NewTimer(watchInterval)
 	defer pause.Stop()
 	select {
@@ -131,8 +131,8 @@
 	}
 }
 
-// updateAfter gives what an observer lacks. The loop is asked only if there is
-// something.
+// updateAfter returns the update from position after. It uses the loop only if
+// there are changes.
 func (m *Member) updateAfter(ctx context.Context, after uint64) (port.ViewUpdate, error) {
 	l := m.loop()
 	published := l.published.Load()
@@ -144,14 +144,14 @@
 	}
 	var update port.ViewUpdate
 	if err := m.inLoop(ctx, func(l *loop) { update = l.member.Update(after) }); err != nil {
-		return port.ViewUpdate{}, err // the loop may yet write update
+		return port.ViewUpdate{}, err // the loop may still write update
 	}
 	return m.confirm(update, l.published.Load()), nil
 }
 
-// confirm marks an update as in force at a member in touch with a quorum. An
-// observer that is ahead of this member is not confirmed by it.
-func (m *Member) confirm(update port.ViewUpdate, published *snapshotOfLoop) port.ViewUpdate {
+// confirm sets Confirmed if this member is in contact with a quorum and not behind
+// the observer.
+func (m *Member) confirm(update port.ViewUpdate, published *loopStatus) port.ViewUpdate {
 	update.Confirmed = update.Position >= update.After && published.confirmed(m.config.Clock(), m.config.electionTimeout())
 	return update
 }
