--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -1,7 +1,7 @@
-// Package dialect says how the product's own terms are named and encoded where
-// it meets callers, replicas and operators. A Dialect holds names, formats and
-// calls and takes no decision. The product works with any; the repository's root
-// has one for its users' platform.
+// Package dialect defines how the product's terms are named and encoded in its
+// interfaces to callers, replicas and operators. A Dialect holds names, formats and
+// calls and makes no decisions. The product works with any dialect; the package at
+// the repository's root implements the one of its users' platform.
 package dialect
 
 import (
@@ -14,28 +14,29 @@
 
 // Headers are the names of the HTTP headers that the product reads or sets.
 type Headers struct {
-	// RequestID names a request; every try of a client has its own.
+	// RequestID identifies a request; each attempt of a client has its own.
 	RequestID string
-	// Deadline is how long the caller waits, in milliseconds.
+	// Deadline is the caller's timeout in milliseconds.
 	Deadline string
-	// Seal signs a replica's answer.
+	// Seal is the signature of a replica's response.
 	Seal string
-	// ExpectInstance makes every replica but the named one refuse.
+	// ExpectInstance makes every replica except the named one reject the request.
 	ExpectInstance string
-	// NotRun marks a refusal that did not run the request.
+	// NotRun marks the rejection of a request that did not run.
 	NotRun string
-	// LastEvent is the id of the last event that the caller has.
+	// LastEvent is the id of the last event that the caller received.
 	LastEvent string
-	// WeightVersion is the weight version that made an answer, and its name in
-	// lower case begins an event from which on it changed.
+	// WeightVersion is the weight version that produced a response. Its name in
+	// lower case starts the event from which the version changed.
 	WeightVersion string
-	// Key is a caller's key, and Tenant tells a replica whose request it runs. Where
-	// tenants are configured, the key is never passed on and the tenant is that of the key.
+	// Key is a caller's API key, and Tenant the tenant whose request a replica runs.
+	// Where tenants are configured, the key determines the tenant and is not
+	// forwarded.
 	Key    string
 	Tenant string
-	// Load is what a replica says of its load with an answer; ReadLoad reads it.
+	// Load is a replica's load, sent with a response; ReadLoad decodes it.
 	Load string
-	// Holder and Fence say who calls the provider, and in which term.
+	// Holder and Fence identify the caller of the provider and its term.
 	Holder string
 	Fence  string
 }
@@ -47,43 +48,44 @@
 	Body   []byte
 }
 
-// Order asks a replica to load a version of a model's weights.
+// Order is a command to a replica to load a version of a model's weights.
 type Order struct {
 	Model   string
 	Version uint64
-	// Holder and Fence say who orders, and in which term.
+	// Holder and Fence identify the sender and its term.
 	Holder string
 	Fence  uint64
-	// ExpectedOrders is how many orders the replica has taken; it refuses if
-	// there were others meanwhile.
+	// ExpectedOrders is the number of orders that the replica has accepted; it
+	// rejects this one if the number differs.
 	ExpectedOrders uint64
 }
 
-// Report is what a replica says of itself when asked.
+// Report is a replica's status report.
 type Report struct {
 	Models []sitestate.ModelVersion
-	// Loading is set while an order is under way.
+	// Loading is set while an order is in progress.
 	Loading bool
-	// Orders is how many orders it has taken.
+	// Orders is the number of orders that the replica has accepted.
 	Orders  uint64
 	Running int
 	Waiting int
 }
 
-// Dialect names and encodes.
+// Dialect names and encodes the product's terms.
 type Dialect interface {
 	Headers() Headers
-	// DecodeConfiguration reads a whole configuration. It need not be valid.
+	// DecodeConfiguration decodes a complete configuration without validating it.
 	DecodeConfiguration(raw []byte) (*routing.Document, error)
-	// DecodeJob reads a job's body; id, host and path come from its request.
+	// DecodeJob decodes a job's body; id, host and path come from its request.
 	DecodeJob(body []byte) (jobstate.Submission, error)
-	// ReadLoad reads the value of Headers.Load; ok is false if it cannot be read.
+	// ReadLoad decodes the value of Headers.Load; ok is false if it is invalid.
 	ReadLoad(value string) (load balance.Load, ok bool)
 	// OrderCall encodes an order.
 	OrderCall(order Order) (Call, error)
-	// ReportCall asks for a Report, which DecodeReport reads.
+	// ReportCall requests a Report, which DecodeReport decodes.
 	ReportCall() Call
 	DecodeReport(body []byte) (Report, error)
-	// UsageCall tells the provider how many requests of each tenant began in a window.
+	// UsageCall reports to the provider how many requests of each tenant started in
+	// a window.
 	UsageCall(total usage.Total) (Call, error)
 }
