--- a/internal/adapter/sitesettings/sitesettings_test.go
+++ b/internal/adapter/sitesettings/sitesettings_test.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/sitesettings"
 )
 
-// load writes settings with some keys changed and reads them.
+// load writes settings with some keys changed and loads them.
 func load(t *testing.T, change map[string]any) (*sitesettings.File, error) {
 	t.Helper()
 	settings := map[string]any{
@@ -41,10 +41,10 @@
 		t.Errorf("%+v", file)
 	}
 	for name, change := range map[string]map[string]any{
-		"no provider":   {"provider_address": ""},
-		"another duty":  {"provider_duties": []string{"autoscale"}},
-		"no duty":       {"provider_duties": nil},
-		"no duty is on": {"provider_duties": nil, "usage_window_s": 0},
+		"no provider":         {"provider_address": ""},
+		"another duty":        {"provider_duties": []string{"autoscale"}},
+		"no duty":             {"provider_duties": nil},
+		"no duty, no windows": {"provider_duties": nil, "usage_window_s": 0},
 	} {
 		if file, err := load(t, change); err != nil || file.ReportsUsage() {
 			t.Errorf("%s: %v", name, err)
@@ -57,12 +57,12 @@
 		"provider_address": "nowhere", "revoke_ms": -1, "usage_window_s": 0, "usage_due_s": -3,
 	} {
 		_, err := load(t, map[string]any{key: value})
-		var fault *sitesettings.Error
-		if !errors.As(err, &fault) || fault.Key == "" || fault.Allowed == "" {
+		var invalid *sitesettings.Error
+		if !errors.As(err, &invalid) || invalid.Key == "" || invalid.Allowed == "" {
 			t.Errorf("%s = %v: %v", key, value, err)
 		}
 	}
 	if _, err := load(t, map[string]any{"provider_adress": "10.0.0.9:80"}); err == nil {
-		t.Error("an unknown key was taken")
+		t.Error("an unknown key was accepted")
 	}
 }
