--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds of settings.
+// Limits of settings.
 const (
 	minTick            = 5 * time.Millisecond
 	maxTick            = 5 * time.Second
@@ -19,20 +19,20 @@
 	maxRingLines       = 1_000_000
 )
 
-// namePattern holds for names of clusters, nodes, zones and regions.
+// namePattern matches names of clusters, nodes, zones and regions.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 const nameAllowed = "1 to 63 lower-case letters, digits and inner hyphens"
 
-// checker gathers the faults of one file.
-type checker struct{ faults []*Error }
+// checker collects the errors of one file.
+type checker struct{ errors []*Error }
 
 func (f *File) check() []*Error {
 	var c checker
 	c.name("cluster", f.Cluster)
 	c.numberRange("log.ring_lines", int64(f.Log.RingLines), 1, maxRingLines)
 	if (f.Control == nil) == (f.Node == nil) {
-		c.fault("control", "", "exactly one of the sections control and node")
+		c.addError("control", "", "exactly one of the sections control and node")
 	}
 	if f.Control != nil {
 		c.control(f.Control)
@@ -40,26 +40,26 @@
 	if f.Node != nil {
 		c.node(f.Node)
 	}
-	return c.faults
+	return c.errors
 }
 
 func (c *checker) control(control *Control) {
 	if control.ID == 0 {
-		c.fault("control.id", "0", "a whole number over 0")
+		c.addError("control.id", "0", "a whole number over 0")
 	}
-	c.present("control.data_folder", control.DataFolder)
+	c.requirePath("control.data_folder", control.DataFolder)
 	c.address("control.peer_listen", control.PeerListen)
 	c.address("control.operator_listen", control.OperatorListen)
 	c.durationRange("control.tick", control.Tick, minTick, maxTick)
 	c.numberRange("control.snapshot_entries", int64(control.SnapshotEntries), minSnapshotEntries, maxSnapshotEntries)
 	if len(control.Members) == 0 {
-		c.fault("control.members", "", "at least one member")
+		c.addError("control.members", "", "at least one member")
 	}
 	seen := map[uint64]bool{}
 	for index, member := range control.Members {
 		key := fmt.Sprintf("control.members[%d]", index)
 		if member.ID == 0 || seen[member.ID] {
-			c.fault(key+".id", strconv.FormatUint(member.ID, 10), "a whole number over 0 that no other member has")
+			c.addError(key+".id", strconv.FormatUint(member.ID, 10), "a whole number over 0 that no other member has")
 		}
 		seen[member.ID] = true
 		c.reachable(key+".address", member.Address)
@@ -67,7 +67,7 @@
 	c.distinct("control.members", addressesOf(control.Members))
 	c.distinct("control.operator_listen", []string{control.PeerListen, control.OperatorListen})
 	if !control.Join && !seen[control.ID] {
-		c.fault("control.id", strconv.FormatUint(control.ID, 10), "the id of one of control.members, unless join is true")
+		c.addError("control.id", strconv.FormatUint(control.ID, 10), "the id of one of control.members, unless join is true")
 	}
 }
 
@@ -81,7 +81,7 @@
 	c.address("node.peer_listen", node.PeerListen)
 	c.durationRange("node.configuration_lease", node.ConfigurationLease, minLease, maxLease)
 	if len(node.ControlMembers) == 0 {
-		c.fault("node.control_members", "", "at least one address")
+		c.addError("node.control_members", "", "at least one address")
 	}
 	for index, address := range node.ControlMembers {
 		c.reachable(fmt.Sprintf("node.control_members[%d]", index), address)
@@ -98,37 +98,37 @@
 	return addresses
 }
 
-func (c *checker) fault(key, value, allowed string) {
-	c.faults = append(c.faults, &Error{Key: key, Value: value, Allowed: allowed})
+func (c *checker) addError(key, value, allowed string) {
+	c.errors = append(c.errors, &Error{Key: key, Value: value, Allowed: allowed})
 }
 
-func (c *checker) present(key, value string) {
+func (c *checker) requirePath(key, value string) {
 	if value == "" {
-		c.fault(key, "", "a path")
+		c.addError(key, "", "a path")
 	}
 }
 
 func (c *checker) name(key, value string) {
 	if !namePattern.MatchString(value) {
-		c.fault(key, value, nameAllowed)
+		c.addError(key, value, nameAllowed)
 	}
 }
 
 func (c *checker) address(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.fault(key, value, "IP:port, by number")
+		c.addError(key, value, "IP:port, by number")
 	}
 }
 
-// reachable checks an address that others are reached at.
+// reachable checks an address at which other processes are reached.
 func (c *checker) reachable(key, value string) {
 	parsed, err := netip.ParseAddrPort(value)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() {
-		c.fault(key, value, "IP:port, by number, of one machine")
+		c.addError(key, value, "IP:port, by number, of one machine")
 	}
 }
 
-// distinct refuses an address that stands twice. Port 0 takes any free port.
+// distinct rejects duplicate addresses. Port 0 selects any free port.
 func (c *checker) distinct(key string, addresses []string) {
 	seen := map[string]bool{}
 	for _, address := range addresses {
@@ -137,7 +137,7 @@
 			continue
 		}
 		if seen[address] {
-			c.fault(key, address, "addresses that differ")
+			c.addError(key, address, "addresses that differ")
 		}
 		seen[address] = true
 	}
@@ -145,12 +145,12 @@
 
 func (c *checker) numberRange(key string, value, low, high int64) {
 	if value < low || value > high {
-		c.fault(key, strconv.FormatInt(value, 10), fmt.Sprintf("%d to %d", low, high))
+		c.addError(key, strconv.FormatInt(value, 10), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
 func (c *checker) durationRange(key string, duration Duration, low, high time.Duration) {
-	if fault := duration.Outside(key, low, high); fault != nil {
-		c.faults = append(c.faults, fault)
+	if err := duration.Outside(key, low, high); err != nil {
+		c.errors = append(c.errors, err)
 	}
 }
--- a/internal/adapter/settings/duration.go
+++ b/internal/adapter/settings/duration.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Duration is a time with a unit, as "250ms" or "5s". Reading one never fails:
-// a malformed text is kept, so that the check can name its key and line.
+// Duration is a time with a unit, such as "250ms" or "5s". Decoding never fails: it
+// stores malformed text, so that the check can report its key and line.
 type Duration struct {
 	value     time.Duration
 	malformed string
 }
 
-// DurationOf gives the setting for a time.
+// DurationOf returns the setting for a time.
 func DurationOf(value time.Duration) Duration { return Duration{value: value} }
 
-// Outside gives the fault of a duration that is malformed or not between low
-// and high, and nil for one that is.
+// Outside returns an error if the duration is malformed or not between low and
+// high.
 func (d Duration) Outside(key string, low, high time.Duration) *Error {
 	allowed := fmt.Sprintf("%s to %s, with a unit", low, high)
 	switch {
@@ -29,23 +29,23 @@
 	}
 }
 
-// IsZero says that the setting is absent.
+// IsZero reports whether the setting is absent.
 func (d Duration) IsZero() bool { return d.value == 0 && d.malformed == "" }
 
-// Value gives the time.
+// Value returns the time.
 func (d Duration) Value() time.Duration { return d.value }
 
-// MarshalText gives the text form.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.value.String()), nil }
 
-// UnmarshalText reads the text form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	*d = readDuration(string(text))
 	return nil
 }
 
-// UnmarshalYAML reads the text form and keeps what is no text at all, such as a
-// list, as malformed too.
+// UnmarshalYAML decodes the text form. Other values, such as a list, are malformed
+// as well.
 func (d *Duration) UnmarshalYAML(decode func(any) error) error {
 	var written any
 	if err := decode(&written); err != nil {
--- a/internal/adapter/settings/durationjson.go
+++ b/internal/adapter/settings/durationjson.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// UnmarshalJSON reads the text form that MarshalText writes, as in results of
-// experiments. Unlike the reading of settings it fails for a malformed text.
+// UnmarshalJSON decodes the text form of MarshalText, as in experiment results.
+// Unlike UnmarshalYAML, it fails for malformed text.
 func (d *Duration) UnmarshalJSON(content []byte) error {
 	var text string
 	if err := json.Unmarshal(content, &text); err != nil {
--- a/internal/adapter/settings/load.go
+++ b/internal/adapter/settings/load.go
@@ -14,43 +14,43 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes limits a settings file.
 const maxFileBytes = 1 << 20
 
-// Error says which setting is not allowed, and where it stands.
+// Error reports an invalid setting and its position.
 type Error struct {
 	File string
 	// Line and Column count from 1; 0 means that the setting is missing, or that
-	// the line says enough.
+	// the line suffices.
 	Line    int
 	Column  int
 	Key     string
 	Value   string
 	Allowed string
-	// unknown says that there is no such key.
+	// unknown is set if the key does not exist.
 	unknown bool
 }
 
-// Error gives one line: file, line, key, value and what is allowed.
+// Error returns one line: file, line, key, value and the allowed values.
 func (e *Error) Error() string {
-	place := e.File
+	position := e.File
 	if e.Line > 0 {
-		place = fmt.Sprintf("%s:%d", e.File, e.Line)
+		position = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Column > 0 {
-		place = fmt.Sprintf("%s:%d", place, e.Column)
+		position = fmt.Sprintf("%s:%d", position, e.Column)
 	}
 	if e.unknown {
-		return fmt.Sprintf("%s: %s is no known key, allowed: %s", place, e.Key, e.Allowed)
+		return fmt.Sprintf("%s: %s is an unknown key, allowed: %s", position, e.Key, e.Allowed)
 	}
 	if e.Value == "" {
-		return fmt.Sprintf("%s: %s is missing or empty, allowed: %s", place, e.Key, e.Allowed)
+		return fmt.Sprintf("%s: %s is missing or empty, allowed: %s", position, e.Key, e.Allowed)
 	}
-	return fmt.Sprintf("%s: %s = %q is not allowed, allowed: %s", place, e.Key, e.Value, e.Allowed)
+	return fmt.Sprintf("%s: %s = %q is not allowed, allowed: %s", position, e.Key, e.Value, e.Allowed)
 }
 
-// Load reads, completes and checks the settings file at a path. All faults
-// found are returned together, one a line.
+// Load reads and validates the settings file at a path and sets the defaults. It
+// returns all errors joined, one per line.
 func Load(path string) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return Parse(path, content)
 }
 
-// Parse reads settings from memory; path stands in messages only.
+// Parse decodes settings from memory; path is used in messages only.
 func Parse(path string, content []byte) (*File, error) {
 	file := File{Log: Log{RingLines: defaultRingLines}}
 	if err := Decode(path, content, &file, file.check); err != nil {
@@ -75,41 +75,41 @@
 	return &file, nil
 }
 
-// Decode reads strict YAML into a target, a pointer to a struct, and runs a
-// check that completes and judges it. Unknown and repeated keys, further
-// documents and fractions in place of whole numbers are refused. The faults of
-// the check name their keys; Decode adds the file and the line, and returns all
-// of them together, one a line. Path stands in messages only.
+// Decode decodes strict YAML into target, a pointer to a struct, and runs check,
+// which completes and validates it. Unknown and repeated keys, further documents and
+// fractions in place of integers are rejected. The errors of check name their keys;
+// Decode adds the file and line and returns all of them joined, one per line. path is
+// used in messages only.
 func Decode(path string, content []byte, target any, check func() []*Error) error {
 	document, err := parser.ParseBytes(content, 0)
 	if err != nil {
 		return decodeError(path, err)
 	}
-	if faults := strictFaults(document, reflect.TypeOf(target).Elem()); len(faults) > 0 {
-		return joinFaults(path, faults)
+	if invalid := strictErrors(document, reflect.TypeOf(target).Elem()); len(invalid) > 0 {
+		return joinErrors(path, invalid)
 	}
 	if err := yaml.UnmarshalWithOptions(content, target, yaml.Strict()); err != nil {
 		return decodeError(path, err)
 	}
-	faults := check()
-	for _, fault := range faults {
-		fault.Line = lineOf(document, fault.Key)
+	invalid := check()
+	for _, setting := range invalid {
+		setting.Line = lineOf(document, setting.Key)
 	}
-	return joinFaults(path, faults)
+	return joinErrors(path, invalid)
 }
 
-// joinFaults gives all faults as one error, or nil where there is none.
-func joinFaults(path string, faults []*Error) error {
+// joinErrors returns all errors as one, or nil if there are none.
+func joinErrors(path string, invalid []*Error) error {
 	var joined []error
-	for _, fault := range faults {
-		fault.File = path
-		joined = append(joined, fault)
+	for _, setting := range invalid {
+		setting.File = path
+		joined = append(joined, setting)
 	}
 	return errors.Join(joined...)
 }
 
-// decodeError names the key and value of a wrong type, and keeps the decoder's
-// own message for all else.
+// decodeError returns the key and value of a type error, and the decoder's own
+// message otherwise.
 func decodeError(path string, err error) error {
 	var wrongType *yaml.TypeError
 	if !errors.As(err, &wrongType) || wrongType.Token == nil || wrongType.DstType == nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// keyBefore gives the key that a value's token belongs to.
+// keyBefore returns the key to which a value's token belongs.
 func keyBefore(value *token.Token) string {
 	for at := value.Prev; at != nil; at = at.Prev {
 		if at.Type == token.MappingValueType && at.Prev != nil {
@@ -134,7 +134,7 @@
 	return "value"
 }
 
-// kindAllowed says in words what a Go kind holds.
+// kindAllowed describes the values of a Go kind.
 func kindAllowed(kind reflect.Kind) string {
 	switch kind {
 	case reflect.Int, reflect.Int64, reflect.Uint64, reflect.Uint32:
@@ -152,21 +152,21 @@
 	}
 }
 
-// firstLine keeps a decoder's message, which starts with [line:column], and
-// drops the excerpt that follows. It gives "line:column: message".
+// firstLine converts the first line of a decoder's message from "[line:column]
+// message" to "line:column: message". An excerpt follows on the next lines.
 func firstLine(err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
-	if place, message, found := strings.Cut(strings.TrimPrefix(text, "["), "] "); found {
-		return place + ": " + message
+	if position, message, found := strings.Cut(strings.TrimPrefix(text, "["), "] "); found {
+		return position + ": " + message
 	}
 	return " " + text
 }
 
-// lineOf finds the line of a key such as control.members[1].address. For one
-// that is missing it is the line of the section that should hold it, or 0.
+// lineOf returns the line of a key such as control.members[1].address. For a missing
+// key it is the line of the enclosing section, or 0.
 func lineOf(document *ast.File, key string) int {
 	for {
-		if line := lineOfPresent(document, key); line > 0 {
+		if line := lineOfExisting(document, key); line > 0 {
 			return line
 		}
 		last := strings.LastIndexAny(key, ".[")
@@ -177,7 +177,7 @@
 	}
 }
 
-func lineOfPresent(document *ast.File, key string) int {
+func lineOfExisting(document *ast.File, key string) int {
 	path, err := yaml.PathString("$." + key)
 	if err != nil {
 		return 0
--- a/internal/adapter/settings/page_test.go
+++ b/internal/adapter/settings/page_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// keysOf lists the keys of a struct of settings with those of its sections.
+// keysOf returns the keys of a settings struct and its sections.
 func keysOf(section reflect.Type, prefix string) []string {
 	var keys []string
 	for index := range section.NumField() {
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -6,27 +6,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// File is a whole settings file: what every role needs, and one section for
+// File is a complete settings file: the settings of every role, and one section for
 // the role that the process runs.
 type File struct {
-	// Cluster names the fleet; processes of another cluster are refused.
+	// Cluster names the fleet; processes of other clusters are rejected.
 	Cluster string `yaml:"cluster"`
-	// PeerTokenFile holds the secret that the fleet's own processes share;
-	// empty switches the check off.
+	// PeerTokenFile holds the secret that the fleet's processes share; empty disables
+	// the check.
 	PeerTokenFile string `yaml:"peer_token_file,omitempty"`
-	// OperatorTokenFile holds the token that operators present.
+	// OperatorTokenFile holds the token that authenticates operators.
 	OperatorTokenFile string   `yaml:"operator_token_file,omitempty"`
 	Log               Log      `yaml:"log,omitempty"`
 	Control           *Control `yaml:"control,omitempty"`
 	Node              *Node    `yaml:"node,omitempty"`
 }
 
-// Log bounds the ring of log lines kept in memory.
+// Log configures the in-memory ring of log lines.
 type Log struct {
-	// RingLines is the number of lines kept.
+	// RingLines is the capacity of the ring.
 	RingLines int `yaml:"ring_lines,omitempty"`
-	// File receives the ring when something goes wrong; empty means standard
-	// error.
+	// File receives the ring after a failure; empty means standard error.
 	File string `yaml:"file,omitempty"`
 }
 
@@ -34,14 +33,14 @@
 type Control struct {
 	ID         uint64 `yaml:"id"`
 	DataFolder string `yaml:"data_folder"`
-	// PeerListen serves members and nodes, OperatorListen operators over HTTP.
+	// PeerListen serves members and nodes; OperatorListen serves operators over HTTP.
 	PeerListen     string `yaml:"peer_listen"`
 	OperatorListen string `yaml:"operator_listen"`
-	// Members lists the members that the cluster was first started with. A
-	// member that joins later names the present members and sets Join.
+	// Members lists the initial members of the cluster. A member that joins later
+	// lists the current members and sets Join.
 	Members []Member `yaml:"members"`
 	Join    bool     `yaml:"join,omitempty"`
-	// Tick is the time step of elections and heartbeats.
+	// Tick is the time unit of elections and heartbeats.
 	Tick Duration `yaml:"tick,omitempty"`
 	// SnapshotEntries is the number of log entries between snapshots.
 	SnapshotEntries int `yaml:"snapshot_entries,omitempty"`
@@ -58,16 +57,16 @@
 	ID     port.NodeID     `yaml:"id"`
 	Zone   port.ZoneName   `yaml:"zone"`
 	Region port.RegionName `yaml:"region,omitempty"`
-	// HTTPListen serves callers, trainers and explain; PeerListen other nodes.
+	// HTTPListen serves callers, trainers and explain; PeerListen serves other nodes.
 	HTTPListen string `yaml:"http_listen"`
 	PeerListen string `yaml:"peer_listen"`
-	// ControlMembers are peer addresses, nearest first.
+	// ControlMembers lists peer addresses, nearest first.
 	ControlMembers []string `yaml:"control_members"`
-	// DataFolder keeps decision records over a restart; empty keeps them in
-	// memory alone.
+	// DataFolder stores decision records across restarts; empty stores them in memory
+	// only.
 	DataFolder string `yaml:"data_folder,omitempty"`
-	// ConfigurationLease is how long a node out of touch with control trusts
-	// its configuration.
+	// ConfigurationLease is how long a node without contact to control uses its
+	// configuration.
 	ConfigurationLease Duration `yaml:"configuration_lease,omitempty"`
 }
 
@@ -79,8 +78,8 @@
 	defaultConfigurationLease = 5 * time.Second
 )
 
-// UnmarshalYAML reads a control section over its defaults, so that an explicit 0
-// is judged and not replaced.
+// UnmarshalYAML decodes a control section over its defaults, so that an explicit 0
+// is validated and not replaced.
 func (c *Control) UnmarshalYAML(decode func(any) error) error {
 	type plain Control
 	section := plain{Tick: DurationOf(defaultTick), SnapshotEntries: defaultSnapshotEntries}
@@ -89,7 +88,7 @@
 	return err
 }
 
-// UnmarshalYAML reads a node section over its defaults.
+// UnmarshalYAML decodes a node section over its defaults.
 func (n *Node) UnmarshalYAML(decode func(any) error) error {
 	type plain Node
 	section := plain{ConfigurationLease: DurationOf(defaultConfigurationLease)}
--- a/internal/adapter/settings/strict.go
+++ b/internal/adapter/settings/strict.go
@@ -8,11 +8,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// strictFaults compares a document with the type that it is decoded into, where
-// the decoder is lenient or says too little: further documents, unknown keys,
-// fractions in place of whole numbers, and YAML's tags, anchors and aliases,
-// which settings don't need.
-func strictFaults(document *ast.File, target reflect.Type) []*Error {
+// strictErrors checks a document against its target type where the decoder is
+// lenient or imprecise: further documents, unknown keys, fractions in place of
+// integers, and YAML tags, anchors and aliases, which settings do not need.
+func strictErrors(document *ast.File, target reflect.Type) []*Error {
 	var check strictCheck
 	first := true
 	for _, part := range document.Docs {
@@ -20,30 +19,30 @@
 			continue
 		}
 		if !first {
-			check.fault(part.Body, &Error{Key: "---", Value: "a second document", Allowed: "one document"})
+			check.addError(part.Body, &Error{Key: "---", Value: "a second document", Allowed: "one document"})
 			break
 		}
 		first = false
 		ast.Walk(&check, part.Body)
 		check.value(part.Body, target, "")
 	}
-	return check.faults
+	return check.errors
 }
 
-// strictCheck gathers the faults of one document.
-type strictCheck struct{ faults []*Error }
+// strictCheck collects the errors of one document.
+type strictCheck struct{ errors []*Error }
 
-func (c *strictCheck) fault(node ast.Node, fault *Error) {
+func (c *strictCheck) addError(node ast.Node, invalid *Error) {
 	position := node.GetToken().Position
-	fault.Line, fault.Column = position.Line, position.Column
-	c.faults = append(c.faults, fault)
+	invalid.Line, invalid.Column = position.Line, position.Column
+	c.errors = append(c.errors, invalid)
 }
 
-// Visit refuses tags, anchors and aliases; it implements ast.Visitor.
+// Visit rejects tags, anchors and aliases; it implements ast.Visitor.
 func (c *strictCheck) Visit(node ast.Node) ast.Visitor {
 	switch node.(type) {
 	case *ast.TagNode, *ast.AnchorNode, *ast.AliasNode, *ast.MergeKeyNode:
-		c.fault(node, &Error{Key: "value", Value: node.GetToken().Value, Allowed: "values without tags, anchors and aliases"})
+		c.addError(node, &Error{Key: "value", Value: node.GetToken().Value, Allowed: "values without tags, anchors and aliases"})
 	}
 	return c
 }
@@ -52,8 +51,8 @@
 	for target.Kind() == reflect.Pointer {
 		target = target.Elem()
 	}
-	if isSection(target) && isPlain(node) {
-		c.fault(node, &Error{Key: key, Value: node.String(), Allowed: kindAllowed(target.Kind())})
+	if isSection(target) && isScalar(node) {
+		c.addError(node, &Error{Key: key, Value: node.String(), Allowed: kindAllowed(target.Kind())})
 		return
 	}
 	switch node := node.(type) {
@@ -70,13 +69,13 @@
 			}
 		}
 	case *ast.FloatNode:
-		if isWhole(target.Kind()) {
-			c.fault(node, &Error{Key: key, Value: node.String(), Allowed: kindAllowed(target.Kind())})
+		if isInteger(target.Kind()) {
+			c.addError(node, &Error{Key: key, Value: node.String(), Allowed: kindAllowed(target.Kind())})
 		}
 	}
 }
 
-// pair checks one key and its value. Keys of anything but a struct are free.
+// pair checks one key and its value. Keys of non-struct values are not restricted.
 func (c *strictCheck) pair(pair *ast.MappingValueNode, target reflect.Type, parent string) {
 	if !isSection(target) {
 		return
@@ -85,13 +84,13 @@
 	key := strings.TrimPrefix(parent+"."+name, ".")
 	field, known := fieldOf(target, name)
 	if !known {
-		c.fault(pair.Key, &Error{Key: key, unknown: true, Allowed: strings.Join(fieldNames(target), ", ")})
+		c.addError(pair.Key, &Error{Key: key, unknown: true, Allowed: strings.Join(fieldNames(target), ", ")})
 		return
 	}
 	c.value(pair.Value, field, key)
 }
 
-// fieldName gives the key that a struct's field is read from, or nothing.
+// fieldName returns the YAML key of a struct field, or "" if there is none.
 func fieldName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	if name == "-" {
@@ -109,7 +108,7 @@
 	return nil, false
 }
 
-// fieldNames lists the keys of a struct in the order of the alphabet.
+// fieldNames returns the keys of a struct in alphabetical order.
 func fieldNames(target reflect.Type) []string {
 	var names []string
 	for index := range target.NumField() {
@@ -121,14 +120,14 @@
 	return names
 }
 
-// isSection tells structs of settings, which name the key of each field, from
-// values such as Duration, which read themselves.
+// isSection reports whether target is a settings struct, which names the key of each
+// field, and not a value such as Duration, which decodes itself.
 func isSection(target reflect.Type) bool {
 	return target.Kind() == reflect.Struct && len(fieldNames(target)) == target.NumField()
 }
 
-// isPlain says that a node is a number, a text or true or false.
-func isPlain(node ast.Node) bool {
+// isScalar reports whether a node is a number, a text or a boolean.
+func isScalar(node ast.Node) bool {
 	switch node.(type) {
 	case *ast.IntegerNode, *ast.FloatNode, *ast.StringNode, *ast.BoolNode:
 		return true
@@ -137,6 +136,6 @@
 	}
 }
 
-func isWhole(kind reflect.Kind) bool {
+func isInteger(kind reflect.Kind) bool {
 	return kind >= reflect.Int && kind <= reflect.Uint64
 }
