--- a/internal/adapter/settings/load.go
+++ b/internal/adapter/settings/load.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// firstLine converts the first line of a decoder's message from "[line:column]
-// message" to "line:column: message". An excerpt follows on the next lines.
+// firstLine converts a decoder's message from "[line:column] message" to
+// "line:column: message" and drops the excerpt that follows.
 func firstLine(err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
 	if position, message, found := strings.Cut(strings.TrimPrefix(text, "["), "] "); found {
--- a/internal/app/control/watch.go
+++ b/internal/app/control/watch.go
@@ -149,8 +149,8 @@
 	return m.confirm(update, l.published.Load()), nil
 }
 
-// confirm sets Confirmed if this member is in contact with a quorum and not behind
-// the observer.
+// confirm sets Confirmed if this member is caught up, in contact with a quorum and
+// not behind the observer.
 func (m *Member) confirm(update port.ViewUpdate, published *loopStatus) port.ViewUpdate {
 	update.Confirmed = update.Position >= update.After && published.confirmed(m.config.Clock(), m.config.electionTimeout())
 	return update
