--- a/internal/adapter/wal/benchmark_test.go
+++ b/internal/adapter/wal/benchmark_test.go
@@ -12,8 +12,8 @@
 
 const commitBytes = 256
 
-// committer gives writers a log on real files, with one sync for each commit
-// or for all commits that wait.
+// committer appends the commits of many writers to a log on real files, with one sync per
+// commit or per group of pending commits.
 type committer struct {
 	requests chan chan error
 	payload  []byte
@@ -24,12 +24,12 @@
 
 // run serves requests until the channel is closed.
 func (c *committer) run() error {
-	waiting := make([]chan error, 0, c.maxGroup)
+	pending := make([]chan error, 0, c.maxGroup)
 	entries := make([]consensus.Entry, 0, c.maxGroup)
 	for first := range c.requests {
-		waiting = c.gather(append(waiting[:0], first))
+		pending = c.gather(append(pending[:0], first))
 		entries = entries[:0]
-		for range waiting {
+		for range pending {
 			c.next++
 			entries = append(entries, consensus.Entry{Index: c.next, Term: 1, Data: c.payload})
 		}
@@ -37,27 +37,27 @@
 		if err == nil {
 			err = c.log.Sync()
 		}
-		for _, reply := range waiting {
+		for _, reply := range pending {
 			reply <- err
 		}
 	}
 	return c.log.Close()
 }
 
-// gather adds the requests that wait already.
-func (c *committer) gather(waiting []chan error) []chan error {
-	for len(waiting) < c.maxGroup {
+// gather adds the requests that are already pending, up to maxGroup.
+func (c *committer) gather(pending []chan error) []chan error {
+	for len(pending) < c.maxGroup {
 		select {
 		case reply, open := <-c.requests:
 			if !open {
-				return waiting
+				return pending
 			}
-			waiting = append(waiting, reply)
+			pending = append(pending, reply)
 		default:
-			return waiting
+			return pending
 		}
 	}
-	return waiting
+	return pending
 }
 
 func benchmarkCommits(b *testing.B, writers, maxGroup int) {
--- a/internal/adapter/wal/cluster_test.go
+++ b/internal/adapter/wal/cluster_test.go
@@ -39,12 +39,12 @@
 	m.log, m.node, m.stopped = log, node, false
 }
 
-// cluster steps three members with whole delivery of messages.
+// cluster runs three members and delivers every message between running ones.
 type cluster struct {
-	t       *testing.T
-	members []*clusterMember
-	entries map[uint64]string
-	lost    []string
+	t          *testing.T
+	members    []*clusterMember
+	entries    map[uint64]string
+	violations []string
 }
 
 func newCluster(t *testing.T, skipSync bool) *cluster {
@@ -72,28 +72,28 @@
 				member.node.Tick()
 			}
 		}
-		for c.work() {
+		for c.processReady() {
 		}
 	}
 }
 
-// work carries out one Ready of every member and reports whether there was one.
-func (c *cluster) work() bool {
-	worked := false
+// processReady handles one Ready of every member and reports whether there was one.
+func (c *cluster) processReady() bool {
+	processed := false
 	for _, member := range c.members {
 		if member.stopped || !member.node.HasReady() {
 			continue
 		}
-		worked = true
+		processed = true
 		ready := member.node.Ready()
 		if member.log.Persist(ready) != nil {
-			member.stopped = true // a failed member sends nothing any more
+			member.stopped = true // a failed member sends no more messages
 			continue
 		}
 		for _, message := range ready.Messages {
 			if to := c.members[message.To-1]; !to.stopped {
 				if err := to.node.Step(message); err != nil {
-					c.lost = append(c.lost, err.Error())
+					c.violations = append(c.violations, err.Error())
 				}
 			}
 		}
@@ -102,14 +102,14 @@
 		}
 		member.node.Advance(ready)
 	}
-	return worked
+	return processed
 }
 
 func (c *cluster) apply(entry consensus.Entry) {
 	content := fmt.Sprintf("term %d: %s", entry.Term, entry.Data)
 	known, seen := c.entries[entry.Index]
 	if seen && known != content {
-		c.lost = append(c.lost, fmt.Sprintf("entry %d was %q, is %q", entry.Index, known, content))
+		c.violations = append(c.violations, fmt.Sprintf("entry %d was %q, is %q", entry.Index, known, content))
 	}
 	c.entries[entry.Index] = content
 }
@@ -135,7 +135,7 @@
 	c.tick(5)
 }
 
-// powerLoss takes the power from all members at once.
+// powerLoss simulates a power loss of all members.
 func (c *cluster) powerLoss() {
 	for _, member := range c.members {
 		member.files.Crash()
@@ -143,8 +143,8 @@
 	}
 }
 
-// Every committed entry survives a power loss of the whole group, because it
-// was synced before it was acknowledged. With the sync skipped it does not.
+// Every committed entry survives a power loss of all members, because it is synced before
+// it is acknowledged. Without the sync, entries are lost.
 func TestCommittedEntriesSurvivePowerLoss(t *testing.T) {
 	for _, skipSync := range []bool{false, true} {
 		c := newCluster(t, skipSync)
@@ -153,14 +153,13 @@
 			c.powerLoss()
 		}
 		c.propose("last")
-		if violated := len(c.lost) > 0; violated != skipSync {
-			t.Errorf("sync skipped %v: violations %v", skipSync, c.lost)
+		if violated := len(c.violations) > 0; violated != skipSync {
+			t.Errorf("sync skipped %v: violations %v", skipSync, c.violations)
 		}
 	}
 }
 
-// A member whose sync fails falls silent; the others go on, and it comes back
-// after a restart with what it had synced.
+// A member whose sync fails stops; the others continue, and it catches up after a restart.
 func TestFailedSyncStopsOneMember(t *testing.T) {
 	c := newCluster(t, false)
 	c.propose("a")
@@ -171,7 +170,7 @@
 	}
 	c.tick(30)
 	if !failing.stopped {
-		t.Fatal("member with a failed sync goes on")
+		t.Fatal("member continues after a failed sync")
 	}
 	c.propose("c")
 	failing.files.Crash()
@@ -181,7 +180,7 @@
 	if got := failing.node.Status().Commit; got != want {
 		t.Errorf("commit index %d after the restart, want %d", got, want)
 	}
-	if len(c.lost) > 0 {
-		t.Error(c.lost)
+	if len(c.violations) > 0 {
+		t.Error(c.violations)
 	}
 }
--- a/internal/adapter/wal/errors.go
+++ b/internal/adapter/wal/errors.go
@@ -7,31 +7,30 @@
 )
 
 var (
-	// ErrCorrupt refuses a folder with damage that a torn write cannot explain.
+	// ErrCorrupt reports damage that a torn write cannot explain.
 	ErrCorrupt = errors.New("wal: data folder is corrupt")
-	// ErrForeign refuses a folder of another cluster or member.
+	// ErrForeign reports a folder that belongs to another cluster or member.
 	ErrForeign = errors.New("wal: data folder belongs to another member")
-	// ErrMissing refuses to open a folder without a log.
+	// ErrMissing reports a folder without a log.
 	ErrMissing = errors.New("wal: data folder has no log")
-	// ErrExists refuses to create a log in a folder that has one.
+	// ErrExists reports that the folder already has a log.
 	ErrExists = errors.New("wal: data folder already has a log")
-	// ErrOldSnapshot refuses a snapshot that is not past the one in force.
-	ErrOldSnapshot = errors.New("wal: snapshot is not newer than the one in force")
-	// ErrLocked refuses a folder that another process has open.
+	// ErrOldSnapshot rejects a snapshot that is not newer than the current one.
+	ErrOldSnapshot = errors.New("wal: snapshot is not newer than the current one")
+	// ErrLocked reports a folder that another process has open.
 	ErrLocked = errors.New("wal: data folder is in use")
-	// ErrFailed refuses every call after a failed write or sync.
+	// ErrFailed is returned by every call after a failed write or sync.
 	ErrFailed = errors.New("wal: an earlier write or sync failed")
-	// ErrFull reports that the failure was a full disk. It comes with
-	// ErrFailed.
+	// ErrFull reports that the disk was full. Such an error also matches ErrFailed.
 	ErrFull = errors.New("wal: disk is full")
-	// ErrClosed refuses calls after Close.
+	// ErrClosed is returned by calls after Close.
 	ErrClosed = errors.New("wal: log is closed")
 )
 
 // FailedError is the first failure of a Log. It matches ErrFailed, and ErrFull
 // if the disk was full.
 type FailedError struct {
-	// Operation is what was tried, such as "sync segment".
+	// Operation names the failed operation, such as "sync segment".
 	Operation string
 	Cause     error
 }
@@ -52,7 +51,7 @@
 	return target == ErrFailed || target == ErrFull && full
 }
 
-// CorruptError says where a folder is damaged. It matches ErrCorrupt.
+// CorruptError locates the damage in a folder. It matches ErrCorrupt.
 type CorruptError struct {
 	File   string
 	Offset int64
@@ -69,7 +68,7 @@
 	return target == ErrCorrupt
 }
 
-// ForeignError says whose folder it is. It matches ErrForeign.
+// ForeignError holds the expected and the found identity. It matches ErrForeign.
 type ForeignError struct {
 	Expected Identity
 	Found    Identity
--- a/internal/adapter/wal/export_test.go
+++ b/internal/adapter/wal/export_test.go
@@ -5,7 +5,7 @@
 	"hash/crc32"
 )
 
-// SealRecord gives a record with any kind and payload and a right checksum.
+// SealRecord returns a record of any kind and payload with a valid checksum.
 func SealRecord(sequence uint64, offset int64, kind byte, payload []byte) []byte {
 	writer := recordWriter{sequence: sequence, base: offset, syncedTo: offset}
 	start := writer.begin()
@@ -14,7 +14,7 @@
 	return writer.buffer
 }
 
-// SealSnapshot gives a snapshot file with any body and a right checksum.
+// SealSnapshot returns a snapshot file with any body and a valid checksum.
 func SealSnapshot(body []byte) []byte {
 	file := append([]byte(nil), snapshotMagic...)
 	file = binary.LittleEndian.AppendUint32(file, crc32.Checksum(body, checksumTable))
--- a/internal/adapter/wal/filesystem.go
+++ b/internal/adapter/wal/filesystem.go
@@ -9,18 +9,18 @@
 	"syscall"
 )
 
-// FileSystem is what a Log needs of a file system. Names are paths.
+// FileSystem is the part of a file system that a Log needs. Names are paths.
 type FileSystem interface {
-	// MkdirAll makes a folder and its parents.
+	// MkdirAll creates a folder and its parents.
 	MkdirAll(directory string) error
-	// Lock takes the folder for this process until the result is closed. It
-	// fails with ErrLocked.
+	// Lock locks the folder for this process until the result is closed. It
+	// fails with ErrLocked if another process holds the lock.
 	Lock(directory string) (io.Closer, error)
 	// ReadDir returns the names of the files in a folder, sorted. It fails
 	// with fs.ErrNotExist if there is no folder.
 	ReadDir(directory string) ([]string, error)
 	ReadFile(name string) ([]byte, error)
-	// Create makes an empty file for writing, in place of any other.
+	// Create creates an empty file for writing and replaces an existing one.
 	Create(name string) (File, error)
 	// OpenAppend opens a file for writing at its end.
 	OpenAppend(name string) (File, error)
@@ -30,12 +30,12 @@
 	SyncDir(directory string) error
 }
 
-// File is a file that is written from front to back.
+// File is a file that is written sequentially.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable.
+	// Sync makes all written data durable.
 	Sync() error
-	// Truncate cuts the file off; later writes go to the new end.
+	// Truncate shortens the file; later writes go to the new end.
 	Truncate(size int64) error
 }
 
@@ -48,7 +48,7 @@
 // OS is the operating system's file system.
 type OS struct{}
 
-// MkdirAll implements FileSystem. It syncs the parent of a folder it made.
+// MkdirAll implements FileSystem. It syncs the parent of a folder it creates.
 func (OS) MkdirAll(directory string) error {
 	if _, err := os.Stat(directory); err == nil {
 		return nil
--- a/internal/adapter/wal/fuzz_test.go
+++ b/internal/adapter/wal/fuzz_test.go
@@ -27,15 +27,15 @@
 	return data
 }
 
-// FuzzOpenWAL opens a folder whose segment holds arbitrary bytes: it is refused
-// with a typed error, or what it gives back can be opened again unchanged.
+// FuzzOpenWAL opens a folder whose segment holds arbitrary bytes: Open fails with a typed
+// error, or the log reopens with the same contents.
 func FuzzOpenWAL(f *testing.F) {
-	whole := segmentBytes(f)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-5])
-	f.Add(whole[:40])
+	valid := segmentBytes(f)
+	f.Add(valid)
+	f.Add(valid[:len(valid)-5])
+	f.Add(valid[:40])
 	f.Add([]byte{})
-	f.Add(append(append([]byte(nil), whole...), make([]byte, 64)...))
+	f.Add(append(append([]byte(nil), valid...), make([]byte, 64)...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		files := faultfs.New(1)
 		if err := mustCreate(t, files).Close(); err != nil {
@@ -45,9 +45,9 @@
 	})
 }
 
-// openTwice puts data in place of the first segment and opens the log: it is
-// refused with a typed error, or opened again it gives the same, and a member
-// starts from it or refuses it.
+// openTwice replaces the first segment with data and opens the log: Open fails with a typed
+// error, or a second Open returns the same entries, and a member starts from them or
+// rejects them with a typed error.
 func openTwice(t *testing.T, files *faultfs.FileSystem, data []byte) {
 	t.Helper()
 	file, err := files.Create(filepath.Join(folder, firstSegment))
@@ -79,9 +79,8 @@
 	}
 }
 
-// FuzzRecords appends records of any kind with any payload to a segment, with
-// right checksums, so that the search gets past them. The input is a list of
-// kind, length and payload.
+// FuzzRecords appends records of any kind and payload to a segment, with valid checksums
+// so that replay decodes them. The input is a list of kind, length and payload.
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte{2, 24, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0})
 	f.Add([]byte{3, 18, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 'x'})
@@ -105,21 +104,21 @@
 	})
 }
 
-// FuzzReadSnapshot decodes arbitrary snapshot files: they are refused with
-// ErrCorrupt, or encode to a file that decodes to the same.
+// FuzzReadSnapshot decodes arbitrary snapshot files: decoding fails with ErrCorrupt, or
+// the snapshot encodes to a file that decodes to the same.
 func FuzzReadSnapshot(f *testing.F) {
-	whole, err := wal.EncodeSnapshot(consensus.Snapshot{Index: 7, Term: 2, Membership: voters, Data: []byte("state")})
+	valid, err := wal.EncodeSnapshot(consensus.Snapshot{Index: 7, Term: 2, Membership: voters, Data: []byte("state")})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
-	f.Add(whole[:10])
+	f.Add(valid)
+	f.Add(valid[:len(valid)-1])
+	f.Add(valid[:10])
 	f.Add([]byte{})
 	f.Fuzz(decodeSnapshotTwice)
 }
 
-// FuzzSnapshotBody does the same for any body behind a right checksum.
+// FuzzSnapshotBody does the same for arbitrary bodies with a valid checksum.
 func FuzzSnapshotBody(f *testing.F) {
 	body, err := cbor.Marshal(consensus.Snapshot{Index: 7, Term: 2, Membership: voters, Data: []byte("state")})
 	if err != nil {
--- a/internal/adapter/wal/log.go
+++ b/internal/adapter/wal/log.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// DefaultSegmentBytes is the size at which a new segment is begun.
+	// DefaultSegmentBytes is the size at which the log starts a new segment.
 	DefaultSegmentBytes = 16 << 20
-	// flushBytes bounds the records that wait in memory for a Sync.
+	// flushBytes limits the records buffered in memory before a write.
 	flushBytes = 1 << 20
-	// maxClusterBytes bounds the cluster's name.
+	// maxClusterBytes limits the length of the cluster's name.
 	maxClusterBytes = 255
 )
 
-// Options says where and whose a log is.
+// Options are the location and the identity of a log.
 type Options struct {
 	FileSystem FileSystem
 	Directory  string
 	Identity   Identity
-	// SegmentBytes is DefaultSegmentBytes if 0. A segment may exceed it by one
-	// group of records.
+	// SegmentBytes defaults to DefaultSegmentBytes. A segment may exceed it by one
+	// batch of records.
 	SegmentBytes int64
 }
 
@@ -46,9 +46,9 @@
 	failed       error
 }
 
-// Create makes the log of a new member and opens it. The members of a new
-// group name each other in initial; a member that joins an existing group
-// passes none. It fails with ErrExists if the folder has a log.
+// Create creates and opens the log of a new member. initial is the membership of a new
+// group; a member that joins an existing group passes none. It fails with ErrExists if
+// the folder has a log.
 func Create(options Options, initial consensus.Membership) (*Log, consensus.Restored, error) {
 	log, err := newLog(options)
 	if err != nil {
@@ -78,7 +78,7 @@
 	if err := l.files.MkdirAll(l.directory); err != nil {
 		return eris.Wrap(err, "make data folder")
 	}
-	if err := l.takeLock(); err != nil {
+	if err := l.acquireLock(); err != nil {
 		return err
 	}
 	names, err := l.files.ReadDir(l.directory)
@@ -93,7 +93,7 @@
 	return l.storeSnapshot(snapshot, false)
 }
 
-func (l *Log) takeLock() error {
+func (l *Log) acquireLock() error {
 	lock, err := l.files.Lock(l.directory)
 	if err != nil {
 		return eris.Wrapf(err, "lock %s", l.directory)
@@ -102,14 +102,14 @@
 	return nil
 }
 
-// Append adds a hard state, if there is one, and entries to the next group.
-// They are durable after Sync. An entry voids those at and after its index.
+// Append adds entries, and a hard state unless it is nil, to the next batch. They are
+// durable after Sync. An entry replaces all stored entries from its index on.
 func (l *Log) Append(hard *consensus.HardState, entries []consensus.Entry) error {
 	if l.failed != nil {
 		return l.failed
 	}
-	// A torn write may keep any prefix of these records: the term comes before
-	// the entries of that term, the commit index after the entries it covers.
+	// A torn write may leave any prefix of these records: the term precedes the
+	// entries of that term, the commit index follows the entries it covers.
 	if hard != nil && (hard.Term != l.hard.Term || hard.VotedFor != l.hard.VotedFor) {
 		l.hard.Term, l.hard.VotedFor = hard.Term, hard.VotedFor
 		l.writer.hardState(l.hard)
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// Sync makes everything appended durable, with one fsync for the whole group.
+// Sync makes all appended records durable with one fsync.
 func (l *Log) Sync() error {
 	if err := l.flush(); err != nil {
 		return err
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// Persist makes the writes of a Ready durable, in the order that survives a
-// crash at any point, and syncs if the Ready asks for it.
+// Persist stores the writes of a Ready in an order that is safe against a crash at
+// any point, and syncs if the Ready requires it.
 func (l *Log) Persist(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := l.persistSnapshot(ready); err != nil {
@@ -184,50 +184,50 @@
 	return l.Sync()
 }
 
-// persistSnapshot stores the term before a snapshot that may be of that term;
-// the commit index that goes with the snapshot follows it.
+// persistSnapshot stores the term before a snapshot, which may be of that term; the
+// commit index that belongs to the snapshot is stored after it.
 func (l *Log) persistSnapshot(ready consensus.Ready) error {
 	if ready.HardState != nil {
-		early := *ready.HardState
-		early.Commit = l.hard.Commit
-		if err := l.Append(&early, nil); err != nil {
+		withoutCommit := *ready.HardState
+		withoutCommit.Commit = l.hard.Commit
+		if err := l.Append(&withoutCommit, nil); err != nil {
 			return err
 		}
 	}
 	return l.InstallSnapshot(*ready.Snapshot)
 }
 
-// SaveSnapshot stores a snapshot of the member's own state machine, then drops
-// the segments that hold no later entry. It returns once all is durable. It
-// fails with ErrOldSnapshot if a later one, or this one, is in force.
+// SaveSnapshot stores a snapshot of the member's own state machine durably, then
+// removes the segments without later entries. It fails with ErrOldSnapshot if the
+// current snapshot is at this index or later.
 func (l *Log) SaveSnapshot(snapshot consensus.Snapshot) error {
 	return l.saveSnapshot(snapshot, false)
 }
 
-// InstallSnapshot stores a leader's snapshot in place of the whole log.
+// InstallSnapshot replaces the whole log with a leader's snapshot.
 func (l *Log) InstallSnapshot(snapshot consensus.Snapshot) error {
 	return l.saveSnapshot(snapshot, true)
 }
 
-// AdoptSnapshot is the second half of SaveSnapshot, for a snapshot that a
-// SnapshotWriter has written.
+// AdoptSnapshot completes SaveSnapshot for a snapshot that a SnapshotWriter has
+// written.
 func (l *Log) AdoptSnapshot(written WrittenSnapshot) error {
-	if err := l.mayAdopt(written.marker.index); err != nil {
+	if err := l.checkSnapshotIndex(written.marker.index); err != nil {
 		return err
 	}
 	return l.adopt(written.marker)
 }
 
 func (l *Log) saveSnapshot(snapshot consensus.Snapshot, replacesLog bool) error {
-	if err := l.mayAdopt(snapshot.Index); err != nil {
+	if err := l.checkSnapshotIndex(snapshot.Index); err != nil {
 		return err
 	}
 	return l.storeSnapshot(snapshot, replacesLog)
 }
 
-// mayAdopt syncs what was appended and fails with ErrOldSnapshot if a snapshot at
-// the index, or after it, is in force.
-func (l *Log) mayAdopt(index uint64) error {
+// checkSnapshotIndex syncs the log and fails with ErrOldSnapshot unless index is past
+// that of the current snapshot.
+func (l *Log) checkSnapshotIndex(index uint64) error {
 	if err := l.Sync(); err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// storeSnapshot writes the snapshot file and puts it in force.
+// storeSnapshot writes the snapshot file and makes it the current snapshot.
 func (l *Log) storeSnapshot(snapshot consensus.Snapshot, replacesLog bool) error {
 	written, err := l.SnapshotWriter().Write(snapshot)
 	if err != nil {
@@ -248,7 +248,7 @@
 	return l.adopt(written.marker)
 }
 
-// adopt puts a snapshot in force with a new segment.
+// adopt makes a written snapshot the current one and starts a new segment with it.
 func (l *Log) adopt(marker snapshotMarker) error {
 	l.marker = marker
 	if marker.replacesLog {
@@ -259,23 +259,23 @@
 	if err := l.roll(); err != nil {
 		return err
 	}
-	return l.removeOld()
+	return l.removeObsolete()
 }
 
-// roll begins a new segment. All that was appended must be synced.
+// roll starts a new segment. All appended records must be synced.
 func (l *Log) roll() error {
-	head := segmentHead{identity: l.identity}
+	header := segmentHeader{identity: l.identity}
 	sequence := uint64(1)
 	if count := len(l.segments); count > 0 {
 		previous := l.segments[count-1]
 		sequence = previous.sequence + 1
-		head.previousBytes = previous.size
+		header.previousBytes = previous.size
 	}
 	writer := recordWriter{sequence: sequence, buffer: l.writer.buffer[:0]}
-	writer.identity(head)
+	writer.identity(header)
 	writer.marker(l.marker)
 	writer.hardState(l.hard)
-	file, err := l.writeWhole(segmentName(sequence), writer.buffer)
+	file, err := l.writeAtomic(segmentName(sequence), writer.buffer)
 	if err != nil {
 		return err
 	}
@@ -291,19 +291,19 @@
 	return nil
 }
 
-// writeWhole makes a file that is there with all its contents or not at all.
-func (l *Log) writeWhole(name string, contents []byte) (File, error) {
-	file, err := writeWhole(l.files, l.directory, name, contents)
+// writeAtomic creates a file that after a crash is complete or does not exist.
+func (l *Log) writeAtomic(name string, contents []byte) (File, error) {
+	file, err := writeAtomic(l.files, l.directory, name, contents)
 	if err != nil {
-		return nil, l.fail("write whole file", err)
+		return nil, l.fail("write file", err)
 	}
 	l.syncs += 2 // the file and its folder
 	return file, nil
 }
 
-// removeOld removes the segments whose entries the snapshot covers, oldest
-// first, and the snapshots that are not in force.
-func (l *Log) removeOld() error {
+// removeObsolete removes the segments whose entries the snapshot covers, oldest
+// first, and all snapshots but the current one.
+func (l *Log) removeObsolete() error {
 	for len(l.segments) > 1 && l.segments[0].lastIndex <= l.marker.index {
 		if err := l.remove(segmentName(l.segments[0].sequence)); err != nil {
 			return err
@@ -332,7 +332,7 @@
 	return nil
 }
 
-// fail makes the log refuse every later call.
+// fail records the first failure, which every later call returns.
 func (l *Log) fail(operation string, cause error) error {
 	if l.failed == nil {
 		l.failed = eris.Wrap(&FailedError{Operation: operation, Cause: cause}, l.directory)
@@ -345,7 +345,7 @@
 	return l.failed
 }
 
-// Syncs returns how many fsync calls were made, for measurements.
+// Syncs returns the number of fsync calls.
 func (l *Log) Syncs() uint64 {
 	return l.syncs
 }
--- a/internal/adapter/wal/log_test.go
+++ b/internal/adapter/wal/log_test.go
@@ -64,7 +64,7 @@
 	log := mustCreate(t, files)
 	hard := consensus.HardState{Term: 3, VotedFor: 2, Commit: 4}
 	mustWrite(t, log, &consensus.HardState{Term: 2}, entriesFrom(1, 20, 2))
-	mustWrite(t, log, &hard, entriesFrom(5, 30, 3)) // voids 5 to 20
+	mustWrite(t, log, &hard, entriesFrom(5, 30, 3)) // replaces 5 to 20
 	files.Crash()
 	_, recovery := mustOpen(t, files)
 	want := append(entriesFrom(1, 4, 2), entriesFrom(5, 30, 3)...)
@@ -116,8 +116,8 @@
 	}
 }
 
-// A crash at any sync leaves a folder that opens, with all that was synced
-// before and a prefix of the rest.
+// After a crash at any sync the folder opens with all synced entries and a prefix of
+// the rest.
 func TestCrashAnywhereKeepsWhatWasSynced(t *testing.T) {
 	torn := uint64(0)
 	for seed := range uint64(400) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// writeUntilFailure returns the last index that was reported as synced.
+// writeUntilFailure returns the last index that Sync confirmed.
 func writeUntilFailure(log *wal.Log) uint64 {
 	synced := uint64(0)
 	for first := uint64(1); ; first += 3 {
@@ -216,10 +216,10 @@
 		{"emptied folder", func(t *testing.T, f *faultfs.FileSystem) { f.RemoveAll(folder); _ = f.MkdirAll(folder) }, nil, wal.ErrMissing},
 		{"other member", nil, func(o *wal.Options) { o.Identity.Member = 2 }, wal.ErrForeign},
 		{"other cluster", nil, func(o *wal.Options) { o.Identity.Cluster = "other" }, wal.ErrForeign},
-		{"flipped bit in an old segment", flip("wal-0000000000000002.log", 200), nil, wal.ErrCorrupt},
-		{"flipped bit in a head", flip("wal-0000000000000004.log", 20), nil, wal.ErrCorrupt},
-		{"flipped bit before a synced record", flip("wal-0000000000000004.log", 160), nil, wal.ErrCorrupt},
-		{"flipped bit in the snapshot", flip("snapshot-0000000000000000-0000000000000000.snap", 22), nil, wal.ErrCorrupt},
+		{"flipped bit in an old segment", flipBit("wal-0000000000000002.log", 200), nil, wal.ErrCorrupt},
+		{"flipped bit in a segment header", flipBit("wal-0000000000000004.log", 20), nil, wal.ErrCorrupt},
+		{"flipped bit before a synced record", flipBit("wal-0000000000000004.log", 160), nil, wal.ErrCorrupt},
+		{"flipped bit in the snapshot", flipBit("snapshot-0000000000000000-0000000000000000.snap", 22), nil, wal.ErrCorrupt},
 		{"missing segment", remove("wal-0000000000000002.log"), nil, wal.ErrCorrupt},
 		{"missing snapshot", remove("snapshot-0000000000000000-0000000000000000.snap"), nil, wal.ErrCorrupt},
 	}
@@ -243,7 +243,7 @@
 	}
 }
 
-func flip(name string, offset int64) func(*testing.T, *faultfs.FileSystem) {
+func flipBit(name string, offset int64) func(*testing.T, *faultfs.FileSystem) {
 	return func(t *testing.T, files *faultfs.FileSystem) {
 		t.Helper()
 		if err := files.Flip(filepath.Join(folder, name), offset); err != nil {
@@ -298,7 +298,7 @@
 	}
 }
 
-// A folder with a later snapshot had a log; it must not count as new.
+// A folder with a later snapshot had a log and must not count as new.
 func TestSnapshotWithoutSegmentsIsCorrupt(t *testing.T) {
 	files := faultfs.New(1)
 	log := mustCreate(t, files)
@@ -321,25 +321,25 @@
 	}
 }
 
-// TestASnapshotWrittenBesideTheLog: it counts once it is adopted, with what was
-// appended since it was captured; a crash before that, or a later snapshot of the
-// leader, leaves it without effect.
+// A snapshot written concurrently with the log takes effect once it is adopted and
+// preserves the entries appended since. It has no effect after a crash before that, or
+// after a later snapshot of the leader.
 func TestASnapshotWrittenBesideTheLog(t *testing.T) {
 	written := consensus.Snapshot{Index: 2, Term: 1, Membership: voters, Data: []byte("state")}
 	later := consensus.Snapshot{Index: 9, Term: 1, Membership: voters, Data: []byte("later")}
 	for name, row := range map[string]struct {
-		then            func(*wal.Log, wal.WrittenSnapshot) error
+		finish          func(*wal.Log, wal.WrittenSnapshot) error
 		snapshot, first uint64
 		entries         int
 	}{
 		"adopted": {
-			then: func(log *wal.Log, w wal.WrittenSnapshot) error { return log.AdoptSnapshot(w) }, snapshot: 2, first: 3, entries: 4,
+			finish: func(log *wal.Log, w wal.WrittenSnapshot) error { return log.AdoptSnapshot(w) }, snapshot: 2, first: 3, entries: 4,
 		},
-		"crash before": {
-			then: func(*wal.Log, wal.WrittenSnapshot) error { return nil }, snapshot: 0, first: 1, entries: 6,
+		"crash before adoption": {
+			finish: func(*wal.Log, wal.WrittenSnapshot) error { return nil }, snapshot: 0, first: 1, entries: 6,
 		},
-		"a later one came": {
-			then: func(log *wal.Log, w wal.WrittenSnapshot) error {
+		"superseded by a later snapshot": {
+			finish: func(log *wal.Log, w wal.WrittenSnapshot) error {
 				if err := log.InstallSnapshot(later); err != nil {
 					return err
 				}
@@ -359,7 +359,7 @@
 				t.Fatal(err)
 			}
 			mustWrite(t, log, &consensus.HardState{Term: 1, Commit: 3}, entriesFrom(4, 3, 1))
-			if err := row.then(log, prepared); err != nil {
+			if err := row.finish(log, prepared); err != nil {
 				t.Fatal(err)
 			}
 			files.Crash()
--- a/internal/adapter/wal/record.go
+++ b/internal/adapter/wal/record.go
@@ -10,7 +10,7 @@
 
 // A record is a header, a payload, and zeros up to a multiple of
 // recordAlignment. The header is, in little-endian order: CRC32C (4 bytes),
-// payload length (4), synced offset (4), kind (1), mark (3).
+// payload length (4), synced offset (4), kind (1), magic (3).
 const (
 	recordHeaderBytes = 16
 	recordAlignment   = 8
@@ -20,8 +20,8 @@
 	markerBytes       = 21
 )
 
-// recordMark makes a search for records in damaged data cheap.
-var recordMark = [3]byte{'L', 'G', 'W'}
+// recordMagic lets the search for records in damaged data skip most offsets.
+var recordMagic = [3]byte{'L', 'G', 'W'}
 
 type recordKind uint8
 
@@ -35,8 +35,8 @@
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	errBadRecord  = errors.New("checksum or length is wrong")
-	errBadPayload = errors.New("payload does not fit its kind")
+	errBadRecord  = errors.New("wrong checksum or length")
+	errBadPayload = errors.New("payload does not match the record kind")
 )
 
 // record is one decoded record.
@@ -48,13 +48,13 @@
 	size int64
 }
 
-// recordChecksum covers the record's place, so that a record's bytes that
-// stand elsewhere, such as in the data of an entry, are not taken for one.
+// recordChecksum covers the position of a record, so that a copy of its bytes at
+// another position, such as in the data of an entry, is invalid.
 func recordChecksum(sequence uint64, offset int64, body []byte) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:8], sequence)
-	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
-	return crc32.Update(crc32.Checksum(place[:], checksumTable), checksumTable, body)
+	var position [16]byte
+	binary.LittleEndian.PutUint64(position[:8], sequence)
+	binary.LittleEndian.PutUint64(position[8:], uint64(offset))
+	return crc32.Update(crc32.Checksum(position[:], checksumTable), checksumTable, body)
 }
 
 func alignedSize(payloadBytes int) int64 {
@@ -70,7 +70,7 @@
 	buffer   []byte
 }
 
-// begin starts a record and returns its place in the buffer.
+// begin starts a record and returns its offset in the buffer.
 func (w *recordWriter) begin() int {
 	start := len(w.buffer)
 	var header [recordHeaderBytes]byte
@@ -85,7 +85,7 @@
 	binary.LittleEndian.PutUint32(header[4:], uint32(payloadBytes))
 	binary.LittleEndian.PutUint32(header[8:], uint32(w.syncedTo))
 	header[12] = byte(kind)
-	copy(header[13:], recordMark[:])
+	copy(header[13:], recordMagic[:])
 	sum := recordChecksum(w.sequence, w.base+int64(start), w.buffer[start+4:])
 	binary.LittleEndian.PutUint32(header, sum)
 	for int64(len(w.buffer)-start) < alignedSize(payloadBytes) {
@@ -123,12 +123,12 @@
 	w.finish(start, recordSnapshot)
 }
 
-func (w *recordWriter) identity(head segmentHead) {
+func (w *recordWriter) identity(header segmentHeader) {
 	start := w.begin()
 	w.buffer = append(w.buffer, formatVersion)
-	w.buffer = binary.LittleEndian.AppendUint64(w.buffer, uint64(head.identity.Member))
-	w.buffer = binary.LittleEndian.AppendUint64(w.buffer, uint64(head.previousBytes))
-	w.buffer = append(w.buffer, head.identity.Cluster...)
+	w.buffer = binary.LittleEndian.AppendUint64(w.buffer, uint64(header.identity.Member))
+	w.buffer = binary.LittleEndian.AppendUint64(w.buffer, uint64(header.previousBytes))
+	w.buffer = append(w.buffer, header.identity.Cluster...)
 	w.finish(start, recordIdentity)
 }
 
@@ -139,7 +139,7 @@
 		return record{}, errBadRecord
 	}
 	length := binary.LittleEndian.Uint32(rest[4:])
-	if [3]byte(rest[13:16]) != recordMark || length > maxPayloadBytes || int64(len(rest)) < alignedSize(int(length)) {
+	if [3]byte(rest[13:16]) != recordMagic || length > maxPayloadBytes || int64(len(rest)) < alignedSize(int(length)) {
 		return record{}, errBadRecord
 	}
 	end := recordHeaderBytes + int(length)
@@ -154,8 +154,8 @@
 	}, nil
 }
 
-// syncedPast reports whether a valid record after offset was written when
-// offset had already been synced.
+// syncedPast reports whether a valid record after offset was written after a sync
+// that covered offset.
 func syncedPast(sequence uint64, data []byte, offset int64) bool {
 	for at := offset + recordAlignment; at+recordHeaderBytes <= int64(len(data)); at += recordAlignment {
 		found, err := readRecord(sequence, data, at)
--- a/internal/adapter/wal/recover.go
+++ b/internal/adapter/wal/recover.go
@@ -11,18 +11,18 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// Recovery is what Open found.
+// Recovery is the result of Open.
 type Recovery struct {
 	Restored consensus.Restored
-	// TornBytes is how much was cut off the end of the last segment, named
-	// TornFile, after a write that a crash interrupted.
+	// TornBytes is the length of the interrupted write that Open cut off from
+	// the end of the last segment, TornFile.
 	TornBytes int64
 	TornFile  string
 }
 
-// Open opens an existing log, cuts off a torn tail and returns what the log
-// holds. It fails with ErrMissing, ErrCorrupt, ErrForeign or ErrLocked, and
-// then leaves the folder as it is.
+// Open opens an existing log, truncates a torn tail and returns the stored state. If
+// it fails with ErrMissing, ErrCorrupt, ErrForeign or ErrLocked, the folder is
+// unchanged.
 func Open(options Options) (*Log, Recovery, error) {
 	log, err := newLog(options)
 	if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return Recovery{}, eris.Wrap(err, "read data folder")
 	}
-	if err := l.takeLock(); err != nil {
+	if err := l.acquireLock(); err != nil {
 		return Recovery{}, err
 	}
 	replay := replay{log: l}
@@ -60,7 +60,7 @@
 	return recovery, l.removeLeftovers(names)
 }
 
-// resume opens the last segment for writing, without its torn tail.
+// resume opens the last segment for appending and truncates its torn tail.
 func (l *Log) resume(tornBytes int64) error {
 	last := l.segments[len(l.segments)-1]
 	file, err := l.files.OpenAppend(filepath.Join(l.directory, segmentName(last.sequence)))
@@ -71,11 +71,11 @@
 	l.writer = recordWriter{sequence: last.sequence, base: last.size, syncedTo: last.size}
 	if tornBytes > 0 {
 		if err := file.Truncate(last.size); err != nil {
-			return l.fail("cut torn tail", err)
+			return l.fail("truncate torn tail", err)
 		}
 	}
-	// What was read may not be durable yet: the crash may have come before the
-	// sync. It must be before anything is built on it.
+	// The recovered records may not be durable yet if the crash came before the
+	// sync. They must be before anything is built on them.
 	if err := file.Sync(); err != nil {
 		return l.fail("sync segment", err)
 	}
@@ -83,8 +83,7 @@
 	return nil
 }
 
-// removeLeftovers removes files that a crash kept from their final name, or
-// from being removed.
+// removeLeftovers removes the temporary and obsolete files that a crash left behind.
 func (l *Log) removeLeftovers(names []string) error {
 	for _, name := range names {
 		if !strings.HasSuffix(name, temporarySuffix) {
@@ -94,17 +93,17 @@
 			return err
 		}
 	}
-	return l.removeOld()
+	return l.removeObsolete()
 }
 
 // replay rebuilds the state from the segments, oldest first.
 type replay struct {
-	log      *Log
-	marker   snapshotMarker
-	marked   bool
-	hard     consensus.HardState
-	entries  []consensus.Entry
-	recovery Recovery
+	log       *Log
+	marker    snapshotMarker
+	hasMarker bool
+	hard      consensus.HardState
+	entries   []consensus.Entry
+	recovery  Recovery
 }
 
 func (r *replay) segments(names []string) error {
@@ -115,11 +114,11 @@
 		}
 	}
 	if len(sequences) == 0 {
-		return r.withoutSegments(names)
+		return r.noSegmentsError(names)
 	}
 	for i, sequence := range sequences {
 		if i > 0 && sequence != sequences[i-1]+1 {
-			return &CorruptError{File: segmentName(sequence), Reason: "the segment before it is missing"}
+			return &CorruptError{File: segmentName(sequence), Reason: "previous segment is missing"}
 		}
 		if err := r.segment(sequence, i == len(sequences)-1); err != nil {
 			return err
@@ -128,12 +127,12 @@
 	return nil
 }
 
-// withoutSegments tells a folder that never had a log from one that lost it. The
-// first snapshot, at index 0, may stand before the first segment.
-func (r *replay) withoutSegments(names []string) error {
+// noSegmentsError distinguishes a folder that never had a log from one that lost its
+// segments. The first snapshot, at index 0, may exist before the first segment.
+func (r *replay) noSegmentsError(names []string) error {
 	for _, name := range names {
 		if isSnapshotName(name) && name != (snapshotMarker{}).fileName() {
-			return &CorruptError{File: name, Reason: "there is a snapshot and no segment"}
+			return &CorruptError{File: name, Reason: "snapshot without segments"}
 		}
 	}
 	return ErrMissing
@@ -150,8 +149,8 @@
 	for current.size < int64(len(data)) {
 		found, err := readRecord(sequence, data, current.size)
 		if err != nil {
-			// The head was durable before the segment got its name.
-			if !last || records < headRecords || syncedPast(sequence, data, current.size) {
+			// The header records are durable before the segment gets its name.
+			if !last || records < headerRecords || syncedPast(sequence, data, current.size) {
 				return &CorruptError{File: name, Offset: current.size, Reason: err.Error()}
 			}
 			r.recovery.TornBytes = int64(len(data)) - current.size
@@ -159,20 +158,20 @@
 			break
 		}
 		if err := r.record(&current, found); err != nil {
-			return r.located(err, name, current.size)
+			return r.corruptError(err, name, current.size)
 		}
 		current.size += found.size
 		records++
 	}
-	if records < headRecords {
-		return &CorruptError{File: name, Offset: current.size, Reason: "segment has no whole head"}
+	if records < headerRecords {
+		return &CorruptError{File: name, Offset: current.size, Reason: "segment header is incomplete"}
 	}
 	r.log.segments = append(r.log.segments, current)
 	return nil
 }
 
-// located turns the error of a record that cannot be used into a CorruptError.
-func (r *replay) located(err error, name string, offset int64) error {
+// corruptError converts the error of an invalid record into a CorruptError.
+func (r *replay) corruptError(err error, name string, offset int64) error {
 	if errors.Is(err, ErrForeign) {
 		return err
 	}
@@ -180,10 +179,10 @@
 }
 
 var (
-	errNoIdentity    = errors.New("segment does not begin with an identity")
-	errPrevious      = errors.New("the segment before it has lost its end")
-	errGap           = errors.New("entries are missing before this one")
-	errSnapshotOrder = errors.New("snapshot is older than the one before")
+	errNoIdentity        = errors.New("segment does not start with an identity")
+	errPreviousTruncated = errors.New("previous segment is truncated")
+	errGap               = errors.New("entries are missing before this one")
+	errSnapshotOrder     = errors.New("snapshot is older than the previous one")
 )
 
 func (r *replay) record(current *segment, found record) error {
@@ -216,28 +215,28 @@
 }
 
 func (r *replay) identity(payload []byte) error {
-	head, err := decodeIdentity(payload)
+	header, err := decodeIdentity(payload)
 	if err != nil {
 		return err
 	}
-	if head.identity != r.log.identity {
-		return &ForeignError{Expected: r.log.identity, Found: head.identity}
+	if header.identity != r.log.identity {
+		return &ForeignError{Expected: r.log.identity, Found: header.identity}
 	}
-	if count := len(r.log.segments); count > 0 && r.log.segments[count-1].size != head.previousBytes {
-		return errPrevious
+	if count := len(r.log.segments); count > 0 && r.log.segments[count-1].size != header.previousBytes {
+		return errPreviousTruncated
 	}
 	return nil
 }
 
-// snapshot puts a snapshot in force. Each segment repeats the one in force.
+// snapshot applies a snapshot marker. Each segment repeats the current one.
 func (r *replay) snapshot(marker snapshotMarker) error {
-	if r.marked && marker == r.marker {
+	if r.hasMarker && marker == r.marker {
 		return nil
 	}
-	if r.marked && marker.index < r.marker.index {
+	if r.hasMarker && marker.index < r.marker.index {
 		return errSnapshotOrder
 	}
-	r.marker, r.marked = marker, true
+	r.marker, r.hasMarker = marker, true
 	if marker.replacesLog {
 		r.entries = nil
 		for i := range r.log.segments {
@@ -264,10 +263,10 @@
 	return nil
 }
 
-// result checks the whole and reads the snapshot that is in force.
+// result checks the replayed state and reads the current snapshot.
 func (r *replay) result() (Recovery, error) {
 	last := r.log.segments[len(r.log.segments)-1]
-	if !r.marked {
+	if !r.hasMarker {
 		return Recovery{}, &CorruptError{File: segmentName(last.sequence), Reason: "no snapshot record"}
 	}
 	reader := SnapshotReader{files: r.log.files, directory: r.log.directory, marker: r.marker}
--- a/internal/adapter/wal/segment.go
+++ b/internal/adapter/wal/segment.go
@@ -12,35 +12,35 @@
 	identityHeaderBytes = 17
 	segmentPattern      = "wal-%016x.log"
 	temporarySuffix     = ".tmp"
-	// headRecords is how many records a segment has from the start: identity,
-	// snapshot marker and hard state.
-	headRecords = 3
+	// headerRecords is the number of records at the start of every segment:
+	// identity, snapshot marker and hard state.
+	headerRecords = 3
 )
 
-// Identity says whose log it is.
+// Identity identifies the owner of a log.
 type Identity struct {
-	// Cluster names the group; it is at most 255 bytes long.
+	// Cluster is the name of the group, at most 255 bytes.
 	Cluster string
 	Member  consensus.MemberID
 }
 
-// String returns the identity for messages to operators.
+// String formats the identity for messages to operators.
 func (i Identity) String() string {
 	return fmt.Sprintf("member %d of cluster %q", i.Member, i.Cluster)
 }
 
-// segmentHead is the first record of a segment.
-type segmentHead struct {
+// segmentHeader is the first record of a segment.
+type segmentHeader struct {
 	identity Identity
-	// previousBytes is the length of the segment before, or 0.
+	// previousBytes is the length of the previous segment, 0 if there is none.
 	previousBytes int64
 }
 
-func decodeIdentity(payload []byte) (segmentHead, error) {
+func decodeIdentity(payload []byte) (segmentHeader, error) {
 	if len(payload) < identityHeaderBytes || payload[0] != formatVersion {
-		return segmentHead{}, errBadPayload
+		return segmentHeader{}, errBadPayload
 	}
-	return segmentHead{
+	return segmentHeader{
 		identity: Identity{
 			Member:  consensus.MemberID(binary.LittleEndian.Uint64(payload[1:])),
 			Cluster: string(payload[identityHeaderBytes:]),
@@ -53,7 +53,7 @@
 type segment struct {
 	sequence uint64
 	size     int64
-	// lastIndex is the highest index of an entry in it, void or not.
+	// lastIndex is the highest entry index in the segment, including replaced entries.
 	lastIndex uint64
 }
 
--- a/internal/adapter/wal/snapshotfile.go
+++ b/internal/adapter/wal/snapshotfile.go
@@ -17,16 +17,16 @@
 	snapshotPattern     = "snapshot-%016x-%016x.snap"
 	snapshotMagic       = "LGSNAP01"
 	snapshotHeaderBytes = len(snapshotMagic) + 4 + 8
-	// snapshotOverheadBytes is about what a snapshot takes beside its data.
+	// snapshotOverheadBytes estimates the encoded size of a snapshot without its data.
 	snapshotOverheadBytes = 4 << 10
 )
 
-// snapshotMarker is the record that puts a snapshot in force.
+// snapshotMarker is the record that makes a snapshot the current one.
 type snapshotMarker struct {
 	index    uint64
 	term     uint64
 	checksum uint32
-	// replacesLog is set for a leader's snapshot, which voids all entries.
+	// replacesLog is set for a leader's snapshot, which replaces all entries.
 	replacesLog bool
 }
 
@@ -40,8 +40,8 @@
 	return err == nil && count == 2 && name == fmt.Sprintf(snapshotPattern, index, term)
 }
 
-// EncodeSnapshot returns the contents of a snapshot file. The body is encoded behind
-// the space for its head, as a snapshot may be most of what a member has in memory.
+// EncodeSnapshot returns the contents of a snapshot file. The body is encoded in place
+// behind the header, as a second copy of a large snapshot would cost much memory.
 func EncodeSnapshot(snapshot consensus.Snapshot) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Grow(snapshotHeaderBytes + len(snapshot.Data) + snapshotOverheadBytes)
@@ -51,13 +51,13 @@
 	}
 	file := buffer.Bytes()
 	body := file[snapshotHeaderBytes:]
-	head := append(file[:0], snapshotMagic...)
-	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(body, checksumTable))
-	binary.LittleEndian.AppendUint64(head, uint64(len(body)))
+	header := append(file[:0], snapshotMagic...)
+	header = binary.LittleEndian.AppendUint32(header, crc32.Checksum(body, checksumTable))
+	binary.LittleEndian.AppendUint64(header, uint64(len(body)))
 	return file, nil
 }
 
-// DecodeSnapshot reads the contents of a snapshot file. It fails with a
+// DecodeSnapshot decodes the contents of a snapshot file. It fails with a
 // CorruptError.
 func DecodeSnapshot(name string, file []byte) (consensus.Snapshot, error) {
 	if len(file) < snapshotHeaderBytes || string(file[:len(snapshotMagic)]) != snapshotMagic {
@@ -85,7 +85,7 @@
 	return mode
 }()
 
-// snapshotDecoding has no nested structures beyond those of the type.
+// snapshotDecoding rejects nesting deeper than a snapshot needs.
 var snapshotDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxNestedLevels: 8}.DecMode()
 	if err != nil {
--- a/internal/adapter/wal/wholefile.go
+++ b/internal/adapter/wal/wholefile.go
@@ -10,54 +10,54 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// syncEvery bounds what a large file writes between two syncs, so that the syncs of
-// the log beside it do not wait for all of it.
-const syncEvery = 1 << 20
+// syncChunkBytes is how much of a large file is written between two syncs, so that
+// concurrent syncs of the log do not wait for the complete file.
+const syncChunkBytes = 1 << 20
 
-// SnapshotWriter writes snapshot files into the folder of a log. It is safe to use
-// beside the log's calls.
+// SnapshotWriter writes snapshot files into the folder of a log. It may be used
+// concurrently with the log.
 type SnapshotWriter struct {
 	files     FileSystem
 	directory string
 }
 
-// WrittenSnapshot is a snapshot whose file is durable, but not in force.
+// WrittenSnapshot is a snapshot with a durable file that is not the current one yet.
 type WrittenSnapshot struct{ marker snapshotMarker }
 
-// SnapshotWriter gives a writer of snapshots that AdoptSnapshot takes.
+// SnapshotWriter returns a writer of snapshots for AdoptSnapshot.
 func (l *Log) SnapshotWriter() SnapshotWriter {
 	return SnapshotWriter{files: l.files, directory: l.directory}
 }
 
-// Write makes the file of a snapshot durable.
+// Write writes the file of a snapshot and makes it durable.
 func (w SnapshotWriter) Write(snapshot consensus.Snapshot) (WrittenSnapshot, error) {
 	contents, err := EncodeSnapshot(snapshot)
 	if err != nil {
 		return WrittenSnapshot{}, err
 	}
 	marker := snapshotMarker{index: snapshot.Index, term: snapshot.Term, checksum: snapshotChecksum(contents)}
-	file, err := writeWhole(w.files, w.directory, marker.fileName(), contents)
+	file, err := writeAtomic(w.files, w.directory, marker.fileName(), contents)
 	if err != nil {
 		return WrittenSnapshot{}, err
 	}
 	return WrittenSnapshot{marker}, eris.Wrap(file.Close(), "close snapshot")
 }
 
-// SnapshotReader reads the snapshot that was in force when it was made. It is safe to
-// use beside the log's calls; once another snapshot is in force it may find no file.
+// SnapshotReader reads the snapshot that was current when the reader was created. It may
+// be used concurrently with the log; the file may be gone once another snapshot is current.
 type SnapshotReader struct {
 	files     FileSystem
 	directory string
 	marker    snapshotMarker
 }
 
-// SnapshotReader gives a reader of the snapshot in force.
+// SnapshotReader returns a reader of the current snapshot.
 func (l *Log) SnapshotReader() SnapshotReader {
 	return SnapshotReader{files: l.files, directory: l.directory, marker: l.marker}
 }
 
-// Read gives the snapshot. It fails with a CorruptError if its file is missing or
-// is not what the log says.
+// Read returns the snapshot. It fails with a CorruptError if the file is missing or
+// does not match the log.
 func (r SnapshotReader) Read() (consensus.Snapshot, error) {
 	name := r.marker.fileName()
 	file, err := r.files.ReadFile(filepath.Join(r.directory, name))
@@ -77,8 +77,8 @@
 	return snapshot, nil
 }
 
-// writeWhole makes a file that is there with all its contents or not at all.
-func writeWhole(files FileSystem, directory, name string, contents []byte) (File, error) {
+// writeAtomic creates a file that after a crash is complete or does not exist.
+func writeAtomic(files FileSystem, directory, name string, contents []byte) (File, error) {
 	path := filepath.Join(directory, name)
 	file, err := files.Create(path + temporarySuffix)
 	if err != nil {
@@ -96,17 +96,17 @@
 	return file, nil
 }
 
-// writeSynced writes contents to the end and syncs them, part by part.
+// writeSynced writes contents in chunks and syncs after each.
 func writeSynced(file File, contents []byte) error {
 	for {
-		part := contents[:min(len(contents), syncEvery)]
-		if _, err := file.Write(part); err != nil {
+		chunk := contents[:min(len(contents), syncChunkBytes)]
+		if _, err := file.Write(chunk); err != nil {
 			return err
 		}
 		if err := file.Sync(); err != nil {
 			return err
 		}
-		contents = contents[len(part):]
+		contents = contents[len(chunk):]
 		if len(contents) == 0 {
 			return nil
 		}
