--- a/internal/adapter/wal/diskfault/diskfault.go
+++ b/internal/adapter/wal/diskfault/diskfault.go
@@ -9,50 +9,49 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/wal"
 )
 
-// Mode is how a disk misbehaves.
+// Mode is a disk fault.
 type Mode string
 
-// The modes that a control file may name. Anything else, and no file, is a sound
-// disk.
+// The modes of the control file. Any other content, or no file, means a healthy disk.
 const (
-	// Stall holds every write and sync until the mode changes.
+	// Stall blocks every write and sync until the mode changes.
 	Stall Mode = "stall"
-	// Slow delays every write and sync by SlowTime.
+	// Slow delays every write and sync by SlowDelay.
 	Slow Mode = "slow"
 	// Refuse fails every write and sync with ENOSPC.
 	Refuse Mode = "refuse"
 )
 
 const (
-	// SlowTime is the delay of a slow disk.
-	SlowTime = 60 * time.Millisecond
-	// modePoll is how often a stalled call looks for another mode.
-	modePoll = 10 * time.Millisecond
+	// SlowDelay is the delay of a slow disk.
+	SlowDelay = 60 * time.Millisecond
+	// modePollInterval is how often a stalled call checks the mode.
+	modePollInterval = 10 * time.Millisecond
 )
 
-// ControlFile names the file that holds the mode of a data folder's disk.
+// ControlFile returns the path of the file that holds the mode of a data folder's disk.
 func ControlFile(folder string) string { return strings.TrimRight(folder, "/") + ".disk-fault" }
 
-// fileSystem misbehaves when it is written to.
+// fileSystem injects the fault of the control file into writes and syncs.
 type fileSystem struct {
 	wal.FileSystem
 	control string
 }
 
-// New gives a file system over another one for a data folder.
-func New(below wal.FileSystem, folder string) wal.FileSystem {
-	return &fileSystem{FileSystem: below, control: ControlFile(folder)}
+// New returns a file system that injects faults in front of an underlying one.
+func New(underlying wal.FileSystem, folder string) wal.FileSystem {
+	return &fileSystem{FileSystem: underlying, control: ControlFile(folder)}
 }
 
-// disturb does what the mode in force asks before a write or sync.
-func (f *fileSystem) disturb() error {
+// applyFault applies the current mode before a write or sync.
+func (f *fileSystem) applyFault() error {
 	for {
 		mode, _ := os.ReadFile(f.control)
 		switch Mode(mode) {
 		case Stall:
-			time.Sleep(modePoll)
+			time.Sleep(modePollInterval)
 		case Slow:
-			time.Sleep(SlowTime)
+			time.Sleep(SlowDelay)
 			return nil
 		case Refuse:
 			return syscall.ENOSPC
@@ -64,34 +63,34 @@
 
 // Create implements wal.FileSystem.
 func (f *fileSystem) Create(name string) (wal.File, error) {
-	if err := f.disturb(); err != nil {
+	if err := f.applyFault(); err != nil {
 		return nil, err
 	}
-	below, err := f.FileSystem.Create(name)
+	underlying, err := f.FileSystem.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	return &file{File: below, disk: f}, nil
+	return &file{File: underlying, disk: f}, nil
 }
 
 // OpenAppend implements wal.FileSystem.
 func (f *fileSystem) OpenAppend(name string) (wal.File, error) {
-	below, err := f.FileSystem.OpenAppend(name)
+	underlying, err := f.FileSystem.OpenAppend(name)
 	if err != nil {
 		return nil, err
 	}
-	return &file{File: below, disk: f}, nil
+	return &file{File: underlying, disk: f}, nil
 }
 
 // SyncDir implements wal.FileSystem.
 func (f *fileSystem) SyncDir(directory string) error {
-	if err := f.disturb(); err != nil {
+	if err := f.applyFault(); err != nil {
 		return err
 	}
 	return f.FileSystem.SyncDir(directory)
 }
 
-// file is a file on the disk.
+// file injects the faults of its disk.
 type file struct {
 	wal.File
 	disk *fileSystem
@@ -99,7 +98,7 @@
 
 // Write implements wal.File.
 func (f *file) Write(data []byte) (int, error) {
-	if err := f.disk.disturb(); err != nil {
+	if err := f.disk.applyFault(); err != nil {
 		return 0, err
 	}
 	return f.File.Write(data)
@@ -107,7 +106,7 @@
 
 // Sync implements wal.File.
 func (f *file) Sync() error {
-	if err := f.disk.disturb(); err != nil {
+	if err := f.disk.applyFault(); err != nil {
 		return err
 	}
 	return f.File.Sync()
--- a/internal/adapter/wal/diskfault/diskfault_test.go
+++ b/internal/adapter/wal/diskfault/diskfault_test.go
@@ -28,7 +28,7 @@
 
 func (d *disk) set(t *testing.T, mode diskfault.Mode) {
 	t.Helper()
-	// Renamed into place, so that no half-written mode is read.
+	// An atomic rename prevents a read of a partly written mode.
 	next := diskfault.ControlFile(d.folder) + ".next"
 	if err := errors.Join(os.WriteFile(next, []byte(mode), 0o600), os.Rename(next, diskfault.ControlFile(d.folder))); err != nil {
 		t.Fatal(err)
@@ -51,10 +51,10 @@
 		mode diskfault.Mode
 		want error
 	}{
-		{"sound", "", nil},
+		{"healthy", "", nil},
 		{"slow", diskfault.Slow, nil},
-		{"refuses", diskfault.Refuse, syscall.ENOSPC},
-		{"an unknown mode is a sound disk", "other", nil},
+		{"rejects writes", diskfault.Refuse, syscall.ENOSPC},
+		{"unknown mode", "other", nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
