--- a/internal/adapter/wal/faultfs/faultfs.go
+++ b/internal/adapter/wal/faultfs/faultfs.go
@@ -19,7 +19,7 @@
 // is syscall.ENOSPC.
 var ErrInjected = errors.New("faultfs: injected failure")
 
-// errCrashed refuses a file handle or lock from before a crash.
+// errCrashed rejects a file handle or lock from before a crash.
 var errCrashed = errors.New("faultfs: handle is from before a crash")
 
 // node is the contents of one file.
@@ -28,7 +28,7 @@
 	durable []byte
 }
 
-// Counters says how often things happened.
+// Counters counts the operations and failures of a FileSystem.
 type Counters struct {
 	Syncs       uint64
 	FailedSyncs uint64
@@ -40,23 +40,23 @@
 // FileSystem implements wal.FileSystem in memory. It is safe for concurrent
 // use.
 type FileSystem struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	names    map[string]*node
-	durable  map[string]*node
-	folders  map[string]bool
-	locks    map[string]uint64
-	epoch    uint64
-	failSync int
-	failNext int
-	skipSync bool
-	capacity int64
-	counters Counters
+	mutex     sync.Mutex
+	random    *rand.Rand
+	names     map[string]*node
+	durable   map[string]*node
+	folders   map[string]bool
+	locks     map[string]uint64
+	epoch     uint64
+	failSync  int
+	failWrite int
+	skipSync  bool
+	capacity  int64
+	counters  Counters
 }
 
 var _ wal.FileSystem = (*FileSystem)(nil)
 
-// New returns an empty file system whose crashes follow from seed.
+// New returns an empty file system whose crashes derive from seed.
 func New(seed uint64) *FileSystem {
 	return &FileSystem{
 		random:  rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
@@ -67,21 +67,20 @@
 	}
 }
 
-// FailSync makes the sync fail that is count syncs from now; 1 is the next.
-// What that sync should have made durable is lost at a crash, even if a later
-// sync succeeds.
+// FailSync makes the count-th sync from now fail; 1 is the next. A crash loses the
+// data of the failed sync even if a later sync succeeds.
 func (f *FileSystem) FailSync(count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.failSync = count
 }
 
-// FailWrite makes the write fail, after a part of it, that is count writes
-// from now; 1 is the next.
+// FailWrite makes the count-th write from now fail after a part of its data; 1 is
+// the next.
 func (f *FileSystem) FailWrite(count int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.failNext = count
+	f.failWrite = count
 }
 
 // SkipSync makes file syncs report success without doing anything.
@@ -91,14 +90,14 @@
 	f.skipSync = skip
 }
 
-// SetCapacity bounds the bytes of all files; 0 is no bound.
+// SetCapacity limits the bytes of all files; 0 means unlimited.
 func (f *FileSystem) SetCapacity(size int64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.capacity = size
 }
 
-// Used returns the bytes of all files.
+// Used returns the total size of all files in bytes.
 func (f *FileSystem) Used() int64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -113,15 +112,15 @@
 	return total
 }
 
-// Counters returns how often things happened.
+// Counters returns the current counters.
 func (f *FileSystem) Counters() Counters {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.counters
 }
 
-// Crash loses what was not durable, as a loss of power does. Open files and
-// locks are void afterwards.
+// Crash simulates a power loss: it drops what was not durable and invalidates open
+// files and locks.
 func (f *FileSystem) Crash() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -137,8 +136,8 @@
 	f.durable = maps.Clone(f.names)
 }
 
-// Stop voids open files and locks and keeps everything that was written, as
-// the end of a process does.
+// Stop simulates the end of a process: it invalidates open files and locks and
+// preserves all written data.
 func (f *FileSystem) Stop() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -146,24 +145,24 @@
 	f.locks = map[string]uint64{}
 }
 
-// tear leaves an arbitrary part of the unsynced end, at times damaged.
+// tear leaves an arbitrary part of the unsynced end, sometimes damaged.
 func (f *FileSystem) tear(file *node) {
-	kept := bytes.Clone(file.durable)
+	remaining := bytes.Clone(file.durable)
 	if bytes.HasPrefix(file.written, file.durable) && len(file.written) > len(file.durable) {
 		tail := file.written[len(file.durable):]
 		length := f.random.IntN(len(tail) + 1)
-		kept = append(kept, tail[:length]...)
+		remaining = append(remaining, tail[:length]...)
 		if length > 0 && f.random.IntN(3) == 0 {
-			kept[len(kept)-1-f.random.IntN(min(length, 64))] ^= 1 << f.random.IntN(8)
+			remaining[len(remaining)-1-f.random.IntN(min(length, 64))] ^= 1 << f.random.IntN(8)
 		}
 		if length < len(tail) {
 			f.counters.TornWrites++
 		}
 	}
-	file.written, file.durable = kept, bytes.Clone(kept)
+	file.written, file.durable = remaining, bytes.Clone(remaining)
 }
 
-// Flip inverts one bit of a stored byte, as a damaged disk does.
+// Flip inverts one bit of a stored byte, as on a damaged disk.
 func (f *FileSystem) Flip(name string, offset int64) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -193,7 +192,7 @@
 	delete(f.locks, directory)
 }
 
-// MkdirAll implements wal.FileSystem. Folders are durable at once.
+// MkdirAll implements wal.FileSystem. Folders are durable immediately.
 func (f *FileSystem) MkdirAll(directory string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -205,7 +204,7 @@
 func (f *FileSystem) Lock(directory string) (io.Closer, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if _, taken := f.locks[directory]; taken {
+	if _, locked := f.locks[directory]; locked {
 		return nil, wal.ErrLocked
 	}
 	f.locks[directory] = f.epoch
@@ -320,7 +319,7 @@
 	return nil
 }
 
-// syncFails counts a sync and reports whether it is to fail.
+// syncFails counts a sync and reports whether it must fail.
 func (f *FileSystem) syncFails() bool {
 	f.counters.Syncs++
 	if f.failSync == 0 {
--- a/internal/adapter/wal/faultfs/handle.go
+++ b/internal/adapter/wal/faultfs/handle.go
@@ -10,12 +10,12 @@
 	files *FileSystem
 	node  *node
 	epoch uint64
-	// lost is set after a failed sync: the pages it should have written count
-	// as clean, and later syncs skip them.
-	lost bool
+	// syncFailed is set after a failed sync: as in a page cache, the unwritten
+	// pages count as clean, and later syncs skip them.
+	syncFailed bool
 }
 
-// Write implements io.Writer. It may write a part before it fails.
+// Write implements io.Writer. It may write a part of the data before it fails.
 func (h *handle) Write(data []byte) (int, error) {
 	files := h.files
 	files.mutex.Lock()
@@ -23,9 +23,9 @@
 	if h.epoch != files.epoch {
 		return 0, errCrashed
 	}
-	if files.failNext > 0 {
-		files.failNext--
-		if files.failNext == 0 {
+	if files.failWrite > 0 {
+		files.failWrite--
+		if files.failWrite == 0 {
 			return h.append(data[:files.random.IntN(len(data)+1)]), ErrInjected
 		}
 	}
@@ -50,10 +50,10 @@
 		return errCrashed
 	}
 	if files.syncFails() {
-		h.lost = true
+		h.syncFailed = true
 		return ErrInjected
 	}
-	if !files.skipSync && !h.lost {
+	if !files.skipSync && !h.syncFailed {
 		h.node.durable = h.node.written[:len(h.node.written):len(h.node.written)]
 	}
 	return nil
