--- a/internal/adapter/wire/bounds_test.go
+++ b/internal/adapter/wire/bounds_test.go
@@ -16,17 +16,17 @@
 	s.Handle("echo", func(_ context.Context, call *Call) error { return call.Send(echo{Text: "own"}) })
 }
 
-// TestSlowPeersAreCutOff connects and sends nothing, or part of a greeting.
+// The server closes connections that send nothing, an incomplete hello or another protocol.
 func TestSlowPeersAreCutOff(t *testing.T) {
 	options := testOptions()
 	options.DialTimeout = 30 * time.Millisecond
 	_, address := startServer(t, options, registerEcho)
 	for name, sent := range map[string][]byte{
-		"nothing":         nil,
-		"half a head":     {byteStringHead, 0},
-		"half a greeting": {byteStringHead, 0, 0, 0, 50, 1, 2, 3},
-		"too long a one":  {byteStringHead, 0, 1, 0, 0},
-		"another's words": []byte("GET / HTTP/1.1\r\n\r\n"),
+		"nothing":          nil,
+		"partial header":   {byteStringHead, 0},
+		"partial hello":    {byteStringHead, 0, 0, 0, 50, 1, 2, 3},
+		"oversize hello":   {byteStringHead, 0, 1, 0, 0},
+		"another protocol": []byte("GET / HTTP/1.1\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			connection, err := net.Dial("tcp", address)
@@ -42,8 +42,7 @@
 	}
 }
 
-// TestConnectionsAreBounded: beyond the bound nothing runs, and a place is free
-// again once a connection closes.
+// A connection beyond the limit is rejected, and closing one frees its slot.
 func TestConnectionsAreBounded(t *testing.T) {
 	options := testOptions()
 	options.MaxConnections = 1
@@ -70,7 +69,7 @@
 	}
 }
 
-// failingListener fails a few times before it accepts.
+// failingListener returns its failures before it accepts connections.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -85,10 +84,9 @@
 	return l.Listener.Accept()
 }
 
-// TestShortagesOfFilesPass: a server goes on after errors that pass, and reports
-// a listener that is broken.
+// The server continues after temporary accept errors and reports a broken listener.
 func TestShortagesOfFilesPass(t *testing.T) {
-	below, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,9 +94,9 @@
 	registerEcho(server)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- server.Serve(&failingListener{below, []error{syscall.EMFILE, syscall.ECONNABORTED, syscall.ENFILE}})
+		ended <- server.Serve(&failingListener{listener, []error{syscall.EMFILE, syscall.ECONNABORTED, syscall.ENFILE}})
 	}()
-	client := startClient(t, below.Addr().String(), testOptions())
+	client := startClient(t, listener.Addr().String(), testOptions())
 	if err := client.Call(testContext(t), "echo", echo{}, nil); err != nil {
 		t.Errorf("after a shortage: %v", err)
 	}
@@ -106,14 +104,14 @@
 	if err := <-ended; err != nil {
 		t.Errorf("serve: %v", err)
 	}
-	broken := &failingListener{below, []error{syscall.EINVAL}}
+	broken := &failingListener{listener, []error{syscall.EINVAL}}
 	if err := NewServer(testOptions()).Serve(broken); !errors.Is(err, syscall.EINVAL) {
 		t.Errorf("broken listener: %v", err)
 	}
 }
 
-// lateListener hands out one connection after it was closed, as a listener does
-// that had accepted it just before.
+// lateListener returns one connection after Close, like a listener that had accepted
+// it just before.
 type lateListener struct {
 	net.Listener
 	accepted chan net.Conn
@@ -128,8 +126,7 @@
 
 func (l lateListener) Close() error { return nil }
 
-// TestAConnectionAcceptedWhileClosingIsClosed: nothing is served once Close has
-// returned.
+// A connection that is accepted during Close is closed and not served.
 func TestAConnectionAcceptedWhileClosingIsClosed(t *testing.T) {
 	options := testOptions()
 	options.DialTimeout = time.Minute
@@ -137,13 +134,13 @@
 	listener := lateListener{accepted: make(chan net.Conn)}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
-	first, firstFar := net.Pipe()
-	listener.accepted <- firstFar // taken, so Serve runs
+	first, firstServer := net.Pipe()
+	listener.accepted <- firstServer // accepted, so Serve is running
 	_ = first.Close()
 	server.Close()
-	late, lateFar := net.Pipe()
+	late, lateServer := net.Pipe()
 	defer func() { _ = late.Close() }()
-	listener.accepted <- lateFar
+	listener.accepted <- lateServer
 	close(listener.accepted)
 	if err := <-served; err != nil {
 		t.Fatal(err)
--- a/internal/adapter/wire/call.go
+++ b/internal/adapter/wire/call.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Call is a request on the answering side.
+// Call is a request on the server side.
 type Call struct {
 	// Method is the name the caller used.
 	Method string
@@ -27,8 +27,8 @@
 	granted chan struct{}
 }
 
-// Decode decodes the request. Its error says NotRun, so a handler that has done
-// nothing yet can return it as it is.
+// Decode decodes the request. Its error has the verdict NotRun, so a handler without
+// side effects so far can return it unchanged.
 func (c *Call) Decode(request any) error {
 	if err := Unmarshal(c.body, request); err != nil {
 		return port.NewError(port.NotRun, port.CodeInvalid, "undecodable request of %s: %s", c.Method, err.Error())
@@ -36,14 +36,14 @@
 	return nil
 }
 
-// Send sends one answer. It waits while the caller's window is full, without
-// holding up other calls of the connection.
+// Send sends one answer. It blocks while the caller's window is full; other calls of
+// the connection continue.
 func (c *Call) Send(message any) error {
 	body, err := Marshal(message)
 	if err != nil {
 		return port.NewError(port.MayHaveRun, port.CodeInternal, "unencodable answer of %s: %s", c.Method, err.Error())
 	}
-	if err := c.takeCredit(len(body)); err != nil {
+	if err := c.acquireCredit(len(body)); err != nil {
 		return err
 	}
 	frame := &Frame{Kind: KindData, Stream: c.id, Sequence: c.sent, Body: body}
@@ -61,9 +61,9 @@
 	return err
 }
 
-// takeCredit waits until the window has room and takes the bytes; the last
-// frame may run over the window.
-func (c *Call) takeCredit(bytes int) error {
+// acquireCredit blocks until the window has credit and takes the bytes; the last frame
+// may exceed the window.
+func (c *Call) acquireCredit(bytes int) error {
 	for {
 		c.mutex.Lock()
 		if c.credit > 0 {
--- a/internal/adapter/wire/callcontext_test.go
+++ b/internal/adapter/wire/callcontext_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countingContext counts the contexts that hang on it.
+// countingContext counts the child contexts registered with it.
 type countingContext struct {
 	context.Context
 	done     chan struct{}
@@ -15,7 +15,7 @@
 
 func (c *countingContext) Done() <-chan struct{} { return c.done }
 
-// AfterFunc is what the context package asks for when a child is made.
+// AfterFunc is called by the context package when a child is created.
 func (c *countingContext) AfterFunc(func()) func() bool {
 	c.children++
 	return func() bool {
@@ -24,21 +24,21 @@
 	}
 }
 
-// TestEndedCallLeavesNothingAtTheConnection ends calls with and without a
-// deadline. What a call leaves behind stays until the connection closes.
+// A finished call, with or without a deadline, must leave no child at the connection's
+// context, which lives until the connection closes.
 func TestEndedCallLeavesNothingAtTheConnection(t *testing.T) {
 	for _, deadline := range []time.Duration{0, time.Hour} {
 		connection := &countingContext{Context: context.Background(), done: make(chan struct{})}
 		ctx, cancel := callContext(connection, deadline)
 		if connection.children != 1 {
-			t.Fatalf("deadline %s: %d contexts hang on the connection's", deadline, connection.children)
+			t.Fatalf("deadline %s: %d child contexts of the connection's", deadline, connection.children)
 		}
 		if _, has := ctx.Deadline(); has != (deadline > 0) {
 			t.Errorf("deadline %s: deadline set %v", deadline, has)
 		}
 		cancel()
 		if connection.children != 0 || ctx.Err() == nil {
-			t.Errorf("deadline %s: %d contexts are left, error %v", deadline, connection.children, ctx.Err())
+			t.Errorf("deadline %s: %d child contexts left, error %v", deadline, connection.children, ctx.Err())
 		}
 	}
 }
--- a/internal/adapter/wire/client.go
+++ b/internal/adapter/wire/client.go
@@ -12,9 +12,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Client calls one peer. It dials when first used, keeps one connection, and
-// dials again after a failure with full-jitter backoff. It is safe for use by
-// many goroutines. It never repeats a call by itself.
+// Client calls one peer. It dials on first use, maintains one connection, and redials
+// after a failure with full-jitter backoff. It never retries a call by itself. It is
+// safe for concurrent use.
 type Client struct {
 	address  string
 	options  Options
@@ -40,7 +40,7 @@
 // Totals returns the traffic of all connections of this client.
 func (c *Client) Totals() Totals { return c.counters.Totals() }
 
-// Close ends the connection; calls in flight fail with their verdicts.
+// Close closes the connection; calls in flight fail with their verdicts.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// Call sends a request and waits for the one whole answer, decoded into
-// response unless that is nil. Errors are *port.Error.
+// Call sends a request, waits for the one complete answer and decodes it into response
+// unless that is nil. Errors are *port.Error.
 func (c *Client) Call(ctx context.Context, method string, request, response any) error {
 	stream, err := c.Stream(ctx, method, request)
 	if err != nil {
@@ -109,15 +109,15 @@
 	return connection.open(ctx, &Frame{Kind: KindCall, Method: method, DeadlineMillis: deadline, Body: body})
 }
 
-// Connect starts to connect in the background if there is no connection, so
-// that a later Send finds one.
+// Connect starts a dial in the background if there is no connection, so that a later
+// Send finds one.
 func (c *Client) Connect() {
-	_, _, _ = c.ready() // a refusal means that it is too early to dial again
+	_, _, _ = c.ready() // an error means that it is too early to redial
 }
 
-// Send sends a one-way message without waiting: neither for a connection, which
-// it starts in the background when there is none, nor for room in the queue.
-// An error means that the message was not sent; no error is no delivery.
+// Send sends a one-way message without blocking, neither for a connection, which it
+// starts in the background if there is none, nor for a full queue. An error means that
+// the message was not sent; success does not imply delivery.
 func (c *Client) Send(_ context.Context, method string, message any) error {
 	body, err := Marshal(message)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// remainingMillis returns what is left of the context's deadline; 0 is none.
+// remainingMillis returns the time until the context's deadline; 0 means no deadline.
 func remainingMillis(ctx context.Context) (uint32, error) {
 	if ctx.Err() != nil {
 		return 0, contextError(ctx, port.NotRun)
@@ -154,7 +154,7 @@
 	return uint32(min(remaining, math.MaxUint32)), nil
 }
 
-// connect returns a live connection and waits for a dial in progress.
+// connect returns the live connection and waits for a dial if there is none.
 func (c *Client) connect(ctx context.Context) (*clientLink, error) {
 	for {
 		connection, dialing, err := c.ready()
@@ -183,8 +183,8 @@
 	return refusal
 }
 
-// ready returns the live connection, or the channel that closes when the dial
-// in progress, started here if need be, is over.
+// ready returns the live connection, or the channel that closes when the dial in
+// progress ends. It starts a dial if there is none.
 func (c *Client) ready() (*clientLink, chan struct{}, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -232,12 +232,12 @@
 	c.current = connection
 }
 
-// backoff draws the delay after so many failed dials in a row.
+// backoff returns a random delay after a number of consecutive failed dials.
 func backoff(options Options, failures int) time.Duration {
 	const maxShift = 16
-	bound := options.BackoffBase << min(failures-1, maxShift)
-	if bound <= 0 || bound > options.BackoffMax {
-		bound = options.BackoffMax
+	limit := options.BackoffBase << min(failures-1, maxShift)
+	if limit <= 0 || limit > options.BackoffMax {
+		limit = options.BackoffMax
 	}
-	return rand.N(bound) + 1
+	return rand.N(limit) + 1
 }
--- a/internal/adapter/wire/clientlink.go
+++ b/internal/adapter/wire/clientlink.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// clientLink is the calling side of one connection.
+// clientLink is the client side of one connection.
 type clientLink struct {
 	link     *link
 	openSlot chan struct{}
@@ -22,7 +22,7 @@
 	streams map[uint64]*ClientStream
 }
 
-// dialLink opens a connection and runs its reader, writer and pings.
+// dialLink opens a connection and starts its reader, writer and pings.
 func dialLink(address string, options Options, parent *Counters) (*clientLink, error) {
 	netConn, err := options.Dial(address, options.DialTimeout)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return port.NewError(port.NotRun, CodeProtocol, "frame of kind %d before welcome", frame.Kind)
 }
 
-// open gives the call an id and queues it. The slot makes ids reach the queue
-// in rising order, which the server checks.
+// open assigns an id to the call and queues its frame. The slot ensures that ids are
+// queued in increasing order, which the server checks.
 func (c *clientLink) open(ctx context.Context, frame *Frame) (*ClientStream, error) {
 	select {
 	case c.openSlot <- struct{}{}:
@@ -109,7 +109,7 @@
 	frame.Stream = stream.id
 	out, err := c.link.enqueue(ctx, frame)
 	if err != nil {
-		c.forget(stream.id)
+		c.removeStream(stream.id)
 		return nil, sendError(err)
 	}
 	stream.out = out
@@ -134,8 +134,8 @@
 	return stream, nil
 }
 
-// forget closes the id: later frames for it are late.
-func (c *clientLink) forget(id uint64) bool {
+// removeStream closes the id: later frames for it count as late.
+func (c *clientLink) removeStream(id uint64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	_, open := c.streams[id]
@@ -143,7 +143,7 @@
 	return open
 }
 
-// find returns the stream of an id and whether the id was ever given out.
+// find returns the stream of an id and whether the id was ever assigned.
 func (c *clientLink) find(id uint64) (stream *ClientStream, known bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -163,7 +163,7 @@
 	}
 }
 
-// dispatch hands a frame to its stream. An error ends the connection.
+// dispatch passes a frame to its stream. An error closes the connection.
 func (c *clientLink) dispatch(frame *Frame) error {
 	switch frame.Kind {
 	case KindPong:
--- a/internal/adapter/wire/clientstream.go
+++ b/internal/adapter/wire/clientstream.go
@@ -8,8 +8,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ClientStream is the stream of answers to one call. It is for one goroutine;
-// Close may be called from any.
+// ClientStream is the stream of answers to one call. Only Close may be called
+// concurrently with other methods.
 type ClientStream struct {
 	ctx        context.Context
 	connection *clientLink
@@ -27,8 +27,8 @@
 	failure  *port.Error
 }
 
-// accept takes a frame of this stream from the connection's reader. It never
-// waits: what may be queued is bounded by the window.
+// accept processes a frame of this stream in the connection's reader. It never blocks:
+// the window limits the queue.
 func (s *ClientStream) accept(frame *Frame) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -69,8 +69,7 @@
 	s.finish(nil)
 }
 
-// finish ends the stream; a failure drops what was queued, for an answer is
-// whole or it is an error.
+// finish ends the stream, with a failure unless that is nil.
 func (s *ClientStream) finish(failure *port.Error) {
 	s.finished = true
 	s.failure = failure
@@ -83,8 +82,8 @@
 	}
 }
 
-// Recv waits for the next answer and decodes it. It returns io.EOF after the
-// last one and an *Error when the stream failed.
+// Recv blocks until the next answer arrives and decodes it. It returns io.EOF after
+// the last one and a *port.Error if the stream failed.
 func (s *ClientStream) Recv(message any) error {
 	body, err := s.receive()
 	if err != nil {
@@ -105,18 +104,18 @@
 		select {
 		case <-s.wake:
 		case <-s.ctx.Done():
-			return nil, s.giveUp(contextError(s.ctx, s.out.verdict()))
+			return nil, s.abort(contextError(s.ctx, s.out.verdict()))
 		case <-s.connection.link.done:
-			if s.pending() {
+			if s.hasPending() {
 				continue
 			}
-			return nil, s.giveUp(s.lost())
+			return nil, s.abort(s.connectionLost())
 		}
 	}
 }
 
-// pop returns a queued answer, the outcome, or neither when it must wait, and
-// the credit to give back.
+// pop returns a queued answer, the outcome, or neither if it must wait, and the credit
+// to return to the peer.
 func (s *ClientStream) pop() (body []byte, credit int, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,19 +139,19 @@
 	return nil, 0, nil
 }
 
-func (s *ClientStream) pending() bool {
+func (s *ClientStream) hasPending() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.queue) > 0 || s.finished
 }
 
-// lost is the outcome of a stream whose connection ended.
-func (s *ClientStream) lost() *port.Error {
+// connectionLost returns the outcome of a stream whose connection closed.
+func (s *ClientStream) connectionLost() *port.Error {
 	verdict := s.out.verdict()
 	return port.NewError(verdict, port.CodeUnavailable, "connection lost: %s", s.connection.link.failure().Error())
 }
 
-func (s *ClientStream) giveUp(failure *port.Error) *port.Error {
+func (s *ClientStream) abort(failure *port.Error) *port.Error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.finished {
@@ -166,10 +165,10 @@
 	_, _ = s.connection.link.enqueue(s.ctx, frame)
 }
 
-// Close ends the stream. An unfinished call is withdrawn if it was not written
-// yet and canceled at the peer if it was.
+// Close ends the stream. An unfinished call is withdrawn if its frame is unwritten, and
+// canceled at the peer otherwise.
 func (s *ClientStream) Close() {
-	if !s.connection.forget(s.id) {
+	if !s.connection.removeStream(s.id) {
 		return
 	}
 	s.mutex.Lock()
--- a/internal/adapter/wire/codec.go
+++ b/internal/adapter/wire/codec.go
@@ -4,8 +4,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of the CBOR decoder. They bound what one message of a faulty or
-// hostile peer can cost, besides the limit on the size of a frame.
+// Limits of the CBOR decoder. Together with the frame size limit they bound the cost of
+// one message of a faulty or malicious peer.
 const (
 	maxNestedLevels  = 32
 	maxArrayElements = 1 << 20
@@ -46,8 +46,8 @@
 	return mode
 }
 
-// Marshal encodes a message the way it travels between processes: keys are
-// sorted, so equal messages have equal bytes.
+// Marshal encodes a message for the wire. Keys are sorted, so equal messages have equal
+// bytes.
 func Marshal(message any) ([]byte, error) {
 	return encodeMode.Marshal(message)
 }
--- a/internal/adapter/wire/contract_test.go
+++ b/internal/adapter/wire/contract_test.go
@@ -50,8 +50,7 @@
 	return ctx
 }
 
-// scriptedPeer accepts one connection by hand, so that a test decides on each
-// frame it sends.
+// scriptedPeer accepts one connection and sends the frames of a test's script.
 type scriptedPeer struct {
 	t      *testing.T
 	conn   net.Conn
@@ -60,7 +59,7 @@
 
 const scriptedEpoch = 77
 
-func startScripted(t *testing.T, script func(*scriptedPeer)) string {
+func startScriptedPeer(t *testing.T, script func(*scriptedPeer)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,7 +115,7 @@
 // waitClosed blocks until the client closes the connection.
 func (p *scriptedPeer) waitClosed() { _, _ = io.Copy(io.Discard, p.reader) }
 
-// TestContractOfACall runs one call against each fault a peer can show.
+// TestContractOfACall runs one call against each kind of peer fault.
 func TestContractOfACall(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -125,7 +124,7 @@
 		code    port.Code
 		answer  string
 	}{
-		{name: "whole answer", answer: "one", script: func(p *scriptedPeer) {
+		{name: "complete answer", answer: "one", script: func(p *scriptedPeer) {
 			id := p.read(KindCall).Stream
 			p.data(id, 0, "one")
 			p.end(id, 1)
@@ -159,7 +158,7 @@
 			p.data(p.read(KindCall).Stream, 1, "two")
 			p.waitClosed()
 		}},
-		{name: "end that counts an answer that never came", verdict: port.MayHaveRun, code: CodeProtocol, script: func(p *scriptedPeer) {
+		{name: "end with a wrong answer count", verdict: port.MayHaveRun, code: CodeProtocol, script: func(p *scriptedPeer) {
 			p.end(p.read(KindCall).Stream, 1)
 			p.waitClosed()
 		}},
@@ -179,7 +178,7 @@
 			p.end(id, 1)
 			p.waitClosed()
 		}},
-		{name: "bytes that are no frame", verdict: port.MayHaveRun, code: port.CodeUnavailable, script: func(p *scriptedPeer) {
+		{name: "malformed frame", verdict: port.MayHaveRun, code: port.CodeUnavailable, script: func(p *scriptedPeer) {
 			p.read(KindCall)
 			_, _ = p.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n"))
 			p.waitClosed()
@@ -193,20 +192,20 @@
 			p.end(p.read(KindCall).Stream+5, 0)
 			p.waitClosed()
 		}},
-		{name: "refused as not run", verdict: port.NotRun, code: "full", script: func(p *scriptedPeer) {
+		{name: "rejected as not run", verdict: port.NotRun, code: "full", script: func(p *scriptedPeer) {
 			id := p.read(KindCall).Stream
 			body, _ := Marshal(port.NewError(port.NotRun, "full", "queue is full"))
 			p.write(Frame{Epoch: scriptedEpoch, Stream: id, Kind: KindError, Body: body})
 			p.waitClosed()
 		}},
-		{name: "refused after it ran", verdict: port.Ran, code: "stale", script: func(p *scriptedPeer) {
+		{name: "rejected after it ran", verdict: port.Ran, code: "stale", script: func(p *scriptedPeer) {
 			id := p.read(KindCall).Stream
 			p.data(id, 0, "half")
 			body, _ := Marshal(port.NewError(port.Ran, "stale", "too old"))
 			p.write(Frame{Epoch: scriptedEpoch, Stream: id, Kind: KindError, Body: body})
 			p.waitClosed()
 		}},
-		{name: "refused with an invalid verdict", verdict: port.MayHaveRun, code: "odd", script: func(p *scriptedPeer) {
+		{name: "rejected with an invalid verdict", verdict: port.MayHaveRun, code: "odd", script: func(p *scriptedPeer) {
 			id := p.read(KindCall).Stream
 			body, _ := Marshal(&port.Error{Verdict: 9, Code: "odd"})
 			p.write(Frame{Epoch: scriptedEpoch, Stream: id, Kind: KindError, Body: body})
@@ -215,7 +214,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client := startClient(t, startScripted(t, test.script), testOptions())
+			client := startClient(t, startScriptedPeer(t, test.script), testOptions())
 			var answer echo
 			err := client.Call(testContext(t), "echo", echo{Text: "q"}, &answer)
 			if test.verdict == 0 {
@@ -234,15 +233,15 @@
 	}
 }
 
-// expiring is a context whose deadline passes when the test says so.
-type expiring struct {
+// expiringContext is a context whose deadline passes when the test closes passed.
+type expiringContext struct {
 	context.Context
 	passed chan struct{}
 }
 
-func (e *expiring) Done() <-chan struct{} { return e.passed }
+func (e *expiringContext) Done() <-chan struct{} { return e.passed }
 
-func (e *expiring) Err() error {
+func (e *expiringContext) Err() error {
 	select {
 	case <-e.passed:
 		return context.DeadlineExceeded
@@ -251,11 +250,10 @@
 	}
 }
 
-// TestLateAnswerReachesNoOtherCall lets an answer come after its call gave up:
-// the deadline passes once the peer has the call.
+// An answer that arrives after the deadline of its call is dropped and counted.
 func TestLateAnswerReachesNoOtherCall(t *testing.T) {
-	ctx := &expiring{testContext(t), make(chan struct{})}
-	address := startScripted(t, func(p *scriptedPeer) {
+	ctx := &expiringContext{testContext(t), make(chan struct{})}
+	address := startScriptedPeer(t, func(p *scriptedPeer) {
 		first := p.read(KindCall).Stream
 		close(ctx.passed)
 		p.read(KindCancel)
@@ -280,7 +278,7 @@
 	}
 }
 
-// TestNotRunWhenNothingWasWritten lists the failures before the first byte.
+// TestNotRunWhenNothingWasWritten covers the failures before the first written byte.
 func TestNotRunWhenNothingWasWritten(t *testing.T) {
 	_, address := startServer(t, testOptions(), func(s *Server) {
 		s.Handle("echo", func(_ context.Context, call *Call) error { return call.Send(echo{}) })
@@ -289,8 +287,8 @@
 	wrongToken.Token = "guess"
 	wrongCluster.ClusterID = "other"
 	small.MaxFrameSize = 256
-	refused := testOptions()
-	refused.Dial = func(string, time.Duration) (net.Conn, error) { return nil, errors.New("refused") }
+	failingDial := testOptions()
+	failingDial.Dial = func(string, time.Duration) (net.Conn, error) { return nil, errors.New("refused") }
 	expired, cancel := context.WithDeadline(context.Background(), time.Unix(1, 0))
 	defer cancel()
 	cases := []struct {
@@ -301,7 +299,7 @@
 		text    string
 		code    port.Code
 	}{
-		{name: "dial failure", options: refused, code: port.CodeUnavailable, method: "echo"},
+		{name: "dial failure", options: failingDial, code: port.CodeUnavailable, method: "echo"},
 		{name: "wrong token", options: wrongToken, code: port.CodeUnauthorized, method: "echo"},
 		{name: "wrong cluster", options: wrongCluster, code: port.CodeUnauthorized, method: "echo"},
 		{name: "oversize request", options: small, code: port.CodeTooLarge, method: "echo", text: string(make([]byte, 300))},
@@ -322,7 +320,7 @@
 	}
 }
 
-// TestRepeatedCallFrameRunsOnce sends one call frame twice by hand.
+// TestRepeatedCallFrameRunsOnce sends the same call frame twice.
 func TestRepeatedCallFrameRunsOnce(t *testing.T) {
 	runs := make(chan struct{}, 2)
 	server, address := startServer(t, testOptions(), func(s *Server) {
--- a/internal/adapter/wire/counters.go
+++ b/internal/adapter/wire/counters.go
@@ -12,17 +12,17 @@
 	parent              *Counters
 }
 
-// Totals is a reading of Counters.
+// Totals is a snapshot of Counters.
 type Totals struct {
-	// BytesIn and BytesOut count whole frames on the wire, in bytes.
+	// BytesIn and BytesOut count the bytes of complete frames.
 	BytesIn, BytesOut uint64
 	// FramesIn and FramesOut count frames.
 	FramesIn, FramesOut uint64
 	// LateFrames counts frames for a stream that was already closed.
 	LateFrames uint64
-	// DroppedMessages counts one-way messages dropped for want of room.
+	// DroppedMessages counts dropped one-way messages.
 	DroppedMessages uint64
-	// Connections counts connections that got through the handshake.
+	// Connections counts connections that completed the handshake.
 	Connections uint64
 }
 
--- a/internal/adapter/wire/errors.go
+++ b/internal/adapter/wire/errors.go
@@ -10,7 +10,7 @@
 // CodeProtocol is the code of an answer that breaks the protocol.
 const CodeProtocol port.Code = "protocol"
 
-// VerdictOf returns the verdict of an error, MayHaveRun where it has none.
+// VerdictOf returns the verdict of an error, MayHaveRun if it has none.
 func VerdictOf(err error) port.Verdict {
 	var known *port.Error
 	if errors.As(err, &known) && known.Verdict != port.VerdictUnset {
@@ -19,7 +19,7 @@
 	return port.MayHaveRun
 }
 
-// CodeOf returns the code of an error, empty where it has none.
+// CodeOf returns the code of an error, empty if it has none.
 func CodeOf(err error) port.Code {
 	var known *port.Error
 	if errors.As(err, &known) {
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// contextError turns the end of a context into an error with a verdict.
+// contextError converts the error of a finished context into one with a verdict.
 func contextError(ctx context.Context, verdict port.Verdict) *port.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return port.NewError(verdict, port.CodeDeadline, "the deadline passed")
@@ -36,8 +36,8 @@
 	return port.NewError(verdict, port.CodeCancelled, "the caller gave up")
 }
 
-// toError returns what a handler's error says to the caller. An error without
-// a verdict of its own may have had effects.
+// toError converts a handler's error for the caller. An error without a verdict may
+// have had effects.
 func toError(err error) *port.Error {
 	var known *port.Error
 	if errors.As(err, &known) {
@@ -49,7 +49,7 @@
 	return port.NewError(port.MayHaveRun, port.CodeInternal, "%s", err.Error())
 }
 
-// sendError gives a frame that was not sent its verdict.
+// sendError converts the error of an unsent frame into one with the verdict NotRun.
 func sendError(err error) *port.Error {
 	var known *port.Error
 	switch {
@@ -67,7 +67,7 @@
 	return port.NewError(port.NotRun, port.CodeUnavailable, "%s", err.Error())
 }
 
-// decodeError returns the error a peer sent. An undecodable one may have run.
+// decodeError decodes the error that a peer sent; an undecodable one is MayHaveRun.
 func decodeError(body []byte) *port.Error {
 	refusal := &port.Error{}
 	if err := Unmarshal(body, refusal); err != nil {
--- a/internal/adapter/wire/frame.go
+++ b/internal/adapter/wire/frame.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Kind tells what a frame is for.
+// Kind is the purpose of a frame.
 type Kind uint8
 
 // The kinds of frames. Hello and Welcome open a connection; the others follow.
@@ -28,23 +28,22 @@
 // lastKind is the highest kind a decoder accepts.
 const lastKind = KindOneWay
 
-// Frame is the unit of the protocol. It travels as a CBOR array, so the order
+// Frame is the unit of the protocol. It is encoded as a CBOR array, so the order
 // of its fields is part of the protocol.
 type Frame struct {
 	_ struct{} `cbor:",toarray"`
-	// Epoch is the connection's epoch, given out in the Welcome frame.
+	// Epoch is the connection's epoch, assigned in the Welcome frame.
 	Epoch uint64
-	// Stream is the id of a call within its connection; ids only rise.
+	// Stream is the id of a call within its connection; ids increase.
 	Stream uint64
-	// Kind tells what the frame is for.
-	Kind Kind
+	Kind   Kind
 	// Sequence numbers the data frames of a stream from 0; in an End frame it
 	// is the count of data frames before it.
 	Sequence uint32
-	// Credit is, in a Window frame, the count of bytes the peer may send more.
+	// Credit is, in a Window frame, how many more bytes the peer may send.
 	Credit uint32
-	// DeadlineMillis is what remains of the caller's deadline, in
-	// milliseconds; 0 means that there is none.
+	// DeadlineMillis is the time until the caller's deadline, in milliseconds;
+	// 0 means no deadline.
 	DeadlineMillis uint32
 	// Method names the operation of a Call or OneWay frame.
 	Method string
@@ -61,12 +60,12 @@
 )
 
 const (
-	// frameHeaderSize is the size of the byte string's head: its major type
-	// with a four-byte length.
+	// frameHeaderSize is the size of the byte string's header: its major type
+	// and a four-byte length.
 	frameHeaderSize = 5
 	// byteStringHead is CBOR major type 2 with a four-byte length following.
 	byteStringHead = 0x5a
-	// maxMethodLength bounds the name of a method, in bytes.
+	// maxMethodLength limits the length of a method name, in bytes.
 	maxMethodLength = 128
 )
 
@@ -100,16 +99,16 @@
 	return frame, nil
 }
 
-// readFrame reads one item of the sequence. The size is checked before any
-// memory for the content is taken.
+// readFrame reads one item of the sequence. It checks the size before it allocates
+// memory for the content.
 func readFrame(reader io.Reader, maxSize int) (*Frame, int, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return nil, 0, err
 	}
 	read := frameHeaderSize
-	packed := header[0] == packedHead
-	if packed {
+	compressed := header[0] == compressedTag
+	if compressed {
 		copy(header[:], header[1:])
 		if _, err := io.ReadFull(reader, header[frameHeaderSize-1:]); err != nil {
 			return nil, 0, err
@@ -128,9 +127,9 @@
 		return nil, 0, err
 	}
 	read += int(size)
-	if packed {
+	if compressed {
 		var err error
-		if content, err = unpack(content, maxSize); err != nil {
+		if content, err = decompress(content, maxSize); err != nil {
 			return nil, read, err
 		}
 	}
--- a/internal/adapter/wire/link.go
+++ b/internal/adapter/wire/link.go
@@ -12,42 +12,42 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ErrClosed reports a connection, client or server that was closed here.
+// ErrClosed reports a connection, client or server that was closed on this side.
 var ErrClosed = errors.New("connection closed")
 
-// errQueueFull reports a send queue without room.
+// errQueueFull reports a send queue without a free slot.
 var errQueueFull = errors.New("send queue is full")
 
 const (
-	// bufferSize is that of the reader and of the writer of a connection, in bytes. Frames that
-	// are larger pass them by. A member of a fleet's control group has hundreds of connections:
-	// at 64 KB each way, 330 watchers took 42 MB.
-	bufferSize      = 16 << 10
-	maxFramesAFlush = 64
-	statusQueued    = 0
-	statusStarted   = 1
-	statusWithdrawn = 2
+	// bufferSize is the size of a connection's read and write buffers, in bytes. Larger
+	// frames bypass them. It is small because a control member may have hundreds of
+	// connections.
+	bufferSize        = 16 << 10
+	maxFramesPerFlush = 64
+	statusQueued      = 0
+	statusStarted     = 1
+	statusWithdrawn   = 2
 )
 
-// outbound is a frame on its way to the connection.
+// outbound is a frame queued for writing.
 type outbound struct {
 	item    []byte
 	status  atomic.Int32
 	flushed chan struct{}
 }
 
-// start claims the frame for writing. It fails when the frame was withdrawn.
+// start claims the frame for writing. It fails if the frame was withdrawn.
 func (o *outbound) start() bool {
 	return o.status.CompareAndSwap(statusQueued, statusStarted)
 }
 
-// withdraw takes an unwritten frame back. When it succeeds, no byte of the
-// frame was or will be written.
+// withdraw cancels an unwritten frame. If it succeeds, no byte of the frame was or
+// will be written.
 func (o *outbound) withdraw() bool {
 	return o.status.CompareAndSwap(statusQueued, statusWithdrawn)
 }
 
-// verdict withdraws the frame and says whether its request may have run.
+// verdict withdraws the frame and returns whether its request may have run.
 func (o *outbound) verdict() port.Verdict {
 	if o.withdraw() {
 		return port.NotRun
@@ -55,17 +55,17 @@
 	return port.MayHaveRun
 }
 
-// link is an established connection: a bounded queue with one writer, and a
-// reader that belongs to the client or server above it.
+// link is an established connection with a bounded send queue and one writer. Its
+// client or server runs the reader.
 type link struct {
-	netConn  net.Conn
-	reader   *bufio.Reader
-	options  Options
-	epoch    uint64
-	counters *Counters
-	packer   *packer
-	queue    chan *outbound
-	done     chan struct{}
+	netConn    net.Conn
+	reader     *bufio.Reader
+	options    Options
+	epoch      uint64
+	counters   *Counters
+	compressor *compressor
+	queue      chan *outbound
+	done       chan struct{}
 
 	mutex  sync.Mutex
 	cause  error
@@ -74,18 +74,18 @@
 
 func newLink(netConn net.Conn, reader *bufio.Reader, epoch uint64, options Options, counters *Counters) *link {
 	return &link{
-		netConn:  netConn,
-		reader:   reader,
-		options:  options,
-		epoch:    epoch,
-		counters: counters,
-		packer:   options.packer,
-		queue:    make(chan *outbound, options.SendQueue),
-		done:     make(chan struct{}),
+		netConn:    netConn,
+		reader:     reader,
+		options:    options,
+		epoch:      epoch,
+		counters:   counters,
+		compressor: options.compressor,
+		queue:      make(chan *outbound, options.SendQueue),
+		done:       make(chan struct{}),
 	}
 }
 
-// close ends the link; the first cause is kept.
+// close ends the link; the first cause is recorded.
 func (l *link) close(cause error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,7 +117,7 @@
 	return &outbound{item: item}, nil
 }
 
-// enqueue waits for room in the queue.
+// enqueue blocks until the queue has a free slot.
 func (l *link) enqueue(ctx context.Context, frame *Frame) (*outbound, error) {
 	out, err := l.encode(frame)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// tryEnqueue fails at once when the queue has no room.
+// tryEnqueue fails immediately if the queue is full.
 func (l *link) tryEnqueue(frame *Frame) error {
 	out, err := l.encode(frame)
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 }
 
-// writeLoop writes queued frames, several a flush, until the link ends.
+// writeLoop writes queued frames, several per flush, until the link ends.
 func (l *link) writeLoop() {
 	writer := bufio.NewWriterSize(l.netConn, bufferSize)
 	for {
@@ -194,10 +194,10 @@
 	return nil
 }
 
-// gather takes what else is queued, up to the size of a batch.
+// gather collects the queued frames, up to maxFramesPerFlush.
 func (l *link) gather(first *outbound) []*outbound {
 	batch := []*outbound{first}
-	for len(batch) < maxFramesAFlush {
+	for len(batch) < maxFramesPerFlush {
 		select {
 		case out := <-l.queue:
 			batch = append(batch, out)
@@ -208,7 +208,7 @@
 	return batch
 }
 
-// drain waits until everything queued so far was written.
+// drain blocks until all frames queued so far are written.
 func (l *link) drain(ctx context.Context) {
 	out := &outbound{flushed: make(chan struct{})}
 	select {
@@ -229,7 +229,7 @@
 	if len(out.item) == 0 || !out.start() {
 		return nil
 	}
-	item := l.packer.pack(out.item)
+	item := l.compressor.compressFrame(out.item)
 	if _, err := writer.Write(item); err != nil {
 		return err
 	}
--- a/internal/adapter/wire/options.go
+++ b/internal/adapter/wire/options.go
@@ -12,7 +12,7 @@
 const (
 	DefaultMaxFrameSize = 8 << 20
 	DefaultMaxStreams   = 1024
-	// DefaultMaxConnections is above the nodes that one member or node serves.
+	// DefaultMaxConnections exceeds the number of nodes that one member or node serves.
 	DefaultMaxConnections = 8192
 	DefaultWindow         = 1 << 20
 	DefaultSendQueue      = 1024
@@ -24,46 +24,45 @@
 	DefaultBackoffMax     = 2 * time.Second
 )
 
-// Options are the settings of one side of the protocol. A zero field takes its
-// default.
+// Options are the settings of one side of a connection. A zero field means its default.
 type Options struct {
 	// ClusterID must be equal on both sides of a connection.
 	ClusterID string
 	// Token is an optional secret that both sides share; a server with a token
-	// refuses clients without it.
+	// rejects clients without it.
 	Token string
-	// Name tells the peer who this process is.
+	// Name identifies this process to the peer.
 	Name string
-	// MaxFrameSize bounds one frame, in bytes.
+	// MaxFrameSize limits one frame, in bytes.
 	MaxFrameSize int
-	// MaxStreams bounds the open calls of one connection.
+	// MaxStreams limits the open calls of one connection.
 	MaxStreams int
-	// MaxConnections bounds the connections that a server has open; a further one
-	// is closed at once, so that calls over it are not run.
+	// MaxConnections limits the open connections of a server; it closes further ones
+	// immediately, so that no call runs over them.
 	MaxConnections int
-	// Window is the count of bytes a stream may hold unread, beyond which the
-	// sender waits; the last frame may run over it.
+	// Window is the number of unread bytes of a stream beyond which the sender
+	// waits; the last frame may exceed it.
 	Window int
-	// SendQueue bounds the frames that wait to be written to a connection.
+	// SendQueue limits the frames queued for writing to a connection.
 	SendQueue int
-	// DialTimeout bounds dial and handshake.
+	// DialTimeout limits dial and handshake.
 	DialTimeout time.Duration
-	// WriteTimeout bounds one write; a peer that reads nothing for so long
-	// loses the connection.
+	// WriteTimeout limits one write; a connection whose peer reads nothing for
+	// that long is closed.
 	WriteTimeout time.Duration
-	// PingInterval is how often a client makes a connection show signs of life.
+	// PingInterval is the interval between the pings of a client.
 	PingInterval time.Duration
-	// IdleTimeout is how long a connection may stay silent before it is closed.
+	// IdleTimeout is how long a connection may receive nothing before it is closed.
 	IdleTimeout time.Duration
-	// BackoffBase and BackoffMax bound the delay between dials, which is drawn
-	// evenly from zero to the current bound (full jitter).
+	// BackoffBase and BackoffMax limit the delay between dials, which is drawn
+	// uniformly between zero and the current limit (full jitter).
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// Dial opens connections; nil takes the standard TCP dialer.
+	// Dial opens connections; nil means the standard TCP dialer.
 	Dial func(address string, timeout time.Duration) (net.Conn, error)
 
-	// packer is shared by the connections of a pool or a server.
-	packer *packer
+	// compressor is shared by the connections of a pool or a server.
+	compressor *compressor
 }
 
 func withDefault[T comparable](value, fallback T) T {
@@ -94,8 +93,8 @@
 	if o.Dial == nil {
 		o.Dial = dialTCP
 	}
-	if o.packer == nil {
-		o.packer = newPacker()
+	if o.compressor == nil {
+		o.compressor = newCompressor()
 	}
 	return o
 }
@@ -109,8 +108,7 @@
 	Window    uint32 `cbor:"5,keyasint"`
 }
 
-// welcome is the server's answer to hello; the frame that carries it gives out
-// the connection's epoch.
+// welcome is the server's answer to hello; its frame assigns the connection's epoch.
 type welcome struct {
 	Version int    `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint,omitempty"`
--- a/internal/adapter/wire/pack.go
+++ b/internal/adapter/wire/pack.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// leastPacked is the size from which on a frame is compressed, in bytes.
-	leastPacked = 1 << 10
-	// packedHead goes before the byte string of a compressed frame: CBOR tag 6,
-	// which has no registered meaning.
-	packedHead = 0xc6
-	// packedShare is the most that a compressed frame may have of its former size;
-	// one that compresses worse travels as it is.
-	packedShare = 0.9
+	// minCompressedBytes is the size from which on a frame is compressed.
+	minCompressedBytes = 1 << 10
+	// compressedTag precedes the byte string of a compressed frame: CBOR tag 6,
+	// which is unassigned.
+	compressedTag = 0xc6
+	// maxCompressedRatio is the maximum ratio of compressed to original size; a frame
+	// that compresses worse is sent uncompressed.
+	maxCompressedRatio = 0.9
 )
 
-// packer compresses frames. It is safe for several goroutines.
-type packer struct {
+// compressor compresses frames. It is safe for concurrent use.
+type compressor struct {
 	writers sync.Pool
 }
 
-func newPacker() *packer {
-	return &packer{writers: sync.Pool{New: func() any {
+func newCompressor() *compressor {
+	return &compressor{writers: sync.Pool{New: func() any {
 		writer, err := flate.NewWriter(nil, flate.BestSpeed)
 		if err != nil {
 			panic(err) // the level is a constant
@@ -35,83 +35,83 @@
 	}}}
 }
 
-// compress writes content behind what a buffer holds.
-func (p *packer) compress(into *bytes.Buffer, content []byte) {
-	writer := p.writers.Get().(*flate.Writer)
-	defer p.writers.Put(writer)
+// compress appends the compressed content to a buffer.
+func (c *compressor) compress(into *bytes.Buffer, content []byte) {
+	writer := c.writers.Get().(*flate.Writer)
+	defer c.writers.Put(writer)
 	writer.Reset(into)
-	// A buffer takes all writes.
+	// Writes to a buffer do not fail.
 	_, _ = writer.Write(content)
 	_ = writer.Close()
 }
 
-// pack gives an item of the sequence compressed, or as it is if that does not pay.
-func (p *packer) pack(item []byte) []byte {
-	if len(item) < leastPacked || looksPacked(item) {
+// compressFrame returns an item of the sequence compressed, or unchanged if that saves
+// too little.
+func (c *compressor) compressFrame(item []byte) []byte {
+	if len(item) < minCompressedBytes || looksCompressed(item) {
 		return item
 	}
-	var packed bytes.Buffer
-	packed.Write(make([]byte, 1+frameHeaderSize))
-	p.compress(&packed, item[frameHeaderSize:])
-	if float64(packed.Len()) > packedShare*float64(len(item)) {
+	var compressed bytes.Buffer
+	compressed.Write(make([]byte, 1+frameHeaderSize))
+	c.compress(&compressed, item[frameHeaderSize:])
+	if float64(compressed.Len()) > maxCompressedRatio*float64(len(item)) {
 		return item
 	}
-	whole := packed.Bytes()
-	whole[0], whole[1] = packedHead, byteStringHead
-	binary.BigEndian.PutUint32(whole[2:], uint32(len(whole)-1-frameHeaderSize))
-	return whole
+	result := compressed.Bytes()
+	result[0], result[1] = compressedTag, byteStringHead
+	binary.BigEndian.PutUint32(result[2:], uint32(len(result)-1-frameHeaderSize))
+	return result
 }
 
 const (
-	// sampleBytes is how much of a frame is looked at to tell whether it is compressed
-	// already, and sampleMost how often the most frequent byte stands there at most then: of
-	// 256 even ones it is 5 on average, of text and numbers 15 and more.
-	sampleBytes = 256
-	sampleMost  = 8
+	// sampleBytes is how much of a frame is sampled to detect compressed content, whose
+	// byte values are nearly uniform: none occurs more than maxSampleRepeats times.
+	sampleBytes      = 256
+	maxSampleRepeats = 8
 )
 
-// looksPacked reports whether a frame holds what is compressed already, a state that is packed
-// once for many receivers above all.
-func looksPacked(item []byte) bool {
+// looksCompressed reports whether a frame's content is compressed already, such as a
+// state that is compressed once for many receivers.
+func looksCompressed(item []byte) bool {
 	if len(item) < 2*sampleBytes {
 		return false
 	}
 	var counts [256]int
 	for _, b := range item[len(item)/2:][:sampleBytes] {
-		if counts[b]++; counts[b] > sampleMost {
+		if counts[b]++; counts[b] > maxSampleRepeats {
 			return false
 		}
 	}
 	return true
 }
 
-// sharedPacker compresses messages that are made once for many receivers.
-var sharedPacker = newPacker()
+// sharedCompressor compresses messages that are encoded once for many receivers.
+var sharedCompressor = newCompressor()
 
-// MarshalPacked gives a message encoded and compressed, to be a part of messages to many
-// receivers.
+// MarshalPacked encodes and compresses a message that is sent to many receivers as a
+// part of other messages.
 func MarshalPacked(message any) ([]byte, error) {
 	encoded, err := Marshal(message)
 	if err != nil {
 		return nil, err
 	}
-	var packed bytes.Buffer
-	sharedPacker.compress(&packed, encoded)
-	return packed.Bytes(), nil
+	var compressed bytes.Buffer
+	sharedCompressor.compress(&compressed, encoded)
+	return compressed.Bytes(), nil
 }
 
-// UnmarshalPacked decodes what MarshalPacked gave, of at most so many bytes.
-func UnmarshalPacked(packed []byte, maxSize int, message any) error {
-	encoded, err := unpack(packed, maxSize)
+// UnmarshalPacked decodes the result of MarshalPacked, of at most maxSize encoded bytes.
+func UnmarshalPacked(compressed []byte, maxSize int, message any) error {
+	encoded, err := decompress(compressed, maxSize)
 	if err != nil {
 		return err
 	}
 	return Unmarshal(encoded, message)
 }
 
-// unpack gives the content of a compressed frame, of at most so many bytes.
-func unpack(packed []byte, maxSize int) ([]byte, error) {
-	reader := flate.NewReader(bytes.NewReader(packed))
+// decompress returns the content of a compressed frame, of at most maxSize bytes.
+func decompress(compressed []byte, maxSize int) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(compressed))
 	defer func() { _ = reader.Close() }()
 	content, err := io.ReadAll(io.LimitReader(reader, int64(maxSize)+1))
 	if err != nil {
--- a/internal/adapter/wire/pack_test.go
+++ b/internal/adapter/wire/pack_test.go
@@ -14,8 +14,8 @@
 	_, _ = random.Read(noise)
 	text := []byte(strings.Repeat("a sea-state bulletin, and another one; ", 400))
 	for name, row := range map[string]struct {
-		body   []byte
-		packed bool
+		body       []byte
+		compressed bool
 	}{
 		"text":  {text, true},
 		"noise": {noise, false},
@@ -26,8 +26,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent := newPacker().pack(item)
-		if packed := len(sent) < len(item); packed != row.packed {
+		sent := newCompressor().compressFrame(item)
+		if compressed := len(sent) < len(item); compressed != row.compressed {
 			t.Errorf("%s: %d of %d bytes", name, len(sent), len(item))
 		}
 		frame, size, err := readFrame(bytes.NewReader(append(sent, "the next one"...)), DefaultMaxFrameSize)
@@ -43,22 +43,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed := newPacker().pack(item)
-	if len(packed) > limit {
-		t.Fatalf("%d bytes", len(packed))
+	compressed := newCompressor().compressFrame(item)
+	if len(compressed) > limit {
+		t.Fatalf("%d bytes", len(compressed))
 	}
-	if _, _, err := readFrame(bytes.NewReader(packed), limit); !errors.Is(err, ErrFrameTooLarge) {
-		t.Errorf("a frame that unpacks to more than allowed: %v", err)
+	if _, _, err := readFrame(bytes.NewReader(compressed), limit); !errors.Is(err, ErrFrameTooLarge) {
+		t.Errorf("frame above the size limit after decompression: %v", err)
 	}
-	broken := bytes.Clone(packed)
+	broken := bytes.Clone(compressed)
 	broken[len(broken)-1] ^= 0xff
 	broken[len(broken)/2] ^= 0xff
 	if _, _, err := readFrame(bytes.NewReader(broken), DefaultMaxFrameSize); err == nil {
-		t.Error("a damaged frame is taken")
+		t.Error("damaged frame accepted")
 	}
-	for length := range packed {
-		if _, _, err := readFrame(bytes.NewReader(packed[:length]), DefaultMaxFrameSize); err == nil {
-			t.Fatalf("a frame cut at %d of %d bytes is taken", length, len(packed))
+	for length := range compressed {
+		if _, _, err := readFrame(bytes.NewReader(compressed[:length]), DefaultMaxFrameSize); err == nil {
+			t.Fatalf("frame truncated at %d of %d bytes accepted", length, len(compressed))
 		}
 	}
 }
--- a/internal/adapter/wire/pool.go
+++ b/internal/adapter/wire/pool.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// Pool keeps one Client for each address. It is safe for concurrent use.
+// Pool holds one Client for each address. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	mutex   sync.Mutex
 	clients map[string]*Client
 }
 
-// NewPool makes an empty pool whose clients have the options.
+// NewPool returns an empty pool whose clients have the options.
 func NewPool(options Options) *Pool {
 	return &Pool{options: options, clients: make(map[string]*Client)}
 }
 
-// Client gives the client of an address.
+// Client returns the client of an address and creates it on first use.
 func (p *Pool) Client(address string) *Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -26,7 +26,7 @@
 	return client
 }
 
-// Keep closes and forgets the clients of all addresses that are not used.
+// Keep closes and removes the clients of all unused addresses.
 func (p *Pool) Keep(used func(address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/adapter/wire/pool_test.go
+++ b/internal/adapter/wire/pool_test.go
@@ -18,6 +18,6 @@
 	}
 	pool.Close()
 	if pool.Client("127.0.0.1:2") == second {
-		t.Error("a closed client is given out")
+		t.Error("closed client returned")
 	}
 }
--- a/internal/adapter/wire/server.go
+++ b/internal/adapter/wire/server.go
@@ -16,13 +16,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Handler serves one call. What it sends through the call reaches the caller
-// in order; returning nil ends the answer, returning an error makes the whole
-// answer an error. An error that is no *Error counts as MayHaveRun.
+// Handler serves one call. The caller receives what it sends through the call in order.
+// A nil result completes the answer, an error fails the whole answer. An error that is
+// no *port.Error counts as MayHaveRun.
 type Handler func(ctx context.Context, call *Call) error
 
-// MessageHandler takes a one-way message. Messages of one connection come in
-// order, one at a time; a slow handler costs messages, which are counted.
+// MessageHandler handles a one-way message. Messages of one connection are handled in
+// order, one at a time; those that overflow the queue are dropped and counted.
 type MessageHandler func(ctx context.Context, call *Call)
 
 // Server answers calls. Handlers are registered before Serve.
@@ -38,10 +38,10 @@
 	listeners map[net.Listener]struct{}
 	links     map[*serverLink]struct{}
 	calls     sync.WaitGroup
-	// loops serve connections; none is added once closed is set.
+	// loops tracks connection goroutines; none is added once closed is set.
 	loops sync.WaitGroup
-	// open counts connections, those in the handshake too.
-	open atomic.Int64
+	// openConns counts connections, including those in the handshake.
+	openConns atomic.Int64
 }
 
 // NewServer returns a server without handlers.
@@ -76,43 +76,43 @@
 		switch {
 		case err == nil:
 			failures = 0
-			s.begin(netConn)
+			s.startConn(netConn)
 		case s.isClosed() || errors.Is(err, net.ErrClosed):
 			return nil
-		case !isPassing(err):
+		case !isTemporary(err):
 			return eris.Wrap(err, "accept")
 		default:
 			failures++
-			time.Sleep(acceptPause(failures))
+			time.Sleep(acceptBackoff(failures))
 		}
 	}
 }
 
-// isPassing tells errors of accepting that pass, such as too many open files or
-// a connection that was reset before it was accepted, from a broken listener.
-func isPassing(err error) bool {
-	passing := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EINTR, syscall.EAGAIN}
-	return slices.ContainsFunc(passing, func(known error) bool { return errors.Is(err, known) })
+// isTemporary distinguishes temporary accept errors, such as too many open files or a
+// connection that was reset before it was accepted, from a broken listener.
+func isTemporary(err error) bool {
+	temporary := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EINTR, syscall.EAGAIN}
+	return slices.ContainsFunc(temporary, func(known error) bool { return errors.Is(err, known) })
 }
 
-// acceptPause lets a shortage pass before the next try.
-func acceptPause(failures int) time.Duration {
-	const base, longest, maxShift = 5 * time.Millisecond, time.Second, 8
-	return min(base<<min(failures-1, maxShift), longest)
+// acceptBackoff returns the delay before the next accept.
+func acceptBackoff(failures int) time.Duration {
+	const base, maxDelay, maxShift = 5 * time.Millisecond, time.Second, 8
+	return min(base<<min(failures-1, maxShift), maxDelay)
 }
 
-// begin serves a connection in the background; one beyond the bound, or that was
-// accepted while the server closed, is closed.
-func (s *Server) begin(netConn net.Conn) {
+// startConn serves a connection in the background. It closes one beyond the limit, or
+// accepted while the server closes.
+func (s *Server) startConn(netConn net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.closed || s.open.Load() >= int64(s.options.MaxConnections) {
+	if s.closed || s.openConns.Load() >= int64(s.options.MaxConnections) {
 		_ = netConn.Close()
 		return
 	}
-	s.open.Add(1)
+	s.openConns.Add(1)
 	s.loops.Go(func() {
-		defer s.open.Add(-1)
+		defer s.openConns.Add(-1)
 		s.serveConn(netConn)
 	})
 }
@@ -133,8 +133,8 @@
 	return s.closed
 }
 
-// Shutdown refuses new calls as NotRun, waits for those in flight or the end
-// of the context, and closes.
+// Shutdown rejects new calls as NotRun, waits for calls in flight or until the context
+// ends, and closes the server.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.mutex.Lock()
 	s.draining = true
@@ -164,7 +164,7 @@
 	return links
 }
 
-// Close ends every connection and cancels the contexts of their handlers.
+// Close closes all connections and cancels the contexts of their handlers.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -195,8 +195,8 @@
 	delete(s.links, connection)
 }
 
-// beginCall counts a call in, unless the server drains.
-func (s *Server) beginCall() bool {
+// addCall counts a call in flight unless the server is draining.
+func (s *Server) addCall() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.draining {
@@ -206,7 +206,7 @@
 	return true
 }
 
-// checkHello returns the refusal of a greeting, nil when it is accepted.
+// checkHello returns the refusal of a hello, nil if it is accepted.
 func (s *Server) checkHello(greeting hello) *port.Error {
 	if greeting.Version != ProtocolVersion {
 		return port.NewError(port.NotRun, CodeProtocol, "protocol version %d, want %d", greeting.Version, ProtocolVersion)
--- a/internal/adapter/wire/serverlink.go
+++ b/internal/adapter/wire/serverlink.go
@@ -12,14 +12,13 @@
 )
 
 const (
-	// maxHandshakeSize bounds the frames before a connection is accepted.
+	// maxHandshakeSize limits a handshake frame, in bytes.
 	maxHandshakeSize = 4096
-	// oneWayQueue bounds the one-way messages of a connection that wait for
-	// their handler.
+	// oneWayQueue limits the queued one-way messages of a connection.
 	oneWayQueue = 1024
 )
 
-// serverLink is the answering side of one connection.
+// serverLink is the server side of one connection.
 type serverLink struct {
 	server  *Server
 	link    *link
@@ -34,7 +33,7 @@
 	calls  map[uint64]*Call
 }
 
-// serveConn runs one connection to its end.
+// serveConn serves one connection until it closes.
 func (s *Server) serveConn(netConn net.Conn) {
 	connection, err := s.accept(netConn)
 	if err != nil {
@@ -55,7 +54,7 @@
 	loops.Wait()
 }
 
-// accept runs the handshake.
+// accept performs the handshake.
 func (s *Server) accept(netConn net.Conn) (*serverLink, error) {
 	if err := netConn.SetDeadline(time.Now().Add(s.options.DialTimeout)); err != nil {
 		return nil, err
@@ -67,7 +66,7 @@
 		return nil, err
 	}
 	counters.read(size)
-	greeting, err := s.greet(frame)
+	greeting, err := s.decodeHello(frame)
 	if err != nil {
 		_ = writeHandshake(netConn, KindError, 0, toError(err), counters)
 		return nil, err
@@ -94,7 +93,7 @@
 	}, nil
 }
 
-func (s *Server) greet(frame *Frame) (hello, error) {
+func (s *Server) decodeHello(frame *Frame) (hello, error) {
 	var greeting hello
 	if frame.Kind != KindHello {
 		return greeting, port.NewError(port.NotRun, CodeProtocol, "frame of kind %d before hello", frame.Kind)
@@ -108,7 +107,7 @@
 	return greeting, nil
 }
 
-// writeHandshake writes one frame directly, before the writer runs.
+// writeHandshake writes one frame directly, before the writer starts.
 func writeHandshake(netConn net.Conn, kind Kind, epoch uint64, message any, counters *Counters) error {
 	body, err := Marshal(message)
 	if err != nil {
@@ -136,11 +135,11 @@
 	}
 }
 
-// dispatch acts on one frame. An error ends the connection.
+// dispatch handles one frame. An error closes the connection.
 func (c *serverLink) dispatch(frame *Frame) error {
 	switch frame.Kind {
 	case KindCall:
-		return c.begin(frame)
+		return c.startCall(frame)
 	case KindOneWay:
 		c.queueMessage(frame)
 		return nil
@@ -167,9 +166,9 @@
 	return c.calls[id]
 }
 
-// begin starts a call's handler, or refuses the call as not run. An id that
-// does not rise is a repeated call, which ends the connection.
-func (c *serverLink) begin(frame *Frame) error {
+// startCall starts a call's handler or rejects the call as not run. An id that does not
+// increase is a repeated call, which closes the connection.
+func (c *serverLink) startCall(frame *Frame) error {
 	c.mutex.Lock()
 	repeated := frame.Stream <= c.lastID
 	overloaded := len(c.calls) >= c.link.options.MaxStreams
@@ -183,18 +182,18 @@
 	handler := c.server.handlers[frame.Method]
 	switch {
 	case handler == nil:
-		return c.refuse(frame.Stream, port.NewError(port.NotRun, port.CodeNotFound, "no method %q", frame.Method))
+		return c.sendErrorFrame(frame.Stream, port.NewError(port.NotRun, port.CodeNotFound, "no method %q", frame.Method))
 	case overloaded:
-		return c.refuse(frame.Stream, port.NewError(port.NotRun, port.CodeQueueFull, "more than %d calls on this connection", c.link.options.MaxStreams))
-	case !c.server.beginCall():
-		return c.refuse(frame.Stream, port.NewError(port.NotRun, port.CodeUnavailable, "the server is stopping"))
+		return c.sendErrorFrame(frame.Stream, port.NewError(port.NotRun, port.CodeQueueFull, "more than %d calls on this connection", c.link.options.MaxStreams))
+	case !c.server.addCall():
+		return c.sendErrorFrame(frame.Stream, port.NewError(port.NotRun, port.CodeUnavailable, "the server is stopping"))
 	}
 	call := c.register(frame)
 	go c.run(call, handler)
 	return nil
 }
 
-func (c *serverLink) refuse(id uint64, refusal *port.Error) error {
+func (c *serverLink) sendErrorFrame(id uint64, refusal *port.Error) error {
 	body, err := Marshal(refusal)
 	if err != nil {
 		return err
@@ -222,9 +221,8 @@
 	return call
 }
 
-// callContext gives the context of a call; 0 means that it has no deadline. Nothing
-// of it may stay at the connection's context once it is cancelled: that one lives
-// for as long as the two processes do.
+// callContext returns the context of a call; deadline 0 means none. Canceling it must
+// remove it from the connection's context, which may live as long as the processes.
 func callContext(connection context.Context, deadline time.Duration) (context.Context, context.CancelFunc) {
 	if deadline > 0 {
 		return context.WithTimeout(connection, deadline)
@@ -240,7 +238,7 @@
 	delete(c.calls, call.id)
 	c.mutex.Unlock()
 	if err != nil {
-		_ = c.refuse(call.id, toError(err))
+		_ = c.sendErrorFrame(call.id, toError(err))
 		return
 	}
 	_, _ = c.link.enqueue(c.context, &Frame{Kind: KindEnd, Stream: call.id, Sequence: call.sent})
--- a/internal/adapter/wire/wire_test.go
+++ b/internal/adapter/wire/wire_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestSlowStreamHoldsUpNoOther fills the window of a stream nobody reads.
+// A stream with a full window must not block other calls.
 func TestSlowStreamHoldsUpNoOther(t *testing.T) {
 	const count, size = 100, 1000
 	options := testOptions()
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestShutdownFinishesWhatIsInFlight stops a server with a call running.
+// Shutdown waits for calls in flight and rejects new ones.
 func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	server, address := startServer(t, testOptions(), func(s *Server) {
@@ -230,7 +230,7 @@
 	ctx := testContext(t)
 	for client.Call(ctx, "echo", echo{}, nil) != nil {
 		if ctx.Err() != nil {
-			t.Fatal("never connected again")
+			t.Fatal("never reconnected")
 		}
 		time.Sleep(time.Millisecond)
 	}
