--- a/internal/adapter/peerapi/node.go
+++ b/internal/adapter/peerapi/node.go
@@ -22,24 +22,24 @@
 	MethodOutcomes = "node.outcomes"
 )
 
-// GenerateCall asks a node to generate on a replica that it is the home of, or,
-// without a replica, on one of its zone.
+// GenerateCall requests a generation on a replica of which the callee is the home node
+// or, without a replica, on one of the callee's zone.
 type GenerateCall struct {
 	Request port.GenerateRequest `cbor:"1,keyasint"`
-	// TenantShare is the share of a queue's places that the tenant may take.
+	// TenantShare is the share of a queue's slots that the tenant may use.
 	TenantShare float64          `cbor:"2,keyasint,omitempty"`
 	Attempt     int              `cbor:"3,keyasint"`
 	Exclude     []port.ReplicaID `cbor:"4,keyasint,omitempty"`
 	Avoid       port.ReplicaID   `cbor:"5,keyasint,omitempty"`
 }
 
-// GenerateEvent is one step of a generation: exactly one field is set.
+// GenerateEvent is one step of a generation; exactly one field is set.
 type GenerateEvent struct {
 	Decision *port.Decision      `cbor:"1,keyasint,omitempty"`
 	Chunk    *port.GenerateChunk `cbor:"2,keyasint,omitempty"`
 }
 
-// OrderCall asks a replica's home to pass on a fenced order.
+// OrderCall requests that a replica's home node forwards a fenced order to it.
 type OrderCall struct {
 	Replica port.ReplicaID `cbor:"1,keyasint"`
 	Order   port.Order     `cbor:"2,keyasint"`
