--- a/internal/adapter/ringlog/ring_test.go
+++ b/internal/adapter/ringlog/ring_test.go
@@ -49,6 +49,6 @@
 	ring := ringlog.New(2, &out)
 	ring.Logger().Error().Msg(strings.Repeat("x", 1<<16))
 	if out.Len() > 8192 {
-		t.Fatalf("%d bytes written, want a cut line", out.Len())
+		t.Fatalf("%d bytes written, want a truncated line", out.Len())
 	}
 }
