--- a/internal/adapter/eventlog/eventlog.go
+++ b/internal/adapter/eventlog/eventlog.go
@@ -1,8 +1,8 @@
-// Package eventlog writes structured log lines, one JSON object a line, without
-// ever holding up who logs: lines pass through a bounded queue to one writer.
-// What finds no room, or exceeds the rate of ordinary lines, is left out and
-// counted, and a line says how many were. Warnings and errors have a queue of
-// their own, so that refusals and failures go before the ordinary.
+// Package eventlog writes structured log lines, one JSON object per line, without
+// blocking the caller: lines pass through a bounded queue to one writer. Lines that
+// overflow the queue, or exceed the rate of ordinary lines, are dropped and counted,
+// and a log line reports the count. Warnings and errors have a queue of their own
+// with priority over ordinary lines.
 package eventlog
 
 import (
@@ -14,33 +14,33 @@
 )
 
 const (
-	queueLines = 1024
-	// ordinaryPerSecond bounds lines below the level of a warning.
-	ordinaryPerSecond = 250
-	// maxLineBytes bounds one line; a longer one is cut.
-	maxLineBytes = 4096
-	reportEvery  = 5 * time.Second
+	queueCapacity = 1024
+	// maxOrdinaryPerSecond limits lines below level warning.
+	maxOrdinaryPerSecond = 250
+	// maxLineBytes limits one line; a longer one is truncated.
+	maxLineBytes   = 4096
+	reportInterval = 5 * time.Second
 )
 
-// Writer is a log.Writer. It is safe for several goroutines.
+// Writer is a log.Writer. It is safe for concurrent use.
 type Writer struct {
 	urgent   chan []byte
 	ordinary chan []byte
 	dropped  atomic.Uint64
-	// second, counted from began, and count bound the rate of ordinary lines.
-	began  time.Time
-	second atomic.Int64
-	count  atomic.Int64
+	// second, counted from startedAt, and count limit the rate of ordinary lines.
+	startedAt time.Time
+	second    atomic.Int64
+	count     atomic.Int64
 }
 
-// New makes a writer to out and starts its goroutine.
+// New returns a writer to out and starts its goroutine.
 func New(out io.Writer) *Writer {
-	writer := &Writer{began: time.Now(), urgent: make(chan []byte, queueLines), ordinary: make(chan []byte, queueLines)}
+	writer := &Writer{startedAt: time.Now(), urgent: make(chan []byte, queueCapacity), ordinary: make(chan []byte, queueCapacity)}
 	go writer.run(out)
 	return writer
 }
 
-// Logger makes a logger of a process, by its name in every line.
+// Logger returns a logger that adds the name of the process to every line.
 func (w *Writer) Logger(process string) *log.Logger {
 	return &log.Logger{
 		Level: log.InfoLevel, Writer: w, TimeField: "time", TimeFormat: log.TimeFormatUnixMs,
@@ -48,8 +48,8 @@
 	}
 }
 
-// Important gives a logger whose lines are not left out under load, whatever their
-// level: for what there is little of and nobody can do without.
+// Important returns a logger whose lines, whatever their level, have the priority of
+// warnings, for rare lines that must not be dropped under load.
 func Important(logger *log.Logger) *log.Logger {
 	writer, ours := logger.Writer.(*Writer)
 	if !ours {
@@ -67,7 +67,7 @@
 	return i.writer.enqueue(i.writer.urgent, entry.Value())
 }
 
-// Dropped gives the number of lines that were left out.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
 // WriteEntry implements log.Writer.
@@ -84,7 +84,7 @@
 	return w.enqueue(queue, formatted)
 }
 
-// enqueue hands a line to the writer's goroutine, if the queue has room.
+// enqueue passes a line to the writer's goroutine, or drops it if the queue is full.
 func (w *Writer) enqueue(queue chan []byte, formatted []byte) (int, error) {
 	line := append([]byte(nil), formatted[:min(len(formatted), maxLineBytes)]...)
 	select {
@@ -96,11 +96,11 @@
 }
 
 func (w *Writer) withinRate() bool {
-	now := int64(time.Since(w.began) / time.Second)
+	now := int64(time.Since(w.startedAt) / time.Second)
 	if w.second.Swap(now) != now {
 		w.count.Store(0)
 	}
-	return w.count.Add(1) <= ordinaryPerSecond
+	return w.count.Add(1) <= maxOrdinaryPerSecond
 }
 
 func (w *Writer) run(out io.Writer) {
@@ -108,15 +108,15 @@
 	reportedAt := time.Now()
 	for {
 		_, _ = out.Write(w.next())
-		if dropped := w.dropped.Load(); dropped != reported && time.Since(reportedAt) > reportEvery {
+		if dropped := w.dropped.Load(); dropped != reported && time.Since(reportedAt) > reportInterval {
 			entry := log.Logger{Writer: log.IOWriter{Writer: out}}
-			entry.Warn().Str(Field, LogDropped).Uint64("lines", dropped-reported).Msg("log lines were left out")
+			entry.Warn().Str(Field, LogDropped).Uint64("lines", dropped-reported).Msg("log lines were dropped")
 			reported, reportedAt = dropped, time.Now()
 		}
 	}
 }
 
-// next gives an urgent line if there is one.
+// next returns the next line, an urgent one first.
 func (w *Writer) next() []byte {
 	select {
 	case line := <-w.urgent:
--- a/internal/adapter/eventlog/eventlog_test.go
+++ b/internal/adapter/eventlog/eventlog_test.go
@@ -16,8 +16,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestTheCatalogueIsThatOfThePage: every event that is declared is described, and
-// the page shows the same words.
+// Every declared event is described, with the same words on the page.
 func TestTheCatalogueIsThatOfThePage(t *testing.T) {
 	described := map[string]string{}
 	for _, event := range eventlog.Catalogue {
@@ -58,7 +57,7 @@
 	}
 }
 
-// TestAStuckOutputHoldsNobodyUp: the pipe is full and nobody reads it.
+// A full pipe without a reader must not block the loggers.
 func TestAStuckOutputHoldsNobodyUp(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -72,12 +71,11 @@
 		logger.Warn().Str(eventlog.Field, eventlog.RequestFailed).Msg(text)
 	}
 	if lines.Dropped() == 0 {
-		t.Error("nothing was left out although nobody reads")
+		t.Error("no line was dropped although nobody reads")
 	}
 }
 
-// TestOrdinaryLinesAreBoundedAndCounted: however many there are, only so many a
-// second are written, and the rest is counted.
+// Ordinary lines above the rate limit are dropped and counted.
 func TestOrdinaryLinesAreBoundedAndCounted(t *testing.T) {
 	lines := eventlog.New(io.Discard)
 	logger := lines.Logger("p")
@@ -86,7 +84,7 @@
 		logger.Info().Str(eventlog.Field, eventlog.RequestCarried).Msg("m")
 	}
 	if dropped := lines.Dropped(); dropped < count/2 || dropped >= count {
-		t.Errorf("%d of %d lines left out", dropped, count)
+		t.Errorf("%d of %d lines dropped", dropped, count)
 	}
 }
 
@@ -98,7 +96,7 @@
 	}
 }
 
-// TestImportantLinesAreNotLeftOut: however many ordinary ones there are.
+// Important lines are written even if many ordinary lines are dropped.
 func TestImportantLinesAreNotLeftOut(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -124,7 +122,7 @@
 		t.Errorf("%d of %d important lines", seen, important)
 	}
 	if lines.Dropped() == 0 {
-		t.Error("no ordinary line was left out, so nothing is shown")
+		t.Error("no ordinary line was dropped, so the test proves nothing")
 	}
 	_ = reader.Close()
 }
--- a/internal/adapter/eventlog/events.go
+++ b/internal/adapter/eventlog/events.go
@@ -3,10 +3,10 @@
 // Field is the name of the field that holds the Event.
 const Field = "event"
 
-// Event names what a log line tells of. It stands in the line's field "event".
+// Event is the type of a log line, in the line's field "event".
 type Event = string
 
-// The events, with what each tells in Catalogue.
+// The events. Catalogue describes each.
 const (
 	ProcessStarted          Event = "process.started"
 	ProcessSuspended        Event = "process.suspended"
@@ -72,14 +72,13 @@
 	UsageReported           Event = "usage.reported"
 )
 
-// Description is an event with what it tells, in words that need no knowledge of
-// the program.
+// Description is an event and its meaning, for readers without knowledge of the code.
 type Description struct {
 	Event   Event
 	Meaning string
 }
 
-// Catalogue describes every event; docs/operators/log-lines.md shows the same.
+// Catalogue describes every event; docs/operators/log-lines.md has the same words.
 var Catalogue = []Description{
 	{ProcessStarted, "a process starts; its settings file and seeds"},
 	{ProcessSuspended, "the machine was suspended, and for how long; what the process believed before is confirmed anew"},
