--- a/internal/adapter/eventstream/eventstream.go
+++ b/internal/adapter/eventstream/eventstream.go
@@ -1,6 +1,6 @@
 // Package eventstream reads a text/event-stream (WHATWG HTML, section 9.2) of
-// events with an id and data. An event that was begun and not ended by an empty
-// line is not given.
+// events with an id and data. An event that no empty line terminates is
+// discarded.
 package eventstream
 
 import (
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// ErrTooLong reports a line beyond the bound.
+// ErrTooLong reports a line above the size limit.
 var ErrTooLong = errors.New("eventstream: line too long")
 
-// maxLineBytes bounds one line.
+// maxLineBytes limits one line.
 const maxLineBytes = 1 << 20
 
-// Event is one event.
+// Event is one event of the stream.
 type Event struct {
 	ID   string
 	Data string
@@ -25,30 +25,30 @@
 	Version uint64
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	scanner *bufio.Scanner
 	// versionField is the name of the field that carries a version.
 	versionField string
 }
 
-// NewReader reads from source; versionField names the field of a version.
+// NewReader returns a reader of source; versionField names the field of a version.
 func NewReader(source io.Reader, versionField string) *Reader {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	return &Reader{scanner: scanner, versionField: strings.ToLower(versionField)}
 }
 
-// Next gives the next event. It gives io.EOF at a proper end, and
-// io.ErrUnexpectedEOF if the source ended within an event.
+// Next returns the next event. It returns io.EOF if the source ended between events,
+// and io.ErrUnexpectedEOF if it ended within one.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	var data []string
-	begun := false
+	started := false
 	for r.scanner.Scan() {
 		line := strings.TrimSuffix(r.scanner.Text(), "\r")
 		if line == "" {
-			if !begun {
+			if !started {
 				continue
 			}
 			event.Data = strings.Join(data, "\n")
@@ -57,7 +57,7 @@
 		if strings.HasPrefix(line, ":") {
 			continue
 		}
-		begun = true
+		started = true
 		name, value, _ := strings.Cut(line, ":")
 		value = strings.TrimPrefix(value, " ")
 		switch name {
@@ -75,7 +75,7 @@
 		}
 		return Event{}, err
 	}
-	if begun {
+	if started {
 		return Event{}, io.ErrUnexpectedEOF
 	}
 	return Event{}, io.EOF
--- a/internal/adapter/eventstream/eventstream_test.go
+++ b/internal/adapter/eventstream/eventstream_test.go
@@ -15,15 +15,15 @@
 		want []eventstream.Event
 		end  error
 	}{
-		"plain":             {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []eventstream.Event{{ID: "1", Data: "a"}, {ID: "2", Data: "b"}}, io.EOF},
-		"version":           {"x-version: 7\nid: 1\ndata: a\n\n", []eventstream.Event{{ID: "1", Data: "a", Version: 7}}, io.EOF},
-		"carriage returns":  {"id:1\r\ndata:a\r\n\r\n", []eventstream.Event{{ID: "1", Data: "a"}}, io.EOF},
-		"lines of data":     {"data: a\ndata: b\n\n", []eventstream.Event{{Data: "a\nb"}}, io.EOF},
-		"comment":           {": hello\n\nid: 1\ndata: a\n\n", []eventstream.Event{{ID: "1", Data: "a"}}, io.EOF},
-		"cut in an event":   {"id: 1\ndata: a\n\nid: 2\ndata: b\n", []eventstream.Event{{ID: "1", Data: "a"}}, io.ErrUnexpectedEOF},
-		"cut within a line": {"id: 1\ndata: a\n\nid: 2\nda", []eventstream.Event{{ID: "1", Data: "a"}}, io.ErrUnexpectedEOF},
-		"empty":             {"", nil, io.EOF},
-		"data with colon":   {"id: 1\ndata: a: b\n\n", []eventstream.Event{{ID: "1", Data: "a: b"}}, io.EOF},
+		"plain":            {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []eventstream.Event{{ID: "1", Data: "a"}, {ID: "2", Data: "b"}}, io.EOF},
+		"version":          {"x-version: 7\nid: 1\ndata: a\n\n", []eventstream.Event{{ID: "1", Data: "a", Version: 7}}, io.EOF},
+		"carriage returns": {"id:1\r\ndata:a\r\n\r\n", []eventstream.Event{{ID: "1", Data: "a"}}, io.EOF},
+		"lines of data":    {"data: a\ndata: b\n\n", []eventstream.Event{{Data: "a\nb"}}, io.EOF},
+		"comment":          {": hello\n\nid: 1\ndata: a\n\n", []eventstream.Event{{ID: "1", Data: "a"}}, io.EOF},
+		"truncated event":  {"id: 1\ndata: a\n\nid: 2\ndata: b\n", []eventstream.Event{{ID: "1", Data: "a"}}, io.ErrUnexpectedEOF},
+		"truncated line":   {"id: 1\ndata: a\n\nid: 2\nda", []eventstream.Event{{ID: "1", Data: "a"}}, io.ErrUnexpectedEOF},
+		"empty":            {"", nil, io.EOF},
+		"data with colon":  {"id: 1\ndata: a: b\n\n", []eventstream.Event{{ID: "1", Data: "a: b"}}, io.EOF},
 	} {
 		reader := eventstream.NewReader(strings.NewReader(row.text), "X-Version")
 		for i := 0; ; i++ {
