--- a/internal/adapter/tcpsocket/tcpsocket.go
+++ b/internal/adapter/tcpsocket/tcpsocket.go
@@ -1,5 +1,5 @@
-// Package tcpsocket sets the options of TCP sockets that the net package has no
-// call for.
+// Package tcpsocket sets TCP socket options that the net package does not
+// support.
 package tcpsocket
 
 import (
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux (tcp(7)), which package syscall
-// does not name.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT (tcp(7)), which package syscall does
+// not define.
 const tcpUserTimeout = 0x12
 
-// UserTimeout gives a Control function for net.Dialer and net.ListenConfig. It
-// makes a connection fail once sent bytes are not acknowledged for the timeout:
-// a peer that is cut off shows no sooner otherwise. A socket that takes no such
-// option goes on without.
+// UserTimeout returns a Control function for net.Dialer and net.ListenConfig. It
+// makes a connection fail once sent bytes are unacknowledged for the timeout, which
+// detects an unreachable peer early. A socket without such an option is used as it is.
 func UserTimeout(timeout time.Duration) func(network, address string, socket syscall.RawConn) error {
 	return func(_, _ string, socket syscall.RawConn) error {
 		return socket.Control(func(descriptor uintptr) {
@@ -25,17 +24,17 @@
 	}
 }
 
-// Listen listens on a TCP address with the option set.
+// Listen listens on a TCP address with the user timeout set.
 func Listen(ctx context.Context, address string, timeout time.Duration) (net.Listener, error) {
 	config := net.ListenConfig{Control: UserTimeout(timeout)}
 	return config.Listen(ctx, "tcp", address)
 }
 
-// Dial gives a dial function for connections between own processes, from the IP
-// number source if it is not empty.
-func Dial(silence time.Duration, source string) func(address string, timeout time.Duration) (net.Conn, error) {
+// Dial returns a dial function for connections between the service's processes, from
+// the source IP address unless that is empty.
+func Dial(userTimeout time.Duration, source string) func(address string, timeout time.Duration) (net.Conn, error) {
 	return func(address string, timeout time.Duration) (net.Conn, error) {
-		dialer := net.Dialer{Timeout: timeout, Control: UserTimeout(silence)}
+		dialer := net.Dialer{Timeout: timeout, Control: UserTimeout(userTimeout)}
 		if ip := net.ParseIP(source); ip != nil {
 			dialer.LocalAddr = &net.TCPAddr{IP: ip}
 		}
