--- a/internal/adapter/boottime/boottime.go
+++ b/internal/adapter/boottime/boottime.go
@@ -1,15 +1,15 @@
-// Package boottime reads a clock that also counts the time for which the machine was
-// suspended. The steady clock behind time.Now stands still then on Linux, so that a process
-// that wakes up believes that no time has passed.
+// Package boottime reads a clock that includes the time for which the machine was
+// suspended. On Linux the monotonic clock behind time.Now stops during suspension, so a
+// resumed process would believe that no time has passed.
 package boottime
 
 import "time"
 
-// Clock gives the time since some fixed moment before the process started. It never goes
-// back, does not follow changes of the time of day, and counts suspended time.
+// Clock returns the time since a fixed moment before the process started. It is
+// monotonic, independent of the wall clock, and includes suspended time.
 type Clock func() time.Duration
 
-// OrSystem gives the clock, or that of the machine if it is nil.
+// OrSystem returns the clock, or the system's if it is nil.
 func (c Clock) OrSystem() Clock {
 	if c == nil {
 		return Now
@@ -17,8 +17,8 @@
 	return c
 }
 
-// start is what the steady clock is counted from where there is no other.
+// start is the origin of the monotonic clock.
 var start = time.Now()
 
-// steady is the steady clock, which stands still in suspension.
-func steady() time.Duration { return time.Since(start) }
+// monotonic returns the monotonic clock's time, which excludes suspension.
+func monotonic() time.Duration { return time.Since(start) }
--- a/internal/adapter/boottime/boottime_test.go
+++ b/internal/adapter/boottime/boottime_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-// TestAWatchCountsSuspensions: each jump of the clock is told once, with its length; small
-// ones, which may be time between two readings, are not.
+// Each jump of the clock is reported once, with its length; small differences, which may
+// be time between two readings, are not.
 func TestAWatchCountsSuspensions(t *testing.T) {
 	testkit.Check(t, 32, func(r *rapid.T) {
 		ahead := time.Duration(0)
-		watch := NewWatch(func() time.Duration { return steady() + ahead })
+		watch := NewWatch(func() time.Duration { return monotonic() + ahead })
 		for range rapid.IntRange(1, 20).Draw(r, "looks") {
 			slept := time.Duration(0)
 			if rapid.Bool().Draw(r, "suspended") {
@@ -33,7 +33,7 @@
 			}
 			ahead += slept
 			if got := watch.Look(); (got == 0) != (slept == 0) || (got-slept).Abs() > LeastSuspension {
-				r.Fatalf("told of %v, was suspended for %v", got, slept)
+				r.Fatalf("reported %v, suspended for %v", got, slept)
 			}
 		}
 	})
--- a/internal/adapter/boottime/now_faultinjection.go
+++ b/internal/adapter/boottime/now_faultinjection.go
@@ -12,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// OffsetFile names, in the environment, a file of eight bytes that tests write: nanoseconds
-// that are added to the clock, as if the machine had been suspended for so long. It is mapped
-// into memory, so that a process that a test stops and continues sees the change at once.
+// OffsetFile is the environment variable with the path of an eight-byte file that tests
+// write: nanoseconds added to the clock, as if the machine had been suspended. The file is
+// mapped into memory, so that a stopped and continued process sees the change immediately.
 const OffsetFile = "LOOMGRADE_TEST_SUSPENDED"
 
 const offsetBytes = 8
 
-// offset gives the mapped file, or a place of its own that stays 0.
+// offset returns the mapped file, or a zero value if there is none.
 var offset = sync.OnceValue(func() *atomic.Int64 {
 	file, err := os.Open(os.Getenv(OffsetFile))
 	if err != nil {
@@ -33,11 +33,11 @@
 	return (*atomic.Int64)(unsafe.Pointer(&mapped[0]))
 })
 
-// Now reads CLOCK_BOOTTIME, and adds what a test wrote.
+// Now reads CLOCK_BOOTTIME and adds the offset.
 func Now() time.Duration {
 	var read unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
-		return steady()
+		return monotonic()
 	}
 	return time.Duration(read.Nano() + offset().Load())
 }
--- a/internal/adapter/boottime/now_linux.go
+++ b/internal/adapter/boottime/now_linux.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now reads CLOCK_BOOTTIME. Where the kernel refuses it, it is the steady clock.
+// Now reads CLOCK_BOOTTIME, or the monotonic clock if the kernel does not support it.
 func Now() time.Duration {
 	var read unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
-		return steady()
+		return monotonic()
 	}
 	return time.Duration(read.Nano())
 }
--- a/internal/adapter/boottime/now_other.go
+++ b/internal/adapter/boottime/now_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// Now is the steady clock: what counts suspended time differs by system, and none is read.
-func Now() time.Duration { return steady() }
+// Now reads the monotonic clock: clocks with suspended time differ between systems.
+func Now() time.Duration { return monotonic() }
--- a/internal/adapter/boottime/watch.go
+++ b/internal/adapter/boottime/watch.go
@@ -8,40 +8,39 @@
 const (
 	// watchInterval is how often a Watch compares the clocks.
 	watchInterval = time.Second
-	// LeastSuspension is by how much the clocks must have parted since they were compared
-	// last for it to be called a suspension: two readings of two clocks are apart by what
-	// the processor does between them, some milliseconds on a busy machine.
+	// LeastSuspension is the minimum change of the difference between the clocks that
+	// counts as a suspension. Smaller ones may be time between the two readings.
 	LeastSuspension = 50 * time.Millisecond
 )
 
-// Watch tells of suspensions that it finds afterwards. Whoever acts on what it believed
-// before must look at the clock itself: it may run before the Watch does.
+// Watch detects suspensions afterwards. Code that depends on elapsed time must check the
+// clock itself, since it may run before the Watch does.
 type Watch struct {
 	clock Clock
-	// parted is how far the clock was ahead of the steady one when they were compared last.
-	parted time.Duration
+	// ahead is how far the clock was ahead of the monotonic one at the last check.
+	ahead time.Duration
 }
 
-// NewWatch begins a Watch of a clock.
+// NewWatch returns a Watch of a clock.
 func NewWatch(clock Clock) *Watch {
 	w := &Watch{clock: clock}
-	w.parted = clock() - steady()
+	w.ahead = clock() - monotonic()
 	return w
 }
 
-// Look gives how long the machine was suspended since the last look, 0 if it was not.
+// Look returns how long the machine was suspended since the last call, 0 if it was not.
 func (w *Watch) Look() time.Duration {
-	parted := w.clock() - steady()
-	slept := parted - w.parted
-	w.parted = parted
-	if slept < LeastSuspension {
+	ahead := w.clock() - monotonic()
+	suspended := ahead - w.ahead
+	w.ahead = ahead
+	if suspended < LeastSuspension {
 		return 0
 	}
-	return slept
+	return suspended
 }
 
-// Run looks until the context ends, and calls woken after each suspension.
-func (w *Watch) Run(ctx context.Context, woken func(slept time.Duration)) error {
+// Run checks periodically until the context ends, and calls resumed after each suspension.
+func (w *Watch) Run(ctx context.Context, resumed func(suspended time.Duration)) error {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
@@ -50,8 +49,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if slept := w.Look(); slept > 0 {
-			woken(slept)
+		if suspended := w.Look(); suspended > 0 {
+			resumed(suspended)
 		}
 	}
 }
