--- a/internal/adapter/boottime/boottime_test.go
+++ b/internal/adapter/boottime/boottime_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("%v passed in 5 ms", passed)
 	}
 	if Clock(nil).OrSystem()() < before {
-		t.Error("no clock of the machine")
+		t.Error("a nil clock is not the system clock")
 	}
 }
 
--- a/internal/adapter/wal/fuzz_test.go
+++ b/internal/adapter/wal/fuzz_test.go
@@ -46,7 +46,7 @@
 }
 
 // openTwice replaces the first segment with data and opens the log: Open fails with a typed
-// error, or a second Open returns the same entries, and a member starts from them or
+// error, or a second Open returns as many entries, and a member starts from them or
 // rejects them with a typed error.
 func openTwice(t *testing.T, files *faultfs.FileSystem, data []byte) {
 	t.Helper()
--- a/internal/adapter/wire/bounds_test.go
+++ b/internal/adapter/wire/bounds_test.go
@@ -98,7 +98,7 @@
 	}()
 	client := startClient(t, listener.Addr().String(), testOptions())
 	if err := client.Call(testContext(t), "echo", echo{}, nil); err != nil {
-		t.Errorf("after a shortage: %v", err)
+		t.Errorf("after temporary errors: %v", err)
 	}
 	server.Close()
 	if err := <-ended; err != nil {
--- a/internal/adapter/wire/callcontext_test.go
+++ b/internal/adapter/wire/callcontext_test.go
@@ -31,7 +31,7 @@
 		connection := &countingContext{Context: context.Background(), done: make(chan struct{})}
 		ctx, cancel := callContext(connection, deadline)
 		if connection.children != 1 {
-			t.Fatalf("deadline %s: %d child contexts of the connection's", deadline, connection.children)
+			t.Fatalf("deadline %s: %d child contexts, want 1", deadline, connection.children)
 		}
 		if _, has := ctx.Deadline(); has != (deadline > 0) {
 			t.Errorf("deadline %s: deadline set %v", deadline, has)
--- a/internal/adapter/wire/pool_test.go
+++ b/internal/adapter/wire/pool_test.go
@@ -14,7 +14,7 @@
 	}
 	pool.Keep(func(address string) bool { return address == "127.0.0.1:2" })
 	if pool.Client("127.0.0.1:2") != second || pool.Client("127.0.0.1:1") == first {
-		t.Error("kept or dropped the wrong client")
+		t.Error("removed the wrong client")
 	}
 	pool.Close()
 	if pool.Client("127.0.0.1:2") == second {
