--- a/internal/adapter/wire/pool_test.go
+++ b/internal/adapter/wire/pool_test.go
@@ -14,10 +14,10 @@
 	}
 	pool.Keep(func(address string) bool { return address == "127.0.0.1:2" })
 	if pool.Client("127.0.0.1:2") != second || pool.Client("127.0.0.1:1") == first {
-		t.Error("kept or dropped the wrong client")
+		t.Error("removed the wrong client")
 	}
 	pool.Close()
 	if pool.Client("127.0.0.1:2") == second {
-		t.Error("a closed client is given out")
+		t.Error("closed client returned")
 	}
 }
