--- a/internal/app/sitecontrol/calls.go
+++ b/internal/app/sitecontrol/calls.go
@@ -14,17 +14,17 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// MethodCall takes a Request to a member; methodForwarded to the leader.
+// MethodCall carries a Request to any member, methodForwarded one to the leader.
 const (
 	MethodCall      = "site.call"
 	methodForwarded = "site.forwarded"
 )
 
 const (
-	// callTimeout bounds a call: its callers wait about a second.
+	// callTimeout bounds a call.
 	callTimeout = 900 * time.Millisecond
-	// leaderPause is the time between looks for a leader.
-	leaderPause = 50 * time.Millisecond
+	// leaderPollInterval is the time between checks for a leader.
+	leaderPollInterval = 50 * time.Millisecond
 )
 
 // Request is a call to the control group; one field is set.
@@ -32,87 +32,82 @@
 	Command *sitestate.Command `cbor:"1,keyasint,omitempty"`
 	// Replica is a heartbeat, logged only if it changes anything.
 	Replica *sitestate.Replica `cbor:"2,keyasint,omitempty"`
-	// Read asks for the configuration in force.
+	// Read requests the current configuration.
 	Read *ReadConfiguration `cbor:"3,keyasint,omitempty"`
 	// Store is a store machine's heartbeat.
 	Store *StoreHeartbeat `cbor:"4,keyasint,omitempty"`
-	// Evacuate asks to empty a store machine, Evacuation how that stands.
+	// Evacuate requests the evacuation of a store machine, Evacuation its state.
 	Evacuate   string `cbor:"5,keyasint,omitempty"`
 	Evacuation string `cbor:"6,keyasint,omitempty"`
-	// Heard tells the leader of replicas that another member heard of.
-	Heard *Heard `cbor:"7,keyasint,omitempty"`
-	// Place asks which shard keeps a model's jobs.
+	// MemberReport is another member's periodic report to the leader.
+	MemberReport *MemberReport `cbor:"7,keyasint,omitempty"`
+	// Place requests the shard of a model's jobs.
 	Place *PlaceModel `cbor:"8,keyasint,omitempty"`
-	// Usage is what a front counted; it is answered once it is kept.
+	// Usage holds a front's counts; it is acknowledged once committed.
 	Usage *usage.Report `cbor:"9,keyasint,omitempty"`
 }
 
-// Heard is what a member tells the leader now and then: the ids of replicas whose heartbeats
-// it acknowledged, and how many processes watch it.
-type Heard struct {
+// MemberReport is a member's periodic report to the leader: the ids of replicas whose
+// heartbeats it acknowledged, and how many processes watch it.
+type MemberReport struct {
 	Replicas []string `cbor:"1,keyasint"`
 	Member   string   `cbor:"2,keyasint,omitempty"`
 	Watchers int      `cbor:"3,keyasint,omitempty"`
-	// ID is the member's, and Level the one that it knows.
+	// ID is the member's id, Level the highest level that it supports.
 	ID    consensus.MemberID `cbor:"4,keyasint,omitempty"`
 	Level sitestate.Level    `cbor:"5,keyasint,omitempty"`
 }
 
-// ReadConfiguration asks for the configuration in force.
+// ReadConfiguration requests the current configuration.
 type ReadConfiguration struct{}
 
-// StoreHeartbeat is what a store machine reports.
+// StoreHeartbeat is the periodic report of a store machine.
 type StoreHeartbeat struct {
 	Store sitestate.Store `cbor:"1,keyasint"`
-	// Members are the machines in the group of the store's shard, as its leader sees
-	// it; only the leader reports them.
+	// Members are the machines in the group of the store's shard. Like the fields below,
+	// only the group's leader sets it.
 	Members []string `cbor:"2,keyasint,omitempty"`
-	// Whole is set if enough of them hold everything.
-	Whole bool `cbor:"3,keyasint,omitempty"`
-	// Demand is the work that jobs bring, in events a second by model; only the
-	// leader reports it.
+	// Complete is set if enough members hold all data.
+	Complete bool `cbor:"3,keyasint,omitempty"`
+	// Demand is the work of jobs in events per second, by model.
 	Demand map[string]float64 `cbor:"4,keyasint,omitempty"`
-	// Open is the most items that were open at once of late, by model; only the
-	// leader reports it.
+	// Open is the recent maximum of concurrently open items, by model.
 	Open map[string]int `cbor:"5,keyasint,omitempty"`
-	// Vacant is how many further machines the group takes in; only the leader
-	// reports it.
-	Vacant int `cbor:"6,keyasint,omitempty"`
+	// FreeSlots is how many further machines the group accepts.
+	FreeSlots int `cbor:"6,keyasint,omitempty"`
 }
 
 // Answer answers a Request.
 type Answer struct {
 	Outcome       sitestate.Outcome       `cbor:"1,keyasint,omitempty"`
 	Configuration sitestate.Configuration `cbor:"2,keyasint,omitempty"`
-	// HeartbeatAddress is where further heartbeats are best sent: to the member
-	// that took this one, so that the members share them.
+	// HeartbeatAddress is the preferred address for further heartbeats: that of the
+	// member that accepted this one, which spreads them over the members.
 	HeartbeatAddress string               `cbor:"3,keyasint,omitempty"`
 	StoreState       sitestate.StoreState `cbor:"4,keyasint,omitempty"`
-	// TooFew refuses an evacuation after which too few machines would stay.
+	// TooFew rejects an evacuation that would leave too few machines.
 	TooFew bool `cbor:"5,keyasint,omitempty"`
-	// Leader is set if the asked member does not lead.
+	// NotLeader is set if the called member does not lead.
 	NotLeader bool `cbor:"6,keyasint,omitempty"`
-	// Join tells a store machine that is in no group which shard's it is to join; 0
-	// for none.
+	// Join is the shard that a store machine without a group is to join; 0 if none.
 	Join sitestate.ShardNumber `cbor:"7,keyasint,omitempty"`
 	// Shard answers PlaceModel.
 	Shard sitestate.ShardNumber `cbor:"8,keyasint,omitempty"`
-	// Pause answers a report of usage: the next one is best sent after it.
+	// Pause is the time that a front is to wait before its next report of usage.
 	Pause time.Duration `cbor:"9,keyasint,omitempty"`
 }
 
-// Call serves a request at this member or at the leader. Errors are
-// *port.Error.
+// Call serves a request on this member or on the leader. Errors are *port.Error.
 func (c *Control) Call(ctx context.Context, request Request) (Answer, error) {
 	if request.Replica != nil {
-		c.ignoreUnboundedWarmup(request.Replica)
+		c.dropUnusedWarmup(request.Replica)
 	}
-	if request.Replica != nil && c.heartbeats.takeHere(*request.Replica) {
+	if request.Replica != nil && c.heartbeats.acceptUnchanged(*request.Replica) {
 		return Answer{HeartbeatAddress: c.config.HeartbeatAddress}, nil
 	}
 	if request.Replica != nil {
-		taken, err := c.heartbeats.takeOn(*request.Replica)
-		if taken || err != nil {
+		accepted, err := c.heartbeats.acceptReady(*request.Replica)
+		if accepted || err != nil {
 			return Answer{HeartbeatAddress: c.config.HeartbeatAddress}, err
 		}
 	}
@@ -124,32 +119,32 @@
 			answer.HeartbeatAddress = c.config.HeartbeatAddress
 			return answer, nil
 		}
-		if err != nil && !mayRepeat(err) {
+		if err != nil && !retryable(err) {
 			return Answer{}, err
 		}
 		select {
-		case <-time.After(leaderPause):
+		case <-time.After(leaderPollInterval):
 		case <-ctx.Done():
 			return Answer{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "no leader of the control group answered in time")
 		}
 	}
 }
 
-// mayRepeat reports whether a call is worth another try: every call here is
-// safe to repeat.
-func mayRepeat(err error) bool {
+// retryable reports whether to retry a call that failed with err. All calls here are
+// idempotent.
+func retryable(err error) bool {
 	code := wire.CodeOf(err)
 	return code == port.CodeUnavailable || code == port.CodeDraining || code == ""
 }
 
-// callOnce serves a request here if this member leads, else at the leader.
+// callOnce serves a request here if this member leads, else on the leader.
 func (c *Control) callOnce(ctx context.Context, request Request) (Answer, error) {
 	shown := c.member.Shown()
 	if shown == nil {
 		return Answer{NotLeader: true}, nil
 	}
 	if shown.Leader.ID == shown.Status.ID {
-		return c.serveHere(ctx, request)
+		return c.serveAsLeader(ctx, request)
 	}
 	if shown.Leader.Address == "" || !shown.Status.QuorumActive {
 		return Answer{NotLeader: true}, nil
@@ -162,16 +157,16 @@
 	return answer, err
 }
 
-// serveHere serves a request as the leader.
-func (c *Control) serveHere(ctx context.Context, request Request) (Answer, error) {
+// serveAsLeader serves a request as the leader.
+func (c *Control) serveAsLeader(ctx context.Context, request Request) (Answer, error) {
 	answer, err := c.serve(ctx, request)
 	var notLeader *group.NotLeaderError
-	var refused *port.Error
+	var rejected *port.Error
 	switch {
 	case err == nil:
 		return answer, nil
-	case errors.As(err, &refused):
-		return Answer{}, refused
+	case errors.As(err, &rejected):
+		return Answer{}, rejected
 	case errors.As(err, &notLeader), errors.Is(err, group.ErrNotReady), errors.Is(err, groupmember.ErrProposalReplaced):
 		return Answer{NotLeader: true}, nil
 	default:
@@ -189,28 +184,28 @@
 		outcome, err := c.propose(ctx, *request.Command)
 		return Answer{Outcome: outcome}, err
 	case request.Replica != nil:
-		return c.heartbeats.take(ctx, *request.Replica)
-	case request.Heard != nil:
-		c.heartbeats.noteHeard(*request.Heard)
+		return c.heartbeats.accept(ctx, *request.Replica)
+	case request.MemberReport != nil:
+		c.heartbeats.recordMemberReport(*request.MemberReport)
 		return Answer{}, nil
 	case request.Read != nil:
 		return c.readConfiguration(ctx)
 	case request.Store != nil:
-		return c.stores.take(ctx, *request.Store)
+		return c.stores.accept(ctx, *request.Store)
 	case request.Place != nil:
 		return c.stores.place(ctx, *request.Place)
 	case request.Usage != nil:
-		return c.usage.take(ctx, *request.Usage)
+		return c.usage.accept(ctx, *request.Usage)
 	case request.Evacuate != "":
 		return c.stores.evacuate(ctx, request.Evacuate)
 	case request.Evacuation != "":
-		return c.stores.evacuation(ctx, request.Evacuation)
+		return c.stores.evacuationState(ctx, request.Evacuation)
 	default:
 		return Answer{}, port.NewError(port.NotRun, port.CodeInvalid, "empty request")
 	}
 }
 
-// propose puts a command through the log.
+// propose commits a command and returns its outcome.
 func (c *Control) propose(ctx context.Context, command sitestate.Command) (sitestate.Outcome, error) {
 	data, err := command.Encode()
 	if err != nil {
@@ -236,7 +231,7 @@
 	return c.pool.Client(address).Call(ctx, methodForwarded, request, answer)
 }
 
-// serveCall answers a process of the site.
+// serveCall serves a call from another process of the site.
 func (c *Control) serveCall(ctx context.Context, call *wire.Call) error {
 	var request Request
 	if err := call.Decode(&request); err != nil {
@@ -249,13 +244,13 @@
 	return call.Send(answer)
 }
 
-// serveForwarded answers another member, which takes this one for the leader.
+// serveForwarded serves a call from a member that considers this one the leader.
 func (c *Control) serveForwarded(ctx context.Context, call *wire.Call) error {
 	var request Request
 	if err := call.Decode(&request); err != nil {
 		return err
 	}
-	answer, err := c.serveHere(ctx, request)
+	answer, err := c.serveAsLeader(ctx, request)
 	if err != nil {
 		return err
 	}
--- a/internal/app/sitecontrol/clock.go
+++ b/internal/app/sitecontrol/clock.go
@@ -9,20 +9,19 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitetime"
 )
 
-// methodClock asks a member for its time of day.
+// methodClock returns a member's wall clock.
 const methodClock = "site.clock"
 
 const (
-	// clockInterval is how often the leader asks: a steady clock that is off by 50 ppm
-	// drifts by 0.2 ms meanwhile.
+	// clockInterval is the time between polls by the leader.
 	clockInterval = 4 * time.Second
-	// clockRetry is how soon it asks again while too few have answered.
+	// clockRetry is the time to the next poll if too few members responded.
 	clockRetry = 300 * time.Millisecond
-	// clockTimeout bounds the answers, of which the slowest says least.
+	// clockTimeout bounds a poll; slow responses give imprecise readings.
 	clockTimeout = 250 * time.Millisecond
 )
 
-// clockRequest asks for a clockAnswer.
+// clockRequest requests a clockAnswer.
 type clockRequest struct{}
 
 type clockAnswer struct {
@@ -33,52 +32,52 @@
 	return call.Send(clockAnswer{Wall: time.Now().Round(0)})
 }
 
-// siteClock tells the time that most members agree on. It goes by the process's clock, which
-// also counts suspended time, between two rounds of questions, so that a time of day that
-// jumps, its own one too, moves nothing.
+// siteClock returns the time that most members agree on. Between polls it advances by the
+// process's monotonic clock, which includes suspension, so that a step of any member's wall
+// clock has no effect.
 type siteClock struct {
 	control *Control
 
-	mutex  sync.Mutex
-	offset sitetime.Offset
-	known  bool
-	asking bool
-	askAt  time.Duration
+	mutex   sync.Mutex
+	offset  sitetime.Offset
+	known   bool
+	polling bool
+	pollAt  time.Duration
 }
 
 func newSiteClock(control *Control) *siteClock { return &siteClock{control: control} }
 
-// now reads the process's clock.
+// now reads the process's monotonic clock.
 func (s *siteClock) now() time.Duration { return s.control.config.Clock() }
 
-// timeOf gives the site's time at a moment of the process's clock; it reports false while it is
-// not known.
+// timeOf converts a reading of the monotonic clock to the site's time. It returns false
+// until the first successful poll.
 func (s *siteClock) timeOf(at time.Duration) (time.Time, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.offset.Time(at), s.known
 }
 
-// tend asks the members when it is due, as the leader.
-func (s *siteClock) tend(ctx context.Context, leads bool, now time.Duration) {
+// tick starts a poll when one is due and this member leads.
+func (s *siteClock) tick(ctx context.Context, leads bool, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !leads || s.asking || now < s.askAt {
+	if !leads || s.polling || now < s.pollAt {
 		return
 	}
-	s.asking = true
-	go s.ask(ctx)
+	s.polling = true
+	go s.poll(ctx)
 }
 
-// ask reads the clocks of all members at once.
-func (s *siteClock) ask(ctx context.Context) {
+// poll reads the clocks of all members concurrently.
+func (s *siteClock) poll(ctx context.Context) {
 	readings, machines := s.read(ctx)
-	offset, sure := sitetime.Estimate(readings, machines)
+	offset, ok := sitetime.Estimate(readings, machines)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asking, s.askAt = false, s.now()+clockRetry
-	if sure {
-		s.offset, s.known, s.askAt = offset, true, s.now()+clockInterval
+	s.polling, s.pollAt = false, s.now()+clockRetry
+	if ok {
+		s.offset, s.known, s.pollAt = offset, true, s.now()+clockInterval
 	}
 }
 
@@ -101,15 +100,15 @@
 	return readings, len(shown.Records)
 }
 
-// readOne reads one member's clock; nil if it did not answer.
+// readOne reads one member's clock; it returns nil without a response.
 func (s *siteClock) readOne(ctx context.Context, address string) *sitetime.Reading {
-	began := s.now()
+	started := s.now()
 	if address == s.control.config.Address {
-		return &sitetime.Reading{Monotonic: began, Wall: time.Now().Round(0)}
+		return &sitetime.Reading{Monotonic: started, Wall: time.Now().Round(0)}
 	}
 	var answer clockAnswer
 	if s.control.pool.Client(address).Call(ctx, methodClock, clockRequest{}, &answer) != nil {
 		return nil
 	}
-	return &sitetime.Reading{Monotonic: began + (s.now()-began)/2, Wall: answer.Wall}
+	return &sitetime.Reading{Monotonic: started + (s.now()-started)/2, Wall: answer.Wall}
 }
--- a/internal/app/sitecontrol/clock_test.go
+++ b/internal/app/sitecontrol/clock_test.go
@@ -7,13 +7,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitetime"
 )
 
-// TestTheSitesTimeGoesOnInSuspension: the leader's machine is suspended for ten seconds between
-// two rounds of questions.
+// The site's time includes a suspension of the leader's machine between two polls.
 func TestTheSitesTimeGoesOnInSuspension(t *testing.T) {
 	passed, wall := time.Hour, time.Unix(1_000_000, 0)
 	clock := newSiteClock(&Control{config: Config{Clock: func() time.Duration { return passed }}})
-	offset, sure := sitetime.Estimate([]sitetime.Reading{{Monotonic: passed, Wall: wall}}, 1)
-	if !sure {
+	offset, ok := sitetime.Estimate([]sitetime.Reading{{Monotonic: passed, Wall: wall}}, 1)
+	if !ok {
 		t.Fatal("no estimate")
 	}
 	clock.offset, clock.known = offset, true
--- a/internal/app/sitecontrol/cold.go
+++ b/internal/app/sitecontrol/cold.go
@@ -7,19 +7,19 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// coldNews is by how much longer a replica has to say that it stays cold than is known to be
-// worth an entry: its reports come at different delays.
-const coldNews = 500 * time.Millisecond
+// minColdIncrease is the smallest extension of a replica's cold period that is committed.
+// It covers the jitter of report delays.
+const minColdIncrease = 500 * time.Millisecond
 
-// coldReplicas is until when replicas are cold by what this member has committed as the
-// leader. It is safe for concurrent use.
+// coldReplicas records until when replicas are cold, by what this member has committed as
+// the leader. It is safe for concurrent use.
 type coldReplicas struct {
 	mutex sync.Mutex
 	until map[string]time.Time
 }
 
-// note takes in what was committed of a replica.
-func (c *coldReplicas) note(id string, millis uint32, now time.Time) {
+// record stores the committed cold period of a replica.
+func (c *coldReplicas) record(id string, millis uint32, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.until == nil {
@@ -30,20 +30,20 @@
 	}
 }
 
-// news reports whether a report tells something new of whether its replica is cold. That it
-// is warm is told to those that begin to watch once all that know it as cold are past that.
-func (c *coldReplicas) news(held, report sitestate.Replica, now time.Time) bool {
+// changed reports whether a report changes a replica's cold period. That the replica is warm
+// is committed, for new watchers, only after the period that existing watchers know.
+func (c *coldReplicas) changed(committed, report sitestate.Replica, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	left := c.until[held.ID].Sub(now)
+	remaining := c.until[committed.ID].Sub(now)
 	if report.ColdMillis == 0 {
-		return held.ColdMillis > 0 && left <= 0
+		return committed.ColdMillis > 0 && remaining <= 0
 	}
-	return time.Duration(report.ColdMillis)*time.Millisecond > max(0, left)+coldNews
+	return time.Duration(report.ColdMillis)*time.Millisecond > max(0, remaining)+minColdIncrease
 }
 
-// forget drops what is past.
-func (c *coldReplicas) forget(now time.Time) {
+// expire removes cold periods that have ended.
+func (c *coldReplicas) expire(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for id, until := range c.until {
--- a/internal/app/sitecontrol/control.go
+++ b/internal/app/sitecontrol/control.go
@@ -22,87 +22,86 @@
 	"github.com/loomgrade/loomgrade/internal/dialect"
 )
 
-// wantedVoters is the number of voters of a control group that has so many
-// machines.
+// wantedVoters is the number of voters of a control group with enough machines.
 const wantedVoters = 5
 
-// Config sets a Control up.
+// Config configures a Control.
 type Config struct {
 	// Machine is the machine's name.
 	Machine string
-	// Address is where the process takes messages of other processes.
+	// Address is where the process accepts calls from other processes.
 	Address string
-	// HeartbeatAddress is where replicas call it.
+	// HeartbeatAddress is where the process accepts replicas' heartbeats.
 	HeartbeatAddress string
-	// Seeds are addresses of control members.
+	// Seeds are the addresses of control members.
 	Seeds []string
-	// Found lets the seeds found the group: the site starts for the first time.
+	// Found lets the seeds bootstrap the group, on the first start of a site.
 	Found bool
-	// Folder holds the log.
+	// Folder contains the log.
 	Folder     string
 	FileSystem wal.FileSystem
 	Wire       wire.Options
 	Dialect    dialect.Dialect
 	Logger     *log.Logger
 	Seed       uint64
-	// ToleratedLosses is how many machines with a disk may be lost at once.
+	// ToleratedLosses is how many machines with a disk may fail concurrently.
 	ToleratedLosses int
-	// PlacesPerShard is how many places of engines one shard's leader serves; 0 takes
-	// DefaultPlacesPerShard.
+	// PlacesPerShard is how many slots of engines one shard's leader serves; 0 selects
+	// DefaultSlotsPerShard.
 	PlacesPerShard int
-	// Zones gives the region of each zone of the site; empty where the settings name none.
+	// Zones maps each zone of the site to its region; empty if the settings name none.
 	Zones map[string]string
-	// HolderLease is how long replicas hold to the machine that ordered last.
+	// HolderLease is how long replicas obey only the machine that last sent them an order.
 	HolderLease time.Duration
-	// Provider is what usage is reported to; nil reports to nobody.
+	// Provider receives reports of usage; nil disables them.
 	Provider Provider
-	// UsageWindow is the length of a window of usage, and UsageDue how long after a
-	// window's end its report may come.
+	// UsageWindow is the length of a window of usage, UsageDue the deadline of its report
+	// after the end of the window.
 	UsageWindow time.Duration
 	UsageDue    time.Duration
-	// Recorder measures what the leader does; nil measures nothing.
+	// Recorder records metrics of the leader; nil disables them.
 	Recorder Recorder
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock is a monotonic clock that includes suspension; nil selects the system's.
 	Clock boottime.Clock
 }
 
-// Recorder measures what the leader does.
+// Recorder records metrics of the leader.
 type Recorder interface {
 	HeartbeatTaken()
-	// HeartbeatRefused counts one that names no replica to use, by the field at fault.
+	// HeartbeatRefused counts a rejected heartbeat by the invalid field.
 	HeartbeatRefused(field string)
-	// LoadEnded counts an ordered load of weights.
+	// LoadEnded records a load of weights and its duration.
 	LoadEnded(outcome string, took time.Duration)
 }
 
-// noRecorder measures nothing.
+// noRecorder discards all metrics.
 type noRecorder struct{}
 
 func (noRecorder) HeartbeatTaken()                 {}
 func (noRecorder) HeartbeatRefused(string)         {}
 func (noRecorder) LoadEnded(string, time.Duration) {}
 
-// Control is the control process.
+// Control is a member of the site's control group.
 type Control struct {
-	config     Config
-	member     *group.Member
-	heartbeats *heartbeats
-	refused    refusedReports
-	lost       refusedReports
-	reports    *reports
-	registrar  *registrar
-	senders    *senders
-	levels     *levels
-	stores     *stores
-	lease      *lease
-	weights    *weightsManager
-	usage      *usageManager
-	suspects   *suspects
-	view       atomic.Pointer[sitestate.View]
-	whole      wholeView
-	recent     recentUpdates
-	table      atomic.Pointer[routing.Table]
-	// position is that of the published view; only the loop's goroutine uses it.
+	config      Config
+	member      *group.Member
+	heartbeats  *heartbeats
+	rejectedLog logLimiter
+	lostLog     logLimiter
+	reports     *reports
+	registrar   *registrar
+	senders     *senders
+	levels      *levels
+	stores      *stores
+	lease       *lease
+	weights     *weightsManager
+	usage       *usageManager
+	suspects    *suspects
+	view        atomic.Pointer[sitestate.View]
+	fullView    fullView
+	recent      recentUpdates
+	table       atomic.Pointer[routing.Table]
+	// position is that of the published view; only the member's loop accesses it.
 	position uint64
 
 	pool  *wire.Pool
@@ -111,13 +110,13 @@
 	seeds []string
 }
 
-// New makes a control process.
+// New returns a control process; call Register, then Run.
 func New(config Config) *Control {
 	if config.Recorder == nil {
 		config.Recorder = noRecorder{}
 	}
 	config.Clock = config.Clock.OrSystem()
-	config.PlacesPerShard = cmp.Or(config.PlacesPerShard, DefaultPlacesPerShard)
+	config.PlacesPerShard = cmp.Or(config.PlacesPerShard, DefaultSlotsPerShard)
 	c := &Control{
 		config: config, pool: wire.NewPool(config.Wire), wakes: map[chan struct{}]struct{}{},
 		seeds: slices.Clone(config.Seeds), senders: newSenders(), levels: newLevels(),
@@ -141,7 +140,7 @@
 	return c
 }
 
-// Register sets the handlers of calls between processes.
+// Register registers the handlers of calls between processes.
 func (c *Control) Register(server *wire.Server) {
 	c.member.Register(server)
 	server.Handle(MethodCall, c.serveCall)
@@ -151,7 +150,7 @@
 	server.Handle(methodClock, c.serveClock)
 }
 
-// Run works until the context ends or the storage fails.
+// Run runs the member until ctx ends or the storage fails.
 func (c *Control) Run(ctx context.Context) error {
 	tasks, ctx := errgroup.WithContext(ctx)
 	tasks.Go(func() error { return c.member.Run(ctx) })
@@ -160,19 +159,18 @@
 	return tasks.Wait()
 }
 
-// HandOver gives leadership away before a planned stop.
+// HandOver transfers leadership before a planned stop.
 func (c *Control) HandOver(ctx context.Context) { c.member.HandOver(ctx) }
 
-// SetSeeds replaces the addresses of known members after a change of settings.
+// SetSeeds replaces the addresses of control members after a change of settings.
 func (c *Control) SetSeeds(seeds []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.seeds = slices.Clone(seeds)
 }
 
-// origin lets the seeds of a site's first start found the group; everyone else
-// joins. Sorted, so that all founders give the same ids whatever the order of
-// their lists.
+// origin lets the seeds bootstrap the group on the first start of a site; otherwise the
+// member joins. Seeds are sorted so that all founders assign the same ids.
 func (c *Control) origin(context.Context, string) (group.Origin, error) {
 	c.mutex.Lock()
 	seeds := slices.Sorted(slices.Values(c.seeds))
@@ -187,10 +185,10 @@
 	return group.Origin{Founders: founders}, nil
 }
 
-// leadInterval is how often the leader looks after what no call asks for.
+// leadInterval is the period of the leader's background tasks.
 const leadInterval = 100 * time.Millisecond
 
-// lead does what only the leader does.
+// lead runs the leader's background tasks.
 func (c *Control) lead(ctx context.Context) error {
 	ticker := time.NewTicker(leadInterval)
 	defer ticker.Stop()
@@ -202,16 +200,16 @@
 		}
 		shown := c.member.Shown()
 		leads := shown != nil && shown.Settled
-		c.heartbeats.tend(ctx, leads)
-		c.stores.tend(ctx, leads)
-		c.lease.follow(leads)
-		c.weights.tend(ctx, leads)
-		c.usage.tend(ctx, leads)
-		c.suspects.tend(ctx, leads)
+		c.heartbeats.tick(ctx, leads)
+		c.stores.tick(ctx, leads)
+		c.lease.updateTerm(leads)
+		c.weights.tick(ctx, leads)
+		c.usage.tick(ctx, leads)
+		c.suspects.tick(ctx, leads)
 	}
 }
 
-// changed publishes the view after a step of the loop, in its goroutine.
+// changed publishes the view after a step of the member's loop; it runs in that loop.
 func (c *Control) changed(step group.Step) {
 	state := step.Machine.(*sitestate.State)
 	c.levels.agreed.Store(uint32(state.Level()))
@@ -234,7 +232,7 @@
 	c.wakeAll()
 }
 
-// logPublished tells, on the leader, of versions of weights that were published.
+// logPublished logs newly published versions of weights; only the leader calls it.
 func (c *Control) logPublished(previous, next *sitestate.View) {
 	for model, version := range next.Weights {
 		if version > previous.Weights[model] {
@@ -244,8 +242,8 @@
 	}
 }
 
-// nextView brings a view up to date. A state that is behind it is that of a
-// member that joined anew.
+// nextView returns the view updated to state. A state behind the view is that of a member
+// that joined again.
 func nextView(previous *sitestate.View, state *sitestate.State) *sitestate.View {
 	if previous.Position == 0 || state.Position() < previous.Position {
 		return (&sitestate.View{}).Apply(state.Update(0, sitestate.InterestAll))
@@ -256,13 +254,13 @@
 func (c *Control) readTable(configuration sitestate.Configuration) {
 	document, err := c.config.Dialect.DecodeConfiguration(configuration.Raw)
 	if err != nil {
-		c.config.Logger.Error().Str(eventlog.Field, eventlog.ConfigurationUnreadable).Uint64("version", configuration.Version).Err(err).Msg("the configuration in force cannot be read")
+		c.config.Logger.Error().Str(eventlog.Field, eventlog.ConfigurationUnreadable).Uint64("version", configuration.Version).Err(err).Msg("cannot decode the current configuration")
 		return
 	}
 	c.table.Store(routing.NewTable(document))
 }
 
-// engineServices lists the services of the configuration that are engines.
+// engineServices lists the engine services of the configuration.
 func (c *Control) engineServices() []routing.Service {
 	table := c.table.Load()
 	if table == nil {
@@ -271,15 +269,14 @@
 	return slices.DeleteFunc(slices.Clone(table.Document().Services), func(service routing.Service) bool { return service.Engine == nil })
 }
 
-// IsVoter reports whether this member has a vote, in touch with a quorum and
-// caught up.
+// IsVoter reports whether this member is a voter in contact with a quorum and caught up.
 func (c *Control) IsVoter() bool {
 	shown := c.member.Shown()
 	return shown != nil && shown.Confirmed && shown.Status.Membership.IsVoter(shown.Status.ID)
 }
 
-// Shown gives what the process's member last showed of itself, or nil.
+// Shown returns the latest published status of the member, or nil.
 func (c *Control) Shown() *group.Shown { return c.member.Shown() }
 
-// View gives the control state as applied here. It is immutable.
+// View returns the control state as applied on this member. It is immutable.
 func (c *Control) View() *sitestate.View { return c.view.Load() }
--- a/internal/app/sitecontrol/doc.go
+++ b/internal/app/sitecontrol/doc.go
@@ -1,11 +1,9 @@
-// Package sitecontrol is the control process of a site whose members find each
-// other. It joins the replicated control state to the interfaces of operators,
-// replicas, trainers and the other processes.
+// Package sitecontrol is the control process of a site with service discovery. It connects
+// the replicated control state with operators, replicas, trainers and the other processes.
 //
-// Any member takes any call; the leader serves it. What binds afterwards is
-// acknowledged once it is committed: configurations, published weights, that a
-// replica leaves. Plain heartbeats are kept by the leader alone, which puts into
-// the log only what changed. The leader also brings replicas to the published
-// weights, under a lease by time, founds the group of stores, and follows the
-// evacuation of a store machine.
+// Any member accepts any call and forwards it to the leader. Configurations, published
+// weights and the departure of a replica are acknowledged once committed. Heartbeats that
+// change nothing are stored only in the leader's memory. The leader also orders replicas to
+// load the published weights, under a time-based lease, creates the groups of stores, and
+// tracks the evacuation of store machines.
 package sitecontrol
--- a/internal/app/sitecontrol/drains.go
+++ b/internal/app/sitecontrol/drains.go
@@ -10,13 +10,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// drainZone keeps everything away from a zone's replicas, or lets it come back, as the
-// leader. It is answered once it is committed.
+// drainZone starts or ends the drain of a zone, as the leader. It returns once the change is
+// committed.
 func (c *Control) drainZone(ctx context.Context, drain sitestate.DrainZone) (Answer, error) {
-	if !c.knowsZone(drain.Zone) {
+	if !c.hasZone(drain.Zone) {
 		return Answer{}, port.NewError(port.NotRun, port.CodeNotFound, "the site has no zone %q", drain.Zone)
 	}
-	if err := c.needs(sitestate.LevelDrains); err != nil {
+	if err := c.requireLevel(sitestate.LevelDrains); err != nil {
 		return Answer{}, err
 	}
 	if drain.End {
@@ -24,16 +24,16 @@
 	}
 	outcome, err := c.propose(ctx, sitestate.Command{Drain: &drain})
 	if drain.End && err == nil {
-		c.heartbeats.coolZone(drain)
+		c.heartbeats.markZoneCold(drain)
 	}
 	c.config.Logger.Info().Str(eventlog.Field, eventlog.ZoneDrained).Str("zone", drain.Zone).Bool("drained", !drain.End).
-		Uint8("outcome", uint8(outcome)).Uint64("position", c.view.Load().Position).Err(err).Msg("a zone was drained, or taken back")
+		Uint8("outcome", uint8(outcome)).Uint64("position", c.view.Load().Position).Err(err).Msg("drain of a zone changed")
 	return Answer{Outcome: outcome}, err
 }
 
-// knowsZone reports whether the site has a zone: one that the settings name, else one that
-// a machine or replica of it stands in.
-func (c *Control) knowsZone(zone string) bool {
+// hasZone reports whether the site has a zone: one in the settings, or without any there,
+// the zone of a registered store machine or replica.
+func (c *Control) hasZone(zone string) bool {
 	if _, known := c.config.Zones[zone]; known || zone == "" {
 		return known
 	}
@@ -51,8 +51,8 @@
 	return false
 }
 
-// warmups gives how long replicas stay cold, in milliseconds by service, of the services
-// whose cold replicas bear few requests.
+// warmups returns the warm-up periods in milliseconds, by service, of the services that
+// limit requests to cold replicas.
 func (c *Control) warmups() map[string]uint32 {
 	table := c.table.Load()
 	if table == nil {
@@ -67,19 +67,19 @@
 	return cold
 }
 
-// coolZone notes that the replicas of a zone that was taken back may be cold.
-func (h *heartbeats) coolZone(drain sitestate.DrainZone) {
+// markZoneCold records that the replicas of a zone may be cold after the end of its drain.
+func (h *heartbeats) markZoneCold(drain sitestate.DrainZone) {
 	now := time.Now()
 	for _, replica := range h.control.view.Load().Replicas.All() {
 		if replica.Zone == drain.Zone {
-			h.cold.note(replica.ID, drain.ColdMillis[replica.Service], now)
+			h.cold.record(replica.ID, drain.ColdMillis[replica.Service], now)
 		}
 	}
 }
 
-// ignoreUnboundedWarmup leaves out how long a replica stays cold where its service bears as
-// many requests then: nobody asks for it, and each change would be an entry of the log.
-func (c *Control) ignoreUnboundedWarmup(report *sitestate.Replica) {
+// dropUnusedWarmup clears the cold period of a report whose service doesn't limit requests
+// to cold replicas: each change of it would be a log entry.
+func (c *Control) dropUnusedWarmup(report *sitestate.Replica) {
 	table := c.table.Load()
 	if table == nil {
 		return
--- a/internal/app/sitecontrol/heartbeats.go
+++ b/internal/app/sitecontrol/heartbeats.go
@@ -13,147 +13,145 @@
 )
 
 const (
-	// silentAfter is how long a replica is not heard of before the leader takes
-	// it out. Senders find out by themselves much earlier.
-	silentAfter = 20 * time.Second
-	// silenceInterval is how often the leader looks for silent replicas, and how
-	// often the other members tell it of those that they heard of.
-	silenceInterval = 2 * time.Second
-	// tellTimeout bounds telling it: a member that comes to lead meanwhile has
-	// other things to do.
-	tellTimeout = 300 * time.Millisecond
+	// replicaTimeout is the time without a heartbeat after which the leader removes a
+	// replica. Senders detect failures much earlier.
+	replicaTimeout = 20 * time.Second
+	// timeoutCheckInterval is the period of the leader's checks for timed-out replicas,
+	// and of the other members' reports to it.
+	timeoutCheckInterval = 2 * time.Second
+	// memberReportTimeout bounds such a report, which delays a member that becomes leader.
+	memberReportTimeout = 300 * time.Millisecond
 )
 
-// heartbeats keeps what replicas report. Any member takes a heartbeat that tells
-// nothing new; the leader learns of it later, in one message for many.
+// heartbeats tracks the heartbeats of replicas. Any member accepts a heartbeat that changes
+// nothing; members report these to the leader in batches.
 type heartbeats struct {
 	control *Control
-	// tendedAt is when the leader last looked for silent replicas, or this
-	// member last told it; led is set while this member leads.
-	tendedAt time.Time
-	led      bool
+	// tickedAt is the time of the last check or report to the leader; wasLeader is set
+	// while this member leads.
+	tickedAt  time.Time
+	wasLeader bool
 
-	mutex sync.Mutex
-	heard map[string]heardReplica
-	cold  coldReplicas
-	// untold are replicas whose heartbeats this member took since it last told
-	// the leader.
-	untold map[string]bool
+	mutex          sync.Mutex
+	lastHeartbeats map[string]lastHeartbeat
+	cold           coldReplicas
+	// unreported are replicas whose heartbeats this member accepted since its last report
+	// to the leader.
+	unreported map[string]bool
 }
 
-type heardReplica struct {
+type lastHeartbeat struct {
 	sequence uint64
 	at       time.Time
 }
 
 func newHeartbeats(control *Control) *heartbeats {
-	return &heartbeats{control: control, heard: map[string]heardReplica{}, untold: map[string]bool{}}
+	return &heartbeats{control: control, lastHeartbeats: map[string]lastHeartbeat{}, unreported: map[string]bool{}}
 }
 
-// takeHere takes a heartbeat at any member in touch with a quorum, and reports
-// whether it did. It does not if the heartbeat tells anything new: that is
-// acknowledged only once the leader has committed it.
-func (h *heartbeats) takeHere(report sitestate.Replica) bool {
+// acceptUnchanged accepts a heartbeat on any member in contact with a quorum if it changes
+// nothing, and reports whether it did. Others are acknowledged once the leader has
+// committed them.
+func (h *heartbeats) acceptUnchanged(report sitestate.Replica) bool {
 	shown := h.control.member.Shown()
 	if shown == nil || !shown.Confirmed {
 		return false
 	}
-	held, known := h.held(report)
-	if !known || !sameReport(held, report) || held.ColdMillis > 0 || report.ColdMillis > 0 {
+	registered, known := h.registered(report)
+	if !known || !sameReport(registered, report) || registered.ColdMillis > 0 || report.ColdMillis > 0 {
 		return false
 	}
 	h.control.config.Recorder.HeartbeatTaken()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.untold[held.ID] = true
+	h.unreported[registered.ID] = true
 	return true
 }
 
-// takeOn takes a heartbeat of a replica that is ready and tells something new, at any member in
-// touch with a quorum, and reports whether it did. It is passed on to the log beside the call:
-// that a replica is ready binds nobody, and one whose report did not get there reports again a
-// moment later. What binds, that it leaves, is acknowledged only once it is committed.
-func (h *heartbeats) takeOn(report sitestate.Replica) (bool, error) {
+// acceptReady accepts a changed heartbeat of a ready replica on any member in contact with a
+// quorum, and reports whether it did. The heartbeat is committed asynchronously: if that
+// fails, the next one repeats it. Departures are acknowledged only once committed.
+func (h *heartbeats) acceptReady(report sitestate.Replica) (bool, error) {
 	shown := h.control.member.Shown()
 	if report.State != sitestate.ReplicaReady || shown == nil || !shown.Confirmed {
 		return false, nil
 	}
-	if _, _, err := h.checked(report); err != nil {
+	if _, _, err := h.validate(report); err != nil {
 		return false, err
 	}
 	if shown.Leader.ID != shown.Status.ID {
 		h.control.config.Recorder.HeartbeatTaken()
-		h.control.reports.join(report)
+		h.control.reports.enqueue(report)
 		return true, nil
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), entryTimeout)
 		defer cancel()
-		if _, err := h.take(ctx, report); err != nil {
-			h.control.notePassedOn(err)
+		if _, err := h.accept(ctx, report); err != nil {
+			h.control.logLostReports(err)
 		}
 	}()
 	return true, nil
 }
 
-// held gives what the view has of the start that a report comes from.
-func (h *heartbeats) held(report sitestate.Replica) (sitestate.Replica, bool) {
+// registered returns the view's record of the replica start that sent a report.
+func (h *heartbeats) registered(report sitestate.Replica) (sitestate.Replica, bool) {
 	return h.control.view.Load().StartOf(report.InstanceName(), report.StartedAt)
 }
 
-// checked is held for a report that must be of a service and a zone of the site, unless the
-// replica is held with them already.
-func (h *heartbeats) checked(report sitestate.Replica) (held sitestate.Replica, known bool, err error) {
-	held, known = h.held(report)
-	if known && held.Service == report.Service && held.Zone == report.Zone {
-		return held, true, nil
+// validate returns the record of a report's sender, and an error if the report names an
+// unknown service or zone that the record doesn't have already.
+func (h *heartbeats) validate(report sitestate.Replica) (registered sitestate.Replica, known bool, err error) {
+	registered, known = h.registered(report)
+	if known && registered.Service == report.Service && registered.Zone == report.Zone {
+		return registered, true, nil
 	}
-	return held, known, h.control.checkReport(report)
+	return registered, known, h.control.checkReport(report)
 }
 
-// noteHeard takes in, as the leader, what another member heard of.
-func (h *heartbeats) noteHeard(heard Heard) {
+// recordMemberReport records another member's report, as the leader.
+func (h *heartbeats) recordMemberReport(report MemberReport) {
 	now := time.Now()
-	if heard.Member != "" {
-		h.control.senders.note(heard.Member, heard.Watchers, now)
-		h.control.levels.note(heard.ID, heard.Level, now)
+	if report.Member != "" {
+		h.control.senders.record(report.Member, report.Watchers, now)
+		h.control.levels.record(report.ID, report.Level, now)
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, id := range heard.Replicas {
-		h.noteAlive(id, now)
+	for _, id := range report.Replicas {
+		h.recordAlive(id, now)
 	}
 }
 
-// noteAlive notes, under the lock, that a replica was heard of.
-func (h *heartbeats) noteAlive(id string, now time.Time) {
-	known := h.heard[id]
+// recordAlive records a sign of life of a replica; h.mutex must be held.
+func (h *heartbeats) recordAlive(id string, now time.Time) {
+	known := h.lastHeartbeats[id]
 	known.at = now
-	h.heard[id] = known
+	h.lastHeartbeats[id] = known
 }
 
-// take serves a replica's heartbeat as the leader. Only what changes something
-// is put into the log; it is acknowledged once committed.
-func (h *heartbeats) take(ctx context.Context, report sitestate.Replica) (Answer, error) {
+// accept serves a replica's heartbeat as the leader. Changes are committed before they are
+// acknowledged; other heartbeats are not logged.
+func (h *heartbeats) accept(ctx context.Context, report sitestate.Replica) (Answer, error) {
 	h.control.config.Recorder.HeartbeatTaken()
-	held, known, err := h.checked(report)
+	registered, known, err := h.validate(report)
 	if err != nil {
 		return Answer{}, err
 	}
 	if known {
-		report.ID, report.Instance = held.ID, held.Instance
-		if !h.note(report) {
+		report.ID, report.Instance = registered.ID, registered.Instance
+		if !h.recordIfNewer(report) {
 			return Answer{}, nil
 		}
 	}
-	if known && sameReport(held, report) && !h.cold.news(held, report, time.Now()) {
+	if known && sameReport(registered, report) && !h.cold.changed(registered, report, time.Now()) {
 		return Answer{}, nil
 	}
-	outcome, err := h.control.registrar.take(ctx, report)
+	outcome, err := h.control.registrar.submit(ctx, report)
 	if err != nil {
 		return Answer{}, err
 	}
-	if !known || held.State != report.State {
+	if !known || registered.State != report.State {
 		h.control.config.Logger.Info().Str(eventlog.Field, eventlog.ReplicaReported).Str("replica", report.ID).Str("service", report.Service).
 			Str("address", report.Address).Uint8("state", uint8(report.State)).Uint64("sequence", report.Sequence).
 			Uint8("outcome", uint8(outcome)).Msg("a replica's report was committed")
@@ -161,16 +159,16 @@
 	return Answer{}, nil
 }
 
-// identify tells which start of a replica speaks, by what is applied here.
-func (c *Control) identify(ctx context.Context, name string, born uint64) (identity sitestate.Identity, err error) {
+// identify returns the identity of a replica start by the state applied on this member.
+func (c *Control) identify(ctx context.Context, name string, startedAt uint64) (identity sitestate.Identity, err error) {
 	err = c.member.Inspect(ctx, func(machine groupmember.StateMachine) {
-		identity = machine.(*sitestate.State).Identify(name, born)
+		identity = machine.(*sitestate.State).Identify(name, startedAt)
 	})
 	return identity, err
 }
 
-// leave takes out a replica that says it ends. An earlier start than the one known has
-// ended already; a later one, of which nothing was heard, has ended that one too.
+// leave removes a replica that announces its end. An outdated start was removed already; a
+// start newer than the registered one also removes that.
 func (h *heartbeats) leave(ctx context.Context, left sitestate.Leave) (Answer, error) {
 	identity, err := h.control.identify(ctx, left.ID, left.StartedAt)
 	if err != nil || identity.Order == sitestate.StartOutdated {
@@ -188,109 +186,107 @@
 	return Answer{Outcome: outcome}, err
 }
 
-// note reports whether the report is newer than what was heard.
-func (h *heartbeats) note(report sitestate.Replica) bool {
+// recordIfNewer records a report and reports whether it is newer than the last one.
+func (h *heartbeats) recordIfNewer(report sitestate.Replica) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	previous, known := h.heard[report.ID]
+	previous, known := h.lastHeartbeats[report.ID]
 	if known && report.Sequence <= previous.sequence && report.State == sitestate.ReplicaReady {
 		return false
 	}
-	h.heard[report.ID] = heardReplica{sequence: max(report.Sequence, previous.sequence), at: time.Now()}
+	h.lastHeartbeats[report.ID] = lastHeartbeat{sequence: max(report.Sequence, previous.sequence), at: time.Now()}
 	return true
 }
 
-// sameReport reports whether a report says nothing new.
-func sameReport(held, report sitestate.Replica) bool {
-	sameState := held.State == report.State || held.State == sitestate.ReplicaDraining
-	return sameState && held.Service == report.Service && held.Address == report.Address &&
-		held.Zone == report.Zone && held.Slots == report.Slots && held.StartedAt == report.StartedAt && slices.Equal(held.Models, report.Models)
+// sameReport reports whether a report changes nothing.
+func sameReport(registered, report sitestate.Replica) bool {
+	sameState := registered.State == report.State || registered.State == sitestate.ReplicaDraining
+	return sameState && registered.Service == report.Service && registered.Address == report.Address &&
+		registered.Zone == report.Zone && registered.Slots == report.Slots && registered.StartedAt == report.StartedAt && slices.Equal(registered.Models, report.Models)
 }
 
-// tend takes out replicas that have long been silent, or tells the leader which
-// are not.
-func (h *heartbeats) tend(ctx context.Context, leads bool) {
+// tick removes timed-out replicas on the leader; other members report to the leader.
+func (h *heartbeats) tick(ctx context.Context, leads bool) {
 	now := time.Now()
-	if now.Sub(h.tendedAt) < silenceInterval && leads == h.led {
+	if now.Sub(h.tickedAt) < timeoutCheckInterval && leads == h.wasLeader {
 		return
 	}
-	h.tendedAt = now
+	h.tickedAt = now
 	if !leads {
-		h.led = false
-		h.tellLeader(ctx)
+		h.wasLeader = false
+		h.reportToLeader(ctx)
 		return
 	}
-	h.control.tendLevel(ctx, now)
-	h.control.tendSenders(ctx, now)
+	h.control.raiseLevel(ctx, now)
+	h.control.commitSenders(ctx, now)
 	replicas := h.control.view.Load().Replicas
-	for _, id := range h.silent(replicas, now) {
-		h.control.config.Logger.Warn().Str(eventlog.Field, eventlog.ReplicaSilent).Str("replica", id).Msg("a replica was not heard of and is taken out")
+	for _, id := range h.timedOut(replicas, now) {
+		h.control.config.Logger.Warn().Str(eventlog.Field, eventlog.ReplicaSilent).Str("replica", id).Msg("replica timed out and is removed")
 		_, _ = h.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: id, TimedOut: true}})
 	}
 }
 
-// tellLeader tells the leader which replicas were heard of here. What it does not
-// learn for want of one is told the next time.
-func (h *heartbeats) tellLeader(ctx context.Context) {
+// reportToLeader sends the leader the replicas that this member accepted heartbeats of. On
+// failure they are part of the next report.
+func (h *heartbeats) reportToLeader(ctx context.Context) {
 	shown := h.control.member.Shown()
 	if shown == nil {
 		return
 	}
-	heard := Heard{
-		Replicas: h.takeUntold(), Member: h.control.config.Machine, Watchers: h.control.watchers(),
+	report := MemberReport{
+		Replicas: h.takeUnreported(), Member: h.control.config.Machine, Watchers: h.control.watchers(),
 		ID: shown.Status.ID, Level: sitestate.LevelNewest,
 	}
-	told := heard.Replicas
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ids := report.Replicas
+	ctx, cancel := context.WithTimeout(ctx, memberReportTimeout)
 	defer cancel()
-	answer, err := h.control.callOnce(ctx, Request{Heard: &heard})
+	answer, err := h.control.callOnce(ctx, Request{MemberReport: &report})
 	if err == nil && !answer.NotLeader {
 		return
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, id := range told {
-		h.untold[id] = true
+	for _, id := range ids {
+		h.unreported[id] = true
 	}
 }
 
-func (h *heartbeats) takeUntold() []string {
+func (h *heartbeats) takeUnreported() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	told := slices.Sorted(maps.Keys(h.untold))
-	clear(h.untold)
-	return told
+	ids := slices.Sorted(maps.Keys(h.unreported))
+	clear(h.unreported)
+	return ids
 }
 
-// silent lists replicas that are due to be taken out. A new leader starts from
-// now for all it has not heard of.
-func (h *heartbeats) silent(replicas sitestate.ReplicaSet, now time.Time) []string {
+// timedOut lists the replicas to remove. A new leader starts all timeouts from now.
+func (h *heartbeats) timedOut(replicas sitestate.ReplicaSet, now time.Time) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if !h.led {
-		h.led = true
-		clear(h.heard)
+	if !h.wasLeader {
+		h.wasLeader = true
+		clear(h.lastHeartbeats)
 	}
-	for id := range h.untold {
-		h.noteAlive(id, now)
+	for id := range h.unreported {
+		h.recordAlive(id, now)
 	}
-	clear(h.untold)
+	clear(h.unreported)
 	var due []string
 	for id := range replicas.All() {
-		heard, known := h.heard[id]
+		last, known := h.lastHeartbeats[id]
 		if !known {
-			h.heard[id] = heardReplica{at: now}
+			h.lastHeartbeats[id] = lastHeartbeat{at: now}
 			continue
 		}
-		if now.Sub(heard.at) > silentAfter {
+		if now.Sub(last.at) > replicaTimeout {
 			due = append(due, id)
-			delete(h.heard, id)
+			delete(h.lastHeartbeats, id)
 		}
 	}
-	h.cold.forget(now)
-	for id := range h.heard {
-		if !replicas.Has(id) && now.Sub(h.heard[id].at) > silentAfter {
-			delete(h.heard, id)
+	h.cold.expire(now)
+	for id := range h.lastHeartbeats {
+		if !replicas.Has(id) && now.Sub(h.lastHeartbeats[id].at) > replicaTimeout {
+			delete(h.lastHeartbeats, id)
 		}
 	}
 	return due
--- a/internal/app/sitecontrol/heartbeats_test.go
+++ b/internal/app/sitecontrol/heartbeats_test.go
@@ -8,49 +8,48 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestOnlyReplicasThatNobodyHeardOfAreSilent: the leader takes out what neither it
-// nor a member that told it heard of.
+// The leader removes only replicas that neither it nor another member received heartbeats of.
 func TestOnlyReplicasThatNobodyHeardOfAreSilent(t *testing.T) {
 	h := newHeartbeats(nil)
-	began := time.Now()
-	replicas := sitestate.SetOf(sitestate.Replica{ID: "told"}, sitestate.Replica{ID: "taken here"}, sitestate.Replica{ID: "by the leader"}, sitestate.Replica{ID: "nobody"})
-	if due := h.silent(replicas, began); len(due) != 0 {
-		t.Fatalf("a new leader takes out %v", due)
+	start := time.Now()
+	replicas := sitestate.SetOf(sitestate.Replica{ID: "reported"}, sitestate.Replica{ID: "accepted here"}, sitestate.Replica{ID: "by the leader"}, sitestate.Replica{ID: "lost"})
+	if due := h.timedOut(replicas, start); len(due) != 0 {
+		t.Fatalf("a new leader removes %v", due)
 	}
-	now := began.Add(silentAfter + time.Second)
+	now := start.Add(replicaTimeout + time.Second)
 	h.mutex.Lock()
-	h.noteAlive("told", now)
-	h.heard["by the leader"] = heardReplica{at: now}
-	h.untold["taken here"] = true
+	h.recordAlive("reported", now)
+	h.lastHeartbeats["by the leader"] = lastHeartbeat{at: now}
+	h.unreported["accepted here"] = true
 	h.mutex.Unlock()
-	if due := h.silent(replicas, now); !slices.Equal(due, []string{"nobody"}) {
-		t.Errorf("taken out: %v", due)
+	if due := h.timedOut(replicas, now); !slices.Equal(due, []string{"lost"}) {
+		t.Errorf("timed out: %v, want lost", due)
 	}
-	if told := h.takeUntold(); len(told) != 0 {
-		t.Errorf("told again: %v", told)
+	if reported := h.takeUnreported(); len(reported) != 0 {
+		t.Errorf("still unreported: %v", reported)
 	}
 }
 
-// TestWhatIsToldIsForgottenOnceTold: a member tells each heartbeat once.
+// A member reports each heartbeat once.
 func TestWhatIsToldIsForgottenOnceTold(t *testing.T) {
 	h := newHeartbeats(nil)
-	h.untold["b"], h.untold["a"] = true, true
-	if told := h.takeUntold(); !slices.Equal(told, []string{"a", "b"}) {
-		t.Errorf("told %v", told)
+	h.unreported["b"], h.unreported["a"] = true, true
+	if reported := h.takeUnreported(); !slices.Equal(reported, []string{"a", "b"}) {
+		t.Errorf("reported %v", reported)
 	}
-	if told := h.takeUntold(); len(told) != 0 {
-		t.Errorf("told again: %v", told)
+	if reported := h.takeUnreported(); len(reported) != 0 {
+		t.Errorf("reported again: %v", reported)
 	}
 }
 
 func TestSameReport(t *testing.T) {
-	held := sitestate.Replica{
+	registered := sitestate.Replica{
 		ID: "i", Service: "s", Address: "a", Zone: "z", Slots: 2, Sequence: 4,
 		Models: []sitestate.ModelVersion{{Name: "m", Version: 3}}, Model: "m", ChangedAt: 9, RoutedAt: 8,
 	}
-	later := held
+	later := registered
 	later.Sequence, later.Model, later.ChangedAt, later.RoutedAt = 5, "", 0, 0
-	draining := held
+	draining := registered
 	draining.State = sitestate.ReplicaDraining
 	change := func(edit func(*sitestate.Replica)) sitestate.Replica {
 		changed := later
@@ -58,20 +57,20 @@
 		return changed
 	}
 	for _, row := range []struct {
-		name         string
-		held, report sitestate.Replica
-		want         bool
+		name               string
+		registered, report sitestate.Replica
+		want               bool
 	}{
-		{"nothing new", held, later, true},
-		{"drains", held, draining, false},
-		{"a late ready of one that drains", draining, later, true},
-		{"other version", held, change(func(r *sitestate.Replica) { r.Models = []sitestate.ModelVersion{{Name: "m", Version: 4}} }), false},
-		{"other address", held, change(func(r *sitestate.Replica) { r.Address = "b" }), false},
-		{"other service", held, change(func(r *sitestate.Replica) { r.Service = "t" }), false},
-		{"other slots", held, change(func(r *sitestate.Replica) { r.Slots = 3 }), false},
+		{"unchanged", registered, later, true},
+		{"drains", registered, draining, false},
+		{"late ready report of a draining replica", draining, later, true},
+		{"other version", registered, change(func(r *sitestate.Replica) { r.Models = []sitestate.ModelVersion{{Name: "m", Version: 4}} }), false},
+		{"other address", registered, change(func(r *sitestate.Replica) { r.Address = "b" }), false},
+		{"other service", registered, change(func(r *sitestate.Replica) { r.Service = "t" }), false},
+		{"other slots", registered, change(func(r *sitestate.Replica) { r.Slots = 3 }), false},
 	} {
-		if got := sameReport(row.held, row.report); got != row.want {
-			t.Errorf("%s: %v", row.name, got)
+		if got := sameReport(row.registered, row.report); got != row.want {
+			t.Errorf("%s: same %v", row.name, got)
 		}
 	}
 }
--- a/internal/app/sitecontrol/lease.go
+++ b/internal/app/sitecontrol/lease.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	// holderMargin is waited beyond the lease after the holder changed: the last call of
-	// the one before may arrive late.
+	// holderMargin extends the wait for the previous holder's lease, whose last call may
+	// arrive late.
 	holderMargin = 300 * time.Millisecond
-	// authorityMargin is how long beyond the lease a call may begin: half of that, so that
-	// it arrives before a new holder's first one.
+	// authorityMargin is how long after the lease a call may still start. It is below
+	// holderMargin so that the call arrives before a new holder's first one.
 	authorityMargin = holderMargin / 2
-	// giveBackWithin is how long after its start a process offers leadership
+	// returnLeadershipWithin is how long after its start a process may transfer leadership
 	// to the holder.
-	giveBackWithin = 8 * time.Second
+	returnLeadershipWithin = 8 * time.Second
 )
 
-// lease is the right to call replicas and the provider, which one machine has at a time.
-// Only the leader has it; its term is the fencing token. Whoever is called need not check
-// tokens: a new holder waits until the one before can act no more. The goroutine of
-// Control.lead owns it, but for confirm.
+// lease is the right to call replicas and the provider, held by one machine at a time. Only
+// the leader acquires it; the term is the fencing token. Callees need not check tokens: a
+// new holder waits until the previous one can no longer call. All methods but confirm run
+// in the goroutine of Control.lead.
 type lease struct {
 	control *Control
 
-	// term is the one in which this member leads, 0 if it does not, and ledFrom
-	// when it began to, as seen here; holds is set once it is the holder.
-	term    uint64
-	ledFrom time.Duration // by the process's clock
-	holds   bool
-	// started is when the process started; gaveBack is set once leadership was
-	// offered to the holder.
-	started  time.Time
-	gaveBack bool
+	// term is the one in which this member leads, 0 if it does not; leaderSince is when
+	// that was first observed, and held is set once it is the holder.
+	term        uint64
+	leaderSince time.Duration // monotonic clock
+	held        bool
+	// started is the start time of the process; leadershipReturned is set once it has
+	// transferred leadership to the holder.
+	started            time.Time
+	leadershipReturned bool
 }
 
 func newLease(control *Control) *lease { return &lease{control: control, started: time.Now()} }
 
-// follow notes whether this member leads, and in which term. Each term begins anew:
-// another member may have led for a moment between two.
-func (l *lease) follow(leads bool) {
+// updateTerm updates the term in which this member leads. Each term starts without the
+// lease, since another member may have led in between.
+func (l *lease) updateTerm(leads bool) {
 	term := uint64(0)
 	if shown := l.control.member.Shown(); leads && shown != nil {
 		term = shown.Status.Term
 	}
 	if term != l.term {
-		l.term, l.ledFrom, l.holds = term, l.control.config.Clock(), false
+		l.term, l.leaderSince, l.held = term, l.control.config.Clock(), false
 	}
 }
 
-// hold takes the lease over. A new holder waits until nobody holds to the one before.
-func (l *lease) hold(ctx context.Context) bool {
-	if l.holds {
+// acquire acquires the lease, once that of the previous holder has expired.
+func (l *lease) acquire(ctx context.Context) bool {
+	if l.held {
 		return true
 	}
 	if l.term == 0 {
@@ -68,39 +68,38 @@
 		return false
 	}
 	self := l.control.config.Machine
-	if holder.Machine != "" && holder.Machine != self && l.control.config.Clock()-l.ledFrom < l.control.config.HolderLease+holderMargin {
-		l.giveBack(holder)
+	if holder.Machine != "" && holder.Machine != self && l.control.config.Clock()-l.leaderSince < l.control.config.HolderLease+holderMargin {
+		l.returnLeadership(holder)
 		return false
 	}
 	if holder.Machine != self {
-		taken := sitestate.Holder{Machine: self, Address: l.control.config.Address}
-		if _, err := l.control.propose(ctx, sitestate.Command{Holder: &taken}); err != nil {
+		acquired := sitestate.Holder{Machine: self, Address: l.control.config.Address}
+		if _, err := l.control.propose(ctx, sitestate.Command{Holder: &acquired}); err != nil {
 			return false
 		}
 	}
-	l.control.config.Logger.Info().Str(eventlog.Field, eventlog.HolderTaken).Str("before", holder.Machine).Msg("this machine orders replicas and calls the provider from now on")
-	l.holds = true
+	l.control.config.Logger.Info().Str(eventlog.Field, eventlog.HolderTaken).Str("before", holder.Machine).Msg("this machine acquired the lease to call replicas and the provider")
+	l.held = true
 	return true
 }
 
-// giveBack hands leadership to the holder, once, if this process has only just
-// started: after all processes were killed the holder is back as well, and need
-// not wait before it acts.
-func (l *lease) giveBack(holder sitestate.Holder) {
-	if l.gaveBack || time.Since(l.started) > giveBackWithin || holder.Address == "" {
+// returnLeadership transfers leadership to the holder, once, if this process has started
+// recently: after a restart of all processes the holder need not wait for its lease.
+func (l *lease) returnLeadership(holder sitestate.Holder) {
+	if l.leadershipReturned || time.Since(l.started) > returnLeadershipWithin || holder.Address == "" {
 		return
 	}
 	if l.control.member.TransferTo(holder.Address) {
-		l.gaveBack = true
-		l.control.config.Logger.Info().Str(eventlog.Field, eventlog.HolderPreferred).Str("holder", holder.Machine).Msg("leadership is offered to the machine that orders replicas")
+		l.leadershipReturned = true
+		l.control.config.Logger.Info().Str(eventlog.Field, eventlog.HolderPreferred).Str("holder", holder.Machine).Msg("leadership transfer to the lease holder started")
 	}
 }
 
-// errNotHolder refuses a call of a member that is not the holder any more.
-var errNotHolder = errors.New("sitecontrol: this machine is not the holder any more")
+// errNotHolder rejects a call by a member that no longer holds the lease.
+var errNotHolder = errors.New("sitecontrol: this machine no longer holds the lease")
 
-// authority is a confirmation that this machine is the holder. Whoever takes the lease over
-// waits for HolderLease and holderMargin after that, so that a call must begin before.
+// authority is a confirmation that this machine holds the lease. A new holder waits for
+// HolderLease and holderMargin after it, so that calls must start before until.
 type authority struct {
 	// term is the fencing token.
 	term  uint64
@@ -108,9 +107,8 @@
 	clock boottime.Clock
 }
 
-// check fails once the authority is over. It is asked right before a call leaves: between a
-// confirmation and the call the machine may have been frozen, or suspended, in which no timer
-// of the process counts.
+// check returns an error once the authority has expired. Callers check right before each
+// call: the machine may have been suspended since the confirmation, which stops timers.
 func (a *authority) check() error {
 	if a.clock() >= a.until {
 		return errNotHolder
@@ -118,11 +116,10 @@
 	return nil
 }
 
-// confirm gives the authority of this member as the holder, confirmed by a
-// quorum. The read lease alone would not do: after a transfer of leadership that
-// failed it is gone until the next term, though the member leads on.
+// confirm returns an authority confirmed by a quorum. The read lease doesn't suffice: after
+// a failed transfer of leadership it is gone until the next term, while the member leads.
 func (l *lease) confirm(ctx context.Context) (authority, error) {
-	asked := l.control.config.Clock()
+	requestedAt := l.control.config.Clock()
 	before := l.control.member.Shown()
 	var holder sitestate.Holder
 	err := l.control.member.Read(ctx, func(machine groupmember.StateMachine) { holder = machine.(*sitestate.State).Holder() })
@@ -133,5 +130,5 @@
 	if before == nil || after == nil || !after.Settled || before.Status.Term != after.Status.Term || holder.Machine != l.control.config.Machine {
 		return authority{}, errNotHolder
 	}
-	return authority{term: after.Status.Term, until: asked + l.control.config.HolderLease + authorityMargin, clock: l.control.config.Clock}, nil
+	return authority{term: after.Status.Term, until: requestedAt + l.control.config.HolderLease + authorityMargin, clock: l.control.config.Clock}, nil
 }
--- a/internal/app/sitecontrol/lease_test.go
+++ b/internal/app/sitecontrol/lease_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestAnAuthorityDoesNotOutliveASuspension: a holder is confirmed, suspended, and another one
-// takes over and orders. When the first wakes up it must not send what it was about to, whatever
-// its steady clock says.
+// A holder that is suspended past its lease must not send a call when it resumes: another
+// machine may hold the lease by then.
 func TestAnAuthorityDoesNotOutliveASuspension(t *testing.T) {
 	passed := time.Hour
 	confirmed := authority{term: 3, until: passed + 3*time.Second, clock: func() time.Duration { return passed }}
@@ -16,6 +15,6 @@
 	}
 	passed += 10 * time.Second
 	if confirmed.check() == nil {
-		t.Error("it may call after a suspension beyond the lease")
+		t.Error("the authority is valid after a suspension beyond the lease")
 	}
 }
--- a/internal/app/sitecontrol/levels.go
+++ b/internal/app/sitecontrol/levels.go
@@ -13,31 +13,31 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// levels agrees on the level of the control group. It is safe for concurrent use.
+// levels negotiates the level of the control group. It is safe for concurrent use.
 type levels struct {
 	mutex sync.Mutex
-	// told are the levels that other members know, as they said to this one as the leader.
-	told map[consensus.MemberID]toldLevel
-	// agreed is the level in this member's state.
+	// reported are the levels that other members reported to this one as the leader.
+	reported map[consensus.MemberID]reportedLevel
+	// agreed is the level in this member's applied state.
 	agreed atomic.Uint32
 }
 
-type toldLevel struct {
+type reportedLevel struct {
 	level sitestate.Level
 	at    time.Time
 }
 
-func newLevels() *levels { return &levels{told: map[consensus.MemberID]toldLevel{}} }
+func newLevels() *levels { return &levels{reported: map[consensus.MemberID]reportedLevel{}} }
 
-// note takes in what a member knows.
-func (l *levels) note(member consensus.MemberID, level sitestate.Level, now time.Time) {
+// record stores the level that a member reported.
+func (l *levels) record(member consensus.MemberID, level sitestate.Level, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.told[member] = toldLevel{level: level, at: now}
+	l.reported[member] = reportedLevel{level: level, at: now}
 }
 
-// common gives the level that all members of the group know. One that said nothing of late may
-// have been replaced by an earlier build.
+// common returns the highest level that all members support. A member without a recent
+// report may run an earlier build.
 func (l *levels) common(shown *group.Shown, now time.Time) sitestate.Level {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -46,17 +46,17 @@
 		if record.ID == shown.Status.ID {
 			continue
 		}
-		told := l.told[record.ID]
-		if now.Sub(told.at) > toldForgotten {
+		reported := l.reported[record.ID]
+		if now.Sub(reported.at) > memberReportTTL {
 			return sitestate.LevelFirst
 		}
-		common = min(common, told.level)
+		common = min(common, reported.level)
 	}
 	return common
 }
 
-// tendLevel raises the agreed level, as the leader, once all members know a higher one.
-func (c *Control) tendLevel(ctx context.Context, now time.Time) {
+// raiseLevel raises the agreed level, as the leader, once all members support a higher one.
+func (c *Control) raiseLevel(ctx context.Context, now time.Time) {
 	shown := c.member.Shown()
 	if shown == nil || sitestate.Level(c.levels.agreed.Load()) >= sitestate.LevelNewest {
 		return
@@ -67,13 +67,13 @@
 	}
 	_, err := c.propose(ctx, sitestate.Command{Level: &level})
 	c.config.Logger.Info().Str(eventlog.Field, eventlog.LevelRaised).Uint32("level", uint32(level)).Int("members", len(shown.Records)).
-		Err(err).Msg("all control members know a higher level")
+		Err(err).Msg("level raised: all control members support it")
 }
 
-// needs refuses, as the leader, what not all members know yet.
-func (c *Control) needs(level sitestate.Level) error {
+// requireLevel returns an error while the group's agreed level is below level.
+func (c *Control) requireLevel(level sitestate.Level) error {
 	if agreed := sitestate.Level(c.levels.agreed.Load()); agreed < level {
-		return port.NewError(port.NotRun, port.CodeUnavailable, "the control group is at level %d, and this needs %d: a member of an earlier build is among them, or has not said what it knows yet", agreed, level)
+		return port.NewError(port.NotRun, port.CodeUnavailable, "the control group is at level %d, this request requires level %d: a member runs an earlier build or has not reported its level yet", agreed, level)
 	}
 	return nil
 }
--- a/internal/app/sitecontrol/loads.go
+++ b/internal/app/sitecontrol/loads.go
@@ -14,72 +14,71 @@
 const (
 	orderTimeout   = time.Second
 	reportInterval = 250 * time.Millisecond
-	// loadTimeout is how long a load is followed before it is planned anew.
+	// loadTimeout bounds a load; after it the load is planned again.
 	loadTimeout = 5 * time.Second
-	// lostAfter is how long a replica that loads may leave reports unanswered.
-	lostAfter = time.Second
-	// firstRest and longestRest bound how long a replica whose load failed is
-	// left alone; the time doubles with each failure in a row.
-	firstRest   = time.Second
-	longestRest = 8 * time.Second
+	// unresponsiveAfter is how long a loading replica may leave requests unanswered.
+	unresponsiveAfter = time.Second
+	// minBackoff and maxBackoff bound the backoff of a replica after failed loads; it
+	// doubles with each consecutive failure.
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
 	// loadDone and loadFailed are the outcomes of loads.
 	loadDone   = "done"
 	loadFailed = "failed"
-	// connectionsForOrders is the most to one replica.
-	connectionsForOrders = 2
+	// maxOrderConnections limits the connections to one replica.
+	maxOrderConnections = 2
 )
 
-// rest is how long a replica is left alone after so many failures in a row.
-type rest struct {
+// backoff is the backoff of a replica after failed loads.
+type backoff struct {
 	failures int
 	until    time.Time
 }
 
-// after gives the rest after one more failure.
-func (r rest) after(now time.Time) rest {
-	const longestShift = 8
-	pause := min(longestRest, firstRest<<min(r.failures, longestShift))
-	return rest{failures: r.failures + 1, until: now.Add(pause)}
+// after returns the backoff after one more failure.
+func (r backoff) after(now time.Time) backoff {
+	const maxShift = 8
+	pause := min(maxBackoff, minBackoff<<min(r.failures, maxShift))
+	return backoff{failures: r.failures + 1, until: now.Add(pause)}
 }
 
-// load orders one load and follows it.
+// load orders a load and waits for its end.
 func (w *weightsManager) load(ctx context.Context, target weightplan.Target) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	began := time.Now()
+	started := time.Now()
 	status, err := w.order(ctx, target)
-	done := err == nil && taken(status) && w.follow(ctx, target)
+	done := err == nil && orderAccepted(status) && w.awaitVersion(ctx, target)
 	w.control.config.Logger.Info().Str(eventlog.Field, eventlog.WeightsLoad).Str("replica", target.Replica.ID).Str("model", target.Model).
 		Uint64("version", target.Version).Uint64("before", target.Replica.VersionOf(target.Model)).Int("status", status).
-		Bool("done", done).Dur("took", time.Since(began)).Err(err).Msg("a replica was ordered to load weights")
+		Bool("done", done).Dur("took", time.Since(started)).Err(err).Msg("load of weights ended")
 	outcome := loadDone
 	if !done {
 		outcome = loadFailed
 	}
-	w.control.config.Recorder.LoadEnded(outcome, time.Since(began))
-	w.ended(target.Replica.ID, done)
+	w.control.config.Recorder.LoadEnded(outcome, time.Since(started))
+	w.finishLoad(target.Replica.ID, done)
 }
 
-// taken reports whether an answer to an order says that the replica serves the
+// orderAccepted reports whether the status of an order means that the replica serves the
 // version or is loading it.
-func taken(status int) bool { return status == http.StatusOK || status == http.StatusAccepted }
+func orderAccepted(status int) bool { return status == http.StatusOK || status == http.StatusAccepted }
 
-// ended gives a load's place free.
-func (w *weightsManager) ended(id string, done bool) {
+// finishLoad removes a pending load and updates the replica's backoff.
+func (w *weightsManager) finishLoad(id string, done bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.loading, id)
 	if done {
-		delete(w.resting, id)
+		delete(w.backoffs, id)
 		return
 	}
-	w.resting[id] = w.resting[id].after(time.Now())
+	w.backoffs[id] = w.backoffs[id].after(time.Now())
 }
 
-// order sends the order under what the replica says of itself right before, so
-// that an order that is carried out late, after another one, is refused. A quorum
-// confirms right before that this member still leads: whoever leads after it waits
-// for the replicas' lease to be over before it orders.
+// order sends an order conditional on the replica's current order count, so that a late one
+// is rejected after another. A quorum confirms the lease right before: a new leader waits
+// for its expiry before it sends orders.
 func (w *weightsManager) order(ctx context.Context, target weightplan.Target) (int, error) {
 	attempt, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -87,7 +86,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if w.noteReport(target, report) {
+	if w.recordReport(target, report) {
 		return http.StatusOK, nil
 	}
 	confirmed, err := w.control.lease.confirm(attempt)
@@ -103,8 +102,8 @@
 	})
 }
 
-// noteReport keeps what a report shows, and tells whether the target is reached.
-func (w *weightsManager) noteReport(target weightplan.Target, report dialect.Report) bool {
+// recordReport records a report's versions and reports whether the target is reached.
+func (w *weightsManager) recordReport(target weightplan.Target, report dialect.Report) bool {
 	served := sitestate.Replica{Models: report.Models}
 	if served.VersionOf(target.Model) < target.Version || report.Loading {
 		return false
@@ -115,22 +114,22 @@
 	return true
 }
 
-// follow asks the replica until it serves the version. One that leaves its
-// questions unanswered is given up, and one whose zone is drained left alone.
-func (w *weightsManager) follow(ctx context.Context, target weightplan.Target) bool {
+// awaitVersion polls the replica until it serves the version. It gives up on an unresponsive
+// replica and on one whose zone is drained.
+func (w *weightsManager) awaitVersion(ctx context.Context, target weightplan.Target) bool {
 	answered := time.Now()
 	for {
 		if w.control.view.Load().IsDrained(target.Replica.Zone) {
 			return false
 		}
 		report, err := w.report(ctx, target.Replica)
-		if err == nil && w.noteReport(target, report) {
+		if err == nil && w.recordReport(target, report) {
 			return true
 		}
 		if err == nil {
 			answered = time.Now()
 		}
-		if time.Since(answered) > lostAfter {
+		if time.Since(answered) > unresponsiveAfter {
 			return false
 		}
 		select {
@@ -141,7 +140,7 @@
 	}
 }
 
-// report asks a replica how it stands, within the time of an order.
+// report requests a replica's status, bounded by orderTimeout.
 func (w *weightsManager) report(ctx context.Context, replica sitestate.Replica) (dialect.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/internal/app/sitecontrol/placer.go
+++ b/internal/app/sitecontrol/placer.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// Placer asks the control group, by a watcher's members, for the shard of a model.
+// Placer returns a function that requests a model's shard from the control group.
 func Placer(watcher *siteview.Watcher) func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error) {
 	return func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error) {
 		var answer Answer
--- a/internal/app/sitecontrol/quarantine.go
+++ b/internal/app/sitecontrol/quarantine.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// suspectFor is how long the leader keeps a suspect to which nothing happens. A request
-	// that comes less often than that takes CrashesUntilWithheld replicas each time.
-	suspectFor = time.Hour
-	// suspectLook is how often it looks.
-	suspectLook = 10 * time.Second
+	// suspectTTL is how long the leader stores a suspect without new events. A request
+	// sent less often crashes CrashesUntilWithheld replicas each time.
+	suspectTTL = time.Hour
+	// suspectCheckInterval is the period of the leader's checks for expired suspects.
+	suspectCheckInterval = 10 * time.Second
 )
 
-// NewGuard makes the guard of a process of the site, by its name and its watcher.
+// NewGuard returns the guard of a process of the site.
 func NewGuard(process string, watcher *siteview.Watcher, logger *log.Logger) *guard.Guard {
 	return guard.New(guard.Config{
 		Sender: fmt.Sprintf("%s-%x", process, rand.Uint64()), View: watcher.View, Logger: logger,
@@ -37,53 +37,53 @@
 	})
 }
 
-// suspects lets go of those to which nothing has happened for long. The goroutine of
-// Control.lead owns it.
+// suspects expires suspects without recent events. It is owned by the goroutine of
+// Control.lead.
 type suspects struct {
-	control  *Control
-	lookedAt time.Time
-	seen     map[quarantine.Fingerprint]seenSuspect
+	control   *Control
+	checkedAt time.Time
+	seen      map[quarantine.Fingerprint]seenSuspect
 }
 
-// seenSuspect is since when a suspect has so many ends and trials.
+// seenSuspect records since when a suspect has its numbers of crashes and trials.
 type seenSuspect struct {
-	ends, trials int
-	since        time.Time
+	crashes, trials int
+	since           time.Time
 }
 
 func newSuspects(control *Control) *suspects {
 	return &suspects{control: control, seen: map[quarantine.Fingerprint]seenSuspect{}}
 }
 
-// tend looks, as the leader. A new leader counts from when it began.
-func (s *suspects) tend(ctx context.Context, leads bool) {
+// tick releases expired suspects on the leader. A new leader starts all TTLs from now.
+func (s *suspects) tick(ctx context.Context, leads bool) {
 	now := time.Now()
 	if !leads {
 		clear(s.seen)
 		return
 	}
-	if now.Sub(s.lookedAt) < suspectLook {
+	if now.Sub(s.checkedAt) < suspectCheckInterval {
 		return
 	}
-	s.lookedAt = now
-	var held []quarantine.Suspect
-	if s.control.member.Inspect(ctx, func(machine groupmember.StateMachine) { held = machine.(*sitestate.State).Suspects() }) != nil {
+	s.checkedAt = now
+	var stored []quarantine.Suspect
+	if s.control.member.Inspect(ctx, func(machine groupmember.StateMachine) { stored = machine.(*sitestate.State).Suspects() }) != nil {
 		return
 	}
-	if old := s.old(held, now); len(old) > 0 {
-		_, _ = s.control.propose(ctx, sitestate.Command{Quarantine: &sitestate.Quarantine{Events: old}})
+	if released := s.expired(stored, now); len(released) > 0 {
+		_, _ = s.control.propose(ctx, sitestate.Command{Quarantine: &sitestate.Quarantine{Events: released}})
 	}
 }
 
-// old lists those that are let go.
-func (s *suspects) old(held []quarantine.Suspect, now time.Time) (release []quarantine.Event) {
-	seen := make(map[quarantine.Fingerprint]seenSuspect, len(held))
-	for _, suspect := range held {
+// expired lists the releases of suspects without events for suspectTTL.
+func (s *suspects) expired(stored []quarantine.Suspect, now time.Time) (release []quarantine.Event) {
+	seen := make(map[quarantine.Fingerprint]seenSuspect, len(stored))
+	for _, suspect := range stored {
 		known := s.seen[suspect.Fingerprint]
-		if known.ends != len(suspect.Replicas) || known.trials != suspect.Trials {
-			known = seenSuspect{ends: len(suspect.Replicas), trials: suspect.Trials, since: now}
+		if known.crashes != len(suspect.Replicas) || known.trials != suspect.Trials {
+			known = seenSuspect{crashes: len(suspect.Replicas), trials: suspect.Trials, since: now}
 		}
-		if now.Sub(known.since) > suspectFor {
+		if now.Sub(known.since) > suspectTTL {
 			release = append(release, quarantine.Event{Kind: quarantine.EventReleased, Fingerprint: suspect.Fingerprint})
 		}
 		seen[suspect.Fingerprint] = known
@@ -92,11 +92,11 @@
 	return release
 }
 
-// logQuarantine tells of requests that are withheld, tried again or let go from now on.
+// logQuarantine logs requests that are newly withheld, tried again or released.
 func (c *Control) logQuarantine(previous, next *sitestate.View) {
 	before := withheldOf(previous)
 	for fingerprint, suspect := range withheldOf(next) {
-		if held, known := before[fingerprint]; !known || held.Trials != suspect.Trials || len(held.Replicas) != len(suspect.Replicas) {
+		if stored, known := before[fingerprint]; !known || stored.Trials != suspect.Trials || len(stored.Replicas) != len(suspect.Replicas) {
 			c.config.Logger.Warn().Str(eventlog.Field, eventlog.QuarantineChanged).Str("fingerprint", fingerprint.String()).
 				Strs("ended", suspect.Replicas).Int("trials", suspect.Trials).Uint64("position", next.Position).Msg("a request is withheld")
 		}
@@ -104,7 +104,7 @@
 	}
 	for fingerprint := range before {
 		c.config.Logger.Info().Str(eventlog.Field, eventlog.QuarantineChanged).Str("fingerprint", fingerprint.String()).
-			Uint64("position", next.Position).Msg("a request is let go")
+			Uint64("position", next.Position).Msg("a request is released")
 	}
 }
 
--- a/internal/app/sitecontrol/recent.go
+++ b/internal/app/sitecontrol/recent.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// maxRecent bounds the updates that are held; watchers are at few positions.
-	maxRecent = 64
-	// leastShared is from how many replicas on an update is packed once for all who get it:
-	// with fewer, packing each is less than a frame's own cost.
-	leastShared = 8
+	// maxRecentUpdates limits the cached updates; watchers are at few positions.
+	maxRecentUpdates = 64
+	// minPackedReplicas is the number of replicas from which an update is packed once for
+	// all its watchers; packing smaller ones is cheaper than their frames.
+	minPackedReplicas = 8
 )
 
-// newsKey is what a watcher lacks.
-type newsKey struct {
+// updateKey identifies an update by the watcher's position and interest.
+type updateKey struct {
 	after    uint64
 	interest sitestate.Interest
 }
 
-// recentUpdates holds updates that were made a moment ago: watchers that are at the same
-// position share one. It is safe for concurrent use.
+// recentUpdates caches recent updates, which watchers at the same position share. It is safe
+// for concurrent use.
 type recentUpdates struct {
 	mutex   sync.Mutex
-	updates map[newsKey]*recentUpdate
+	updates map[updateKey]*recentUpdate
 }
 
-// recentUpdate is an update for several watchers.
+// recentUpdate is a cached update and its lazily packed form.
 type recentUpdate struct {
-	update sitestate.Update
-	madeAt time.Time
-	once   sync.Once
-	packed []byte
+	update    sitestate.Update
+	createdAt time.Time
+	once      sync.Once
+	packed    []byte
 }
 
-// answer gives what is sent of it: a large one packed, ahead of one that says its position.
+// answer returns the message to send: a large update is packed, a small one is not.
 func (u *recentUpdate) answer() siteview.WatchAnswer {
-	if len(u.update.Replicas)+len(u.update.Removed) < leastShared {
+	if len(u.update.Replicas)+len(u.update.Removed) < minPackedReplicas {
 		return siteview.WatchAnswer{Update: u.update}
 	}
 	u.once.Do(func() {
@@ -52,28 +52,28 @@
 	if len(u.packed) == 0 {
 		return siteview.WatchAnswer{Update: u.update}
 	}
-	return siteview.WatchAnswer{Whole: u.packed, Update: sitestate.Update{Position: u.update.Position}}
+	return siteview.WatchAnswer{Packed: u.packed, Update: sitestate.Update{Position: u.update.Position}}
 }
 
-// get gives the update of a key, made less than so long ago, or makes it.
-func (r *recentUpdates) get(key newsKey, fresh time.Duration, build func() (sitestate.Update, error)) (*recentUpdate, error) {
+// get returns the cached update of a key if it is younger than maxAge, else a new one.
+func (r *recentUpdates) get(key updateKey, maxAge time.Duration, build func() (sitestate.Update, error)) (*recentUpdate, error) {
 	now := time.Now()
 	r.mutex.Lock()
-	held := r.updates[key]
+	cached := r.updates[key]
 	r.mutex.Unlock()
-	if held != nil && now.Sub(held.madeAt) < fresh {
-		return held, nil
+	if cached != nil && now.Sub(cached.createdAt) < maxAge {
+		return cached, nil
 	}
 	update, err := build()
 	if err != nil {
 		return nil, err
 	}
-	made := &recentUpdate{update: update, madeAt: now}
+	created := &recentUpdate{update: update, createdAt: now}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.updates == nil || len(r.updates) >= maxRecent {
-		r.updates = map[newsKey]*recentUpdate{}
+	if r.updates == nil || len(r.updates) >= maxRecentUpdates {
+		r.updates = map[updateKey]*recentUpdate{}
 	}
-	r.updates[key] = made
-	return made, nil
+	r.updates[key] = created
+	return created, nil
 }
--- a/internal/app/sitecontrol/refused.go
+++ b/internal/app/sitecontrol/refused.go
@@ -10,53 +10,51 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// refusedLinePause is the least time between two lines on refused reports: whoever sends
-// them may send thousands a second.
-const refusedLinePause = time.Second
+// logInterval is the minimum time between two log lines of a logLimiter.
+const logInterval = time.Second
 
-// refusedReports spaces lines on reports that were not taken. It is safe for concurrent use.
-type refusedReports struct {
-	mutex  sync.Mutex
-	toldAt time.Time
-	untold int
+// logLimiter limits the rate of log lines on lost reports. It is safe for concurrent use.
+type logLimiter struct {
+	mutex    sync.Mutex
+	loggedAt time.Time
+	unlogged int
 }
 
-// due counts a refusal, and reports whether a line is due and on how many.
-func (r *refusedReports) due(now time.Time) (count int, due bool) {
+// due counts an event, and returns the number to log if a line is due.
+func (r *logLimiter) due(now time.Time) (count int, due bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.untold++
-	if now.Sub(r.toldAt) < refusedLinePause {
+	r.unlogged++
+	if now.Sub(r.loggedAt) < logInterval {
 		return 0, false
 	}
-	count, r.untold, r.toldAt = r.untold, 0, now
+	count, r.unlogged, r.loggedAt = r.unlogged, 0, now
 	return count, true
 }
 
-// RefuseReport counts a report that names no replica to use, and tells of it now and then.
+// RefuseReport counts a rejected report and logs it, rate-limited.
 func (c *Control) RefuseReport(name string, fault *sitestate.ReportError) {
 	c.config.Recorder.HeartbeatRefused(string(fault.Field))
-	count, due := c.refused.due(time.Now())
+	count, due := c.rejectedLog.due(time.Now())
 	if !due {
 		return
 	}
 	const shown = 64
 	c.config.Logger.Warn().Str(eventlog.Field, eventlog.HeartbeatRefused).Str("replica", name[:min(len(name), shown)]).
-		Str("field", string(fault.Field)).Str("reason", fault.Reason).Int("count", count).Msg("a heartbeat names no replica to use")
+		Str("field", string(fault.Field)).Str("reason", fault.Reason).Int("count", count).Msg("invalid heartbeats rejected")
 }
 
-// notePassedOn tells now and then that reports did not get into the log; their replicas report
-// again.
-func (c *Control) notePassedOn(err error) {
-	if count, due := c.lost.due(time.Now()); due {
-		c.config.Logger.Warn().Str(eventlog.Field, eventlog.ReportsNotKept).Int("count", count).Err(err).Msg("reports of replicas did not get into the log")
+// logLostReports logs, rate-limited, that a report was not committed; the replica repeats it.
+func (c *Control) logLostReports(err error) {
+	if count, due := c.lostLog.due(time.Now()); due {
+		c.config.Logger.Warn().Str(eventlog.Field, eventlog.ReportsNotKept).Int("count", count).Err(err).Msg("reports of replicas were not committed")
 	}
 }
 
-// checkReport refuses a report of a service or a zone that the site does not have, before
-// the report can take an address from a replica that is there.
+// checkReport rejects a report with a service or zone that the site doesn't have, before it
+// can replace a registered replica with the same address.
 func (c *Control) checkReport(report sitestate.Replica) error {
-	fault := foreign(report, c.table.Load(), c.config.Zones)
+	fault := validateReport(report, c.table.Load(), c.config.Zones)
 	if fault == nil {
 		return nil
 	}
@@ -64,9 +62,9 @@
 	return port.NewError(port.NotRun, port.CodeInvalid, "%v", fault)
 }
 
-// foreign says what in a report is not of this site. Before a configuration is known any
-// service is taken, and any zone where the settings name none.
-func foreign(report sitestate.Replica, table *routing.Table, zones map[string]string) *sitestate.ReportError {
+// validateReport returns an error if the report's service or zone is unknown. Any service is
+// valid before a configuration is known, any zone if the settings name none.
+func validateReport(report sitestate.Replica, table *routing.Table, zones map[string]string) *sitestate.ReportError {
 	if table != nil && table.Service(report.Service) == nil {
 		return &sitestate.ReportError{Field: sitestate.FieldService, Reason: "the configuration has no such service"}
 	}
--- a/internal/app/sitecontrol/regions.go
+++ b/internal/app/sitecontrol/regions.go
@@ -9,9 +9,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// byRegion reports whether each shard is to be kept in one region: some jobs may be kept in
-// some regions only. Where none are bound, shards are spread over all zones.
-func (s *stores) byRegion() bool {
+// regionalShards reports whether each shard is to stay within one region, because some route
+// or tenant restricts its jobs to regions. Otherwise shards span all zones.
+func (s *stores) regionalShards() bool {
 	table := s.control.table.Load()
 	if table == nil || len(s.control.config.Zones) == 0 {
 		return false
@@ -23,17 +23,17 @@
 
 func (s *stores) regionOf(zone string) string { return s.control.config.Zones[zone] }
 
-// wanted gives how many shards the site is to have.
-func (s *stores) wanted(alive []sitestate.Store, view *sitestate.View) int {
-	wanted := shardplan.ShardCount(len(alive), s.places(view), s.limits())
-	if !s.byRegion() {
+// shardCount returns how many shards the site is to have.
+func (s *stores) shardCount(alive []sitestate.Store, view *sitestate.View) int {
+	wanted := shardplan.ShardCount(len(alive), s.engineSlots(view), s.limits())
+	if !s.regionalShards() {
 		return wanted
 	}
-	enough := 0
+	minimum := 0
 	for _, count := range s.machinesByRegion(alive) {
-		enough += min(1, count/s.voters())
+		minimum += min(1, count/s.voters())
 	}
-	return max(wanted, enough)
+	return max(wanted, minimum)
 }
 
 func (s *stores) machinesByRegion(stores []sitestate.Store) map[string]int {
@@ -44,10 +44,10 @@
 	return counts
 }
 
-// withinRegion lists the free machines of the region in which the next shard is founded: of
-// those that have enough, the one with the fewest shards.
-func (s *stores) withinRegion(free []sitestate.Store, view *sitestate.View) []sitestate.Store {
-	if !s.byRegion() {
+// freeInRegion lists the free machines of the region for the next shard: of the regions with
+// enough machines, the one with the fewest shards.
+func (s *stores) freeInRegion(free []sitestate.Store, view *sitestate.View) []sitestate.Store {
+	if !s.regionalShards() {
 		return free
 	}
 	shards := map[string]int{}
@@ -73,7 +73,7 @@
 	return slices.DeleteFunc(free, func(store sitestate.Store) bool { return s.regionOf(store.Zone) != best })
 }
 
-// membersOf lists the machines of a shard: those that said so, and its founders.
+// membersOf lists the machines that report a shard as theirs, and its founders.
 func (s *stores) membersOf(view *sitestate.View, number sitestate.ShardNumber) []sitestate.Store {
 	founders := map[string]bool{}
 	for _, shard := range view.Shards {
@@ -88,8 +88,8 @@
 	})
 }
 
-// keptIn reports whether all machines of a shard stand in the regions, any if none are given.
-func (s *stores) keptIn(view *sitestate.View, number sitestate.ShardNumber, regions []string) bool {
+// withinRegions reports whether all machines of a shard are in the regions; true without any.
+func (s *stores) withinRegions(view *sitestate.View, number sitestate.ShardNumber, regions []string) bool {
 	if len(regions) == 0 {
 		return true
 	}
@@ -99,19 +99,19 @@
 	})
 }
 
-// besides lists the free machines that may join the members of a shard: those of its region
-// where jobs are bound to regions.
-func (s *stores) besides(members []sitestate.Store, free []shardplan.Machine) []shardplan.Machine {
-	if !s.byRegion() || len(members) == 0 {
+// joinable lists the free machines that may join the members of a shard: with regional
+// shards, those of its region.
+func (s *stores) joinable(members []sitestate.Store, free []shardplan.Machine) []shardplan.Machine {
+	if !s.regionalShards() || len(members) == 0 {
 		return free
 	}
 	regions := s.machinesByRegion(members)
 	return slices.DeleteFunc(slices.Clone(free), func(machine shardplan.Machine) bool { return regions[s.regionOf(machine.Zone)] == 0 })
 }
 
-// jobRegions gives the regions in which the jobs of a service may be kept, none for all. It
-// is not clear if its routes say different things: then the first job decides.
-func (s *stores) jobRegions(service string) (regions []string, clear bool) {
+// jobRegions returns the regions to which the jobs of a service are restricted, none for
+// all. It returns false if the service's routes differ; then the first job decides.
+func (s *stores) jobRegions(service string) (regions []string, consistent bool) {
 	first := true
 	for _, route := range s.control.table.Load().Document().Routes {
 		if route.Kind != routing.KindJobs || !route.RoutesTo(service) {
--- a/internal/app/sitecontrol/registrar.go
+++ b/internal/app/sitecontrol/registrar.go
@@ -14,44 +14,42 @@
 )
 
 const (
-	// entriesAtOnce bounds the reports whose entries are under way: as many as the log takes
-	// in with a few syncs. The others wait in order.
-	entriesAtOnce = 256
-	// entryTimeout bounds one entry. It is longer than a replica waits: an entry that is
-	// begun is finished although its replica asks elsewhere by now, as it would be begun anew
-	// each time else, and never finished once that takes longer than a replica waits.
+	// maxConcurrentEntries limits the entries in flight to what the log appends with a few
+	// syncs.
+	maxConcurrentEntries = 256
+	// entryTimeout bounds one entry. It exceeds the replicas' own timeout, so that a slow
+	// entry finishes instead of restarting with each retry of the replica.
 	entryTimeout = 4 * time.Second
 )
 
-// registrar puts reports that change something into the log, as the leader. A replica that
-// reports again while its entry is under way waits for that one: what has to be done does not
-// grow with how often it is asked for. It is safe for concurrent use.
+// registrar commits reports that change something, as the leader. A repeated report waits
+// for the pending entry, so that retries add no load. It is safe for concurrent use.
 type registrar struct {
 	control *Control
 	mutex   sync.Mutex
-	// open finds the entry of a start that waits or is under way.
-	open  map[reportKey]*reportEntry
-	queue []*reportEntry
-	// working is set while a goroutine works on the queue.
-	working bool
+	// pending finds the queued or in-flight entry of a replica start.
+	pending map[reportKey]*reportEntry
+	queue   []*reportEntry
+	// running is set while a goroutine processes the queue.
+	running bool
 }
 
-// reportKey names a start of a replica.
+// reportKey identifies a start of a replica.
 type reportKey struct {
-	name string
-	born uint64
+	name      string
+	startedAt uint64
 }
 
 func keyOf(report *sitestate.Replica) reportKey {
-	return reportKey{name: report.InstanceName(), born: report.StartedAt}
+	return reportKey{name: report.InstanceName(), startedAt: report.StartedAt}
 }
 
-// saysTheSame reports whether a report that is under way stands for another one of its start.
-func saysTheSame(underWay, report sitestate.Replica) bool {
-	return sameReport(underWay, report) && underWay.ColdMillis == report.ColdMillis
+// equivalentReports reports whether committing a pending report also covers another one.
+func equivalentReports(pending, report sitestate.Replica) bool {
+	return sameReport(pending, report) && pending.ColdMillis == report.ColdMillis
 }
 
-// reportEntry is a report on its way into the log.
+// reportEntry is a report that is being committed.
 type reportEntry struct {
 	report sitestate.Replica
 	// done is closed once outcome and err are set.
@@ -61,12 +59,12 @@
 }
 
 func newRegistrar(control *Control) *registrar {
-	return &registrar{control: control, open: map[reportKey]*reportEntry{}}
+	return &registrar{control: control, pending: map[reportKey]*reportEntry{}}
 }
 
-// take puts a report into the log and waits for it.
-func (r *registrar) take(ctx context.Context, report sitestate.Replica) (sitestate.Outcome, error) {
-	entry := r.join(report)
+// submit commits a report and waits for the outcome.
+func (r *registrar) submit(ctx context.Context, report sitestate.Replica) (sitestate.Outcome, error) {
+	entry := r.enqueue(report)
 	select {
 	case <-entry.done:
 		return entry.outcome, entry.err
@@ -75,32 +73,32 @@
 	}
 }
 
-// join gives the entry under way that says the same, or a new one.
-func (r *registrar) join(report sitestate.Replica) *reportEntry {
+// enqueue returns the pending entry of an equivalent report, or a new one.
+func (r *registrar) enqueue(report sitestate.Replica) *reportEntry {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	key := keyOf(&report)
-	if held := r.open[key]; held != nil && saysTheSame(held.report, report) {
-		return held
+	if pending := r.pending[key]; pending != nil && equivalentReports(pending.report, report) {
+		return pending
 	}
 	entry := &reportEntry{report: report, done: make(chan struct{})}
-	r.open[key] = entry
+	r.pending[key] = entry
 	r.queue = append(r.queue, entry)
-	if !r.working {
-		r.working = true
-		go r.work()
+	if !r.running {
+		r.running = true
+		go r.run()
 	}
 	return entry
 }
 
-// work puts entries into the log until none waits.
-func (r *registrar) work() {
+// run commits entries until the queue is empty.
+func (r *registrar) run() {
 	for {
 		r.mutex.Lock()
-		batch := r.queue[:min(len(r.queue), entriesAtOnce)]
+		batch := r.queue[:min(len(r.queue), maxConcurrentEntries)]
 		r.queue = r.queue[len(batch):]
 		if len(batch) == 0 {
-			r.working, r.queue = false, nil
+			r.running, r.queue = false, nil
 			r.mutex.Unlock()
 			return
 		}
@@ -110,19 +108,19 @@
 	}
 }
 
-// finish tells those who wait.
+// finish wakes the callers that wait for a batch.
 func (r *registrar) finish(batch []*reportEntry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, entry := range batch {
-		if key := keyOf(&entry.report); r.open[key] == entry {
-			delete(r.open, key)
+		if key := keyOf(&entry.report); r.pending[key] == entry {
+			delete(r.pending, key)
 		}
 		close(entry.done)
 	}
 }
 
-// commit puts a batch into the log; one look at the state gives all of it their ids.
+// commit commits a batch, with ids assigned in one read of the state.
 func (r *registrar) commit(batch []*reportEntry) {
 	ctx, cancel := context.WithTimeout(context.Background(), entryTimeout)
 	defer cancel()
@@ -146,8 +144,8 @@
 	_ = tasks.Wait() // each entry has its own error
 }
 
-// commitOne puts a report into the log under its id. An earlier start under the same name has
-// ended with it, and one that is earlier itself is refused.
+// commitOne commits a report under its id. It removes an earlier start of the same name, and
+// rejects a report of an outdated start.
 func (r *registrar) commitOne(ctx context.Context, report sitestate.Replica, identity sitestate.Identity) (sitestate.Outcome, error) {
 	name := report.InstanceName()
 	switch identity.Order {
@@ -155,7 +153,7 @@
 		return 0, port.NewError(port.NotRun, port.CodeFenced, "a later start of replica %s is known", name)
 	case sitestate.StartNewer:
 		r.control.config.Logger.Info().Str(eventlog.Field, eventlog.ReplicaRestarted).Str("replica", identity.ID).Str("before", identity.Replaces).
-			Uint64("born", report.StartedAt).Msg("a replica has started again under its name")
+			Uint64("born", report.StartedAt).Msg("replica restarted under the same name")
 		if _, err := r.control.propose(ctx, sitestate.Command{Leave: &sitestate.Leave{ID: identity.Replaces}}); err != nil {
 			return 0, err
 		}
@@ -167,7 +165,7 @@
 	now := time.Now()
 	outcome, err := r.control.propose(ctx, sitestate.Command{Replica: &report})
 	if err == nil {
-		r.control.heartbeats.cold.note(report.ID, report.ColdMillis, now)
+		r.control.heartbeats.cold.record(report.ID, report.ColdMillis, now)
 	}
 	return outcome, err
 }
--- a/internal/app/sitecontrol/reports.go
+++ b/internal/app/sitecontrol/reports.go
@@ -12,19 +12,18 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// methodReports takes a ReportBatch to the leader.
+// methodReports carries a ReportBatch to the leader.
 const methodReports = "site.reports"
 
 const (
-	// reportPause is how long a member collects reports that the leader has to see. A call
-	// for each costs the leader more than the entry in the log: at the start of a fleet, of
-	// 10,000 replicas, it could take a tenth of those that came each second.
-	reportPause = 40 * time.Millisecond
-	// maxReports bounds a batch.
+	// batchInterval is how long a member collects reports for the leader. One call per
+	// report would cost the leader more than the log entry.
+	batchInterval = 40 * time.Millisecond
+	// maxReports limits the size of a batch.
 	maxReports = 400
 )
 
-// ReportBatch are replicas' reports that a member took for the leader.
+// ReportBatch holds replicas' reports that a member accepted for the leader.
 type ReportBatch struct {
 	Reports []sitestate.Replica `cbor:"1,keyasint"`
 }
@@ -34,16 +33,16 @@
 	Answers []ReportAnswer `cbor:"1,keyasint"`
 }
 
-// ReportAnswer says what became of a report.
+// ReportAnswer is the outcome of a report.
 type ReportAnswer struct {
-	// NotLeader is set if the member does not lead any more.
+	// NotLeader is set if the called member no longer leads.
 	NotLeader bool `cbor:"1,keyasint,omitempty"`
-	// Code and Message are those of a refusal; Code is empty if the report was taken.
+	// Code and Message describe a rejection; Code is empty if the report was accepted.
 	Code    port.Code `cbor:"2,keyasint,omitempty"`
 	Message string    `cbor:"3,keyasint,omitempty"`
 }
 
-// err gives the refusal, or nil.
+// err returns the rejection, or nil.
 func (a ReportAnswer) err() error {
 	if a.Code == "" {
 		return nil
@@ -51,21 +50,21 @@
 	return port.NewError(port.MayHaveRun, a.Code, "%s", a.Message)
 }
 
-// reports collects what this member has to pass on to the leader. It is safe for concurrent
-// use.
+// reports batches the reports that this member forwards to the leader. It is safe for
+// concurrent use.
 type reports struct {
 	control *Control
 	mutex   sync.Mutex
-	waiting []*waitingReport
-	// open finds the report of a start that waits or is under way: one that says the same
-	// waits with it.
-	open map[reportKey]*waitingReport
-	// sending is set while a goroutine collects and sends.
+	queue   []*pendingReport
+	// pending finds the queued or in-flight report of a replica start; equivalent reports
+	// share it.
+	pending map[reportKey]*pendingReport
+	// sending is set while a goroutine sends batches.
 	sending bool
 }
 
-// waitingReport is a report whose senders wait for the leader's word.
-type waitingReport struct {
+// pendingReport is a report that waits for the leader's response.
+type pendingReport struct {
 	report sitestate.Replica
 	// done is closed once answer and err are set.
 	done   chan struct{}
@@ -74,12 +73,12 @@
 }
 
 func newReports(control *Control) *reports {
-	return &reports{control: control, open: map[reportKey]*waitingReport{}}
+	return &reports{control: control, pending: map[reportKey]*pendingReport{}}
 }
 
-// forward passes a report on with others that come at the same time.
+// forward forwards a report to the leader in a batch and waits for the response.
 func (r *reports) forward(ctx context.Context, report sitestate.Replica) (Answer, error) {
-	waiting := r.join(report)
+	waiting := r.enqueue(report)
 	select {
 	case <-waiting.done:
 		return waiting.answer, waiting.err
@@ -88,17 +87,17 @@
 	}
 }
 
-// join gives the report under way that says the same, or a new one.
-func (r *reports) join(report sitestate.Replica) *waitingReport {
+// enqueue returns the pending report that is equivalent, or a new one.
+func (r *reports) enqueue(report sitestate.Replica) *pendingReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	key := keyOf(&report)
-	if held := r.open[key]; held != nil && saysTheSame(held.report, report) {
-		return held
+	if pending := r.pending[key]; pending != nil && equivalentReports(pending.report, report) {
+		return pending
 	}
-	waiting := &waitingReport{report: report, done: make(chan struct{})}
-	r.open[key] = waiting
-	r.waiting = append(r.waiting, waiting)
+	waiting := &pendingReport{report: report, done: make(chan struct{})}
+	r.pending[key] = waiting
+	r.queue = append(r.queue, waiting)
 	if !r.sending {
 		r.sending = true
 		go r.send()
@@ -106,15 +105,15 @@
 	return waiting
 }
 
-// send passes batches on until nothing waits. Several may be under way.
+// send sends batches, several of them concurrently, until the queue is empty.
 func (r *reports) send() {
 	for {
-		time.Sleep(reportPause)
+		time.Sleep(batchInterval)
 		r.mutex.Lock()
-		batch := r.waiting[:min(len(r.waiting), maxReports)]
-		r.waiting = r.waiting[len(batch):]
+		batch := r.queue[:min(len(r.queue), maxReports)]
+		r.queue = r.queue[len(batch):]
 		if len(batch) == 0 {
-			r.sending, r.waiting = false, nil
+			r.sending, r.queue = false, nil
 			r.mutex.Unlock()
 			return
 		}
@@ -123,12 +122,12 @@
 	}
 }
 
-func (r *reports) sendBatch(batch []*waitingReport) {
+func (r *reports) sendBatch(batch []*pendingReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	answers, err := r.ask(ctx, batch)
+	answers, err := r.sendToLeader(ctx, batch)
 	if err != nil {
-		r.control.notePassedOn(err)
+		r.control.logLostReports(err)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -141,50 +140,50 @@
 		default:
 			waiting.err = answers.Answers[i].err()
 		}
-		if key := keyOf(&waiting.report); r.open[key] == waiting {
-			delete(r.open, key)
+		if key := keyOf(&waiting.report); r.pending[key] == waiting {
+			delete(r.pending, key)
 		}
 		close(waiting.done)
 	}
 }
 
-// ask asks the leader. One of an earlier build takes reports one by one.
-func (r *reports) ask(ctx context.Context, batch []*waitingReport) (answers ReportAnswers, err error) {
-	asked := ReportBatch{}
+// sendToLeader sends a batch. Leaders of earlier builds accept only single reports.
+func (r *reports) sendToLeader(ctx context.Context, batch []*pendingReport) (answers ReportAnswers, err error) {
+	request := ReportBatch{}
 	for _, waiting := range batch {
-		asked.Reports = append(asked.Reports, waiting.report)
+		request.Reports = append(request.Reports, waiting.report)
 	}
 	shown := r.control.member.Shown()
 	switch {
 	case shown == nil || shown.Leader.Address == "":
 		return ReportAnswers{}, nil
 	case shown.Leader.ID == shown.Status.ID:
-		return r.control.takeReports(ctx, asked), nil
+		return r.control.acceptReports(ctx, request), nil
 	}
-	err = r.control.pool.Client(shown.Leader.Address).Call(ctx, methodReports, asked, &answers)
+	err = r.control.pool.Client(shown.Leader.Address).Call(ctx, methodReports, request, &answers)
 	if wire.CodeOf(err) != port.CodeNotFound {
 		return answers, err
 	}
-	for i := range asked.Reports {
+	for i := range request.Reports {
 		var answer Answer
-		err := r.control.forward(ctx, shown.Leader.Address, Request{Replica: &asked.Reports[i]}, &answer)
+		err := r.control.forward(ctx, shown.Leader.Address, Request{Replica: &request.Reports[i]}, &answer)
 		answers.Answers = append(answers.Answers, reportAnswer(answer, err))
 	}
 	return answers, nil
 }
 
-// takeReports serves reports as the leader.
-func (c *Control) takeReports(ctx context.Context, batch ReportBatch) ReportAnswers {
+// acceptReports serves a batch as the leader.
+func (c *Control) acceptReports(ctx context.Context, batch ReportBatch) ReportAnswers {
 	answers := ReportAnswers{Answers: make([]ReportAnswer, len(batch.Reports))}
 	var tasks errgroup.Group
 	for i := range batch.Reports {
 		tasks.Go(func() error {
-			answer, err := c.serveHere(ctx, Request{Replica: &batch.Reports[i]})
+			answer, err := c.serveAsLeader(ctx, Request{Replica: &batch.Reports[i]})
 			answers.Answers[i] = reportAnswer(answer, err)
 			return nil
 		})
 	}
-	_ = tasks.Wait() // none fails: each has its answer
+	_ = tasks.Wait() // tasks return no errors
 	return answers
 }
 
@@ -196,7 +195,7 @@
 	return ReportAnswer{Code: failure.Code, Message: failure.Message}
 }
 
-// serveReports answers another member, which takes this one for the leader.
+// serveReports serves a batch from a member that considers this one the leader.
 func (c *Control) serveReports(ctx context.Context, call *wire.Call) error {
 	var batch ReportBatch
 	if err := call.Decode(&batch); err != nil {
@@ -205,5 +204,5 @@
 	if len(batch.Reports) > maxReports {
 		return port.NewError(port.NotRun, port.CodeTooLarge, "more than %d reports", maxReports)
 	}
-	return call.Send(c.takeReports(ctx, batch))
+	return call.Send(c.acceptReports(ctx, batch))
 }
--- a/internal/app/sitecontrol/senders.go
+++ b/internal/app/sitecontrol/senders.go
@@ -9,67 +9,66 @@
 )
 
 const (
-	// toldForgotten is how long the leader counts on what a member said of itself and its
-	// watchers.
-	toldForgotten = 5 * silenceInterval
-	// sendersFewer is for how long there must be fewer than the log says before it says so:
-	// processes that are cut off go by what they knew.
-	sendersFewer = time.Minute
-	// sendersMore and sendersLess are by which factor their number has to change to be worth
-	// an entry: each is sent to all watchers.
-	sendersMore = 1.1
-	sendersLess = 0.7
+	// memberReportTTL is how long the leader uses a member's report.
+	memberReportTTL = 5 * timeoutCheckInterval
+	// sendersDecreaseDelay is how long the count must be lower before a decrease is
+	// committed: disconnected processes still use the committed count.
+	sendersDecreaseDelay = time.Minute
+	// sendersIncreaseFactor and sendersDecreaseFactor are the relative changes of the
+	// count that are committed; each one is sent to all watchers.
+	sendersIncreaseFactor = 1.1
+	sendersDecreaseFactor = 0.7
 )
 
-// senders counts the processes that send requests to replicas: all of them watch a member.
-// It is safe for concurrent use.
+// senders counts the processes that send requests to replicas, each of which watches one
+// member. It is safe for concurrent use.
 type senders struct {
 	mutex sync.Mutex
-	// told is how many watchers each other member has.
-	told map[string]toldWatchers
-	// fewerSince is since when there have been fewer than committed.
+	// reported is the number of watchers of each other member.
+	reported map[string]reportedWatchers
+	// fewerSince is since when the count has been lower than the committed one.
 	fewerSince time.Time
 }
 
-type toldWatchers struct {
+type reportedWatchers struct {
 	count int
 	at    time.Time
 }
 
-func newSenders() *senders { return &senders{told: map[string]toldWatchers{}} }
+func newSenders() *senders { return &senders{reported: map[string]reportedWatchers{}} }
 
-// note takes in how many watchers a member has.
-func (s *senders) note(member string, count int, now time.Time) {
+// record stores the number of watchers of a member.
+func (s *senders) record(member string, count int, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.told[member] = toldWatchers{count: count, at: now}
+	s.reported[member] = reportedWatchers{count: count, at: now}
 }
 
-// change gives the number to commit, as the leader, if it is to change.
+// change returns the count to commit, as the leader, if a change is due.
 func (s *senders) change(own int, committed uint32, now time.Time) (next uint32, due bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	count := own
-	for member, told := range s.told {
-		if now.Sub(told.at) > toldForgotten {
-			delete(s.told, member)
+	for member, reported := range s.reported {
+		if now.Sub(reported.at) > memberReportTTL {
+			delete(s.reported, member)
 			continue
 		}
-		count += told.count
+		count += reported.count
 	}
-	held := float64(committed)
-	if float64(count) >= sendersLess*held {
+	current := float64(committed)
+	if float64(count) >= sendersDecreaseFactor*current {
 		s.fewerSince = now
 	}
-	more := float64(count) > sendersMore*held
-	fewer := now.Sub(s.fewerSince) > sendersFewer && count > 0
+	more := float64(count) > sendersIncreaseFactor*current
+	fewer := now.Sub(s.fewerSince) > sendersDecreaseDelay && count > 0
 	return uint32(count), more || fewer
 }
 
-// tendSenders commits how many processes send to replicas, where the configuration has
-// services whose cold replicas bear few requests: nothing else asks for it.
-func (c *Control) tendSenders(ctx context.Context, now time.Time) {
-	if len(c.warmups()) == 0 || c.needs(sitestate.LevelDrains) != nil {
+// commitSenders commits a changed number of senders if the configuration has services that
+// limit requests to cold replicas; only these use it.
+func (c *Control) commitSenders(ctx context.Context, now time.Time) {
+	if len(c.warmups()) == 0 || c.requireLevel(sitestate.LevelDrains) != nil {
 		return
 	}
 	next, due := c.senders.change(c.watchers(), c.view.Load().Senders, now)
--- a/internal/app/sitecontrol/shards.go
+++ b/internal/app/sitecontrol/shards.go
@@ -13,28 +13,25 @@
 )
 
 const (
-	// DefaultPlacesPerShard is how many places of engines one shard's leader serves.
-	// Leaders of store machines with half a core were measured to carry 210 places
-	// and to fail in bursts at 350 (docs/design/0016-shards.md); half of the former
-	// leaves room for a machine that turns slow.
-	DefaultPlacesPerShard = 115
-	// foundingSettle is how long no machine must have been added before shards are
-	// founded, so that there is a choice of machines.
-	foundingSettle = 300 * time.Millisecond
-	// foundingPatience is how long the leader waits for as many stores as the site
-	// should have before it founds a shard with fewer.
-	foundingPatience = 6 * time.Second
-	// placingPatience is how long it waits for further engines and machines before
-	// the configured models are divided among the shards, which is for good. A job
-	// that comes earlier has its model placed at once.
-	placingPatience = 4 * time.Second
-	// joinPatience is how long a machine that is told to join a group may take before
-	// another one is told.
-	joinPatience = 4 * time.Second
+	// DefaultSlotsPerShard is how many slots of engines one shard's leader serves. It
+	// leaves headroom for slow machines.
+	DefaultSlotsPerShard = 115
+	// foundingDelay is the time without new machines before shards are founded, so that
+	// there is a choice of machines.
+	foundingDelay = 300 * time.Millisecond
+	// foundingTimeout is how long the leader waits for the wanted number of stores before
+	// it founds a shard with fewer.
+	foundingTimeout = 6 * time.Second
+	// placementDelay is the time without new machines before the configured models are
+	// placed, which is permanent. An earlier job places its model immediately.
+	placementDelay = 4 * time.Second
+	// joinTimeout is how long an invited machine may take to join before another one is
+	// invited.
+	joinTimeout = 4 * time.Second
 )
 
-// PlaceModel asks which shard keeps a model's jobs; it is decided then, for one that is kept
-// in the regions if any are given.
+// PlaceModel requests the shard of a model's jobs and places the model if necessary, on a
+// shard within Regions if any are given.
 type PlaceModel struct {
 	Model   string   `cbor:"1,keyasint,omitempty"`
 	Regions []string `cbor:"2,keyasint,omitempty"`
@@ -46,28 +43,28 @@
 	}
 }
 
-// tendShards founds as many shards as the site is to have, then places its models.
-// Shards that come after that would have no jobs.
-func (s *stores) tendShards(ctx context.Context, view *sitestate.View) {
+// updateShards founds the wanted number of shards, then places the configured models. Later
+// shards would get no jobs.
+func (s *stores) updateShards(ctx context.Context, view *sitestate.View) {
 	now := time.Now()
-	if grown := len(view.Stores) + len(view.Shards); grown != s.grown {
-		s.grown, s.grownAt = grown, now
+	if grown := len(view.Stores) + len(view.Shards); grown != s.size {
+		s.size, s.sizeChangedAt = grown, now
 	}
-	if len(view.Placed) > 0 || now.Sub(s.grownAt) < foundingSettle {
+	if len(view.Placed) > 0 || now.Sub(s.sizeChangedAt) < foundingDelay {
 		return
 	}
 	alive := s.alive(func(sitestate.Store) bool { return true })
-	if len(view.Shards) < s.wanted(alive, view) {
-		s.found(ctx, view, alive, now.Sub(s.ledFrom) > foundingPatience)
+	if len(view.Shards) < s.shardCount(alive, view) {
+		s.foundShard(ctx, view, alive, now.Sub(s.leaderSince) > foundingTimeout)
 		return
 	}
-	if len(view.Shards) > 0 && now.Sub(s.grownAt) > placingPatience {
+	if len(view.Shards) > 0 && now.Sub(s.sizeChangedAt) > placementDelay {
 		s.placeConfigured(ctx)
 	}
 }
 
-// places counts what the engines of the site run at once.
-func (s *stores) places(view *sitestate.View) int {
+// engineSlots returns the number of slots of all engines of the site.
+func (s *stores) engineSlots(view *sitestate.View) int {
 	places := 0
 	for _, service := range s.control.engineServices() {
 		for replica := range view.ByService[service.Name].All() {
@@ -77,12 +74,12 @@
 	return places
 }
 
-// found names the founders of the next shard once there are enough machines for it, or
-// with fewer if the site has no shard and no more come.
-func (s *stores) found(ctx context.Context, view *sitestate.View, alive []sitestate.Store, patience bool) {
+// foundShard names the founders of the next shard once there are enough machines, or with
+// fewer if the site has no shard and timedOut is set.
+func (s *stores) foundShard(ctx context.Context, view *sitestate.View, alive []sitestate.Store, timedOut bool) {
 	number := sitestate.ShardNumber(len(view.Shards) + 1)
-	free := s.withinRegion(freeOf(alive, view.Shards), view)
-	if len(free) == 0 || (len(free) < s.voters() && (number > 1 || !patience)) {
+	free := s.freeInRegion(freeStores(alive, view.Shards), view)
+	if len(free) == 0 || (len(free) < s.voters() && (number > 1 || !timedOut)) {
 		return
 	}
 	var founders []groupmember.Record
@@ -94,11 +91,11 @@
 	}
 	_, err := s.control.propose(ctx, sitestate.Command{CreateShard: &sitestate.CreateShard{Shard: sitestate.Shard{Number: number, Founders: founders}}})
 	s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreGroupFounded).Uint32("shard", uint32(number)).Int("founders", len(founders)).
-		Int("wanted", s.voters()).Err(err).Msg("a shard's group has founders")
+		Int("wanted", s.voters()).Err(err).Msg("founded the group of a shard")
 }
 
-// freeOf lists the machines that are in no group and were not named for one.
-func freeOf(alive []sitestate.Store, shards []sitestate.Shard) []sitestate.Store {
+// freeStores lists the machines that are neither in a group nor named as founders.
+func freeStores(alive []sitestate.Store, shards []sitestate.Shard) []sitestate.Store {
 	named := map[groupmember.Record]bool{}
 	for _, shard := range shards {
 		for _, founder := range shard.Founders {
@@ -121,8 +118,8 @@
 // placeConfigured places the models of the configuration.
 func (s *stores) placeConfigured(ctx context.Context) {
 	for _, service := range s.control.engineServices() {
-		regions, clear := s.jobRegions(service.Name)
-		if !clear {
+		regions, consistent := s.jobRegions(service.Name)
+		if !consistent {
 			continue
 		}
 		for _, model := range service.Engine.Models {
@@ -133,32 +130,32 @@
 	}
 }
 
-// place gives the shard of a model's jobs, and decides it if it is not placed yet.
+// place returns the shard of a model's jobs, and places the model if necessary.
 func (s *stores) place(ctx context.Context, request PlaceModel) (Answer, error) {
-	placed, shards, err := s.placed(ctx)
+	placed, shards, err := s.placement(ctx)
 	if err != nil {
 		return Answer{}, err
 	}
-	if held := placed[request.Model]; held != 0 {
-		return Answer{Shard: held}, nil
+	if shard := placed[request.Model]; shard != 0 {
+		return Answer{Shard: shard}, nil
 	}
 	view := s.control.view.Load()
-	chosen := shardplan.ShardForModel(placed, shards, func(shard sitestate.ShardNumber) bool { return s.keptIn(view, shard, request.Regions) })
+	chosen := shardplan.ShardForModel(placed, shards, func(shard sitestate.ShardNumber) bool { return s.withinRegions(view, shard, request.Regions) })
 	if chosen == 0 {
-		return Answer{}, port.NewError(port.NotRun, port.CodeUnavailable, "no shard is founded yet that is kept in the regions %v", request.Regions)
+		return Answer{}, port.NewError(port.NotRun, port.CodeUnavailable, "no shard within the regions %v exists yet", request.Regions)
 	}
 	if _, err := s.control.propose(ctx, sitestate.Command{Place: &sitestate.Place{Model: request.Model, Shard: chosen}}); err != nil {
 		return Answer{}, err
 	}
-	// Another call may have placed it first.
-	placed, _, err = s.placed(ctx)
+	// A concurrent call may have placed it first.
+	placed, _, err = s.placement(ctx)
 	s.control.config.Logger.Info().Str(eventlog.Field, eventlog.ModelPlaced).Str("model", request.Model).
-		Uint32("shard", uint32(placed[request.Model])).Err(err).Msg("a model's jobs have a shard")
+		Uint32("shard", uint32(placed[request.Model])).Err(err).Msg("placed the jobs of a model on a shard")
 	return Answer{Shard: placed[request.Model]}, err
 }
 
-// placed reads the committed placement and the number of shards.
-func (s *stores) placed(ctx context.Context) (placed map[string]sitestate.ShardNumber, shards int, err error) {
+// placement reads the committed placement and the number of shards.
+func (s *stores) placement(ctx context.Context) (placed map[string]sitestate.ShardNumber, shards int, err error) {
 	err = s.control.member.Read(ctx, func(machine groupmember.StateMachine) {
 		state := machine.(*sitestate.State)
 		placed, shards = state.Placed(), len(state.Shards())
@@ -166,9 +163,9 @@
 	return placed, shards, err
 }
 
-// invite gives the shard whose group a machine is to join, 0 for none: the one that
-// counts it among its members, as it came back without its disk, else one that has a
-// place which no other free machine suits better.
+// invite returns the shard whose group a machine is to join, 0 if none: the one that lists
+// it as a member, for a machine that lost its disk, else one with a free slot that no other
+// free machine suits better.
 func (s *stores) invite(store sitestate.Store) sitestate.ShardNumber {
 	if store.Shard != 0 || store.State != sitestate.StoreActive {
 		s.mutex.Lock()
@@ -177,7 +174,7 @@
 		return 0
 	}
 	view := s.control.view.Load()
-	free := freeOf(s.alive(func(sitestate.Store) bool { return true }), view.Shards)
+	free := freeStores(s.alive(func(sitestate.Store) bool { return true }), view.Shards)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for number, report := range s.reports {
@@ -185,24 +182,24 @@
 			return number
 		}
 	}
-	free = slices.DeleteFunc(free, func(other sitestate.Store) bool { return s.mustWait(other.Name) })
-	number := s.placeAmong(machinesOf(free), store.Name, view)
+	free = slices.DeleteFunc(free, func(other sitestate.Store) bool { return s.joinTimedOut(other.Name) })
+	number := s.shardForFree(machinesOf(free), store.Name, view)
 	if number != 0 && s.invited[store.Name].IsZero() {
 		s.invited[store.Name] = time.Now()
 	}
 	return number
 }
 
-// placeAmong gives the shard whose free place falls to a machine if all vacant places are
-// given to free machines, shard by shard; 0 if none does.
-func (s *stores) placeAmong(free []shardplan.Machine, name string, view *sitestate.View) sitestate.ShardNumber {
+// shardForFree returns the shard that gets the named machine if the free slots are filled
+// with the free machines, shard by shard; 0 if none does.
+func (s *stores) shardForFree(free []shardplan.Machine, name string, view *sitestate.View) sitestate.ShardNumber {
 	for _, shard := range view.Shards {
 		report := s.reports[shard.Number]
-		if report.vacant == 0 {
+		if report.freeSlots == 0 {
 			continue
 		}
 		members := slices.DeleteFunc(slices.Clone(view.Stores), func(store sitestate.Store) bool { return !slices.Contains(report.members, store.Name) })
-		picked := shardplan.Pick(machinesOf(members), s.besides(members, free), report.vacant)
+		picked := shardplan.Pick(machinesOf(members), s.joinable(members, free), report.freeSlots)
 		if slices.ContainsFunc(picked, func(machine shardplan.Machine) bool { return machine.Name == name }) {
 			return shard.Number
 		}
@@ -211,17 +208,17 @@
 	return 0
 }
 
-// mustWait reports whether a machine, which has not joined although it was told to, is
-// passed over for now, and lets it take part again after as long a time.
-func (s *stores) mustWait(name string) bool {
+// joinTimedOut reports whether an invited machine failed to join in time. It is invited
+// again after another joinTimeout.
+func (s *stores) joinTimedOut(name string) bool {
 	invited, was := s.invited[name]
 	if !was {
 		return false
 	}
 	since := time.Since(invited)
-	if since > 2*joinPatience {
+	if since > 2*joinTimeout {
 		delete(s.invited, name)
 		return false
 	}
-	return since > joinPatience
+	return since > joinTimeout
 }
--- a/internal/app/sitecontrol/stores.go
+++ b/internal/app/sitecontrol/stores.go
@@ -12,66 +12,66 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// storeAliveFor is how long after a heartbeat a store counts as alive.
-const storeAliveFor = 3 * time.Second
+// storeTimeout is how long after a heartbeat a store counts as alive.
+const storeTimeout = 3 * time.Second
 
-// stores follows the store machines as the leader.
+// stores tracks the store machines as the leader.
 type stores struct {
-	control *Control
-	mutex   sync.Mutex
-	heard   map[string]time.Time
-	// reports are what the leaders of the shards' groups last said.
+	control        *Control
+	mutex          sync.Mutex
+	lastHeartbeats map[string]time.Time
+	// reports are the latest reports of the leaders of the shards' groups.
 	reports map[sitestate.ShardNumber]shardReport
-	// invited is since when a machine is told to join a group.
+	// invited is since when a machine has been invited to join a group.
 	invited map[string]time.Time
 
-	// ledFrom is when this member began to lead, and grownAt when a store machine or
-	// shard was last added, as seen here. Only tend uses them.
-	ledFrom time.Time
-	grownAt time.Time
-	grown   int
+	// leaderSince is when this member became leader, sizeChangedAt when the number of
+	// store machines and shards last changed. Only tick uses them.
+	leaderSince   time.Time
+	sizeChangedAt time.Time
+	size          int
 }
 
-// shardReport is what the leader of a shard's group knows.
+// shardReport is a report of the leader of a shard's group.
 type shardReport struct {
-	// members are names of machines, whole is set if enough of them hold everything.
-	members []string
-	whole   bool
-	// vacant is how many further machines the group takes in.
-	vacant int
-	// demand is the work that jobs bring, and open the most items that were open at
-	// once of late, by model.
+	// members are names of machines; complete is set if enough of them hold all data.
+	members  []string
+	complete bool
+	// freeSlots is how many further machines the group accepts.
+	freeSlots int
+	// demand is the work of jobs, open the recent maximum of concurrently open items, by
+	// model.
 	demand map[string]float64
 	open   map[string]int
 }
 
 func newStores(control *Control) *stores {
-	s := &stores{control: control, heard: map[string]time.Time{}}
-	s.forgetReports()
+	s := &stores{control: control, lastHeartbeats: map[string]time.Time{}}
+	s.resetReports()
 	return s
 }
 
-func (s *stores) forgetReports() {
+func (s *stores) resetReports() {
 	s.reports = map[sitestate.ShardNumber]shardReport{}
 	s.invited = map[string]time.Time{}
 }
 
-// voters is how many machines keep a shard: a quorum of them outlives the tolerated
+// voters returns the number of voters of a shard: a quorum of them survives the tolerated
 // losses.
 func (s *stores) voters() int { return 2*s.control.config.ToleratedLosses + 1 }
 
-// needed is how many store machines must stay.
-func (s *stores) needed() int {
+// minStores returns the minimum number of store machines.
+func (s *stores) minStores() int {
 	return s.voters() * max(1, len(s.control.view.Load().Shards))
 }
 
-// take serves a store machine's heartbeat.
-func (s *stores) take(ctx context.Context, heartbeat StoreHeartbeat) (Answer, error) {
+// accept serves a store machine's heartbeat.
+func (s *stores) accept(ctx context.Context, heartbeat StoreHeartbeat) (Answer, error) {
 	store := heartbeat.Store
-	s.note(heartbeat)
-	held, known := s.find(store.Name)
-	if known && held.SameRegistration(store) {
-		return Answer{StoreState: held.State, Join: s.invite(held)}, nil
+	s.record(heartbeat)
+	registered, known := s.find(store.Name)
+	if known && registered.SameRegistration(store) {
+		return Answer{StoreState: registered.State, Join: s.invite(registered)}, nil
 	}
 	outcome, err := s.control.propose(ctx, sitestate.Command{Store: &store})
 	s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreRegistered).Str("store", store.Name).
@@ -79,14 +79,14 @@
 	return Answer{Outcome: outcome}, err
 }
 
-// note takes in what a heartbeat tells.
-func (s *stores) note(heartbeat StoreHeartbeat) {
+// record stores the contents of a heartbeat.
+func (s *stores) record(heartbeat StoreHeartbeat) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.heard[heartbeat.Store.Name] = time.Now()
+	s.lastHeartbeats[heartbeat.Store.Name] = time.Now()
 	if heartbeat.Members != nil {
 		s.reports[heartbeat.Store.Shard] = shardReport{
-			members: heartbeat.Members, whole: heartbeat.Whole, vacant: heartbeat.Vacant,
+			members: heartbeat.Members, complete: heartbeat.Complete, freeSlots: heartbeat.FreeSlots,
 			demand: heartbeat.Demand, open: heartbeat.Open,
 		}
 	}
@@ -101,8 +101,8 @@
 	return view.Stores[i], true
 }
 
-// reportedDemand gives the work that jobs bring, and the most items that were open
-// at once of late, by model, as last reported.
+// reportedDemand returns the work of jobs and the recent maximum of open items, by model, as
+// last reported.
 func (s *stores) reportedDemand() (demand map[string]float64, open map[string]int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,7 +119,7 @@
 	return demand, open
 }
 
-// evacuate begins to empty a machine.
+// evacuate starts the evacuation of a machine.
 func (s *stores) evacuate(ctx context.Context, name string) (Answer, error) {
 	store, known := s.find(name)
 	if !known {
@@ -128,36 +128,36 @@
 	if store.State != sitestate.StoreActive {
 		return Answer{StoreState: store.State}, nil
 	}
-	if remaining := s.aliveBeside(name); remaining < s.needed() {
-		s.control.config.Logger.Warn().Str(eventlog.Field, eventlog.StoreEvacuationRefused).Str("store", name).Int("remaining", remaining).Int("needed", s.needed()).Msg("too few store machines would stay")
+	if remaining := s.aliveWithout(name); remaining < s.minStores() {
+		s.control.config.Logger.Warn().Str(eventlog.Field, eventlog.StoreEvacuationRefused).Str("store", name).Int("remaining", remaining).Int("needed", s.minStores()).Msg("too few store machines would stay")
 		return Answer{TooFew: true}, nil
 	}
 	outcome, err := s.control.propose(ctx, sitestate.Command{Evacuate: &sitestate.Evacuate{Name: name}})
-	s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreEvacuationBegun).Str("store", name).Err(err).Msg("a store machine is to be emptied")
+	s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreEvacuationBegun).Str("store", name).Err(err).Msg("evacuation of a store machine started")
 	return Answer{Outcome: outcome, StoreState: sitestate.StoreLeaving}, err
 }
 
-// aliveBeside counts the store machines that stay.
-func (s *stores) aliveBeside(name string) int {
+// aliveWithout counts the store machines that are alive other than the named one.
+func (s *stores) aliveWithout(name string) int {
 	return len(s.alive(func(store sitestate.Store) bool { return store.Name != name }))
 }
 
-// alive lists the active store machines that were heard of lately and match.
+// alive lists the active store machines with a recent heartbeat that match.
 func (s *stores) alive(match func(sitestate.Store) bool) []sitestate.Store {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := time.Now()
 	var alive []sitestate.Store
 	for _, store := range s.control.view.Load().Stores {
-		if store.State == sitestate.StoreActive && now.Sub(s.heard[store.Name]) < storeAliveFor && match(store) {
+		if store.State == sitestate.StoreActive && now.Sub(s.lastHeartbeats[store.Name]) < storeTimeout && match(store) {
 			alive = append(alive, store)
 		}
 	}
 	return alive
 }
 
-// evacuation tells how an evacuation stands, of what is committed.
-func (s *stores) evacuation(ctx context.Context, name string) (Answer, error) {
+// evacuationState returns the committed state of an evacuation.
+func (s *stores) evacuationState(ctx context.Context, name string) (Answer, error) {
 	answer := Answer{Outcome: sitestate.OutcomeUnknown}
 	err := s.control.member.Read(ctx, func(machine groupmember.StateMachine) {
 		if store, known := machine.(*sitestate.State).Store(name); known {
@@ -167,36 +167,36 @@
 	return answer, err
 }
 
-// tend founds shards, places models and ends evacuations.
-func (s *stores) tend(ctx context.Context, leads bool) {
+// tick founds shards, places models and completes evacuations.
+func (s *stores) tick(ctx context.Context, leads bool) {
 	if !leads {
-		s.ledFrom = time.Time{}
+		s.leaderSince = time.Time{}
 		s.mutex.Lock()
-		s.forgetReports()
+		s.resetReports()
 		s.mutex.Unlock()
 		return
 	}
-	if s.ledFrom.IsZero() {
-		s.ledFrom = time.Now()
+	if s.leaderSince.IsZero() {
+		s.leaderSince = time.Now()
 	}
 	view := s.control.view.Load()
-	s.tendShards(ctx, view)
+	s.updateShards(ctx, view)
 	for _, store := range view.Stores {
-		if store.State == sitestate.StoreLeaving && s.holdsNothing(store.Name, len(view.Shards)) {
+		if store.State == sitestate.StoreLeaving && s.isEmptied(store.Name, len(view.Shards)) {
 			_, err := s.control.propose(ctx, sitestate.Command{Evacuate: &sitestate.Evacuate{Name: store.Name, Done: true}})
-			s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreEvacuationDone).Str("store", store.Name).Err(err).Msg("a store machine holds nothing any more")
+			s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreEvacuationDone).Str("store", store.Name).Err(err).Msg("evacuation of a store machine completed")
 		}
 	}
 }
 
-// holdsNothing reports whether every shard's group is whole without a machine. A group
-// that has not reported may count on it.
-func (s *stores) holdsNothing(name string, shards int) bool {
+// isEmptied reports whether every shard's group is complete without a machine. A group that
+// has not reported may depend on it.
+func (s *stores) isEmptied(name string, shards int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for number := range shards {
 		report, known := s.reports[sitestate.ShardNumber(number+1)]
-		if !known || !report.whole || slices.Contains(report.members, name) {
+		if !known || !report.complete || slices.Contains(report.members, name) {
 			return false
 		}
 	}
--- a/internal/app/sitecontrol/watch.go
+++ b/internal/app/sitecontrol/watch.go
@@ -13,19 +13,17 @@
 )
 
 const (
-	// watchInterval is the least time between two updates of one watcher, so that
-	// a burst of changes goes out as one.
-	watchInterval = 20 * time.Millisecond
-	// watcherInterval is by how much it grows with each watcher of this member. An update
-	// costs about 60 µs of processor time whatever is in it, so that all watchers together
-	// take a twentieth of a core at most, however many they are; with 140 of them, those of
-	// 2,000 machines at 14 members, a change leaves within 0.16 s.
-	watcherInterval = time.Millisecond
+	// minUpdateInterval is the minimum time between two updates of one watcher. It
+	// coalesces bursts of changes.
+	minUpdateInterval = 20 * time.Millisecond
+	// intervalPerWatcher is added for each watcher of this member, so that the processor
+	// time for updates doesn't depend on their number.
+	intervalPerWatcher = time.Millisecond
 )
 
-// updatePause is the least time between two updates of one of so many watchers.
-func updatePause(watchers int) time.Duration {
-	return watchInterval + time.Duration(watchers)*watcherInterval
+// updateInterval returns the minimum time between two updates of one of several watchers.
+func updateInterval(watchers int) time.Duration {
+	return minUpdateInterval + time.Duration(watchers)*intervalPerWatcher
 }
 
 func memberID(position int) consensus.MemberID { return consensus.MemberID(position + 1) }
@@ -34,7 +32,7 @@
 	server.Handle(siteview.MethodWatch, c.serveWatch)
 }
 
-// wakeAll tells all watchers of a change; it does not wait.
+// wakeAll notifies all watchers of a change; it does not block.
 func (c *Control) wakeAll() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -64,9 +62,8 @@
 	delete(c.wakes, wake)
 }
 
-// serveWatch streams updates to one observer, and heartbeats while there are
-// none. It ends when this member is out of touch with a quorum: an observer
-// that begins must see all that was accepted before.
+// serveWatch streams updates to one watcher, and heartbeats while there are none. It ends
+// when this member loses contact with a quorum: a new watcher must see all accepted changes.
 func (c *Control) serveWatch(ctx context.Context, call *wire.Call) error {
 	var request siteview.WatchRequest
 	if err := call.Decode(&request); err != nil {
@@ -74,11 +71,11 @@
 	}
 	wake := c.addWake()
 	defer c.removeWake(wake)
-	after, told, sent := request.After, 0, time.Time{}
+	after, sentMembers, sent := request.After, 0, time.Time{}
 	for {
 		shown := c.member.Shown()
 		if shown == nil {
-			return port.NewError(port.NotRun, port.CodeUnavailable, "this member takes no part yet")
+			return port.NewError(port.NotRun, port.CodeUnavailable, "this member has not joined the group yet")
 		}
 		answer, err := c.answerAfter(ctx, after, request.Interest)
 		if err != nil {
@@ -89,10 +86,10 @@
 		}
 		update := &answer.Update
 		update.Confirmed = true
-		if count := len(shown.Records); count != told {
-			told, update.Members = count, shown.Records
+		if count := len(shown.Records); count != sentMembers {
+			sentMembers, update.Members = count, shown.Records
 		}
-		if len(answer.Whole) > 0 || !update.Empty() || time.Since(sent) >= siteview.HeartbeatInterval {
+		if len(answer.Packed) > 0 || !update.Empty() || time.Since(sent) >= siteview.HeartbeatInterval {
 			if err := call.Send(answer); err != nil {
 				return err
 			}
@@ -100,29 +97,29 @@
 		}
 		after = max(after, update.Position)
 		if c.view.Load().Position > after {
-			wakeUp(wake) // the update was one that others got a moment ago
+			wakeUp(wake) // the update came from the cache and was not the latest
 		}
-		if err := awaitNews(ctx, wake, sent, updatePause(c.watchers())); err != nil {
+		if err := awaitChange(ctx, wake, sent, updateInterval(c.watchers())); err != nil {
 			return err
 		}
 	}
 }
 
-// sendUnconfirmed shows the state of a member that is out of touch with a
-// quorum, marked as such, and ends the watch.
+// sendUnconfirmed sends the state of a member without contact with a quorum, marked as
+// unconfirmed, and ends the watch.
 func (c *Control) sendUnconfirmed(call *wire.Call, answer siteview.WatchAnswer) error {
 	answer.Update.Confirmed = false
 	if err := call.Send(answer); err != nil {
 		return err
 	}
-	return port.NewError(port.NotRun, port.CodeUnavailable, "this member is out of touch with a quorum")
+	return port.NewError(port.NotRun, port.CodeUnavailable, "this member has no contact with a quorum")
 }
 
-// answerAfter gives what a watcher at a position lacks; one that has nothing gets a whole
-// state and what has changed since.
+// answerAfter returns the changes after a watcher's position. A watcher without a position
+// gets a full view and the changes since.
 func (c *Control) answerAfter(ctx context.Context, after uint64, interest sitestate.Interest) (siteview.WatchAnswer, error) {
 	if view := c.view.Load(); after == 0 && view.Position > 0 {
-		packed, position, err := c.whole.get(view, time.Now())
+		packed, position, err := c.fullView.get(view, time.Now())
 		if err != nil {
 			return siteview.WatchAnswer{}, err
 		}
@@ -130,7 +127,7 @@
 		if err != nil {
 			return siteview.WatchAnswer{}, err
 		}
-		return siteview.WatchAnswer{Whole: packed, Update: recent.update}, nil
+		return siteview.WatchAnswer{Packed: packed, Update: recent.update}, nil
 	}
 	recent, err := c.updateAfter(ctx, after, interest)
 	if err != nil {
@@ -143,8 +140,8 @@
 	if view := c.view.Load(); after > 0 && view.Position <= after {
 		return &recentUpdate{update: sitestate.Update{Position: view.Position}}, nil
 	}
-	return c.recent.get(newsKey{after: after, interest: interest}, updatePause(c.watchers()), func() (sitestate.Update, error) {
-		// The look may still come when the call was given up: nothing else touches update then.
+	return c.recent.get(updateKey{after: after, interest: interest}, updateInterval(c.watchers()), func() (sitestate.Update, error) {
+		// The callback may still run after ctx ended; nothing else accesses update then.
 		var update sitestate.Update
 		err := c.member.Inspect(ctx, func(machine groupmember.StateMachine) {
 			update = machine.(*sitestate.State).Update(after, interest)
@@ -156,8 +153,8 @@
 	})
 }
 
-// awaitNews waits for a change, a pause at least, or until a heartbeat is due.
-func awaitNews(ctx context.Context, wake <-chan struct{}, sent time.Time, pause time.Duration) error {
+// awaitChange waits for the pause, then for a change or until a heartbeat is due.
+func awaitChange(ctx context.Context, wake <-chan struct{}, sent time.Time, pause time.Duration) error {
 	select {
 	case <-time.After(pause):
 	case <-ctx.Done():
--- a/internal/app/sitecontrol/weights_test.go
+++ b/internal/app/sitecontrol/weights_test.go
@@ -8,46 +8,45 @@
 	"github.com/loomgrade/loomgrade/internal/dialect"
 )
 
-// noDialect is for parts that send nothing.
+// noDialect is for code that sends nothing.
 type noDialect struct{ dialect.Dialect }
 
 func (noDialect) Headers() dialect.Headers { return dialect.Headers{} }
 
-// TestAFailedLoadGivesItsPlaceFreeAndRests: a replica whose load failed counts as
-// loading no longer, and is left alone for longer each time.
+// A failed load is no longer pending and starts a backoff for its replica.
 func TestAFailedLoadGivesItsPlaceFreeAndRests(t *testing.T) {
 	w := newWeightsManager(&Control{config: Config{Dialect: noDialect{}}})
 	w.loading["i"] = "a"
-	w.ended("i", false)
-	loading, resting := w.underWay(time.Now())
-	if len(loading) != 0 || !resting["i"] {
-		t.Errorf("loading %v, resting %v after a failure", loading, resting)
+	w.finishLoad("i", false)
+	loading, inBackoff := w.pendingLoads(time.Now())
+	if len(loading) != 0 || !inBackoff["i"] {
+		t.Errorf("loading %v, backoff %v after a failure", loading, inBackoff)
 	}
-	if _, resting := w.underWay(time.Now().Add(firstRest + time.Second)); resting["i"] {
-		t.Error("rests for ever")
+	if _, inBackoff := w.pendingLoads(time.Now().Add(minBackoff + time.Second)); inBackoff["i"] {
+		t.Error("in backoff after its end")
 	}
 	view := &sitestate.View{Replicas: sitestate.SetOf(sitestate.Replica{ID: "i"})}
 	w.readyReplicas(view, "s")
-	if len(w.resting) != 1 {
-		t.Error("a known replica's failures are forgotten")
+	if len(w.backoffs) != 1 {
+		t.Error("the failures of a known replica were dropped")
 	}
-	w.ended("i", true)
-	if len(w.resting) != 0 {
-		t.Error("rests after a load that was done")
+	w.finishLoad("i", true)
+	if len(w.backoffs) != 0 {
+		t.Error("in backoff after a successful load")
 	}
-	w.ended("gone", false)
+	w.finishLoad("gone", false)
 	w.readyReplicas(view, "s")
-	if len(w.resting) != 0 {
-		t.Error("a replica that is gone is remembered")
+	if len(w.backoffs) != 0 {
+		t.Error("the backoff of a removed replica remains")
 	}
 }
 
 func TestRestsDoubleUpToTheLongest(t *testing.T) {
 	now := time.Now()
-	held := rest{}
-	for i, want := range []time.Duration{firstRest, 2 * firstRest, 4 * firstRest, longestRest, longestRest} {
-		held = held.after(now)
-		if got := held.until.Sub(now); got != want {
+	current := backoff{}
+	for i, want := range []time.Duration{minBackoff, 2 * minBackoff, 4 * minBackoff, maxBackoff, maxBackoff} {
+		current = current.after(now)
+		if got := current.until.Sub(now); got != want {
 			t.Errorf("failure %d: %v, want %v", i+1, got, want)
 		}
 	}
--- a/internal/app/sitecontrol/wholeview_test.go
+++ b/internal/app/sitecontrol/wholeview_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// viewOf gives a view of so many replicas at a position.
+// viewOf returns a view with a number of replicas at a position.
 func viewOf(position uint64, replicas int) *sitestate.View {
 	update := sitestate.Update{Position: position, Full: true}
 	for i := range replicas {
@@ -20,7 +20,7 @@
 	return (&sitestate.View{}).Apply(update)
 }
 
-// TestAWholeStateIsMadeOnceForAll: watchers that begin within a moment share one.
+// Watchers that start within a short time share one packed view.
 func TestAWholeStateIsMadeOnceForAll(t *testing.T) {
 	now := time.Now()
 	steps := []struct {
@@ -29,20 +29,20 @@
 		after    time.Duration
 		want     uint64
 	}{
-		{"the first", 10, 0, 10},
-		{"one more", 10, time.Second, 10},
-		{"the state goes on", 14, wholeFor - time.Millisecond, 10},
-		{"it is old", 14, wholeFor, 14},
-		{"the member joined anew, and is behind", 3, wholeFor, 3},
+		{"first", 10, 0, 10},
+		{"cached", 10, time.Second, 10},
+		{"cached though the state advanced", 14, fullViewTTL - time.Millisecond, 10},
+		{"expired", 14, fullViewTTL, 14},
+		{"member joined again and is behind", 3, fullViewTTL, 3},
 	}
-	var whole wholeView
+	var cache fullView
 	var before []byte
 	for _, step := range steps {
-		packed, position, err := whole.get(viewOf(step.position, 3), now.Add(step.after))
+		packed, position, err := cache.get(viewOf(step.position, 3), now.Add(step.after))
 		if err != nil || position != step.want {
 			t.Fatalf("%s: position %d, %v", step.name, position, err)
 		}
-		if shared := before != nil && &packed[0] == &before[0]; shared != (step.want == 10 && step.name != "the first") {
+		if shared := before != nil && &packed[0] == &before[0]; shared != (step.want == 10 && step.name != "first") {
 			t.Errorf("%s: shared %v", step.name, shared)
 		}
 		before = packed
@@ -53,8 +53,7 @@
 	}
 }
 
-// BenchmarkWholeState compares a state that is encoded for each watcher that begins with
-// one that they share, at 130 replicas.
+// Compares packing the state for each new watcher with sharing one, at 130 replicas.
 func BenchmarkWholeState(b *testing.B) {
 	view := viewOf(10, 130)
 	b.Run("for each", func(b *testing.B) {
@@ -65,9 +64,9 @@
 		}
 	})
 	b.Run("shared", func(b *testing.B) {
-		var whole wholeView
+		var cache fullView
 		for b.Loop() {
-			if _, _, err := whole.get(view, time.Time{}); err != nil {
+			if _, _, err := cache.get(view, time.Time{}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/app/sitestore/register.go
+++ b/internal/app/sitestore/register.go
@@ -155,7 +155,7 @@
 		return
 	}
 	heartbeat.Members = []string{}
-	heartbeat.Vacant = groupmember.FreeSlots(shown.Status, shown.Records, s.leaving(), s.member.Limits())
+	heartbeat.FreeSlots = groupmember.FreeSlots(shown.Status, shown.Records, s.leaving(), s.member.Limits())
 	whole := 0
 	// A member has a record until its removal is committed: only then may its
 	// machine be taken away.
@@ -166,7 +166,7 @@
 		}
 	}
 	slices.Sort(heartbeat.Members)
-	heartbeat.Whole = whole >= s.wantedVoters()
+	heartbeat.Complete = whole >= s.wantedVoters()
 	if demand := s.demand.Load(); demand != nil {
 		heartbeat.Demand, heartbeat.Open = demand.rates, demand.open
 	}
--- a/internal/app/siteview/siteview.go
+++ b/internal/app/siteview/siteview.go
@@ -25,17 +25,17 @@
 type WatchAnswer struct {
 	// Whole is empty, or what is to be applied before Update, packed once for many watchers: a
 	// sitestate.Update with the state at an earlier position, or with many changes.
-	Whole  []byte           `cbor:"1,keyasint,omitempty"`
+	Packed []byte           `cbor:"1,keyasint,omitempty"`
 	Update sitestate.Update `cbor:"2,keyasint"`
 }
 
 // updates gives what is to be applied, in order.
 func (a *WatchAnswer) updates() ([]sitestate.Update, error) {
-	if len(a.Whole) == 0 {
+	if len(a.Packed) == 0 {
 		return []sitestate.Update{a.Update}, nil
 	}
 	var whole sitestate.Update
-	if err := wire.UnmarshalPacked(a.Whole, maxWholeBytes, &whole); err != nil {
+	if err := wire.UnmarshalPacked(a.Packed, maxWholeBytes, &whole); err != nil {
 		return nil, eris.Wrap(err, "the whole state")
 	}
 	return []sitestate.Update{whole, a.Update}, nil
--- a/internal/app/siteview/siteview_test.go
+++ b/internal/app/siteview/siteview_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := WatchAnswer{Whole: whole, Update: sitestate.Update{Position: 9, Removed: []string{"a"}, Replicas: []sitestate.Replica{{ID: "c"}}, Confirmed: true}}
+	sent := WatchAnswer{Packed: whole, Update: sitestate.Update{Position: 9, Removed: []string{"a"}, Replicas: []sitestate.Replica{{ID: "c"}}, Confirmed: true}}
 	encoded, err := wire.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -39,11 +39,11 @@
 		t.Errorf("%+v", view)
 	}
 
-	answer.Whole = answer.Whole[:len(answer.Whole)/2]
+	answer.Packed = answer.Packed[:len(answer.Packed)/2]
 	if _, err := answer.updates(); err == nil {
 		t.Error("half a state was taken")
 	}
-	answer.Whole = nil
+	answer.Packed = nil
 	if updates, err := answer.updates(); err != nil || len(updates) != 1 || updates[0].Position != 9 {
 		t.Errorf("without a whole state: %+v, %v", updates, err)
 	}
