--- a/internal/app/sitestore/calls.go
+++ b/internal/app/sitestore/calls.go
@@ -15,10 +15,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// maxJobBytes bounds a job's encoding: it is one entry of the log.
+// maxJobBytes limits a job's encoding to one log entry.
 const maxJobBytes = consensus.MaxEntryBytes - 1<<10
 
-// serveCall answers a call about jobs, as the leader or by naming it.
+// serveCall serves a call about jobs as the leader, or returns the leader's address.
 func (s *Store) serveCall(ctx context.Context, call *wire.Call) error {
 	var request jobsapi.Request
 	if err := call.Decode(&request); err != nil {
@@ -38,7 +38,7 @@
 	return call.Send(answer)
 }
 
-// leader gives the address of the leader of a shard's group, if this machine knows it.
+// leader returns the address of the leader of a shard's group, if known.
 func (s *Store) leader(shard group.Shard, refusal *group.NotLeaderError) string {
 	if refusal.Leader.Address != "" {
 		return refusal.Leader.Address
@@ -68,15 +68,14 @@
 	}
 }
 
-// submit keeps a job. Before it is proposed, a refusal is as not run; after
-// that its outcome is known or left open.
+// submit commits a job. Rejections before the proposal have the verdict port.NotRun.
 func (s *Store) submit(ctx context.Context, shard group.Shard, submission jobstate.Submission) (jobsapi.Answer, error) {
 	data, err := jobstate.Command{Accept: &submission}.Encode()
 	if err != nil {
 		return jobsapi.Answer{}, port.NewError(port.NotRun, port.CodeInvalid, "%v", err)
 	}
-	if refusal := s.mayAccept(len(data)); refusal != nil {
-		return s.refuse(ctx, shard, submission, refusal)
+	if refusal := s.checkAdmission(len(data)); refusal != nil {
+		return s.reject(ctx, shard, submission, refusal)
 	}
 	if len(data) > maxJobBytes {
 		return jobsapi.Answer{}, port.NewError(port.NotRun, port.CodeTooLarge, "the job is larger than %d bytes", maxJobBytes)
@@ -92,30 +91,31 @@
 	return jobsapi.Answer{Accepted: outcome}, nil
 }
 
-// refuse refuses a job, unless it was kept before and its client did not hear so.
-func (s *Store) refuse(ctx context.Context, shard group.Shard, submission jobstate.Submission, refusal *port.Error) (jobsapi.Answer, error) {
-	held, err := s.holds(ctx, shard, submission.ID, accessOf(submission))
+// reject returns the rejection of a job, unless the job is already stored: the client may
+// have missed that response.
+func (s *Store) reject(ctx context.Context, shard group.Shard, submission jobstate.Submission, refusal *port.Error) (jobsapi.Answer, error) {
+	stored, err := s.hasJob(ctx, shard, submission.ID, accessOf(submission))
 	switch {
 	case err != nil:
 		return jobsapi.Answer{}, err
-	case held:
+	case stored:
 		return jobsapi.Answer{Accepted: jobstate.AlreadyAccepted}, nil
 	default:
 		return jobsapi.Answer{}, refusal
 	}
 }
 
-// holds reports whether a shard's group has a job that the call may reach.
-func (s *Store) holds(ctx context.Context, shard group.Shard, job string, access *jobstate.Access) (held bool, err error) {
+// hasJob reports whether the shard's group stores a job that the caller may access.
+func (s *Store) hasJob(ctx context.Context, shard group.Shard, job string, access *jobstate.Access) (stored bool, err error) {
 	err = s.member.ReadFrom(ctx, shard, func(machine groupmember.StateMachine) {
-		held = reachable(machine, job, access) != nil
+		stored = accessibleJob(machine, job, access) != nil
 	})
-	return held, err
+	return stored, err
 }
 
-// reachable finds a job that a call may reach, or nil: whether another tenant has one of
-// the same id is nobody else's business.
-func reachable(machine groupmember.StateMachine, id string, access *jobstate.Access) *jobstate.Job {
+// accessibleJob returns a job that the caller may access, or nil. It doesn't reveal whether
+// another tenant has a job with the same id.
+func accessibleJob(machine groupmember.StateMachine, id string, access *jobstate.Access) *jobstate.Job {
 	job := machine.(*jobstate.State).Job(id)
 	if job == nil || !access.Allows(job) {
 		return nil
@@ -123,36 +123,36 @@
 	return job
 }
 
-// accessOf gives the access of who hands a job in.
+// accessOf returns the access of a submission's tenant.
 func accessOf(submission jobstate.Submission) *jobstate.Access {
 	return &jobstate.Access{Tenant: submission.Tenant}
 }
 
-// mayAccept refuses while a quorum is too small to outlive the tolerated losses, and jobs
-// of so many bytes that the memory has no room for.
-func (s *Store) mayAccept(bytes int) *port.Error {
-	if most, held := s.config.MostJobBytes, int(s.JobBytes()); most > 0 && held+bytes > most {
-		return port.NewError(port.NotRun, port.CodeQueueFull, "the shard's jobs take %d of %d bytes of memory; %d more have no room", held, most, bytes)
+// checkAdmission rejects a job that exceeds the memory limit, and any job while a quorum is
+// too small to survive the tolerated losses.
+func (s *Store) checkAdmission(bytes int) *port.Error {
+	if limit, used := s.config.MostJobBytes, int(s.JobBytes()); limit > 0 && used+bytes > limit {
+		return port.NewError(port.NotRun, port.CodeQueueFull, "the shard's jobs use %d of %d bytes of memory, %d more do not fit", used, limit, bytes)
 	}
 	shown := s.member.Shown()
 	if shown == nil {
-		return port.NewError(port.NotRun, port.CodeUnavailable, "this machine takes no part in the store group yet")
+		return port.NewError(port.NotRun, port.CodeUnavailable, "this machine has not joined the store group yet")
 	}
 	quorum := shown.Status.Membership.Quorum()
-	if quorum <= s.config.ToleratedLosses && !allThereIs(len(shown.Status.Membership.Voters), s.activeStores(), s.wantedVoters()) {
-		return port.NewError(port.NotRun, port.CodeUnavailable, "a job would be kept by %d machines only", quorum)
+	if quorum <= s.config.ToleratedLosses && !usesAllStores(len(shown.Status.Membership.Voters), s.activeStores(), s.wantedVoters()) {
+		return port.NewError(port.NotRun, port.CodeUnavailable, "a job would be stored on %d machines only", quorum)
 	}
 	return nil
 }
 
-// allThereIs reports whether a group holds every store machine of a site that has
-// too few of them for the losses it is to bear. It then keeps jobs as safely as
-// it can, rather than none at all. An even number gives one voter less.
-func allThereIs(voters, active, wanted int) bool {
+// usesAllStores reports whether a group has all store machines of a site that has too few
+// for the tolerated losses. Jobs are accepted then although a quorum is too small. With an
+// even number of machines one of them is no voter.
+func usesAllStores(voters, active, wanted int) bool {
 	return active > 0 && active < wanted && voters >= active-(active+1)%2
 }
 
-// activeStores counts the store machines of the site, as far as is known here.
+// activeStores returns the number of active store machines in the current view.
 func (s *Store) activeStores() int {
 	view := s.config.Watcher.View()
 	if view == nil {
@@ -167,7 +167,7 @@
 	return count
 }
 
-// page gives results, as the leader or with what this member has applied.
+// page returns results as the leader, or those applied here if a follower may serve them.
 func (s *Store) page(ctx context.Context, shard group.Shard, request jobsapi.PageRequest) (jobsapi.Answer, error) {
 	if request.FromFollower && !s.Leads() {
 		page, err := s.appliedPage(ctx, shard, request)
@@ -183,31 +183,30 @@
 	return answer, err
 }
 
-// Who served a page, in metrics.
+// Roles of the members that serve pages, in metrics.
 const (
 	roleLeader   = "leader"
 	roleFollower = "follower"
 )
 
-// appliedPage gives the results that this member has applied: all, or the first of those
-// that there are.
+// appliedPage returns the results applied on this member, which may lack the latest ones.
 func (s *Store) appliedPage(ctx context.Context, shard group.Shard, request jobsapi.PageRequest) (page jobstate.Page, err error) {
 	err = s.member.InspectFrom(ctx, shard, func(machine groupmember.StateMachine) {
-		if job := reachable(machine, request.Job, request.Access); job != nil {
+		if job := accessibleJob(machine, request.Job, request.Access); job != nil {
 			page = job.Page(request.From, request.MaxBytes)
 		}
 	})
 	return page, err
 }
 
-// leaderPage gives results; it waits for one if there is none yet.
+// leaderPage returns results; it waits for one if there is none yet.
 func (s *Store) leaderPage(ctx context.Context, shard group.Shard, request jobsapi.PageRequest) (jobsapi.Answer, error) {
 	waited := time.After(time.Duration(request.WaitMillis) * time.Millisecond)
 	for {
-		news := s.awaitNews()
+		change := s.nextChange()
 		answer := jobsapi.Answer{Unknown: true}
 		err := s.member.ReadFrom(ctx, shard, func(machine groupmember.StateMachine) {
-			if job := reachable(machine, request.Job, request.Access); job != nil {
+			if job := accessibleJob(machine, request.Job, request.Access); job != nil {
 				answer = jobsapi.Answer{Page: job.Page(request.From, request.MaxBytes)}
 			}
 		})
@@ -215,7 +214,7 @@
 			return answer, err
 		}
 		select {
-		case <-news:
+		case <-change:
 		case <-waited:
 			return answer, nil
 		case <-ctx.Done():
@@ -224,11 +223,11 @@
 	}
 }
 
-// body gives the body of an item that is not listed yet, until its job ends.
+// body returns the body of an item without a result, until its job ends.
 func (s *Store) body(ctx context.Context, shard group.Shard, request jobsapi.BodyRequest) (jobsapi.Answer, error) {
 	answer := jobsapi.Answer{Unknown: true}
 	err := s.member.ReadFrom(ctx, shard, func(machine groupmember.StateMachine) {
-		job := reachable(machine, request.Job, request.Access)
+		job := accessibleJob(machine, request.Job, request.Access)
 		if job == nil {
 			return
 		}
@@ -242,11 +241,10 @@
 	return answer, err
 }
 
-// end ends a job. One that this shard does not know costs no entry of the log: clients
-// ask all shards.
+// end ends a job. An unknown job is not logged, because clients call all shards.
 func (s *Store) end(ctx context.Context, shard group.Shard, request jobsapi.EndRequest) (jobsapi.Answer, error) {
-	held, err := s.holds(ctx, shard, request.Job, request.Access)
-	if err != nil || !held {
+	stored, err := s.hasJob(ctx, shard, request.Job, request.Access)
+	if err != nil || !stored {
 		return jobsapi.Answer{Unknown: err == nil}, err
 	}
 	data, err := jobstate.Command{End: &jobstate.End{ID: request.Job}}.Encode()
--- a/internal/app/sitestore/demand.go
+++ b/internal/app/sitestore/demand.go
@@ -7,79 +7,79 @@
 )
 
 const (
-	// demandInterval is the time between two measurements.
+	// demandInterval is the time between two updates of the rates.
 	demandInterval = 500 * time.Millisecond
-	// demandMemory is the time constant of the mean.
-	demandMemory = 8 * time.Second
-	// backlogSpread is the time over which open items count as demand.
-	backlogSpread = 4 * time.Second
-	// firstEvents is taken for the length of a text before one was whole.
-	firstEvents = 16
-	newLength   = 0.05
-	// peakInterval is how long the most open items are remembered at least.
+	// demandTimeConstant is the time constant of the smoothed rates.
+	demandTimeConstant = 8 * time.Second
+	// backlogDrainTime is the time over which open items count as demand.
+	backlogDrainTime = 4 * time.Second
+	// defaultLength is the assumed length of a text in events before one is complete.
+	defaultLength   = 16
+	newLengthWeight = 0.05
+	// peakInterval is the minimum time that a peak of open items is reported.
 	peakInterval = 8 * time.Second
 )
 
-// demandMeter measures the work that jobs bring, in events a second by model:
-// what is generated, and what is open.
+// demandMeter measures the demand of jobs in events per second, by model: generated events
+// and open items.
 type demandMeter struct {
-	measured time.Time
-	// events counts events since then, by model.
+	measuredAt time.Time
+	// events counts events since measuredAt, by model.
 	events map[string]int
-	// lengths are mean numbers of events of whole texts, by model.
-	lengths map[string]float64
-	smooth  map[string]float64
-	// peak and peakBefore are the most open items of this and the last
-	// peakInterval, by model; turned is when this one began.
-	peak       map[string]int
-	peakBefore map[string]int
-	turned     time.Time
+	// lengths are the mean lengths of complete texts in events, by model.
+	lengths  map[string]float64
+	smoothed map[string]float64
+	// peak and previousPeak are the maximum numbers of open items in this and the last
+	// peakInterval, by model; peakStart is the start of this one.
+	peak         map[string]int
+	previousPeak map[string]int
+	peakStart    time.Time
 }
 
 func newDemandMeter(now time.Time) *demandMeter {
 	return &demandMeter{
-		measured: now, events: map[string]int{}, lengths: map[string]float64{}, smooth: map[string]float64{},
-		peak: map[string]int{}, turned: now,
+		measuredAt: now, events: map[string]int{}, lengths: map[string]float64{}, smoothed: map[string]float64{},
+		peak: map[string]int{}, peakStart: now,
 	}
 }
 
-// notePeak takes in the items that are open now, by model.
-func (d *demandMeter) notePeak(open map[string]int, now time.Time) {
-	if now.Sub(d.turned) > peakInterval {
-		d.peakBefore, d.peak, d.turned = d.peak, map[string]int{}, now
+// recordPeak records the numbers of open items, by model.
+func (d *demandMeter) recordPeak(open map[string]int, now time.Time) {
+	if now.Sub(d.peakStart) > peakInterval {
+		d.previousPeak, d.peak, d.peakStart = d.peak, map[string]int{}, now
 	}
 	for model, items := range open {
 		d.peak[model] = max(d.peak[model], items)
 	}
 }
 
-// peaks gives the most items that were open at once of late, by model.
+// peaks returns the recent maximum numbers of open items, by model.
 func (d *demandMeter) peaks() map[string]int {
 	peaks := maps.Clone(d.peak)
-	for model, items := range d.peakBefore {
+	for model, items := range d.previousPeak {
 		peaks[model] = max(peaks[model], items)
 	}
 	return peaks
 }
 
-// whole notes a whole text.
-func (d *demandMeter) whole(model string, events int) {
+// recordText records the length of a complete text.
+func (d *demandMeter) recordText(model string, events int) {
 	d.events[model] += events
-	if held := d.lengths[model]; held > 0 {
-		d.lengths[model] = held + newLength*(float64(events)-held)
+	if mean := d.lengths[model]; mean > 0 {
+		d.lengths[model] = mean + newLengthWeight*(float64(events)-mean)
 		return
 	}
 	d.lengths[model] = float64(events)
 }
 
-// rates gives the demand, given the open items by model, if a measurement is due.
+// rates returns the demand, given the open items by model, if an update is due.
 func (d *demandMeter) rates(open map[string]int, now time.Time) (rates map[string]float64, due bool) {
-	elapsed := now.Sub(d.measured)
+	elapsed := now.Sub(d.measuredAt)
 	if elapsed < demandInterval {
 		return nil, false
 	}
-	share := 1 - math.Exp(-elapsed.Seconds()/demandMemory.Seconds())
-	models := maps.Clone(d.smooth)
+	share := 1 - math.Exp(-elapsed.Seconds()/demandTimeConstant.Seconds())
+	models := maps.Clone(d.smoothed)
 	for model := range open {
 		models[model] += 0
 	}
@@ -89,12 +89,12 @@
 	for model := range models {
 		length := d.lengths[model]
 		if length == 0 {
-			length = firstEvents
+			length = defaultLength
 		}
-		rate := float64(d.events[model])/elapsed.Seconds() + float64(open[model])*length/backlogSpread.Seconds()
-		d.smooth[model] += share * (rate - d.smooth[model])
+		rate := float64(d.events[model])/elapsed.Seconds() + float64(open[model])*length/backlogDrainTime.Seconds()
+		d.smoothed[model] += share * (rate - d.smoothed[model])
 	}
-	d.measured = now
+	d.measuredAt = now
 	clear(d.events)
-	return maps.Clone(d.smooth), true
+	return maps.Clone(d.smoothed), true
 }
--- a/internal/app/sitestore/items.go
+++ b/internal/app/sitestore/items.go
@@ -11,8 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 )
 
-// sync takes over jobs that came and drops those that ended.
-func (r *runner) sync(ctx context.Context) {
+// syncJobs adds new jobs and removes ended ones.
+func (r *runner) syncJobs(ctx context.Context) {
 	serial := r.store.jobSerial.Load()
 	if serial == r.jobSerial {
 		return
@@ -20,8 +20,8 @@
 	var added []*work
 	open := map[string]bool{}
 	now := time.Now()
-	// The function may still run in the member's loop when this call was given up and the
-	// leadership has ended: it touches nothing of the runner.
+	// The callback may still run in the member's loop after ctx ended, so it must not
+	// access the runner.
 	known, steps := r.jobs, map[string]uint64{}
 	err := r.store.member.Inspect(ctx, func(machine groupmember.StateMachine) {
 		for _, job := range machine.(*jobstate.State).Jobs() {
@@ -57,8 +57,7 @@
 	}
 }
 
-// openItems copies the items of a job that have no result, in the loop's
-// goroutine.
+// openItems copies the items of a job without a result; it runs in the member's loop.
 func openItems(job *jobstate.Job, now time.Time) []*work {
 	ranks, longest := jobqueue.Ranks(job), job.LongestExpected()
 	var open []*work
@@ -70,7 +69,7 @@
 	return open
 }
 
-// dropJob cancels everything of a job that ended.
+// dropJob cancels and removes all items of an ended job.
 func (r *runner) dropJob(id string) {
 	r.queue.Drop(func(item jobqueue.Item) bool { return item.Job == id })
 	for key, item := range r.works {
@@ -80,11 +79,11 @@
 		if item.cancel != nil {
 			item.cancel()
 		}
-		r.drop(key, item)
+		r.remove(key, item)
 	}
 }
 
-// route finds the route and service of an item's request.
+// route returns the route and service of an item's request.
 func (r *runner) route(item *work) (*routing.Route, string) {
 	if r.table == nil {
 		return nil, ""
@@ -96,8 +95,8 @@
 	return route, route.ServiceFor(uint64(item.key.Item))
 }
 
-// homes gives the regions in which an item may run.
-func (r *runner) homes(item *work) routing.AllowedRegions {
+// allowedRegions returns the regions in which an item may run.
+func (r *runner) allowedRegions(item *work) routing.AllowedRegions {
 	route, _ := r.route(item)
 	if route == nil {
 		return routing.AllowedRegions{}
@@ -105,10 +104,10 @@
 	return routing.AllowedRegionsOf(route, r.table.Tenant(item.tenant))
 }
 
-// enqueue lets an item wait for a replica, or goes on with its score if its
-// text is whole. One that is withheld does not wait for any.
+// enqueue queues an item for a replica, or starts its scoring if the text is complete.
+// Withheld items are not queued.
 func (r *runner) enqueue(item *work, notBefore time.Time) {
-	if item.isWhole() {
+	if item.isComplete() {
 		r.startScoring(item)
 		return
 	}
@@ -116,60 +115,60 @@
 		return
 	}
 	_, service := r.route(item)
-	waiting := r.waiting(item, service)
-	waiting.NotBefore = notBefore
-	r.queue.Add(waiting)
+	queued := r.queueItem(item, service)
+	queued.NotBefore = notBefore
+	r.queue.Add(queued)
 }
 
-// routeAgain looks routes up anew after a change of the configuration. An item
-// whose route is gone is given up.
-func (r *runner) routeAgain() {
+// reroute queues all waiting items again after a change of the configuration. Items without
+// a route fail.
+func (r *runner) reroute() {
 	r.queue = jobqueue.Queue{}
 	for _, item := range r.works {
 		if item.replica != "" || item.scoring || item.finished() {
 			continue
 		}
 		if route, _ := r.route(item); route == nil {
-			r.giveUp(item, "its route is gone")
+			r.failItem(item, "the route was removed")
 			continue
 		}
 		r.enqueue(item, time.Time{})
 	}
 }
 
-// noteDone notes an item's result for the line of its job.
-func (r *runner) noteDone(item *work, replica string) {
+// recordResult records an item's result for its job's log line.
+func (r *runner) recordResult(item *work, replica string) {
 	if times := r.times[item.key.Job]; times != nil && !item.finished() {
-		times.done(item, replica, time.Now())
+		times.recordResult(item, replica, time.Now())
 	}
 }
 
-// giveUpOld gives up items that need not be kept any longer.
-func (r *runner) giveUpOld(now time.Time) {
+// failExpired fails items that are older than their route's retention.
+func (r *runner) failExpired(now time.Time) {
 	for _, item := range r.works {
 		route, _ := r.route(item)
-		if route == nil || route.Keep <= 0 || item.finished() || now.Sub(item.accepted) < route.Keep+giveUpMargin {
+		if route == nil || route.Keep <= 0 || item.finished() || now.Sub(item.accepted) < route.Keep+expiryMargin {
 			continue
 		}
 		if item.cancel != nil {
 			item.cancel()
 		}
 		key := item.key
-		r.queue.Drop(func(waiting jobqueue.Item) bool { return waiting.Key == key })
-		r.giveUp(item, "it was not done in the time that it had")
+		r.queue.Drop(func(queued jobqueue.Item) bool { return queued.Key == key })
+		r.failItem(item, "not finished within the retention of its route")
 	}
 }
 
-func (r *runner) giveUp(item *work, reason string) {
-	r.noteDone(item, item.lastReplica)
+func (r *runner) failItem(item *work, reason string) {
+	r.recordResult(item, item.lastReplica)
 	item.finish(jobstate.ResultErrored, "")
 	r.store.config.Recorder.ItemEnded(outcomeErrored, time.Since(item.accepted))
-	r.urgent = true
+	r.resultsPending = true
 	r.store.config.Logger.Warn().Str(eventlog.Field, eventlog.ItemErrored).Str("job", item.key.Job).Str("id", item.item.ID).
-		Str("reward_call", item.scorerID()).Int("failures", item.failures).Str("reason", reason).Msg("an item is given up")
+		Str("reward_call", item.scorerID()).Int("failures", item.failures).Str("reason", reason).Msg("item failed")
 }
 
-// startScoring sends the reward call of a whole text.
+// startScoring starts the reward call of a complete text.
 func (r *runner) startScoring(item *work) {
 	if item.scoring {
 		return
@@ -180,9 +179,9 @@
 	go r.score(ctx, item)
 }
 
-// drop forgets an item that is done.
-func (r *runner) drop(key jobqueue.Key, item *work) {
-	r.releaseNext(item)
-	r.replicas.leave(item)
+// remove removes a finished item.
+func (r *runner) remove(key jobqueue.Key, item *work) {
+	r.releaseReserved(item)
+	r.replicas.removeRun(item)
 	delete(r.works, key)
 }
--- a/internal/app/sitestore/jobtimes.go
+++ b/internal/app/sitestore/jobtimes.go
@@ -6,31 +6,30 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/eventlog"
 )
 
-// jobTimes notes when what of a job was done, from the moment at which this runner
-// took it over.
+// jobTimes records the progress of a job from when this runner started it.
 type jobTimes struct {
-	taken time.Time
-	step  uint64
-	// open counts the items without a result by group, whole when groups had all.
-	open  map[string]int
-	whole []time.Duration
-	items int
-	// unplaced counts items that never ran; firstPlaced and lastPlaced are when the
-	// first and the last one did.
+	startedAt time.Time
+	step      uint64
+	// open counts the items without a result by group; complete has the completion time of
+	// each group.
+	open     map[string]int
+	complete []time.Duration
+	items    int
+	// unplaced counts items that never ran; firstPlaced and lastPlaced are the times of the
+	// first and the last item's first run.
 	unplaced                int
 	firstPlaced, lastPlaced time.Duration
 	runs                    int
-	refused, cut            int
+	rejected, cutOff        int
 	last                    lastItem
-	// deciding is the item that made mostGroups whole: the client waited for it.
+	// deciding is the item that completed decidingShare of the groups.
 	deciding lastItem
 }
 
-// mostGroups is the share of the groups of a job after which its client likely waits for no
-// more.
-const mostGroups = 0.9
+// decidingShare is the share of a job's groups after which its client likely stops waiting.
+const decidingShare = 0.9
 
-// lastItem is the item that had its result last.
+// lastItem is the item with the latest result.
 type lastItem struct {
 	id      string
 	replica string
@@ -40,76 +39,76 @@
 }
 
 func newJobTimes(taken time.Time, step uint64) *jobTimes {
-	return &jobTimes{taken: taken, step: step, open: map[string]int{}}
+	return &jobTimes{startedAt: taken, step: step, open: map[string]int{}}
 }
 
-// add counts an item that is to be done.
+// add counts an open item.
 func (t *jobTimes) add(item *work) {
 	t.open[item.item.Group]++
 	t.items++
 	t.unplaced++
 }
 
-// placed notes a run of an item.
-func (t *jobTimes) placed(item *work, now time.Time) {
+// recordRun records the start of a run of an item.
+func (t *jobTimes) recordRun(item *work, now time.Time) {
 	t.runs++
-	item.phases.placed(now.Sub(item.idleSince), !item.ran)
+	item.phases.recordWait(now.Sub(item.idleSince), !item.ran)
 	if item.ran {
 		return
 	}
 	item.ran = true
 	t.unplaced--
-	t.lastPlaced = now.Sub(t.taken)
+	t.lastPlaced = now.Sub(t.startedAt)
 	if t.runs == 1 {
 		t.firstPlaced = t.lastPlaced
 	}
 }
 
-// done notes an item's result.
-func (t *jobTimes) done(item *work, replica string, now time.Time) {
+// recordResult records an item's result.
+func (t *jobTimes) recordResult(item *work, replica string, now time.Time) {
 	group := item.item.Group
 	t.open[group]--
-	t.refused += item.phases.refused
-	t.cut += item.phases.cut
+	t.rejected += item.phases.rejected
+	t.cutOff += item.phases.cutOff
 	t.last = lastItem{id: item.item.ID, replica: replica, events: item.length(), moves: item.moves, phases: item.phases}
 	if t.open[group] > 0 {
 		return
 	}
-	t.whole = append(t.whole, now.Sub(t.taken))
-	if len(t.whole) == t.groupCount(mostGroups) {
+	t.complete = append(t.complete, now.Sub(t.startedAt))
+	if len(t.complete) == t.groupCount(decidingShare) {
 		t.deciding = t.last
 	}
 }
 
-// groupCount is a share of the groups.
+// groupCount returns the number of groups in a share.
 func (t *jobTimes) groupCount(share float64) int { return max(1, int(share*float64(len(t.open))+0.5)) }
 
-// groupsWhole gives when a share of the groups was whole, 0 if it was not.
-func (t *jobTimes) groupsWhole(share float64) time.Duration {
+// groupsComplete returns the time at which a share of the groups was complete, 0 if it is not.
+func (t *jobTimes) groupsComplete(share float64) time.Duration {
 	count := t.groupCount(share)
-	if count > len(t.whole) {
+	if count > len(t.complete) {
 		return 0
 	}
-	return t.whole[count-1]
+	return t.complete[count-1]
 }
 
-// logTimes writes the line of a job that this runner has done with.
+// logTimes logs a job that this runner no longer runs.
 func (r *runner) logTimes(job string, ended bool, now time.Time) {
 	times := r.times[job]
 	if times == nil {
 		return
 	}
 	delete(r.times, job)
-	// The line of a job is not among those left out under load.
+	// This line is exempt from log sampling under load.
 	eventlog.Important(r.store.config.Logger).Info().Str(eventlog.Field, eventlog.JobDone).Str("id", job).Uint64("step", times.step).Bool("ended", ended).
-		Int("items", times.items).Int("unplaced", times.unplaced).Int("runs", times.runs).Int("groups", len(times.open)).Int("whole", len(times.whole)).
+		Int("items", times.items).Int("unplaced", times.unplaced).Int("runs", times.runs).Int("groups", len(times.open)).Int("whole", len(times.complete)).
 		Dur("first_placed_ms", times.firstPlaced).Dur("last_placed_ms", times.lastPlaced).
-		Dur("whole_50_ms", times.groupsWhole(0.5)).Dur("whole_90_ms", times.groupsWhole(mostGroups)).Dur("whole_100_ms", times.groupsWhole(1)).
-		Dur("took_ms", now.Sub(times.taken)).Str("last_item", times.last.id).Str("last_replica", times.last.replica).
+		Dur("whole_50_ms", times.groupsComplete(0.5)).Dur("whole_90_ms", times.groupsComplete(decidingShare)).Dur("whole_100_ms", times.groupsComplete(1)).
+		Dur("took_ms", now.Sub(times.startedAt)).Str("last_item", times.last.id).Str("last_replica", times.last.replica).
 		Int("last_events", times.last.events).Int("last_moves", times.last.moves).Dur("last_waited_ms", times.last.phases.waited()).
-		Int("refused", times.refused).Int("cut", times.cut).
-		Str("deciding_item", times.deciding.id).Dur("deciding_first_wait_ms", times.deciding.phases.first).
-		Dur("deciding_later_waits_ms", times.deciding.phases.again).Dur("deciding_ran_ms", times.deciding.phases.ran).
+		Int("refused", times.rejected).Int("cut", times.cutOff).
+		Str("deciding_item", times.deciding.id).Dur("deciding_first_wait_ms", times.deciding.phases.firstWait).
+		Dur("deciding_later_waits_ms", times.deciding.phases.laterWaits).Dur("deciding_ran_ms", times.deciding.phases.ran).
 		Dur("deciding_unused_ms", times.deciding.phases.unused).Dur("deciding_scored_ms", times.deciding.phases.scored).
-		Msg("the runner has done with a job")
+		Msg("the runner is done with a job")
 }
--- a/internal/app/sitestore/leadership.go
+++ b/internal/app/sitestore/leadership.go
@@ -11,39 +11,37 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// leadership is what a runner holds from the start of its member's leadership to the
-// end. Nothing of it outlives a term.
+// leadership is the state of a runner during one term of its member's leadership.
 type leadership struct {
 	shard   sitestate.ShardNumber
 	term    uint64
 	context context.Context
 	cancel  context.CancelFunc
-	// unsettledAt is since when the member has been out of touch with a quorum; zero
-	// while it is in touch.
-	unsettledAt time.Time
+	// quorumLostAt is when the member lost contact with a quorum; zero while it has contact.
+	quorumLostAt time.Time
 
 	jobSerial uint64
-	// jobs are those taken over, until they end.
+	// jobs are the known open jobs.
 	jobs  map[string]bool
 	works map[jobqueue.Key]*work
 	times map[string]*jobTimes
 	queue jobqueue.Queue
-	// withheld are the items under which replicas ended.
+	// withheld are the items that crashed replicas.
 	withheld map[jobqueue.Key]*work
-	replicas *replicaBook
+	replicas *replicaTracker
 	demand   *demandMeter
 	lengths  lengths
 	table    *routing.Table
-	// keeping is set while a record is proposed; kept takes how that went.
-	keeping bool
-	kept    chan error
-	// keptAt is when the last record was proposed, grownAt when the last one
-	// with text that grows was.
-	keptAt  time.Time
-	grownAt time.Time
-	urgent  bool
-	// lookedAt is when all open items were last looked at.
-	lookedAt time.Time
+	// committing is set while a record is proposed; committed receives the outcome.
+	committing bool
+	committed  chan error
+	// proposedAt is when the last record was proposed, textProposedAt when the last one
+	// with unfinished text was.
+	proposedAt     time.Time
+	textProposedAt time.Time
+	resultsPending bool
+	// scannedAt is the time of the last scan of all open items.
+	scannedAt time.Time
 }
 
 func newLeadership(ctx context.Context, shard sitestate.ShardNumber, term uint64) *leadership {
@@ -51,50 +49,50 @@
 		shard: shard, term: term,
 		jobs: map[string]bool{}, works: map[jobqueue.Key]*work{}, times: map[string]*jobTimes{},
 		withheld: map[jobqueue.Key]*work{},
-		replicas: newReplicaBook(shard), demand: newDemandMeter(time.Now()), lengths: lengths{},
-		kept: make(chan error, 1),
+		replicas: newReplicaTracker(shard), demand: newDemandMeter(time.Now()), lengths: lengths{},
+		committed: make(chan error, 1),
 	}
 	l.context, l.cancel = context.WithCancel(ctx)
 	return l
 }
 
-// duty is what a runner does, given what its member shows.
+// duty is what a runner does in a given state of its member.
 type duty uint8
 
 const (
-	// dutyNone: the member does not lead, or another one may by now.
+	// dutyNone: the member does not lead, or may have been replaced.
 	dutyNone duty = iota
-	// dutyBegin: a leadership begins.
-	dutyBegin
-	// dutyGoOn: the one that the runner has goes on.
-	dutyGoOn
-	// dutyHold: the member leads, but is out of touch with a quorum. Runs go on, and
-	// nothing begins.
+	// dutyStart: start a leadership.
+	dutyStart
+	// dutyContinue: continue the current leadership.
+	dutyContinue
+	// dutyHold: the member leads without contact with a quorum. Runs continue, none
+	// starts.
 	dutyHold
 )
 
-// dutyOf gives the duty of a runner that has a leadership, or nil. One whose member was
-// held up is out of touch until it is answered, some milliseconds later; to cut all runs
-// for that would have them all begin again at once. It waits no longer than patience: the
-// voters have had no leader for an election timeout then, and elect.
-func dutyOf(shown *group.Shown, l *leadership, now time.Time, patience time.Duration) duty {
+// dutyOf returns the duty of a runner with the given leadership, or nil. A member that was
+// not scheduled for a while loses contact with its quorum briefly; cancelling all runs would
+// restart them all. Patience is the election timeout, after which voters elect another
+// leader.
+func dutyOf(shown *group.Shown, l *leadership, now time.Time, timeout time.Duration) duty {
 	if shown == nil || shown.Status.Role != consensus.RoleLeader {
 		return dutyNone
 	}
 	same := l != nil && l.shard == sitestate.ShardNumber(shown.Shard) && l.term == shown.Status.Term
 	switch {
 	case shown.Settled && same:
-		l.unsettledAt = time.Time{}
-		return dutyGoOn
+		l.quorumLostAt = time.Time{}
+		return dutyContinue
 	case shown.Settled:
-		return dutyBegin
+		return dutyStart
 	case !same:
 		return dutyNone
 	}
-	if l.unsettledAt.IsZero() {
-		l.unsettledAt = now
+	if l.quorumLostAt.IsZero() {
+		l.quorumLostAt = now
 	}
-	if now.Sub(l.unsettledAt) >= patience {
+	if now.Sub(l.quorumLostAt) >= timeout {
 		return dutyNone
 	}
 	return dutyHold
--- a/internal/app/sitestore/leadership_test.go
+++ b/internal/app/sitestore/leadership_test.go
@@ -9,42 +9,41 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// TestDuty: what a runner does by what its member shows, from step to step.
+// TestDuty covers the duty of a runner in each state of its member.
 func TestDuty(t *testing.T) {
-	const patience = 480 * time.Millisecond
+	const timeout = 480 * time.Millisecond
 	shows := func(role consensus.Role, term uint64, settled bool) *group.Shown {
 		return &group.Shown{Shard: 2, Settled: settled, Status: consensus.Status{Role: role, Term: term}}
 	}
-	leads, outOfTouch := shows(consensus.RoleLeader, 5, true), shows(consensus.RoleLeader, 5, false)
+	leads, noQuorum := shows(consensus.RoleLeader, 5, true), shows(consensus.RoleLeader, 5, false)
 	for name, test := range map[string]struct {
-		shown *group.Shown
-		had   *leadership
-		want  duty
+		shown   *group.Shown
+		current *leadership
+		want    duty
 	}{
-		"takes no part":                 {nil, nil, dutyNone},
-		"takes no part any more":        {nil, &leadership{shard: 2, term: 5}, dutyNone},
-		"follows":                       {shows(consensus.RoleFollower, 5, false), nil, dutyNone},
-		"follows now":                   {shows(consensus.RoleFollower, 6, false), &leadership{shard: 2, term: 5}, dutyNone},
-		"leads":                         {leads, nil, dutyBegin},
-		"goes on":                       {leads, &leadership{shard: 2, term: 5}, dutyGoOn},
-		"leads in a later term":         {leads, &leadership{shard: 2, term: 4}, dutyBegin},
-		"leads another shard":           {leads, &leadership{shard: 1, term: 5}, dutyBegin},
-		"not settled yet":               {outOfTouch, nil, dutyNone},
-		"not settled in a later term":   {outOfTouch, &leadership{shard: 2, term: 4}, dutyNone},
-		"out of touch for a moment":     {outOfTouch, &leadership{shard: 2, term: 5}, dutyHold},
-		"out of touch for its patience": {outOfTouch, &leadership{shard: 2, term: 5, unsettledAt: bookTime.Add(-patience)}, dutyNone},
-		"just within its patience":      {outOfTouch, &leadership{shard: 2, term: 5, unsettledAt: bookTime.Add(time.Millisecond - patience)}, dutyHold},
+		"not a member":                {nil, nil, dutyNone},
+		"no longer a member":          {nil, &leadership{shard: 2, term: 5}, dutyNone},
+		"follower":                    {shows(consensus.RoleFollower, 5, false), nil, dutyNone},
+		"became follower":             {shows(consensus.RoleFollower, 6, false), &leadership{shard: 2, term: 5}, dutyNone},
+		"became leader":               {leads, nil, dutyStart},
+		"still leader":                {leads, &leadership{shard: 2, term: 5}, dutyContinue},
+		"leader in a later term":      {leads, &leadership{shard: 2, term: 4}, dutyStart},
+		"leader of another shard":     {leads, &leadership{shard: 1, term: 5}, dutyStart},
+		"leader, not ready":           {noQuorum, nil, dutyNone},
+		"not ready in a later term":   {noQuorum, &leadership{shard: 2, term: 4}, dutyNone},
+		"quorum lost":                 {noQuorum, &leadership{shard: 2, term: 5}, dutyHold},
+		"quorum lost for the timeout": {noQuorum, &leadership{shard: 2, term: 5, quorumLostAt: testTime.Add(-timeout)}, dutyNone},
+		"quorum lost, before timeout": {noQuorum, &leadership{shard: 2, term: 5, quorumLostAt: testTime.Add(time.Millisecond - timeout)}, dutyHold},
 	} {
-		if got := dutyOf(test.shown, test.had, bookTime, patience); got != test.want {
+		if got := dutyOf(test.shown, test.current, testTime, timeout); got != test.want {
 			t.Errorf("%s: %d, want %d", name, got, test.want)
 		}
 	}
 }
 
-// TestPatienceCountsAnew: a runner that was out of touch and is in touch again waits as
-// long as before.
+// The timeout restarts once the member has contact with a quorum again.
 func TestPatienceCountsAnew(t *testing.T) {
-	const patience = time.Second
+	const timeout = time.Second
 	leader := &group.Shown{Status: consensus.Status{Role: consensus.RoleLeader}}
 	l := newLeadership(context.Background(), 0, 0)
 	defer l.cancel()
@@ -53,12 +52,12 @@
 		after   time.Duration
 		want    duty
 	}{
-		{false, 0, dutyHold}, {false, 900 * time.Millisecond, dutyHold}, {true, 950 * time.Millisecond, dutyGoOn},
+		{false, 0, dutyHold}, {false, 900 * time.Millisecond, dutyHold}, {true, 950 * time.Millisecond, dutyContinue},
 		{false, time.Second, dutyHold}, {false, 1900 * time.Millisecond, dutyHold}, {false, 2 * time.Second, dutyNone},
 	}
 	for _, step := range steps {
 		leader.Settled = step.settled
-		if got := dutyOf(leader, l, bookTime.Add(step.after), patience); got != step.want {
+		if got := dutyOf(leader, l, testTime.Add(step.after), timeout); got != step.want {
 			t.Errorf("after %v: %d, want %d", step.after, got, step.want)
 		}
 	}
--- a/internal/app/sitestore/move.go
+++ b/internal/app/sitestore/move.go
@@ -9,30 +9,28 @@
 )
 
 const (
-	// leastStay is the least time that an item stays at a replica.
-	leastStay = 500 * time.Millisecond
-	// heldUp is the time between two looks after which this process was itself held
-	// up: it cannot tell then who was silent.
-	heldUp = 3 * runnerInterval
-	// relaxedShare is what part of the longest expected length of its job an item
-	// may have that is done in time at any replica: lengths are expected badly.
+	// minRunTime is the minimum time before an item is moved from a replica.
+	minRunTime = 500 * time.Millisecond
+	// maxScanGap is the maximum time between two scans; beyond it this process was not
+	// scheduled and cannot tell which runs are stalled.
+	maxScanGap = 3 * runnerInterval
+	// relaxedShare is the expected length of an item, relative to the longest of its job, up
+	// to which any replica is fast enough. Expected lengths are imprecise.
 	relaxedShare = 0.4
-	// mostMoves bounds how often an item is moved.
-	mostMoves = 6
-	// lateRatio is how much slower than usual most runs have to look for this process
-	// to be what is late. A batch that is full is slower by a tenth.
-	lateRatio = 1.3
-	// leastForLate is how many runs there must be to tell.
-	leastForLate = 8
+	// maxMoves limits how often an item is moved.
+	maxMoves = 6
+	// delayedSlowdown is the median slowdown of all runs above which this process, not the
+	// replicas, is considered slow.
+	delayedSlowdown = 1.3
+	// minDelayedRuns is the minimum number of runs for that.
+	minDelayedRuns = 8
 )
 
-// moveFromSlow asks runs at slow or silent replicas to end where a faster one has
-// room: their items go on there, after the last event. A job's client waits for its
-// last item, and reading a prompt again takes milliseconds. Since is the time since
-// the look before.
+// moveFromSlow moves items from slow or stalled replicas to faster ones with free slots. An
+// item resumes there after its last event. Since is the time since the last scan.
 func (r *runner) moveFromSlow(view *siteview.View, now time.Time, since time.Duration) {
 	runs, slowdowns := r.measureRuns(now)
-	if since > heldUp || isLate(slowdowns) || len(runs) == 0 {
+	if since > maxScanGap || processDelayed(slowdowns) || len(runs) == 0 {
 		return
 	}
 	for _, move := range jobqueue.Moves(runs, r.replicas.candidates(view, r.table, now)) {
@@ -40,66 +38,65 @@
 	}
 }
 
-// isLate reports whether this process reads events late, given how slow runs look
-// against the usual pace of their replicas: replicas do not turn slow most at once, but a
-// process that has too little processor sees all of them slow. Moving their items would
-// be more work for it.
-func isLate(slowdowns []float64) bool {
-	if len(slowdowns) < leastForLate {
+// processDelayed reports whether this process reads events late, given the slowdowns of all
+// runs: replicas rarely turn slow together, but without processor time all seem slow. Moves
+// would add to the load.
+func processDelayed(slowdowns []float64) bool {
+	if len(slowdowns) < minDelayedRuns {
 		return false
 	}
 	slices.Sort(slowdowns)
-	return slowdowns[len(slowdowns)/2] > lateRatio
+	return slowdowns[len(slowdowns)/2] > delayedSlowdown
 }
 
-// measureRuns notes the pace of all runs at their replicas, and gives those that
-// may be moved and how slow each run looks against what is usual at its replica.
+// measureRuns records the pace of all runs at their replicas. It returns the runs that may be
+// moved, and the slowdown of each run relative to its replica's baseline.
 func (r *runner) measureRuns(now time.Time) (runs []jobqueue.Run, slowdowns []float64) {
 	paces := map[string][]time.Duration{}
 	for _, item := range r.works {
 		if item.replica == "" || item.scoring {
 			continue
 		}
-		pace, silent := item.progress.lately(now.Sub(r.base), r.replicas.pace.usual)
+		pace, stalled := item.progress.currentPace(now.Sub(r.base), r.replicas.pace.baseline)
 		if pace == 0 {
 			continue
 		}
 		paces[item.replica] = append(paces[item.replica], pace)
-		if usual := r.replicas.entry(item.replica).pace.usual; usual > 0 {
-			slowdowns = append(slowdowns, float64(pace)/float64(usual))
+		if baseline := r.replicas.entry(item.replica).pace.baseline; baseline > 0 {
+			slowdowns = append(slowdowns, float64(pace)/float64(baseline))
 		}
-		if item.next != "" || item.moves >= mostMoves || (!silent && now.Sub(item.placedAt) < leastStay) {
+		if item.reserved != "" || item.moves >= maxMoves || (!stalled && now.Sub(item.placedAt) < minRunTime) {
 			continue
 		}
-		item.silent = silent
+		item.stalled = stalled
 		_, service := r.route(item)
-		waiting := r.waiting(item, service)
-		waiting.Relaxed = false
-		runs = append(runs, jobqueue.Run{Item: waiting, Replica: item.replica, Pace: pace, RemainingEvents: r.lengths.left(item)})
+		queued := r.queueItem(item, service)
+		queued.Relaxed = false
+		runs = append(runs, jobqueue.Run{Item: queued, Replica: item.replica, Pace: pace, RemainingEvents: r.lengths.remaining(item)})
 	}
 	for replica, measured := range paces {
-		r.replicas.watched(replica, measured, now)
+		r.replicas.recordRunning(replica, measured, now)
 	}
 	return runs, slowdowns
 }
 
-// move asks the run of an item to end, and keeps a place for it elsewhere. One that
-// is silent is cut off.
+// move requests the end of an item's run and reserves a slot on another replica. A stalled
+// run is aborted.
 func (r *runner) move(item *work, replica string) {
 	item.moves++
-	item.next = replica
+	item.reserved = replica
 	r.replicas.reserve(replica)
 	item.move.Store(true)
-	if item.silent {
+	if item.stalled {
 		item.interrupt()
 	}
 }
 
-// waiting is an item as the queue sees it.
-func (r *runner) waiting(item *work, service string) jobqueue.Item {
+// queueItem returns the queue's description of an item.
+func (r *runner) queueItem(item *work, service string) jobqueue.Item {
 	return jobqueue.Item{
-		Homes: r.homes(item),
-		Key:   item.key, Service: service, Model: item.model, MinVersion: item.minVersion, ExactVersion: item.only(),
+		Homes: r.allowedRegions(item),
+		Key:   item.key, Service: service, Model: item.model, MinVersion: item.minVersion, ExactVersion: item.exactVersion(),
 		Group: item.item.Group, Rank: item.rank, Avoid: item.avoid,
 		Relaxed: float64(item.item.ExpectedLength()) < relaxedShare*float64(item.longest),
 	}
--- a/internal/app/sitestore/move_test.go
+++ b/internal/app/sitestore/move_test.go
@@ -11,11 +11,10 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestALateProcessMovesNothing: a fifth of the replicas is slow and its items move; when
-// all look slow it is the runner that has too little processor, and moves would cost it
-// more.
+// Items move from a few slow replicas. When all replicas seem slow, this process lacks
+// processor time, and moves would add to its load.
 func TestALateProcessMovesNothing(t *testing.T) {
-	const usual, runsPerReplica, replicas = 40 * time.Millisecond, 2, 10
+	const baseline, runsPerReplica, replicas = 40 * time.Millisecond, 2, 10
 	for name, row := range map[string]struct {
 		slow  int
 		moves bool
@@ -24,39 +23,39 @@
 		for i := range replicas + 1 {
 			listed = append(listed, sitestate.Replica{ID: fmt.Sprint("i", i), Slots: 4})
 		}
-		view, _ := bookView(listed...)
+		view, _ := testView(listed...)
 		table := routing.NewTable(&routing.Document{
 			Services: []routing.Service{{Name: "s", Engine: &routing.Engine{}}},
 			Routes:   []routing.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routing.KindJobs, Service: "s"}},
 		})
-		r := &runner{base: bookTime, leadership: &leadership{works: map[jobqueue.Key]*work{}, replicas: newReplicaBook(0), lengths: lengths{}, table: table}}
-		now := bookTime.Add(time.Minute)
+		r := &runner{base: testTime, leadership: &leadership{works: map[jobqueue.Key]*work{}, replicas: newReplicaTracker(0), lengths: lengths{}, table: table}}
+		now := testTime.Add(time.Minute)
 		for i := range replicas {
 			id := fmt.Sprint("i", i)
 			for range 100 {
-				r.replicas.measure(id, usual, bookTime)
+				r.replicas.recordRun(id, baseline, testTime)
 			}
 			for n := range runsPerReplica {
-				item := &work{key: jobqueue.Key{Job: id, Item: n}, host: "h", item: jobstate.Item{Path: "/x", Expected: 100}, placedAt: bookTime}
-				pace := usual
+				item := &work{key: jobqueue.Key{Job: id, Item: n}, host: "h", item: jobstate.Item{Path: "/x", Expected: 100}, placedAt: testTime}
+				pace := baseline
 				if i < row.slow {
-					pace = 2 * usual
+					pace = 2 * baseline
 				}
-				item.progress.show(pace, now.Sub(r.base))
-				r.replicas.enter(item, id, bookTime)
+				item.progress.set(pace, now.Sub(r.base))
+				r.replicas.addRun(item, id, testTime)
 				r.works[item.key] = item
 			}
 		}
-		r.lengths.whole(&work{item: jobstate.Item{Expected: 100}, events: 100})
+		r.lengths.record(&work{item: jobstate.Item{Expected: 100}, events: 100})
 		r.moveFromSlow(view, now, runnerInterval)
 		moved := 0
 		for _, item := range r.works {
-			if item.next != "" {
+			if item.reserved != "" {
 				moved++
 			}
 		}
 		if (moved > 0) != row.moves {
-			t.Errorf("%s slow: %d items move", name, moved)
+			t.Errorf("%s slow: %d items moved", name, moved)
 		}
 	}
 }
--- a/internal/app/sitestore/pace.go
+++ b/internal/app/sitestore/pace.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// recentWeight and usualWeight are the weights of a new run in the two means,
-	// watchWeight that of a look at runs that go on.
-	recentWeight = 0.2
-	watchWeight  = 0.5
-	usualWeight  = 0.02
-	// paceFades is how long it takes until half of what was lately seen beyond the
-	// usual is forgotten: a replica that was slow is tried again.
-	paceFades = 3 * time.Second
+	// recentWeight and baselineWeight are the weights of a finished run in the two means,
+	// runningWeight that of a measurement of current runs in the recent one.
+	recentWeight   = 0.2
+	runningWeight  = 0.5
+	baselineWeight = 0.02
+	// recentHalfLife is the half-life of the difference between the recent pace and the
+	// baseline, so that a slow replica is tried again.
+	recentHalfLife = 3 * time.Second
 )
 
-// pace is the time between the events of runs, lately and usually. The zero value
-// knows nothing.
+// pace tracks the recent and the baseline time between events of runs. The zero value has no
+// measurements.
 type pace struct {
-	recent, usual time.Duration
-	at            time.Time
+	recent, baseline time.Duration
+	at               time.Time
 }
 
-// note takes a run in.
-func (p *pace) note(pause time.Duration, now time.Time) {
+// record records a finished run.
+func (p *pace) record(pause time.Duration, now time.Time) {
 	p.recent = blend(p.recent, pause, recentWeight)
-	p.usual = blend(p.usual, pause, usualWeight)
+	p.baseline = blend(p.baseline, pause, baselineWeight)
 	p.at = now
 }
 
-// watch takes in how runs get on that have not ended.
-func (p *pace) watch(pause time.Duration, now time.Time) {
-	p.recent = blend(p.recent, pause, watchWeight)
+// recordRunning records the pace of current runs.
+func (p *pace) recordRunning(pause time.Duration, now time.Time) {
+	p.recent = blend(p.recent, pause, runningWeight)
 	p.at = now
 }
 
-// expected gives what the next run is expected to have, 0 if nothing is known.
+// expected returns the expected pace of the next run, 0 if unknown.
 func (p *pace) expected(now time.Time) time.Duration {
-	if p.usual == 0 {
+	if p.baseline == 0 {
 		return p.recent
 	}
-	left := math.Exp2(-now.Sub(p.at).Seconds() / paceFades.Seconds())
-	return p.usual + time.Duration(float64(p.recent-p.usual)*left)
+	weight := math.Exp2(-now.Sub(p.at).Seconds() / recentHalfLife.Seconds())
+	return p.baseline + time.Duration(float64(p.recent-p.baseline)*weight)
 }
 
-func blend(held, sample time.Duration, weight float64) time.Duration {
-	if held == 0 {
+func blend(mean, sample time.Duration, weight float64) time.Duration {
+	if mean == 0 {
 		return sample
 	}
-	return held + time.Duration(weight*float64(sample-held))
+	return mean + time.Duration(weight*float64(sample-mean))
 }
--- a/internal/app/sitestore/pause.go
+++ b/internal/app/sitestore/pause.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// paceWindow is how many pauses between events the pace of late is taken from.
+	// paceWindow is the number of latest pauses between events that determine the pace.
 	paceWindow = 5
-	// leastForPace is how many of them there must be.
-	leastForPace = 3
-	// silentPauses is after how many pauses without an event a run counts as
-	// silent, silentAtFirst the same before its first event; leastSilence is the
-	// least time for both, as processes and networks hold up anything for a moment.
-	silentPauses  = 4
-	silentAtFirst = 12
-	leastSilence  = 250 * time.Millisecond
+	// minPaceSamples is the minimum number of them.
+	minPaceSamples = 3
+	// stallPauses is the number of pauses without an event after which a run counts as
+	// stalled, firstEventStallPauses that before its first event; minStall is the minimum
+	// time for both, which tolerates short delays of processes and networks.
+	stallPauses           = 4
+	firstEventStallPauses = 12
+	minStall              = 250 * time.Millisecond
 )
 
 // pauseMeter measures the pauses between the events of a run.
 type pauseMeter struct {
 	count       int
 	first, last time.Time
-	// window holds the newest pauses, in a ring.
+	// window is a ring of the latest pauses.
 	window [paceWindow]time.Duration
 }
 
-// note takes an event in.
-func (m *pauseMeter) note(at time.Time) {
+// record records an event.
+func (m *pauseMeter) record(at time.Time) {
 	if m.count == 0 {
 		m.first = at
 	} else {
@@ -38,7 +38,7 @@
 	m.count++
 }
 
-// mean gives the mean pause, 0 before there was one.
+// mean returns the mean pause, 0 before there is one.
 func (m *pauseMeter) mean() time.Duration {
 	if m.count < 2 {
 		return 0
@@ -46,42 +46,41 @@
 	return m.last.Sub(m.first) / time.Duration(m.count-1)
 }
 
-// pace gives the median of the newest pauses, so that a single long one does not
-// count; 0 before there were enough.
+// pace returns the median of the latest pauses, which ignores single long ones; 0 if there are
+// too few.
 func (m *pauseMeter) pace() time.Duration {
 	pauses := min(m.count-1, paceWindow)
-	if pauses < leastForPace {
+	if pauses < minPaceSamples {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(m.window[:pauses]))
 	return sorted[pauses/2]
 }
 
-// progress is how a run gets on, as its goroutine shows it to the runner's.
+// progress shares the progress of a run with the runner's goroutine.
 type progress struct {
-	// pace is the time between its events of late in nanoseconds, 0 while it is not
-	// known; at is when the last event came, or the run began, since the runner's
-	// base time.
+	// pace is the recent time between events in nanoseconds, 0 while unknown; at is the
+	// time of the last event or the start of the run, since the runner's base time.
 	pace, at atomic.Int64
 }
 
-// show publishes what a meter holds.
-func (p *progress) show(pace, at time.Duration) {
+// set publishes the pace and the time of the last event.
+func (p *progress) set(pace, at time.Duration) {
 	p.pace.Store(int64(pace))
 	p.at.Store(int64(at))
 }
 
-// lately gives the pace, given the time since the base: a run that has been silent
-// for several pauses is as slow as it is silent. Usual is the pace expected of it.
-func (p *progress) lately(now, usual time.Duration) (pace time.Duration, silent bool) {
+// currentPace returns the pace at a time since the base; a stalled run is as slow as the time
+// since its last event. Usual is the expected pace.
+func (p *progress) currentPace(now, baseline time.Duration) (pace time.Duration, stalled bool) {
 	pace = time.Duration(p.pace.Load())
-	quiet := now - time.Duration(p.at.Load())
-	patience := silentPauses * max(pace, usual)
+	sinceEvent := now - time.Duration(p.at.Load())
+	timeout := stallPauses * max(pace, baseline)
 	if pace == 0 {
-		patience = silentAtFirst * usual
+		timeout = firstEventStallPauses * baseline
 	}
-	if usual > 0 && quiet > max(patience, leastSilence) {
-		return quiet, true
+	if baseline > 0 && sinceEvent > max(timeout, minStall) {
+		return sinceEvent, true
 	}
 	return pace, false
 }
--- a/internal/app/sitestore/pause_test.go
+++ b/internal/app/sitestore/pause_test.go
@@ -7,78 +7,78 @@
 
 func TestASingleLongPauseDoesNotCountForThePace(t *testing.T) {
 	var meter pauseMeter
-	at := bookTime
-	meter.note(at)
+	at := testTime
+	meter.record(at)
 	if meter.mean() != 0 || meter.pace() != 0 {
 		t.Errorf("after one event: mean %v, pace %v", meter.mean(), meter.pace())
 	}
 	add := func(pauses ...time.Duration) {
 		for _, pause := range pauses {
 			at = at.Add(pause)
-			meter.note(at)
+			meter.record(at)
 		}
 	}
-	const usual, slow = 30 * time.Millisecond, 90 * time.Millisecond
-	add(usual, usual)
+	const baseline, slow = 30 * time.Millisecond, 90 * time.Millisecond
+	add(baseline, baseline)
 	if meter.pace() != 0 {
 		t.Errorf("pace %v after too few events", meter.pace())
 	}
-	add(usual, usual, time.Second)
-	if got := meter.pace(); got != usual {
+	add(baseline, baseline, time.Second)
+	if got := meter.pace(); got != baseline {
 		t.Errorf("pace %v", got)
 	}
-	if got := meter.mean(); got != (4*usual+time.Second)/5 {
+	if got := meter.mean(); got != (4*baseline+time.Second)/5 {
 		t.Errorf("mean %v", got)
 	}
 	add(slow, slow, slow)
 	if got := meter.pace(); got != slow {
-		t.Errorf("pace %v once the replica has turned slow", got)
+		t.Errorf("pace %v after slow events", got)
 	}
 }
 
 func TestASilentRunIsAsSlowAsItIsSilent(t *testing.T) {
-	const usual = 40 * time.Millisecond
+	const baseline = 40 * time.Millisecond
 	for name, row := range map[string]struct {
 		pace, at, now, want time.Duration
-		silent              bool
+		stalled             bool
 	}{
-		"an event a moment ago":       {usual, time.Second, 1100 * time.Millisecond, usual, false},
-		"silent":                      {usual, time.Second, 1300 * time.Millisecond, 300 * time.Millisecond, true},
-		"slow, so silence is usual":   {3 * usual, time.Second, 1300 * time.Millisecond, 3 * usual, false},
-		"no longer than anything may": {time.Millisecond, time.Second, 1200 * time.Millisecond, time.Millisecond, false},
-		"waits for its first event":   {0, time.Second, 1300 * time.Millisecond, 0, false},
-		"waits long for it":           {0, time.Second, 2 * time.Second, time.Second, true},
+		"recent event":                {baseline, time.Second, 1100 * time.Millisecond, baseline, false},
+		"stalled":                     {baseline, time.Second, 1300 * time.Millisecond, 300 * time.Millisecond, true},
+		"pause normal for a slow run": {3 * baseline, time.Second, 1300 * time.Millisecond, 3 * baseline, false},
+		"pause below the minimum":     {time.Millisecond, time.Second, 1200 * time.Millisecond, time.Millisecond, false},
+		"no event yet":                {0, time.Second, 1300 * time.Millisecond, 0, false},
+		"stalled before any event":    {0, time.Second, 2 * time.Second, time.Second, true},
 	} {
 		var shown progress
-		shown.show(row.pace, row.at)
-		if pace, silent := shown.lately(row.now, usual); pace != row.want || silent != row.silent {
-			t.Errorf("%s: %v, %v", name, pace, silent)
+		shown.set(row.pace, row.at)
+		if pace, stalled := shown.currentPace(row.now, baseline); pace != row.want || stalled != row.stalled {
+			t.Errorf("%s: %v, %v", name, pace, stalled)
 		}
 	}
 	var shown progress
-	if pace, silent := shown.lately(time.Hour, 0); pace != 0 || silent {
-		t.Errorf("nothing is known of any pace: %v, %v", pace, silent)
+	if pace, stalled := shown.currentPace(time.Hour, 0); pace != 0 || stalled {
+		t.Errorf("without a baseline: %v, %v", pace, stalled)
 	}
 }
 
 func TestWhatIsLeftOfATextIsLearnt(t *testing.T) {
-	learnt := lengths{}
+	estimates := lengths{}
 	item := func(expected, events int) *work {
 		w := &work{model: "m", events: events}
 		w.item.Expected = expected
 		return w
 	}
-	if got := learnt.left(item(1000, 8)); got != 4 {
-		t.Errorf("nothing is known: %v", got)
+	if got := estimates.remaining(item(1000, 8)); got != 4 {
+		t.Errorf("without estimates: %v", got)
 	}
 	for range 500 {
-		learnt.whole(item(1000, 20))
+		estimates.record(item(1000, 20))
 	}
 	for _, row := range []struct {
-		expected, made int
-		want           float64
+		expected, current int
+		want              float64
 	}{{1000, 0, 20}, {1000, 5, 15}, {5000, 10, 90}, {1000, 100, 50}, {0, 0, 20}} {
-		if got := learnt.left(item(row.expected, row.made)); got < row.want-0.1 || got > row.want+0.1 {
+		if got := estimates.remaining(item(row.expected, row.current)); got < row.want-0.1 || got > row.want+0.1 {
 			t.Errorf("%+v: %v", row, got)
 		}
 	}
--- a/internal/app/sitestore/phases.go
+++ b/internal/app/sitestore/phases.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// phases is where the time of an item went, from when its job was taken over.
+// phases breaks down the time of an item from when the runner started its job.
 type phases struct {
-	// first is how long it waited for its first replica, again for further ones.
-	first, again time.Duration
-	// ran is the time of runs that made text, and unused of those that made none: refused,
-	// broken off before an event, or ended by a failure.
+	// firstWait is the wait for the first replica, laterWaits that for further ones.
+	firstWait, laterWaits time.Duration
+	// ran is the time of runs that generated text, unused that of the others: rejected,
+	// broken off before an event, or failed.
 	ran, unused time.Duration
-	// scored is the time from its whole text to its reward call's answer.
+	// scored is the time from the complete text to the response of its reward call.
 	scored time.Duration
-	// refused and cut count runs that a replica refused, and those that were broken off or
-	// left a replica.
-	refused, cut int
+	// rejected counts runs that a replica rejected, cutOff those that broke off or were
+	// moved.
+	rejected, cutOff int
 }
 
-// placed notes that the item found a replica after a wait.
-func (p *phases) placed(waited time.Duration, first bool) {
+// recordWait records a wait that ended with a replica.
+func (p *phases) recordWait(waited time.Duration, first bool) {
 	if first {
-		p.first += waited
+		p.firstWait += waited
 		return
 	}
-	p.again += waited
+	p.laterWaits += waited
 }
 
-// ended notes the end of a run.
-func (p *phases) ended(kind runKind, took time.Duration, grew bool) {
+// recordRun records the end of a run.
+func (p *phases) recordRun(kind runKind, took time.Duration, grew bool) {
 	if grew {
 		p.ran += took
 	} else {
 		p.unused += took
 	}
 	switch kind {
-	case runRefused:
-		p.refused++
-	case runBroken, runMoved, runUnfit:
-		p.cut++
+	case runRejected:
+		p.rejected++
+	case runBroken, runMoved, runWrongVersion:
+		p.cutOff++
 	default:
 	}
 }
 
-// waited is how long the item was at no replica.
-func (p *phases) waited() time.Duration { return p.first + p.again }
+// waited returns the time that the item was on no replica.
+func (p *phases) waited() time.Duration { return p.firstWait + p.laterWaits }
--- a/internal/app/sitestore/register.go
+++ b/internal/app/sitestore/register.go
@@ -19,10 +19,10 @@
 	registerTimeout  = time.Second
 )
 
-var errNoPlace = errors.New("sitestore: no shard's group needs this machine now, or it is to be emptied")
+var errNoShard = errors.New("sitestore: no shard's group needs this machine now, or it is being evacuated")
 
-// origin registers this machine's data folder and follows the control group's
-// decision on which shard's group it founds or joins.
+// origin registers this machine's data folder and returns the group that the control group
+// assigned to it.
 func (s *Store) origin(ctx context.Context, incarnation string) (group.Origin, error) {
 	s.mutex.Lock()
 	registered := s.incarnation == incarnation
@@ -33,33 +33,32 @@
 	}
 	view := s.config.Watcher.View()
 	if view == nil || s.state(view) != sitestate.StoreActive {
-		return group.Origin{}, errNoPlace
+		return group.Origin{}, errNoShard
 	}
-	places := folderPlaces{
+	assigned := membership{
 		founder: groupmember.Record{Address: s.config.Address, Incarnation: incarnation},
 		invited: sitestate.ShardNumber(s.invited.Load()), member: sitestate.ShardNumber(s.member.Shard()),
 	}
-	if shard, found := places.shard(view.Shards); found {
+	if shard, found := assigned.shard(view.Shards); found {
 		return originOf(view, shard), nil
 	}
-	return group.Origin{}, errNoPlace
+	return group.Origin{}, errNoShard
 }
 
-// folderPlaces is what says to which shard's group a machine belongs with its folder.
-type folderPlaces struct {
+// membership determines the shard of a machine with its data folder.
+type membership struct {
 	founder groupmember.Record
-	// invited and member are 0 for none.
+	// invited and member are 0 if unset.
 	invited sitestate.ShardNumber
 	member  sitestate.ShardNumber
 }
 
-// shard gives the shard whose group the machine founds, is invited to or is a member of
-// already: one that was removed while it was away has nobody else to ask than that
-// group's members of today.
-func (p folderPlaces) shard(shards []sitestate.Shard) (sitestate.Shard, bool) {
+// shard returns the shard whose group the machine founds, is invited to or is already a
+// member of. A member removed during its absence can only contact that group.
+func (p membership) shard(shards []sitestate.Shard) (sitestate.Shard, bool) {
 	number := p.member
 	if number == 0 {
-		if i := slices.IndexFunc(shards, p.founds); i >= 0 {
+		if i := slices.IndexFunc(shards, p.isFounder); i >= 0 {
 			return shards[i], true
 		}
 		number = p.invited
@@ -71,9 +70,8 @@
 	return shards[i], true
 }
 
-// founds reports whether this machine, with this folder, is a founder of a shard's
-// group.
-func (p folderPlaces) founds(shard sitestate.Shard) bool {
+// isFounder reports whether this machine, with this folder, is a founder of a shard's group.
+func (p membership) isFounder(shard sitestate.Shard) bool {
 	return slices.ContainsFunc(shard.Founders, func(founder groupmember.Record) bool {
 		return founder.Address == p.founder.Address && founder.Incarnation == p.founder.Incarnation
 	})
@@ -98,7 +96,7 @@
 	return sitestate.StoreActive
 }
 
-// leaving names the machines that are to be emptied.
+// leaving returns the names of the machines being evacuated.
 func (s *Store) leaving() map[string]bool {
 	view := s.config.Watcher.View()
 	if view == nil {
@@ -117,7 +115,7 @@
 	return leaving
 }
 
-// register tells the control group of this machine, again and again.
+// register sends heartbeats to the control group until ctx ends.
 func (s *Store) register(ctx context.Context) error {
 	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
@@ -148,7 +146,7 @@
 	}
 }
 
-// describeGroup adds what the group's leader knows of its members.
+// describeGroup adds the members of the group, if this machine leads it.
 func (s *Store) describeGroup(heartbeat *sitecontrol.StoreHeartbeat) {
 	shown := s.member.Shown()
 	if shown == nil || !shown.Settled || sitestate.ShardNumber(shown.Shard) != heartbeat.Store.Shard {
@@ -156,17 +154,17 @@
 	}
 	heartbeat.Members = []string{}
 	heartbeat.FreeSlots = groupmember.FreeSlots(shown.Status, shown.Records, s.leaving(), s.member.Limits())
-	whole := 0
-	// A member has a record until its removal is committed: only then may its
-	// machine be taken away.
+	completeVoters := 0
+	// A member has a record until its removal is committed. Until then its machine
+	// must stay.
 	for _, record := range shown.Records {
 		heartbeat.Members = append(heartbeat.Members, record.Name)
 		if shown.Status.Membership.IsVoter(record.ID) && (record.ID == shown.Status.ID || caughtUp(shown, record)) {
-			whole++
+			completeVoters++
 		}
 	}
 	slices.Sort(heartbeat.Members)
-	heartbeat.Complete = whole >= s.wantedVoters()
+	heartbeat.Complete = completeVoters >= s.wantedVoters()
 	if demand := s.demand.Load(); demand != nil {
 		heartbeat.Demand, heartbeat.Open = demand.rates, demand.open
 	}
--- a/internal/app/sitestore/register_test.go
+++ b/internal/app/sitestore/register_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestTheShardOfAMachineWithItsFolder: which group it founds, joins or asks about itself.
+// The shard of a machine depends on its data folder, its membership and its invitation.
 func TestTheShardOfAMachineWithItsFolder(t *testing.T) {
 	self := groupmember.Record{Address: "a", Incarnation: "x"}
 	shards := []sitestate.Shard{
@@ -16,19 +16,19 @@
 		{Number: 3},
 	}
 	for name, test := range map[string]struct {
-		places folderPlaces
-		want   sitestate.ShardNumber
+		assigned membership
+		want     sitestate.ShardNumber
 	}{
-		"a founder":                           {folderPlaces{founder: self}, 2},
-		"a founder that lost its disk":        {folderPlaces{founder: groupmember.Record{Address: "a", Incarnation: "y"}}, 0},
-		"invited":                             {folderPlaces{invited: 3}, 3},
-		"a member, removed while it was away": {folderPlaces{member: 3}, 3},
-		"a founder that is invited elsewhere": {folderPlaces{founder: self, invited: 1}, 2},
-		"a member that is invited elsewhere":  {folderPlaces{member: 3, invited: 1}, 3},
-		"free":                                {folderPlaces{}, 0},
-		"a member of a shard not known here":  {folderPlaces{member: 4}, 0},
+		"founder":                    {membership{founder: self}, 2},
+		"founder that lost its disk": {membership{founder: groupmember.Record{Address: "a", Incarnation: "y"}}, 0},
+		"invited":                    {membership{invited: 3}, 3},
+		"removed member":             {membership{member: 3}, 3},
+		"founder invited elsewhere":  {membership{founder: self, invited: 1}, 2},
+		"member invited elsewhere":   {membership{member: 3, invited: 1}, 3},
+		"free":                       {membership{}, 0},
+		"member of an unknown shard": {membership{member: 4}, 0},
 	} {
-		if shard, found := test.places.shard(shards); shard.Number != test.want || found != (test.want != 0) {
+		if shard, found := test.assigned.shard(shards); shard.Number != test.want || found != (test.want != 0) {
 			t.Errorf("%s: shard %d, found %v", name, shard.Number, found)
 		}
 	}
--- a/internal/app/sitestore/run.go
+++ b/internal/app/sitestore/run.go
@@ -22,39 +22,39 @@
 )
 
 const (
-	// stallTimeout is how long a run may be silent before the item goes on
-	// elsewhere. A load of weights pauses a run for about a second.
+	// stallTimeout is the time without an event after which a run is aborted. It exceeds
+	// the pause for a load of weights.
 	stallTimeout = 2500 * time.Millisecond
-	// refusedPause and brokenPause hold a replica back that refused, or broke.
-	refusedPause = 60 * time.Millisecond
-	brokenPause  = 400 * time.Millisecond
-	// scorePause is waited before a failed reward call is sent again.
+	// rejectedPause and brokenPause block a replica after a rejected or broken-off run.
+	rejectedPause = 60 * time.Millisecond
+	brokenPause   = 400 * time.Millisecond
+	// scorePause is the delay before a failed reward call is retried.
 	scorePause = 50 * time.Millisecond
-	// scoreTimeout bounds one reward call from when its turn has come.
+	// scoreTimeout bounds one reward call, without its wait in the limiter.
 	scoreTimeout = 1200 * time.Millisecond
 )
 
-// runKind says how a run ended.
+// runKind is the way in which a run ended.
 type runKind uint8
 
 const (
-	runWhole       runKind = iota // the text is whole
-	runRefused                    // the replica did not run it
-	runBroken                     // the stream broke off; what came is kept
-	runFailed                     // an answer of 500
-	runHopeless                   // an answer of 422: it can never be done
-	runUnfit                      // the replica's weights do not fit the job
-	runMoved                      // the replica was slow; the item goes on elsewhere
-	runScored                     // the reward call was answered
-	runScoreFailed                // the reward call failed for good
+	runComplete     runKind = iota // the text is complete
+	runRejected                    // the replica did not run it
+	runBroken                      // the stream broke off; received text is retained
+	runFailed                      // status 500
+	runInvalid                     // status 422: a retry would fail too
+	runWrongVersion                // the job does not allow the replica's weight version
+	runMoved                       // the replica was slow; the item moves to another one
+	runScored                      // the reward call succeeded
+	runScoreFailed                 // the reward call failed
 )
 
 var runKindNames = [...]string{"whole", "refused", "broken", "failed", "hopeless", "unfit", "moved", "scored", "score failed"}
 
-// String gives the kind as it stands in log lines.
+// String returns the name of the kind in log lines and metrics.
 func (k runKind) String() string { return runKindNames[k] }
 
-// runEvent tells the runner's goroutine how a run ended.
+// runEvent reports the end of a run to the runner's goroutine.
 type runEvent struct {
 	item    *work
 	context context.Context
@@ -62,49 +62,49 @@
 	replica string
 	reason  string
 	score   string
-	// version is what the replica served, 0 if it did not say.
+	// version is the replica's weight version, 0 if unknown.
 	version uint64
 	// pause is the mean pause between events.
 	pause time.Duration
-	// answered is set if the replica answered at all, ended if it closed the connection
-	// while it ran the item.
-	answered, ended bool
+	// responded is set if the replica responded at all, crashed if it closed the connection
+	// during the run.
+	responded, crashed bool
 }
 
-func (r *runner) tell(event runEvent) {
+func (r *runner) report(event runEvent) {
 	select {
 	case r.events <- event:
 	case <-event.context.Done():
 	}
 }
 
-// generate runs an item at a replica until its text is whole or the run ends.
+// generate runs an item on a replica until its text is complete or the run ends.
 func (r *runner) generate(ctx context.Context, item *work, replica sitestate.Replica) {
 	event := r.generateOnce(ctx, item, replica)
 	if event.kind == runBroken && item.move.Load() {
-		event.kind, event.reason = runMoved, "the replica was silent and another one has room"
+		event.kind, event.reason = runMoved, "the replica stalled and another one has free slots"
 	}
 	event.item, event.context, event.replica = item, ctx, replica.ID
-	r.tell(event)
+	r.report(event)
 }
 
 func (r *runner) generateOnce(outer context.Context, item *work, replica sitestate.Replica) runEvent {
 	ctx, cancel := context.WithCancel(outer)
 	defer cancel()
-	item.setCut(cancel)
+	item.setAbort(cancel)
 	stall := time.AfterFunc(stallTimeout, cancel)
 	defer stall.Stop()
 	headers := r.store.config.Dialect.Headers()
 	header := http.Header{}
 	for _, given := range item.item.Headers {
-		if !claimsTenant(given.Name, headers) || item.tenant == "" {
+		if !setsTenant(given.Name, headers) || item.tenant == "" {
 			header[given.Name] = append(header[given.Name], given.Value)
 		}
 	}
 	if item.tenant != "" {
 		header.Set(headers.Tenant, item.tenant)
 	}
-	if last := item.begin(); last != "" {
+	if last := item.lastEventID(); last != "" {
 		header.Set(headers.LastEvent, last)
 	}
 	response, err := r.replica.Send(ctx, replica, replicacall.Request{
@@ -114,11 +114,11 @@
 		if port.AsError(err).Verdict == port.NotRun {
 			return runEvent{kind: runBroken, reason: "not sent: " + err.Error()}
 		}
-		return runEvent{kind: runBroken, reason: err.Error(), ended: httpcall.BrokenOff(err)}
+		return runEvent{kind: runBroken, reason: err.Error(), crashed: httpcall.BrokenOff(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
-	if event, final := r.judgeHead(response); final {
-		event.answered = true
+	if event, final := r.classifyResponse(response); final {
+		event.responded = true
 		return event
 	}
 	version, err := strconv.ParseUint(response.Header.Get(headers.WeightVersion), 10, 64)
@@ -126,21 +126,21 @@
 		version = replica.VersionOf(item.model)
 	}
 	if version < item.minVersion {
-		return runEvent{kind: runUnfit, version: version, reason: "weights are older than the job allows", answered: true}
+		return runEvent{kind: runWrongVersion, version: version, reason: "weights are older than the job allows", responded: true}
 	}
-	event := r.read(item, response.Body, stall, version)
-	event.answered = true
+	event := r.readEvents(item, response.Body, stall, version)
+	event.responded = true
 	return event
 }
 
-// claimsTenant reports whether a header says whose a request is: what a client puts into
-// its items does not.
-func claimsTenant(name string, headers dialect.Headers) bool {
+// setsTenant reports whether a header identifies the tenant. Such headers of a client's items
+// are ignored.
+func setsTenant(name string, headers dialect.Headers) bool {
 	return strings.EqualFold(name, headers.Key) || strings.EqualFold(name, headers.Tenant)
 }
 
-// judgeHead ends runs whose answer is no stream.
-func (r *runner) judgeHead(response *http.Response) (runEvent, bool) {
+// classifyResponse returns the end of a run whose response is not a stream.
+func (r *runner) classifyResponse(response *http.Response) (runEvent, bool) {
 	status := response.StatusCode
 	if status == http.StatusOK {
 		return runEvent{}, false
@@ -149,9 +149,9 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBytes))
 	switch {
 	case r.replica.RefusedAsNotRun(response):
-		return runEvent{kind: runRefused, reason: reason}, true
+		return runEvent{kind: runRejected, reason: reason}, true
 	case status == http.StatusUnprocessableEntity:
-		return runEvent{kind: runHopeless, reason: reason}, true
+		return runEvent{kind: runInvalid, reason: reason}, true
 	case status == http.StatusInternalServerError:
 		return runEvent{kind: runFailed, reason: reason}, true
 	default:
@@ -161,43 +161,43 @@
 
 const maxRefusalBytes = 16 << 10
 
-// read takes the events of a run in.
-func (r *runner) read(item *work, body io.Reader, stall *time.Timer, version uint64) runEvent {
+// readEvents reads the events of a run.
+func (r *runner) readEvents(item *work, body io.Reader, stall *time.Timer, version uint64) runEvent {
 	events := eventstream.NewReader(body, r.store.config.Dialect.Headers().WeightVersion)
 	var pauses pauseMeter
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			item.setWhole()
-			return runEvent{kind: runWhole, version: version, pause: pauses.mean()}
+			item.setComplete()
+			return runEvent{kind: runComplete, version: version, pause: pauses.mean()}
 		}
 		if err != nil {
-			return runEvent{kind: runBroken, reason: err.Error(), version: version, pause: pauses.mean(), ended: httpcall.BrokenOff(err)}
+			return runEvent{kind: runBroken, reason: err.Error(), version: version, pause: pauses.mean(), crashed: httpcall.BrokenOff(err)}
 		}
 		stall.Reset(stallTimeout)
 		if event.Version != 0 {
 			version = event.Version
 		}
 		now := time.Now()
-		pauses.note(now)
-		item.progress.show(pauses.pace(), now.Sub(r.base))
+		pauses.record(now)
+		item.progress.set(pauses.pace(), now.Sub(r.base))
 		if !item.add(event.Data, event.ID, version) {
 			item.startOver()
-			return runEvent{kind: runUnfit, version: version, reason: "the weights changed to a version that the job does not take"}
+			return runEvent{kind: runWrongVersion, version: version, reason: "the weights changed to a version that the job does not allow"}
 		}
 		if item.move.Load() {
-			return runEvent{kind: runMoved, version: version, pause: pauses.mean(), reason: "the replica is slow and another one has room"}
+			return runEvent{kind: runMoved, version: version, pause: pauses.mean(), reason: "the replica is slow and another one has free slots"}
 		}
 	}
 }
 
-// score sends the reward call of a whole text until it is answered.
+// score sends the reward call of a complete text until it is answered.
 func (r *runner) score(ctx context.Context, item *work) {
 	event := runEvent{item: item, context: ctx, kind: runScored}
 	if item.item.Scorer != nil {
 		event.kind, event.score, event.reason = r.scoreOnce(ctx, item.item.Scorer)
 	}
-	r.tell(event)
+	r.report(event)
 }
 
 func (r *runner) scoreOnce(ctx context.Context, scorer *jobstate.Scorer) (kind runKind, score, reason string) {
@@ -206,7 +206,7 @@
 		pause := scorePause
 		answer, attempts, failure := r.sendScorer(ctx, scorer)
 		switch {
-		case failure != nil: // not answered; it is sent again
+		case failure != nil: // no response: retry
 			pause = max(pause, failure.RetryAfter)
 		case answer.Status/100 == 2:
 			return runScored, answer.Header.Get(r.store.config.Dialect.Headers().Seal), ""
@@ -224,8 +224,8 @@
 	}
 }
 
-// sendScorer sends a reward call once, by the route of its host and path, when its turn
-// has come. It gives the number of attempts that the route allows.
+// sendScorer sends a reward call once, by the route of its host and path, when the limiter
+// admits it. It also returns the number of attempts that the route allows.
 func (r *runner) sendScorer(ctx context.Context, scorer *jobstate.Scorer) (*proxy.Answer, int, *proxy.Failure) {
 	view := r.store.config.Watcher.View()
 	route := view.Table.Lookup(scorer.Host, scorer.Path)
@@ -233,11 +233,11 @@
 		return nil, 1, &proxy.Failure{Verdict: port.NotRun, Code: port.CodeNotFound, Reason: "the reward call has no route"}
 	}
 	service := route.ServiceFor(rand.Uint64())
-	most := scoresAtOnce(view, service)
-	if err := r.scores.enter(ctx, service, most); err != nil {
+	limit := maxScoreCalls(view, service)
+	if err := r.scores.acquire(ctx, service, limit); err != nil {
 		return nil, 1, &proxy.Failure{Verdict: port.NotRun, Code: port.CodeCancelled, Reason: "the job ended"}
 	}
-	defer r.scores.leave(service, most)
+	defer r.scores.release(service, limit)
 	ctx, cancel := context.WithTimeout(ctx, min(scoreTimeout, route.Timeout))
 	defer cancel()
 	answer, failure := r.store.config.Proxy.Do(ctx, proxy.Request{
--- a/internal/app/sitestore/runner.go
+++ b/internal/app/sitestore/runner.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// runnerInterval is how often the runner looks without being woken.
+	// runnerInterval is the maximum time between two ticks of the runner.
 	runnerInterval = 100 * time.Millisecond
-	// keepInterval is how often text that grows is put into the log.
-	keepInterval = 400 * time.Millisecond
-	// resultInterval is the least time between two records with results.
+	// textInterval is the minimum time between two records with unfinished text.
+	textInterval = 400 * time.Millisecond
+	// resultInterval is the minimum time between two records.
 	resultInterval = 25 * time.Millisecond
 	eventQueue     = 1024
-	// giveUpMargin is waited beyond the time that an item must be kept.
-	giveUpMargin = time.Second
+	// expiryMargin is added to an item's retention before the item fails.
+	expiryMargin = time.Second
 )
 
 // runner runs items while its member leads. One goroutine owns it.
@@ -28,8 +28,8 @@
 	replica *replicacall.Client
 	wake    chan struct{}
 	events  chan runEvent
-	scores  *scoreGate
-	// base is when the runner was made; times that goroutines share count from it.
+	scores  *scoreLimiter
+	// base is the creation time of the runner; times shared between goroutines count from it.
 	base time.Time
 
 	// leadership is nil while the member does not lead.
@@ -39,11 +39,11 @@
 func newRunner(store *Store, replica *replicacall.Client) *runner {
 	return &runner{
 		store: store, replica: replica, base: time.Now(), wake: make(chan struct{}, 1),
-		events: make(chan runEvent, eventQueue), scores: newScoreGate(),
+		events: make(chan runEvent, eventQueue), scores: newScoreLimiter(),
 	}
 }
 
-// wakeUp makes the runner look at once. It does not wait.
+// wakeUp triggers a tick; it does not block.
 func (r *runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
@@ -51,7 +51,7 @@
 	}
 }
 
-// run works until the context ends.
+// run runs the runner until ctx ends.
 func (r *runner) run(ctx context.Context) error {
 	ticker := time.NewTicker(runnerInterval)
 	defer ticker.Stop()
@@ -60,32 +60,32 @@
 		select {
 		case <-ticker.C:
 		case <-r.wake:
-		case ended := <-r.events:
-			r.take(ended)
-			r.takeMore()
-		case err := <-r.recorded():
-			r.afterKeep(err)
+		case event := <-r.events:
+			r.handle(event)
+			r.handleQueued()
+		case err := <-r.commitResults():
+			r.handleCommit(err)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		r.tend(ctx)
+		r.tick(ctx)
 	}
 }
 
-// takeMore takes in the events that wait already.
-func (r *runner) takeMore() {
+// handleQueued handles the events that are already queued.
+func (r *runner) handleQueued() {
 	for {
 		select {
-		case ended := <-r.events:
-			r.take(ended)
+		case event := <-r.events:
+			r.handle(event)
 		default:
 			return
 		}
 	}
 }
 
-// tend follows leadership, takes jobs over, starts items and keeps text.
-func (r *runner) tend(ctx context.Context) {
+// tick updates the leadership, syncs jobs, starts items and commits text.
+func (r *runner) tick(ctx context.Context) {
 	shown := r.store.member.Shown()
 	switch dutyOf(shown, r.leadership, time.Now(), r.store.member.ElectionTimeout()) {
 	case dutyNone:
@@ -93,48 +93,48 @@
 		return
 	case dutyHold:
 		return
-	case dutyBegin:
+	case dutyStart:
 		r.stop()
 		r.start(ctx, sitestate.ShardNumber(shown.Shard), shown.Status.Term)
-	case dutyGoOn:
+	case dutyContinue:
 	}
 	view := r.store.config.Watcher.View()
 	if view == nil || view.Table == nil {
 		return
 	}
-	r.sync(ctx)
+	r.syncJobs(ctx)
 	if r.table != view.Table {
 		r.table = view.Table
-		r.routeAgain()
+		r.reroute()
 	}
-	if now := time.Now(); now.Sub(r.lookedAt) >= runnerInterval {
-		r.lookAtAll(view, now)
+	if now := time.Now(); now.Sub(r.scannedAt) >= runnerInterval {
+		r.scanItems(view, now)
 	}
 	r.place(view)
-	r.keep()
+	r.commit()
 }
 
-// lookAtAll does what costs a look at every open item. It is not done for each item
-// that ends, of which there are hundreds a second.
-func (r *runner) lookAtAll(view *siteview.View, now time.Time) {
-	since := now.Sub(r.lookedAt)
-	r.lookedAt = now
-	r.giveUpOld(now)
-	r.lookAtWithheld(now)
+// scanItems does the periodic work that iterates over all open items, which is too expensive
+// for each event.
+func (r *runner) scanItems(view *siteview.View, now time.Time) {
+	since := now.Sub(r.scannedAt)
+	r.scannedAt = now
+	r.failExpired(now)
+	r.retryWithheld(now)
 	r.moveFromSlow(view, now, since)
 	if r.measureDemand(now) {
-		r.replicas.forget(view, now)
+		r.replicas.expire(view, now)
 	}
 }
 
-// start begins a leadership.
+// start starts a leadership.
 func (r *runner) start(ctx context.Context, shard sitestate.ShardNumber, term uint64) {
 	r.leadership = newLeadership(ctx, shard, term)
 	r.replicas.cold = r.store.config.Cold
-	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.RunnerStarted).Uint32("shard", uint32(shard)).Uint64("term", term).Msg("this machine runs the items of jobs")
+	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.RunnerStarted).Uint32("shard", uint32(shard)).Uint64("term", term).Msg("runner started")
 }
 
-// stop ends a leadership: every run is cancelled.
+// stop ends a leadership and cancels its runs.
 func (r *runner) stop() {
 	if r.leadership == nil {
 		return
@@ -143,30 +143,29 @@
 	for job := range r.times {
 		r.logTimes(job, false, time.Now())
 	}
-	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.RunnerStopped).Uint32("shard", uint32(r.shard)).Uint64("term", r.term).Int("items", len(r.works)).Msg("this machine runs no items any more")
+	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.RunnerStopped).Uint32("shard", uint32(r.shard)).Uint64("term", r.term).Int("items", len(r.works)).Msg("runner stopped")
 	r.leadership = nil
 }
 
-// recorded gives the outcomes of records; nil while the member does not lead.
-func (r *runner) recorded() <-chan error {
+// commitResults returns the channel of record outcomes; nil while the member does not lead.
+func (r *runner) commitResults() <-chan error {
 	if r.leadership == nil {
 		return nil
 	}
-	return r.kept
+	return r.committed
 }
 
-// measureDemand publishes the work that jobs bring, and reports whether it was
-// due.
+// measureDemand publishes the demand of jobs, and reports whether it was due.
 func (r *runner) measureDemand(now time.Time) bool {
 	r.store.open.Store(int64(len(r.works)))
-	waiting := map[string]int{}
+	open := map[string]int{}
 	for _, item := range r.works {
 		if !item.scoring && !item.finished() {
-			waiting[item.model]++
+			open[item.model]++
 		}
 	}
-	r.demand.notePeak(waiting, now)
-	rates, due := r.demand.rates(waiting, now)
+	r.demand.recordPeak(open, now)
+	rates, due := r.demand.rates(open, now)
 	if due {
 		r.store.demand.Store(&demand{rates: rates, open: r.demand.peaks()})
 	}
--- a/internal/app/sitestore/scoregate.go
+++ b/internal/app/sitestore/scoregate.go
@@ -8,12 +8,10 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobqueue"
 )
 
-// scoreGate bounds the reward calls that are under way at each service, in the order in
-// which they come. Hundreds of texts can be whole at once, after all machines were
-// down above all. Sent at once, calls wait at the replicas for longer than they may take,
-// are cut off shortly before their turn and sent again: the service works for nothing, and
-// stays overloaded for good.
-type scoreGate struct {
+// scoreLimiter limits the concurrent reward calls to each service, in FIFO order. Without it a
+// burst of calls times out in the replicas' queues and is retried, and the service stays
+// overloaded.
+type scoreLimiter struct {
 	mutex    sync.Mutex
 	services map[string]*scoreQueue
 }
@@ -21,76 +19,76 @@
 // scoreQueue is the state of one service.
 type scoreQueue struct {
 	running int
-	// waiting are closed in turn to let their owners in.
+	// waiting are channels closed in turn to admit their callers.
 	waiting []chan struct{}
 }
 
-func newScoreGate() *scoreGate { return &scoreGate{services: map[string]*scoreQueue{}} }
+func newScoreLimiter() *scoreLimiter { return &scoreLimiter{services: map[string]*scoreQueue{}} }
 
-// scoresAtOnce gives how many reward calls one runner may have under way at a service.
-func scoresAtOnce(view *siteview.View, service string) int {
-	places := 0
+// maxScoreCalls returns the limit of one runner's concurrent reward calls to a service.
+func maxScoreCalls(view *siteview.View, service string) int {
+	slots := 0
 	for replica := range view.ByService[service].All() {
-		places += max(1, replica.Slots)
+		slots += max(1, replica.Slots)
 	}
-	return jobqueue.MaxRewardCalls(places, len(view.Shards))
+	return jobqueue.MaxRewardCalls(slots, len(view.Shards))
 }
 
-// enter waits for its turn at a service that takes so many calls at once. If it returns
-// no error, leave must follow.
-func (g *scoreGate) enter(ctx context.Context, service string, most int) error {
+// acquire waits until the service has a free slot. After a nil error the caller must call
+// release.
+func (g *scoreLimiter) acquire(ctx context.Context, service string, limit int) error {
 	g.mutex.Lock()
 	queue := g.services[service]
 	if queue == nil {
 		queue = &scoreQueue{}
 		g.services[service] = queue
 	}
-	if queue.running < most && len(queue.waiting) == 0 {
+	if queue.running < limit && len(queue.waiting) == 0 {
 		queue.running++
 		g.mutex.Unlock()
 		return nil
 	}
-	turn := make(chan struct{})
-	queue.waiting = append(queue.waiting, turn)
-	queue.letIn(most)
+	admitted := make(chan struct{})
+	queue.waiting = append(queue.waiting, admitted)
+	queue.admit(limit)
 	g.mutex.Unlock()
 	select {
-	case <-turn:
+	case <-admitted:
 		return nil
 	case <-ctx.Done():
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !queue.withdraw(turn) {
-		// Its turn came at the same moment; the next one has it.
+	if !queue.remove(admitted) {
+		// The slot was granted concurrently; pass it on.
 		queue.running--
-		queue.letIn(most)
+		queue.admit(limit)
 	}
 	return ctx.Err()
 }
 
-// leave ends a call and lets the next one in.
-func (g *scoreGate) leave(service string, most int) {
+// release frees a slot and admits the next caller.
+func (g *scoreLimiter) release(service string, limit int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	queue := g.services[service]
 	queue.running--
-	queue.letIn(most)
+	queue.admit(limit)
 }
 
-// letIn gives those who wait their turn while there is room.
-func (q *scoreQueue) letIn(most int) {
-	for q.running < most && len(q.waiting) > 0 {
+// admit admits waiting callers while slots are free.
+func (q *scoreQueue) admit(limit int) {
+	for q.running < limit && len(q.waiting) > 0 {
 		close(q.waiting[0])
 		q.waiting = q.waiting[1:]
 		q.running++
 	}
 }
 
-// withdraw takes out one who waits; it reports false if its turn has come.
-func (q *scoreQueue) withdraw(turn chan struct{}) bool {
+// remove removes a waiting caller; it returns false if the caller was admitted already.
+func (q *scoreQueue) remove(admitted chan struct{}) bool {
 	for i, waiting := range q.waiting {
-		if waiting == turn {
+		if waiting == admitted {
 			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
 			return true
 		}
--- a/internal/app/sitestore/scoregate_test.go
+++ b/internal/app/sitestore/scoregate_test.go
@@ -12,11 +12,10 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestRewardCallsAreBoundedAtOnce: whatever comes and gives up, never more than allowed
-// run, and all that stay get their turn.
+// The limit holds with concurrent and cancelled calls, and all others run.
 func TestRewardCallsAreBoundedAtOnce(t *testing.T) {
-	const most, calls = 3, 200
-	gate := newScoreGate()
+	const limit, calls = 3, 200
+	limiter := newScoreLimiter()
 	var running, highest, done atomic.Int64
 	var tasks sync.WaitGroup
 	for i := range calls {
@@ -24,14 +23,14 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if i%5 == 0 {
-				cancel() // its job ended
+				cancel() // the job ended
 			}
-			if gate.enter(ctx, "s", most) != nil {
+			if limiter.acquire(ctx, "s", limit) != nil {
 				return
 			}
-			defer gate.leave("s", most)
+			defer limiter.release("s", limit)
 			now := running.Add(1)
-			for held := highest.Load(); now > held && !highest.CompareAndSwap(held, now); held = highest.Load() {
+			for previous := highest.Load(); now > previous && !highest.CompareAndSwap(previous, now); previous = highest.Load() {
 			}
 			time.Sleep(100 * time.Microsecond)
 			running.Add(-1)
@@ -39,55 +38,55 @@
 		})
 	}
 	tasks.Wait()
-	if highest.Load() > most {
-		t.Errorf("%d at once", highest.Load())
+	if highest.Load() > limit {
+		t.Errorf("%d concurrent calls", highest.Load())
 	}
 	if done.Load() < calls*4/5 {
-		t.Errorf("%d of %d had their turn", done.Load(), calls*4/5)
+		t.Errorf("%d of %d calls ran", done.Load(), calls*4/5)
 	}
-	if err := gate.enter(context.Background(), "s", most); err != nil || gate.services["s"].running != 1 {
-		t.Errorf("afterwards %d count as running, %v", gate.services["s"].running, err)
+	if err := limiter.acquire(context.Background(), "s", limit); err != nil || limiter.services["s"].running != 1 {
+		t.Errorf("%d running at the end, %v", limiter.services["s"].running, err)
 	}
 }
 
-// TestRewardCallsHaveTheirTurnInOrder: those that came first, at each service apart.
+// Calls run in FIFO order, independently for each service.
 func TestRewardCallsHaveTheirTurnInOrder(t *testing.T) {
-	gate := newScoreGate()
+	limiter := newScoreLimiter()
 	ctx := context.Background()
-	if err := gate.enter(ctx, "s", 1); err != nil {
+	if err := limiter.acquire(ctx, "s", 1); err != nil {
 		t.Fatal(err)
 	}
-	turns := make(chan int, 3)
+	admitted := make(chan int, 3)
 	for i := range 3 {
 		go func() {
-			if gate.enter(ctx, "s", 1) == nil {
-				turns <- i
+			if limiter.acquire(ctx, "s", 1) == nil {
+				admitted <- i
 			}
 		}()
-		for gate.waitingAt("s") != i+1 {
+		for limiter.waitingFor("s") != i+1 {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if err := gate.enter(ctx, "other", 1); err != nil {
-		t.Error("another service is held up")
+	if err := limiter.acquire(ctx, "other", 1); err != nil {
+		t.Error("blocked by another service")
 	}
 	for want := range 3 {
-		gate.leave("s", 1)
-		if got := <-turns; got != want {
-			t.Errorf("turn of %d, want %d", got, want)
+		limiter.release("s", 1)
+		if got := <-admitted; got != want {
+			t.Errorf("call %d ran, want %d", got, want)
 		}
 	}
 	short, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	if err := gate.enter(short, "s", 1); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("one that gave up: %v", err)
+	if err := limiter.acquire(short, "s", 1); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("cancelled call: %v", err)
 	}
-	if gate.waitingAt("s") != 0 {
-		t.Error("one that gave up still waits")
+	if limiter.waitingFor("s") != 0 {
+		t.Error("a cancelled call still waits")
 	}
 }
 
-func (g *scoreGate) waitingAt(service string) int {
+func (g *scoreLimiter) waitingFor(service string) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.services[service].waiting)
@@ -99,18 +98,18 @@
 		shards   int
 		want     int
 	}{
-		"three of six places":            {[]sitestate.Replica{{Slots: 6}, {Slots: 6}, {Slots: 6}}, 1, 17},
-		"four shards share them":         {[]sitestate.Replica{{Slots: 40}, {Slots: 40}}, 4, 19},
-		"few places":                     {[]sitestate.Replica{{Slots: 1}}, 4, 2},
-		"no replica is known":            {nil, 1, 2},
-		"they do not state their places": {make([]sitestate.Replica, 8), 1, 7},
-		"no shard is known yet":          {[]sitestate.Replica{{Slots: 8}}, 0, 7},
+		"three replicas of six slots":   {[]sitestate.Replica{{Slots: 6}, {Slots: 6}, {Slots: 6}}, 1, 17},
+		"shared by four shards":         {[]sitestate.Replica{{Slots: 40}, {Slots: 40}}, 4, 19},
+		"few slots":                     {[]sitestate.Replica{{Slots: 1}}, 4, 2},
+		"no replicas":                   {nil, 1, 2},
+		"replicas that report no slots": {make([]sitestate.Replica, 8), 1, 7},
+		"no shards":                     {[]sitestate.Replica{{Slots: 8}}, 0, 7},
 	} {
 		view := &siteview.View{View: &sitestate.View{
 			ByService: map[string]sitestate.ReplicaList{"s": sitestate.ListOf(row.replicas...)}, Shards: make([]sitestate.Shard, row.shards),
 		}}
-		if got := scoresAtOnce(view, "s"); got != row.want {
-			t.Errorf("%s: %d at once, want %d", name, got, row.want)
+		if got := maxScoreCalls(view, "s"); got != row.want {
+			t.Errorf("%s: limit %d, want %d", name, got, row.want)
 		}
 	}
 }
--- a/internal/app/sitestore/store.go
+++ b/internal/app/sitestore/store.go
@@ -24,20 +24,19 @@
 )
 
 const (
-	forgetInterval = time.Second
-	// spareMembers is how many machines follow the log without a vote. Machines
-	// beyond the voters wait: one that takes the place of a voter copies all that
-	// the group holds in a moment, while following costs its traffic all the time.
+	expiryInterval = time.Second
+	// spareMembers is the number of members that follow the log without a vote. Following
+	// costs traffic all the time, while a replacement voter copies the state quickly.
 	spareMembers = 0
-	// connectionsToReplica bounds the runner's connections to one replica.
-	connectionsToReplica = 40
+	// maxReplicaConnections limits the runner's connections to one replica.
+	maxReplicaConnections = 40
 )
 
-// Config sets a Store up.
+// Config configures a Store.
 type Config struct {
 	Machine string
 	Zone    string
-	// Address is where the process takes messages of other processes.
+	// Address is where the process accepts calls from other processes.
 	Address    string
 	Folder     string
 	FileSystem wal.FileSystem
@@ -46,41 +45,41 @@
 	Watcher    *siteview.Watcher
 	Proxy      *proxy.Proxy
 	Logger     *log.Logger
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock is a monotonic clock that includes suspension; nil selects the system's.
 	Clock boottime.Clock
 	Seed  uint64
-	// ToleratedLosses is how many machines with a disk may be lost at once.
+	// ToleratedLosses is how many machines with a disk may fail concurrently.
 	ToleratedLosses int
-	// Cold is what cold replicas bear beyond their service's rate.
+	// Cold limits the items on cold replicas beyond their service's rate.
 	Cold coldlimit.Limits
-	// Recorder measures items; nil measures nothing.
+	// Recorder records metrics of items; nil disables them.
 	Recorder Recorder
-	// KeepJobs is how long a finished job can be asked about.
+	// KeepJobs is how long a finished job remains available.
 	KeepJobs time.Duration
-	// MostJobBytes bounds the jobs that the member holds, as jobstate.State.Bytes counts
-	// them: beyond it a job is refused before it is kept. 0 is no bound.
+	// MostJobBytes limits the memory for jobs, as counted by jobstate.State.Bytes; further
+	// jobs are rejected. 0 means no limit.
 	MostJobBytes int
 }
 
-// Recorder measures the items of jobs.
+// Recorder records metrics of the items of jobs.
 type Recorder interface {
-	// RunEnded counts a run of an item at a replica.
+	// RunEnded counts a run of an item on a replica.
 	RunEnded(outcome string)
-	// ItemEnded counts an item that has its result after a time.
+	// ItemEnded records an item's result and the time to it.
 	ItemEnded(outcome string, took time.Duration)
-	// PageServed counts a page of results that the member gave as the leader or not.
+	// PageServed counts a served page of results by the member's role.
 	PageServed(role string)
 }
 
-// noRecorder measures nothing.
+// noRecorder discards all metrics.
 type noRecorder struct{}
 
 func (noRecorder) RunEnded(string)                 {}
 func (noRecorder) ItemEnded(string, time.Duration) {}
 func (noRecorder) PageServed(string)               {}
 
-// demand is the work that jobs bring, by model: in events a second, and the most
-// items that were open at once of late.
+// demand is the demand of jobs by model: the rates in events per second, and the recent
+// maximum numbers of open items.
 type demand struct {
 	rates map[string]float64
 	open  map[string]int
@@ -94,29 +93,29 @@
 
 	serial    atomic.Uint64
 	jobSerial atomic.Uint64
-	// jobBytes is about what the jobs take in memory.
+	// jobBytes is the approximate memory of the jobs.
 	jobBytes atomic.Int64
 	demand   atomic.Pointer[demand]
-	// open counts the items that are being done.
+	// open counts the items without a result.
 	open  atomic.Int64
 	mutex sync.Mutex
-	// news is closed and replaced when results came.
-	news        chan struct{}
+	// change is closed and replaced on each new result.
+	change      chan struct{}
 	incarnation string
-	// settled is whether the member led, in touch with a quorum, at its last step; the
-	// loop's goroutine owns it.
-	settled bool
-	seen    map[string]time.Time
-	// invited is the shard whose group this machine is to join, 0 for none.
+	// leaderReady is whether the member led with a quorum at its last step; the member's
+	// loop owns it.
+	leaderReady bool
+	firstSeen   map[string]time.Time
+	// invited is the shard whose group this machine is to join, 0 if none.
 	invited atomic.Uint32
 }
 
-// New makes a store process.
+// New returns a store process; call Register, then Run.
 func New(config Config) *Store {
 	if config.Recorder == nil {
 		config.Recorder = noRecorder{}
 	}
-	s := &Store{config: config, news: make(chan struct{}), seen: map[string]time.Time{}}
+	s := &Store{config: config, change: make(chan struct{}), firstSeen: map[string]time.Time{}}
 	s.member = group.New(group.Config{
 		Name: "jobs", Folder: config.Folder, FileSystem: config.FileSystem,
 		Self: groupmember.Record{Address: config.Address, Name: config.Machine},
@@ -124,39 +123,39 @@
 		Origin: s.origin, Changed: s.changed, Leaving: s.leaving, Logger: config.Logger, Clock: config.Clock, Seed: config.Seed,
 		Limits: groupmember.Limits{Voters: s.wantedVoters(), MinVoters: s.wantedVoters(), Learners: spareMembers},
 	})
-	s.runner = newRunner(s, replicacall.New(config.Dialect, connectionsToReplica))
+	s.runner = newRunner(s, replicacall.New(config.Dialect, maxReplicaConnections))
 	return s
 }
 
-// wantedVoters is how many machines keep a shard: a quorum of them outlives the
-// tolerated losses.
+// wantedVoters returns the number of voters of a shard: a quorum of them survives the tolerated
+// losses.
 func (s *Store) wantedVoters() int { return 2*s.config.ToleratedLosses + 1 }
 
-// Register sets the handlers of calls between processes.
+// Register registers the handlers of calls between processes.
 func (s *Store) Register(server *wire.Server) {
 	s.member.Register(server)
 	server.Handle(jobsapi.MethodCall, s.serveCall)
 }
 
-// Run works until the context ends or the storage fails.
+// Run runs the store until ctx ends or the storage fails.
 func (s *Store) Run(ctx context.Context) error {
 	tasks, ctx := errgroup.WithContext(ctx)
 	tasks.Go(func() error { return s.member.Run(ctx) })
 	tasks.Go(func() error { return s.register(ctx) })
 	tasks.Go(func() error { return s.runner.run(ctx) })
-	tasks.Go(func() error { return s.forget(ctx) })
+	tasks.Go(func() error { return s.expireJobs(ctx) })
 	return tasks.Wait()
 }
 
-// HandOver gives leadership away before a planned stop.
+// HandOver transfers leadership before a planned stop.
 func (s *Store) HandOver(ctx context.Context) { s.member.HandOver(ctx) }
 
-// changed publishes that there is news, in the loop's goroutine.
+// changed signals changes of the state; it runs in the member's loop.
 func (s *Store) changed(step group.Step) {
 	state := step.Machine.(*jobstate.State)
 	s.jobBytes.Store(int64(state.Bytes()))
-	if step.Settled != s.settled {
-		s.settled = step.Settled
+	if step.Settled != s.leaderReady {
+		s.leaderReady = step.Settled
 		s.runner.wakeUp()
 	}
 	if serial := state.JobSerial(); serial != s.jobSerial.Load() {
@@ -166,23 +165,23 @@
 	if serial := state.Serial(); serial != s.serial.Load() {
 		s.serial.Store(serial)
 		s.mutex.Lock()
-		close(s.news)
-		s.news = make(chan struct{})
+		close(s.change)
+		s.change = make(chan struct{})
 		s.mutex.Unlock()
 	}
 }
 
-// awaitNews gives a channel that is closed with the next result or end.
-func (s *Store) awaitNews() <-chan struct{} {
+// nextChange returns a channel that is closed at the next result or end of a job.
+func (s *Store) nextChange() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.news
+	return s.change
 }
 
-// forget drops jobs that nobody may ask about any more. Their age counts from
-// when this process first saw them finished.
-func (s *Store) forget(ctx context.Context) error {
-	ticker := time.NewTicker(forgetInterval)
+// expireJobs removes finished jobs after KeepJobs, counted from when this process first saw
+// them finished.
+func (s *Store) expireJobs(ctx context.Context) error {
+	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -192,14 +191,14 @@
 		}
 		shown := s.member.Shown()
 		if shown == nil || !shown.Settled {
-			clear(s.seen)
+			clear(s.firstSeen)
 			continue
 		}
-		s.forgetOld(ctx)
+		s.removeExpired(ctx)
 	}
 }
 
-func (s *Store) forgetOld(ctx context.Context) {
+func (s *Store) removeExpired(ctx context.Context) {
 	now := time.Now()
 	var due []string
 	_ = s.member.Inspect(ctx, func(machine groupmember.StateMachine) {
@@ -208,8 +207,8 @@
 				continue
 			}
 			id := job.Submission.ID
-			if first, known := s.seen[id]; !known {
-				s.seen[id] = now
+			if first, known := s.firstSeen[id]; !known {
+				s.firstSeen[id] = now
 			} else if now.Sub(first) > s.config.KeepJobs {
 				due = append(due, id)
 			}
@@ -219,7 +218,7 @@
 		return
 	}
 	for _, id := range due {
-		delete(s.seen, id)
+		delete(s.firstSeen, id)
 	}
 	_, _ = s.propose(ctx, jobstate.Command{Forget: &jobstate.Forget{Jobs: due}})
 }
@@ -232,17 +231,17 @@
 	return s.member.Propose(ctx, data)
 }
 
-// Leads reports whether this machine leads a shard's group, in touch with a quorum.
+// Leads reports whether this machine leads a shard's group, in contact with a quorum.
 func (s *Store) Leads() bool {
 	shown := s.member.Shown()
 	return shown != nil && shown.Settled
 }
 
-// Shown gives what the process's member last showed of itself, or nil.
+// Shown returns the latest published status of the member, or nil.
 func (s *Store) Shown() *group.Shown { return s.member.Shown() }
 
-// JobBytes gives about what the jobs of this machine's shard take in memory.
+// JobBytes returns the approximate memory of this shard's jobs.
 func (s *Store) JobBytes() int64 { return s.jobBytes.Load() }
 
-// Open gives the number of items that are being done here.
+// Open returns the number of items without a result.
 func (s *Store) Open() int64 { return s.open.Load() }
--- a/internal/app/sitestore/withhold.go
+++ b/internal/app/sitestore/withhold.go
@@ -8,45 +8,43 @@
 	"github.com/loomgrade/loomgrade/internal/core/quarantine"
 )
 
-// trialAfter is how long an item that is withheld waits before each trial. An item that
-// only ran beside the cause must not be late by much more than the 5 s for which a job's
-// clients let an item rest; a replica that ended is back after about 2 s.
-var trialAfter = [quarantine.MaxTrials]time.Duration{3 * time.Second, 4 * time.Second}
+// trialDelays are the waits of a withheld item before each trial. They let crashed replicas
+// restart, and bound the delay of an item that merely ran next to the cause.
+var trialDelays = [quarantine.MaxTrials]time.Duration{3 * time.Second, 4 * time.Second}
 
-// replicaEnd is a replica that closed the connection while it ran an item.
-type replicaEnd struct {
+// replicaCrash is a replica that closed the connection while it ran an item.
+type replicaCrash struct {
 	replica string
 	at      time.Time
 }
 
-// blame notes that a replica ended under an item.
-func (r *runner) blame(item *work, replica string, now time.Time) {
-	if slices.ContainsFunc(item.ended, func(end replicaEnd) bool { return end.replica == replica }) {
+// recordCrash records that a replica crashed during a run of an item.
+func (r *runner) recordCrash(item *work, replica string, now time.Time) {
+	if slices.ContainsFunc(item.crashes, func(crash replicaCrash) bool { return crash.replica == replica }) {
 		return
 	}
-	item.ended = append(item.ended, replicaEnd{replica: replica, at: now})
+	item.crashes = append(item.crashes, replicaCrash{replica: replica, at: now})
 	item.onTrial = false
-	item.addEnd()
+	item.addCrash()
 }
 
-// ends counts the replicas that ended under an item. One that answered a run which began
-// later had not.
-func (r *runner) ends(item *work) int {
-	count := item.earlierEnds
-	for _, end := range item.ended {
-		if known := r.replicas.replicas[end.replica]; known == nil || !known.answered.After(end.at) {
+// crashCount returns the number of replicas that crashed during the item. A replica that
+// responded to a later run did not crash.
+func (r *runner) crashCount(item *work) int {
+	count := item.earlierCrashes
+	for _, crash := range item.crashes {
+		if entry := r.replicas.replicas[crash.replica]; entry == nil || !entry.respondedAt.After(crash.at) {
 			count++
 		}
 	}
 	return count
 }
 
-// withhold keeps an item from running that ended too many replicas: it would take one after
-// the other, and what runs beside it. It reports whether the item waits, for a trial or for
-// good; it is given up with the others that are not done in their time.
+// withhold reports whether an item must not run because it crashed too many replicas. The item
+// waits for a trial; without trials left it expires like other items.
 func (r *runner) withhold(item *work, now time.Time) bool {
-	ends := r.ends(item)
-	if ends < quarantine.CrashesUntilWithheld || item.onTrial || r.trialDue(item, now) {
+	crashes := r.crashCount(item)
+	if crashes < quarantine.CrashesUntilWithheld || item.onTrial || r.trialDue(item, now) {
 		delete(r.withheld, item.key)
 		return false
 	}
@@ -54,15 +52,15 @@
 		r.withheld[item.key] = item
 		item.withheldAt = now
 		r.store.config.Logger.Warn().Str(eventlog.Field, eventlog.ItemWithheld).Str("job", item.key.Job).Str("id", item.item.ID).
-			Int("ends", ends).Int("trials", item.trials).Msg("an item is withheld: replicas have ended under it")
+			Int("ends", crashes).Int("trials", item.trials).Msg("item withheld: replicas crashed during its runs")
 	}
 	return true
 }
 
-// trialDue gives an item its next trial if it has waited long enough.
+// trialDue starts an item's next trial if it has waited long enough.
 func (r *runner) trialDue(item *work, now time.Time) bool {
 	waits := r.withheld[item.key] != nil
-	if !waits || item.trials >= quarantine.MaxTrials || now.Sub(item.withheldAt) < trialAfter[item.trials] {
+	if !waits || item.trials >= quarantine.MaxTrials || now.Sub(item.withheldAt) < trialDelays[item.trials] {
 		return false
 	}
 	item.trials++
@@ -70,8 +68,8 @@
 	return true
 }
 
-// lookAtWithheld lets those run again whose trial is due, or whose replicas had not ended.
-func (r *runner) lookAtWithheld(now time.Time) {
+// retryWithheld queues withheld items whose trial is due or whose replicas did not crash.
+func (r *runner) retryWithheld(now time.Time) {
 	for key, item := range r.withheld {
 		if r.works[key] != item || item.finished() {
 			delete(r.withheld, key)
--- a/internal/app/sitestore/work.go
+++ b/internal/app/sitestore/work.go
@@ -11,13 +11,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobstate"
 )
 
-// work is an item that is to be done, with what became of it that the log does
-// not hold yet. The runner's goroutine owns it, but for what mutex guards, which
-// the goroutine of its present run changes.
+// work is an open item with its uncommitted progress. The runner's goroutine owns it, except
+// for the fields under mutex, which the goroutine of the current run changes too.
 type work struct {
 	key  jobqueue.Key
 	host string
-	// tenant is whose job it is, empty for nobody's.
+	// tenant is the owner of the job, empty if none.
 	tenant     string
 	minVersion uint64
 	oneVersion bool
@@ -25,105 +24,104 @@
 	rank       jobqueue.Rank
 	model      string
 	accepted   time.Time
-	// longest is the longest length expected of an item of its job.
+	// longest is the longest expected length of an item of the job.
 	longest int
 
-	// replica runs it; empty while it waits. cancel ends the run.
+	// replica runs the item; empty while it waits. cancel ends the run.
 	replica string
 	cancel  context.CancelFunc
-	// scoring is set once its text is whole.
+	// scoring is set once the reward call has started.
 	scoring bool
-	// placedAt is when its present run began.
+	// placedAt is the start of the current run.
 	placedAt time.Time
-	// ran is set once it was at a replica; idleSince is since when it is at none.
+	// ran is set once the item was on a replica; idleSince is since when it is on none.
 	ran       bool
 	idleSince time.Time
-	// lastReplica is the one of its last run.
+	// lastReplica is the replica of the last run.
 	lastReplica string
-	// phases is where its time went; eventsBefore is how many events it had when its
-	// present run began.
+	// phases breaks down the item's time; eventsBefore is the number of events at the start
+	// of the current run.
 	phases       phases
 	eventsBefore int
-	// moves counts how often it was taken from a slow replica, and avoid is the one
-	// that it was taken from last. Next is where it goes on when its run has ended,
-	// empty if it stays; silent is set if the run showed nothing of late.
-	moves  int
-	avoid  string
-	next   string
-	silent bool
-
-	// earlierEnds is how many replicas had ended under it when it was taken over, ended are
-	// those since. While it is withheld, withheldAt is since when; trials counts how often it
-	// was let run all the same, and onTrial is set until such a run has ended.
-	earlierEnds int
-	ended       []replicaEnd
-	withheldAt  time.Time
-	trials      int
-	onTrial     bool
-
-	// progress is that of its present run, which sets it; move asks the run to end
-	// at its next event.
+	// moves counts the moves from slow replicas, and avoid is the last such replica.
+	// reserved is the replica on which a moved item resumes, empty without a move; stalled
+	// is set if the run has stalled.
+	moves    int
+	avoid    string
+	reserved string
+	stalled  bool
+
+	// earlierCrashes counts the replicas that crashed during the item in earlier
+	// leaderships, crashes are those since. withheldAt is the start of the current
+	// withholding; trials counts the trials, and onTrial is set until a trial has ended.
+	earlierCrashes int
+	crashes        []replicaCrash
+	withheldAt     time.Time
+	trials         int
+	onTrial        bool
+
+	// progress is set by the current run; move requests its end at the next event.
 	progress progress
 	move     atomic.Bool
 
 	mutex sync.Mutex
-	// cut ends the present run at once.
-	cut context.CancelFunc
-	// events, lastEvent and versions are those of the whole text so far.
+	// abort ends the current run immediately.
+	abort context.CancelFunc
+	// events, lastEvent and versions describe the text so far.
 	events    int
 	lastEvent string
 	versions  []uint64
-	whole     bool
+	complete  bool
 	failures  int
-	// kept is how many events the log holds; reset is set if the held text is
-	// to be dropped first.
-	kept  int
-	reset bool
-	// text is the data of the events that are not kept yet.
+	// logged is the number of events in the log; reset is set if the logged text must be
+	// dropped first.
+	logged int
+	reset  bool
+	// text is the data of the events that are not in the log.
 	text        []string
 	newFailures int
-	newEnds     int
+	newCrashes  int
 	result      jobstate.Result
 	score       string
 }
 
-// newWork takes an item over from the log.
+// newWork returns an item with its progress in the log.
 func newWork(job *jobstate.Job, index, longest int, rank jobqueue.Rank, accepted time.Time) *work {
 	item := &job.Items[index]
 	return &work{
 		key: jobqueue.Key{Job: job.Submission.ID, Item: index}, host: job.Submission.Host, tenant: job.Submission.Tenant,
 		minVersion: job.Submission.MinVersion, oneVersion: job.Submission.OneVersion, model: job.Submission.Model,
 		item: item.Item, rank: rank, accepted: accepted, idleSince: accepted, longest: longest,
-		events: item.Events, kept: item.Events, lastEvent: item.LastEvent, versions: item.Versions,
-		whole: item.Complete, failures: item.Failures, earlierEnds: item.Crashes,
+		events: item.Events, logged: item.Events, lastEvent: item.LastEvent, versions: item.Versions,
+		complete: item.Complete, failures: item.Failures, earlierCrashes: item.Crashes,
 	}
 }
 
-// setCut notes how the present run is ended at once.
-func (w *work) setCut(cut context.CancelFunc) {
+// setAbort sets the function that aborts the current run.
+func (w *work) setAbort(cut context.CancelFunc) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.cut = cut
+	w.abort = cut
 }
 
-// interrupt ends the present run at once.
+// interrupt aborts the current run.
 func (w *work) interrupt() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.cut != nil {
-		w.cut()
+	if w.abort != nil {
+		w.abort()
 	}
 }
 
-// begin gives the id of the last event, empty for a text that starts.
-func (w *work) begin() (lastEvent string) {
+// lastEventID returns the id of the last event, empty if there is none.
+func (w *work) lastEventID() (lastEvent string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.lastEvent
 }
 
-// add notes an event made by a version. It reports false if the job does not
-// take text of that version, or of more than one.
+// add appends an event of a weight version. It returns false if the job does not allow that
+// version, or not more than one.
 func (w *work) add(data, id string, version uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -142,27 +140,27 @@
 	return true
 }
 
-// startOver drops the text.
+// startOver discards the text.
 func (w *work) startOver() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.events, w.kept, w.lastEvent, w.versions, w.text, w.whole = 0, 0, "", nil, nil, false
+	w.events, w.logged, w.lastEvent, w.versions, w.text, w.complete = 0, 0, "", nil, nil, false
 	w.reset = true
 }
 
-func (w *work) setWhole() {
+func (w *work) setComplete() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.whole = true
+	w.complete = true
 }
 
-func (w *work) isWhole() bool {
+func (w *work) isComplete() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.whole
+	return w.complete
 }
 
-// scorerID names the item's reward call, empty if it has none.
+// scorerID returns the id of the item's reward call, empty if it has none.
 func (w *work) scorerID() string {
 	if w.item.Scorer == nil {
 		return ""
@@ -170,15 +168,15 @@
 	return w.item.Scorer.ID
 }
 
-// length gives the number of events of the text so far.
+// length returns the number of events of the text so far.
 func (w *work) length() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.events
 }
 
-// only gives the version that must go on with the text, 0 for any.
-func (w *work) only() uint64 {
+// exactVersion returns the version that must continue the text, 0 for any.
+func (w *work) exactVersion() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.oneVersion && len(w.versions) == 1 {
@@ -187,7 +185,7 @@
 	return 0
 }
 
-// fail counts an answer of failure and gives their number.
+// fail counts a failure response and returns the total.
 func (w *work) fail() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -196,14 +194,14 @@
 	return w.failures
 }
 
-// addEnd counts a replica that ended under the item.
-func (w *work) addEnd() {
+// addCrash counts a crash of a replica during the item.
+func (w *work) addCrash() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.newEnds++
+	w.newCrashes++
 }
 
-// finish sets the item's result.
+// finish sets the item's result, unless it has one.
 func (w *work) finish(result jobstate.Result, score string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -212,19 +210,19 @@
 	}
 }
 
-// take gives what the log lacks, and notes it as kept. Dirty is false if there
-// is nothing.
-func (w *work) take() (record jobstate.ItemRecord, dirty bool) {
+// takeRecord returns the uncommitted progress and marks it as logged. It returns false if there
+// is none.
+func (w *work) takeRecord() (record jobstate.ItemRecord, dirty bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.reset && len(w.text) == 0 && w.newFailures == 0 && w.newEnds == 0 && w.result == jobstate.ResultNone {
+	if !w.reset && len(w.text) == 0 && w.newFailures == 0 && w.newCrashes == 0 && w.result == jobstate.ResultNone {
 		return jobstate.ItemRecord{}, false
 	}
 	record = jobstate.ItemRecord{
-		Job: w.key.Job, Item: w.key.Item, Events: w.kept, Reset: w.reset, Text: w.text, LastEvent: w.lastEvent,
-		Versions: w.versions, Complete: w.whole, Failures: w.newFailures, Crashes: w.newEnds, Result: w.result, Score: w.score,
+		Job: w.key.Job, Item: w.key.Item, Events: w.logged, Reset: w.reset, Text: w.text, LastEvent: w.lastEvent,
+		Versions: w.versions, Complete: w.complete, Failures: w.newFailures, Crashes: w.newCrashes, Result: w.result, Score: w.score,
 	}
-	w.kept, w.text, w.newFailures, w.newEnds, w.reset = w.events, nil, 0, 0, false
+	w.logged, w.text, w.newFailures, w.newCrashes, w.reset = w.events, nil, 0, 0, false
 	return record, true
 }
 
