--- a/internal/app/siteview/cold.go
+++ b/internal/app/siteview/cold.go
@@ -8,29 +8,28 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// ColdLeft gives how much longer a replica is taken to be cold, 0 if it is not.
+// ColdLeft returns how much longer a replica counts as cold, 0 if it does not.
 func (v *View) ColdLeft(id string, now time.Time) time.Duration {
 	return max(0, v.coldUntil[id].Sub(now))
 }
 
-// NewView makes a view of control state and a table.
+// NewView returns a view of control state and a table.
 func NewView(state *sitestate.View, table *routing.Table) *View {
 	return &View{View: state, Table: table}
 }
 
-// WithCold gives the view with what updates that came now say of cold replicas.
+// WithCold returns the view with the cold periods in updates received now.
 func (v *View) WithCold(updates []sitestate.Update, now time.Time) *View {
 	next := *v
 	next.coldUntil = coldAfter(v.coldUntil, updates, now)
 	return &next
 }
 
-// coldAfter gives until when replicas are cold after updates that came now. The log knows no
-// time: what a replica had left when it reported counts from when the update is here, which
-// is later. A report that it is warm does not end it: it may be from before the replica
-// became cold once more.
-func coldAfter(held map[string]time.Time, updates []sitestate.Update, now time.Time) map[string]time.Time {
-	cold := maps.Clone(held)
+// coldAfter returns the ends of cold periods after updates received now. The log has no time,
+// so that a remaining period counts from the receipt of the update. A report of a warm replica
+// doesn't end the period, since it may predate a later cold start.
+func coldAfter(previous map[string]time.Time, updates []sitestate.Update, now time.Time) map[string]time.Time {
+	cold := maps.Clone(previous)
 	if cold == nil {
 		cold = map[string]time.Time{}
 	}
--- a/internal/app/siteview/cold_test.go
+++ b/internal/app/siteview/cold_test.go
@@ -7,41 +7,41 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestColdReplicasCountFromWhenTheUpdateCame: a report that it is warm does not end it.
+// Cold periods count from the receipt of an update; a report of a warm replica doesn't end them.
 func TestColdReplicasCountFromWhenTheUpdateCame(t *testing.T) {
-	began := time.Unix(1000, 0)
-	told := func(id string, millis uint32) []sitestate.Update {
+	start := time.Unix(1000, 0)
+	updates := func(id string, millis uint32) []sitestate.Update {
 		return []sitestate.Update{{Replicas: []sitestate.Replica{{ID: id, ColdMillis: millis}}}}
 	}
-	left := func(cold map[string]time.Time, id string, after time.Duration) time.Duration {
-		return (&View{coldUntil: cold}).ColdLeft(id, began.Add(after))
+	remaining := func(cold map[string]time.Time, id string, after time.Duration) time.Duration {
+		return (&View{coldUntil: cold}).ColdLeft(id, start.Add(after))
 	}
-	first := coldAfter(nil, told("i", 3000), began)
-	warm := coldAfter(first, told("i", 0), began.Add(time.Second))
-	again := coldAfter(warm, told("i", 4000), began.Add(2*time.Second))
-	shorter := coldAfter(again, told("i", 500), began.Add(3*time.Second))
-	past := coldAfter(shorter, told("other", 100), began.Add(10*time.Second))
-	gone := coldAfter(first, []sitestate.Update{{Removed: []string{"i"}}}, began.Add(time.Second))
+	first := coldAfter(nil, updates("i", 3000), start)
+	warm := coldAfter(first, updates("i", 0), start.Add(time.Second))
+	coldAgain := coldAfter(warm, updates("i", 4000), start.Add(2*time.Second))
+	shorter := coldAfter(coldAgain, updates("i", 500), start.Add(3*time.Second))
+	expired := coldAfter(shorter, updates("other", 100), start.Add(10*time.Second))
+	removed := coldAfter(first, []sitestate.Update{{Removed: []string{"i"}}}, start.Add(time.Second))
 	for name, row := range map[string]struct {
 		cold  map[string]time.Time
 		after time.Duration
 		want  time.Duration
 	}{
-		"nothing known":         {nil, 0, 0},
-		"cold":                  {first, time.Second, 2 * time.Second},
-		"over":                  {first, 3 * time.Second, 0},
-		"said to be warm":       {warm, time.Second, 2 * time.Second},
-		"cold once more":        {again, 3 * time.Second, 3 * time.Second},
-		"a shorter time":        {shorter, 4 * time.Second, 2 * time.Second},
-		"past and forgotten":    {past, 10 * time.Second, 0},
-		"it left":               {gone, time.Second, 0},
-		"an older view changes": {first, 0, 3 * time.Second},
+		"unknown replica":               {nil, 0, 0},
+		"cold":                          {first, time.Second, 2 * time.Second},
+		"expired":                       {first, 3 * time.Second, 0},
+		"reported warm":                 {warm, time.Second, 2 * time.Second},
+		"extended":                      {coldAgain, 3 * time.Second, 3 * time.Second},
+		"reported shorter":              {shorter, 4 * time.Second, 2 * time.Second},
+		"expired and dropped":           {expired, 10 * time.Second, 0},
+		"replica removed":               {removed, time.Second, 0},
+		"original unchanged by updates": {first, 0, 3 * time.Second},
 	} {
-		if got := left(row.cold, "i", row.after); got != row.want {
+		if got := remaining(row.cold, "i", row.after); got != row.want {
 			t.Errorf("%s: %v left, want %v", name, got, row.want)
 		}
 	}
-	if len(past) != 1 {
-		t.Errorf("what is past is kept: %v", past)
+	if len(expired) != 1 {
+		t.Errorf("expired period not dropped: %v", expired)
 	}
 }
--- a/internal/app/siteview/doc.go
+++ b/internal/app/siteview/doc.go
@@ -1,5 +1,4 @@
-// Package siteview keeps a process's view of the site's control state: it
-// watches a control member, moves on to another one when that falls silent or
-// is out of touch with a quorum, and publishes immutable views that only go
-// forward.
+// Package siteview maintains a process's view of the site's control state: it watches a
+// control member, switches to another one when that times out or loses contact with a quorum,
+// and publishes immutable views that never go back.
 package siteview
--- a/internal/app/siteview/regions.go
+++ b/internal/app/siteview/regions.go
@@ -5,11 +5,11 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// RegionOf gives the region of a zone, empty if it is not known.
+// RegionOf returns the region of a zone, empty if unknown.
 func (v *View) RegionOf(zone string) string { return v.zones[zone] }
 
-// KeepsWithin reports whether all machines that keep a shard's jobs stand in homes: those
-// of its group, and before they told so its founders.
+// KeepsWithin reports whether all machines that store a shard's jobs are in homes: the members
+// of its group and its founders.
 func (v *View) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	if !homes.Restricted() {
 		return true
@@ -26,7 +26,7 @@
 	return members > 0
 }
 
-// KeepsWithin asks the present view.
+// KeepsWithin calls KeepsWithin of the current view.
 func (w *Watcher) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	view := w.View()
 	return view != nil && view.KeepsWithin(shard, homes)
--- a/internal/app/siteview/siteview.go
+++ b/internal/app/siteview/siteview.go
@@ -7,36 +7,36 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// MethodWatch takes a WatchRequest and streams WatchAnswer to a watcher.
+// MethodWatch accepts a WatchRequest and streams WatchAnswer to a watcher.
 const MethodWatch = "site.watch"
 
-// maxWholeBytes bounds a whole state: ten times that of 3,500 replicas, of 250 bytes each.
-const maxWholeBytes = 10 << 20
+// maxPackedBytes limits the unpacked size of a packed update.
+const maxPackedBytes = 10 << 20
 
-// WatchRequest begins a watch after a position; 0 asks for everything.
+// WatchRequest starts a watch after a position; 0 requests the full state.
 type WatchRequest struct {
 	After uint64 `cbor:"1,keyasint"`
-	// Interest says which changes are to be sent. An observer does not change
-	// it: it would lack what it left out.
+	// Interest selects the changes to send. It must not change during a watch: earlier
+	// changes would be missing.
 	Interest sitestate.Interest `cbor:"2,keyasint,omitempty"`
 }
 
-// WatchAnswer brings a watcher up to date.
+// WatchAnswer updates a watcher.
 type WatchAnswer struct {
-	// Whole is empty, or what is to be applied before Update, packed once for many watchers: a
-	// sitestate.Update with the state at an earlier position, or with many changes.
+	// Packed is an optional sitestate.Update to apply before Update, with the state at an
+	// earlier position or many changes. It is packed once for all watchers.
 	Packed []byte           `cbor:"1,keyasint,omitempty"`
 	Update sitestate.Update `cbor:"2,keyasint"`
 }
 
-// updates gives what is to be applied, in order.
+// updates returns the updates in the order of their application.
 func (a *WatchAnswer) updates() ([]sitestate.Update, error) {
 	if len(a.Packed) == 0 {
 		return []sitestate.Update{a.Update}, nil
 	}
-	var whole sitestate.Update
-	if err := wire.UnmarshalPacked(a.Packed, maxWholeBytes, &whole); err != nil {
-		return nil, eris.Wrap(err, "the whole state")
+	var packed sitestate.Update
+	if err := wire.UnmarshalPacked(a.Packed, maxPackedBytes, &packed); err != nil {
+		return nil, eris.Wrap(err, "cannot unpack the update")
 	}
-	return []sitestate.Update{whole, a.Update}, nil
+	return []sitestate.Update{packed, a.Update}, nil
 }
--- a/internal/app/siteview/siteview_test.go
+++ b/internal/app/siteview/siteview_test.go
@@ -12,13 +12,13 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// TestAnswerBringsTheWholeStateAndWhatFollowed: in that order, after a way over the wire.
+// The packed state is applied first, then the changes since.
 func TestAnswerBringsTheWholeStateAndWhatFollowed(t *testing.T) {
-	whole, err := wire.MarshalPacked(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
+	packed, err := wire.MarshalPacked(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := WatchAnswer{Packed: whole, Update: sitestate.Update{Position: 9, Removed: []string{"a"}, Replicas: []sitestate.Replica{{ID: "c"}}, Confirmed: true}}
+	sent := WatchAnswer{Packed: packed, Update: sitestate.Update{Position: 9, Removed: []string{"a"}, Replicas: []sitestate.Replica{{ID: "c"}}, Confirmed: true}}
 	encoded, err := wire.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -41,39 +41,38 @@
 
 	answer.Packed = answer.Packed[:len(answer.Packed)/2]
 	if _, err := answer.updates(); err == nil {
-		t.Error("half a state was taken")
+		t.Error("a truncated state was accepted")
 	}
 	answer.Packed = nil
 	if updates, err := answer.updates(); err != nil || len(updates) != 1 || updates[0].Position != 9 {
-		t.Errorf("without a whole state: %+v, %v", updates, err)
+		t.Errorf("without a packed state: %+v, %v", updates, err)
 	}
 }
 
-// TestAViewIsNotConfirmedOnWakingUp: a process that was suspended believes that its view was
-// confirmed just now, by its steady clock; a key may have been taken away or a route added
-// meanwhile.
+// After a suspension the view is stale although no time has passed on the system's monotonic
+// clock; a key may have been revoked meanwhile.
 func TestAViewIsNotConfirmedOnWakingUp(t *testing.T) {
-	slept := time.Duration(0)
+	suspended := time.Duration(0)
 	watcher := New(Config{
-		Changed: func(*View) {}, Clock: func() time.Duration { return boottime.Now() + slept },
+		Changed: func(*View) {}, Clock: func() time.Duration { return boottime.Now() + suspended },
 		Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
 	})
 	confirm := func() {
 		t.Helper()
-		if err := watcher.take("member", []sitestate.Update{{Position: 1, Full: true, Confirmed: true}}); err != nil {
+		if err := watcher.apply("member", []sitestate.Update{{Position: 1, Full: true, Confirmed: true}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	const within = 5 * time.Second
 	confirm()
 	if !watcher.ConfirmedWithin(within) {
-		t.Fatal("not confirmed at first")
+		t.Fatal("not confirmed after the first update")
 	}
-	slept = 10 * time.Second
+	suspended = 10 * time.Second
 	if watcher.ConfirmedWithin(within) {
-		t.Error("confirmed though ten seconds passed in suspension")
+		t.Error("confirmed after a suspension of ten seconds")
 	}
 	if confirm(); !watcher.ConfirmedWithin(within) {
-		t.Error("not confirmed by a member after that")
+		t.Error("not confirmed by the next update")
 	}
 }
--- a/internal/app/siteview/watcher.go
+++ b/internal/app/siteview/watcher.go
@@ -18,74 +18,73 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// Times of the watch.
+// Timings of the watch.
 const (
-	// HeartbeatInterval is how often a member sends an update without changes.
+	// HeartbeatInterval is the period of updates without changes.
 	HeartbeatInterval = 400 * time.Millisecond
-	// silenceTimeout is how long a watcher waits for anything before it moves
-	// on to another member.
-	silenceTimeout = 1100 * time.Millisecond
-	// retryPause keeps a watcher that finds no member from asking too often.
+	// watchTimeout is how long a watcher waits for an update before it switches to another
+	// member.
+	watchTimeout = 1100 * time.Millisecond
+	// retryPause is the delay after all members failed.
 	retryPause = 100 * time.Millisecond
 )
 
-// View is what a process knows of the site. It is immutable.
+// View is a process's view of the site. It is immutable.
 type View struct {
 	*sitestate.View
-	// Table finds routes; nil while no configuration is known.
+	// Table finds routes; nil before the first configuration.
 	Table *routing.Table
-	// zones gives the region of each zone, as the settings have it.
+	// zones maps zones to regions, as configured.
 	zones map[string]string
 	// coldUntil is until when replicas are cold, by id.
 	coldUntil map[string]time.Time
 }
 
-// Config sets a Watcher up.
+// Config configures a Watcher.
 type Config struct {
-	// Seeds are addresses of control members to begin with.
+	// Seeds are the initial addresses of control members.
 	Seeds []string
 	Wire  wire.Options
-	// Decode reads the operator's document.
+	// Decode decodes the operator's configuration.
 	Decode func(raw []byte) (*routing.Document, error)
-	// Provisional takes a first view also from a member that is out of touch
-	// with a quorum: after a loss of all power, callers are served before a
-	// leader is elected. A confirmed view follows; what must never be out of
-	// date waits for it by ConfirmedWithin.
+	// Provisional accepts a first view also from a member without contact with a quorum, so
+	// that callers are served before a leader is elected after a power failure.
+	// ConfirmedWithin is false for it.
 	Provisional bool
-	// Zones gives the region of each zone of the site.
+	// Zones maps each zone of the site to its region.
 	Zones map[string]string
-	// Interest says which changes of replicas are followed.
+	// Interest selects the changes of replicas to receive.
 	Interest sitestate.Interest
-	// Changed is called after the view has changed. It must not wait.
+	// Changed is called after the view has changed. It must not block.
 	Changed func(*View)
 	Logger  *log.Logger
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock is a monotonic clock that includes suspension; nil selects the system's.
 	Clock boottime.Clock
 }
 
-// Watcher keeps the view.
+// Watcher maintains the view.
 type Watcher struct {
 	config    Config
 	view      atomic.Pointer[View]
-	confirmed atomic.Int64 // nanoseconds by config.Clock, 0 before
+	confirmed atomic.Int64 // nanoseconds of config.Clock, 0 if never
 
 	pool  *wire.Pool
 	mutex sync.Mutex
 	seeds []string
-	// current is the member that is watched.
+	// current is the watched member.
 	current string
 }
 
-// New makes a watcher; Run follows.
+// New returns a watcher; call Run.
 func New(config Config) *Watcher {
 	config.Clock = config.Clock.OrSystem()
 	return &Watcher{config: config, pool: wire.NewPool(config.Wire), seeds: config.Seeds}
 }
 
-// View gives the present view, or nil.
+// View returns the current view, or nil.
 func (w *Watcher) View() *View { return w.view.Load() }
 
-// State gives the control state of the present view, or nil.
+// State returns the control state of the current view, or nil.
 func (w *Watcher) State() *sitestate.View {
 	if view := w.view.Load(); view != nil {
 		return view.View
@@ -93,21 +92,21 @@
 	return nil
 }
 
-// ConfirmedWithin reports whether a member in touch with a quorum confirmed the
-// view within the time.
+// ConfirmedWithin reports whether a member in contact with a quorum confirmed the view within
+// age.
 func (w *Watcher) ConfirmedWithin(age time.Duration) bool {
 	at := w.confirmed.Load()
 	return at > 0 && w.config.Clock()-time.Duration(at) < age
 }
 
-// SetSeeds replaces the addresses to begin with, after a change of settings.
+// SetSeeds replaces the initial addresses after a change of settings.
 func (w *Watcher) SetSeeds(seeds []string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.seeds = seeds
 }
 
-// Members gives addresses of control members, the one that is watched first.
+// Members returns the addresses of control members, the watched one first.
 func (w *Watcher) Members() []string {
 	w.mutex.Lock()
 	current, addresses := w.current, slices.Clone(w.seeds)
@@ -130,12 +129,12 @@
 	return unique
 }
 
-// Call asks control members one after the other until one answers or the
-// context ends. The call must be safe to repeat.
+// Call calls control members in turn until one responds or ctx ends. The call must be
+// idempotent.
 func (w *Watcher) Call(ctx context.Context, method string, request, response any) error {
 	last := eris.New("no control member is known")
 	for _, address := range w.Members() {
-		attempt, cancel := context.WithTimeout(ctx, silenceTimeout)
+		attempt, cancel := context.WithTimeout(ctx, watchTimeout)
 		err := w.pool.Client(address).Call(attempt, method, request, response)
 		cancel()
 		if err == nil {
@@ -149,12 +148,12 @@
 	return last
 }
 
-// Run watches until the context ends.
+// Run watches control members until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		for _, address := range w.Members() {
 			if err := w.watch(ctx, address); err != nil && ctx.Err() == nil {
-				w.lost(address, err)
+				w.handleLost(address, err)
 			}
 		}
 		select {
@@ -165,24 +164,24 @@
 	return ctx.Err()
 }
 
-func (w *Watcher) lost(address string, err error) {
+func (w *Watcher) handleLost(address string, err error) {
 	w.mutex.Lock()
-	watched := w.current == address
-	if watched {
+	wasCurrent := w.current == address
+	if wasCurrent {
 		w.current = ""
 	}
 	w.mutex.Unlock()
-	if watched {
-		w.config.Logger.Warn().Str(eventlog.Field, eventlog.ControlLost).Str("member", address).Err(err).Msg("the watched control member was lost")
+	if wasCurrent {
+		w.config.Logger.Warn().Str(eventlog.Field, eventlog.ControlLost).Str("member", address).Err(err).Msg("lost the watched control member")
 	}
 }
 
-// watch follows one member until it falls silent or is not confirmed.
+// watch watches one member until it times out or loses contact with a quorum.
 func (w *Watcher) watch(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceTimeout, cancel)
-	defer silence.Stop()
+	timer := time.AfterFunc(watchTimeout, cancel)
+	defer timer.Stop()
 	request := WatchRequest{Interest: w.config.Interest}
 	if view := w.view.Load(); view != nil {
 		request.After = view.Position
@@ -202,18 +201,18 @@
 			return err
 		}
 		if !answer.Update.Confirmed {
-			w.takeProvisional(updates)
-			return eris.New("the member is out of touch with a quorum")
+			w.applyProvisional(updates)
+			return eris.New("the member has no contact with a quorum")
 		}
-		silence.Reset(silenceTimeout)
-		if err := w.take(address, updates); err != nil {
+		timer.Reset(watchTimeout)
+		if err := w.apply(address, updates); err != nil {
 			return err
 		}
 	}
 }
 
-// takeProvisional takes a first view that is not confirmed.
-func (w *Watcher) takeProvisional(updates []sitestate.Update) {
+// applyProvisional publishes a first view that is not confirmed.
+func (w *Watcher) applyProvisional(updates []sitestate.Update) {
 	if !w.config.Provisional || w.view.Load() != nil {
 		return
 	}
@@ -222,24 +221,24 @@
 		return
 	}
 	w.config.Logger.Warn().Str(eventlog.Field, eventlog.ControlProvisional).Uint64("position", next.Position).
-		Uint64("version", next.Configuration.Version).Msg("a view is taken that no quorum confirmed yet")
+		Uint64("version", next.Configuration.Version).Msg("using a view that no quorum has confirmed")
 	w.view.Store(next)
 	w.config.Changed(next)
 }
 
-// take applies updates and publishes the view if it has changed.
-func (w *Watcher) take(address string, updates []sitestate.Update) error {
+// apply applies updates and publishes the view if it has changed.
+func (w *Watcher) apply(address string, updates []sitestate.Update) error {
 	previous, update := w.view.Load(), updates[len(updates)-1]
 	if previous != nil && update.Position < previous.Position {
 		return eris.New("the member is behind")
 	}
 	w.confirmed.Store(int64(w.config.Clock()))
 	w.mutex.Lock()
-	regained := w.current != address
+	switched := w.current != address
 	w.current = address
 	w.mutex.Unlock()
-	if regained {
-		w.config.Logger.Info().Str(eventlog.Field, eventlog.ControlWatched).Str("member", address).Uint64("position", update.Position).Msg("a control member is watched")
+	if switched {
+		w.config.Logger.Info().Str(eventlog.Field, eventlog.ControlWatched).Str("member", address).Uint64("position", update.Position).Msg("watching a control member")
 	}
 	if previous != nil && update.Position == previous.Position && len(update.Members) == 0 {
 		return nil
@@ -254,25 +253,25 @@
 }
 
 func (w *Watcher) next(previous *View, updates []sitestate.Update) (*View, error) {
-	var held *sitestate.View
+	var state *sitestate.View
 	next := &View{zones: w.config.Zones}
 	if previous != nil {
-		held = previous.View
+		state = previous.View
 		*next = *previous
 	}
 	for _, update := range updates {
-		held = held.Apply(update)
+		state = state.Apply(update)
 	}
-	next.View = held
+	next.View = state
 	next = next.WithCold(updates, time.Now())
 	if next.Configuration.Version > 0 && (next.Table == nil || next.Table.Version() != next.Configuration.Version) {
 		document, err := w.config.Decode(next.Configuration.Raw)
 		if err != nil {
-			return nil, eris.Wrap(err, "the configuration in force cannot be read")
+			return nil, eris.Wrap(err, "cannot decode the current configuration")
 		}
 		next.Table = routing.NewTable(document)
 		w.config.Logger.Info().Str(eventlog.Field, eventlog.ConfigurationInForce).Uint64("version", next.Table.Version()).
-			Uint64("position", next.Position).Int("routes", len(document.Routes)).Msg("a configuration is in force here")
+			Uint64("position", next.Position).Int("routes", len(document.Routes)).Msg("using a new configuration")
 	}
 	return next, nil
 }
