--- a/internal/app/sitestore/items.go
+++ b/internal/app/sitestore/items.go
@@ -17,7 +17,7 @@
 	if serial == r.jobSerial {
 		return
 	}
-	var added []*work
+	var added []*itemState
 	open := map[string]bool{}
 	now := time.Now()
 	// The callback may still run in the member's loop after ctx ended, so it must not
@@ -51,19 +51,19 @@
 	}
 	r.jobs = open
 	for _, item := range added {
-		r.works[item.key] = item
+		r.items[item.key] = item
 		r.times[item.key.Job].add(item)
 		r.enqueue(item, time.Time{})
 	}
 }
 
 // openItems copies the items of a job without a result; it runs in the member's loop.
-func openItems(job *jobstate.Job, now time.Time) []*work {
+func openItems(job *jobstate.Job, now time.Time) []*itemState {
 	ranks, longest := jobqueue.Ranks(job), job.LongestExpected()
-	var open []*work
+	var open []*itemState
 	for i := range job.Items {
 		if job.Items[i].Result == jobstate.ResultNone {
-			open = append(open, newWork(job, i, longest, ranks[i], now))
+			open = append(open, newItemState(job, i, longest, ranks[i], now))
 		}
 	}
 	return open
@@ -72,7 +72,7 @@
 // dropJob cancels and removes all items of an ended job.
 func (r *runner) dropJob(id string) {
 	r.queue.Drop(func(item jobqueue.Item) bool { return item.Job == id })
-	for key, item := range r.works {
+	for key, item := range r.items {
 		if key.Job != id {
 			continue
 		}
@@ -84,11 +84,11 @@
 }
 
 // route returns the route and service of an item's request.
-func (r *runner) route(item *work) (*routing.Route, string) {
+func (r *runner) route(item *itemState) (*routing.Route, string) {
 	if r.table == nil {
 		return nil, ""
 	}
-	route := r.table.Lookup(item.host, item.item.Path)
+	route := r.table.Lookup(item.host, item.spec.Path)
 	if route == nil {
 		return nil, ""
 	}
@@ -96,7 +96,7 @@
 }
 
 // allowedRegions returns the regions in which an item may run.
-func (r *runner) allowedRegions(item *work) routing.AllowedRegions {
+func (r *runner) allowedRegions(item *itemState) routing.AllowedRegions {
 	route, _ := r.route(item)
 	if route == nil {
 		return routing.AllowedRegions{}
@@ -106,7 +106,7 @@
 
 // enqueue queues an item for a replica, or starts its scoring if the text is complete.
 // Withheld items are not queued.
-func (r *runner) enqueue(item *work, notBefore time.Time) {
+func (r *runner) enqueue(item *itemState, notBefore time.Time) {
 	if item.isComplete() {
 		r.startScoring(item)
 		return
@@ -124,7 +124,7 @@
 // a route fail.
 func (r *runner) reroute() {
 	r.queue = jobqueue.Queue{}
-	for _, item := range r.works {
+	for _, item := range r.items {
 		if item.replica != "" || item.scoring || item.finished() {
 			continue
 		}
@@ -137,7 +137,7 @@
 }
 
 // recordResult records an item's result for its job's log line.
-func (r *runner) recordResult(item *work, replica string) {
+func (r *runner) recordResult(item *itemState, replica string) {
 	if times := r.times[item.key.Job]; times != nil && !item.finished() {
 		times.recordResult(item, replica, time.Now())
 	}
@@ -145,7 +145,7 @@
 
 // failExpired fails items that are older than their route's retention.
 func (r *runner) failExpired(now time.Time) {
-	for _, item := range r.works {
+	for _, item := range r.items {
 		route, _ := r.route(item)
 		if route == nil || route.Keep <= 0 || item.finished() || now.Sub(item.accepted) < route.Keep+expiryMargin {
 			continue
@@ -159,17 +159,17 @@
 	}
 }
 
-func (r *runner) failItem(item *work, reason string) {
+func (r *runner) failItem(item *itemState, reason string) {
 	r.recordResult(item, item.lastReplica)
 	item.finish(jobstate.ResultErrored, "")
 	r.store.config.Recorder.ItemEnded(outcomeErrored, time.Since(item.accepted))
-	r.resultsPending = true
-	r.store.config.Logger.Warn().Str(eventlog.Field, eventlog.ItemErrored).Str("job", item.key.Job).Str("id", item.item.ID).
+	r.commitDue = true
+	r.store.config.Logger.Warn().Str(eventlog.Field, eventlog.ItemErrored).Str("job", item.key.Job).Str("id", item.spec.ID).
 		Str("reward_call", item.scorerID()).Int("failures", item.failures).Str("reason", reason).Msg("item failed")
 }
 
 // startScoring starts the reward call of a complete text.
-func (r *runner) startScoring(item *work) {
+func (r *runner) startScoring(item *itemState) {
 	if item.scoring {
 		return
 	}
@@ -180,8 +180,8 @@
 }
 
 // remove removes a finished item.
-func (r *runner) remove(key jobqueue.Key, item *work) {
+func (r *runner) remove(key jobqueue.Key, item *itemState) {
 	r.releaseReserved(item)
 	r.replicas.removeRun(item)
-	delete(r.works, key)
+	delete(r.items, key)
 }
--- a/internal/app/sitestore/jobtimes.go
+++ b/internal/app/sitestore/jobtimes.go
@@ -43,14 +43,14 @@
 }
 
 // add counts an open item.
-func (t *jobTimes) add(item *work) {
-	t.open[item.item.Group]++
+func (t *jobTimes) add(item *itemState) {
+	t.open[item.spec.Group]++
 	t.items++
 	t.unplaced++
 }
 
 // recordRun records the start of a run of an item.
-func (t *jobTimes) recordRun(item *work, now time.Time) {
+func (t *jobTimes) recordRun(item *itemState, now time.Time) {
 	t.runs++
 	item.phases.recordWait(now.Sub(item.idleSince), !item.ran)
 	if item.ran {
@@ -65,12 +65,12 @@
 }
 
 // recordResult records an item's result.
-func (t *jobTimes) recordResult(item *work, replica string, now time.Time) {
-	group := item.item.Group
+func (t *jobTimes) recordResult(item *itemState, replica string, now time.Time) {
+	group := item.spec.Group
 	t.open[group]--
 	t.rejected += item.phases.rejected
 	t.cutOff += item.phases.cutOff
-	t.last = lastItem{id: item.item.ID, replica: replica, events: item.length(), moves: item.moves, phases: item.phases}
+	t.last = lastItem{id: item.spec.ID, replica: replica, events: item.length(), moves: item.moves, phases: item.phases}
 	if t.open[group] > 0 {
 		return
 	}
--- a/internal/app/sitestore/jobtimes_test.go
+++ b/internal/app/sitestore/jobtimes_test.go
@@ -10,9 +10,9 @@
 func TestTheTimesOfAJob(t *testing.T) {
 	times := newJobTimes(testTime, 7)
 	at := func(ms int) time.Time { return testTime.Add(time.Duration(ms) * time.Millisecond) }
-	var items []*work
+	var items []*itemState
 	for _, group := range []string{"a", "a", "b"} {
-		item := &work{item: jobstate.Item{ID: group, Group: group}, idleSince: testTime}
+		item := &itemState{spec: jobstate.Item{ID: group, Group: group}, idleSince: testTime}
 		items = append(items, item)
 		times.add(item)
 	}
--- a/internal/app/sitestore/leadership.go
+++ b/internal/app/sitestore/leadership.go
@@ -23,11 +23,11 @@
 	jobSerial uint64
 	// jobs are the known open jobs.
 	jobs  map[string]bool
-	works map[jobqueue.Key]*work
+	items map[jobqueue.Key]*itemState
 	times map[string]*jobTimes
 	queue jobqueue.Queue
 	// withheld are the items that crashed replicas.
-	withheld map[jobqueue.Key]*work
+	withheld map[jobqueue.Key]*itemState
 	replicas *replicaTracker
 	demand   *demandMeter
 	lengths  lengths
@@ -39,7 +39,8 @@
 	// with unfinished text was.
 	proposedAt     time.Time
 	textProposedAt time.Time
-	resultsPending bool
+	// commitDue is set if the next record must not wait for textInterval.
+	commitDue bool
 	// scannedAt is the time of the last scan of all open items.
 	scannedAt time.Time
 }
@@ -47,8 +48,8 @@
 func newLeadership(ctx context.Context, shard sitestate.ShardNumber, term uint64) *leadership {
 	l := &leadership{
 		shard: shard, term: term,
-		jobs: map[string]bool{}, works: map[jobqueue.Key]*work{}, times: map[string]*jobTimes{},
-		withheld: map[jobqueue.Key]*work{},
+		jobs: map[string]bool{}, items: map[jobqueue.Key]*itemState{}, times: map[string]*jobTimes{},
+		withheld: map[jobqueue.Key]*itemState{},
 		replicas: newReplicaTracker(shard), demand: newDemandMeter(time.Now()), lengths: lengths{},
 		committed: make(chan error, 1),
 	}
--- a/internal/app/sitestore/lengths.go
+++ b/internal/app/sitestore/lengths.go
@@ -15,26 +15,26 @@
 type lengthMeans struct{ events, expected float64 }
 
 // record records a complete text.
-func (l lengths) record(item *work) {
+func (l lengths) record(item *itemState) {
 	means := l[item.model]
 	if means == nil {
-		means = &lengthMeans{events: float64(item.length()), expected: float64(item.item.ExpectedLength())}
+		means = &lengthMeans{events: float64(item.length()), expected: float64(item.spec.ExpectedLength())}
 		l[item.model] = means
 		return
 	}
 	means.events += lengthWeight * (float64(item.length()) - means.events)
-	means.expected += lengthWeight * (float64(item.item.ExpectedLength()) - means.expected)
+	means.expected += lengthWeight * (float64(item.spec.ExpectedLength()) - means.expected)
 }
 
 // remaining returns the expected number of further events of an item.
-func (l lengths) remaining(item *work) float64 {
+func (l lengths) remaining(item *itemState) float64 {
 	current := float64(item.length())
 	return max(l.expected(item)-current, tailShare*current, 1)
 }
 
 // expected returns the expected length of an item's text.
-func (l lengths) expected(item *work) float64 {
-	means, expected := l[item.model], item.item.ExpectedLength()
+func (l lengths) expected(item *itemState) float64 {
+	means, expected := l[item.model], item.spec.ExpectedLength()
 	switch {
 	case means == nil:
 		return 0
--- a/internal/app/sitestore/move.go
+++ b/internal/app/sitestore/move.go
@@ -34,7 +34,7 @@
 		return
 	}
 	for _, move := range jobqueue.Moves(runs, r.replicas.candidates(view, r.table, now)) {
-		r.move(r.works[move.Item.Key], move.Replica)
+		r.move(r.items[move.Item.Key], move.Replica)
 	}
 }
 
@@ -53,7 +53,7 @@
 // moved, and the slowdown of each run relative to its replica's baseline.
 func (r *runner) measureRuns(now time.Time) (runs []jobqueue.Run, slowdowns []float64) {
 	paces := map[string][]time.Duration{}
-	for _, item := range r.works {
+	for _, item := range r.items {
 		if item.replica == "" || item.scoring {
 			continue
 		}
@@ -82,7 +82,7 @@
 
 // move requests the end of an item's run and reserves a slot on another replica. A stalled
 // run is aborted.
-func (r *runner) move(item *work, replica string) {
+func (r *runner) move(item *itemState, replica string) {
 	item.moves++
 	item.reserved = replica
 	r.replicas.reserve(replica)
@@ -93,11 +93,11 @@
 }
 
 // queueItem returns the queue's description of an item.
-func (r *runner) queueItem(item *work, service string) jobqueue.Item {
+func (r *runner) queueItem(item *itemState, service string) jobqueue.Item {
 	return jobqueue.Item{
 		Homes: r.allowedRegions(item),
 		Key:   item.key, Service: service, Model: item.model, MinVersion: item.minVersion, ExactVersion: item.exactVersion(),
-		Group: item.item.Group, Rank: item.rank, Avoid: item.avoid,
-		Relaxed: float64(item.item.ExpectedLength()) < relaxedShare*float64(item.longest),
+		Group: item.spec.Group, Rank: item.rank, Avoid: item.avoid,
+		Relaxed: float64(item.spec.ExpectedLength()) < relaxedShare*float64(item.longest),
 	}
 }
--- a/internal/app/sitestore/move_test.go
+++ b/internal/app/sitestore/move_test.go
@@ -28,7 +28,7 @@
 			Services: []routing.Service{{Name: "s", Engine: &routing.Engine{}}},
 			Routes:   []routing.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routing.KindJobs, Service: "s"}},
 		})
-		r := &runner{base: testTime, leadership: &leadership{works: map[jobqueue.Key]*work{}, replicas: newReplicaTracker(0), lengths: lengths{}, table: table}}
+		r := &runner{base: testTime, leadership: &leadership{items: map[jobqueue.Key]*itemState{}, replicas: newReplicaTracker(0), lengths: lengths{}, table: table}}
 		now := testTime.Add(time.Minute)
 		for i := range replicas {
 			id := fmt.Sprint("i", i)
@@ -36,20 +36,20 @@
 				r.replicas.recordRun(id, baseline, testTime)
 			}
 			for n := range runsPerReplica {
-				item := &work{key: jobqueue.Key{Job: id, Item: n}, host: "h", item: jobstate.Item{Path: "/x", Expected: 100}, placedAt: testTime}
+				item := &itemState{key: jobqueue.Key{Job: id, Item: n}, host: "h", spec: jobstate.Item{Path: "/x", Expected: 100}, placedAt: testTime}
 				pace := baseline
 				if i < row.slow {
 					pace = 2 * baseline
 				}
 				item.progress.set(pace, now.Sub(r.base))
 				r.replicas.addRun(item, id, testTime)
-				r.works[item.key] = item
+				r.items[item.key] = item
 			}
 		}
-		r.lengths.record(&work{item: jobstate.Item{Expected: 100}, events: 100})
+		r.lengths.record(&itemState{spec: jobstate.Item{Expected: 100}, events: 100})
 		r.moveFromSlow(view, now, runnerInterval)
 		moved := 0
-		for _, item := range r.works {
+		for _, item := range r.items {
 			if item.reserved != "" {
 				moved++
 			}
--- a/internal/app/sitestore/outcome.go
+++ b/internal/app/sitestore/outcome.go
@@ -12,7 +12,7 @@
 // job.
 func (r *runner) handle(event runEvent) {
 	item := event.item
-	if r.leadership == nil || r.works[item.key] != item || event.context.Err() != nil {
+	if r.leadership == nil || r.items[item.key] != item || event.context.Err() != nil {
 		return
 	}
 	now := time.Now()
@@ -35,9 +35,9 @@
 		item.phases.scored = now.Sub(item.idleSince)
 		r.recordResult(item, item.lastReplica)
 		item.finish(jobstate.ResultCompleted, event.score)
-		r.resultsPending = true
+		r.commitDue = true
 		r.store.config.Recorder.ItemEnded(outcomeCompleted, now.Sub(item.accepted))
-		r.store.config.Logger.Info().Str(eventlog.Field, eventlog.ItemListed).Str("job", item.key.Job).Str("id", item.item.ID).
+		r.store.config.Logger.Info().Str(eventlog.Field, eventlog.ItemListed).Str("job", item.key.Job).Str("id", item.spec.ID).
 			Str("reward_call", item.scorerID()).Int("events", item.length()).Dur("age_ms", now.Sub(item.accepted)).Msg("item completed")
 	case runScoreFailed:
 		r.failItem(item, "reward call: "+event.reason)
@@ -56,7 +56,7 @@
 }
 
 // releaseReserved releases the slot reserved for an item and returns its replica.
-func (r *runner) releaseReserved(item *work) string {
+func (r *runner) releaseReserved(item *itemState) string {
 	next := item.reserved
 	if next != "" {
 		r.replicas.release(next)
@@ -67,7 +67,7 @@
 
 // resume starts a moved item on the replica reserved for it, or queues it if that replica is
 // no longer available.
-func (r *runner) resume(item *work, next string) {
+func (r *runner) resume(item *itemState, next string) {
 	view := r.store.config.Watcher.View()
 	if replica, present := view.Replicas.Get(next); present && view.Routable(&replica) && !item.isComplete() {
 		r.startRun(item, replica, view.Position)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (r *runner) handleFailure(item *work, event runEvent, now time.Time) {
+func (r *runner) handleFailure(item *itemState, event runEvent, now time.Time) {
 	failures := item.fail()
 	r.logRun(event, "a replica failed an item")
 	attempts := 1
@@ -123,7 +123,7 @@
 }
 
 func (r *runner) logRun(event runEvent, message string) {
-	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.ItemRun).Str("job", event.item.key.Job).Str("id", event.item.item.ID).
+	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.ItemRun).Str("job", event.item.key.Job).Str("id", event.item.spec.ID).
 		Str("replica", event.replica).Str("outcome", event.kind.String()).Str("reason", event.reason).
 		Uint64("version", event.version).Uint64("min_version", event.item.minVersion).Str("last_event", event.item.lastEventID()).
 		Dur("pause_ms", event.pause).Msg(message)
@@ -133,14 +133,14 @@
 func (r *runner) commit() {
 	now := time.Now()
 	textDue := now.Sub(r.textProposedAt) >= textInterval
-	if r.committing || (!textDue && !r.resultsPending) {
+	if r.committing || (!textDue && !r.commitDue) {
 		return
 	}
 	if wait := resultInterval - now.Sub(r.proposedAt); wait > 0 {
 		time.AfterFunc(wait, r.wakeUp)
 		return
 	}
-	r.proposedAt, r.resultsPending = now, false
+	r.proposedAt, r.commitDue = now, false
 	if textDue {
 		r.textProposedAt = now
 	}
@@ -162,7 +162,7 @@
 func (r *runner) collect(all bool) jobstate.Record {
 	var record jobstate.Record
 	bytes := 0
-	for key, item := range r.works {
+	for key, item := range r.items {
 		finished := item.finished()
 		if !finished && !all {
 			continue
@@ -178,7 +178,7 @@
 			r.remove(key, item)
 		}
 		if bytes > maxRecordBytes {
-			r.resultsPending = true
+			r.commitDue = true
 			break
 		}
 	}
--- a/internal/app/sitestore/pause_test.go
+++ b/internal/app/sitestore/pause_test.go
@@ -63,9 +63,9 @@
 
 func TestWhatIsLeftOfATextIsLearnt(t *testing.T) {
 	estimates := lengths{}
-	item := func(expected, events int) *work {
-		w := &work{model: "m", events: events}
-		w.item.Expected = expected
+	item := func(expected, events int) *itemState {
+		w := &itemState{model: "m", events: events}
+		w.spec.Expected = expected
 		return w
 	}
 	if got := estimates.remaining(item(1000, 8)); got != 4 {
--- a/internal/app/sitestore/place.go
+++ b/internal/app/sitestore/place.go
@@ -19,7 +19,7 @@
 	candidates := r.replicas.candidates(view, r.table, now)
 	r.restartStranded(candidates)
 	for _, placed := range r.queue.Place(candidates, now) {
-		item := r.works[placed.Item.Key]
+		item := r.items[placed.Item.Key]
 		replica, known := view.Replicas.Get(placed.Replica)
 		if item == nil || !known {
 			continue
@@ -29,7 +29,7 @@
 }
 
 // startRun sends an item to a replica. Position is that of the view used for the choice.
-func (r *runner) startRun(item *work, replica sitestate.Replica, position uint64) {
+func (r *runner) startRun(item *itemState, replica sitestate.Replica, position uint64) {
 	now := time.Now()
 	r.replicas.addRun(item, replica.ID, now)
 	item.placedAt, item.eventsBefore = now, item.length()
@@ -40,7 +40,7 @@
 	item.move.Store(false)
 	ctx, cancel := context.WithCancel(r.context)
 	item.cancel = cancel
-	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.ItemPlaced).Str("job", item.key.Job).Str("id", item.item.ID).
+	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.ItemPlaced).Str("job", item.key.Job).Str("id", item.spec.ID).
 		Str("replica", replica.ID).Uint64("version", replica.VersionOf(item.model)).Uint64("min_version", item.minVersion).
 		Int("expected", item.rank.Expected).Str("after_event", item.lastEventID()).Uint64("view", position).Msg("an item was sent to a replica")
 	go r.generate(ctx, item, replica)
@@ -63,7 +63,7 @@
 		return true
 	})
 	for _, key := range stranded {
-		if item := r.works[key]; item != nil {
+		if item := r.items[key]; item != nil {
 			item.startOver()
 			r.enqueue(item, time.Time{})
 		}
--- a/internal/app/sitestore/replicabook.go
+++ b/internal/app/sitestore/replicabook.go
@@ -70,86 +70,86 @@
 	return &replicaTracker{shard: shard, replicas: map[string]*replicaEntry{}}
 }
 
-func (b *replicaTracker) entry(id string) *replicaEntry {
-	entry := b.replicas[id]
+func (t *replicaTracker) entry(id string) *replicaEntry {
+	entry := t.replicas[id]
 	if entry == nil {
 		entry = &replicaEntry{groups: map[string]time.Time{}, versions: map[string]uint64{}}
-		b.replicas[id] = entry
+		t.replicas[id] = entry
 	}
 	return entry
 }
 
 // addRun records that an item runs on a replica.
-func (b *replicaTracker) addRun(item *work, replica string, now time.Time) {
-	entry := b.entry(replica)
+func (t *replicaTracker) addRun(item *itemState, replica string, now time.Time) {
+	entry := t.entry(replica)
 	entry.running++
 	entry.sent.Record(now)
-	entry.groups[item.item.Group] = now
+	entry.groups[item.spec.Group] = now
 	item.replica = replica
 }
 
 // removeRun records that an item no longer runs on a replica.
-func (b *replicaTracker) removeRun(item *work) {
+func (t *replicaTracker) removeRun(item *itemState) {
 	if item.replica == "" {
 		return
 	}
-	entry := b.entry(item.replica)
+	entry := t.entry(item.replica)
 	entry.running = max(0, entry.running-1)
 	item.replica = ""
 }
 
 // reserve reserves a slot for an item whose run elsewhere is ending.
-func (b *replicaTracker) reserve(id string) { b.entry(id).reserved++ }
+func (t *replicaTracker) reserve(id string) { t.entry(id).reserved++ }
 
 // release releases a reserved slot.
-func (b *replicaTracker) release(id string) {
-	entry := b.entry(id)
+func (t *replicaTracker) release(id string) {
+	entry := t.entry(id)
 	entry.reserved = max(0, entry.reserved-1)
 }
 
 // block excludes a replica until a time.
-func (b *replicaTracker) block(id string, until time.Time) {
-	entry := b.entry(id)
+func (t *replicaTracker) block(id string, until time.Time) {
+	entry := t.entry(id)
 	if until.After(entry.blockedUntil) {
 		entry.blockedUntil = until
 	}
 }
 
 // recordRun records the mean pause between the events of a finished run.
-func (b *replicaTracker) recordRun(id string, pause time.Duration, now time.Time) {
+func (t *replicaTracker) recordRun(id string, pause time.Duration, now time.Time) {
 	if pause <= 0 {
 		return
 	}
-	entry := b.entry(id)
+	entry := t.entry(id)
 	entry.failures = 0
 	entry.pace.record(pause, now)
-	b.pace.record(pause, now)
+	t.pace.record(pause, now)
 }
 
 // recordRunning records the paces of the current runs on a replica.
-func (b *replicaTracker) recordRunning(id string, paces []time.Duration, now time.Time) {
+func (t *replicaTracker) recordRunning(id string, paces []time.Duration, now time.Time) {
 	slices.Sort(paces)
-	b.entry(id).pace.recordRunning(paces[len(paces)/2], now)
+	t.entry(id).pace.recordRunning(paces[len(paces)/2], now)
 }
 
 // expectedPace returns the expected pace of a run on a replica, or the baseline of all replicas
 // if the replica has no runs yet.
-func (b *replicaTracker) expectedPace(entry *replicaEntry, now time.Time) time.Duration {
+func (t *replicaTracker) expectedPace(entry *replicaEntry, now time.Time) time.Duration {
 	if expected := entry.pace.expected(now); expected > 0 {
 		return expected
 	}
-	return max(b.pace.baseline, time.Nanosecond)
+	return max(t.pace.baseline, time.Nanosecond)
 }
 
 // candidates returns the replicas that may run items of this shard. The result is valid until
 // the next call.
-func (b *replicaTracker) candidates(view *siteview.View, table *routing.Table, now time.Time) []jobqueue.Replica {
-	b.now, b.result = now, b.result[:0]
-	if b.view != view || b.table != table {
-		b.refresh(view, table)
+func (t *replicaTracker) candidates(view *siteview.View, table *routing.Table, now time.Time) []jobqueue.Replica {
+	t.now, t.result = now, t.result[:0]
+	if t.view != view || t.table != table {
+		t.refresh(view, table)
 	}
-	for i := range b.listed {
-		listed := &b.listed[i]
+	for i := range t.listed {
+		listed := &t.listed[i]
 		if now.Before(listed.entry.blockedUntil) {
 			continue
 		}
@@ -159,23 +159,23 @@
 		if listed.cold.Bounded() && view.ColdLeft(candidate.ID, now) > 0 {
 			candidate.Free = min(candidate.Free, listed.entry.sent.Remaining(listed.cold.RunnerPerSpan(), now))
 		}
-		candidate.Pace = b.expectedPace(listed.entry, now)
-		b.result = append(b.result, candidate)
+		candidate.Pace = t.expectedPace(listed.entry, now)
+		t.result = append(t.result, candidate)
 	}
-	return b.result
+	return t.result
 }
 
 // refresh rebuilds the list of replicas from a view.
-func (b *replicaTracker) refresh(view *siteview.View, table *routing.Table) {
-	b.view, b.table, b.listed = view, table, b.listed[:0]
+func (t *replicaTracker) refresh(view *siteview.View, table *routing.Table) {
+	t.view, t.table, t.listed = view, table, t.listed[:0]
 	for service, replicas := range view.ByService {
 		config := table.Service(service)
 		if config == nil {
 			continue
 		}
 		for replica := range replicas.All() {
-			if b.owns(view, replica) {
-				b.listed = append(b.listed, b.describe(service, replica, config))
+			if t.owns(view, replica) {
+				t.listed = append(t.listed, t.describe(service, replica, config))
 			}
 		}
 	}
@@ -183,27 +183,27 @@
 
 // owns reports whether the replica belongs to this shard. A replica that moved from another
 // shard is blocked first.
-func (b *replicaTracker) owns(view *siteview.View, replica *sitestate.Replica) bool {
-	entry := b.entry(replica.ID)
-	if owner := view.OwnerOf(replica); owner != b.shard {
+func (t *replicaTracker) owns(view *siteview.View, replica *sitestate.Replica) bool {
+	entry := t.entry(replica.ID)
+	if owner := view.OwnerOf(replica); owner != t.shard {
 		entry.otherShard = owner != 0
 		return false
 	}
 	if entry.otherShard {
 		entry.otherShard = false
-		b.block(replica.ID, b.now.Add(handoverPause))
+		t.block(replica.ID, t.now.Add(handoverPause))
 	}
 	return true
 }
 
-func (b *replicaTracker) describe(service string, replica *sitestate.Replica, config *routing.Service) listedReplica {
-	entry := b.entry(replica.ID)
-	cold := b.cold
+func (t *replicaTracker) describe(service string, replica *sitestate.Replica, config *routing.Service) listedReplica {
+	entry := t.entry(replica.ID)
+	cold := t.cold
 	cold.Rate = config.WarmupRate
 	return listedReplica{slots: slotsOf(replica, config), entry: entry, cold: cold, candidate: jobqueue.Replica{
-		ID: replica.ID, Service: service, Region: b.view.RegionOf(replica.Zone),
+		ID: replica.ID, Service: service, Region: t.view.RegionOf(replica.Zone),
 		Version:   func(model string) uint64 { return max(replica.VersionOf(model), entry.versions[model]) },
-		HasPrompt: func(group string) bool { return b.now.Sub(entry.groups[group]) < promptTTL },
+		HasPrompt: func(group string) bool { return t.now.Sub(entry.groups[group]) < promptTTL },
 	}}
 }
 
@@ -220,10 +220,10 @@
 }
 
 // expire removes deregistered replicas and expired prompts.
-func (b *replicaTracker) expire(view *siteview.View, now time.Time) {
-	for id, entry := range b.replicas {
+func (t *replicaTracker) expire(view *siteview.View, now time.Time) {
+	for id, entry := range t.replicas {
 		if !view.Replicas.Has(id) && entry.running == 0 {
-			delete(b.replicas, id)
+			delete(t.replicas, id)
 			continue
 		}
 		for group, at := range entry.groups {
--- a/internal/app/sitestore/replicabook_test.go
+++ b/internal/app/sitestore/replicabook_test.go
@@ -32,7 +32,7 @@
 func TestCandidatesCountWhatRuns(t *testing.T) {
 	view, table := testView(sitestate.Replica{ID: "a", Slots: 2}, sitestate.Replica{ID: "b"})
 	tracker := newReplicaTracker(0)
-	item := &work{item: jobstate.Item{Group: "g"}}
+	item := &itemState{spec: jobstate.Item{Group: "g"}}
 	tracker.addRun(item, "a", testTime)
 	a := candidate(t, tracker, view, table, "a", testTime)
 	if a == nil || a.Free != 1 || a.Running != 1 || !a.HasPrompt("g") || a.HasPrompt("h") {
@@ -140,7 +140,7 @@
 	first, table := testView(sitestate.Replica{ID: "a", Slots: 2}, sitestate.Replica{ID: "b", Slots: 2})
 	second, _ := testView(sitestate.Replica{ID: "b", Slots: 4})
 	tracker := newReplicaTracker(0)
-	item := &work{}
+	item := &itemState{}
 	tracker.candidates(first, table, testTime)
 	tracker.addRun(item, "b", testTime)
 	tracker.expire(second, testTime)
--- a/internal/app/sitestore/run.go
+++ b/internal/app/sitestore/run.go
@@ -56,7 +56,7 @@
 
 // runEvent reports the end of a run to the runner's goroutine.
 type runEvent struct {
-	item    *work
+	item    *itemState
 	context context.Context
 	kind    runKind
 	replica string
@@ -79,7 +79,7 @@
 }
 
 // generate runs an item on a replica until its text is complete or the run ends.
-func (r *runner) generate(ctx context.Context, item *work, replica sitestate.Replica) {
+func (r *runner) generate(ctx context.Context, item *itemState, replica sitestate.Replica) {
 	event := r.generateOnce(ctx, item, replica)
 	if event.kind == runBroken && item.move.Load() {
 		event.kind, event.reason = runMoved, "the replica stalled and another one has free slots"
@@ -88,7 +88,7 @@
 	r.report(event)
 }
 
-func (r *runner) generateOnce(outer context.Context, item *work, replica sitestate.Replica) runEvent {
+func (r *runner) generateOnce(outer context.Context, item *itemState, replica sitestate.Replica) runEvent {
 	ctx, cancel := context.WithCancel(outer)
 	defer cancel()
 	item.setAbort(cancel)
@@ -96,7 +96,7 @@
 	defer stall.Stop()
 	headers := r.store.config.Dialect.Headers()
 	header := http.Header{}
-	for _, given := range item.item.Headers {
+	for _, given := range item.spec.Headers {
 		if !setsTenant(given.Name, headers) || item.tenant == "" {
 			header[given.Name] = append(header[given.Name], given.Value)
 		}
@@ -108,7 +108,7 @@
 		header.Set(headers.LastEvent, last)
 	}
 	response, err := r.replica.Send(ctx, replica, replicacall.Request{
-		Method: http.MethodPost, Target: item.item.Path, Host: item.host, ID: item.item.ID, Header: header, Body: item.item.Body, NoDeadline: true,
+		Method: http.MethodPost, Target: item.spec.Path, Host: item.host, ID: item.spec.ID, Header: header, Body: item.spec.Body, NoDeadline: true,
 	})
 	if err != nil {
 		if port.AsError(err).Verdict == port.NotRun {
@@ -162,7 +162,7 @@
 const maxRefusalBytes = 16 << 10
 
 // readEvents reads the events of a run.
-func (r *runner) readEvents(item *work, body io.Reader, stall *time.Timer, version uint64) runEvent {
+func (r *runner) readEvents(item *itemState, body io.Reader, stall *time.Timer, version uint64) runEvent {
 	events := eventstream.NewReader(body, r.store.config.Dialect.Headers().WeightVersion)
 	var pauses pauseMeter
 	for {
@@ -192,10 +192,10 @@
 }
 
 // score sends the reward call of a complete text until it is answered.
-func (r *runner) score(ctx context.Context, item *work) {
+func (r *runner) score(ctx context.Context, item *itemState) {
 	event := runEvent{item: item, context: ctx, kind: runScored}
-	if item.item.Scorer != nil {
-		event.kind, event.score, event.reason = r.scoreOnce(ctx, item.item.Scorer)
+	if item.spec.Scorer != nil {
+		event.kind, event.score, event.reason = r.scoreOnce(ctx, item.spec.Scorer)
 	}
 	r.report(event)
 }
--- a/internal/app/sitestore/runner.go
+++ b/internal/app/sitestore/runner.go
@@ -143,7 +143,7 @@
 	for job := range r.times {
 		r.logTimes(job, false, time.Now())
 	}
-	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.RunnerStopped).Uint32("shard", uint32(r.shard)).Uint64("term", r.term).Int("items", len(r.works)).Msg("runner stopped")
+	r.store.config.Logger.Info().Str(eventlog.Field, eventlog.RunnerStopped).Uint32("shard", uint32(r.shard)).Uint64("term", r.term).Int("items", len(r.items)).Msg("runner stopped")
 	r.leadership = nil
 }
 
@@ -157,9 +157,9 @@
 
 // measureDemand publishes the demand of jobs, and reports whether it was due.
 func (r *runner) measureDemand(now time.Time) bool {
-	r.store.open.Store(int64(len(r.works)))
+	r.store.open.Store(int64(len(r.items)))
 	open := map[string]int{}
-	for _, item := range r.works {
+	for _, item := range r.items {
 		if !item.scoring && !item.finished() {
 			open[item.model]++
 		}
--- a/internal/app/sitestore/scoregate.go
+++ b/internal/app/sitestore/scoregate.go
@@ -36,29 +36,29 @@
 
 // acquire waits until the service has a free slot. After a nil error the caller must call
 // release.
-func (g *scoreLimiter) acquire(ctx context.Context, service string, limit int) error {
-	g.mutex.Lock()
-	queue := g.services[service]
+func (l *scoreLimiter) acquire(ctx context.Context, service string, limit int) error {
+	l.mutex.Lock()
+	queue := l.services[service]
 	if queue == nil {
 		queue = &scoreQueue{}
-		g.services[service] = queue
+		l.services[service] = queue
 	}
 	if queue.running < limit && len(queue.waiting) == 0 {
 		queue.running++
-		g.mutex.Unlock()
+		l.mutex.Unlock()
 		return nil
 	}
 	admitted := make(chan struct{})
 	queue.waiting = append(queue.waiting, admitted)
 	queue.admit(limit)
-	g.mutex.Unlock()
+	l.mutex.Unlock()
 	select {
 	case <-admitted:
 		return nil
 	case <-ctx.Done():
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if !queue.remove(admitted) {
 		// The slot was granted concurrently; pass it on.
 		queue.running--
@@ -68,10 +68,10 @@
 }
 
 // release frees a slot and admits the next caller.
-func (g *scoreLimiter) release(service string, limit int) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	queue := g.services[service]
+func (l *scoreLimiter) release(service string, limit int) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	queue := l.services[service]
 	queue.running--
 	queue.admit(limit)
 }
--- a/internal/app/sitestore/scoregate_test.go
+++ b/internal/app/sitestore/scoregate_test.go
@@ -86,10 +86,10 @@
 	}
 }
 
-func (g *scoreLimiter) waitingFor(service string) int {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return len(g.services[service].waiting)
+func (l *scoreLimiter) waitingFor(service string) int {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return len(l.services[service].waiting)
 }
 
 func TestRewardCallsTakeAPartOfTheirServicesPlaces(t *testing.T) {
--- a/internal/app/sitestore/withhold.go
+++ b/internal/app/sitestore/withhold.go
@@ -19,7 +19,7 @@
 }
 
 // recordCrash records that a replica crashed during a run of an item.
-func (r *runner) recordCrash(item *work, replica string, now time.Time) {
+func (r *runner) recordCrash(item *itemState, replica string, now time.Time) {
 	if slices.ContainsFunc(item.crashes, func(crash replicaCrash) bool { return crash.replica == replica }) {
 		return
 	}
@@ -30,7 +30,7 @@
 
 // crashCount returns the number of replicas that crashed during the item. A replica that
 // responded to a later run did not crash.
-func (r *runner) crashCount(item *work) int {
+func (r *runner) crashCount(item *itemState) int {
 	count := item.earlierCrashes
 	for _, crash := range item.crashes {
 		if entry := r.replicas.replicas[crash.replica]; entry == nil || !entry.respondedAt.After(crash.at) {
@@ -42,7 +42,7 @@
 
 // withhold reports whether an item must not run because it crashed too many replicas. The item
 // waits for a trial; without trials left it expires like other items.
-func (r *runner) withhold(item *work, now time.Time) bool {
+func (r *runner) withhold(item *itemState, now time.Time) bool {
 	crashes := r.crashCount(item)
 	if crashes < quarantine.CrashesUntilWithheld || item.onTrial || r.trialDue(item, now) {
 		delete(r.withheld, item.key)
@@ -51,14 +51,14 @@
 	if r.withheld[item.key] == nil {
 		r.withheld[item.key] = item
 		item.withheldAt = now
-		r.store.config.Logger.Warn().Str(eventlog.Field, eventlog.ItemWithheld).Str("job", item.key.Job).Str("id", item.item.ID).
+		r.store.config.Logger.Warn().Str(eventlog.Field, eventlog.ItemWithheld).Str("job", item.key.Job).Str("id", item.spec.ID).
 			Int("ends", crashes).Int("trials", item.trials).Msg("item withheld: replicas crashed during its runs")
 	}
 	return true
 }
 
 // trialDue starts an item's next trial if it has waited long enough.
-func (r *runner) trialDue(item *work, now time.Time) bool {
+func (r *runner) trialDue(item *itemState, now time.Time) bool {
 	waits := r.withheld[item.key] != nil
 	if !waits || item.trials >= quarantine.MaxTrials || now.Sub(item.withheldAt) < trialDelays[item.trials] {
 		return false
@@ -71,7 +71,7 @@
 // retryWithheld queues withheld items whose trial is due or whose replicas did not crash.
 func (r *runner) retryWithheld(now time.Time) {
 	for key, item := range r.withheld {
-		if r.works[key] != item || item.finished() {
+		if r.items[key] != item || item.finished() {
 			delete(r.withheld, key)
 			continue
 		}
--- a/internal/app/sitestore/withhold_test.go
+++ b/internal/app/sitestore/withhold_test.go
@@ -20,7 +20,7 @@
 }
 
 // crashReplica ends a run of the item with a crash of its replica.
-func crashReplica(r *runner, item *work, replica string, now time.Time) {
+func crashReplica(r *runner, item *itemState, replica string, now time.Time) {
 	item.placedAt = now
 	r.recordReplica(runEvent{item: item, replica: replica, kind: runBroken, crashed: true}, now)
 }
@@ -47,15 +47,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRunner()
-			item := &work{key: jobqueue.Key{Job: "j"}, earlierCrashes: row.earlier}
-			r.works[item.key] = item
+			item := &itemState{key: jobqueue.Key{Job: "j"}, earlierCrashes: row.earlier}
+			r.items[item.key] = item
 			for i, second := range row.crashes {
 				crashReplica(r, item, fmt.Sprint("r", i), at(second))
 			}
 			for _, step := range row.checks {
 				for replica, second := range row.answers {
 					if step.second > second && second > 3 || second < 3 {
-						other := &work{key: jobqueue.Key{Job: "j", Item: 1}, placedAt: at(second)}
+						other := &itemState{key: jobqueue.Key{Job: "j", Item: 1}, placedAt: at(second)}
 						r.recordReplica(runEvent{item: other, replica: replica, kind: runComplete, responded: true}, at(second))
 					}
 				}
@@ -71,8 +71,8 @@
 // rejected trial does not count.
 func TestTrialsOfAnItemAreFew(t *testing.T) {
 	r := newTestRunner()
-	item := &work{key: jobqueue.Key{Job: "j"}, earlierCrashes: 3}
-	r.works[item.key] = item
+	item := &itemState{key: jobqueue.Key{Job: "j"}, earlierCrashes: 3}
+	r.items[item.key] = item
 	runs := 0
 	for step := range 1200 { // two minutes
 		now := testTime.Add(time.Duration(step) * 100 * time.Millisecond)
--- a/internal/app/sitestore/work.go
+++ b/internal/app/sitestore/work.go
@@ -11,16 +11,16 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobstate"
 )
 
-// work is an open item with its uncommitted progress. The runner's goroutine owns it, except
+// itemState is an open item with its uncommitted progress. The runner's goroutine owns it, except
 // for the fields under mutex, which the goroutine of the current run changes too.
-type work struct {
+type itemState struct {
 	key  jobqueue.Key
 	host string
 	// tenant is the owner of the job, empty if none.
 	tenant     string
 	minVersion uint64
 	oneVersion bool
-	item       jobstate.Item
+	spec       jobstate.Item
 	rank       jobqueue.Rank
 	model      string
 	accepted   time.Time
@@ -86,149 +86,149 @@
 }
 
 // newWork returns an item with its progress in the log.
-func newWork(job *jobstate.Job, index, longest int, rank jobqueue.Rank, accepted time.Time) *work {
+func newItemState(job *jobstate.Job, index, longest int, rank jobqueue.Rank, accepted time.Time) *itemState {
 	item := &job.Items[index]
-	return &work{
+	return &itemState{
 		key: jobqueue.Key{Job: job.Submission.ID, Item: index}, host: job.Submission.Host, tenant: job.Submission.Tenant,
 		minVersion: job.Submission.MinVersion, oneVersion: job.Submission.OneVersion, model: job.Submission.Model,
-		item: item.Item, rank: rank, accepted: accepted, idleSince: accepted, longest: longest,
+		spec: item.Item, rank: rank, accepted: accepted, idleSince: accepted, longest: longest,
 		events: item.Events, logged: item.Events, lastEvent: item.LastEvent, versions: item.Versions,
 		complete: item.Complete, failures: item.Failures, earlierCrashes: item.Crashes,
 	}
 }
 
 // setAbort sets the function that aborts the current run.
-func (w *work) setAbort(cut context.CancelFunc) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.abort = cut
+func (s *itemState) setAbort(abort context.CancelFunc) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.abort = abort
 }
 
 // interrupt aborts the current run.
-func (w *work) interrupt() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.abort != nil {
-		w.abort()
+func (s *itemState) interrupt() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.abort != nil {
+		s.abort()
 	}
 }
 
 // lastEventID returns the id of the last event, empty if there is none.
-func (w *work) lastEventID() (lastEvent string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.lastEvent
+func (s *itemState) lastEventID() (lastEvent string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.lastEvent
 }
 
 // add appends an event of a weight version. It returns false if the job does not allow that
 // version, or not more than one.
-func (w *work) add(data, id string, version uint64) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if version < w.minVersion {
+func (s *itemState) add(data, id string, version uint64) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if version < s.minVersion {
 		return false
 	}
-	if !slices.Contains(w.versions, version) {
-		if w.oneVersion && len(w.versions) > 0 {
+	if !slices.Contains(s.versions, version) {
+		if s.oneVersion && len(s.versions) > 0 {
 			return false
 		}
-		w.versions = slices.Sorted(slices.Values(append(slices.Clone(w.versions), version)))
+		s.versions = slices.Sorted(slices.Values(append(slices.Clone(s.versions), version)))
 	}
-	w.text = append(w.text, data)
-	w.events++
-	w.lastEvent = id
+	s.text = append(s.text, data)
+	s.events++
+	s.lastEvent = id
 	return true
 }
 
 // startOver discards the text.
-func (w *work) startOver() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.events, w.logged, w.lastEvent, w.versions, w.text, w.complete = 0, 0, "", nil, nil, false
-	w.reset = true
+func (s *itemState) startOver() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.events, s.logged, s.lastEvent, s.versions, s.text, s.complete = 0, 0, "", nil, nil, false
+	s.reset = true
 }
 
-func (w *work) setComplete() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.complete = true
+func (s *itemState) setComplete() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.complete = true
 }
 
-func (w *work) isComplete() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.complete
+func (s *itemState) isComplete() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.complete
 }
 
 // scorerID returns the id of the item's reward call, empty if it has none.
-func (w *work) scorerID() string {
-	if w.item.Scorer == nil {
+func (s *itemState) scorerID() string {
+	if s.spec.Scorer == nil {
 		return ""
 	}
-	return w.item.Scorer.ID
+	return s.spec.Scorer.ID
 }
 
 // length returns the number of events of the text so far.
-func (w *work) length() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.events
+func (s *itemState) length() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.events
 }
 
 // exactVersion returns the version that must continue the text, 0 for any.
-func (w *work) exactVersion() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.oneVersion && len(w.versions) == 1 {
-		return w.versions[0]
+func (s *itemState) exactVersion() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.oneVersion && len(s.versions) == 1 {
+		return s.versions[0]
 	}
 	return 0
 }
 
 // fail counts a failure response and returns the total.
-func (w *work) fail() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.failures++
-	w.newFailures++
-	return w.failures
+func (s *itemState) fail() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.failures++
+	s.newFailures++
+	return s.failures
 }
 
 // addCrash counts a crash of a replica during the item.
-func (w *work) addCrash() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.newCrashes++
+func (s *itemState) addCrash() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.newCrashes++
 }
 
 // finish sets the item's result, unless it has one.
-func (w *work) finish(result jobstate.Result, score string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.result == jobstate.ResultNone {
-		w.result, w.score = result, score
+func (s *itemState) finish(result jobstate.Result, score string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.result == jobstate.ResultNone {
+		s.result, s.score = result, score
 	}
 }
 
 // takeRecord returns the uncommitted progress and marks it as logged. It returns false if there
 // is none.
-func (w *work) takeRecord() (record jobstate.ItemRecord, dirty bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if !w.reset && len(w.text) == 0 && w.newFailures == 0 && w.newCrashes == 0 && w.result == jobstate.ResultNone {
+func (s *itemState) takeRecord() (record jobstate.ItemRecord, dirty bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !s.reset && len(s.text) == 0 && s.newFailures == 0 && s.newCrashes == 0 && s.result == jobstate.ResultNone {
 		return jobstate.ItemRecord{}, false
 	}
 	record = jobstate.ItemRecord{
-		Job: w.key.Job, Item: w.key.Item, Events: w.logged, Reset: w.reset, Text: w.text, LastEvent: w.lastEvent,
-		Versions: w.versions, Complete: w.complete, Failures: w.newFailures, Crashes: w.newCrashes, Result: w.result, Score: w.score,
+		Job: s.key.Job, Item: s.key.Item, Events: s.logged, Reset: s.reset, Text: s.text, LastEvent: s.lastEvent,
+		Versions: s.versions, Complete: s.complete, Failures: s.newFailures, Crashes: s.newCrashes, Result: s.result, Score: s.score,
 	}
-	w.logged, w.text, w.newFailures, w.newCrashes, w.reset = w.events, nil, 0, 0, false
+	s.logged, s.text, s.newFailures, s.newCrashes, s.reset = s.events, nil, 0, 0, false
 	return record, true
 }
 
 // finished reports whether the item has a result.
-func (w *work) finished() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.result != jobstate.ResultNone
+func (s *itemState) finished() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.result != jobstate.ResultNone
 }
