--- a/internal/app/sitestore/work.go
+++ b/internal/app/sitestore/work.go
@@ -11,226 +11,224 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobstate"
 )
 
-// work is an item that is to be done, with what became of it that the log does
-// not hold yet. The runner's goroutine owns it, but for what mutex guards, which
-// the goroutine of its present run changes.
-type work struct {
+// itemState is an open item with its uncommitted progress. The runner's goroutine owns it, except
+// for the fields under mutex, which the goroutine of the current run changes too.
+type itemState struct {
 	key  jobqueue.Key
 	host string
-	// tenant is whose job it is, empty for nobody's.
+	// tenant is the owner of the job, empty if none.
 	tenant     string
 	minVersion uint64
 	oneVersion bool
-	item       jobstate.Item
+	spec       jobstate.Item
 	rank       jobqueue.Rank
 	model      string
 	accepted   time.Time
-	// longest is the longest length expected of an item of its job.
+	// longest is the longest expected length of an item of the job.
 	longest int
 
-	// replica runs it; empty while it waits. cancel ends the run.
+	// replica runs the item; empty while it waits. cancel ends the run.
 	replica string
 	cancel  context.CancelFunc
-	// scoring is set once its text is whole.
+	// scoring is set once the reward call has started.
 	scoring bool
-	// placedAt is when its present run began.
+	// placedAt is the start of the current run.
 	placedAt time.Time
-	// ran is set once it was at a replica; idleSince is since when it is at none.
+	// ran is set once the item was on a replica; idleSince is since when it is on none.
 	ran       bool
 	idleSince time.Time
-	// lastReplica is the one of its last run.
+	// lastReplica is the replica of the last run.
 	lastReplica string
-	// phases is where its time went; eventsBefore is how many events it had when its
-	// present run began.
+	// phases breaks down the item's time; eventsBefore is the number of events at the start
+	// of the current run.
 	phases       phases
 	eventsBefore int
-	// moves counts how often it was taken from a slow replica, and avoid is the one
-	// that it was taken from last. Next is where it goes on when its run has ended,
-	// empty if it stays; silent is set if the run showed nothing of late.
-	moves  int
-	avoid  string
-	next   string
-	silent bool
-
-	// earlierEnds is how many replicas had ended under it when it was taken over, ended are
-	// those since. While it is withheld, withheldAt is since when; trials counts how often it
-	// was let run all the same, and onTrial is set until such a run has ended.
-	earlierEnds int
-	ended       []replicaEnd
-	withheldAt  time.Time
-	trials      int
-	onTrial     bool
-
-	// progress is that of its present run, which sets it; move asks the run to end
-	// at its next event.
+	// moves counts the moves from slow replicas, and avoid is the last such replica.
+	// reserved is the replica on which a moved item resumes, empty without a move; stalled
+	// is set if the run has stalled.
+	moves    int
+	avoid    string
+	reserved string
+	stalled  bool
+
+	// earlierCrashes counts the replicas that crashed during the item in earlier
+	// leaderships, crashes are those since. withheldAt is the start of the current
+	// withholding; trials counts the trials, and onTrial is set until a trial has ended.
+	earlierCrashes int
+	crashes        []replicaCrash
+	withheldAt     time.Time
+	trials         int
+	onTrial        bool
+
+	// progress is set by the current run; move requests its end at the next event.
 	progress progress
 	move     atomic.Bool
 
 	mutex sync.Mutex
-	// cut ends the present run at once.
-	cut context.CancelFunc
-	// events, lastEvent and versions are those of the whole text so far.
+	// abort ends the current run immediately.
+	abort context.CancelFunc
+	// events, lastEvent and versions describe the text so far.
 	events    int
 	lastEvent string
 	versions  []uint64
-	whole     bool
+	complete  bool
 	failures  int
-	// kept is how many events the log holds; reset is set if the held text is
-	// to be dropped first.
-	kept  int
-	reset bool
-	// text is the data of the events that are not kept yet.
+	// logged is the number of events in the log; reset is set if the logged text must be
+	// dropped first.
+	logged int
+	reset  bool
+	// text is the data of the events that are not in the log.
 	text        []string
 	newFailures int
-	newEnds     int
+	newCrashes  int
 	result      jobstate.Result
 	score       string
 }
 
-// newWork takes an item over from the log.
-func newWork(job *jobstate.Job, index, longest int, rank jobqueue.Rank, accepted time.Time) *work {
+// newWork returns an item with its progress in the log.
+func newItemState(job *jobstate.Job, index, longest int, rank jobqueue.Rank, accepted time.Time) *itemState {
 	item := &job.Items[index]
-	return &work{
+	return &itemState{
 		key: jobqueue.Key{Job: job.Submission.ID, Item: index}, host: job.Submission.Host, tenant: job.Submission.Tenant,
 		minVersion: job.Submission.MinVersion, oneVersion: job.Submission.OneVersion, model: job.Submission.Model,
-		item: item.Item, rank: rank, accepted: accepted, idleSince: accepted, longest: longest,
-		events: item.Events, kept: item.Events, lastEvent: item.LastEvent, versions: item.Versions,
-		whole: item.Complete, failures: item.Failures, earlierEnds: item.Crashes,
+		spec: item.Item, rank: rank, accepted: accepted, idleSince: accepted, longest: longest,
+		events: item.Events, logged: item.Events, lastEvent: item.LastEvent, versions: item.Versions,
+		complete: item.Complete, failures: item.Failures, earlierCrashes: item.Crashes,
 	}
 }
 
-// setCut notes how the present run is ended at once.
-func (w *work) setCut(cut context.CancelFunc) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.cut = cut
+// setAbort sets the function that aborts the current run.
+func (s *itemState) setAbort(abort context.CancelFunc) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.abort = abort
 }
 
-// interrupt ends the present run at once.
-func (w *work) interrupt() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.cut != nil {
-		w.cut()
+// interrupt aborts the current run.
+func (s *itemState) interrupt() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.abort != nil {
+		s.abort()
 	}
 }
 
-// begin gives the id of the last event, empty for a text that starts.
-func (w *work) begin() (lastEvent string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.lastEvent
+// lastEventID returns the id of the last event, empty if there is none.
+func (s *itemState) lastEventID() (lastEvent string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.lastEvent
 }
 
-// add notes an event made by a version. It reports false if the job does not
-// take text of that version, or of more than one.
-func (w *work) add(data, id string, version uint64) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if version < w.minVersion {
+// add appends an event of a weight version. It returns false if the job does not allow that
+// version, or not more than one.
+func (s *itemState) add(data, id string, version uint64) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if version < s.minVersion {
 		return false
 	}
-	if !slices.Contains(w.versions, version) {
-		if w.oneVersion && len(w.versions) > 0 {
+	if !slices.Contains(s.versions, version) {
+		if s.oneVersion && len(s.versions) > 0 {
 			return false
 		}
-		w.versions = slices.Sorted(slices.Values(append(slices.Clone(w.versions), version)))
+		s.versions = slices.Sorted(slices.Values(append(slices.Clone(s.versions), version)))
 	}
-	w.text = append(w.text, data)
-	w.events++
-	w.lastEvent = id
+	s.text = append(s.text, data)
+	s.events++
+	s.lastEvent = id
 	return true
 }
 
-// startOver drops the text.
-func (w *work) startOver() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.events, w.kept, w.lastEvent, w.versions, w.text, w.whole = 0, 0, "", nil, nil, false
-	w.reset = true
+// startOver discards the text.
+func (s *itemState) startOver() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.events, s.logged, s.lastEvent, s.versions, s.text, s.complete = 0, 0, "", nil, nil, false
+	s.reset = true
 }
 
-func (w *work) setWhole() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.whole = true
+func (s *itemState) setComplete() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.complete = true
 }
 
-func (w *work) isWhole() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.whole
+func (s *itemState) isComplete() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.complete
 }
 
-// scorerID names the item's reward call, empty if it has none.
-func (w *work) scorerID() string {
-	if w.item.Scorer == nil {
+// scorerID returns the id of the item's reward call, empty if it has none.
+func (s *itemState) scorerID() string {
+	if s.spec.Scorer == nil {
 		return ""
 	}
-	return w.item.Scorer.ID
+	return s.spec.Scorer.ID
 }
 
-// length gives the number of events of the text so far.
-func (w *work) length() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.events
+// length returns the number of events of the text so far.
+func (s *itemState) length() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.events
 }
 
-// only gives the version that must go on with the text, 0 for any.
-func (w *work) only() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.oneVersion && len(w.versions) == 1 {
-		return w.versions[0]
+// exactVersion returns the version that must continue the text, 0 for any.
+func (s *itemState) exactVersion() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.oneVersion && len(s.versions) == 1 {
+		return s.versions[0]
 	}
 	return 0
 }
 
-// fail counts an answer of failure and gives their number.
-func (w *work) fail() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.failures++
-	w.newFailures++
-	return w.failures
+// fail counts a failure response and returns the total.
+func (s *itemState) fail() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.failures++
+	s.newFailures++
+	return s.failures
 }
 
-// addEnd counts a replica that ended under the item.
-func (w *work) addEnd() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.newEnds++
+// addCrash counts a crash of a replica during the item.
+func (s *itemState) addCrash() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.newCrashes++
 }
 
-// finish sets the item's result.
-func (w *work) finish(result jobstate.Result, score string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.result == jobstate.ResultNone {
-		w.result, w.score = result, score
+// finish sets the item's result, unless it has one.
+func (s *itemState) finish(result jobstate.Result, score string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.result == jobstate.ResultNone {
+		s.result, s.score = result, score
 	}
 }
 
-// take gives what the log lacks, and notes it as kept. Dirty is false if there
-// is nothing.
-func (w *work) take() (record jobstate.ItemRecord, dirty bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if !w.reset && len(w.text) == 0 && w.newFailures == 0 && w.newEnds == 0 && w.result == jobstate.ResultNone {
+// takeRecord returns the uncommitted progress and marks it as logged. It returns false if there
+// is none.
+func (s *itemState) takeRecord() (record jobstate.ItemRecord, dirty bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !s.reset && len(s.text) == 0 && s.newFailures == 0 && s.newCrashes == 0 && s.result == jobstate.ResultNone {
 		return jobstate.ItemRecord{}, false
 	}
 	record = jobstate.ItemRecord{
-		Job: w.key.Job, Item: w.key.Item, Events: w.kept, Reset: w.reset, Text: w.text, LastEvent: w.lastEvent,
-		Versions: w.versions, Complete: w.whole, Failures: w.newFailures, Crashes: w.newEnds, Result: w.result, Score: w.score,
+		Job: s.key.Job, Item: s.key.Item, Events: s.logged, Reset: s.reset, Text: s.text, LastEvent: s.lastEvent,
+		Versions: s.versions, Complete: s.complete, Failures: s.newFailures, Crashes: s.newCrashes, Result: s.result, Score: s.score,
 	}
-	w.kept, w.text, w.newFailures, w.newEnds, w.reset = w.events, nil, 0, 0, false
+	s.logged, s.text, s.newFailures, s.newCrashes, s.reset = s.events, nil, 0, 0, false
 	return record, true
 }
 
 // finished reports whether the item has a result.
-func (w *work) finished() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.result != jobstate.ResultNone
+func (s *itemState) finished() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.result != jobstate.ResultNone
 }
