--- a/internal/app/front/comeback_test.go
+++ b/internal/app/front/comeback_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TestThoseRefusedTogetherReturnApart: half of the time earlier or later at most, and as
-// asked for on average.
+// TestThoseRefusedTogetherReturnApart checks that jitter varies a delay by at most half
+// and keeps its mean.
 func TestThoseRefusedTogetherReturnApart(t *testing.T) {
-	const back = 200 * time.Millisecond
-	for draw, want := range map[float64]time.Duration{0: 100 * time.Millisecond, 0.5: back, 0.75: 250 * time.Millisecond} {
-		if got := spread(back, draw); got != want {
+	const delay = 200 * time.Millisecond
+	for draw, want := range map[float64]time.Duration{0: 100 * time.Millisecond, 0.5: delay, 0.75: 250 * time.Millisecond} {
+		if got := jitter(delay, draw); got != want {
 			t.Errorf("draw %v: %v, want %v", draw, got, want)
 		}
 	}
-	if latest := spread(back, 0.9999); latest >= 300*time.Millisecond {
-		t.Errorf("latest after %v", latest)
+	if longest := jitter(delay, 0.9999); longest >= 300*time.Millisecond {
+		t.Errorf("longest delay %v", longest)
 	}
 }
--- a/internal/app/front/doc.go
+++ b/internal/app/front/doc.go
@@ -1,7 +1,6 @@
-// Package front is the process that callers reach: it passes requests through
-// to the replicas of their route's service, untouched, and takes jobs for the
-// store group.
+// Package front serves callers: it forwards requests to the replicas of their route's
+// service and submits jobs to the store group.
 //
-// A request that is given up gets its final answer at once: 503 with a time to
-// come back if it certainly did not run, 502 or 504 otherwise.
+// A request that fails for good is answered immediately: with 503 and a Retry-After if it
+// certainly did not run, with 502 or 504 otherwise.
 package front
--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -26,58 +26,56 @@
 )
 
 const (
-	// unknownAfter is how old a confirmed view may be to deny that a route or a key
-	// exists; with an older one the request is refused for now.
-	unknownAfter = 1500 * time.Millisecond
-	// comeBack is when a refused request is best sent again, on average: replicas that
-	// were full are left alone for 20 ms and those that failed for 300 ms at first, and
-	// callers' aims begin at 150 ms. comeBackLater is for one that was refused because
-	// the site has only just started: a leader and the first view take that long.
-	comeBack      = 200 * time.Millisecond
-	comeBackLater = 500 * time.Millisecond
-	// comeBackSpread is by what part of itself a time to come back varies, so that
-	// those who were refused together do not return together.
-	comeBackSpread = 0.5
-	// defaultBodyBytes bounds a request's body if the configuration does not.
-	defaultBodyBytes = 32 << 20
-	// deadlineMargin is kept for the answer's way back to the caller.
+	// maxViewAge is the age up to which a confirmed view proves that a route or a key does
+	// not exist; with an older view the request is rejected with 503.
+	maxViewAge = 1500 * time.Millisecond
+	// retryDelay is the mean Retry-After of a rejected request. startupRetryDelay is that
+	// of a request that arrives before the first view, which needs an elected leader.
+	retryDelay        = 200 * time.Millisecond
+	startupRetryDelay = 500 * time.Millisecond
+	// retryJitter is the fraction by which a Retry-After varies, so that requests that were
+	// rejected together are not sent again together.
+	retryJitter = 0.5
+	// defaultMaxBodyBytes limits a request's body if the configuration does not.
+	defaultMaxBodyBytes = 32 << 20
+	// deadlineMargin is reserved for sending the response to the caller.
 	deadlineMargin = 5 * time.Millisecond
 )
 
-// Config sets a Front up.
+// Config configures a Front.
 type Config struct {
 	Dialect dialect.Dialect
 	Watcher *siteview.Watcher
 	Proxy   *proxy.Proxy
 	Jobs    *jobsapi.Client
 	Logger  *log.Logger
-	// Idle watches the idle connections of the server that serves the front.
+	// Idle tracks the idle connections of the front's server.
 	Idle *httpserve.IdleConnections
-	// RevokeWithin is how long a front that is out of touch may go by the keys it knows; 0
-	// is no bound.
+	// RevokeWithin is how long a front without a confirmed view accepts the keys it knows;
+	// 0 means no limit.
 	RevokeWithin time.Duration
-	// Held bounds the bodies and pages that the front holds for callers; nil is no bound.
+	// Held limits the memory for bodies and pages of callers; nil means no limit.
 	Held *held.Budget
-	// Usage counts requests that began to run, by tenant; nil counts nothing.
+	// Usage counts started requests by tenant; nil disables counting.
 	Usage *UsageReporter
-	// Recorder measures requests; nil measures nothing.
+	// Recorder records metrics of requests; nil disables them.
 	Recorder Recorder
 }
 
-// Recorder measures requests of callers.
+// Recorder records metrics of callers' requests.
 type Recorder interface {
-	// RequestEnded counts a request that ended in one of the Outcomes.
+	// RequestEnded counts a request that ended with one of the Outcomes.
 	RequestEnded(outcome string, took time.Duration)
 }
 
 // Outcomes of callers' requests.
 const (
-	OutcomeAnswered = "answered"
-	OutcomeRefused  = "refused"
-	OutcomeFailed   = "failed"
-	OutcomeLate     = "late"
-	OutcomeLeft     = "left"
-	// OutcomeWithheld is a refusal because replicas ended under the request.
+	OutcomeAnswered   = "answered"
+	OutcomeRejected   = "refused"
+	OutcomeFailed     = "failed"
+	OutcomeTimedOut   = "late"
+	OutcomeCallerGone = "left"
+	// OutcomeWithheld is a rejection because replicas crashed while running the request.
 	OutcomeWithheld = "withheld"
 )
 
@@ -96,46 +94,46 @@
 	return &Front{config: config, headers: config.Dialect.Headers()}
 }
 
-// Ready reports whether callers should come here: a configuration is known, and
-// no planned stop has begun.
+// Ready reports whether the front accepts new callers: it has a configuration, and Drain
+// was not called.
 func (f *Front) Ready() bool {
 	view := f.config.Watcher.View()
 	return !f.draining.Load() && view != nil && view.Table != nil
 }
 
-// Drain makes the front unready; answers tell callers to close their
+// Drain makes the front unready. Responses from now on ask callers to close their
 // connections.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// AwaitRested waits until no caller may send on a connection that it had open
-// before the drain began, or the end of ctx.
+// AwaitRested blocks until no caller may still send on a connection opened before Drain,
+// or until ctx ends.
 func (f *Front) AwaitRested(ctx context.Context) { f.config.Idle.AwaitRested(ctx) }
 
-// Close makes the front refuse every further request as not run. It comes right
-// before connections are closed: a request that is read while its connection
-// closes must not be passed on, as its answer could not be given.
+// Close makes the front reject every further request as not run. Call it right before
+// closing the connections: a request read from a closing connection must not be
+// forwarded, since its response could not be delivered.
 func (f *Front) Close() { f.closing.Store(true) }
 
-// InFlight gives the requests that are being served.
+// InFlight returns the number of requests that are being served.
 func (f *Front) InFlight() int64 { return f.inFlight.Load() }
 
-// Track counts a request in until the result is called.
+// Track counts a request as in flight until the returned function is called.
 func (f *Front) Track(w http.ResponseWriter) func() {
 	f.inFlight.Add(1)
 	f.config.Idle.Announce(w.Header(), f.draining.Load())
 	return func() { f.inFlight.Add(-1) }
 }
 
-// ServeHTTP passes a request through, or takes a job.
+// ServeHTTP forwards a request to a replica, or submits it as a job.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	if f.closing.Load() {
-		f.refuse(w, r, "", "the process is stopping")
+		f.reject(w, r, "", "the process is stopping")
 		return
 	}
 	view := f.config.Watcher.View()
 	if view == nil || view.Table == nil {
-		f.refuseFor(w, r, "", "no configuration is known yet", comeBackLater)
+		f.rejectWithDelay(w, r, "", "no configuration is known yet", startupRetryDelay)
 		return
 	}
 	path, _, _ := strings.Cut(target(r), "?")
@@ -154,20 +152,20 @@
 	switch status {
 	case 0:
 	case http.StatusServiceUnavailable:
-		f.refuse(w, r, route.Name, "there is no room to hold the request's body")
+		f.reject(w, r, route.Name, "there is no room to hold the request's body")
 		return
 	default:
-		f.answerStatus(w, r, route.Name, status, "the body could not be read")
+		f.writeError(w, r, route.Name, status, "the body could not be read")
 		return
 	}
 	if route.Kind == routing.KindJobs {
 		f.submit(w, r, route, caller, body)
 		return
 	}
-	f.pass(w, r, route, caller, body, arrived)
+	f.forward(w, r, route, caller, body, arrived)
 }
 
-// target gives a request's path and query as its caller sent them. A caller may
+// target returns a request's path and query as its caller sent them. A caller may
 // send the absolute form too (RFC 9112, section 3.2.2).
 func target(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
@@ -176,11 +174,11 @@
 	return r.URL.RequestURI()
 }
 
-// denyRoute answers a request without a route: it does not exist, unless this
-// process may have missed a change.
+// denyRoute rejects a request without a route: with 404, or with 503 if the view is too
+// old to rule out that the route was added since.
 func (f *Front) denyRoute(w http.ResponseWriter, r *http.Request, view *siteview.View) {
-	if !f.config.Watcher.ConfirmedWithin(unknownAfter) {
-		f.refuse(w, r, "", "no route is known, and the configuration is not confirmed")
+	if !f.config.Watcher.ConfirmedWithin(maxViewAge) {
+		f.reject(w, r, "", "no route is known, and the configuration is not confirmed")
 		return
 	}
 	f.config.Logger.Info().Str(eventlog.Field, eventlog.RequestNoRoute).Str("id", r.Header.Get(f.headers.RequestID)).Str("host", r.Host).
@@ -188,11 +186,11 @@
 	http.Error(w, "no route", http.StatusNotFound)
 }
 
-// readBody reads the whole body; a status other than 0 is the answer instead.
+// readBody reads the complete body. A status other than 0 is the error to respond with.
 func (f *Front) readBody(r *http.Request, limits routing.Limits, holding *held.Holding) ([]byte, int) {
 	limit := limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if r.ContentLength > limit {
 		return nil, http.StatusRequestEntityTooLarge
@@ -200,9 +198,9 @@
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, 0
 	}
-	body, _, whole, err := held.Read(io.LimitReader(r.Body, limit+1), r.ContentLength, holding)
+	body, _, complete, err := held.Read(io.LimitReader(r.Body, limit+1), r.ContentLength, holding)
 	switch {
-	case !whole:
+	case !complete:
 		return nil, http.StatusServiceUnavailable
 	case err != nil:
 		return nil, http.StatusBadRequest
@@ -212,29 +210,29 @@
 	return body, 0
 }
 
-// pass carries a request to a replica and its answer back.
-func (f *Front) pass(w http.ResponseWriter, r *http.Request, route *routing.Route, caller Caller, body []byte, arrived time.Time) {
-	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(f.allowed(r, route)))
+// forward sends a request to a replica and writes the replica's response.
+func (f *Front) forward(w http.ResponseWriter, r *http.Request, route *routing.Route, caller Caller, body []byte, arrived time.Time) {
+	ctx, cancel := context.WithDeadline(r.Context(), arrived.Add(f.timeout(r, route)))
 	defer cancel()
-	request := f.request(r, route, caller, body)
+	request := f.newRequest(r, route, caller, body)
 	answer, failure := f.config.Proxy.Do(ctx, request)
 	if failure != nil {
 		if failure.Verdict != port.NotRun {
-			f.config.Usage.Note(caller.name(), failure.Began)
+			f.config.Usage.Add(caller.name(), failure.Began)
 		}
 		f.record(outcomeOf(r, failure), arrived)
-		f.fail(w, r, route, failure)
+		f.writeFailure(w, r, route, failure)
 		return
 	}
 	defer answer.Release()
-	f.config.Usage.Note(caller.name(), answer.Began)
+	f.config.Usage.Add(caller.name(), answer.Began)
 	f.record(OutcomeAnswered, arrived)
 	copyHeader(w.Header(), answer.Header)
 	switch {
 	case answer.Stream != nil && request.Stream:
 		f.stream(ctx, w, route, request, answer)
 	case answer.Stream != nil:
-		f.passUnread(w, answer)
+		f.forwardUnbuffered(w, answer)
 	default:
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 		w.WriteHeader(answer.Status)
@@ -242,10 +240,10 @@
 	}
 }
 
-// request makes what is sent to replicas.
-func (f *Front) request(r *http.Request, route *routing.Route, caller Caller, body []byte) proxy.Request {
-	header := passedHeader(r.Header)
-	f.markTenant(header, caller)
+// newRequest returns the request to send to replicas.
+func (f *Front) newRequest(r *http.Request, route *routing.Route, caller Caller, body []byte) proxy.Request {
+	header := endToEndHeader(r.Header)
+	f.setTenantHeader(header, caller)
 	return proxy.Request{
 		Request: replicacall.Request{
 			Method: r.Method, Target: target(r), Host: r.Host, ID: r.Header.Get(f.headers.RequestID),
@@ -258,17 +256,17 @@
 	}
 }
 
-// outcomeOf names a failure for the measures.
+// outcomeOf returns the outcome of a failed request for the Recorder.
 func outcomeOf(r *http.Request, failure *proxy.Failure) string {
 	switch {
 	case r.Context().Err() != nil:
-		return OutcomeLeft
+		return OutcomeCallerGone
 	case failure.Code == port.CodeWithheld:
 		return OutcomeWithheld
 	case failure.Verdict == port.NotRun:
-		return OutcomeRefused
+		return OutcomeRejected
 	case failure.Code == port.CodeDeadline:
-		return OutcomeLate
+		return OutcomeTimedOut
 	default:
 		return OutcomeFailed
 	}
@@ -280,49 +278,50 @@
 	}
 }
 
-// allowed is how long a request may take: what its caller waits, and no longer
-// than its route holds it.
-func (f *Front) allowed(r *http.Request, route *routing.Route) time.Duration {
-	allowed := route.Timeout
+// timeout returns how long a request may take: the caller's deadline, but at most the
+// timeout of its route.
+func (f *Front) timeout(r *http.Request, route *routing.Route) time.Duration {
+	timeout := route.Timeout
 	millis, err := strconv.ParseFloat(r.Header.Get(f.headers.Deadline), 64)
 	if err == nil && millis > 0 {
-		allowed = min(allowed, time.Duration(millis*float64(time.Millisecond)))
+		timeout = min(timeout, time.Duration(millis*float64(time.Millisecond)))
 	}
-	return max(time.Millisecond, allowed-deadlineMargin)
+	return max(time.Millisecond, timeout-deadlineMargin)
 }
 
-// fail gives a request its final answer.
-func (f *Front) fail(w http.ResponseWriter, r *http.Request, route *routing.Route, failure *proxy.Failure) {
+// writeFailure writes the response to a failed request.
+func (f *Front) writeFailure(w http.ResponseWriter, r *http.Request, route *routing.Route, failure *proxy.Failure) {
 	switch {
 	case r.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
 	case failure.Verdict == port.NotRun:
-		f.refuseFor(w, r, route.Name, failure.Reason, cmp.Or(failure.RetryAfter, comeBack))
+		f.rejectWithDelay(w, r, route.Name, failure.Reason, cmp.Or(failure.RetryAfter, retryDelay))
 	case failure.Code == port.CodeDeadline:
-		f.answerStatus(w, r, route.Name, http.StatusGatewayTimeout, failure.Reason)
+		f.writeError(w, r, route.Name, http.StatusGatewayTimeout, failure.Reason)
 	default:
-		f.answerStatus(w, r, route.Name, http.StatusBadGateway, failure.Reason)
+		f.writeError(w, r, route.Name, http.StatusBadGateway, failure.Reason)
 	}
 }
 
-// refuse answers a request that did not run and tells when to come back.
-func (f *Front) refuse(w http.ResponseWriter, r *http.Request, route, reason string) {
-	f.refuseFor(w, r, route, reason, comeBack)
+// reject responds to a request that did not run, with a Retry-After of retryDelay on
+// average.
+func (f *Front) reject(w http.ResponseWriter, r *http.Request, route, reason string) {
+	f.rejectWithDelay(w, r, route, reason, retryDelay)
 }
 
-func (f *Front) refuseFor(w http.ResponseWriter, r *http.Request, route, reason string, back time.Duration) {
-	w.Header().Set("Retry-After", strconv.FormatFloat(spread(back, rand.Float64()).Seconds(), 'f', 3, 64))
-	f.answerStatus(w, r, route, http.StatusServiceUnavailable, reason)
+func (f *Front) rejectWithDelay(w http.ResponseWriter, r *http.Request, route, reason string, delay time.Duration) {
+	w.Header().Set("Retry-After", strconv.FormatFloat(jitter(delay, rand.Float64()).Seconds(), 'f', 3, 64))
+	f.writeError(w, r, route, http.StatusServiceUnavailable, reason)
 }
 
-// spread varies a time to come back; draw is in [0, 1).
-func spread(back time.Duration, draw float64) time.Duration {
-	return time.Duration(float64(back) * (1 - comeBackSpread + 2*comeBackSpread*draw))
+// jitter varies a delay by up to retryJitter; draw is in [0, 1).
+func jitter(delay time.Duration, draw float64) time.Duration {
+	return time.Duration(float64(delay) * (1 - retryJitter + 2*retryJitter*draw))
 }
 
-func (f *Front) answerStatus(w http.ResponseWriter, r *http.Request, route string, status int, reason string) {
+func (f *Front) writeError(w http.ResponseWriter, r *http.Request, route string, status int, reason string) {
 	f.config.Logger.Warn().Str(eventlog.Field, eventlog.RequestFailed).Str("id", r.Header.Get(f.headers.RequestID)).Str("route", route).
-		Int("status", status).Str("reason", reason).Bool("confirmed", f.config.Watcher.ConfirmedWithin(unknownAfter)).
-		Msg("a caller got no answer of a replica")
+		Int("status", status).Str("reason", reason).Bool("confirmed", f.config.Watcher.ConfirmedWithin(maxViewAge)).
+		Msg("the front answered a request with an error")
 	http.Error(w, reason, status)
 }
--- a/internal/app/front/header.go
+++ b/internal/app/front/header.go
@@ -6,32 +6,32 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// passedHeader copies a header without what concerns one connection.
-func passedHeader(header http.Header) http.Header {
-	passed := header.Clone()
+// endToEndHeader returns a copy of a header without its hop-by-hop fields.
+func endToEndHeader(header http.Header) http.Header {
+	forwarded := header.Clone()
 	for _, names := range header["Connection"] {
 		for name := range strings.SplitSeq(names, ",") {
-			passed.Del(textproto.TrimString(name))
+			forwarded.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		delete(passed, name)
+	for _, name := range hopByHopHeaders {
+		delete(forwarded, name)
 	}
-	return passed
+	return forwarded
 }
 
-// copyHeader adds an answer's header to that of the caller's answer.
+// copyHeader adds the end-to-end fields of a replica's response to the caller's response.
 func copyHeader(to, from http.Header) {
-	for name, values := range passedHeader(from) {
+	for name, values := range endToEndHeader(from) {
 		to[name] = values
 	}
 	if _, typed := from["Content-Type"]; !typed {
-		to["Content-Type"] = nil // net/http would guess one
+		to["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
--- a/internal/app/front/jobs.go
+++ b/internal/app/front/jobs.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	// submitTimeout bounds the acceptance of a job, readTimeout the other calls.
+	// submitTimeout limits the calls that change a job, readTimeout the other calls.
 	submitTimeout = 2500 * time.Millisecond
 	readTimeout   = 1200 * time.Millisecond
-	// maxWait bounds how long a read may wait for a result.
+	// maxWait limits how long a read may wait for a result.
 	maxWait = time.Second
-	// maxPageBytes bounds the texts of one page.
+	// maxPageBytes limits the texts of one page.
 	maxPageBytes = 700 << 10
 )
 
-// submit takes a job. It is answered 202 once its shard's group keeps it. An
-// outcome that is not known is answered 504: 503 would promise that nothing of
-// it ever runs.
+// submit accepts a job. It responds with 202 once the group of the job's shard has stored
+// the job, and with 504 if the outcome is unknown: 503 would promise that no part of the
+// job runs.
 func (f *Front) submit(w http.ResponseWriter, r *http.Request, route *routing.Route, caller Caller, body []byte) {
 	if r.Method != http.MethodPost {
-		f.answerStatus(w, r, route.Name, http.StatusMethodNotAllowed, "jobs are handed in by POST")
+		f.writeError(w, r, route.Name, http.StatusMethodNotAllowed, "jobs are handed in by POST")
 		return
 	}
 	submission, err := f.config.Dialect.DecodeJob(body)
 	if err != nil {
-		f.answerStatus(w, r, route.Name, http.StatusBadRequest, err.Error())
+		f.writeError(w, r, route.Name, http.StatusBadRequest, err.Error())
 		return
 	}
 	submission.ID = r.Header.Get(f.headers.RequestID)
 	submission.Host, submission.OneVersion, submission.Tenant = r.Host, route.OneVersion, caller.name()
 	submission.Path, _, _ = strings.Cut(target(r), "?")
 	if submission.ID == "" {
-		f.answerStatus(w, r, route.Name, http.StatusBadRequest, "a job needs an id: header "+f.headers.RequestID)
+		f.writeError(w, r, route.Name, http.StatusBadRequest, "a job needs an id: header "+f.headers.RequestID)
 		return
 	}
-	// The acceptance goes on although the client leaves: it may be under way.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), min(submitTimeout, f.allowed(r, route)))
+	// A submission in flight continues after the client disconnects: it may be stored.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), min(submitTimeout, f.timeout(r, route)))
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	accepted, err := f.config.Jobs.Submit(ctx, &submission, routing.AllowedRegionsOf(route, caller.tenant))
 	if err != nil {
 		f.jobFailed(w, r, route.Name, err)
@@ -54,7 +54,7 @@
 	}
 	f.config.Logger.Info().Str(eventlog.Field, eventlog.JobAccepted).Str("id", submission.ID).Str("route", route.Name).Str("model", submission.Model).
 		Int("items", len(submission.Items)).Uint64("step", submission.Step).Uint64("min_version", submission.MinVersion).
-		Bool("before", accepted == jobstate.AlreadyAccepted).Dur("took", time.Since(began)).Msg("a job is kept")
+		Bool("before", accepted == jobstate.AlreadyAccepted).Dur("took", time.Since(startedAt)).Msg("job accepted")
 	w.WriteHeader(http.StatusAccepted)
 }
 
@@ -62,17 +62,17 @@
 	failure := port.AsError(err)
 	switch {
 	case failure.Code == port.CodeInvalid || failure.Code == port.CodeTooLarge:
-		f.answerStatus(w, r, route, http.StatusBadRequest, failure.Message)
+		f.writeError(w, r, route, http.StatusBadRequest, failure.Message)
 	case failure.Verdict == port.NotRun:
-		f.refuse(w, r, route, failure.Message)
+		f.reject(w, r, route, failure.Message)
 	default:
-		f.answerStatus(w, r, route, http.StatusGatewayTimeout, failure.Message)
+		f.writeError(w, r, route, http.StatusGatewayTimeout, failure.Message)
 	}
 }
 
-// ReadJob gives results of a job from a position on, waiting a moment for one
-// to exist. Found is false if there is no such job. An error says that this
-// process cannot be sure.
+// ReadJob returns results of a job from a position on, and waits up to wait for the first
+// of them. Found is false if the job does not exist. An error means that the state of the
+// job could not be read.
 func (f *Front) ReadJob(ctx context.Context, caller Caller, job string, from int, wait time.Duration) (page jobstate.Page, found bool, err error) {
 	wait = min(max(0, wait), maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
@@ -82,23 +82,23 @@
 	})
 }
 
-// ItemBody gives the body of a job's item.
+// ItemBody returns the body of a job's item.
 func (f *Front) ItemBody(ctx context.Context, caller Caller, job, item string) (body []byte, found bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return f.config.Jobs.Body(ctx, jobsapi.BodyRequest{Job: job, Item: item, Access: caller.access()})
 }
 
-// EndJob ends a job: nothing of it runs any more.
+// EndJob ends a job. No further items of it run.
 func (f *Front) EndJob(ctx context.Context, caller Caller, job string) (found bool, err error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitTimeout)
 	defer cancel()
 	found, err = f.config.Jobs.End(ctx, jobsapi.EndRequest{Job: job, Access: caller.access()})
-	f.config.Logger.Info().Str(eventlog.Field, eventlog.JobEnded).Str("id", job).Bool("known", found).Err(err).Msg("a job was ended")
+	f.config.Logger.Info().Str(eventlog.Field, eventlog.JobEnded).Str("id", job).Bool("known", found).Err(err).Msg("job ended")
 	return found, err
 }
 
-// Refuse answers 503 with a time to come back.
+// Refuse rejects a request with 503 and a Retry-After.
 func (f *Front) Refuse(w http.ResponseWriter, r *http.Request, reason string) {
-	f.refuse(w, r, "", reason)
+	f.reject(w, r, "", reason)
 }
--- a/internal/app/front/slowreader.go
+++ b/internal/app/front/slowreader.go
@@ -10,54 +10,55 @@
 )
 
 const (
-	// unreadTimeout is how long a caller may take nothing of what is written to it. It is
-	// beyond the longest deadline of callers seen, 12 s: what is ready is delivered late too.
-	unreadTimeout = 15 * time.Second
-	// writeStep is how much is written under one such time, in bytes. What is no longer fits
-	// the buffers of a connection, and is written without one.
-	writeStep = 16 << 10
+	// writeTimeout is how long a caller may accept no data. It exceeds callers' longest
+	// deadlines, so that late responses are delivered too.
+	writeTimeout = 15 * time.Second
+	// writeChunkBytes is written under one writeTimeout. A shorter body fits the buffers of
+	// a connection and is written without a timeout.
+	writeChunkBytes = 16 << 10
 )
 
-// write writes an answer. A caller that takes nothing of it for long is cut off: what is held
-// for it counts as this process's memory.
+// write writes a body. It cuts off a caller that stops reading, since the body uses memory
+// of this process meanwhile.
 func (f *Front) write(w http.ResponseWriter, body []byte) {
-	if len(body) <= writeStep {
+	if len(body) <= writeChunkBytes {
 		_, _ = w.Write(body)
 		return
 	}
 	control := http.NewResponseController(w)
 	defer func() { _ = control.SetWriteDeadline(time.Time{}) }()
 	for len(body) > 0 {
-		step := min(len(body), writeStep)
-		_ = control.SetWriteDeadline(time.Now().Add(unreadTimeout))
-		if _, err := w.Write(body[:step]); err != nil {
+		chunk := min(len(body), writeChunkBytes)
+		_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := w.Write(body[:chunk]); err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		body = body[step:]
+		body = body[chunk:]
 	}
 }
 
-// passUnread hands on an answer that there was no room to hold, as its caller takes it. One
-// that breaks off breaks the caller's connection, so that it does not look whole.
-func (f *Front) passUnread(w http.ResponseWriter, answer *proxy.Answer) {
+// forwardUnbuffered streams an answer that exceeds the memory budget to the caller. If the
+// replica's connection breaks, it aborts the caller's, so that the response does not look
+// complete.
+func (f *Front) forwardUnbuffered(w http.ResponseWriter, answer *proxy.Answer) {
 	if size := answer.Stream.ContentLength; size >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 	}
 	f.config.Logger.Warn().Str(eventlog.Field, eventlog.AnswerNotHeld).Str("replica", answer.Replica.ID).
-		Int64("held", f.config.Held.Held()).Msg("an answer is passed on as its caller reads it: there is no room to hold it")
+		Int64("held", f.config.Held.Held()).Msg("memory budget exhausted: forwarding an answer without buffering it")
 	w.WriteHeader(answer.Status)
-	if err := passBytes(w, answer.Stream); err != nil {
+	if err := copyStream(w, answer.Stream); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Answer writes an answer of the front's own, or refuses if there is no room to hold it until
-// its caller has read it.
+// Answer writes a response made by the front itself, or rejects the request if the response
+// exceeds the memory budget.
 func (f *Front) Answer(w http.ResponseWriter, r *http.Request, contentType string, body []byte) {
 	holding := f.config.Held.Open()
 	defer holding.Close()
 	if !holding.Take(int64(len(body))) {
-		f.refuse(w, r, "", "there is no room to hold the answer")
+		f.reject(w, r, "", "there is no room to hold the answer")
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
--- a/internal/app/front/stream.go
+++ b/internal/app/front/stream.go
@@ -13,32 +13,32 @@
 	"github.com/loomgrade/loomgrade/internal/core/routing"
 )
 
-const streamBuffer = 16 << 10
+const streamBufferBytes = 16 << 10
 
-// stream hands a streamed answer on as it comes. One that breaks off goes on at
-// another replica if its route allows it, under the head of the first; else it
-// breaks the caller's connection, so that it does not look whole.
+// stream forwards a streamed answer. If it breaks off and the route allows it, the stream
+// resumes at another replica, under the header of the first; otherwise stream aborts the
+// caller's connection, so that the response does not look complete.
 func (f *Front) stream(ctx context.Context, w http.ResponseWriter, route *routing.Route, request proxy.Request, answer *proxy.Answer) {
 	w.WriteHeader(answer.Status)
 	if !route.Resumable {
-		if err := passBytes(w, answer.Stream); err != nil {
+		if err := copyStream(w, answer.Stream); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		return
 	}
-	passed := eventPasser{out: w, control: http.NewResponseController(w), lastEvent: request.Header.Get(f.headers.LastEvent)}
+	events := eventCopier{out: w, control: http.NewResponseController(w), lastEvent: request.Header.Get(f.headers.LastEvent)}
 	for attempt := 1; ; attempt++ {
-		err := passed.pass(answer.Stream)
+		err := events.copyEvents(answer.Stream)
 		if err == nil {
 			return
 		}
-		if errors.Is(err, errCallerLeft) || attempt >= max(1, route.MaxAttempts) || ctx.Err() != nil {
+		if errors.Is(err, errCallerGone) || attempt >= max(1, route.MaxAttempts) || ctx.Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
 		f.config.Logger.Info().Str(eventlog.Field, eventlog.StreamResumed).Str("id", request.ID).Str("route", route.Name).
-			Str("replica", answer.Replica.ID).Str("after_event", passed.lastEvent).Err(err).Msg("a stream broke off and goes on at another replica")
-		if passed.lastEvent != "" {
-			request.Header.Set(f.headers.LastEvent, passed.lastEvent)
+			Str("replica", answer.Replica.ID).Str("after_event", events.lastEvent).Err(err).Msg("stream broke off; resuming at another replica")
+		if events.lastEvent != "" {
+			request.Header.Set(f.headers.LastEvent, events.lastEvent)
 		}
 		next, failure := f.config.Proxy.Do(ctx, request)
 		if failure != nil || next.Stream == nil {
@@ -48,16 +48,16 @@
 	}
 }
 
-// passBytes copies a stream as it comes.
-func passBytes(w http.ResponseWriter, stream *http.Response) error {
+// copyStream copies a stream and flushes after each read.
+func copyStream(w http.ResponseWriter, stream *http.Response) error {
 	defer func() { _ = stream.Body.Close() }()
 	control := http.NewResponseController(w)
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	for {
 		count, err := stream.Body.Read(buffer)
 		if count > 0 {
-			if _, failed := w.Write(buffer[:count]); failed != nil {
-				return errCallerLeft
+			if _, writeErr := w.Write(buffer[:count]); writeErr != nil {
+				return errCallerGone
 			}
 			_ = control.Flush()
 		}
@@ -70,22 +70,22 @@
 	}
 }
 
-// errCallerLeft reports that the caller takes no more.
-var errCallerLeft = errors.New("front: the caller left")
+// errCallerGone reports that the caller accepts no more data.
+var errCallerGone = errors.New("front: caller disconnected")
 
-// eventPasser copies whole events, so that a stream can be joined after any.
-type eventPasser struct {
+// eventCopier copies complete events, so that a stream can resume after any of them.
+type eventCopier struct {
 	out     io.Writer
 	control *http.ResponseController
-	// lastEvent is the id of the last event that was passed.
+	// lastEvent is the id of the last event that was copied.
 	lastEvent string
 }
 
-// pass copies a run's events. What was begun of an event when the run broke off
-// is left out.
-func (p *eventPasser) pass(stream *http.Response) error {
+// copyEvents copies the events of one replica's stream. It drops an incomplete event at the
+// end of a broken stream.
+func (p *eventCopier) copyEvents(stream *http.Response) error {
 	defer func() { _ = stream.Body.Close() }()
-	reader := bufio.NewReaderSize(stream.Body, streamBuffer)
+	reader := bufio.NewReaderSize(stream.Body, streamBufferBytes)
 	var event bytes.Buffer
 	id := ""
 	for {
@@ -105,7 +105,7 @@
 			continue
 		}
 		if _, err := p.out.Write(event.Bytes()); err != nil {
-			return errCallerLeft
+			return errCallerGone
 		}
 		_ = p.control.Flush()
 		event.Reset()
--- a/internal/app/front/usage.go
+++ b/internal/app/front/usage.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// usageTimeout bounds one report to the control group, and usageRetry is the pause
-	// after one that was not kept.
+	// usageTimeout limits one report to the control group; usageRetry is the pause after a
+	// report that failed.
 	usageTimeout = 1500 * time.Millisecond
 	usageRetry   = 150 * time.Millisecond
 )
 
-// UsageReporter hands the counts of tenants' requests on to the control group: the first
-// ones at once, so that little is lost with the process, and those that come meanwhile
-// together. It is safe for concurrent use; Run has to run.
+// UsageReporter reports the request counts of tenants to the control group. It reports the
+// first requests immediately, so that a crash loses few of them, and later ones in batches.
+// It is safe for concurrent use. Run must be running.
 type UsageReporter struct {
-	// send hands a report on. It gives the pause until the next one once the report is
-	// kept.
+	// send reports to the control group. It returns the pause before the next report once
+	// the report is stored.
 	send   func(ctx context.Context, report usage.Report) (pause time.Duration, err error)
 	clock  boottime.Clock
 	logger *log.Logger
@@ -34,15 +34,14 @@
 	outbox *usage.Outbox
 }
 
-// NewUsageReporter makes a UsageReporter; reporter names this start of the process. The clock
-// is that of the process's Proxy.
+// NewUsageReporter returns a UsageReporter. The name reporter identifies this start of the
+// process. The clock must be that of the process's Proxy.
 func NewUsageReporter(reporter string, send func(context.Context, usage.Report) (time.Duration, error), clock boottime.Clock, logger *log.Logger) *UsageReporter {
 	return &UsageReporter{send: send, clock: clock.OrSystem(), logger: logger, wake: make(chan struct{}, 1), outbox: usage.NewOutbox(reporter)}
 }
 
-// Note counts a request that began to run. It does not wait. A nil UsageReporter counts
-// nothing.
-func (u *UsageReporter) Note(tenant string, at time.Duration) {
+// Add counts a started request without blocking. A nil UsageReporter counts nothing.
+func (u *UsageReporter) Add(tenant string, at time.Duration) {
 	if u == nil || tenant == "" {
 		return
 	}
@@ -55,7 +54,7 @@
 	}
 }
 
-// Run hands on what is counted until the context ends.
+// Run reports counted requests until ctx ends.
 func (u *UsageReporter) Run(ctx context.Context) error {
 	for {
 		select {
@@ -69,13 +68,13 @@
 	}
 }
 
-// flush hands on all that is counted.
+// flush reports until no counted requests are pending.
 func (u *UsageReporter) flush(ctx context.Context) error {
 	for {
 		u.mutex.Lock()
-		report, any := u.outbox.Next(u.clock())
+		report, found := u.outbox.Next(u.clock())
 		u.mutex.Unlock()
-		if !any {
+		if !found {
 			return nil
 		}
 		pause := u.sendOnce(ctx, report)
@@ -87,14 +86,14 @@
 	}
 }
 
-// sendOnce hands a report on and gives the pause until the next try.
+// sendOnce sends a report and returns the pause before the next one.
 func (u *UsageReporter) sendOnce(ctx context.Context, report usage.Report) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 	defer cancel()
 	pause, err := u.send(ctx, report)
 	if err != nil {
 		u.logger.Warn().Str(eventlog.Field, eventlog.UsageNotKept).Uint64("sequence", report.Sequence).Int("requests", len(report.Requests)).
-			Err(err).Msg("counts of tenants' requests are not kept yet")
+			Err(err).Msg("usage report not stored; retrying")
 		return usageRetry
 	}
 	u.mutex.Lock()
@@ -103,15 +102,15 @@
 	return pause
 }
 
-// Drain waits until all that is counted is kept, or the end of ctx: a process that stops
-// takes what it holds with it.
+// Drain blocks until every counted request is reported, or until ctx ends. Counts that are
+// still pending when the process exits are lost.
 func (u *UsageReporter) Drain(ctx context.Context) {
 	if u == nil {
 		return
 	}
 	ticker := time.NewTicker(usageRetry / 2)
 	defer ticker.Stop()
-	for u.holds() {
+	for u.pending() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -120,7 +119,7 @@
 	}
 }
 
-func (u *UsageReporter) holds() bool {
+func (u *UsageReporter) pending() bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return !u.outbox.Empty()
--- a/internal/app/front/usage_test.go
+++ b/internal/app/front/usage_test.go
@@ -15,15 +15,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/usage"
 )
 
-// keeper is a control group that fails so many calls: of these it keeps the odd ones, whose
-// answers are lost.
-type keeper struct {
+// unreliableGroup is a control group that fails its first calls. Of these it stores every
+// second report, whose response is lost.
+type unreliableGroup struct {
 	mutex    sync.Mutex
 	failures int
 	ledger   usage.Ledger
 }
 
-func (k *keeper) send(_ context.Context, report usage.Report) (time.Duration, error) {
+func (k *unreliableGroup) send(_ context.Context, report usage.Report) (time.Duration, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.failures--
@@ -36,23 +36,24 @@
 	return 0, nil
 }
 
-// TestCountsAreHandedOnOnce: whatever calls fail, and also at a stop.
+// TestCountsAreHandedOnOnce checks that failed calls and a stop neither lose nor repeat
+// counts.
 func TestCountsAreHandedOnOnce(t *testing.T) {
 	for _, failures := range []int{0, 1, 2, 3} {
-		control := &keeper{failures: failures}
+		control := &unreliableGroup{failures: failures}
 		reporter := NewUsageReporter("front", control.send, nil, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
-		go func() { ended <- reporter.Run(ctx) }()
+		stopped := make(chan error, 1)
+		go func() { stopped <- reporter.Run(ctx) }()
 		for range 5 {
-			reporter.Note("ada", boottime.Now())
-			reporter.Note("", boottime.Now())
+			reporter.Add("ada", boottime.Now())
+			reporter.Add("", boottime.Now())
 		}
-		stopping, stop := context.WithTimeout(context.Background(), 10*time.Second)
-		reporter.Drain(stopping)
-		stop()
+		draining, stopDraining := context.WithTimeout(context.Background(), 10*time.Second)
+		reporter.Drain(draining)
+		stopDraining()
 		cancel()
-		<-ended
+		<-stopped
 		counted := uint64(0)
 		for _, tenants := range control.ledger.Open {
 			counted += tenants["ada"] + tenants[""]
@@ -63,30 +64,31 @@
 	}
 }
 
-// TestNobodyCountsWithoutAReporter: sites that report no usage have none.
+// TestNobodyCountsWithoutAReporter checks that a nil reporter, as in sites that report no
+// usage, does nothing.
 func TestNobodyCountsWithoutAReporter(t *testing.T) {
 	var reporter *UsageReporter
-	reporter.Note("ada", boottime.Now())
+	reporter.Add("ada", boottime.Now())
 	reporter.Drain(context.Background())
 }
 
-// TestAgesOfRequestsCountSuspension: a request began ten seconds before its report is made,
-// which the front's machine spent suspended.
+// TestAgesOfRequestsCountSuspension checks that the age of a request includes ten seconds
+// during which the machine was suspended.
 func TestAgesOfRequestsCountSuspension(t *testing.T) {
-	var slept atomic.Int64
-	clock := func() time.Duration { return boottime.Now() + time.Duration(slept.Load()) }
+	var suspended atomic.Int64
+	clock := func() time.Duration { return boottime.Now() + time.Duration(suspended.Load()) }
 	reports := make(chan usage.Report, 1)
 	send := func(_ context.Context, report usage.Report) (time.Duration, error) {
 		reports <- report
 		return 0, nil
 	}
 	reporter := NewUsageReporter("front", send, clock, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
-	reporter.Note("ada", clock())
-	slept.Store(int64(10 * time.Second))
+	reporter.Add("ada", clock())
+	suspended.Store(int64(10 * time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = reporter.Run(ctx) }()
 	if report := <-reports; len(report.Requests) != 1 || report.Requests[0].Age < 10*time.Second {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v", report)
 	}
 }
