--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -218,14 +218,14 @@
 	answer, failure := f.config.Proxy.Do(ctx, request)
 	if failure != nil {
 		if failure.Verdict != port.NotRun {
-			f.config.Usage.Add(caller.name(), failure.Began)
+			f.config.Usage.Add(caller.name(), failure.ArrivedAt)
 		}
 		f.record(outcomeOf(r, failure), arrived)
 		f.writeFailure(w, r, route, failure)
 		return
 	}
 	defer answer.Release()
-	f.config.Usage.Add(caller.name(), answer.Began)
+	f.config.Usage.Add(caller.name(), answer.SentAt)
 	f.record(OutcomeAnswered, arrived)
 	copyHeader(w.Header(), answer.Header)
 	switch {
--- a/internal/app/proxy/candidates.go
+++ b/internal/app/proxy/candidates.go
@@ -9,53 +9,54 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// candidates are the replicas that a request may be sent to now.
+// candidates lists the replicas that may be sent a request now.
 type candidates struct {
 	replicas []*sitestate.Replica
-	// coldLeft is when the first of those left out as cold may be warm, 0 if none was.
-	coldLeft time.Duration
+	// coldRemaining is how long the first of the excluded cold replicas stays cold, 0 if
+	// none was excluded.
+	coldRemaining time.Duration
 }
 
-// candidates lists the replicas that may be sent a request now. Those outside its homes are
-// left out, and cold ones beyond this process's share of them.
+// candidates returns the replicas that may be sent a request now: those in its allowed
+// regions, without the cold ones beyond this process's share.
 func (p *Proxy) candidates(request *Request, now time.Time) candidates {
 	view := p.view()
 	if view == nil {
 		return candidates{}
 	}
 	service := request.Service
-	all := within(view, view.ByService[service], request.Homes)
+	all := inRegions(view, view.ByService[service], request.Homes)
 	limits := p.coldLimits(view, service)
 	if !limits.Bounded() {
 		return candidates{replicas: all}
 	}
 	share := limits.ShareOf(int(view.Senders))
-	open := candidates{replicas: make([]*sitestate.Replica, 0, len(all))}
+	eligible := candidates{replicas: make([]*sitestate.Replica, 0, len(all))}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, replica := range all {
 		left := view.ColdLeft(replica.ID, now)
 		if left == 0 || (share.Has(p.sender, replica.ID) && p.window(replica.ID).Remaining(share.PerSpan, now) > 0) {
-			open.replicas = append(open.replicas, replica)
-		} else if open.coldLeft == 0 || left < open.coldLeft {
-			open.coldLeft = left
+			eligible.replicas = append(eligible.replicas, replica)
+		} else if eligible.coldRemaining == 0 || left < eligible.coldRemaining {
+			eligible.coldRemaining = left
 		}
 	}
-	return open
+	return eligible
 }
 
-// within lists the replicas that stand in homes.
-func within(view *siteview.View, replicas sitestate.ReplicaList, homes routing.AllowedRegions) []*sitestate.Replica {
-	home := make([]*sitestate.Replica, 0, replicas.Len())
+// inRegions returns the replicas in the allowed regions.
+func inRegions(view *siteview.View, replicas sitestate.ReplicaList, regions routing.AllowedRegions) []*sitestate.Replica {
+	allowed := make([]*sitestate.Replica, 0, replicas.Len())
 	for replica := range replicas.All() {
-		if homes.Allows(view.RegionOf(replica.Zone)) {
-			home = append(home, replica)
+		if regions.Allows(view.RegionOf(replica.Zone)) {
+			allowed = append(allowed, replica)
 		}
 	}
-	return home
+	return allowed
 }
 
-// coldLimits gives what cold replicas of a service bear.
+// coldLimits returns the request limits of a service's cold replicas.
 func (p *Proxy) coldLimits(view *siteview.View, service string) coldlimit.Limits {
 	limits := p.cold
 	limits.Rate = 0
@@ -68,7 +69,7 @@
 	return limits
 }
 
-// window gives what was sent to a replica lately, under the lock.
+// window returns the window of recent sends to a replica. The mutex must be held.
 func (p *Proxy) window(id string) *coldlimit.Window {
 	window := p.windows[id]
 	if window == nil {
@@ -78,8 +79,8 @@
 	return window
 }
 
-// noteSent counts a request against what a cold replica bears, under the lock.
-func (p *Proxy) noteSent(service, id string, now time.Time) {
+// recordSent counts a request against the limit of a cold replica. The mutex must be held.
+func (p *Proxy) recordSent(service, id string, now time.Time) {
 	view := p.view()
 	if view != nil && p.coldLimits(view, service).Bounded() {
 		p.window(id).Record(now)
--- a/internal/app/proxy/candidates_test.go
+++ b/internal/app/proxy/candidates_test.go
@@ -18,40 +18,41 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// coldView has replicas of service "s", of which the named ones are cold for 3 s.
+// coldView returns a view with replicas of service "s", of which the given ones are cold
+// for 3 s.
 func coldView(senders uint32, replicas int, cold ...int) *siteview.View {
-	held := &sitestate.View{Senders: senders, ByService: map[string]sitestate.ReplicaList{}}
-	view := siteview.NewView(held, routing.NewTable(&routing.Document{Services: []routing.Service{{Name: "s", Warmup: 3 * time.Second, WarmupRate: 16}}}))
+	state := &sitestate.View{Senders: senders, ByService: map[string]sitestate.ReplicaList{}}
+	view := siteview.NewView(state, routing.NewTable(&routing.Document{Services: []routing.Service{{Name: "s", Warmup: 3 * time.Second, WarmupRate: 16}}}))
 	var listed []sitestate.Replica
 	for i := range replicas {
 		listed = append(listed, sitestate.Replica{ID: fmt.Sprint("i-", i), Address: "127.0.0.1:1"})
 	}
-	held.ByService["s"] = sitestate.ListOf(listed...)
-	var told []sitestate.Replica
+	state.ByService["s"] = sitestate.ListOf(listed...)
+	var coldReplicas []sitestate.Replica
 	for _, i := range cold {
-		told = append(told, sitestate.Replica{ID: fmt.Sprint("i-", i), ColdMillis: 3000})
+		coldReplicas = append(coldReplicas, sitestate.Replica{ID: fmt.Sprint("i-", i), ColdMillis: 3000})
 	}
-	return view.WithCold([]sitestate.Update{{Replicas: told}}, time.Now())
+	return view.WithCold([]sitestate.Update{{Replicas: coldReplicas}}, time.Now())
 }
 
-func coldSender(name string, view *siteview.View) *Proxy {
+func newColdProxy(name string, view *siteview.View) *Proxy {
 	return New(Config{
-		Dialect: terms{}, Connections: 1, View: func() *siteview.View { return view }, Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
+		Dialect: testDialect{}, Connections: 1, View: func() *siteview.View { return view }, Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
 		Sender: name, Cold: coldlimit.Limits{Overshoot: 1.5, Slack: 5},
 	})
 }
 
-// TestColdReplicasAreLeftToThoseWhoHaveAShare: the others send to warm ones, and refuse at
-// once, with the time to come back, if there are none.
+// TestColdReplicasAreLeftToThoseWhoHaveAShare checks that senders without a share of a cold
+// replica use warm ones, and fail immediately with a Retry-After if there are none.
 func TestColdReplicasAreLeftToThoseWhoHaveAShare(t *testing.T) {
 	const senders = 800
 	sent := 0
 	for i := range senders {
-		sender := coldSender(fmt.Sprint("front-", i), coldView(senders, 2, 0))
+		sender := newColdProxy(fmt.Sprint("front-", i), coldView(senders, 2, 0))
 		for range 20 {
 			replica, found := sender.pick(&Request{Service: "s"}, map[string]bool{})
 			if !found {
-				t.Fatal("the warm replica is not sent to")
+				t.Fatal("pick found no replica although one is warm")
 			}
 			if replica.ID == "i-0" {
 				sent++
@@ -59,20 +60,21 @@
 		}
 	}
 	if sent > 29 {
-		t.Errorf("%d requests to a cold replica from %d fronts at once", sent, senders)
+		t.Errorf("%d requests to a cold replica from %d senders", sent, senders)
 	}
-	lone := coldSender("front-unlucky", coldView(1_000_000, 1, 0))
+	lone := newColdProxy("front-unlucky", coldView(1_000_000, 1, 0))
 	_, failure := lone.Do(context.Background(), Request{
 		Request: replicacall.Request{Method: http.MethodPost, Target: "/x", Host: "h", ID: "1"}, Service: "s",
 	})
 	if failure == nil || failure.Verdict != port.NotRun || failure.RetryAfter <= 2*time.Second || failure.RetryAfter > 3*time.Second {
-		t.Errorf("refused with %+v", failure)
+		t.Errorf("failure %+v", failure)
 	}
 }
 
-// TestAShareIsUsedUpAndComesBack: tries that are sent again count too.
+// TestAShareIsUsedUpAndComesBack checks that each pick uses up the share, which refills after
+// a span.
 func TestAShareIsUsedUpAndComesBack(t *testing.T) {
-	sender := coldSender("front", coldView(1, 1, 0))
+	sender := newColdProxy("front", coldView(1, 1, 0))
 	count := 0
 	for {
 		if _, found := sender.pick(&Request{Service: "s"}, map[string]bool{}); !found {
@@ -81,17 +83,17 @@
 		count++
 	}
 	if want := (coldlimit.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}).ShareOf(1).PerSpan; count != want {
-		t.Errorf("%d requests at once, want %d", count, want)
+		t.Errorf("%d requests in one span, want %d", count, want)
 	}
 	time.Sleep(coldlimit.Span)
 	if _, found := sender.pick(&Request{Service: "s"}, map[string]bool{}); !found {
-		t.Error("nothing is sent a span later")
+		t.Error("pick found no replica after a span")
 	}
 }
 
-// TestWarmReplicasHaveNoBound.
+// TestWarmReplicasHaveNoBound checks that requests to warm replicas are not limited.
 func TestWarmReplicasHaveNoBound(t *testing.T) {
-	sender := coldSender("front", coldView(1000, 1))
+	sender := newColdProxy("front", coldView(1000, 1))
 	for n := range 200 {
 		if _, found := sender.pick(&Request{Service: "s"}, map[string]bool{}); !found {
 			t.Fatalf("request %d found no replica", n)
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	// maxTries bounds the sends of one request, those that were refused too.
+	// maxTries limits the sends of one request, including those that replicas refused.
 	maxTries = 12
-	// refusedPause is waited once every replica has refused.
-	refusedPause = 30 * time.Millisecond
-	// refusedRounds is how often that is waited before the request is given up.
-	refusedRounds = 3
-	// maxBodyBytes bounds an answer that is read whole.
+	// allRefusedPause is the pause after every replica has refused.
+	allRefusedPause = 30 * time.Millisecond
+	// maxRefusedRounds limits these pauses; then the request fails.
+	maxRefusedRounds = 3
+	// maxBodyBytes limits an answer that is read completely.
 	maxBodyBytes = 64 << 20
 )
 
-// class says what a result means for the request.
+// class classifies the result of a try.
 type class uint8
 
 const (
-	classAnswer  class = iota // an answer to hand on
-	classError                // an answer of 5xx: the replica ran and failed
-	classRefused              // the replica did not run the request
-	classNotSent              // nothing of the request left
-	classBroken               // the request may have run
+	classAnswer     class = iota // an answer to return
+	classError                   // a 5xx answer: the replica ran the request and failed
+	classRefused                 // the replica did not run the request
+	classNotSent                 // no part of the request was sent
+	classMayHaveRun              // the request may have run
 )
 
-// result is the end of one try.
+// result is the result of one try.
 type result struct {
 	class   class
 	answer  *Answer
@@ -48,136 +48,136 @@
 	replica string
 }
 
-// exchange is one request on its way. Its goroutine is that of Do.
+// exchange is the state of one request, owned by the goroutine that called Do.
 type exchange struct {
-	proxy   *Proxy
-	request Request
-	ctx     context.Context
-	cancel  context.CancelFunc
-	began   time.Time
-	// came is when the request came and expires when its caller waits no longer, 0 for never,
-	// by the proxy's clock.
-	came, expires time.Duration
+	proxy     *Proxy
+	request   Request
+	ctx       context.Context
+	cancel    context.CancelFunc
+	startedAt time.Time
+	// arrivedAt is when the request arrived, and expiresAt when its caller's deadline ends,
+	// 0 for none, by the proxy's clock.
+	arrivedAt, expiresAt time.Duration
 
 	results chan result
-	// holding is what is held of answers, of all tries.
+	// holding accounts for the memory of the answers of all tries.
 	holding *held.Holding
 	tried   map[string]bool
-	// names are the replicas tried, in order.
-	names   []string
-	sends   int // tries begun
-	ran     int // tries that ran or may have, or still may
-	active  int
-	notSent int // tries of which nothing left
-	rounds  int
-	lastErr error
-	// broke are the replicas that ended the connection while the request was there.
-	broke []string
-	// admitted is what the guard said of the request; withheld is set once it may not be
-	// sent any more.
-	admitted guard.Admission
-	withheld bool
-	// late is set once the caller waits no longer.
-	late bool
-	// lastAnswer is the newest answer of 5xx, handed on if no try does better.
+	// triedIDs are the replicas tried, in order.
+	triedIDs   []string
+	sends      int // tries started
+	mayHaveRun int // tries that ran, may have run, or may still run
+	inFlight   int
+	notSent    int // tries of which nothing was sent
+	rounds     int
+	lastErr    error
+	// crashedReplicas closed the connection while running the request.
+	crashedReplicas []string
+	// admission is the guard's decision; withheld is set once the request must not be sent
+	// again.
+	admission guard.Admission
+	withheld  bool
+	// timedOut is set once the caller's deadline has passed.
+	timedOut bool
+	// lastAnswer is the latest 5xx answer, returned if no other try succeeds.
 	lastAnswer *Answer
 }
 
 func (e *exchange) do() (*Answer, *Failure) {
-	e.admitted = e.proxy.guard.Admit(e.ctx, e.request.identity())
-	e.withheld = e.admitted.Withheld
+	e.admission = e.proxy.guard.Admit(e.ctx, e.request.identity())
+	e.withheld = e.admission.Withheld
 	if e.withheld {
 		return e.finish()
 	}
 	switch {
 	case e.launch():
-	case e.late:
+	case e.timedOut:
 		return e.finish()
 	default:
-		return nil, e.failNone()
+		return nil, e.noReplicaFailure()
 	}
 	hedge := time.NewTimer(e.proxy.hedgeAfter(e.request))
 	defer hedge.Stop()
-	var again <-chan time.Time
+	var retryTimer <-chan time.Time
 	for {
 		select {
-		case ended := <-e.results:
-			e.active--
-			if answer, done := e.take(ended); done {
+		case res := <-e.results:
+			e.inFlight--
+			if answer, done := e.handleResult(res); done {
 				return answer, nil
 			}
-			if e.active > 0 {
+			if e.inFlight > 0 {
 				continue
 			}
-			wait, goOn := e.next(ended)
-			if !goOn {
+			wait, retry := e.nextTry(res)
+			if !retry {
 				return e.finish()
 			}
 			if wait == 0 {
 				e.launch()
-				if e.active == 0 {
+				if e.inFlight == 0 {
 					return e.finish()
 				}
 				continue
 			}
-			again = time.After(wait)
-		case <-again:
-			again = nil
+			retryTimer = time.After(wait)
+		case <-retryTimer:
+			retryTimer = nil
 			if !e.launch() {
 				return e.finish()
 			}
 		case <-hedge.C:
-			// A stream must not run at two replicas at once.
-			if e.mayTryAgain() && e.active == 1 && !e.request.Stream {
+			// A stream must not run at two replicas concurrently.
+			if e.mayTryAgain() && e.inFlight == 1 && !e.request.Stream {
 				e.launch()
 			}
 		case <-e.ctx.Done():
-			return nil, e.ended()
+			return nil, e.contextFailure()
 		}
 	}
 }
 
-// take looks at the end of a try; done is set for an answer to hand on.
-func (e *exchange) take(ended result) (answer *Answer, done bool) {
-	switch ended.class {
+// handleResult handles the result of a try. If done is true, answer is the one to return.
+func (e *exchange) handleResult(res result) (answer *Answer, done bool) {
+	switch res.class {
 	case classAnswer:
-		if ended.answer.Stream == nil {
-			e.served()
+		if res.answer.Stream == nil {
+			e.recordServed()
 		}
-		return ended.answer, true
+		return res.answer, true
 	case classError:
-		e.served()
-		e.lastAnswer = ended.answer
+		e.recordServed()
+		e.lastAnswer = res.answer
 	case classRefused, classNotSent:
-		if ended.class == classNotSent {
+		if res.class == classNotSent {
 			e.notSent++
 		}
-		e.ran--
-		e.lastErr = ended.reason
-	case classBroken:
-		e.lastErr = ended.reason
-		if httpcall.BrokenOff(ended.reason) {
-			e.blame(ended.replica)
+		e.mayHaveRun--
+		e.lastErr = res.reason
+	case classMayHaveRun:
+		e.lastErr = res.reason
+		if httpcall.BrokenOff(res.reason) {
+			e.recordCrash(res.replica)
 		}
 	}
 	return nil, false
 }
 
-// next tells whether and after what pause to try again, once no try is left.
-func (e *exchange) next(ended result) (wait time.Duration, goOn bool) {
-	if e.sends >= e.mostSends() {
+// nextTry decides, once no try is in flight, whether to retry and after what pause.
+func (e *exchange) nextTry(res result) (wait time.Duration, retry bool) {
+	if e.sends >= e.maxSends() {
 		return 0, false
 	}
-	if ended.class == classError || ended.class == classBroken {
+	if res.class == classError || res.class == classMayHaveRun {
 		return 0, e.mayTryAgain()
 	}
-	if e.ran > 0 && !e.mayTryAgain() {
+	if e.mayHaveRun > 0 && !e.mayTryAgain() {
 		return 0, false
 	}
 	if e.allTried() {
 		e.rounds++
 		clear(e.tried)
-		return refusedPause, e.rounds <= refusedRounds
+		return allRefusedPause, e.rounds <= maxRefusedRounds
 	}
 	return 0, true
 }
@@ -191,12 +191,12 @@
 	return true
 }
 
-// mayTryAgain reports whether another replica may run the request too.
+// mayTryAgain reports whether another replica may run the request as well.
 func (e *exchange) mayTryAgain() bool {
-	return e.request.Repeatable && e.ran < max(1, e.request.MaxAttempts) && e.sends < e.mostSends() && e.ctx.Err() == nil
+	return e.request.Repeatable && e.mayHaveRun < max(1, e.request.MaxAttempts) && e.sends < e.maxSends() && e.ctx.Err() == nil
 }
 
-// finish hands on the best that there is once no try is left.
+// finish returns the best result once no further try is possible.
 func (e *exchange) finish() (*Answer, *Failure) {
 	if e.lastAnswer != nil {
 		return e.lastAnswer, nil
@@ -206,9 +206,9 @@
 		reason = e.lastErr.Error()
 	}
 	switch {
-	case e.late:
+	case e.timedOut:
 		return nil, e.fail(port.CodeDeadline, "the machine was suspended for longer than the caller waits")
-	case e.ran > 0:
+	case e.mayHaveRun > 0:
 		return nil, e.fail(port.CodeBackEnd, reason)
 	case e.withheld:
 		return nil, e.fail(port.CodeWithheld, "replicas have ended under this request")
@@ -217,8 +217,8 @@
 	}
 }
 
-// ended is the failure of a request whose context ended.
-func (e *exchange) ended() *Failure {
+// contextFailure returns the failure of a request whose context ended.
+func (e *exchange) contextFailure() *Failure {
 	if errors.Is(context.Cause(e.ctx), context.DeadlineExceeded) {
 		return e.fail(port.CodeDeadline, "no answer in time")
 	}
@@ -227,42 +227,44 @@
 
 func (e *exchange) fail(code port.Code, reason string) *Failure {
 	verdict := port.NotRun
-	if e.ran > 0 {
+	if e.mayHaveRun > 0 {
 		verdict = port.MayHaveRun
 	}
-	return &Failure{Verdict: verdict, Code: code, Reason: reason, Began: e.came, RetryAfter: e.admitted.RetryAfter}
+	return &Failure{Verdict: verdict, Code: code, Reason: reason, ArrivedAt: e.arrivedAt, RetryAfter: e.admission.RetryAfter}
 }
 
-// failNone is the failure of a request for which there is no replica.
-func (e *exchange) failNone() *Failure {
-	reason, retryAfter := e.proxy.whyNone(&e.request)
+// noReplicaFailure returns the failure of a request for which there is no replica.
+func (e *exchange) noReplicaFailure() *Failure {
+	reason, retryAfter := e.proxy.noReplicaReason(&e.request)
 	failure := e.fail(port.CodeNoBackEnd, reason)
 	failure.RetryAfter = cmp.Or(failure.RetryAfter, retryAfter)
 	return failure
 }
 
-// expired reports whether the caller waits no longer. The timer of the context stands still
-// while the machine is suspended: it is set to what is left, so that replicas are told that.
+// expired reports whether the caller's deadline has passed. The context's timer does not
+// count suspended time: after a suspension, expired shortens the context to the time that
+// remains, so that replicas receive the right deadline.
 func (e *exchange) expired() bool {
-	if e.expires == 0 {
+	if e.expiresAt == 0 {
 		return false
 	}
-	left := e.expires - e.proxy.clock()
+	left := e.expiresAt - e.proxy.clock()
 	if deadline, _ := e.ctx.Deadline(); left > 0 && time.Until(deadline)-left > boottime.LeastSuspension {
 		ctx, cancel := context.WithTimeout(e.ctx, left)
-		whole := e.cancel
-		e.ctx, e.cancel = ctx, func() { cancel(); whole() }
+		cancelParent := e.cancel
+		e.ctx, e.cancel = ctx, func() { cancel(); cancelParent() }
 	}
 	return left <= 0
 }
 
-// launch begins a try; it reports false if there is no replica to try, or no time.
+// launch starts a try. It returns false if there is no replica to try, the caller's deadline
+// has passed, or the request is withheld.
 func (e *exchange) launch() bool {
 	if e.expired() {
-		e.late = true
+		e.timedOut = true
 		return false
 	}
-	if e.mustStop() {
+	if e.mustWithhold() {
 		e.withheld = true
 		return false
 	}
@@ -271,37 +273,37 @@
 		return false
 	}
 	e.tried[replica.ID] = true
-	e.names = append(e.names, replica.ID)
+	e.triedIDs = append(e.triedIDs, replica.ID)
 	e.sends++
-	e.ran++
-	e.active++
+	e.mayHaveRun++
+	e.inFlight++
 	go e.try(replica)
 	return true
 }
 
 // try sends the request once.
 func (e *exchange) try(replica sitestate.Replica) {
-	began, sentAt := time.Now(), e.proxy.clock()
+	startedAt, sentAt := time.Now(), e.proxy.clock()
 	sent := e.request.Request
 	sent.Header = sent.Header.Clone()
-	ended := e.send(replica, sent)
-	ended.replica = replica.ID
-	if ended.answer != nil {
-		ended.answer.Began = sentAt
+	res := e.send(replica, sent)
+	res.replica = replica.ID
+	if res.answer != nil {
+		res.answer.SentAt = sentAt
 	}
-	if ended.class == classAnswer || ended.class == classError {
-		e.proxy.guard.Answered(replica.ID, began)
+	if res.class == classAnswer || res.class == classError {
+		e.proxy.guard.Answered(replica.ID, startedAt)
 	}
-	e.proxy.end(e.request.Service, replica.ID, e.judge(ended), time.Since(began))
-	e.results <- ended
+	e.proxy.finishTry(e.request.Service, replica.ID, e.balancerResult(res), time.Since(startedAt))
+	e.results <- res
 }
 
-// judge says what the end of a try means for the replica.
-func (e *exchange) judge(ended result) balance.Result {
+// balancerResult converts the result of a try for the balancer.
+func (e *exchange) balancerResult(res result) balance.Result {
 	switch {
-	case ended.class == classAnswer:
+	case res.class == classAnswer:
 		return balance.ResultServed
-	case ended.class == classRefused:
+	case res.class == classRefused:
 		return balance.ResultFull
 	case e.ctx.Err() != nil:
 		return balance.ResultCancelled
@@ -316,9 +318,9 @@
 		if port.AsError(err).Verdict == port.NotRun {
 			return result{class: classNotSent, reason: err}
 		}
-		return result{class: classBroken, reason: err}
+		return result{class: classMayHaveRun, reason: err}
 	}
-	e.proxy.noteLoad(replica.ID, response.Header)
+	e.proxy.recordLoad(replica.ID, response.Header)
 	if e.proxy.client.RefusedAsNotRun(response) {
 		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBytes))
 		_ = response.Body.Close()
@@ -328,24 +330,24 @@
 	succeeded := response.StatusCode/100 == 2
 	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Seal) == "") {
 		_ = response.Body.Close()
-		return result{class: classBroken, reason: errors.New("a success without its id or seal")}
+		return result{class: classMayHaveRun, reason: errors.New("a success without its id or seal")}
 	}
 	if e.request.Stream && succeeded {
 		answer.Stream = response
 		return result{class: classAnswer, answer: answer}
 	}
 	var rest io.Reader
-	var whole bool
-	answer.Body, rest, whole, err = held.Read(io.LimitReader(response.Body, maxBodyBytes), response.ContentLength, e.holding)
-	if !whole {
-		response.Body = unreadBody{Reader: rest, Closer: response.Body}
+	var complete bool
+	answer.Body, rest, complete, err = held.Read(io.LimitReader(response.Body, maxBodyBytes), response.ContentLength, e.holding)
+	if !complete {
+		response.Body = unbufferedBody{Reader: rest, Closer: response.Body}
 		answer.Stream = response
 		return result{class: classAnswer, answer: answer}
 	}
 	_ = response.Body.Close()
 	switch {
 	case err != nil:
-		return result{class: classBroken, reason: err}
+		return result{class: classMayHaveRun, reason: err}
 	case response.StatusCode >= http.StatusInternalServerError:
 		return result{class: classError, answer: answer}
 	default:
@@ -353,11 +355,12 @@
 	}
 }
 
-// unreadBody is an answer that there is no room to hold: it is read as its reader takes it.
-type unreadBody struct {
+// unbufferedBody is the body of an answer that exceeds the memory budget: what was read
+// already, then the rest.
+type unbufferedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// maxRefusalBytes is what is read of a refusal's body to keep its connection.
+// maxRefusalBytes limits what is read of a refusal's body to keep its connection.
 const maxRefusalBytes = 16 << 10
--- a/internal/app/proxy/exchange_test.go
+++ b/internal/app/proxy/exchange_test.go
@@ -24,15 +24,15 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// terms are those of a site, as far as requests need them.
-type terms struct{ dialect.Dialect }
+// testDialect has the headers that requests need.
+type testDialect struct{ dialect.Dialect }
 
-func (terms) Headers() dialect.Headers {
+func (testDialect) Headers() dialect.Headers {
 	return dialect.Headers{RequestID: "Id", Deadline: "Deadline", ExpectInstance: "Instance", NotRun: "Not-Run", Seal: "Seal"}
 }
 
-// TestAReplicaThatEndsIsToldFromOtherFailures sends a request to a server that fails in
-// one way.
+// TestAReplicaThatEndsIsToldFromOtherFailures checks which failures of a server count as a
+// crash.
 func TestAReplicaThatEndsIsToldFromOtherFailures(t *testing.T) {
 	for name, row := range map[string]struct {
 		serve func(connection net.Conn)
@@ -43,10 +43,10 @@
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		}, true},
-		"it is silent":     {func(net.Conn) { time.Sleep(time.Second) }, false},
-		"it sends no HTTP": {func(c net.Conn) { _, _ = c.Write([]byte("nonsense\r\n\r\n")) }, false},
-		"it answers a 500": {func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) }, false},
-		"its answer is cut": {func(c net.Conn) {
+		"it does not respond": {func(net.Conn) { time.Sleep(time.Second) }, false},
+		"it sends no HTTP":    {func(c net.Conn) { _, _ = c.Write([]byte("nonsense\r\n\r\n")) }, false},
+		"it answers a 500":    {func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) }, false},
+		"its answer is cut off": {func(c net.Conn) {
 			_, _ = c.Write([]byte("HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\nab"))
 			_ = c.Close()
 		}, true},
@@ -69,32 +69,32 @@
 			}()
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			defer cancel()
-			sender := New(Config{Dialect: terms{}, Connections: 1})
+			sender := New(Config{Dialect: testDialect{}, Connections: 1})
 			run := &exchange{proxy: sender, ctx: ctx}
-			ended := run.send(sitestate.Replica{ID: "r", Address: listener.Addr().String()}, replicacall.Request{Method: http.MethodPost, Target: "/x", Host: "h", ID: "1"})
-			if got := ended.class == classBroken && httpcall.BrokenOff(ended.reason); got != row.want {
-				t.Errorf("broke off %v, want %v: class %d, %v", got, row.want, ended.class, ended.reason)
+			res := run.send(sitestate.Replica{ID: "r", Address: listener.Addr().String()}, replicacall.Request{Method: http.MethodPost, Target: "/x", Host: "h", ID: "1"})
+			if got := res.class == classMayHaveRun && httpcall.BrokenOff(res.reason); got != row.want {
+				t.Errorf("broke off %v, want %v: class %d, %v", got, row.want, res.class, res.reason)
 			}
 		})
 	}
 }
 
-// senderTo makes a Proxy whose service "s" has two replicas, both at one address. Slept is for
-// how long its machine was suspended, in nanoseconds.
-func senderTo(address string, slept *atomic.Int64) *Proxy {
+// newTestProxy returns a Proxy whose service "s" has two replicas at one address. suspended
+// is how long its machine was suspended, in nanoseconds.
+func newTestProxy(address string, suspended *atomic.Int64) *Proxy {
 	replicas := []sitestate.Replica{{ID: "a", Address: address}, {ID: "b", Address: address}}
 	view := &siteview.View{View: &sitestate.View{ByService: map[string]sitestate.ReplicaList{"s": sitestate.ListOf(replicas...)}}}
 	return New(Config{
-		Dialect: terms{}, Connections: 1, View: func() *siteview.View { return view },
+		Dialect: testDialect{}, Connections: 1, View: func() *siteview.View { return view },
 		Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
-		Clock:  func() time.Duration { return boottime.Now() + time.Duration(slept.Load()) },
+		Clock:  func() time.Duration { return boottime.Now() + time.Duration(suspended.Load()) },
 	})
 }
 
-// TestARequestThatWaitedInSuspensionIsNotSentAgain: its first replica closes the connection
-// while the process is suspended for longer than the caller waits.
+// TestARequestThatWaitedInSuspensionIsNotSentAgain checks that a request is not retried if
+// its deadline passed while the machine was suspended.
 func TestARequestThatWaitedInSuspensionIsNotSentAgain(t *testing.T) {
-	var slept atomic.Int64
+	var suspended atomic.Int64
 	var sends atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,12 +109,12 @@
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(connection)); err == nil {
 				sends.Add(1)
-				slept.Store(int64(10 * time.Second))
+				suspended.Store(int64(10 * time.Second))
 			}
 			_ = connection.Close()
 		}
 	}()
-	sender := senderTo(listener.Addr().String(), &slept)
+	sender := newTestProxy(listener.Addr().String(), &suspended)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	_, failure := sender.Do(ctx, Request{
@@ -125,35 +125,35 @@
 		t.Errorf("sent %d times", sends.Load())
 	}
 	if failure == nil || failure.Verdict != port.MayHaveRun || failure.Code != port.CodeDeadline {
-		t.Errorf("%+v", failure)
+		t.Errorf("failure %+v", failure)
 	}
 }
 
-// TestReplicasAreToldWhatASuspensionLeft: half of a caller's time passes in suspension during
-// the first send.
+// TestReplicasAreToldWhatASuspensionLeft checks that the deadline sent to a replica excludes
+// time that the machine spent suspended.
 func TestReplicasAreToldWhatASuspensionLeft(t *testing.T) {
-	var slept atomic.Int64
-	// On a busy machine a second send may be under way before the first is answered.
+	var suspended atomic.Int64
+	// On a busy machine a second send may start before the first is answered.
 	var mutex sync.Mutex
-	var told []int
-	note := func(left int) (count int) {
+	var received []int
+	record := func(left int) (count int) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		told = append(told, left)
-		return len(told)
+		received = append(received, left)
+		return len(received)
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		left, _ := strconv.Atoi(r.Header.Get(terms{}.Headers().Deadline))
-		count := note(left)
-		slept.Store(int64(10 * time.Second))
+		left, _ := strconv.Atoi(r.Header.Get(testDialect{}.Headers().Deadline))
+		count := record(left)
+		suspended.Store(int64(10 * time.Second))
 		if count == 1 {
 			panic(http.ErrAbortHandler)
 		}
-		w.Header().Set(terms{}.Headers().RequestID, "1")
-		w.Header().Set(terms{}.Headers().Seal, "seal")
+		w.Header().Set(testDialect{}.Headers().RequestID, "1")
+		w.Header().Set(testDialect{}.Headers().Seal, "seal")
 	}))
 	defer server.Close()
-	sender := senderTo(server.Listener.Addr().String(), &slept)
+	sender := newTestProxy(server.Listener.Addr().String(), &suspended)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	answer, failure := sender.Do(ctx, Request{
@@ -165,7 +165,7 @@
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
-	if len(told) != 2 || told[0] <= 10_000 || told[1] > 10_000 {
-		t.Errorf("told %v milliseconds", told)
+	if len(received) != 2 || received[0] <= 10_000 || received[1] > 10_000 {
+		t.Errorf("deadlines received: %v ms", received)
 	}
 }
--- a/internal/app/proxy/line.go
+++ b/internal/app/proxy/line.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// log writes a line about how the request was carried.
+// log writes a log line about the tries of the request and its outcome.
 func (e *exchange) log(answer *Answer, failure *Failure) {
 	line := e.proxy.logger.Info()
 	if failure != nil && failure.Code != port.CodeCancelled {
@@ -17,7 +17,7 @@
 		return
 	}
 	line = line.Str(eventlog.Field, eventlog.RequestCarried).Str("id", e.request.ID).Str("route", e.request.Route).Str("service", e.request.Service).
-		Int("sends", e.sends).Int("may_have_run", e.ran).Strs("tried", e.names).Dur("took_ms", time.Since(e.began))
+		Int("sends", e.sends).Int("may_have_run", e.mayHaveRun).Strs("tried", e.triedIDs).Dur("took_ms", time.Since(e.startedAt))
 	if view := e.proxy.view(); view != nil {
 		line = line.Uint64("view", view.Position).Uint64("configuration", view.Configuration.Version).
 			Int("replicas", view.ByService[e.request.Service].Len())
@@ -25,13 +25,13 @@
 	if e.lastErr != nil {
 		line = line.Str("last_failure", e.lastErr.Error())
 	}
-	if len(e.broke) > 0 || e.admitted.Suspect {
-		line = line.Strs("broke_at", e.broke).Str("fingerprint", e.request.fingerprint().String()).
-			Bool("withheld", e.withheld).Bool("trial", e.admitted.Trial)
+	if len(e.crashedReplicas) > 0 || e.admission.Suspect {
+		line = line.Strs("broke_at", e.crashedReplicas).Str("fingerprint", e.request.fingerprint().String()).
+			Bool("withheld", e.withheld).Bool("trial", e.admission.Trial)
 	}
 	if failure != nil {
-		line.Str("verdict", failure.Verdict.String()).Str("code", string(failure.Code)).Str("reason", failure.Reason).Msg("a request got no answer")
+		line.Str("verdict", failure.Verdict.String()).Str("code", string(failure.Code)).Str("reason", failure.Reason).Msg("request failed")
 		return
 	}
-	line.Str("replica", answer.Replica.ID).Int("status", answer.Status).Msg("a request was answered by a replica")
+	line.Str("replica", answer.Replica.ID).Int("status", answer.Status).Msg("request answered by a replica")
 }
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -29,7 +29,7 @@
 type Proxy struct {
 	client  *replicacall.Client
 	headers dialect.Headers
-	// readLoad reads what a replica says of its load.
+	// readLoad parses the load that a replica reports.
 	readLoad func(value string) (balance.Load, bool)
 	view     func() *siteview.View
 	logger   *log.Logger
@@ -37,37 +37,37 @@
 	clock    boottime.Clock
 
 	held *held.Budget
-	// sender and cold say what this process may send cold replicas.
+	// sender and cold determine how many requests this process may send to cold replicas.
 	sender string
 	cold   coldlimit.Limits
 
 	mutex    sync.Mutex
 	balancer *balance.Balancer
-	// windows are what was sent to replicas lately, where cold ones bear little.
+	// windows count recent sends to replicas of services that limit requests to cold ones.
 	windows map[string]*coldlimit.Window
 }
 
-// Config sets a Proxy up.
+// Config configures a Proxy.
 type Config struct {
 	Dialect dialect.Dialect
-	// View gives what is known of replicas, or nil.
+	// View returns the current view of the site, or nil.
 	View   func() *siteview.View
 	Logger *log.Logger
-	// Connections bounds the connections to one replica.
+	// Connections limits the connections to one replica.
 	Connections int
-	// Held bounds the answers that the process holds; nil is no bound.
+	// Held limits the memory for answers; nil means no limit.
 	Held *held.Budget
-	// Sender names the process among those that send to replicas, and Cold is what its cold
-	// replicas bear beyond their service's rate.
+	// Sender identifies the process among the senders. Cold are the limits for its cold
+	// replicas in addition to their service's rate.
 	Sender string
 	Cold   coldlimit.Limits
-	// Guard withholds requests under which replicas end; nil withholds none.
+	// Guard withholds requests that crash replicas; nil withholds none.
 	Guard *guard.Guard
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock also counts suspended time; nil means the machine's clock.
 	Clock boottime.Clock
 }
 
-// New makes a Proxy.
+// New returns a Proxy.
 func New(config Config) *Proxy {
 	return &Proxy{
 		client: replicacall.New(config.Dialect, config.Connections), headers: config.Dialect.Headers(), readLoad: config.Dialect.ReadLoad,
@@ -81,52 +81,51 @@
 	replicacall.Request
 	Service string
 	Route   string
-	// Caller is the tenant whose request it is, empty for nobody's.
+	// Caller is the tenant that sends the request, or "".
 	Caller string
 	// Repeatable requests may run more than once, on MaxAttempts replicas in all.
 	Repeatable  bool
 	MaxAttempts int
-	// Aim is the time within which an answer is worth most; 0 is none.
+	// Aim is the latency that the caller aims for; 0 means none.
 	Aim time.Duration
-	// Homes are the regions in which it may be served.
+	// Homes are the regions in which the request may be served.
 	Homes routing.AllowedRegions
-	// Stream hands the answer over with its head, its body unread.
+	// Stream returns a successful answer once its header is received, with its body unread.
 	Stream bool
 }
 
-// fingerprint is the same for requests that ask for the same.
+// fingerprint returns the same value for equivalent requests.
 func (r *Request) fingerprint() quarantine.Fingerprint { return r.identity().Fingerprint() }
 
 func (r *Request) identity() *quarantine.Request {
 	return &quarantine.Request{Caller: r.Caller, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}
 }
 
-// Answer is a replica's answer. Release must follow once it is handed on.
+// Answer is a replica's response. Call Release once it is forwarded.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body is the whole body; Stream is set instead for a streamed answer, and for one that
-	// there is no room to hold, and must be closed.
+	// Body is the complete body. Stream is set instead for a streamed answer and for one
+	// that exceeds the memory budget; its body must be closed.
 	Body    []byte
 	Stream  *http.Response
 	holding *held.Holding
 	Replica sitestate.Replica
-	// Began is when the try that it answers was sent, by the proxy's clock.
-	Began time.Duration
+	// SentAt is when the answered try was sent, by the proxy's clock.
+	SentAt time.Duration
 }
 
-// Release lets go of the answer's body.
+// Release releases the memory of the answer's body.
 func (a *Answer) Release() { a.holding.Close() }
 
-// Failure is a request that got no answer.
+// Failure describes a request without an answer.
 type Failure struct {
 	Verdict port.Verdict
 	Code    port.Code
 	Reason  string
-	// Began is when the request came to the proxy, right before its first try, by the
-	// proxy's clock.
-	Began time.Duration
-	// RetryAfter is when another try may be worth it, 0 if nothing is known of that.
+	// ArrivedAt is when the request arrived at the proxy, by the proxy's clock.
+	ArrivedAt time.Duration
+	// RetryAfter is when a retry may succeed, 0 if unknown.
 	RetryAfter time.Duration
 }
 
@@ -135,16 +134,16 @@
 	return string(f.Code) + " (" + f.Verdict.String() + "): " + f.Reason
 }
 
-// Do carries a request. It ends at once when the context does.
+// Do sends a request and returns its answer. It returns immediately when ctx ends.
 func (p *Proxy) Do(ctx context.Context, request Request) (*Answer, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
 	run := &exchange{
-		proxy: p, request: request, ctx: ctx, cancel: cancel, began: time.Now(),
+		proxy: p, request: request, ctx: ctx, cancel: cancel, startedAt: time.Now(),
 		tried: map[string]bool{}, results: make(chan result, maxTries), holding: p.held.Open(),
 	}
-	run.came = p.clock()
+	run.arrivedAt = p.clock()
 	if deadline, limited := ctx.Deadline(); limited {
-		run.expires = run.came + time.Until(deadline)
+		run.expiresAt = run.arrivedAt + time.Until(deadline)
 	}
 	answer, failure := run.do()
 	if answer == nil {
@@ -160,21 +159,21 @@
 	return answer, failure
 }
 
-// pick chooses a replica that was not tried, or any if all were.
+// pick chooses a replica that was not tried yet, or any if all were.
 func (p *Proxy) pick(request *Request, tried map[string]bool) (sitestate.Replica, bool) {
 	now := time.Now()
-	open := p.candidates(request, now).replicas
-	fresh := make([]*sitestate.Replica, 0, len(open))
-	ids := make([]string, 0, len(open))
-	for _, replica := range open {
+	eligible := p.candidates(request, now).replicas
+	untried := make([]*sitestate.Replica, 0, len(eligible))
+	ids := make([]string, 0, len(eligible))
+	for _, replica := range eligible {
 		if !tried[replica.ID] {
-			fresh = append(fresh, replica)
+			untried = append(untried, replica)
 			ids = append(ids, replica.ID)
 		}
 	}
-	if len(fresh) == 0 {
-		fresh = open
-		for _, replica := range open {
+	if len(untried) == 0 {
+		untried = eligible
+		for _, replica := range eligible {
 			ids = append(ids, replica.ID)
 		}
 	}
@@ -185,14 +184,14 @@
 		return sitestate.Replica{}, false
 	}
 	p.balancer.Begin(ids[chosen])
-	p.noteSent(request.Service, ids[chosen], now)
-	return *fresh[chosen], true
+	p.recordSent(request.Service, ids[chosen], now)
+	return *untried[chosen], true
 }
 
-// whyNone says why there is no replica to send to, and when there may be one again, 0 if
-// nothing is known of that.
-func (p *Proxy) whyNone(request *Request) (reason string, retryAfter time.Duration) {
-	if left := p.candidates(request, time.Now()).coldLeft; left > 0 {
+// noReplicaReason returns why there is no replica to send to, and when there may be one
+// again, 0 if unknown.
+func (p *Proxy) noReplicaReason(request *Request) (reason string, retryAfter time.Duration) {
+	if left := p.candidates(request, time.Now()).coldRemaining; left > 0 {
 		return "the replicas of the service are cold, and this process has no share of what they bear", left
 	}
 	if request.Homes.Restricted() {
@@ -204,15 +203,15 @@
 	return "no replica of the service is known", 0
 }
 
-func (p *Proxy) end(service, id string, outcome balance.Result, took time.Duration) {
+func (p *Proxy) finishTry(service, id string, outcome balance.Result, took time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.balancer.End(service, id, outcome, took, time.Now())
 }
 
-// noteLoad takes in what a replica says of its load with an answer. What cannot be read says
-// nothing.
-func (p *Proxy) noteLoad(id string, header http.Header) {
+// recordLoad records the load that a replica reports in an answer's header. It ignores a
+// value that it can't parse.
+func (p *Proxy) recordLoad(id string, header http.Header) {
 	if p.headers.Load == "" {
 		return
 	}
@@ -229,7 +228,7 @@
 	p.balancer.RecordLoad(id, load, time.Now())
 }
 
-// Observe takes a new view in: what is known of replicas that are gone is dropped.
+// Observe applies a new view: it drops the state of replicas that were removed.
 func (p *Proxy) Observe(view *siteview.View) {
 	p.guard.Observe(view)
 	p.mutex.Lock()
@@ -238,21 +237,21 @@
 	maps.DeleteFunc(p.windows, func(id string, _ *coldlimit.Window) bool { return !view.Replicas.Has(id) })
 }
 
-// hedgeAfter is how long the first try of a repeatable request is waited for
-// before a second one is sent beside it.
+// hedgeAfter returns how long to wait for the first try of a request before sending a
+// second one.
 func (p *Proxy) hedgeAfter(request Request) time.Duration {
 	p.mutex.Lock()
-	usual := p.balancer.Latency(request.Service)
+	latency := p.balancer.Latency(request.Service)
 	p.mutex.Unlock()
-	wait := max(leastHedge, hedgeFactor*usual)
+	wait := max(minHedgeDelay, hedgeLatencyFactor*latency)
 	if request.Aim > 0 {
-		wait = min(wait, max(leastHedge, time.Duration(hedgeAimShare*float64(request.Aim))))
+		wait = min(wait, max(minHedgeDelay, time.Duration(hedgeAimShare*float64(request.Aim))))
 	}
 	return wait
 }
 
 const (
-	hedgeFactor   = 4
-	leastHedge    = 40 * time.Millisecond
-	hedgeAimShare = 0.6
+	hedgeLatencyFactor = 4
+	minHedgeDelay      = 40 * time.Millisecond
+	hedgeAimShare      = 0.6
 )
--- a/internal/app/proxy/suspect.go
+++ b/internal/app/proxy/suspect.go
@@ -8,47 +8,46 @@
 	"github.com/loomgrade/loomgrade/internal/core/quarantine"
 )
 
-// blame notes that a replica ended under the request.
-func (e *exchange) blame(replica string) {
-	if !slices.Contains(e.broke, replica) {
-		e.broke = append(e.broke, replica)
+// recordCrash records that a replica crashed while running the request.
+func (e *exchange) recordCrash(replica string) {
+	if !slices.Contains(e.crashedReplicas, replica) {
+		e.crashedReplicas = append(e.crashedReplicas, replica)
 	}
 	e.proxy.guard.Ended(e.request.fingerprint(), replica)
 }
 
-// served clears the request if it is a suspect.
-func (e *exchange) served() {
-	if e.admitted.Suspect || len(e.broke) > 0 {
+// recordServed clears the request if it is a suspect.
+func (e *exchange) recordServed() {
+	if e.admission.Suspect || len(e.crashedReplicas) > 0 {
 		e.proxy.guard.Served(e.request.fingerprint())
 	}
 }
 
-// mostSends bounds the sends of the request. A trial is one that reaches a replica, whatever
-// becomes of it: what is being tried is whether the replica outlives it. Replicas that have ended
-// stand in the view for a while, and nothing reaches them.
-func (e *exchange) mostSends() int {
-	if e.admitted.Trial {
+// maxSends limits the sends of the request. A trial is a single send that reaches a replica:
+// sends that reach none, such as those to crashed replicas still in the view, don't count.
+func (e *exchange) maxSends() int {
+	if e.admission.Trial {
 		return min(maxTries, 1+e.notSent)
 	}
 	return maxTries
 }
 
-// mustStop reports whether replicas that ended under the request, here or at other processes,
-// forbid a further send.
-func (e *exchange) mustStop() bool {
-	if e.admitted.Trial || e.sends == 0 {
+// mustWithhold reports whether crashes during the request, here or at other processes, forbid
+// a further send.
+func (e *exchange) mustWithhold() bool {
+	if e.admission.Trial || e.sends == 0 {
 		return false
 	}
-	return len(e.broke) >= quarantine.CrashesUntilWithheld || e.proxy.guard.Withholds(e.request.identity())
+	return len(e.crashedReplicas) >= quarantine.CrashesUntilWithheld || e.proxy.guard.Withholds(e.request.identity())
 }
 
-// streamBody is the body of a streamed answer. It tells the guard how the stream ended, and
-// ends the exchange when it is closed.
+// streamBody is the body of a streamed answer. It reports to the guard how the stream ended,
+// and ends the exchange on Close.
 type streamBody struct {
 	io.ReadCloser
 	run     *exchange
 	replica string
-	// framed is set if the end of the stream is told from that of its connection.
+	// framed is set if the end of the stream is distinguishable from a closed connection.
 	framed bool
 }
 
@@ -59,10 +58,10 @@
 	case err == nil:
 	case err == io.EOF:
 		if b.framed {
-			b.run.served()
+			b.run.recordServed()
 		}
 	case b.run.ctx.Err() == nil && httpcall.BrokenOff(err):
-		b.run.blame(b.replica)
+		b.run.recordCrash(b.replica)
 	}
 	return count, err
 }
