--- a/internal/app/guard/doc.go
+++ b/internal/app/guard/doc.go
@@ -1,4 +1,4 @@
-// Package guard keeps a process from sending requests under which replicas end. It tells
-// the control group what the process saw, and decides by what all processes saw: the
-// quarantine of its view.
+// Package guard keeps a process from sending requests that crash replicas. It reports
+// what the process observed to the control group, and decides by the quarantine in its view,
+// which combines the observations of all processes.
 package guard
--- a/internal/app/guard/guard.go
+++ b/internal/app/guard/guard.go
@@ -16,65 +16,63 @@
 )
 
 const (
-	// drainTimeout is how long a process that stops waits to tell what it saw: others may see
-	// it too, and the process has to end in its time.
+	// drainTimeout limits how long a stopping process waits to report what it observed.
+	// Other processes may observe it too.
 	drainTimeout = 500 * time.Millisecond
-	// lastRefusal is when a caller may ask again for a request that has no trial left.
-	lastRefusal = time.Minute
-	// askTimeout bounds the question for a trial: whoever sent the request waits for it, and
-	// is refused if it is not answered.
-	askTimeout = 300 * time.Millisecond
-	// shortRefusal is when it may ask again if another sender's trial is under way.
-	shortRefusal = 2 * time.Second
+	// noTrialsRetryAfter is the retry time for a request that has no trial left.
+	noTrialsRetryAfter = time.Minute
+	// trialRequestTimeout limits the request for a trial, for which the caller waits.
+	trialRequestTimeout = 300 * time.Millisecond
+	// trialPendingRetryAfter is the retry time while another sender's trial is pending.
+	trialPendingRetryAfter = 2 * time.Second
 )
 
-// trialAfter is how long a request has been withheld, as seen here, before each trial. A
-// replica that ended is back after about 2 s: the first trial comes when one is there to
-// answer again. The second is for requests that were unlucky twice, and each trial of one
-// that is the cause takes a replica: it waits until that has been replaced several times over.
-var trialAfter = [quarantine.MaxTrials]time.Duration{4 * time.Second, 30 * time.Second}
+// trialDelays are how long a request must have been withheld, as seen here, before each
+// trial. The first gives a crashed replica time to restart; the second is longer because
+// each trial of a request that causes crashes costs a replica.
+var trialDelays = [quarantine.MaxTrials]time.Duration{4 * time.Second, 30 * time.Second}
 
-// SendFunc puts events into the control log and gives the outcome of the last one.
+// SendFunc proposes events to the control log and returns the outcome of the last one.
 type SendFunc func(ctx context.Context, events []quarantine.Event) (sitestate.Outcome, error)
 
-// Config sets a Guard up.
+// Config configures a Guard.
 type Config struct {
-	// Sender names this start of the process.
+	// Sender identifies this start of the process.
 	Sender string
-	// View gives what the process knows of the site, or nil.
+	// View returns the current view of the site, or nil.
 	View   func() *siteview.View
 	Send   SendFunc
 	Logger *log.Logger
 }
 
-// Guard decides which requests a process sends. It is safe for concurrent use; Run has to
-// run. A nil Guard withholds nothing.
+// Guard decides which requests a process sends. It is safe for concurrent use. Run must be
+// running. A nil Guard withholds nothing.
 type Guard struct {
 	config Config
 	outbox *outbox
 
 	mutex sync.Mutex
-	// withheld is what the process knows of requests that are withheld.
-	withheld map[quarantine.Fingerprint]sighting
-	// ended are replicas that are taken to have ended, with when that was learned.
-	ended map[string]time.Time
-	// endedCount is the length of ended, read without the lock on each answer.
-	endedCount atomic.Int64
+	// withheld are the withheld requests.
+	withheld map[quarantine.Fingerprint]withholding
+	// crashed are replicas presumed crashed, with the time of the report.
+	crashed map[string]time.Time
+	// crashedCount is the length of crashed, read without the mutex on each answer.
+	crashedCount atomic.Int64
 }
 
-// sighting is since when a request has been withheld for replicas, after so many trials.
-type sighting struct {
+// withholding is the state of a withheld request.
+type withholding struct {
 	replicas []string
 	trials   int
-	since    time.Time
-	// asking is set while a trial is asked for; used is the last one that was sent here.
-	asking bool
-	used   int
+	since    time.Time // when it was withheld, or when its latest trial was seen
+	// requesting is set while a trial is requested; lastTrial is the last one sent here.
+	requesting bool
+	lastTrial  int
 }
 
-// before reports whether a request was let go since it was seen, and is withheld anew: it is
-// blamed for other replicas then.
-func (s sighting) before(suspect *quarantine.Suspect) bool {
+// supersededBy reports whether suspect is a later withholding of the same request: it names
+// none of the replicas of this one.
+func (s withholding) supersededBy(suspect *quarantine.Suspect) bool {
 	known := func(replica string) bool { return slices.Contains(s.replicas, replica) }
 	return len(s.replicas) > 0 && !slices.ContainsFunc(suspect.Replicas, known)
 }
@@ -83,14 +81,14 @@
 func New(config Config) *Guard {
 	return &Guard{
 		config: config, outbox: newOutbox(config.Send, config.Logger),
-		withheld: map[quarantine.Fingerprint]sighting{}, ended: map[string]time.Time{},
+		withheld: map[quarantine.Fingerprint]withholding{}, crashed: map[string]time.Time{},
 	}
 }
 
-// Run hands on what was seen until the context ends.
+// Run reports observations until ctx ends.
 func (g *Guard) Run(ctx context.Context) error { return g.outbox.run(ctx) }
 
-// Drain waits a moment until the control group has all that was seen, or the end of ctx.
+// Drain blocks until all observations are reported, for drainTimeout at most.
 func (g *Guard) Drain(ctx context.Context) {
 	if g == nil {
 		return
@@ -100,19 +98,19 @@
 	g.outbox.drain(ctx)
 }
 
-// Admission says whether a request may be sent.
+// Admission is the decision on a request.
 type Admission struct {
-	// Suspect is set if replicas have ended under the request: its answer is to be told.
+	// Suspect is set if replicas crashed during the request: report if it is served.
 	Suspect bool
-	// Withheld is set if it must not be sent; RetryAfter is when that may change.
+	// Withheld is set if it must not be sent. RetryAfter is when that may change.
 	Withheld   bool
 	RetryAfter time.Duration
 	// Trial is set if it may be sent once, to one replica.
 	Trial bool
 }
 
-// Admit decides about a request before its first send. It asks the control group if a trial
-// is due.
+// Admit decides on a request before its first send. If a trial is due, it requests one from
+// the control group.
 func (g *Guard) Admit(ctx context.Context, request *quarantine.Request) Admission {
 	suspect := g.find(request)
 	switch {
@@ -125,35 +123,34 @@
 	switch {
 	case wait > 0:
 		return Admission{Suspect: true, Withheld: true, RetryAfter: wait}
-	case number == suspect.Trials: // it was given before, and the answer was lost
+	case number == suspect.Trials: // granted before, but the response was lost
 		g.logTrial(suspect, number, true)
 		return Admission{Suspect: true, Trial: true}
 	}
-	used := 0
-	defer func() { g.askedTrial(suspect.Fingerprint, used) }()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	sentTrial := 0
+	defer func() { g.finishTrialRequest(suspect.Fingerprint, sentTrial) }()
+	ctx, cancel := context.WithTimeout(ctx, trialRequestTimeout)
 	defer cancel()
 	outcome, err := g.config.Send(ctx, []quarantine.Event{{
 		Kind: quarantine.EventTrial, Fingerprint: suspect.Fingerprint, Trial: number, Sender: g.config.Sender,
 	}})
-	given := err == nil && outcome == sitestate.OutcomeDone
-	g.logTrial(suspect, number, given)
-	if !given {
-		return Admission{Suspect: true, Withheld: true, RetryAfter: shortRefusal}
+	granted := err == nil && outcome == sitestate.OutcomeDone
+	g.logTrial(suspect, number, granted)
+	if !granted {
+		return Admission{Suspect: true, Withheld: true, RetryAfter: trialPendingRetryAfter}
 	}
-	used = number
+	sentTrial = number
 	return Admission{Suspect: true, Trial: true}
 }
 
-// logTrial logs what became of the question for a trial. There are few: each waits for its
-// time, and a request has few trials.
-func (g *Guard) logTrial(suspect *quarantine.Suspect, number int, given bool) {
+// logTrial logs the outcome of a request for a trial.
+func (g *Guard) logTrial(suspect *quarantine.Suspect, number int, granted bool) {
 	g.config.Logger.Info().Str(eventlog.Field, eventlog.QuarantineTrial).Str("fingerprint", suspect.Fingerprint.String()).
-		Int("trial", number).Bool("given", given).Int("trials_in_view", suspect.Trials).Int("ends_in_view", len(suspect.Replicas)).
-		Msg("a trial of a request that is withheld was asked for")
+		Int("trial", number).Bool("given", granted).Int("trials_in_view", suspect.Trials).Int("ends_in_view", len(suspect.Replicas)).
+		Msg("requested a trial of a withheld request")
 }
 
-// Withholds reports whether a request must not be sent any more.
+// Withholds reports whether a request must not be sent again.
 func (g *Guard) Withholds(request *quarantine.Request) bool {
 	suspect := g.find(request)
 	return suspect != nil && suspect.Withheld()
@@ -170,66 +167,67 @@
 	return view.Quarantine.Find(request)
 }
 
-// dueTrial gives the number of the trial that is due, or how long there is none. One that was
-// given to this process and not sent yet is due at once.
+// dueTrial returns the number of the trial that is due, or the wait until one may be due. A
+// trial that was granted to this process and not sent yet is due immediately.
 func (g *Guard) dueTrial(suspect *quarantine.Suspect, now time.Time) (number int, wait time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	seen := g.see(suspect, now)
-	if suspect.Sender == g.config.Sender && seen.used < suspect.Trials {
-		seen.used = suspect.Trials
-		g.withheld[suspect.Fingerprint] = seen
+	state := g.track(suspect, now)
+	if suspect.Sender == g.config.Sender && state.lastTrial < suspect.Trials {
+		state.lastTrial = suspect.Trials
+		g.withheld[suspect.Fingerprint] = state
 		return suspect.Trials, 0
 	}
 	if suspect.Trials >= quarantine.MaxTrials {
-		return 0, lastRefusal
+		return 0, noTrialsRetryAfter
 	}
-	if seen.asking || seen.used > suspect.Trials {
-		// The view may come after the answer that gave the trial. Asked again, the control
-		// group gives the same one: its answer could have been lost.
-		return 0, shortRefusal
+	if state.requesting || state.lastTrial > suspect.Trials {
+		// The view may lag behind the response that granted the trial. A second request
+		// would return the same trial, since the first response could have been lost.
+		return 0, trialPendingRetryAfter
 	}
-	if wait := trialAfter[suspect.Trials] - now.Sub(seen.since); wait > 0 {
+	if wait := trialDelays[suspect.Trials] - now.Sub(state.since); wait > 0 {
 		return 0, wait
 	}
-	seen.asking = true
-	g.withheld[suspect.Fingerprint] = seen
+	state.requesting = true
+	g.withheld[suspect.Fingerprint] = state
 	return suspect.Trials + 1, 0
 }
 
-// askedTrial notes that a trial was asked for; used is its number if it is sent now, else 0.
-func (g *Guard) askedTrial(fingerprint quarantine.Fingerprint, used int) {
+// finishTrialRequest records the end of a request for a trial. sentTrial is the number of the
+// trial if it is sent now, else 0.
+func (g *Guard) finishTrialRequest(fingerprint quarantine.Fingerprint, sentTrial int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if seen, known := g.withheld[fingerprint]; known {
-		seen.asking, seen.used = false, max(seen.used, used)
-		g.withheld[fingerprint] = seen
+	if state, known := g.withheld[fingerprint]; known {
+		state.requesting, state.lastTrial = false, max(state.lastTrial, sentTrial)
+		g.withheld[fingerprint] = state
 	}
 }
 
-// see notes, under the lock, since when a request has been withheld. The time begins anew
-// with each trial.
-func (g *Guard) see(suspect *quarantine.Suspect, now time.Time) sighting {
-	seen, known := g.withheld[suspect.Fingerprint]
+// track updates the state of a withheld request. The time since it was withheld restarts
+// with each trial. The mutex must be held.
+func (g *Guard) track(suspect *quarantine.Suspect, now time.Time) withholding {
+	state, known := g.withheld[suspect.Fingerprint]
 	switch {
-	case !known || seen.before(suspect):
-		seen = sighting{since: now, asking: seen.asking}
-	case seen.trials != suspect.Trials:
-		seen.since = now
+	case !known || state.supersededBy(suspect):
+		state = withholding{since: now, requesting: state.requesting}
+	case state.trials != suspect.Trials:
+		state.since = now
 	}
-	seen.replicas, seen.trials = suspect.Replicas, suspect.Trials
-	g.withheld[suspect.Fingerprint] = seen
-	return seen
+	state.replicas, state.trials = suspect.Replicas, suspect.Trials
+	g.withheld[suspect.Fingerprint] = state
+	return state
 }
 
-// Observe takes a new view in.
+// Observe applies a new view.
 func (g *Guard) Observe(view *siteview.View) {
 	if g == nil {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if len(view.Suspects) == 0 && len(g.ended) == 0 && len(g.withheld) == 0 {
+	if len(view.Suspects) == 0 && len(g.crashed) == 0 && len(g.withheld) == 0 {
 		return
 	}
 	now := time.Now()
@@ -238,11 +236,11 @@
 		suspect := &view.Suspects[i]
 		if suspect.Withheld() {
 			withheld[suspect.Fingerprint] = true
-			g.see(suspect, now)
+			g.track(suspect, now)
 		}
 		for _, replica := range suspect.Replicas {
-			if _, known := g.ended[replica]; !known {
-				g.ended[replica] = now
+			if _, known := g.crashed[replica]; !known {
+				g.crashed[replica] = now
 			}
 		}
 	}
@@ -251,45 +249,45 @@
 			delete(g.withheld, fingerprint)
 		}
 	}
-	for replica := range g.ended {
+	for replica := range g.crashed {
 		if !view.Replicas.Has(replica) {
-			delete(g.ended, replica)
+			delete(g.crashed, replica)
 		}
 	}
-	g.endedCount.Store(int64(len(g.ended)))
+	g.crashedCount.Store(int64(len(g.crashed)))
 }
 
-// Ended notes that a replica closed the connection while it ran a request.
-func (g *Guard) Ended(fingerprint quarantine.Fingerprint, replica string) {
+// RecordCrash records that a replica closed the connection while it ran a request.
+func (g *Guard) RecordCrash(fingerprint quarantine.Fingerprint, replica string) {
 	if g == nil {
 		return
 	}
 	g.mutex.Lock()
-	g.ended[replica] = time.Now()
-	g.endedCount.Store(int64(len(g.ended)))
+	g.crashed[replica] = time.Now()
+	g.crashedCount.Store(int64(len(g.crashed)))
 	g.mutex.Unlock()
 	g.outbox.add(quarantine.Event{Kind: quarantine.EventCrashed, Fingerprint: fingerprint, Replica: replica})
 }
 
-// Served notes a whole answer to a request that is a suspect.
-func (g *Guard) Served(fingerprint quarantine.Fingerprint) {
+// RecordServed records a complete answer to a suspect request.
+func (g *Guard) RecordServed(fingerprint quarantine.Fingerprint) {
 	if g != nil {
 		g.outbox.add(quarantine.Event{Kind: quarantine.EventServed, Fingerprint: fingerprint})
 	}
 }
 
-// Answered notes that a replica answered what was sent at a time. One that was taken to have
-// ended before had not.
-func (g *Guard) Answered(replica string, sent time.Time) {
-	if g == nil || g.endedCount.Load() == 0 {
+// RecordAnswer records that a replica answered a request sent at the given time. If the
+// replica was presumed crashed before that time, it is reported alive.
+func (g *Guard) RecordAnswer(replica string, sent time.Time) {
+	if g == nil || g.crashedCount.Load() == 0 {
 		return
 	}
 	g.mutex.Lock()
-	at, blamed := g.ended[replica]
+	at, blamed := g.crashed[replica]
 	alive := blamed && sent.After(at)
 	if alive {
-		delete(g.ended, replica)
-		g.endedCount.Store(int64(len(g.ended)))
+		delete(g.crashed, replica)
+		g.crashedCount.Store(int64(len(g.crashed)))
 	}
 	g.mutex.Unlock()
 	if alive {
--- a/internal/app/guard/outbox.go
+++ b/internal/app/guard/outbox.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// reportTimeout bounds one report to the control group, reportRetry is the pause after
-	// one that was not kept and reportPause after one that was: what comes meanwhile, as
-	// when a replica with many requests ends, goes together.
+	// reportTimeout limits one report to the control group. reportRetry is the pause after
+	// a report that failed, reportPause the pause after one that was stored: it batches
+	// events, such as those of a replica that crashes with many requests.
 	reportTimeout = 1500 * time.Millisecond
 	reportRetry   = 150 * time.Millisecond
 	reportPause   = 50 * time.Millisecond
 )
 
-// outbox holds events until the control group has them.
+// outbox stores events until the control group has them.
 type outbox struct {
 	send   SendFunc
 	logger *log.Logger
@@ -31,18 +31,17 @@
 	pending []quarantine.Event
 }
 
-// maxPending bounds the events that wait: those of the loss of a rack, see the bound of the
-// ledger, four times over.
-const maxPending = 2048
+// maxPendingEvents limits the pending events; further ones are dropped.
+const maxPendingEvents = 2048
 
 func newOutbox(send SendFunc, logger *log.Logger) *outbox {
 	return &outbox{send: send, logger: logger, wake: make(chan struct{}, 1)}
 }
 
-// add lets an event go. It does not wait.
+// add appends an event without blocking.
 func (o *outbox) add(event quarantine.Event) {
 	o.mutex.Lock()
-	if len(o.pending) < maxPending {
+	if len(o.pending) < maxPendingEvents {
 		o.pending = append(o.pending, event)
 	}
 	o.mutex.Unlock()
@@ -69,8 +68,8 @@
 	}
 }
 
-// flush sends what waits and gives the pause until the next time. Events may be sent twice;
-// each of them takes effect once.
+// flush sends the pending events and returns the pause before the next flush. An event may
+// be sent twice but takes effect once.
 func (o *outbox) flush(ctx context.Context) time.Duration {
 	o.mutex.Lock()
 	events := slices.Clone(o.pending)
@@ -79,7 +78,7 @@
 	defer cancel()
 	if _, err := o.send(ctx, events); err != nil {
 		o.logger.Warn().Str(eventlog.Field, eventlog.QuarantineNotKept).Int("events", len(events)).Err(err).
-			Msg("what was seen of requests that end replicas is not kept yet")
+			Msg("crash reports not stored; retrying")
 		return reportRetry
 	}
 	o.mutex.Lock()
@@ -94,7 +93,7 @@
 	return len(o.pending)
 }
 
-// drain waits until all is sent, or the end of ctx.
+// drain blocks until all events are sent, or until ctx ends.
 func (o *outbox) drain(ctx context.Context) {
 	ticker := time.NewTicker(reportPause)
 	defer ticker.Stop()
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -292,7 +292,7 @@
 		res.answer.SentAt = sentAt
 	}
 	if res.class == classAnswer || res.class == classError {
-		e.proxy.guard.Answered(replica.ID, startedAt)
+		e.proxy.guard.RecordAnswer(replica.ID, startedAt)
 	}
 	e.proxy.finishTry(e.request.Service, replica.ID, e.balancerResult(res), time.Since(startedAt))
 	e.results <- res
--- a/internal/app/proxy/suspect.go
+++ b/internal/app/proxy/suspect.go
@@ -13,13 +13,13 @@
 	if !slices.Contains(e.crashedReplicas, replica) {
 		e.crashedReplicas = append(e.crashedReplicas, replica)
 	}
-	e.proxy.guard.Ended(e.request.fingerprint(), replica)
+	e.proxy.guard.RecordCrash(e.request.fingerprint(), replica)
 }
 
 // recordServed clears the request if it is a suspect.
 func (e *exchange) recordServed() {
 	if e.admission.Suspect || len(e.crashedReplicas) > 0 {
-		e.proxy.guard.Served(e.request.fingerprint())
+		e.proxy.guard.RecordServed(e.request.fingerprint())
 	}
 }
 
