--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -146,9 +146,9 @@
 	if !ok {
 		return
 	}
-	holding := f.config.Held.Open()
-	defer holding.Close()
-	body, status := f.readBody(r, view.Table.Document().Limits, holding)
+	reservation := f.config.Held.NewReservation()
+	defer reservation.Close()
+	body, status := f.readBody(r, view.Table.Document().Limits, reservation)
 	switch status {
 	case 0:
 	case http.StatusServiceUnavailable:
@@ -187,7 +187,7 @@
 }
 
 // readBody reads the complete body. A status other than 0 is the error to respond with.
-func (f *Front) readBody(r *http.Request, limits routing.Limits, holding *held.Holding) ([]byte, int) {
+func (f *Front) readBody(r *http.Request, limits routing.Limits, reservation *held.Reservation) ([]byte, int) {
 	limit := limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -198,7 +198,7 @@
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, 0
 	}
-	body, _, complete, err := held.Read(io.LimitReader(r.Body, limit+1), r.ContentLength, holding)
+	body, _, complete, err := held.Read(io.LimitReader(r.Body, limit+1), r.ContentLength, reservation)
 	switch {
 	case !complete:
 		return nil, http.StatusServiceUnavailable
--- a/internal/app/front/slowreader.go
+++ b/internal/app/front/slowreader.go
@@ -55,9 +55,9 @@
 // Answer writes a response made by the front itself, or rejects the request if the response
 // exceeds the memory budget.
 func (f *Front) Answer(w http.ResponseWriter, r *http.Request, contentType string, body []byte) {
-	holding := f.config.Held.Open()
-	defer holding.Close()
-	if !holding.Take(int64(len(body))) {
+	reservation := f.config.Held.NewReservation()
+	defer reservation.Close()
+	if !reservation.Reserve(int64(len(body))) {
 		f.reject(w, r, "", "there is no room to hold the answer")
 		return
 	}
--- a/internal/app/held/held.go
+++ b/internal/app/held/held.go
@@ -1,18 +1,18 @@
-// Package held bounds the memory that a process holds for others: bodies of requests that are
-// on their way, and answers whose readers are slow. Who finds no room holds nothing more, and
-// decides what to do instead.
+// Package held limits the memory that a process uses for bodies of requests in flight and
+// for answers whose readers are slow. If the budget is exhausted, the caller must reject the
+// body or stream it.
 package held
 
 import "sync/atomic"
 
-// Budget is how many bytes may be held at once. It is safe for concurrent use; nil is no
-// bound.
+// Budget is a limit in bytes, shared by all reservations. It is safe for concurrent use; a
+// nil Budget has no limit.
 type Budget struct {
 	limit int64
-	held  atomic.Int64
+	used  atomic.Int64
 }
 
-// NewBudget makes a budget of so many bytes; 0 or less is no bound.
+// NewBudget returns a budget of limit bytes; 0 or less means no limit.
 func NewBudget(limit int64) *Budget {
 	if limit <= 0 {
 		return nil
@@ -20,61 +20,62 @@
 	return &Budget{limit: limit}
 }
 
-// Held gives how many bytes are held.
+// Held returns the number of reserved bytes.
 func (b *Budget) Held() int64 {
 	if b == nil {
 		return 0
 	}
-	return b.held.Load()
+	return b.used.Load()
 }
 
-func (b *Budget) take(bytes int64) bool {
-	if b.held.Add(bytes) <= b.limit {
+func (b *Budget) reserve(bytes int64) bool {
+	if b.used.Add(bytes) <= b.limit {
 		return true
 	}
-	b.held.Add(-bytes)
+	b.used.Add(-bytes)
 	return false
 }
 
-// Open begins to hold bytes for one request. Close must follow.
-func (b *Budget) Open() *Holding { return &Holding{budget: b} }
+// NewReservation returns an empty reservation for one request. Close must be called.
+func (b *Budget) NewReservation() *Reservation { return &Reservation{budget: b} }
 
-// closed marks a Holding that takes nothing more.
+// closed marks a closed Reservation.
 const closed = -1
 
-// Holding is what is held for one request. It is safe for concurrent use; nil is no bound.
-type Holding struct {
-	budget *Budget
-	bytes  atomic.Int64
+// Reservation is the memory reserved for one request. It is safe for concurrent use; a nil
+// Reservation has no limit.
+type Reservation struct {
+	budget   *Budget
+	reserved atomic.Int64
 }
 
-// Take holds further bytes, and reports whether there is room for them. Nothing is held once
-// the Holding is closed: whoever comes late is not waited for any more.
-func (h *Holding) Take(bytes int64) bool {
-	if h == nil || h.budget == nil || bytes <= 0 {
+// Reserve reserves further bytes, and reports whether they are within the budget. It fails
+// once the Reservation is closed.
+func (r *Reservation) Reserve(bytes int64) bool {
+	if r == nil || r.budget == nil || bytes <= 0 {
 		return true
 	}
-	if !h.budget.take(bytes) {
+	if !r.budget.reserve(bytes) {
 		return false
 	}
 	for {
-		before := h.bytes.Load()
+		before := r.reserved.Load()
 		if before == closed {
-			h.budget.held.Add(-bytes)
+			r.budget.used.Add(-bytes)
 			return false
 		}
-		if h.bytes.CompareAndSwap(before, before+bytes) {
+		if r.reserved.CompareAndSwap(before, before+bytes) {
 			return true
 		}
 	}
 }
 
-// Close lets everything go. It may be called more than once.
-func (h *Holding) Close() {
-	if h == nil || h.budget == nil {
+// Close releases all reserved bytes. It may be called more than once.
+func (r *Reservation) Close() {
+	if r == nil || r.budget == nil {
 		return
 	}
-	if bytes := h.bytes.Swap(closed); bytes != closed {
-		h.budget.held.Add(-bytes)
+	if bytes := r.reserved.Swap(closed); bytes != closed {
+		r.budget.used.Add(-bytes)
 	}
 }
--- a/internal/app/held/held_test.go
+++ b/internal/app/held/held_test.go
@@ -14,82 +14,83 @@
 
 func TestABudgetBoundsAllTogether(t *testing.T) {
 	budget := held.NewBudget(100)
-	first, second := budget.Open(), budget.Open()
-	if !first.Take(60) || second.Take(41) || !second.Take(40) || first.Take(1) {
-		t.Errorf("%d of 100 bytes are held", budget.Held())
+	first, second := budget.NewReservation(), budget.NewReservation()
+	if !first.Reserve(60) || second.Reserve(41) || !second.Reserve(40) || first.Reserve(1) {
+		t.Errorf("%d of 100 bytes are reserved", budget.Held())
 	}
 	first.Close()
 	first.Close()
-	if first.Take(1) {
-		t.Error("bytes are held for a request that has ended")
+	if first.Reserve(1) {
+		t.Error("bytes reserved after Close")
 	}
 	if got := budget.Held(); got != 40 {
-		t.Errorf("%d bytes are held, want 40", got)
+		t.Errorf("%d bytes are reserved, want 40", got)
 	}
 	second.Close()
 	if got := budget.Held(); got != 0 {
-		t.Errorf("%d bytes are held, want none", got)
+		t.Errorf("%d bytes are reserved, want none", got)
 	}
 }
 
 func TestWithoutABudgetThereIsNoBound(t *testing.T) {
-	holding := held.NewBudget(0).Open()
-	defer holding.Close()
-	if !holding.Take(1<<40) || !(*held.Holding)(nil).Take(1) {
-		t.Error("no room")
+	reservation := held.NewBudget(0).NewReservation()
+	defer reservation.Close()
+	if !reservation.Reserve(1<<40) || !(*held.Reservation)(nil).Reserve(1) {
+		t.Error("Reserve failed without a limit")
 	}
 }
 
-// TestRequestsThatEndWhileOthersTake: nothing stays held.
+// TestRequestsThatEndWhileOthersTake checks that concurrent Close and Reserve calls leave
+// nothing reserved.
 func TestRequestsThatEndWhileOthersTake(t *testing.T) {
 	budget := held.NewBudget(1 << 20)
 	var group sync.WaitGroup
 	for range 50 {
-		holding := budget.Open()
+		reservation := budget.NewReservation()
 		for range 4 {
 			group.Go(func() {
 				for range 100 {
-					holding.Take(7)
+					reservation.Reserve(7)
 				}
 			})
 		}
-		group.Go(holding.Close)
+		group.Go(reservation.Close)
 	}
 	group.Wait()
 	if got := budget.Held(); got != 0 {
-		t.Errorf("%d bytes stay held", got)
+		t.Errorf("%d bytes stay reserved", got)
 	}
 }
 
 func TestBodiesAreReadWholeAsFarAsThereIsRoom(t *testing.T) {
 	const kilo = 1 << 10
 	for name, row := range map[string]struct {
-		size  int
-		known bool
-		room  int64
-		whole bool
+		size     int
+		known    bool
+		limit    int64
+		complete bool
 	}{
-		"of known length":               {100 * kilo, true, 100 * kilo, true},
-		"of known length, no room":      {100 * kilo, true, 99 * kilo, false},
-		"of unknown length":             {100 * kilo, false, 128 * kilo, true},
-		"of unknown length, no room":    {100 * kilo, false, 90 * kilo, false},
-		"of unknown length, a few more": {64 * kilo, false, 96 * kilo, true},
-		"empty":                         {0, false, 64 * kilo, true},
-		"empty, of known length":        {0, true, 64 * kilo, true},
-		"large, of known length":        {3000 * kilo, true, 4000 * kilo, true},
+		"of known length":                    {100 * kilo, true, 100 * kilo, true},
+		"of known length, limit too small":   {100 * kilo, true, 99 * kilo, false},
+		"of unknown length":                  {100 * kilo, false, 128 * kilo, true},
+		"of unknown length, limit too small": {100 * kilo, false, 90 * kilo, false},
+		"of unknown length, a few more":      {64 * kilo, false, 96 * kilo, true},
+		"empty":                              {0, false, 64 * kilo, true},
+		"empty, of known length":             {0, true, 64 * kilo, true},
+		"large, of known length":             {3000 * kilo, true, 4000 * kilo, true},
 	} {
 		content := strings.Repeat("x", row.size)
 		size := int64(-1)
 		if row.known {
 			size = int64(row.size)
 		}
-		budget := held.NewBudget(row.room)
-		holding := budget.Open()
-		read, rest, whole, err := held.Read(iotest.HalfReader(strings.NewReader(content)), size, holding)
-		if err != nil || whole != row.whole {
-			t.Errorf("%s: whole %v, %v", name, whole, err)
+		budget := held.NewBudget(row.limit)
+		reservation := budget.NewReservation()
+		read, rest, complete, err := held.Read(iotest.HalfReader(strings.NewReader(content)), size, reservation)
+		if err != nil || complete != row.complete {
+			t.Errorf("%s: complete %v, %v", name, complete, err)
 		}
-		if !whole {
+		if !complete {
 			if read, err = io.ReadAll(rest); err != nil {
 				t.Errorf("%s: the rest: %v", name, err)
 			}
@@ -97,9 +98,9 @@
 		if !bytes.Equal(read, []byte(content)) {
 			t.Errorf("%s: %d of %d bytes", name, len(read), row.size)
 		}
-		holding.Close()
+		reservation.Close()
 		if got := budget.Held(); got != 0 {
-			t.Errorf("%s: %d bytes stay held", name, got)
+			t.Errorf("%s: %d bytes stay reserved", name, got)
 		}
 	}
 }
--- a/internal/app/held/read.go
+++ b/internal/app/held/read.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// step is by how much the room for a body of unknown length grows.
-	step = 32 << 10
-	// trusted is the most memory that is made ready because somebody says how long a body is.
-	trusted = 1 << 20
+	// readChunkBytes is the step in which the reservation for a body of unknown length grows.
+	readChunkBytes = 32 << 10
+	// maxPreallocBytes limits what is allocated before any of the body is read.
+	maxPreallocBytes = 1 << 20
 )
 
-// Read reads a body whole, as far as there is room for it. Size is its length, below 0 if
-// that is not known. Whole is false if there was no room: rest is then all of the body, what
-// was read of it first.
-func Read(body io.Reader, size int64, holding *Holding) (read []byte, rest io.Reader, whole bool, err error) {
+// Read reads a complete body within the reservation. Size is the body's length, negative if
+// unknown. If the reservation fails, complete is false, and rest reads the body from its
+// start.
+func Read(body io.Reader, size int64, reservation *Reservation) (read []byte, rest io.Reader, complete bool, err error) {
 	if size >= 0 {
-		if !holding.Take(size) {
+		if !reservation.Reserve(size) {
 			return nil, body, false, nil
 		}
 		read, err = readSized(body, size)
@@ -25,24 +25,24 @@
 	}
 	var grown bytes.Buffer
 	for {
-		if !holding.Take(step) {
+		if !reservation.Reserve(readChunkBytes) {
 			return nil, io.MultiReader(&grown, body), false, nil
 		}
-		count, err := io.CopyN(&grown, body, step)
+		count, err := io.CopyN(&grown, body, readChunkBytes)
 		switch {
 		case err == io.EOF:
 			return grown.Bytes(), nil, true, nil
 		case err != nil:
 			return grown.Bytes(), nil, true, err
-		case count < step:
+		case count < readChunkBytes:
 			return grown.Bytes(), nil, true, nil
 		}
 	}
 }
 
-// readSized reads a body of a known length.
+// readSized reads a body of known length.
 func readSized(body io.Reader, size int64) ([]byte, error) {
-	if size <= trusted {
+	if size <= maxPreallocBytes {
 		read := make([]byte, size)
 		count, err := io.ReadFull(body, read)
 		return read[:count], err
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -60,9 +60,9 @@
 	arrivedAt, expiresAt time.Duration
 
 	results chan result
-	// holding accounts for the memory of the answers of all tries.
-	holding *held.Holding
-	tried   map[string]bool
+	// reservation accounts for the memory of the answers of all tries.
+	reservation *held.Reservation
+	tried       map[string]bool
 	// triedIDs are the replicas tried, in order.
 	triedIDs   []string
 	sends      int // tries started
@@ -326,7 +326,7 @@
 		_ = response.Body.Close()
 		return result{class: classRefused, reason: errors.New("refused with status " + http.StatusText(response.StatusCode))}
 	}
-	answer := &Answer{Status: response.StatusCode, Header: response.Header, Replica: replica, holding: e.holding}
+	answer := &Answer{Status: response.StatusCode, Header: response.Header, Replica: replica, reservation: e.reservation}
 	succeeded := response.StatusCode/100 == 2
 	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Seal) == "") {
 		_ = response.Body.Close()
@@ -338,7 +338,7 @@
 	}
 	var rest io.Reader
 	var complete bool
-	answer.Body, rest, complete, err = held.Read(io.LimitReader(response.Body, maxBodyBytes), response.ContentLength, e.holding)
+	answer.Body, rest, complete, err = held.Read(io.LimitReader(response.Body, maxBodyBytes), response.ContentLength, e.reservation)
 	if !complete {
 		response.Body = unbufferedBody{Reader: rest, Closer: response.Body}
 		answer.Stream = response
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -107,16 +107,16 @@
 	Header http.Header
 	// Body is the complete body. Stream is set instead for a streamed answer and for one
 	// that exceeds the memory budget; its body must be closed.
-	Body    []byte
-	Stream  *http.Response
-	holding *held.Holding
-	Replica sitestate.Replica
+	Body        []byte
+	Stream      *http.Response
+	reservation *held.Reservation
+	Replica     sitestate.Replica
 	// SentAt is when the answered try was sent, by the proxy's clock.
 	SentAt time.Duration
 }
 
 // Release releases the memory of the answer's body.
-func (a *Answer) Release() { a.holding.Close() }
+func (a *Answer) Release() { a.reservation.Close() }
 
 // Failure describes a request without an answer.
 type Failure struct {
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	run := &exchange{
 		proxy: p, request: request, ctx: ctx, cancel: cancel, startedAt: time.Now(),
-		tried: map[string]bool{}, results: make(chan result, maxTries), holding: p.held.Open(),
+		tried: map[string]bool{}, results: make(chan result, maxTries), reservation: p.held.NewReservation(),
 	}
 	run.arrivedAt = p.clock()
 	if deadline, limited := ctx.Deadline(); limited {
@@ -147,7 +147,7 @@
 	}
 	answer, failure := run.do()
 	if answer == nil {
-		run.holding.Close()
+		run.reservation.Close()
 	}
 	if answer == nil || answer.Stream == nil {
 		cancel()
