--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -19,55 +19,55 @@
 )
 
 const (
-	// attemptTimeout bounds one member's answer, beyond what it is asked to wait.
-	attemptTimeout = 1200 * time.Millisecond
-	roundPause     = 60 * time.Millisecond
-	// rememberedJobs bounds the jobs whose shard a client remembers; beyond it the
-	// oldest half is forgotten and has to be looked for again.
-	rememberedJobs = 4096
+	// memberTimeout limits one call to a member, beyond the wait that the call requests.
+	memberTimeout = 1200 * time.Millisecond
+	retryPause    = 60 * time.Millisecond
+	// maxCachedJobs limits the jobs whose shard a client caches; beyond it the older half is
+	// dropped.
+	maxCachedJobs = 4096
 )
 
-// Config sets a Client up.
+// Config configures a Client.
 type Config struct {
 	Wire wire.Options
-	// Zone is where this process stands. Pages are read from a member there, if it has
-	// what is asked for; empty is none.
+	// Zone is the zone of this process. Pages are read from a member there, if it has the
+	// results; empty means none.
 	Zone string
-	// View gives what is known of the site, or nil.
+	// View returns the current view of the site, or nil.
 	View func() *sitestate.View
-	// Place gives the shard of a model whose jobs have none in the view yet, kept in one of
-	// the regions if any are given; the control group decides it.
+	// Place returns the shard of a model that has none in the view yet. The control group
+	// chooses it, in one of the regions if any are given.
 	Place func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
-	// KeepsWithin reports whether all machines that keep a shard's jobs stand in homes; nil
-	// knows of no regions.
+	// KeepsWithin reports whether all machines that store a shard's jobs are in homes; nil
+	// means that regions are unknown.
 	KeepsWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
 }
 
-// Client asks the groups of the shards. It is safe for concurrent use.
+// Client calls the groups of the shards. It is safe for concurrent use.
 type Client struct {
 	config Config
 	pool   *wire.Pool
 
 	mutex sync.Mutex
-	// leaders are the last known leaders' addresses.
+	// leaders are the addresses of the last known leaders.
 	leaders map[sitestate.ShardNumber]string
-	shards  shardMemory
-	// avoided are members of the zone that failed, and until when they are not asked
-	// first.
-	avoided map[string]time.Time
+	shards  shardCache
+	// failedUntil is, by address of a member in the zone that failed, until when it is
+	// called last.
+	failedUntil map[string]time.Time
 }
 
-// NewClient makes a client.
+// NewClient returns a Client.
 func NewClient(config Config) *Client {
 	return &Client{
 		config: config, pool: wire.NewPool(config.Wire),
-		leaders: map[sitestate.ShardNumber]string{}, avoided: map[string]time.Time{},
+		leaders: map[sitestate.ShardNumber]string{}, failedUntil: map[string]time.Time{},
 	}
 }
 
-// Submit hands a job in at the shard of its model. It is safe to repeat: a job is
-// taken once. The error's verdict is NotRun only if no member can have taken it. A job whose
-// shard is kept outside its homes is refused before anything of it leaves this machine.
+// Submit submits a job to the shard of its model. It is safe to repeat: the shard accepts a
+// job once. The error's verdict is NotRun only if no member can have accepted the job. A job
+// whose shard is stored outside homes is rejected without being sent.
 func (c *Client) Submit(ctx context.Context, submission *jobstate.Submission, homes routing.AllowedRegions) (jobstate.AcceptOutcome, error) {
 	shard, err := c.shardOfModel(ctx, submission.Model, homes)
 	if err != nil {
@@ -80,7 +80,7 @@
 	if err != nil {
 		return 0, err
 	}
-	c.remember(submission.ID, shard)
+	c.cacheShard(submission.ID, shard)
 	return answer.Accepted, nil
 }
 
@@ -90,7 +90,7 @@
 			return shard, nil
 		}
 	}
-	// Nothing was sent to a shard yet, so the job has not run whatever failed.
+	// Nothing was sent to a shard yet, so the job has certainly not run.
 	shard, err := c.config.Place(ctx, model, homes.Regions())
 	if err == nil && shard == 0 {
 		err = eris.New("no shard is known")
@@ -101,27 +101,26 @@
 	return shard, nil
 }
 
-// Page gives results of a job. Found is false if no shard has it.
+// Page returns results of a job. Found is false if no shard has it.
 func (c *Client) Page(ctx context.Context, request PageRequest) (page jobstate.Page, found bool, err error) {
-	answer, err := c.ofJob(ctx, request.Job, Request{Page: &request})
+	answer, err := c.callByJob(ctx, request.Job, Request{Page: &request})
 	return answer.Page, !answer.Unknown, err
 }
 
-// Body gives the body of an item that is not listed yet. Found is false if no shard
-// has it.
+// Body returns the body of an item that is not listed yet. Found is false if no shard has
+// it.
 func (c *Client) Body(ctx context.Context, request BodyRequest) (body []byte, found bool, err error) {
-	answer, err := c.ofJob(ctx, request.Job, Request{Body: &request})
+	answer, err := c.callByJob(ctx, request.Job, Request{Body: &request})
 	return answer.Body, !answer.Unknown, err
 }
 
 // End ends a job. Found is false if no shard has it.
 func (c *Client) End(ctx context.Context, request EndRequest) (found bool, err error) {
-	answer, err := c.ofJob(ctx, request.Job, Request{End: &request})
+	answer, err := c.callByJob(ctx, request.Job, Request{End: &request})
 	return !answer.Unknown, err
 }
 
-// List gives an overview of the jobs of all shards, by shard and in the order of
-// acceptance.
+// List returns an overview of the jobs of all shards, by shard and in order of acceptance.
 func (c *Client) List(ctx context.Context) ([]JobSummary, error) {
 	view := c.config.View()
 	if view == nil {
@@ -138,31 +137,30 @@
 	return jobs, nil
 }
 
-// ofJob makes a call at the shard that has a job. Where that is not known, those that keep the
-// jobs of any model are asked first: a site of many machines has more shards than models, and
-// each that is asked is a connection and an answer for every front. Unknown is answered only
-// if every shard says so: the view may lack the newest models.
-func (c *Client) ofJob(ctx context.Context, job string, request Request) (Answer, error) {
-	if shard := c.recall(job); shard != 0 {
+// callByJob calls the shard that has a job. If the shard is not cached, callByJob first
+// calls the shards with any model, since a large site has more shards than models. It returns
+// Unknown only if every shard does, since the view may lack the newest models.
+func (c *Client) callByJob(ctx context.Context, job string, request Request) (Answer, error) {
+	if shard := c.cachedShard(job); shard != 0 {
 		request.Shard = shard
 		return c.call(ctx, request)
 	}
-	// Shards are founded before the first model is placed: with one that is, all are
-	// known.
+	// All shards are created before the first model is placed, so that a view with a
+	// placed model has all shards.
 	view := c.config.View()
 	if view == nil || len(view.Placed) == 0 {
 		return Answer{}, port.NewError(port.NotRun, port.CodeUnavailable, "not all shards may be known")
 	}
-	first, others := byPlaced(view)
-	answer, err := c.ofAny(ctx, job, request, first)
+	first, others := splitByPlacement(view)
+	answer, err := c.callAny(ctx, job, request, first)
 	if err != nil || !answer.Unknown || len(others) == 0 {
 		return answer, err
 	}
-	return c.ofAny(ctx, job, request, others)
+	return c.callAny(ctx, job, request, others)
 }
 
-// byPlaced lists the shards that keep the jobs of any model, and the others.
-func byPlaced(view *sitestate.View) (placed, others []sitestate.ShardNumber) {
+// splitByPlacement returns the shards that store the jobs of any model, and the others.
+func splitByPlacement(view *sitestate.View) (placed, others []sitestate.ShardNumber) {
 	placed = slices.Compact(slices.Sorted(maps.Values(view.Placed)))
 	for _, shard := range view.Shards {
 		if !slices.Contains(placed, shard.Number) {
@@ -172,8 +170,8 @@
 	return placed, others
 }
 
-// ofAny makes a call at the one of several shards that has a job, asking all at once.
-func (c *Client) ofAny(ctx context.Context, job string, request Request, shards []sitestate.ShardNumber) (Answer, error) {
+// callAny calls several shards concurrently and returns the answer of the one with the job.
+func (c *Client) callAny(ctx context.Context, job string, request Request, shards []sitestate.ShardNumber) (Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type reply struct {
@@ -183,10 +181,10 @@
 	}
 	replies := make(chan reply, len(shards))
 	for _, shard := range shards {
-		asked := request
-		asked.Shard = shard
+		shardRequest := request
+		shardRequest.Shard = shard
 		go func() {
-			answer, err := c.call(ctx, asked)
+			answer, err := c.call(ctx, shardRequest)
 			replies <- reply{shard, answer, err}
 		}()
 	}
@@ -197,7 +195,7 @@
 		case got.err != nil:
 			failed = got.err
 		case !got.answer.Unknown:
-			c.remember(job, got.shard)
+			c.cacheShard(job, got.shard)
 			return got.answer, nil
 		}
 	}
@@ -207,28 +205,28 @@
 	return Answer{Unknown: true}, nil
 }
 
-// call asks members of a shard's group until the leader answers or the context ends.
-// All calls are safe to repeat. The error's verdict is NotRun only if no member can have
-// taken the request.
+// call calls members of a shard's group until the leader answers or ctx ends. All calls are
+// safe to repeat. The error's verdict is NotRun only if no member can have accepted the
+// request.
 func (c *Client) call(ctx context.Context, request Request) (Answer, error) {
 	if request.Page != nil {
-		if answer, found := c.askNear(ctx, request); found {
+		if answer, found := c.callZoneMember(ctx, request); found {
 			return answer, nil
 		}
 	}
 	verdict := port.NotRun
 	last := eris.New("no store machine is known")
 	for {
-		queue := c.order(request.Shard)
-		asked := map[string]bool{}
+		queue := c.memberAddresses(request.Shard)
+		tried := map[string]bool{}
 		for len(queue) > 0 {
 			address := queue[0]
 			queue = queue[1:]
-			if address == "" || asked[address] {
+			if address == "" || tried[address] {
 				continue
 			}
-			asked[address] = true
-			answer, err := c.ask(ctx, address, request)
+			tried[address] = true
+			answer, err := c.callMember(ctx, address, request)
 			switch {
 			case err == nil && !answer.NotLeader:
 				c.setLeader(request.Shard, address)
@@ -249,28 +247,28 @@
 			}
 		}
 		select {
-		case <-time.After(roundPause):
+		case <-time.After(retryPause):
 		case <-ctx.Done():
 			return Answer{}, port.NewError(verdict, port.CodeUnavailable, "%v", last)
 		}
 	}
 }
 
-// isFinal reports whether another member would say the same.
+// isFinal reports whether every other member would return the same error.
 func isFinal(err error) bool {
 	var refusal *port.Error
 	return errors.As(err, &refusal) && (refusal.Code == port.CodeInvalid || refusal.Code == port.CodeQueueFull || refusal.Code == port.CodeTooLarge)
 }
 
-func (c *Client) ask(ctx context.Context, address string, request Request) (Answer, error) {
-	limit := attemptTimeout
+func (c *Client) callMember(ctx context.Context, address string, request Request) (Answer, error) {
+	limit := memberTimeout
 	if request.Page != nil {
 		limit += time.Duration(request.Page.WaitMillis) * time.Millisecond
 	}
-	return c.askWithin(ctx, limit, address, request)
+	return c.callWithTimeout(ctx, limit, address, request)
 }
 
-func (c *Client) askWithin(ctx context.Context, limit time.Duration, address string, request Request) (Answer, error) {
+func (c *Client) callWithTimeout(ctx context.Context, limit time.Duration, address string, request Request) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var answer Answer
@@ -278,10 +276,10 @@
 	return answer, err
 }
 
-// order lists the machines of a shard to ask, the last known leader first and those that
-// failed a moment ago late. The founders come last: they are known before machines have
-// told which shard they are of.
-func (c *Client) order(shard sitestate.ShardNumber) []string {
+// memberAddresses returns the addresses of a shard's members to call, the last known leader
+// first and members that failed recently late. The founders come last: they are known before
+// any machine has reported its shard.
+func (c *Client) memberAddresses(shard sitestate.ShardNumber) []string {
 	view := c.config.View()
 	if view == nil {
 		return nil
@@ -293,7 +291,7 @@
 		}
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	addresses = slices.Insert(c.failedLast(addresses), 0, c.leader(shard))
+	addresses = slices.Insert(c.sortFailedLast(addresses), 0, c.leader(shard))
 	for _, known := range view.Shards {
 		if known.Number != shard {
 			continue
@@ -305,7 +303,7 @@
 	return addresses
 }
 
-// leader gives the last known leader of a shard's group, empty if none is known.
+// leader returns the last known leader of a shard's group, or "".
 func (c *Client) leader(shard sitestate.ShardNumber) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -318,33 +316,33 @@
 	c.leaders[shard] = address
 }
 
-func (c *Client) remember(job string, shard sitestate.ShardNumber) {
+func (c *Client) cacheShard(job string, shard sitestate.ShardNumber) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.shards.add(job, shard)
 }
 
-// recall gives the shard that has a job, 0 if it is not known.
-func (c *Client) recall(job string) sitestate.ShardNumber {
+// cachedShard returns the shard that has a job, 0 if unknown.
+func (c *Client) cachedShard(job string) sitestate.ShardNumber {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.shards.find(job)
 }
 
-// shardMemory remembers the shards of the newest jobs, in two halves of which the older
-// one is forgotten when the newer one is full.
-type shardMemory struct {
+// shardCache caches the shards of the newest jobs in two halves. When the newer one is full,
+// the older one is dropped.
+type shardCache struct {
 	newer, older map[string]sitestate.ShardNumber
 }
 
-func (m *shardMemory) add(job string, shard sitestate.ShardNumber) {
-	if m.newer == nil || len(m.newer) >= rememberedJobs/2 {
+func (m *shardCache) add(job string, shard sitestate.ShardNumber) {
+	if m.newer == nil || len(m.newer) >= maxCachedJobs/2 {
 		m.newer, m.older = map[string]sitestate.ShardNumber{}, m.newer
 	}
 	m.newer[job] = shard
 }
 
-func (m *shardMemory) find(job string) sitestate.ShardNumber {
+func (m *shardCache) find(job string) sitestate.ShardNumber {
 	if shard, known := m.newer[job]; known {
 		return shard
 	}
--- a/internal/app/jobsapi/client_test.go
+++ b/internal/app/jobsapi/client_test.go
@@ -19,24 +19,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// shardStandIn is a machine that leads a shard's group and has some jobs.
-type shardStandIn struct {
+// fakeShard is a machine that leads a shard's group and has some jobs.
+type fakeShard struct {
 	number  sitestate.ShardNumber
 	address string
 	jobs    []string
 
-	mutex sync.Mutex
-	asked int
+	mutex    sync.Mutex
+	requests int
 }
 
-func (s *shardStandIn) serve(_ context.Context, call *wire.Call) error {
+func (s *fakeShard) serve(_ context.Context, call *wire.Call) error {
 	var request jobsapi.Request
 	if err := call.Decode(&request); err != nil {
 		return err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked++
+	s.requests++
 	if request.Shard != s.number {
 		return call.Send(jobsapi.Answer{NotLeader: true})
 	}
@@ -53,25 +53,25 @@
 	}
 }
 
-func (s *shardStandIn) askedTimes() int {
+func (s *fakeShard) requestCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.asked
+	return s.requests
 }
 
-// shardedClient starts as many shards as are to be up, and a client that also knows of
-// those that are down.
-func shardedClient(t *testing.T, up, down int, placed map[string]sitestate.ShardNumber) (*jobsapi.Client, []*shardStandIn) {
+// newShardedClient starts the shards that are up, and returns a client that also knows the
+// shards that are down.
+func newShardedClient(t *testing.T, up, down int, placed map[string]sitestate.ShardNumber) (*jobsapi.Client, []*fakeShard) {
 	options := wire.Options{ClusterID: "test", Name: "client", DialTimeout: 100 * time.Millisecond, BackoffMax: 50 * time.Millisecond}
 	view := &sitestate.View{Placed: placed}
-	var shards []*shardStandIn
+	var shards []*fakeShard
 	for i := range up + down {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		number := sitestate.ShardNumber(i + 1)
-		shard := &shardStandIn{number: number, address: listener.Addr().String()}
+		shard := &fakeShard{number: number, address: listener.Addr().String()}
 		view.Shards = append(view.Shards, sitestate.Shard{Number: number, Founders: []groupmember.Record{{Address: shard.address}}})
 		view.Stores = append(view.Stores, sitestate.Store{Name: fmt.Sprint(i), Address: shard.address, Shard: number})
 		if i >= up {
@@ -95,14 +95,14 @@
 	}), shards
 }
 
-func shortly(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 func TestAJobGoesToTheShardOfItsModelAndIsFoundThere(t *testing.T) {
-	client, shards := shardedClient(t, 3, 0, map[string]sitestate.ShardNumber{"a": 1})
+	client, shards := newShardedClient(t, 3, 0, map[string]sitestate.ShardNumber{"a": 1})
 	for model, want := range map[string]int{"a": 0, "not placed yet": 1} {
 		if _, err := client.Submit(context.Background(), &jobstate.Submission{ID: "job of " + model, Model: model}, routing.AllowedRegions{}); err != nil {
 			t.Fatal(err)
@@ -111,21 +111,22 @@
 			t.Errorf("model %q: not in shard %d", model, want+1)
 		}
 	}
-	before := shards[2].askedTimes()
+	before := shards[2].requestCount()
 	if page, found, err := client.Page(context.Background(), jobsapi.PageRequest{Job: "job of a"}); err != nil || !found || page.Total != 1 {
-		t.Errorf("%+v, %v, %v", page, found, err)
+		t.Errorf("page %+v, found %v, %v", page, found, err)
 	}
-	if shards[2].askedTimes() != before {
-		t.Error("all shards are asked about a job whose shard is known")
+	if shards[2].requestCount() != before {
+		t.Error("all shards were called for a job whose shard is known")
 	}
 	var refusal *port.Error
-	_, err := client.Submit(shortly(t), &jobstate.Submission{ID: "j", Model: "unplaceable"}, routing.AllowedRegions{})
+	_, err := client.Submit(shortContext(t), &jobstate.Submission{ID: "j", Model: "unplaceable"}, routing.AllowedRegions{})
 	if !errors.As(err, &refusal) || refusal.Verdict != port.NotRun {
-		t.Errorf("a job that no shard was asked to take: %v", err)
+		t.Errorf("a job that was sent to no shard: %v", err)
 	}
 }
 
-// TestAJobIsDeniedOnlyIfEveryShardDeniesIt: one that does not answer may have it.
+// TestAJobIsDeniedOnlyIfEveryShardDeniesIt checks that a job is reported unknown only if every
+// shard answered, since an unreachable one may have it.
 func TestAJobIsDeniedOnlyIfEveryShardDeniesIt(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 1}
 	for name, row := range map[string]struct {
@@ -134,23 +135,23 @@
 		job         string
 		found, sure bool
 	}{
-		"one has it":                            {3, 0, placed, "job-2", true, true},
-		"none has it":                           {3, 0, placed, "other", false, true},
-		"one has it, another is down":           {2, 1, placed, "job-2", true, true},
-		"none has it, another is down":          {2, 1, placed, "other", false, false},
-		"further shards may not be known yet":   {2, 0, nil, "other", false, false},
-		"the only one has it":                   {1, 0, placed, "job-1", true, true},
-		"the only one has it not, and is asked": {1, 0, placed, "other", false, true},
+		"one has it":                          {3, 0, placed, "job-2", true, true},
+		"none has it":                         {3, 0, placed, "other", false, true},
+		"one has it, another is down":         {2, 1, placed, "job-2", true, true},
+		"none has it, another is down":        {2, 1, placed, "other", false, false},
+		"further shards may not be known yet": {2, 0, nil, "other", false, false},
+		"the only one has it":                 {1, 0, placed, "job-1", true, true},
+		"the only one answers without it":     {1, 0, placed, "other", false, true},
 	} {
-		client, shards := shardedClient(t, row.up, row.down, row.placed)
+		client, shards := newShardedClient(t, row.up, row.down, row.placed)
 		for _, shard := range shards {
 			shard.jobs = []string{fmt.Sprint("job-", shard.number)}
 		}
-		_, found, err := client.Page(shortly(t), jobsapi.PageRequest{Job: row.job})
+		_, found, err := client.Page(shortContext(t), jobsapi.PageRequest{Job: row.job})
 		if (err == nil) != row.sure || (err == nil && found != row.found) {
 			t.Errorf("%s: found %v, %v", name, found, err)
 		}
-		found, err = client.End(shortly(t), jobsapi.EndRequest{Job: row.job})
+		found, err = client.End(shortContext(t), jobsapi.EndRequest{Job: row.job})
 		if (err == nil) != row.sure || (err == nil && found != row.found) {
 			t.Errorf("%s: ended %v, %v", name, found, err)
 		}
--- a/internal/app/jobsapi/jobsapi.go
+++ b/internal/app/jobsapi/jobsapi.go
@@ -1,5 +1,5 @@
-// Package jobsapi is what the groups of the shards serve to the other processes about
-// jobs, and the client of it, which finds a job's shard and the leader of its group.
+// Package jobsapi defines the calls about jobs that the groups of the shards serve, and
+// their client, which locates a job's shard and the leader of its group.
 package jobsapi
 
 import (
@@ -7,12 +7,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// MethodCall takes a Request to a store machine.
+// MethodCall is the method that sends a Request to a store machine.
 const MethodCall = "jobs.call"
 
-// Request is a call about the jobs of a shard; one field beside Shard is set.
+// Request is a call about the jobs of a shard. Exactly one field besides Shard is set.
 type Request struct {
-	// Shard is the one whose group is asked. A machine of another one refuses.
+	// Shard is the shard whose group is called. A machine of another shard rejects the call.
 	Shard  sitestate.ShardNumber `cbor:"6,keyasint,omitempty"`
 	Submit *jobstate.Submission  `cbor:"1,keyasint,omitempty"`
 	Page   *PageRequest          `cbor:"2,keyasint,omitempty"`
@@ -21,43 +21,43 @@
 	List   *ListRequest          `cbor:"5,keyasint,omitempty"`
 }
 
-// PageRequest asks for results from a position on.
+// PageRequest requests results from a position on.
 type PageRequest struct {
 	Job  string `cbor:"1,keyasint"`
 	From int    `cbor:"2,keyasint"`
 	// WaitMillis is how long to wait for a result to exist.
 	WaitMillis int64 `cbor:"3,keyasint,omitempty"`
-	// MaxBytes bounds the page's texts.
+	// MaxBytes limits the page's texts.
 	MaxBytes int `cbor:"4,keyasint"`
-	// FromFollower allows a member that does not lead to answer, if it has a result from
-	// the position on: listed results never change, wherever they are read.
+	// FromFollower allows a follower to answer if it has a result from the position on:
+	// listed results never change, so that a follower's are as good.
 	FromFollower bool `cbor:"5,keyasint,omitempty"`
-	// Access bounds the jobs that can be reached.
+	// Access limits the jobs that the caller may reach.
 	Access *jobstate.Access `cbor:"6,keyasint,omitempty"`
 }
 
-// BodyRequest asks for the body of an item.
+// BodyRequest requests the body of an item.
 type BodyRequest struct {
 	Job  string `cbor:"1,keyasint"`
 	Item string `cbor:"2,keyasint"`
-	// Access bounds the jobs that can be reached.
+	// Access limits the jobs that the caller may reach.
 	Access *jobstate.Access `cbor:"3,keyasint,omitempty"`
 }
 
 // EndRequest ends a job.
 type EndRequest struct {
 	Job string `cbor:"1,keyasint"`
-	// Access bounds the jobs that can be reached.
+	// Access limits the jobs that the caller may reach.
 	Access *jobstate.Access `cbor:"2,keyasint,omitempty"`
 }
 
-// ListRequest asks for an overview of all jobs.
+// ListRequest requests an overview of all jobs.
 type ListRequest struct{}
 
-// Answer answers a Request.
+// Answer is the response to a Request.
 type Answer struct {
-	// NotLeader is set if the asked member does not lead; Leader is the address
-	// of the one that does, if it knows.
+	// NotLeader is set if the called member is not the leader. Leader is then the leader's
+	// address, if known.
 	NotLeader bool   `cbor:"1,keyasint,omitempty"`
 	Leader    string `cbor:"2,keyasint,omitempty"`
 	// Unknown is set if there is no such job or item.
@@ -66,11 +66,11 @@
 	Page     jobstate.Page          `cbor:"5,keyasint,omitempty"`
 	Body     []byte                 `cbor:"6,keyasint,omitempty"`
 	Jobs     []JobSummary           `cbor:"7,keyasint,omitempty"`
-	// Follower is set on a page of a member that does not lead.
+	// Follower is set on a page from a follower.
 	Follower bool `cbor:"8,keyasint,omitempty"`
 }
 
-// JobSummary is one job of an overview.
+// JobSummary is the overview of one job.
 type JobSummary struct {
 	ID       string `cbor:"1,keyasint"`
 	Items    int    `cbor:"2,keyasint"`
--- a/internal/app/jobsapi/near.go
+++ b/internal/app/jobsapi/near.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// nearTimeout bounds the answer of a member in the own zone: a page of 1 MB takes
-	// 0.14 s on the slowest link of a front (60 Mbit/s).
-	nearTimeout = 400 * time.Millisecond
-	// avoidFor is how long one that failed is not asked first.
-	avoidFor = 3 * time.Second
+	// zoneMemberTimeout limits the call to a member in the client's zone. It suffices for a
+	// page over a slow link.
+	zoneMemberTimeout = 400 * time.Millisecond
+	// failureBackoff is how long a member that failed is called last.
+	failureBackoff = 3 * time.Second
 )
 
-// askNear asks a member in the own zone for a page, whether it leads or not. Found is false
-// if the leader has to be asked: there is no such member, or it has no result from the
-// position on.
-func (c *Client) askNear(ctx context.Context, request Request) (answer Answer, found bool) {
-	address := c.near(request.Shard)
+// callZoneMember requests a page from a member in the client's zone, leader or not. Found is
+// false if the leader must be called: the zone has no such member, or the member has no
+// result from the position on.
+func (c *Client) callZoneMember(ctx context.Context, request Request) (answer Answer, found bool) {
+	address := c.zoneMember(request.Shard)
 	if address == "" {
 		return Answer{}, false
 	}
 	page := *request.Page
 	page.FromFollower, page.WaitMillis = true, 0
 	request.Page = &page
-	answer, err := c.askWithin(ctx, nearTimeout, address, request)
+	answer, err := c.callWithTimeout(ctx, zoneMemberTimeout, address, request)
 	switch {
 	case err != nil:
-		c.avoid(address)
+		c.recordFailure(address)
 	case answer.NotLeader && answer.Leader != "":
 		c.setLeader(request.Shard, answer.Leader)
 	case !answer.NotLeader && !answer.Follower:
@@ -38,9 +38,9 @@
 	return answer, err == nil && !answer.NotLeader && len(answer.Page.Results) > 0
 }
 
-// near gives a member of a shard's group in the own zone, empty if there is none but the
-// leader, which is asked anyway.
-func (c *Client) near(shard sitestate.ShardNumber) string {
+// zoneMember returns a member of a shard's group in the client's zone. It returns "" if there
+// is none, or only the leader, which is called anyway.
+func (c *Client) zoneMember(shard sitestate.ShardNumber) string {
 	view := c.config.View()
 	if view == nil || c.config.Zone == "" {
 		return ""
@@ -54,40 +54,42 @@
 		if store.Address == c.leaders[shard] {
 			return ""
 		}
-		if !c.avoidedNow(store.Address) {
+		if !c.recentlyFailed(store.Address) {
 			return store.Address
 		}
 	}
 	return ""
 }
 
-// failedLast puts those that failed a moment ago behind the others.
-func (c *Client) failedLast(addresses []string) []string {
+// sortFailedLast moves members that failed recently behind the others.
+func (c *Client) sortFailedLast(addresses []string) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var sound, failed []string
+	var others, failed []string
 	for _, address := range addresses {
-		if c.avoidedNow(address) {
+		if c.recentlyFailed(address) {
 			failed = append(failed, address)
 		} else {
-			sound = append(sound, address)
+			others = append(others, address)
 		}
 	}
-	return append(sound, failed...)
+	return append(others, failed...)
 }
 
-// avoidedNow reports whether a member failed a moment ago. The mutex is held.
-func (c *Client) avoidedNow(address string) bool { return time.Now().Before(c.avoided[address]) }
+// recentlyFailed reports whether a member is in its failure backoff. The mutex must be held.
+func (c *Client) recentlyFailed(address string) bool {
+	return time.Now().Before(c.failedUntil[address])
+}
 
-// avoid notes that a member failed, and forgets those whose time is over.
-func (c *Client) avoid(address string) {
+// recordFailure records that a member failed, and removes expired failures.
+func (c *Client) recordFailure(address string) {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for other, until := range c.avoided {
+	for other, until := range c.failedUntil {
 		if now.After(until) {
-			delete(c.avoided, other)
+			delete(c.failedUntil, other)
 		}
 	}
-	c.avoided[address] = now.Add(avoidFor)
+	c.failedUntil[address] = now.Add(failureBackoff)
 }
--- a/internal/app/jobsapi/near_test.go
+++ b/internal/app/jobsapi/near_test.go
@@ -13,24 +13,24 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// memberStandIn is a member of a shard's group that has so many results of each job.
-type memberStandIn struct {
+// fakeMember is a member of a shard's group that has the first results of each job.
+type fakeMember struct {
 	name, zone string
 	address    string
 	leader     string
 	results    int
-	asked      atomic.Int32
-	// silent members take calls and do not answer.
-	silent bool
+	requests   atomic.Int32
+	// unresponsive members accept calls but never answer.
+	unresponsive bool
 }
 
-func (m *memberStandIn) serve(ctx context.Context, call *wire.Call) error {
-	m.asked.Add(1)
+func (m *fakeMember) serve(ctx context.Context, call *wire.Call) error {
+	m.requests.Add(1)
 	var request jobsapi.Request
 	if err := call.Decode(&request); err != nil {
 		return err
 	}
-	if m.silent {
+	if m.unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -39,15 +39,15 @@
 		page.Results = append(page.Results, jobstate.ResultView{ID: m.name})
 		page.Next++
 	}
-	follows := m.leader != m.address
-	if follows && (!request.Page.FromFollower || len(page.Results) == 0) {
+	isFollower := m.leader != m.address
+	if isFollower && (!request.Page.FromFollower || len(page.Results) == 0) {
 		return call.Send(jobsapi.Answer{NotLeader: true, Leader: m.leader})
 	}
-	return call.Send(jobsapi.Answer{Page: page, Follower: follows})
+	return call.Send(jobsapi.Answer{Page: page, Follower: isFollower})
 }
 
-// groupClient starts members, of which the first leads, and a client in zone "a".
-func groupClient(t *testing.T, members ...*memberStandIn) *jobsapi.Client {
+// newGroupClient starts members, of which the first leads, and returns a client in zone "a".
+func newGroupClient(t *testing.T, members ...*fakeMember) *jobsapi.Client {
 	t.Helper()
 	view := &sitestate.View{Placed: map[string]sitestate.ShardNumber{"m": 1}, Shards: []sitestate.Shard{{Number: 1}}}
 	for _, m := range members {
@@ -69,9 +69,9 @@
 	})
 }
 
-// readFrom reads a page from a position on and gives who served it, empty for a page
-// without results.
-func readFrom(t *testing.T, client *jobsapi.Client, from int) string {
+// readPage reads a page from a position on and returns the name of the member that served
+// it, or "" for a page without results.
+func readPage(t *testing.T, client *jobsapi.Client, from int) string {
 	t.Helper()
 	page, found, err := client.Page(context.Background(), jobsapi.PageRequest{Job: "j", From: from})
 	if err != nil || !found {
@@ -83,48 +83,50 @@
 	return page.Results[0].ID
 }
 
-// TestPagesAreReadInTheOwnZone: from a member that has what is asked for, else from the
-// leader.
+// TestPagesAreReadInTheOwnZone checks that a page is read from the member in the client's zone
+// if it has results, else from the leader.
 func TestPagesAreReadInTheOwnZone(t *testing.T) {
-	leader := &memberStandIn{name: "leader", zone: "b", results: 5}
-	near := &memberStandIn{name: "near", zone: "a", results: 3}
-	far := &memberStandIn{name: "far", zone: "c", results: 5}
-	client := groupClient(t, leader, near, far)
+	leader := &fakeMember{name: "leader", zone: "b", results: 5}
+	near := &fakeMember{name: "near", zone: "a", results: 3}
+	far := &fakeMember{name: "far", zone: "c", results: 5}
+	client := newGroupClient(t, leader, near, far)
 	for from, want := range map[int]string{0: "near", 2: "near", 3: "leader", 5: ""} {
-		if got := readFrom(t, client, from); got != want {
+		if got := readPage(t, client, from); got != want {
 			t.Errorf("from %d: served by %q, want %q", from, got, want)
 		}
 	}
-	if far.asked.Load() > 0 {
-		t.Error("a member of another zone was asked, though it does not lead")
+	if far.requests.Load() > 0 {
+		t.Error("a follower in another zone was called")
 	}
 }
 
-// TestTheLeaderInTheOwnZoneIsAskedOnce: it is not asked a second time for what it has not.
+// TestTheLeaderInTheOwnZoneIsAskedOnce checks that a leader in the client's zone is called once
+// for a page.
 func TestTheLeaderInTheOwnZoneIsAskedOnce(t *testing.T) {
-	leader := &memberStandIn{name: "leader", zone: "a", results: 1}
-	client := groupClient(t, leader)
-	readFrom(t, client, 0)
-	before := leader.asked.Load()
-	if got := readFrom(t, client, 1); got != "" {
+	leader := &fakeMember{name: "leader", zone: "a", results: 1}
+	client := newGroupClient(t, leader)
+	readPage(t, client, 0)
+	before := leader.requests.Load()
+	if got := readPage(t, client, 1); got != "" {
 		t.Errorf("served by %q", got)
 	}
-	if asked := leader.asked.Load() - before; asked != 1 {
-		t.Errorf("asked %d times", asked)
+	if calls := leader.requests.Load() - before; calls != 1 {
+		t.Errorf("called %d times, want 1", calls)
 	}
 }
 
-// TestAMemberOfTheZoneThatFailedIsNotAskedFirst: readers do not wait for it again.
+// TestAMemberOfTheZoneThatFailedIsNotAskedFirst checks that reads do not wait again for a member
+// that failed.
 func TestAMemberOfTheZoneThatFailedIsNotAskedFirst(t *testing.T) {
-	leader := &memberStandIn{name: "leader", zone: "b", results: 5}
-	near := &memberStandIn{name: "near", zone: "a", silent: true}
-	client := groupClient(t, leader, near)
+	leader := &fakeMember{name: "leader", zone: "b", results: 5}
+	near := &fakeMember{name: "near", zone: "a", unresponsive: true}
+	client := newGroupClient(t, leader, near)
 	for range 3 {
-		if got := readFrom(t, client, 0); got != "leader" {
+		if got := readPage(t, client, 0); got != "leader" {
 			t.Errorf("served by %q", got)
 		}
 	}
-	if asked := near.asked.Load(); asked > 1 {
-		t.Errorf("the silent member was asked %d times", asked)
+	if calls := near.requests.Load(); calls > 1 {
+		t.Errorf("the unresponsive member was called %d times", calls)
 	}
 }
