--- a/internal/app/group/calls.go
+++ b/internal/app/group/calls.go
@@ -11,27 +11,26 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// Propose puts a command through the log if this member leads, and gives the
-// state machine's result. A *NotLeaderError and ErrNotReady say that the
-// command has no effect; so does groupmember.ErrProposalReplaced. Any other error
-// leaves it open.
+// Propose proposes a command if this member leads, and returns the state machine's result.
+// After a *NotLeaderError, ErrNotReady or groupmember.ErrProposalReplaced the command
+// certainly has no effect; after any other error the outcome is unknown.
 func (m *Member) Propose(ctx context.Context, command []byte) (any, error) {
 	return m.ProposeTo(ctx, AnyShard, command)
 }
 
-// ProposeTo is Propose for a member of the shard; one of another shard refuses with a
+// ProposeTo is Propose for a member of the shard; a member of another shard returns a
 // *NotLeaderError.
 func (m *Member) ProposeTo(ctx context.Context, shard Shard, command []byte) (any, error) {
 	return m.onLeader(ctx, shard, func(l *loop, token uint64) { l.member.Propose(token, command) }, nil)
 }
 
-// Read runs read in the loop on a state that shows every command committed
-// before the call, if this member leads.
+// Read runs read in the loop, if this member leads, on a state with every command committed
+// before the call.
 func (m *Member) Read(ctx context.Context, read func(machine groupmember.StateMachine)) error {
 	return m.ReadFrom(ctx, AnyShard, read)
 }
 
-// ReadFrom is Read for a member of the shard; one of another shard refuses with a
+// ReadFrom is Read for a member of the shard; a member of another shard returns a
 // *NotLeaderError.
 func (m *Member) ReadFrom(ctx context.Context, shard Shard, read func(machine groupmember.StateMachine)) error {
 	_, err := m.onLeader(ctx, shard, func(l *loop, token uint64) { l.member.Read(token) }, read)
@@ -54,7 +53,7 @@
 	done := make(chan outcome, 1)
 	posted := func(l *loop) {
 		if ctx.Err() != nil {
-			done <- outcome{err: eris.Wrap(&NotLeaderError{}, "given up before it began")}
+			done <- outcome{err: eris.Wrap(&NotLeaderError{}, "context ended before the request started")}
 			return
 		}
 		if !l.member.IsLeader() {
@@ -62,12 +61,12 @@
 			done <- outcome{err: &NotLeaderError{Leader: leader}}
 			return
 		}
-		start(l, l.await(func(reply groupmember.Reply) {
+		start(l, l.registerReply(func(reply groupmember.Reply) {
 			err := reply.Err
 			if err == nil && read != nil {
 				read(l.machine)
 			}
-			if refusedByCore(err) {
+			if rejectedByCore(err) {
 				err = &NotLeaderError{}
 			}
 			done <- outcome{result: reply.Result, err: err}
@@ -78,7 +77,7 @@
 	case <-l.stopped:
 		return nil, ErrNotReady
 	case <-ctx.Done():
-		return nil, eris.Wrap(&NotLeaderError{}, "the loop took no request in time")
+		return nil, eris.Wrap(&NotLeaderError{}, "context ended while the request queue was full")
 	}
 	select {
 	case answered := <-done:
@@ -90,24 +89,24 @@
 	}
 }
 
-// refusedByCore reports whether an error left nothing in the log.
-func refusedByCore(err error) bool {
-	for _, refusal := range []error{consensus.ErrNotLeader, consensus.ErrRemoved, consensus.ErrTransferring, consensus.ErrQueueFull} {
-		if errors.Is(err, refusal) {
+// rejectedByCore reports whether an error means that nothing was appended to the log.
+func rejectedByCore(err error) bool {
+	for _, rejection := range []error{consensus.ErrNotLeader, consensus.ErrRemoved, consensus.ErrTransferring, consensus.ErrQueueFull} {
+		if errors.Is(err, rejection) {
 			return true
 		}
 	}
 	return false
 }
 
-// Inspect runs look in the loop on the state as it is here, which may be old.
-func (m *Member) Inspect(ctx context.Context, look func(machine groupmember.StateMachine)) error {
-	return m.InspectFrom(ctx, AnyShard, look)
+// Inspect runs inspect in the loop on the local state, which may be stale.
+func (m *Member) Inspect(ctx context.Context, inspect func(machine groupmember.StateMachine)) error {
+	return m.InspectFrom(ctx, AnyShard, inspect)
 }
 
-// InspectFrom is Inspect for a member of the shard; one of another shard refuses with a
+// InspectFrom is Inspect for a member of the shard; a member of another shard returns a
 // *NotLeaderError.
-func (m *Member) InspectFrom(ctx context.Context, shard Shard, look func(machine groupmember.StateMachine)) error {
+func (m *Member) InspectFrom(ctx context.Context, shard Shard, inspect func(machine groupmember.StateMachine)) error {
 	l := m.current.Load()
 	if l == nil {
 		return ErrNotReady
@@ -117,7 +116,7 @@
 	}
 	done := make(chan struct{})
 	select {
-	case l.requests <- func(l *loop) { look(l.machine); close(done) }:
+	case l.requests <- func(l *loop) { inspect(l.machine); close(done) }:
 	case <-l.stopped:
 		return ErrNotReady
 	case <-ctx.Done():
@@ -133,11 +132,11 @@
 	}
 }
 
-// HandOver asks another voter to lead, before a planned stop, and waits a
-// moment for it.
+// HandOver transfers leadership to another voter before a planned stop. It waits for the
+// transfer for an election timeout at most.
 func (m *Member) HandOver(ctx context.Context) {
 	l := m.current.Load()
-	if l == nil || !m.leads() {
+	if l == nil || !m.isLeader() {
 		return
 	}
 	select {
@@ -146,7 +145,7 @@
 		return
 	}
 	deadline := time.After(m.config.electionTimeout())
-	for m.leads() {
+	for m.isLeader() {
 		select {
 		case <-time.After(m.config.Tick / 2):
 		case <-deadline:
@@ -157,8 +156,8 @@
 	}
 }
 
-// TransferTo offers leadership to the voter at an address, if this member leads
-// and that one is in touch and caught up. It reports whether it was offered.
+// TransferTo starts a transfer of leadership to the voter at an address, if this member
+// leads and the voter is active and caught up. It reports whether it did.
 func (m *Member) TransferTo(address string) bool {
 	shown := m.Shown()
 	l := m.current.Load()
@@ -179,7 +178,7 @@
 	return false
 }
 
-func (m *Member) leads() bool {
-	shown := m.shown.Load()
+func (m *Member) isLeader() bool {
+	shown := m.published.Load()
 	return shown != nil && shown.Status.Role == consensus.RoleLeader
 }
--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -16,84 +16,80 @@
 
 // Defaults of Config.
 const (
-	DefaultTick           = 60 * time.Millisecond
-	DefaultElectionTicks  = 8
-	DefaultHeartbeatTicks = 2
-	DefaultReplaceAfter   = 3500 * time.Millisecond
-	DefaultVacantAfter    = 1500 * time.Millisecond
-	DefaultForgetAfter    = 20 * time.Second
-	// DefaultStandingInterval is the time between two questions of a member that
-	// hears no leader.
-	DefaultStandingInterval = time.Second
+	DefaultTick               = 60 * time.Millisecond
+	DefaultElectionTicks      = 8
+	DefaultHeartbeatTicks     = 2
+	DefaultReplaceAfter       = 3500 * time.Millisecond
+	DefaultFreeSlotAfter      = 1500 * time.Millisecond
+	DefaultRemoveLearnerAfter = 20 * time.Second
+	// DefaultRemovalCheckInterval is the default of Config.RemovalCheckInterval.
+	DefaultRemovalCheckInterval = time.Second
 
-	// retainEntries and retainBytes are what stays of the log before a snapshot: a
-	// follower that is a second or two behind needs no snapshot, and the bytes are a
-	// small part of a store machine's memory (294 to 334 MB).
+	// retainEntries and retainBytes limit the log entries that are retained before a
+	// snapshot, so that a slightly lagging follower needs no snapshot.
 	retainEntries = 512
 	retainBytes   = 2 << 20
 	maxBatch      = 512
 )
 
-// Shard tells groups of one name apart whose members find each other at the same
-// addresses. A member is of one of them at a time. Ids of members must differ between
-// shards.
+// Shard distinguishes groups of one name whose members use the same addresses. A member
+// belongs to one shard at a time. Member ids must differ between shards.
 type Shard uint32
 
-// AnyShard stands for the one that a member is of, whichever that is.
+// AnyShard matches the shard of any member.
 const AnyShard Shard = 1<<32 - 1
 
-// Origin says how a member with an empty folder comes into the group.
+// Origin describes how a member with an empty folder founds or joins the group.
 type Origin struct {
 	// Shard is the group among those of its name; 0 if there is only one.
 	Shard Shard
-	// Founders are the first members. If the member is one of them it starts
-	// the group with the others, else it joins.
+	// Founders are the first members. A founder creates the group with the others; any
+	// other member joins.
 	Founders []groupmember.Record
-	// Contacts are addresses of members to join at.
+	// Contacts are addresses of members that may accept a join request.
 	Contacts []string
 }
 
-// Config sets a Member up. Zero fields after Origin take defaults.
+// Config configures a Member. Zero fields after Origin have defaults.
 type Config struct {
-	// Name is the group's name. It is part of the names of its methods.
+	// Name is the group's name, a part of its method names.
 	Name string
-	// Folder holds the member's log.
+	// Folder stores the member's log.
 	Folder     string
 	FileSystem wal.FileSystem
 	// Self is this machine's record without an id.
 	Self groupmember.Record
 	// Wire is for connections to other members.
 	Wire wire.Options
-	// Machine makes an empty state machine.
+	// Machine returns an empty state machine.
 	Machine func() groupmember.StateMachine
-	// Origin is asked while the folder is empty, again and again, with the
-	// incarnation that was drawn for the folder.
+	// Origin is called repeatedly while the folder is empty, with the incarnation chosen
+	// for the folder.
 	Origin func(ctx context.Context, incarnation string) (Origin, error)
-	// Changed is called in the loop's goroutine after every step. It must not
-	// wait.
+	// Changed is called in the loop's goroutine after every step. It must not block.
 	Changed func(step Step)
-	// Leaving names the machines that are to be emptied. It is called in the
-	// loop's goroutine. Nil is none.
+	// Leaving returns the machines to drain. It is called in the loop's goroutine; nil
+	// means none.
 	Leaving func() map[string]bool
-	// Limits say how many members are wanted; machines beyond them wait to join
-	// until one is needed. Its ticks are taken from the durations below.
+	// Limits are the numbers of members to maintain; further machines wait to join until
+	// one is needed. The tick counts are derived from the durations below.
 	Limits groupmember.Limits
 	Logger *log.Logger
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock also counts suspended time; nil means the machine's clock.
 	Clock boottime.Clock
-	// Seed feeds the random election timeouts.
+	// Seed seeds the random election timeouts.
 	Seed uint64
 	Tick time.Duration
-	// ElectionTicks and HeartbeatTicks are those of consensus.Config.
-	ElectionTicks  int
-	HeartbeatTicks int
-	ReplaceAfter   time.Duration
-	VacantAfter    time.Duration
-	ForgetAfter    time.Duration
-	// StandingInterval is the time between two questions of a member that hears no
-	// leader, whether it was removed.
-	StandingInterval time.Duration
-	SnapshotBytes    int
+	// ElectionTicks and HeartbeatTicks are as in consensus.Config.
+	ElectionTicks      int
+	HeartbeatTicks     int
+	ReplaceAfter       time.Duration
+	FreeSlotAfter      time.Duration
+	RemoveLearnerAfter time.Duration
+	// RemovalCheckInterval is the interval at which a member without a leader checks
+	// whether it was removed.
+	RemovalCheckInterval time.Duration
+	SnapshotBytes        int
 }
 
 func (c Config) withDefaults() Config {
@@ -101,12 +97,12 @@
 	c.ElectionTicks = cmp.Or(c.ElectionTicks, DefaultElectionTicks)
 	c.HeartbeatTicks = cmp.Or(c.HeartbeatTicks, DefaultHeartbeatTicks)
 	c.ReplaceAfter = cmp.Or(c.ReplaceAfter, DefaultReplaceAfter)
-	c.VacantAfter = cmp.Or(c.VacantAfter, DefaultVacantAfter)
-	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
-	c.StandingInterval = cmp.Or(c.StandingInterval, DefaultStandingInterval)
+	c.FreeSlotAfter = cmp.Or(c.FreeSlotAfter, DefaultFreeSlotAfter)
+	c.RemoveLearnerAfter = cmp.Or(c.RemoveLearnerAfter, DefaultRemoveLearnerAfter)
+	c.RemovalCheckInterval = cmp.Or(c.RemovalCheckInterval, DefaultRemovalCheckInterval)
 	c.Limits.ReplaceTicks = cmp.Or(c.Limits.ReplaceTicks, uint64(c.ReplaceAfter/c.Tick))
-	c.Limits.FreeSlotTicks = cmp.Or(c.Limits.FreeSlotTicks, uint64(c.VacantAfter/c.Tick))
-	c.Limits.RemoveLearnerTicks = cmp.Or(c.Limits.RemoveLearnerTicks, uint64(c.ForgetAfter/c.Tick))
+	c.Limits.FreeSlotTicks = cmp.Or(c.Limits.FreeSlotTicks, uint64(c.FreeSlotAfter/c.Tick))
+	c.Limits.RemoveLearnerTicks = cmp.Or(c.Limits.RemoveLearnerTicks, uint64(c.RemoveLearnerAfter/c.Tick))
 	c.Clock = c.Clock.OrSystem()
 	if c.FileSystem == nil {
 		c.FileSystem = wal.OS{}
@@ -121,20 +117,20 @@
 	}
 }
 
-// electionTimeout is the shortest time after which another leader may stand.
+// electionTimeout is the minimum time after which another member may become a candidate.
 func (c Config) electionTimeout() time.Duration {
 	return time.Duration(c.ElectionTicks) * c.Tick
 }
 
-// Step is what the loop shows after each step of work.
+// Step is the state after each step of the loop.
 type Step struct {
 	Machine groupmember.StateMachine
 	Status  consensus.Status
-	// Settled is set on a leader in touch with a quorum whose state shows all
-	// that was committed under earlier leaders.
+	// Settled is set on a leader that is in contact with a quorum and has applied every
+	// command committed in earlier terms.
 	Settled bool
-	// CaughtUp is set if all that was committed when the member last heard
-	// from the leader is applied.
+	// CaughtUp is set if everything is applied that was committed at the leader's latest
+	// message.
 	CaughtUp bool
 	Applied  uint64
 	Records  []groupmember.Record
--- a/internal/app/group/fulldisk_test.go
+++ b/internal/app/group/fulldisk_test.go
@@ -10,12 +10,12 @@
 	"github.com/loomgrade/loomgrade/internal/app/group"
 )
 
-// TestAMemberGoesOnOnceItsDiskHasRoom: until then it takes no part, and what it is
-// asked is refused as not run; nothing that was acknowledged is lost.
+// TestAMemberGoesOnOnceItsDiskHasRoom checks that a member with a full disk rejects calls as
+// not run, and resumes without losing acknowledged commands once the disk has space.
 func TestAMemberGoesOnOnceItsDiskHasRoom(t *testing.T) {
 	all, machines := startGroup(t)
-	awaitVoters(t, all, "a", "b", "c")
-	machines["d"].stop() // or it would take the place
+	waitForVoters(t, all, "a", "b", "c")
+	machines["d"].stop() // keeps it from replacing the stopped member
 	leader := leaderOf(machines, "a", "b", "c")
 	for range 5 {
 		if _, err := leader.member.Propose(context.Background(), []byte("x")); err != nil {
@@ -27,31 +27,31 @@
 		t.Fatal(err)
 	}
 	if _, err := leader.member.Propose(context.Background(), []byte("x")); err == nil {
-		t.Error("a command is acknowledged that the disk refused")
+		t.Error("a command was acknowledged although the disk rejected it")
 	}
-	until(t, "the member takes no part", func() bool { return leader.member.Shown() == nil })
+	waitUntil(t, "the member stops", func() bool { return leader.member.Shown() == nil })
 	if _, err := leader.member.Propose(context.Background(), []byte("x")); err != group.ErrNotReady {
-		t.Errorf("asked meanwhile: %v", err)
+		t.Errorf("proposal while stopped: %v", err)
 	}
 	if err := os.Remove(control); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the member is back", func() bool {
+	waitUntil(t, "the member resumes", func() bool {
 		shown := leader.member.Shown()
 		return shown != nil && shown.Confirmed
 	})
 	if applied := leader.applied(); applied < 5 {
-		t.Errorf("%d commands are there, of 5 that were acknowledged", applied)
+		t.Errorf("%d commands applied, want at least the 5 acknowledged ones", applied)
 	}
 }
 
-func until(t *testing.T, what string, happened func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	const patience = 20 * time.Second
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if happened() {
+	const timeout = 20 * time.Second
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("in %v not: %s", patience, what)
+	t.Fatalf("not within %v: %s", timeout, what)
 }
--- a/internal/app/group/identity.go
+++ b/internal/app/group/identity.go
@@ -21,13 +21,13 @@
 	incarnationBytes = 12
 )
 
-// identity is what a member keeps beside its log.
+// identity is stored beside a member's log.
 type identity struct {
 	ID          consensus.MemberID `cbor:"1,keyasint"`
 	Incarnation string             `cbor:"2,keyasint"`
-	// Founding is set for a founder; Records then are the founders.
+	// Founding is set for a founder; Records are then the founders.
 	Founding bool `cbor:"3,keyasint"`
-	// Records are the members known when the folder was made.
+	// Records are the members known when the folder was created.
 	Records []groupmember.Record `cbor:"4,keyasint"`
 	Shard   Shard                `cbor:"5,keyasint,omitempty"`
 }
@@ -40,7 +40,7 @@
 
 func (f folder) logPath() string { return filepath.Join(f.path, logFolder) }
 
-// load reads the identity; found is false for an empty or half-made folder.
+// load reads the identity. Found is false for an empty or incomplete folder.
 func (f folder) load() (stored identity, found bool, err error) {
 	data, err := f.files.ReadFile(filepath.Join(f.path, identityFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -55,7 +55,7 @@
 	return stored, true, nil
 }
 
-// save makes the identity durable.
+// save stores the identity durably.
 func (f folder) save(stored identity) error {
 	data, err := wire.Marshal(stored)
 	if err != nil {
@@ -88,8 +88,7 @@
 	return eris.Wrap(file.Close(), "close identity")
 }
 
-// clear removes the identity first, so that a folder that is cleared halfway
-// counts as empty, and then the log.
+// clear removes the identity, then the log: a partly cleared folder counts as empty.
 func (f folder) clear() error {
 	err := f.files.Remove(filepath.Join(f.path, identityFile))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -117,7 +116,7 @@
 }
 
 func newIncarnation() string {
-	drawn := make([]byte, incarnationBytes)
-	_, _ = rand.Read(drawn) // never fails, by its documentation
-	return hex.EncodeToString(drawn)
+	random := make([]byte, incarnationBytes)
+	_, _ = rand.Read(random) // never returns an error
+	return hex.EncodeToString(random)
 }
--- a/internal/app/group/join.go
+++ b/internal/app/group/join.go
@@ -12,13 +12,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// joinRequest asks for an id. Record has none yet.
+// joinRequest requests a member id. Record has none yet.
 type joinRequest struct {
 	Record groupmember.Record `cbor:"1,keyasint"`
 	Shard  Shard              `cbor:"2,keyasint,omitempty"`
 }
 
-// joinAnswer gives the id, or the leader to ask instead.
+// joinAnswer returns the id, or the leader to call instead.
 type joinAnswer struct {
 	ID      consensus.MemberID   `cbor:"1,keyasint,omitempty"`
 	Records []groupmember.Record `cbor:"2,keyasint,omitempty"`
@@ -26,25 +26,25 @@
 }
 
 var (
-	// errFull refuses a machine that is not needed now.
-	errFull = eris.New("the group has as many members as it needs")
-	// errOtherShard refuses what is meant for another shard's group.
+	// errGroupFull rejects a machine that is not needed.
+	errGroupFull = eris.New("the group has as many members as it needs")
+	// errOtherShard rejects a request for another shard's group.
 	errOtherShard = eris.New("this member is of another shard")
 )
 
-// join asks members of a shard's group for an id, following them to the leader.
+// join requests an id from a shard's group, following the answers to the leader.
 func (m *Member) join(ctx context.Context, incarnation string, shard Shard, contacts []string) (identity, error) {
 	request := joinRequest{Record: m.config.Self, Shard: shard}
 	request.Record.Incarnation = incarnation
-	asked := map[string]bool{m.config.Self.Address: true}
+	tried := map[string]bool{m.config.Self.Address: true}
 	for len(contacts) > 0 {
 		address := contacts[0]
 		contacts = contacts[1:]
-		if address == "" || asked[address] {
+		if address == "" || tried[address] {
 			continue
 		}
-		asked[address] = true
-		answer, err := m.askToJoin(ctx, address, request)
+		tried[address] = true
+		answer, err := m.requestJoin(ctx, address, request)
 		if err != nil {
 			continue
 		}
@@ -56,10 +56,10 @@
 			contacts = append(contacts, known.Address)
 		}
 	}
-	return identity{}, eris.New("no member that was asked could add this one")
+	return identity{}, eris.New("no contacted member could add this one")
 }
 
-func (m *Member) askToJoin(ctx context.Context, address string, request joinRequest) (joinAnswer, error) {
+func (m *Member) requestJoin(ctx context.Context, address string, request joinRequest) (joinAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	var answer joinAnswer
@@ -67,29 +67,29 @@
 	return answer, err
 }
 
-// serveJoin adds the asker as a learner, if this member leads. An asker whose
-// first answer was lost gets the same id again.
+// serveJoin adds the caller as a learner, if this member leads. A repeated request returns
+// the same id.
 func (m *Member) serveJoin(ctx context.Context, call *wire.Call) error {
-	var asked joinRequest
-	if err := call.Decode(&asked); err != nil {
+	var request joinRequest
+	if err := call.Decode(&request); err != nil {
 		return err
 	}
-	if asked.Record.Address == "" || asked.Record.Incarnation == "" {
+	if request.Record.Address == "" || request.Record.Incarnation == "" {
 		return port.InvalidField("record", "", "an address and an incarnation")
 	}
-	answer, err := m.add(ctx, asked)
+	answer, err := m.addLearner(ctx, request)
 	if err != nil {
 		return port.NewError(port.MayHaveRun, port.CodeUnavailable, "%v", err)
 	}
 	return call.Send(answer)
 }
 
-func (m *Member) add(ctx context.Context, asked joinRequest) (joinAnswer, error) {
-	l, record := m.current.Load(), asked.Record
+func (m *Member) addLearner(ctx context.Context, request joinRequest) (joinAnswer, error) {
+	l, record := m.current.Load(), request.Record
 	if l == nil {
 		return joinAnswer{}, ErrNotReady
 	}
-	if l.shard != asked.Shard {
+	if l.shard != request.Shard {
 		return joinAnswer{}, errOtherShard
 	}
 	done := make(chan joinAnswer, 1)
@@ -110,11 +110,11 @@
 			return
 		}
 		if !groupmember.AcceptsLearner(status, records, l.leaving(), record.Address, l.config.Limits) {
-			failed <- errFull
+			failed <- errGroupFull
 			return
 		}
 		record.ID = status.Membership.HighestID + 1
-		token := l.await(func(reply groupmember.Reply) {
+		token := l.registerReply(func(reply groupmember.Reply) {
 			if reply.Err != nil {
 				failed <- reply.Err
 				return
--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	requestQueue = 4096
-	messageQueue = 4096
-	// houseTicks is the number of ticks between looks at the membership.
-	houseTicks = 5
+	requestQueueSize = 4096
+	messageQueueSize = 4096
+	// membershipCheckTicks is the number of ticks between checks of the membership.
+	membershipCheckTicks = 5
 )
 
-// errRemoved ends a loop whose member was removed from the group.
+// errRemoved stops a loop whose member was removed from the group.
 var errRemoved = errors.New("group: this member was removed from the group")
 
-// request is a piece of work for the loop's goroutine.
+// request is a function to run in the loop's goroutine.
 type request func(l *loop)
 
-// loop owns the core and the log of a member. Only run's goroutine touches it,
-// but for the channels.
+// loop owns the core and the log of a member. Except for the channels, only the goroutine of
+// run accesses it.
 type loop struct {
 	config   Config
 	shard    Shard
@@ -38,33 +38,33 @@
 	requests chan request
 	messages chan consensus.Message
 	stopped  chan struct{}
-	// shown takes what the loop shows after each step.
-	shown func(Step)
+	// publishStep receives the state after each step.
+	publishStep func(Step)
 
-	// started is counted by the configuration's clock: leases and promises, which other
-	// members go by, age while the machine is suspended too.
+	// started is by the configuration's clock: leases and promises expire while the
+	// machine is suspended too.
 	started time.Duration
 	ticks   int64
-	// houseTick is the tick of the last look at the membership.
-	houseTick int64
-	lastToken uint64
-	awaiting  map[uint64]func(groupmember.Reply)
-	changing  bool
-	// saving is set while a snapshot is encoded and written beside the loop; saved
-	// takes how that went.
+	// lastMembershipCheck is the tick of the latest check of the membership.
+	lastMembershipCheck int64
+	lastToken           uint64
+	pendingReplies      map[uint64]func(groupmember.Reply)
+	changing            bool
+	// saving is set while a snapshot is encoded and written in the background; saved
+	// receives the result.
 	saving bool
 	saved  chan savedSnapshot
-	// reading is set while the newest snapshot is read for a member that waits for
-	// it; read takes what was read.
+	// reading is set while the latest snapshot is read for another member; read receives
+	// it.
 	reading bool
 	read    chan consensus.Snapshot
-	// removed is set once the group's leader said that this member was removed.
-	removed bool
-	told    []groupmember.Record
+	// removed is set once a leader has reported that this member was removed.
+	removed          bool
+	publishedRecords []groupmember.Record
 }
 
-// newLoop builds the core on an open log.
-func newLoop(config Config, stored identity, log *wal.Log, restored consensus.Restored, peers *peers, shown func(Step)) (*loop, error) {
+// newLoop returns a loop on an open log.
+func newLoop(config Config, stored identity, log *wal.Log, restored consensus.Restored, peers *peers, publishStep func(Step)) (*loop, error) {
 	machine := config.Machine()
 	member, err := groupmember.New(groupmember.Config{
 		Consensus: config.consensus(stored.ID), SnapshotBytes: config.SnapshotBytes, Founders: stored.Records,
@@ -73,22 +73,22 @@
 		return nil, eris.Wrap(err, config.Folder)
 	}
 	return &loop{
-		config: config, shard: stored.Shard, member: member, machine: machine, log: log, peers: peers, shown: shown,
-		requests: make(chan request, requestQueue),
-		messages: make(chan consensus.Message, messageQueue),
-		stopped:  make(chan struct{}),
-		started:  config.Clock(),
-		awaiting: make(map[uint64]func(groupmember.Reply)),
-		saved:    make(chan savedSnapshot, 1),
-		read:     make(chan consensus.Snapshot, 1),
+		config: config, shard: stored.Shard, member: member, machine: machine, log: log, peers: peers, publishStep: publishStep,
+		requests:       make(chan request, requestQueueSize),
+		messages:       make(chan consensus.Message, messageQueueSize),
+		stopped:        make(chan struct{}),
+		started:        config.Clock(),
+		pendingReplies: make(map[uint64]func(groupmember.Reply)),
+		saved:          make(chan savedSnapshot, 1),
+		read:           make(chan consensus.Snapshot, 1),
 	}, nil
 }
 
-// run works until the context ends or the member must stop.
+// run runs the loop until ctx ends or the member must stop.
 func (l *loop) run(ctx context.Context) error {
 	defer close(l.stopped)
-	defer l.failAll()
-	defer l.awaitSnapshot()
+	defer l.failPending()
+	defer l.waitForSnapshot()
 	ticker := time.NewTicker(l.config.Tick)
 	defer ticker.Stop()
 	if err := l.work(); err != nil {
@@ -98,7 +98,7 @@
 		if err := l.wait(ctx, ticker.C); err != nil {
 			return err
 		}
-		if err := l.takeMore(); err != nil {
+		if err := l.handleQueued(); err != nil {
 			return err
 		}
 		if err := l.work(); err != nil {
@@ -107,8 +107,7 @@
 	}
 }
 
-// wait blocks for the first event of a group. Ticks that passed meanwhile come
-// before it.
+// wait blocks for the next event and handles it, after the ticks that passed meanwhile.
 func (l *loop) wait(ctx context.Context, tick <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -134,8 +133,8 @@
 	}
 }
 
-// takeMore takes in what else is waiting, so that one sync serves the group.
-func (l *loop) takeMore() error {
+// handleQueued handles further queued events, so that one sync serves all of them.
+func (l *loop) handleQueued() error {
 	for range maxBatch - 1 {
 		select {
 		case message := <-l.messages:
@@ -143,7 +142,7 @@
 				return err
 			}
 		case request := <-l.requests:
-			l.catchUpTicks() // a read must not be answered under a lease that is over
+			l.catchUpTicks() // a read must not use an expired lease
 			request(l)
 		default:
 			return nil
@@ -152,8 +151,8 @@
 	return nil
 }
 
-// step hands a message to the core. Only the error that is final counts; a
-// malformed message is dropped.
+// step passes a message to the core. It returns only the fatal error and drops malformed
+// messages.
 func (l *loop) step(message consensus.Message) error {
 	err := l.member.Step(message)
 	if errors.Is(err, consensus.ErrCommittedConflict) {
@@ -162,8 +161,7 @@
 	return nil
 }
 
-// catchUpTicks tells the core of the ticks that passed. Those before the last one were
-// missed: the loop was held up.
+// catchUpTicks passes elapsed ticks to the core, all but the last one as missed.
 func (l *loop) catchUpTicks() {
 	due := int64((l.config.Clock() - l.started) / l.config.Tick)
 	passed := due - l.ticks
@@ -171,28 +169,28 @@
 		return
 	}
 	l.ticks = due
-	l.noteMissed(int(passed - 1))
+	l.recordMissedTicks(int(passed - 1))
 	l.member.Tick()
-	if due-l.houseTick >= houseTicks {
-		l.houseTick = due
-		l.keepHouse()
+	if due-l.lastMembershipCheck >= membershipCheckTicks {
+		l.lastMembershipCheck = due
+		l.checkMembership()
 	}
 }
 
-// noteMissed tells the core that the loop was held up, and the log if it was for so long
-// that another member may have stood for election.
-func (l *loop) noteMissed(ticks int) {
+// recordMissedTicks passes missed ticks to the core. It logs a warning if another member may
+// have started an election meanwhile.
+func (l *loop) recordMissedTicks(ticks int) {
 	l.member.TickMissed(ticks)
 	if ticks < l.config.ElectionTicks {
 		return
 	}
 	l.config.Logger.Warn().Str(eventlog.Field, eventlog.MemberHeldUp).Str("group", l.config.Name).Uint32("shard", uint32(l.shard)).
 		Uint64("term", l.member.Status().Term).Bool("leads", l.member.IsLeader()).Dur("held_up", time.Duration(ticks)*l.config.Tick).
-		Msg("the member was not run for longer than an election timeout")
+		Msg("the member was not scheduled for longer than an election timeout")
 }
 
-// keepHouse brings the membership closer to what is wanted.
-func (l *loop) keepHouse() {
+// checkMembership starts the next change towards the wanted membership, if one is due.
+func (l *loop) checkMembership() {
 	status := l.member.Status()
 	var others []consensus.MemberID
 	for _, id := range status.Membership.Voters {
@@ -201,7 +199,7 @@
 		}
 	}
 	l.peers.connect(others)
-	l.tendSnapshotData()
+	l.updateSnapshotData()
 	if !l.member.LeaderReady() {
 		return
 	}
@@ -219,14 +217,14 @@
 	}
 	l.changing = true
 	record, _ := l.member.Record(change.Member)
-	// A warning, so that the line is not among those left out under load.
+	// At warning level, so that the line is not dropped under load.
 	l.config.Logger.Warn().Str(eventlog.Field, eventlog.MembershipChange).Str("group", l.config.Name).Uint8("kind", uint8(change.Kind)).
-		Uint64("member", uint64(change.Member)).Str("address", record.Address).Msg("the leader changes the membership")
-	token := l.await(func(groupmember.Reply) { l.changing = false })
+		Uint64("member", uint64(change.Member)).Str("address", record.Address).Msg("membership change proposed")
+	token := l.registerReply(func(groupmember.Reply) { l.changing = false })
 	l.member.ChangeMembership(token, change.Kind, groupmember.Record{ID: change.Member})
 }
 
-// leaving names the machines that are to be emptied.
+// leaving returns the machines to drain.
 func (l *loop) leaving() map[string]bool {
 	if l.config.Leaving == nil {
 		return nil
@@ -234,7 +232,7 @@
 	return l.config.Leaving()
 }
 
-// transfer asks the active voter with the longest log to take over.
+// transfer transfers leadership to the active voter with the longest log.
 func (l *loop) transfer() {
 	var best consensus.PeerStatus
 	for _, peer := range l.member.Status().Progress {
@@ -247,10 +245,10 @@
 	}
 }
 
-// work carries out what the core wants done, then shows and answers.
+// work processes the core's Ready values, then publishes the state and delivers replies.
 func (l *loop) work() error {
 	for l.member.HasReady() {
-		if err := l.carryOut(l.member.Ready()); err != nil {
+		if err := l.processReady(l.member.Ready()); err != nil {
 			return err
 		}
 	}
@@ -258,18 +256,18 @@
 		return errRemoved
 	}
 	if l.member.SnapshotDue() && !l.saving {
-		if err := l.beginSnapshot(); err != nil {
+		if err := l.startSnapshot(); err != nil {
 			return err
 		}
 	}
-	l.show()
-	l.answer()
+	l.publish()
+	l.deliverReplies()
 	return nil
 }
 
-// carryOut makes a Ready's writes durable before any message that depends on
-// them leaves. A failed write or sync is final.
-func (l *loop) carryOut(ready consensus.Ready) error {
+// processReady persists a Ready before sending the messages that depend on it. A failed
+// write or sync is fatal.
+func (l *loop) processReady(ready consensus.Ready) error {
 	for _, message := range ready.Messages {
 		if ready.MayPrecedeSync(message) {
 			l.peers.send(message)
@@ -286,17 +284,17 @@
 	return eris.Wrap(l.member.Advance(ready), "apply")
 }
 
-// show tells the owner of the state; answers follow, so that whoever gets one
-// sees its effect.
-func (l *loop) show() {
+// publish publishes the state. Replies are delivered afterwards, so that their receivers see
+// the effect.
+func (l *loop) publish() {
 	records := l.member.Directory()
-	if !sameRecords(records, l.told) {
-		l.told = records
-		l.peers.learn(records, true)
+	if !sameRecords(records, l.publishedRecords) {
+		l.publishedRecords = records
+		l.peers.setAddresses(records, true)
 	}
-	l.shown(Step{
+	l.publishStep(Step{
 		Machine: l.machine, Status: l.member.Status(), Settled: l.member.LeaderReady(),
-		CaughtUp: l.member.CaughtUp(), Applied: l.member.Applied(), Records: l.told,
+		CaughtUp: l.member.CaughtUp(), Applied: l.member.Applied(), Records: l.publishedRecords,
 	})
 }
 
@@ -312,27 +310,28 @@
 	return true
 }
 
-// answer gives replies to those who wait for them.
-func (l *loop) answer() {
+// deliverReplies passes replies to their callbacks.
+func (l *loop) deliverReplies() {
 	for _, reply := range l.member.TakeReplies() {
-		if waiting, found := l.awaiting[reply.Token]; found {
-			delete(l.awaiting, reply.Token)
-			waiting(reply)
+		if handle, found := l.pendingReplies[reply.Token]; found {
+			delete(l.pendingReplies, reply.Token)
+			handle(reply)
 		}
 	}
 }
 
-// await gives a token whose reply goes to the function, which must not wait.
-func (l *loop) await(waiting func(groupmember.Reply)) uint64 {
+// registerReply returns a token for a request. The reply is passed to handle, which must not
+// block.
+func (l *loop) registerReply(handle func(groupmember.Reply)) uint64 {
 	l.lastToken++
-	l.awaiting[l.lastToken] = waiting
+	l.pendingReplies[l.lastToken] = handle
 	return l.lastToken
 }
 
-// failAll answers what is open when the loop ends.
-func (l *loop) failAll() {
-	for token, waiting := range l.awaiting {
-		delete(l.awaiting, token)
-		waiting(groupmember.Reply{Token: token, Err: groupmember.ErrLeadershipLost})
+// failPending fails all pending requests when the loop ends.
+func (l *loop) failPending() {
+	for token, handle := range l.pendingReplies {
+		delete(l.pendingReplies, token)
+		handle(groupmember.Reply{Token: token, Err: groupmember.ErrLeadershipLost})
 	}
 }
--- a/internal/app/group/member.go
+++ b/internal/app/group/member.go
@@ -16,24 +16,22 @@
 )
 
 const (
-	// originInterval is the time between tries to enter, slowInterval that
-	// after quickTries of them.
-	originInterval = 200 * time.Millisecond
-	slowInterval   = time.Second
-	quickTries     = 15
-	joinTimeout    = time.Second
-	// fullPause is the time between two tries to go on from a full disk.
-	fullPause = 500 * time.Millisecond
+	// joinRetryInterval is the pause between attempts to found or join the group, and
+	// slowJoinRetryInterval the pause after fastJoinRetries of them.
+	joinRetryInterval     = 200 * time.Millisecond
+	slowJoinRetryInterval = time.Second
+	fastJoinRetries       = 15
+	joinTimeout           = time.Second
+	// diskFullRetryInterval is the pause between attempts to resume after a full disk.
+	diskFullRetryInterval = 500 * time.Millisecond
 )
 
-// ErrNotReady refuses a call on a member that takes no part yet.
+// ErrNotReady rejects a call to a member that has not started.
 var ErrNotReady = errors.New("group: the member takes no part yet")
 
-// NotLeaderError refuses a call that only the leader serves. The call had no
-// effect.
+// NotLeaderError rejects a call that only the leader serves. The call had no effect.
 type NotLeaderError struct {
-	// Leader is the record of the leader that this member knows; its id is 0
-	// if it knows none.
+	// Leader is the record of the known leader; its id is 0 if none is known.
 	Leader groupmember.Record
 }
 
@@ -46,45 +44,45 @@
 type Member struct {
 	config Config
 	peers  *peers
-	// entered is set once the member had an id in this life of the process; Run's
-	// goroutine owns it.
-	entered bool
-	current atomic.Pointer[loop]
-	shown   atomic.Pointer[Shown]
-	// stored is the identity in the member's folder, nil while it has none.
+	// hadID is set once the member had an id since the process started. Only Run's
+	// goroutine accesses it.
+	hadID     bool
+	current   atomic.Pointer[loop]
+	published atomic.Pointer[Shown]
+	// stored is the identity in the member's folder, nil if there is none.
 	stored atomic.Pointer[identity]
 }
 
-// Shown is what a member shows of itself to other goroutines. It is immutable.
+// Shown is the published state of a member. It is immutable.
 type Shown struct {
 	Shard   Shard
 	Status  consensus.Status
 	Settled bool
-	// Confirmed is set if the member was in touch with a quorum and caught up.
+	// Confirmed is set if the member was in contact with a quorum and caught up.
 	Confirmed bool
 	Applied   uint64
 	Records   []groupmember.Record
 	// Leader is the record of the known leader; its id is 0 if there is none.
 	Leader groupmember.Record
-	// At is when it was shown, by the configuration's clock.
+	// At is when the state was published, by the configuration's clock.
 	At time.Duration
 }
 
-// New makes a member. Register and then Run follow.
+// New returns a Member. Call Register, then Run.
 func New(config Config) *Member {
 	config = config.withDefaults()
 	return &Member{config: config, peers: newPeers(config.Wire, config.Name+".consensus")}
 }
 
-// Register sets the handlers of the group's methods.
+// Register registers the handlers of the group's methods.
 func (m *Member) Register(server *wire.Server) {
-	server.HandleMessage(m.config.Name+".consensus", m.takeMessage)
+	server.HandleMessage(m.config.Name+".consensus", m.handleMessage)
 	server.Handle(m.config.Name+".join", m.serveJoin)
-	server.Handle(m.config.Name+".standing", m.serveStanding)
+	server.Handle(m.config.Name+".standing", m.serveRemovalStatus)
 }
 
-// takeMessage queues a consensus message; one that finds no room is lost.
-func (m *Member) takeMessage(_ context.Context, call *wire.Call) {
+// handleMessage queues a consensus message. It drops the message if the queue is full.
+func (m *Member) handleMessage(_ context.Context, call *wire.Call) {
 	l := m.current.Load()
 	var message consensus.Message
 	if l == nil || call.Decode(&message) != nil {
@@ -96,23 +94,23 @@
 	}
 }
 
-// Run takes part in the group until the context ends or the member's storage
-// fails. From a full disk it goes on, as after a restart, once there is room.
+// Run runs the member until ctx ends or its storage fails. After a full disk it restarts the
+// member once there is space.
 func (m *Member) Run(ctx context.Context) error {
 	defer m.peers.close()
-	place := folder{files: m.config.FileSystem, path: m.config.Folder}
+	dir := folder{files: m.config.FileSystem, path: m.config.Folder}
 	for {
-		err := m.takePart(ctx, place)
+		err := m.openAndRun(ctx, dir)
 		switch {
 		case errors.Is(err, errRemoved):
 			m.config.Logger.Warn().Str(eventlog.Field, eventlog.MembershipRemoved).Str("group", m.config.Name).Msg("this member was removed; it joins again under a new id")
-			if err := place.clear(); err != nil {
+			if err := dir.clear(); err != nil {
 				return err
 			}
 		case errors.Is(err, wal.ErrFull), errors.Is(err, syscall.ENOSPC):
-			m.config.Logger.Warn().Str(eventlog.Field, eventlog.DiskFull).Str("group", m.config.Name).Err(err).Msg("the disk is full; this member takes no part until there is room")
+			m.config.Logger.Warn().Str(eventlog.Field, eventlog.DiskFull).Str("group", m.config.Name).Err(err).Msg("the disk is full; this member is stopped until there is space")
 			select {
-			case <-time.After(fullPause):
+			case <-time.After(diskFullRetryInterval):
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -122,14 +120,14 @@
 	}
 }
 
-// Limits gives how many members are wanted, with all limits in ticks.
+// Limits returns the limits on the number of members, with all times in ticks.
 func (m *Member) Limits() groupmember.Limits { return m.config.Limits }
 
-// ElectionTimeout is the shortest time without a leader's messages after which another
-// member may stand.
+// ElectionTimeout returns the minimum time without a leader after which another member may
+// become a candidate.
 func (m *Member) ElectionTimeout() time.Duration { return m.config.electionTimeout() }
 
-// Shard gives the shard whose group this machine is a member of, 0 while it is of none.
+// Shard returns the shard of this member, 0 if it has none.
 func (m *Member) Shard() Shard {
 	if stored := m.stored.Load(); stored != nil {
 		return stored.Shard
@@ -137,7 +135,7 @@
 	return 0
 }
 
-// Incarnation gives the incarnation of this machine's folder, empty while it has none.
+// Incarnation returns the incarnation of the member's folder, or "" if it has none.
 func (m *Member) Incarnation() string {
 	if stored := m.stored.Load(); stored != nil {
 		return stored.Incarnation
@@ -145,92 +143,91 @@
 	return ""
 }
 
-// takePart opens the member and runs it until it must stop.
-func (m *Member) takePart(ctx context.Context, place folder) error {
-	l, stored, err := m.open(ctx, place)
+// openAndRun opens the member and runs it until it must stop.
+func (m *Member) openAndRun(ctx context.Context, dir folder) error {
+	l, stored, err := m.open(ctx, dir)
 	if err != nil {
 		return err
 	}
 	m.current.Store(l)
-	watched, stopWatch := context.WithCancel(ctx)
+	watchCtx, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
-	go m.watchStanding(watched, l, stored)
+	go m.watchRemoval(watchCtx, l, stored)
 	err = l.run(ctx)
 	m.current.Store(nil)
-	m.shown.Store(nil)
+	m.published.Store(nil)
 	return errors.Join(err, l.log.Close())
 }
 
-// open gives the loop of a member and its identity: from its log, or by founding or
-// joining.
-func (m *Member) open(ctx context.Context, place folder) (*loop, identity, error) {
-	stored, found, err := place.load()
+// open opens a member from its log, or founds or joins the group. It returns the member's loop
+// and identity.
+func (m *Member) open(ctx context.Context, dir folder) (*loop, identity, error) {
+	stored, found, err := dir.load()
 	if err != nil {
 		return nil, identity{}, err
 	}
-	mayFound := !found && !m.entered
-	m.entered = true
+	mayFound := !found && !m.hadID
+	m.hadID = true
 	if found {
 		m.stored.Store(&stored)
-		l, err := m.reopen(place, stored)
-		if err == nil || !unusable(err) {
+		l, err := m.reopen(dir, stored)
+		if err == nil || !isUnusableLog(err) {
 			return l, stored, err
 		}
 		m.config.Logger.Error().Str(eventlog.Field, eventlog.LogUnusable).Str("group", m.config.Name).Err(err).Msg("the folder is cleared; this member joins under a new id")
 	}
 	m.stored.Store(nil)
-	if err := place.clear(); err != nil {
+	if err := dir.clear(); err != nil {
 		return nil, identity{}, err
 	}
-	return m.enter(ctx, place, mayFound)
+	return m.foundOrJoin(ctx, dir, mayFound)
 }
 
-func unusable(err error) bool {
+func isUnusableLog(err error) bool {
 	return errors.Is(err, wal.ErrCorrupt) || errors.Is(err, wal.ErrForeign) || errors.Is(err, consensus.ErrInconsistent)
 }
 
-func (m *Member) reopen(place folder, stored identity) (*loop, error) {
-	m.peers.learn(stored.Records, false)
-	log, recovery, err := wal.Open(m.walOptions(place, stored))
+func (m *Member) reopen(dir folder, stored identity) (*loop, error) {
+	m.peers.setAddresses(stored.Records, false)
+	log, recovery, err := wal.Open(m.walOptions(dir, stored))
 	if errors.Is(err, wal.ErrMissing) {
-		return m.create(place, stored)
+		return m.create(dir, stored)
 	}
 	if err != nil {
 		return nil, err
 	}
 	m.config.Logger.Info().Str(eventlog.Field, eventlog.LogOpened).Str("group", m.config.Name).Uint64("member", uint64(stored.ID)).
-		Int("entries", len(recovery.Restored.Entries)).Int64("torn_bytes", recovery.TornBytes).Msg("the log was read")
-	return m.loopOn(stored, log, recovery.Restored)
+		Int("entries", len(recovery.Restored.Entries)).Int64("torn_bytes", recovery.TornBytes).Msg("log opened")
+	return m.openLoop(stored, log, recovery.Restored)
 }
 
-func (m *Member) walOptions(place folder, stored identity) wal.Options {
+func (m *Member) walOptions(dir folder, stored identity) wal.Options {
 	return wal.Options{
-		FileSystem: m.config.FileSystem, Directory: place.logPath(),
+		FileSystem: m.config.FileSystem, Directory: dir.logPath(),
 		Identity: wal.Identity{Cluster: m.config.Name, Member: stored.ID},
 	}
 }
 
-// enter brings a member with an empty folder into the group. It may be among the
-// founders only if it never had an id: under one that it had before it would vote
-// without memory.
-func (m *Member) enter(ctx context.Context, place folder, mayFound bool) (*loop, identity, error) {
+// foundOrJoin brings a member with an empty folder into the group. The member may be a
+// founder only if it never had an id: without its log it could vote twice in a term.
+func (m *Member) foundOrJoin(ctx context.Context, dir folder, mayFound bool) (*loop, identity, error) {
 	incarnation := newIncarnation()
 	for tries := 1; ; tries++ {
-		stored, err := m.tryEnter(ctx, incarnation, mayFound)
+		stored, err := m.tryFoundOrJoin(ctx, incarnation, mayFound)
 		if err == nil {
 			stored.Incarnation = incarnation
-			if err := place.save(stored); err != nil {
+			if err := dir.save(stored); err != nil {
 				return nil, identity{}, err
 			}
 			m.config.Logger.Info().Str(eventlog.Field, eventlog.GroupEntered).Str("group", m.config.Name).Uint64("member", uint64(stored.ID)).
-				Uint32("shard", uint32(stored.Shard)).Bool("founder", stored.Founding).Msg("this member has an id")
+				Uint32("shard", uint32(stored.Shard)).Bool("founder", stored.Founding).Msg("this member has a new id")
 			m.stored.Store(&stored)
-			l, err := m.create(place, stored)
+			l, err := m.create(dir, stored)
 			return l, stored, err
 		}
-		pause := originInterval
-		if tries > quickTries {
-			pause = slowInterval
+		pause := joinRetryInterval
+		if tries > fastJoinRetries {
+			pause = slowJoinRetryInterval
 		}
 		select {
 		case <-time.After(pause):
@@ -240,7 +237,7 @@
 	}
 }
 
-func (m *Member) tryEnter(ctx context.Context, incarnation string, mayFound bool) (identity, error) {
+func (m *Member) tryFoundOrJoin(ctx context.Context, incarnation string, mayFound bool) (identity, error) {
 	origin, err := m.config.Origin(ctx, incarnation)
 	if err != nil {
 		return identity{}, err
@@ -257,32 +254,32 @@
 	return m.join(ctx, incarnation, origin.Shard, contacts)
 }
 
-// create makes the log of a member that has an id.
-func (m *Member) create(place folder, stored identity) (*loop, error) {
+// create creates the log of a member that has an id.
+func (m *Member) create(dir folder, stored identity) (*loop, error) {
 	initial := consensus.Membership{}
 	if stored.Founding {
 		for _, record := range stored.Records {
 			initial.Voters = append(initial.Voters, record.ID)
 		}
 	}
-	log, restored, err := wal.Create(m.walOptions(place, stored), initial)
+	log, restored, err := wal.Create(m.walOptions(dir, stored), initial)
 	if err != nil {
 		return nil, err
 	}
-	return m.loopOn(stored, log, restored)
+	return m.openLoop(stored, log, restored)
 }
 
-func (m *Member) loopOn(stored identity, log *wal.Log, restored consensus.Restored) (*loop, error) {
-	m.peers.learn(stored.Records, false)
-	l, err := newLoop(m.config, stored, log, restored, m.peers, func(step Step) { m.show(stored.Shard, step) })
+func (m *Member) openLoop(stored identity, log *wal.Log, restored consensus.Restored) (*loop, error) {
+	m.peers.setAddresses(stored.Records, false)
+	l, err := newLoop(m.config, stored, log, restored, m.peers, func(step Step) { m.publish(stored.Shard, step) })
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	return l, nil
 }
 
-// show publishes a step of the loop.
-func (m *Member) show(shard Shard, step Step) {
+// publish publishes the state after a step of the loop.
+func (m *Member) publish(shard Shard, step Step) {
 	shown := &Shown{
 		Shard: shard, Status: step.Status, Settled: step.Settled, Applied: step.Applied, Records: step.Records,
 		Confirmed: step.Status.QuorumActive && step.CaughtUp, At: m.config.Clock(),
@@ -292,16 +289,15 @@
 			shown.Leader = record
 		}
 	}
-	m.shown.Store(shown)
+	m.published.Store(shown)
 	m.config.Changed(step)
 }
 
-// Shown gives what the member last showed of itself, or nil while it takes no
-// part. Confirmed and Settled are cleared if that is older than an election
-// timeout: a loop that hangs in a sync confirms nothing, nor does one on a machine that
-// wakes up.
+// Shown returns the latest published state, or nil while the member is not running. If the
+// state is older than an election timeout, as during a long sync or after a suspension,
+// Confirmed and Settled are cleared.
 func (m *Member) Shown() *Shown {
-	shown := m.shown.Load()
+	shown := m.published.Load()
 	if shown == nil || m.config.Clock()-shown.At < m.config.electionTimeout() {
 		return shown
 	}
--- a/internal/app/group/peers.go
+++ b/internal/app/group/peers.go
@@ -9,12 +9,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// peers holds the connections to the other members.
+// peers manages the connections to the other members.
 type peers struct {
 	pool   *wire.Pool
 	method string
 	mutex  sync.Mutex
-	// addresses of members by id.
+	// addresses are the addresses of members by id.
 	addresses map[consensus.MemberID]string
 }
 
@@ -22,9 +22,9 @@
 	return &peers{pool: wire.NewPool(options), method: method, addresses: make(map[consensus.MemberID]string)}
 }
 
-// learn notes addresses of members, and closes connections that no known
-// member uses any more once prune is set.
-func (p *peers) learn(records []groupmember.Record, prune bool) {
+// setAddresses records addresses of members. With prune, it first drops all others and
+// closes their connections.
+func (p *peers) setAddresses(records []groupmember.Record, prune bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if prune {
@@ -46,16 +46,15 @@
 	return p.addresses[id]
 }
 
-// send hands a consensus message to the network. It may be lost; the core
-// sends again.
+// send sends a consensus message. The message may be lost; the core retries.
 func (p *peers) send(message consensus.Message) {
 	if address := p.address(message.To); address != "" {
 		_ = p.pool.Client(address).Send(context.Background(), p.method, message)
 	}
 }
 
-// connect keeps connections to voters open, so that the first request for a
-// vote is not lost.
+// connect opens connections to voters in advance, so that the first vote request is not
+// lost.
 func (p *peers) connect(ids []consensus.MemberID) {
 	for _, id := range ids {
 		if address := p.address(id); address != "" {
--- a/internal/app/group/shard_test.go
+++ b/internal/app/group/shard_test.go
@@ -10,12 +10,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// TestAMemberOfAnotherShardRefuses: commands, questions and machines that are meant for
-// another group of the same name.
+// TestAMemberOfAnotherShardRefuses checks that a member rejects commands, reads and join
+// requests for another shard's group of the same name.
 func TestAMemberOfAnotherShardRefuses(t *testing.T) {
 	_, machines := startGroup(t)
 	var leader *groupMachine
-	until(t, "a leader", func() bool {
+	waitUntil(t, "a leader is elected", func() bool {
 		leader = leaderOf(machines, "a", "b", "c")
 		return leader != nil
 	})
@@ -26,11 +26,11 @@
 		t.Errorf("a command for another shard: %v", err)
 	}
 	if err := leader.member.ReadFrom(ctx, 2, nil); !errors.As(err, &refusal) {
-		t.Errorf("a question to another shard: %v", err)
+		t.Errorf("a read for another shard: %v", err)
 	}
-	// The one that leads takes it. Which one that is may change: on a machine that does much
-	// else a leader is not run for longer than an election takes.
-	until(t, "a command for this shard is taken", func() bool {
+	// The leader may change: on a busy machine it may not be scheduled for longer than an
+	// election timeout.
+	waitUntil(t, "a command for this shard is accepted", func() bool {
 		leader = leaderOf(machines, "a", "b", "c")
 		if leader == nil {
 			return false
@@ -42,7 +42,7 @@
 		return err == nil
 	})
 
-	// d asks to join another shard's group where a lost member's place is free.
+	// d tries to join another shard's group while a member's slot is free.
 	stranger := machines["d"]
 	stranger.stop()
 	stranger.origin.Shard = 2
@@ -54,15 +54,15 @@
 	lost.stop()
 	time.Sleep(time.Second) // twice the time after which a voter is replaced
 	if shown := stranger.member.Shown(); shown != nil {
-		t.Errorf("a machine that asked for another shard is member %d", shown.Status.ID)
+		t.Errorf("a machine that joins another shard is member %d", shown.Status.ID)
 	}
 	if got := len(leader.member.Shown().Records); got != 3 {
-		t.Errorf("%d members", got)
+		t.Errorf("%d members, want 3", got)
 	}
 	stranger.stop()
 	stranger.origin.Shard = 0
 	stranger.start()
-	until(t, "it joins this shard's group", func() bool {
+	waitUntil(t, "the machine joins this shard's group", func() bool {
 		shown := stranger.member.Shown()
 		return shown != nil && shown.Status.Membership.IsVoter(shown.Status.ID)
 	})
--- a/internal/app/group/snapshot.go
+++ b/internal/app/group/snapshot.go
@@ -10,16 +10,16 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// savedSnapshot is a snapshot whose file is durable, or why it is not.
+// savedSnapshot is a durable snapshot, or the error of writing it.
 type savedSnapshot struct {
 	snapshot consensus.Snapshot
 	written  wal.WrittenSnapshot
 	err      error
 }
 
-// beginSnapshot captures the state; encoding and writing it go on beside the loop,
-// which has heartbeats to send meanwhile.
-func (l *loop) beginSnapshot() error {
+// startSnapshot captures the state and starts to encode and write it in the background, so
+// that heartbeats continue.
+func (l *loop) startSnapshot() error {
 	capture, err := l.member.CaptureSnapshot()
 	if err != nil {
 		return eris.Wrap(err, "capture snapshot")
@@ -39,8 +39,8 @@
 	return savedSnapshot{snapshot: snapshot, written: written, err: eris.Wrap(err, "write snapshot")}
 }
 
-// finishSnapshot puts a written snapshot in force. It counts for nothing if the
-// leader sent a later one meanwhile. A failed write is final, as any other.
+// finishSnapshot adopts a written snapshot. It ignores one that is older than a snapshot
+// received from the leader meanwhile. A failed write is fatal.
 func (l *loop) finishSnapshot(saved savedSnapshot) error {
 	l.saving = false
 	if saved.err != nil {
@@ -56,9 +56,9 @@
 	return eris.Wrap(l.member.Compact(saved.snapshot), "compact")
 }
 
-// tendSnapshotData keeps the data of the newest snapshot in memory only while
-// another member waits for it.
-func (l *loop) tendSnapshotData() {
+// updateSnapshotData loads the data of the latest snapshot if another member needs it, and
+// releases it otherwise.
+func (l *loop) updateSnapshotData() {
 	if !l.member.SnapshotWanted() {
 		l.member.ReleaseSnapshot()
 		return
@@ -71,8 +71,8 @@
 	go func() { l.read <- readSnapshot(reader) }()
 }
 
-// readSnapshot gives the zero snapshot, which no member takes, if it cannot be read:
-// another one may have taken its place meanwhile. It is wanted again then.
+// readSnapshot reads the latest snapshot. It returns the zero snapshot on an error, since the
+// file may have been replaced meanwhile; the core then requests it again.
 func readSnapshot(reader wal.SnapshotReader) consensus.Snapshot {
 	snapshot, err := reader.Read()
 	if err != nil {
@@ -81,9 +81,9 @@
 	return snapshot
 }
 
-// awaitSnapshot waits until nothing is written or read any more, as the folder may be
-// opened again after the loop.
-func (l *loop) awaitSnapshot() {
+// waitForSnapshot waits until no snapshot is written or read any more, since the folder may
+// be reopened after the loop.
+func (l *loop) waitForSnapshot() {
 	if l.saving {
 		<-l.saved
 	}
--- a/internal/app/group/snapshot_test.go
+++ b/internal/app/group/snapshot_test.go
@@ -12,47 +12,45 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/wal"
 )
 
-// heldFiles is a file system that holds snapshot files up while it is told to.
-type heldFiles struct {
+// blockingFiles is a file system that can block the creation of snapshot files.
+type blockingFiles struct {
 	wal.FileSystem
-	mutex sync.Mutex
-	held  chan struct{}
-	// begun is closed once a snapshot file waits.
-	begun chan struct{}
+	mutex   sync.Mutex
+	blocked chan struct{}
+	// started is closed once the creation of a snapshot file is blocked.
+	started chan struct{}
 }
 
-// hold holds snapshot files up from now on, until the release.
-func (f *heldFiles) hold() (begun <-chan struct{}, release func()) {
+// block blocks the creation of snapshot files until release is called.
+func (f *blockingFiles) block() (started <-chan struct{}, release func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.held, f.begun = make(chan struct{}), make(chan struct{})
-	return f.begun, sync.OnceFunc(func() { close(f.held) })
+	f.blocked, f.started = make(chan struct{}), make(chan struct{})
+	return f.started, sync.OnceFunc(func() { close(f.blocked) })
 }
 
-func (f *heldFiles) Create(path string) (wal.File, error) {
+func (f *blockingFiles) Create(path string) (wal.File, error) {
 	f.mutex.Lock()
-	held, begun := f.held, f.begun
-	if held != nil && strings.Contains(path, ".snap") && begun != nil {
-		close(begun)
-		f.begun = nil
+	blocked, started := f.blocked, f.started
+	if blocked != nil && strings.Contains(path, ".snap") && started != nil {
+		close(started)
+		f.started = nil
 	}
 	f.mutex.Unlock()
-	if held != nil && strings.Contains(path, ".snap") {
-		<-held
+	if blocked != nil && strings.Contains(path, ".snap") {
+		<-blocked
 	}
 	return f.FileSystem.Create(path)
 }
 
-// TestAMemberGoesOnWhileItsSnapshotIsWritten: commands are acknowledged meanwhile,
-// the leader stays, and what was acknowledged is there after a restart. (Found in a
-// quiet day of a site with thousands of items: the leader encoded and wrote 24 MB in
-// its loop, sent no heartbeat meanwhile and lost its leadership.)
+// TestAMemberGoesOnWhileItsSnapshotIsWritten checks that a leader keeps its leadership and
+// acknowledges commands while a snapshot is written, and that a restart preserves them.
 func TestAMemberGoesOnWhileItsSnapshotIsWritten(t *testing.T) {
 	all, machines := startGroup(t)
-	awaitVoters(t, all, "a", "b", "c")
-	machines["d"].stop() // or it would take a place
+	waitForVoters(t, all, "a", "b", "c")
+	machines["d"].stop() // keeps it from replacing a member
 	leader := leaderOf(machines, "a", "b", "c")
-	begun, release := leader.files.hold()
+	started, release := leader.files.block()
 	defer release()
 	command := []byte(strings.Repeat("x", snapshotBytes/4))
 	count := 0
@@ -65,11 +63,11 @@
 		}
 		count++
 	}
-	for waits := false; !waits; {
+	for writing := false; !writing; {
 		propose()
 		select {
-		case <-begun:
-			waits = true
+		case <-started:
+			writing = true
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -82,20 +80,20 @@
 	release()
 	leader.stop()
 	leader.start()
-	until(t, "the member is back with all commands", func() bool {
+	waitUntil(t, "the member applies all commands after a restart", func() bool {
 		shown := leader.member.Shown()
 		return shown != nil && leader.applied() >= count
 	})
 }
 
-// TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt: its data is on the leader's
-// disk only, and a machine that joins after the log was compacted gets it.
+// TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt checks that a leader reads a released
+// snapshot from disk for a machine that joins after the log was compacted.
 func TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt(t *testing.T) {
 	all, machines := startGroup(t)
-	awaitVoters(t, all, "a", "b", "c")
+	waitForVoters(t, all, "a", "b", "c")
 	machines["d"].stop()
 	leader := leaderOf(machines, "a", "b", "c")
-	const commands, callers = 1200, 24 // more entries than stay in memory
+	const commands, callers = 1200, 24 // exceeds the retained log entries
 	var proposals errgroup.Group
 	proposals.SetLimit(callers)
 	for range commands {
@@ -115,7 +113,7 @@
 	}
 	lost.stop()
 	machines["d"].start()
-	until(t, "the machine that joined has all", func() bool {
+	waitUntil(t, "the new member applies all commands", func() bool {
 		return machines["d"].applied() >= commands
 	})
 }
--- a/internal/app/group/standing.go
+++ b/internal/app/group/standing.go
@@ -10,23 +10,22 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// standingRequest asks whether a member was removed.
-type standingRequest struct {
+// removalRequest asks a member whether another member was removed.
+type removalRequest struct {
 	ID    consensus.MemberID `cbor:"1,keyasint"`
 	Shard Shard              `cbor:"2,keyasint,omitempty"`
 }
 
-// standingAnswer is sure if Removed is set: a leader of Term has committed it.
-type standingAnswer struct {
+// removalAnswer is definite if Removed is set: a leader of Term has applied the removal.
+type removalAnswer struct {
 	Removed bool   `cbor:"1,keyasint,omitempty"`
 	Term    uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// watchStanding asks other members, while this one hears no leader, whether it was
-// removed: one that was away meanwhile is told by nobody, as none knows its address
-// any more, and could neither vote nor take the place of a lost machine.
-func (m *Member) watchStanding(ctx context.Context, l *loop, stored identity) {
-	ticker := time.NewTicker(m.config.StandingInterval)
+// watchRemoval periodically checks, while the member has no quorum, whether it was removed.
+// The other members no longer know the address of a removed member and cannot notify it.
+func (m *Member) watchRemoval(ctx context.Context, l *loop, stored identity) {
+	ticker := time.NewTicker(m.config.RemovalCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -34,7 +33,7 @@
 		case <-ctx.Done():
 			return
 		}
-		shown := m.shown.Load()
+		shown := m.published.Load()
 		if shown == nil || shown.Status.QuorumActive {
 			continue
 		}
@@ -48,7 +47,7 @@
 	}
 }
 
-// wasRemoved asks all other members that are known.
+// wasRemoved reports whether any known member confirms the removal of this one.
 func (m *Member) wasRemoved(ctx context.Context, stored identity, shown *Shown) bool {
 	var contacts []string
 	for _, record := range shown.Records {
@@ -62,7 +61,7 @@
 		if address == "" || address == m.config.Self.Address {
 			continue
 		}
-		answer, err := m.askStanding(ctx, address, standingRequest{ID: stored.ID, Shard: stored.Shard})
+		answer, err := m.requestRemovalStatus(ctx, address, removalRequest{ID: stored.ID, Shard: stored.Shard})
 		if err == nil && answer.Removed && answer.Term >= shown.Status.Term {
 			return true
 		}
@@ -70,27 +69,27 @@
 	return false
 }
 
-func (m *Member) askStanding(ctx context.Context, address string, request standingRequest) (standingAnswer, error) {
+func (m *Member) requestRemovalStatus(ctx context.Context, address string, request removalRequest) (removalAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	var answer standingAnswer
+	var answer removalAnswer
 	err := m.peers.pool.Client(address).Call(ctx, m.config.Name+".standing", request, &answer)
 	return answer, err
 }
 
-// serveStanding answers for the group if this member leads it, else with nothing.
-func (m *Member) serveStanding(ctx context.Context, call *wire.Call) error {
-	var asked standingRequest
-	if err := call.Decode(&asked); err != nil {
+// serveRemovalStatus answers a removalRequest. Only the leader reports a removal.
+func (m *Member) serveRemovalStatus(ctx context.Context, call *wire.Call) error {
+	var request removalRequest
+	if err := call.Decode(&request); err != nil {
 		return err
 	}
 	l := m.current.Load()
 	if l == nil {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "%v", ErrNotReady)
 	}
-	done := make(chan standingAnswer, 1)
+	done := make(chan removalAnswer, 1)
 	select {
-	case l.requests <- func(l *loop) { done <- l.standing(asked) }:
+	case l.requests <- func(l *loop) { done <- l.removalStatus(request) }:
 	case <-l.stopped:
 		return port.NewError(port.NotRun, port.CodeUnavailable, "%v", ErrNotReady)
 	case <-ctx.Done():
@@ -106,13 +105,13 @@
 	}
 }
 
-// standing says whether a member was removed. Its record is there until that is
-// committed.
-func (l *loop) standing(asked standingRequest) standingAnswer {
-	status, id := l.member.Status(), asked.ID
+// removalStatus reports whether a member was removed. The directory has a member's record
+// until the removal is committed.
+func (l *loop) removalStatus(request removalRequest) removalAnswer {
+	status, id := l.member.Status(), request.ID
 	_, known := l.member.Record(id)
-	if asked.Shard != l.shard || !l.member.LeaderReady() || known || id > status.Membership.HighestID || status.Membership.Contains(id) {
-		return standingAnswer{}
+	if request.Shard != l.shard || !l.member.LeaderReady() || known || id > status.Membership.HighestID || status.Membership.Contains(id) {
+		return removalAnswer{}
 	}
-	return standingAnswer{Removed: true, Term: status.Term}
+	return removalAnswer{Removed: true, Term: status.Term}
 }
--- a/internal/app/group/standing_test.go
+++ b/internal/app/group/standing_test.go
@@ -24,8 +24,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// snapshotBytes is the size of applied commands after which members of these tests
-// save their state.
+// snapshotBytes is the size of applied commands after which members in these tests take a
+// snapshot.
 const snapshotBytes = 64 << 10
 
 // counter is a state machine that counts commands.
@@ -42,28 +42,28 @@
 	return nil
 }
 
-// groupMachine is a machine that runs a member; it is stopped and started again at
-// the same address, with the same folder.
+// groupMachine is a machine that runs a member. It can be restarted with the same address
+// and folder.
 type groupMachine struct {
 	t       *testing.T
 	founder groupmember.Record
 	folder  string
-	files   *heldFiles
+	files   *blockingFiles
 	origin  group.Origin
 	member  *group.Member
 	machine atomic.Pointer[counter]
 	stop    func()
-	// slept is how long the machine was suspended so far, in nanoseconds.
-	slept atomic.Int64
+	// suspended is how long the machine was suspended, in nanoseconds.
+	suspended atomic.Int64
 }
 
-// clock is the machine's, which counts that time.
+// clock is the machine's clock, which counts suspended time.
 func (m *groupMachine) clock() time.Duration {
-	return boottime.Now() + time.Duration(m.slept.Load())
+	return boottime.Now() + time.Duration(m.suspended.Load())
 }
 
-// suspend lets time pass for all others: the machine's steady clock does not count it.
-func (m *groupMachine) suspend(slept time.Duration) { m.slept.Add(int64(slept)) }
+// suspend simulates a suspension: the machine's monotonic clock does not count it.
+func (m *groupMachine) suspend(duration time.Duration) { m.suspended.Add(int64(duration)) }
 
 func (m *groupMachine) newState() groupmember.StateMachine {
 	state := &counter{}
@@ -71,8 +71,8 @@
 	return state
 }
 
-// applied gives how many commands the machine's state has taken in, 0 before it has
-// one.
+// applied returns the number of commands applied to the machine's state, 0 before it has a
+// state.
 func (m *groupMachine) applied() int {
 	state := m.machine.Load()
 	if state == nil {
@@ -91,7 +91,7 @@
 		Origin:  func(context.Context, string) (group.Origin, error) { return m.origin, nil },
 		Changed: func(group.Step) {}, Logger: &log.Logger{Level: log.PanicLevel},
 		Limits:       groupmember.Limits{Voters: 3, MinVoters: 3},
-		ReplaceAfter: 400 * time.Millisecond, VacantAfter: 200 * time.Millisecond, StandingInterval: 50 * time.Millisecond,
+		ReplaceAfter: 400 * time.Millisecond, FreeSlotAfter: 200 * time.Millisecond, RemovalCheckInterval: 50 * time.Millisecond,
 	})
 	server := wire.NewServer(options)
 	m.member.Register(server)
@@ -111,7 +111,7 @@
 	}
 }
 
-// startGroup starts four machines, of which three found a group.
+// startGroup starts four machines, of which three found the group.
 func startGroup(t *testing.T) (all []*groupMachine, machines map[string]*groupMachine) {
 	t.Helper()
 	machines = map[string]*groupMachine{}
@@ -121,7 +121,7 @@
 		address := testkit.FreeAddress(t)
 		record := groupmember.Record{ID: consensus.MemberID(i + 1), Address: address, Name: name}
 		folder := t.TempDir()
-		files := &heldFiles{FileSystem: diskfault.New(wal.OS{}, folder)}
+		files := &blockingFiles{FileSystem: diskfault.New(wal.OS{}, folder)}
 		machines[name] = &groupMachine{t: t, founder: record, folder: folder, files: files}
 		contacts = append(contacts, address)
 		if name != "d" {
@@ -137,7 +137,7 @@
 	return all, machines
 }
 
-// leaderOf gives the machine among those named whose member leads.
+// leaderOf returns the machine, among those named, whose member leads.
 func leaderOf(machines map[string]*groupMachine, names ...string) *groupMachine {
 	for _, name := range names {
 		if shown := machines[name].member.Shown(); shown != nil && shown.Settled {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// voters gives the names of the voters, as the leader among the machines sees them.
+// voters returns the names of the voters as seen by the leader.
 func voters(machines []*groupMachine) []string {
 	for _, m := range machines {
 		shown := m.member.Shown()
@@ -166,23 +166,21 @@
 	return nil
 }
 
-func awaitVoters(t *testing.T, machines []*groupMachine, want ...string) {
+func waitForVoters(t *testing.T, machines []*groupMachine, want ...string) {
 	t.Helper()
-	until(t, fmt.Sprint("voters ", want), func() bool { return slices.Equal(voters(machines), want) })
+	waitUntil(t, fmt.Sprint("voters are ", want), func() bool { return slices.Equal(voters(machines), want) })
 }
 
-// TestAMemberThatWasRemovedWhileAwayTakesTheNextPlace: nobody knows its address any
-// more, so it has to ask. (Found in a day of a site with four store machines: one
-// that had been cut off stood for election for the rest of the day, and the site had
-// no machine left for the next loss.)
+// TestAMemberThatWasRemovedWhileAwayTakesTheNextPlace checks that a member that was removed
+// while it was stopped detects this and replaces the next lost member.
 func TestAMemberThatWasRemovedWhileAwayTakesTheNextPlace(t *testing.T) {
 	all, machines := startGroup(t)
-	awaitVoters(t, all, "a", "b", "c")
+	waitForVoters(t, all, "a", "b", "c")
 
 	machines["b"].stop()
-	awaitVoters(t, []*groupMachine{machines["a"], machines["c"], machines["d"]}, "a", "c", "d")
+	waitForVoters(t, []*groupMachine{machines["a"], machines["c"], machines["d"]}, "a", "c", "d")
 	machines["b"].start()
 
 	machines["c"].stop()
-	awaitVoters(t, []*groupMachine{machines["a"], machines["b"], machines["d"]}, "a", "b", "d")
+	waitForVoters(t, []*groupMachine{machines["a"], machines["b"], machines["d"]}, "a", "b", "d")
 }
--- a/internal/app/group/suspend_test.go
+++ b/internal/app/group/suspend_test.go
@@ -8,22 +8,20 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// TestASuspendedLeaderAnswersNothingOnItsOwn: a leader that is suspended for longer than an
-// election timeout may have a successor when it wakes up, and its steady clock does not show
-// that. It must not answer a read before a quorum has confirmed it, nor show that it is in
-// touch. Here the others cannot answer.
+// TestASuspendedLeaderAnswersNothingOnItsOwn checks that a leader that was suspended for longer
+// than an election timeout serves no reads and is not confirmed before it contacts a quorum.
 func TestASuspendedLeaderAnswersNothingOnItsOwn(t *testing.T) {
 	all, machines := startGroup(t)
-	awaitVoters(t, all, "a", "b", "c")
+	waitForVoters(t, all, "a", "b", "c")
 	machines["d"].stop()
 	leader := leaderOf(machines, "a", "b", "c")
-	read := func(patience time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	read := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		return leader.member.Read(ctx, func(groupmember.StateMachine) {})
 	}
 	if err := read(10 * time.Second); err != nil {
-		t.Fatalf("before: %v", err)
+		t.Fatalf("read before the suspension: %v", err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		if machines[name] != leader {
@@ -32,23 +30,23 @@
 	}
 	leader.suspend(10 * time.Second)
 	if shown := leader.member.Shown(); shown != nil && (shown.Settled || shown.Confirmed) {
-		t.Errorf("it shows settled %v, confirmed %v on waking up", shown.Settled, shown.Confirmed)
+		t.Errorf("settled %v, confirmed %v after the suspension", shown.Settled, shown.Confirmed)
 	}
 	if err := read(300 * time.Millisecond); err == nil {
-		t.Error("it answered a read on its own")
+		t.Error("a read succeeded without a quorum")
 	}
 }
 
-// TestALeaderThatWakesUpInTouchGoesOn: nothing else happened, so that it serves again as soon
-// as the others have answered, in the same term; also after a second suspension.
+// TestALeaderThatWakesUpInTouchGoesOn checks that a leader that contacts a quorum after a
+// suspension serves again in the same term, also after a second suspension.
 func TestALeaderThatWakesUpInTouchGoesOn(t *testing.T) {
 	all, machines := startGroup(t)
-	awaitVoters(t, all, "a", "b", "c")
+	waitForVoters(t, all, "a", "b", "c")
 	leader := leaderOf(machines, "a", "b", "c")
 	term := leader.member.Shown().Status.Term
 	for range 2 {
 		leader.suspend(10 * time.Second)
-		until(t, "it is in touch again", func() bool {
+		waitUntil(t, "the leader is in contact with a quorum again", func() bool {
 			shown := leader.member.Shown()
 			return shown != nil && shown.Settled
 		})
