--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -89,7 +89,7 @@
 	inFlight atomic.Int64
 }
 
-// New makes a Front.
+// New returns a Front.
 func New(config Config) *Front {
 	return &Front{config: config, headers: config.Dialect.Headers()}
 }
--- a/internal/app/guard/guard.go
+++ b/internal/app/guard/guard.go
@@ -77,7 +77,7 @@
 	return len(s.replicas) > 0 && !slices.ContainsFunc(suspect.Replicas, known)
 }
 
-// New makes a Guard.
+// New returns a Guard.
 func New(config Config) *Guard {
 	return &Guard{
 		config: config, outbox: newOutbox(config.Send, config.Logger),
--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -138,7 +138,7 @@
 }
 
 // callByJob calls the shard that has a job. If the shard is not cached, callByJob first
-// calls the shards with any model, since a large site has more shards than models. It returns
+// calls the shards that have models, since a large site has more shards than models. It returns
 // Unknown only if every shard does, since the view may lack the newest models.
 func (c *Client) callByJob(ctx context.Context, job string, request Request) (Answer, error) {
 	if shard := c.cachedShard(job); shard != 0 {
