--- a/cmd/loomgrade/cmd_site_front.go
+++ b/cmd/loomgrade/cmd_site_front.go
@@ -9,8 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/httpserve"
 	"github.com/loomgrade/loomgrade/internal/adapter/metrics"
 	"github.com/loomgrade/loomgrade/internal/app/front"
-	"github.com/loomgrade/loomgrade/internal/app/held"
 	"github.com/loomgrade/loomgrade/internal/app/jobsapi"
+	"github.com/loomgrade/loomgrade/internal/app/membudget"
 	"github.com/loomgrade/loomgrade/internal/app/proxy"
 	"github.com/loomgrade/loomgrade/internal/app/sitecontrol"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
@@ -49,17 +49,17 @@
 		Provisional: true, Interest: sitestate.InterestRouting, Changed: func(view *siteview.View) { sender.Observe(view) },
 	})
 	withholds := sitecontrol.NewGuard(p.file.Machine, watcher, p.logger)
-	budget := held.NewBudget(int64(heldShare * p.file.MemoryMegabytes * megabyte))
+	budget := membudget.NewBudget(int64(heldShare * p.file.MemoryMegabytes * megabyte))
 	sender = p.newProxy(watcher, withholds, budget)
 	counted := p.newUsageReporter(watcher)
 	idle := httpserve.NewIdleConnections(keepAlive)
 	served := front.New(front.Config{
 		Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Idle: idle, Recorder: p.metrics,
-		Held: budget, Usage: counted, RevokeWithin: p.file.RevokeWithin(),
-		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, Place: sitecontrol.Placer(watcher), KeepsWithin: watcher.KeepsWithin}),
+		MemoryBudget: budget, Usage: counted, RevokeWithin: p.file.RevokeWithin(),
+		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, AssignShard: sitecontrol.Placer(watcher), StoredWithin: watcher.StoredWithin}),
 	})
 	p.metrics.Observe(func() metrics.SiteReading {
-		return ofView(metrics.SiteReading{InFlight: served.InFlight(), HeldBytes: budget.Held(), LinesDropped: p.lines.Dropped()}, watcher)
+		return ofView(metrics.SiteReading{InFlight: served.InFlight(), HeldBytes: budget.Used(), LinesDropped: p.lines.Dropped()}, watcher)
 	})
 	callers := newService(p.file.CallerListen, platform.FrontHandler(served))
 	callers.server.ConnState = idle.Observe
@@ -69,7 +69,7 @@
 		defer cancel()
 		served.Drain()
 		wait(stopping, drainNotice)
-		served.AwaitRested(stopping)
+		served.AwaitIdle(stopping)
 		served.Close()
 		_ = callers.server.Shutdown(stopping)
 		counted.Drain(stopping)
--- a/internal/adapter/metrics/site.go
+++ b/internal/adapter/metrics/site.go
@@ -120,11 +120,11 @@
 	s.loads.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// HeartbeatTaken counts a heartbeat.
-func (s *Site) HeartbeatTaken() { s.beats.Inc() }
+// HeartbeatAccepted counts a heartbeat.
+func (s *Site) HeartbeatAccepted() { s.beats.Inc() }
 
-// HeartbeatRefused counts a heartbeat that was not taken. Field is one of a few fixed words.
-func (s *Site) HeartbeatRefused(field string) { s.refused.WithLabelValues(field).Inc() }
+// HeartbeatRejected counts a heartbeat that was not taken. Field is one of a few fixed words.
+func (s *Site) HeartbeatRejected(field string) { s.refused.WithLabelValues(field).Inc() }
 
 // Suspended counts a suspension of the machine.
 func (s *Site) Suspended(slept time.Duration) { s.slept.Add(slept.Seconds()) }
--- a/internal/adapter/settings/duration.go
+++ b/internal/adapter/settings/duration.go
@@ -12,12 +12,12 @@
 	malformed string
 }
 
-// DurationOf returns the setting for a time.
-func DurationOf(value time.Duration) Duration { return Duration{value: value} }
+// NewDuration returns the setting for a time.
+func NewDuration(value time.Duration) Duration { return Duration{value: value} }
 
-// Outside returns an error if the duration is malformed or not between low and
+// CheckRange returns an error if the duration is malformed or not between low and
 // high.
-func (d Duration) Outside(key string, low, high time.Duration) *Error {
+func (d Duration) CheckRange(key string, low, high time.Duration) *Error {
 	allowed := fmt.Sprintf("%s to %s, with a unit", low, high)
 	switch {
 	case d.malformed != "":
--- a/internal/adapter/wire/contract_test.go
+++ b/internal/adapter/wire/contract_test.go
@@ -115,8 +115,8 @@
 // waitClosed blocks until the client closes the connection.
 func (p *scriptedPeer) waitClosed() { _, _ = io.Copy(io.Discard, p.reader) }
 
-// TestContractOfACall runs one call against each kind of peer fault.
-func TestContractOfACall(t *testing.T) {
+// TestCallPeerFaults runs one call against each kind of peer fault.
+func TestCallPeerFaults(t *testing.T) {
 	cases := []struct {
 		name    string
 		script  func(*scriptedPeer)
--- a/internal/adapter/wire/pack.go
+++ b/internal/adapter/wire/pack.go
@@ -88,9 +88,9 @@
 // sharedCompressor compresses messages that are encoded once for many receivers.
 var sharedCompressor = newCompressor()
 
-// MarshalPacked encodes and compresses a message that is sent to many receivers as a
+// MarshalCompressed encodes and compresses a message that is sent to many receivers as a
 // part of other messages.
-func MarshalPacked(message any) ([]byte, error) {
+func MarshalCompressed(message any) ([]byte, error) {
 	encoded, err := Marshal(message)
 	if err != nil {
 		return nil, err
@@ -100,8 +100,8 @@
 	return compressed.Bytes(), nil
 }
 
-// UnmarshalPacked decodes the result of MarshalPacked, of at most maxSize encoded bytes.
-func UnmarshalPacked(compressed []byte, maxSize int, message any) error {
+// UnmarshalCompressed decodes the result of MarshalCompressed, of at most maxSize encoded bytes.
+func UnmarshalCompressed(compressed []byte, maxSize int, message any) error {
 	encoded, err := decompress(compressed, maxSize)
 	if err != nil {
 		return err
--- a/internal/app/control/distribution_bench_test.go
+++ b/internal/app/control/distribution_bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// BenchmarkInForce measures the time from sending a change until it is accepted, and
+// BenchmarkUpdateDistribution measures the time from sending a change until it is accepted, and
 // until the median and the last of the observers have it, each on its own connection.
-func BenchmarkInForce(b *testing.B) {
+func BenchmarkUpdateDistribution(b *testing.B) {
 	for _, observers := range []int{3, 60, 660} {
 		b.Run(fmt.Sprintf("observers=%d", observers), func(b *testing.B) {
 			group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
@@ -119,9 +119,9 @@
 	b.ReportMetric(float64(slices.Max(leaderless).Microseconds())/1000, "leaderless-max-ms")
 }
 
-// BenchmarkQuietWatch measures the cost of an idle watch: bytes in both directions
+// BenchmarkIdleWatch measures the cost of an idle watch: bytes in both directions
 // and CPU time of members and observers, per second and observer.
-func BenchmarkQuietWatch(b *testing.B) {
+func BenchmarkIdleWatch(b *testing.B) {
 	const observers = 660
 	group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
 	fleet := startObservers(group, observers)
@@ -136,7 +136,7 @@
 	b.ReportMetric(float64((processorTime(b)-cpuBefore).Microseconds())*share, "cpu-us/s/observer")
 }
 
-// BenchmarkReportingWatch measures the same as BenchmarkQuietWatch, for nodes that
+// BenchmarkReportingWatch measures the same as BenchmarkIdleWatch, for nodes that
 // also send a report each second.
 func BenchmarkReportingWatch(b *testing.B) {
 	const observers = 660
--- a/internal/app/control/suspend_test.go
+++ b/internal/app/control/suspend_test.go
@@ -9,10 +9,10 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/boottime"
 )
 
-// TestASuspendedLeaderReadsNothingOnItsOwn checks that a leader that was suspended
+// TestSuspendedLeaderRejectsReads checks that a leader that was suspended
 // for longer than an election timeout, which its monotonic clock does not show,
 // serves no read without its followers.
-func TestASuspendedLeaderReadsNothingOnItsOwn(t *testing.T) {
+func TestSuspendedLeaderRejectsReads(t *testing.T) {
 	var suspended [4]atomic.Int64 // by member
 	group := startGroup(t, 3, func(config *Config) {
 		id := config.ID
--- a/internal/app/front/comeback_test.go
+++ b/internal/app/front/comeback_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestThoseRefusedTogetherReturnApart checks that jitter varies a delay by at most half
+// TestJitterSpreadsRetries checks that jitter varies a delay by at most half
 // and keeps its mean.
-func TestThoseRefusedTogetherReturnApart(t *testing.T) {
+func TestJitterSpreadsRetries(t *testing.T) {
 	const delay = 200 * time.Millisecond
 	for draw, want := range map[float64]time.Duration{0: 100 * time.Millisecond, 0.5: delay, 0.75: 250 * time.Millisecond} {
 		if got := jitter(delay, draw); got != want {
--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -15,8 +15,8 @@
 
 	"github.com/loomgrade/loomgrade/internal/adapter/eventlog"
 	"github.com/loomgrade/loomgrade/internal/adapter/httpserve"
-	"github.com/loomgrade/loomgrade/internal/app/held"
 	"github.com/loomgrade/loomgrade/internal/app/jobsapi"
+	"github.com/loomgrade/loomgrade/internal/app/membudget"
 	"github.com/loomgrade/loomgrade/internal/app/proxy"
 	"github.com/loomgrade/loomgrade/internal/app/replicacall"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
@@ -54,8 +54,8 @@
 	// RevokeWithin is how long a front without a confirmed view accepts the keys it knows;
 	// 0 means no limit.
 	RevokeWithin time.Duration
-	// Held limits the memory for bodies and pages of callers; nil means no limit.
-	Held *held.Budget
+	// MemoryBudget limits the memory for bodies and pages of callers; nil means no limit.
+	MemoryBudget *membudget.Budget
 	// Usage counts started requests by tenant; nil disables counting.
 	Usage *UsageReporter
 	// Recorder records metrics of requests; nil disables them.
@@ -105,9 +105,9 @@
 // connections.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// AwaitRested blocks until no caller may still send on a connection opened before Drain,
+// AwaitIdle blocks until no caller may still send on a connection opened before Drain,
 // or until ctx ends.
-func (f *Front) AwaitRested(ctx context.Context) { f.config.Idle.AwaitRested(ctx) }
+func (f *Front) AwaitIdle(ctx context.Context) { f.config.Idle.AwaitIdle(ctx) }
 
 // Close makes the front reject every further request as not run. Call it right before
 // closing the connections: a request read from a closing connection must not be
@@ -146,7 +146,7 @@
 	if !ok {
 		return
 	}
-	reservation := f.config.Held.NewReservation()
+	reservation := f.config.MemoryBudget.NewReservation()
 	defer reservation.Close()
 	body, status := f.readBody(r, view.Table.Document().Limits, reservation)
 	switch status {
@@ -187,7 +187,7 @@
 }
 
 // readBody reads the complete body. A status other than 0 is the error to respond with.
-func (f *Front) readBody(r *http.Request, limits routing.Limits, reservation *held.Reservation) ([]byte, int) {
+func (f *Front) readBody(r *http.Request, limits routing.Limits, reservation *membudget.Reservation) ([]byte, int) {
 	limit := limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -198,7 +198,7 @@
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, 0
 	}
-	body, _, complete, err := held.Read(io.LimitReader(r.Body, limit+1), r.ContentLength, reservation)
+	body, _, complete, err := membudget.Read(io.LimitReader(r.Body, limit+1), r.ContentLength, reservation)
 	switch {
 	case !complete:
 		return nil, http.StatusServiceUnavailable
@@ -251,8 +251,8 @@
 		},
 		Service: route.ServiceFor(f.splits.Add(1)), Route: route.Name, Caller: caller.name(),
 		Repeatable: route.Repeatable(), MaxAttempts: route.MaxAttempts, Aim: route.Aim,
-		Homes:  routing.AllowedRegionsOf(route, caller.tenant),
-		Stream: route.Kind == routing.KindStream,
+		AllowedRegions: routing.AllowedRegionsOf(route, caller.tenant),
+		Stream:         route.Kind == routing.KindStream,
 	}
 }
 
--- a/internal/app/front/jobs.go
+++ b/internal/app/front/jobs.go
@@ -98,7 +98,7 @@
 	return found, err
 }
 
-// Refuse rejects a request with 503 and a Retry-After.
-func (f *Front) Refuse(w http.ResponseWriter, r *http.Request, reason string) {
+// Reject rejects a request with 503 and a Retry-After.
+func (f *Front) Reject(w http.ResponseWriter, r *http.Request, reason string) {
 	f.reject(w, r, "", reason)
 }
--- a/internal/app/front/slowreader.go
+++ b/internal/app/front/slowreader.go
@@ -45,17 +45,17 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 	}
 	f.config.Logger.Warn().Str(eventlog.Field, eventlog.AnswerNotHeld).Str("replica", answer.Replica.ID).
-		Int64("held", f.config.Held.Held()).Msg("memory budget exhausted: forwarding an answer without buffering it")
+		Int64("held", f.config.MemoryBudget.Used()).Msg("memory budget exhausted: forwarding an answer without buffering it")
 	w.WriteHeader(answer.Status)
 	if err := copyStream(w, answer.Stream); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Answer writes a response made by the front itself, or rejects the request if the response
+// Respond writes a response made by the front itself, or rejects the request if the response
 // exceeds the memory budget.
-func (f *Front) Answer(w http.ResponseWriter, r *http.Request, contentType string, body []byte) {
-	reservation := f.config.Held.NewReservation()
+func (f *Front) Respond(w http.ResponseWriter, r *http.Request, contentType string, body []byte) {
+	reservation := f.config.MemoryBudget.NewReservation()
 	defer reservation.Close()
 	if !reservation.Reserve(int64(len(body))) {
 		f.reject(w, r, "", "there is no room to hold the answer")
--- a/internal/app/front/stream.go
+++ b/internal/app/front/stream.go
@@ -26,7 +26,7 @@
 		}
 		return
 	}
-	events := eventCopier{out: w, control: http.NewResponseController(w), lastEvent: request.Header.Get(f.headers.LastEvent)}
+	events := eventCopier{out: w, control: http.NewResponseController(w), lastEvent: request.Header.Get(f.headers.LastEventID)}
 	for attempt := 1; ; attempt++ {
 		err := events.copyEvents(answer.Stream)
 		if err == nil {
@@ -38,7 +38,7 @@
 		f.config.Logger.Info().Str(eventlog.Field, eventlog.StreamResumed).Str("id", request.ID).Str("route", route.Name).
 			Str("replica", answer.Replica.ID).Str("after_event", events.lastEvent).Err(err).Msg("stream broke off; resuming at another replica")
 		if events.lastEvent != "" {
-			request.Header.Set(f.headers.LastEvent, events.lastEvent)
+			request.Header.Set(f.headers.LastEventID, events.lastEvent)
 		}
 		next, failure := f.config.Proxy.Do(ctx, request)
 		if failure != nil || next.Stream == nil {
--- a/internal/app/front/usage_test.go
+++ b/internal/app/front/usage_test.go
@@ -36,9 +36,9 @@
 	return 0, nil
 }
 
-// TestCountsAreHandedOnOnce checks that failed calls and a stop neither lose nor repeat
+// TestUsageIsReportedExactlyOnce checks that failed calls and a stop neither lose nor repeat
 // counts.
-func TestCountsAreHandedOnOnce(t *testing.T) {
+func TestUsageIsReportedExactlyOnce(t *testing.T) {
 	for _, failures := range []int{0, 1, 2, 3} {
 		control := &unreliableGroup{failures: failures}
 		reporter := NewUsageReporter("front", control.send, nil, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
@@ -64,17 +64,17 @@
 	}
 }
 
-// TestNobodyCountsWithoutAReporter checks that a nil reporter, as in sites that report no
+// TestNilUsageReporter checks that a nil reporter, as in sites that report no
 // usage, does nothing.
-func TestNobodyCountsWithoutAReporter(t *testing.T) {
+func TestNilUsageReporter(t *testing.T) {
 	var reporter *UsageReporter
 	reporter.Add("ada", boottime.Now())
 	reporter.Drain(context.Background())
 }
 
-// TestAgesOfRequestsCountSuspension checks that the age of a request includes ten seconds
+// TestRequestAgeIncludesSuspension checks that the age of a request includes ten seconds
 // during which the machine was suspended.
-func TestAgesOfRequestsCountSuspension(t *testing.T) {
+func TestRequestAgeIncludesSuspension(t *testing.T) {
 	var suspended atomic.Int64
 	clock := func() time.Duration { return boottime.Now() + time.Duration(suspended.Load()) }
 	reports := make(chan usage.Report, 1)
--- a/internal/app/group/calls.go
+++ b/internal/app/group/calls.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// HandOver transfers leadership to another voter before a planned stop. It waits for the
+// TransferLeadership transfers leadership to another voter before a planned stop. It waits for the
 // transfer for an election timeout at most.
-func (m *Member) HandOver(ctx context.Context) {
+func (m *Member) TransferLeadership(ctx context.Context) {
 	l := m.current.Load()
 	if l == nil || !m.isLeader() {
 		return
@@ -159,9 +159,9 @@
 // TransferTo starts a transfer of leadership to the voter at an address, if this member
 // leads and the voter is active and caught up. It reports whether it did.
 func (m *Member) TransferTo(address string) bool {
-	shown := m.Shown()
+	shown := m.PublishedState()
 	l := m.current.Load()
-	if l == nil || shown == nil || !shown.Settled {
+	if l == nil || shown == nil || !shown.LeaderReady {
 		return false
 	}
 	for _, record := range shown.Records {
--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -126,9 +126,9 @@
 type Step struct {
 	Machine groupmember.StateMachine
 	Status  consensus.Status
-	// Settled is set on a leader that is in contact with a quorum and has applied every
+	// LeaderReady is set on a leader that is in contact with a quorum and has applied every
 	// command committed in earlier terms.
-	Settled bool
+	LeaderReady bool
 	// CaughtUp is set if everything is applied that was committed at the leader's latest
 	// message.
 	CaughtUp bool
--- a/internal/app/group/fulldisk_test.go
+++ b/internal/app/group/fulldisk_test.go
@@ -10,9 +10,9 @@
 	"github.com/loomgrade/loomgrade/internal/app/group"
 )
 
-// TestAMemberGoesOnOnceItsDiskHasRoom checks that a member with a full disk rejects calls as
+// TestMemberResumesAfterFullDisk checks that a member with a full disk rejects calls as
 // not run, and resumes without losing acknowledged commands once the disk has space.
-func TestAMemberGoesOnOnceItsDiskHasRoom(t *testing.T) {
+func TestMemberResumesAfterFullDisk(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
 	machines["d"].stop() // keeps it from replacing the stopped member
@@ -29,7 +29,7 @@
 	if _, err := leader.member.Propose(context.Background(), []byte("x")); err == nil {
 		t.Error("a command was acknowledged although the disk rejected it")
 	}
-	waitUntil(t, "the member stops", func() bool { return leader.member.Shown() == nil })
+	waitUntil(t, "the member stops", func() bool { return leader.member.PublishedState() == nil })
 	if _, err := leader.member.Propose(context.Background(), []byte("x")); err != group.ErrNotReady {
 		t.Errorf("proposal while stopped: %v", err)
 	}
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	waitUntil(t, "the member resumes", func() bool {
-		shown := leader.member.Shown()
+		shown := leader.member.PublishedState()
 		return shown != nil && shown.Confirmed
 	})
 	if applied := leader.applied(); applied < 5 {
--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -293,7 +293,7 @@
 		l.peers.setAddresses(records, true)
 	}
 	l.publishStep(Step{
-		Machine: l.machine, Status: l.member.Status(), Settled: l.member.LeaderReady(),
+		Machine: l.machine, Status: l.member.Status(), LeaderReady: l.member.LeaderReady(),
 		CaughtUp: l.member.CaughtUp(), Applied: l.member.Applied(), Records: l.publishedRecords,
 	})
 }
--- a/internal/app/group/member.go
+++ b/internal/app/group/member.go
@@ -48,24 +48,24 @@
 	// goroutine accesses it.
 	hadID     bool
 	current   atomic.Pointer[loop]
-	published atomic.Pointer[Shown]
+	published atomic.Pointer[PublishedState]
 	// stored is the identity in the member's folder, nil if there is none.
 	stored atomic.Pointer[identity]
 }
 
-// Shown is the published state of a member. It is immutable.
-type Shown struct {
-	Shard   Shard
-	Status  consensus.Status
-	Settled bool
+// PublishedState is the published state of a member. It is immutable.
+type PublishedState struct {
+	Shard       Shard
+	Status      consensus.Status
+	LeaderReady bool
 	// Confirmed is set if the member was in contact with a quorum and caught up.
 	Confirmed bool
 	Applied   uint64
 	Records   []groupmember.Record
 	// Leader is the record of the known leader; its id is 0 if there is none.
 	Leader groupmember.Record
-	// At is when the state was published, by the configuration's clock.
-	At time.Duration
+	// PublishedAt is when the state was published, by the configuration's clock.
+	PublishedAt time.Duration
 }
 
 // New returns a Member. Call Register, then Run.
@@ -280,9 +280,9 @@
 
 // publish publishes the state after a step of the loop.
 func (m *Member) publish(shard Shard, step Step) {
-	shown := &Shown{
-		Shard: shard, Status: step.Status, Settled: step.Settled, Applied: step.Applied, Records: step.Records,
-		Confirmed: step.Status.QuorumActive && step.CaughtUp, At: m.config.Clock(),
+	shown := &PublishedState{
+		Shard: shard, Status: step.Status, LeaderReady: step.LeaderReady, Applied: step.Applied, Records: step.Records,
+		Confirmed: step.Status.QuorumActive && step.CaughtUp, PublishedAt: m.config.Clock(),
 	}
 	for _, record := range step.Records {
 		if record.ID == step.Status.Leader {
@@ -293,15 +293,15 @@
 	m.config.Changed(step)
 }
 
-// Shown returns the latest published state, or nil while the member is not running. If the
+// PublishedState returns the latest published state, or nil while the member is not running. If the
 // state is older than an election timeout, as during a long sync or after a suspension,
-// Confirmed and Settled are cleared.
-func (m *Member) Shown() *Shown {
+// Confirmed and LeaderReady are cleared.
+func (m *Member) PublishedState() *PublishedState {
 	shown := m.published.Load()
-	if shown == nil || m.config.Clock()-shown.At < m.config.electionTimeout() {
+	if shown == nil || m.config.Clock()-shown.PublishedAt < m.config.electionTimeout() {
 		return shown
 	}
 	stale := *shown
-	stale.Confirmed, stale.Settled = false, false
+	stale.Confirmed, stale.LeaderReady = false, false
 	return &stale
 }
--- a/internal/app/group/shard_test.go
+++ b/internal/app/group/shard_test.go
@@ -10,9 +10,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// TestAMemberOfAnotherShardRefuses checks that a member rejects commands, reads and join
+// TestMemberRejectsOtherShard checks that a member rejects commands, reads and join
 // requests for another shard's group of the same name.
-func TestAMemberOfAnotherShardRefuses(t *testing.T) {
+func TestMemberRejectsOtherShard(t *testing.T) {
 	_, machines := startGroup(t)
 	var leader *groupMachine
 	waitUntil(t, "a leader is elected", func() bool {
@@ -53,17 +53,17 @@
 	}
 	lost.stop()
 	time.Sleep(time.Second) // twice the time after which a voter is replaced
-	if shown := stranger.member.Shown(); shown != nil {
+	if shown := stranger.member.PublishedState(); shown != nil {
 		t.Errorf("a machine that joins another shard is member %d", shown.Status.ID)
 	}
-	if got := len(leader.member.Shown().Records); got != 3 {
+	if got := len(leader.member.PublishedState().Records); got != 3 {
 		t.Errorf("%d members, want 3", got)
 	}
 	stranger.stop()
 	stranger.origin.Shard = 0
 	stranger.start()
 	waitUntil(t, "the machine joins this shard's group", func() bool {
-		shown := stranger.member.Shown()
+		shown := stranger.member.PublishedState()
 		return shown != nil && shown.Status.Membership.IsVoter(shown.Status.ID)
 	})
 }
--- a/internal/app/group/snapshot_test.go
+++ b/internal/app/group/snapshot_test.go
@@ -43,9 +43,9 @@
 	return f.FileSystem.Create(path)
 }
 
-// TestAMemberGoesOnWhileItsSnapshotIsWritten checks that a leader keeps its leadership and
+// TestLeaderStaysDuringSnapshotWrite checks that a leader keeps its leadership and
 // acknowledges commands while a snapshot is written, and that a restart preserves them.
-func TestAMemberGoesOnWhileItsSnapshotIsWritten(t *testing.T) {
+func TestLeaderStaysDuringSnapshotWrite(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
 	machines["d"].stop() // keeps it from replacing a member
@@ -74,21 +74,21 @@
 	for range 20 {
 		propose()
 	}
-	if shown := leader.member.Shown(); shown == nil || !shown.Settled {
+	if shown := leader.member.PublishedState(); shown == nil || !shown.LeaderReady {
 		t.Error("the leader lost its leadership")
 	}
 	release()
 	leader.stop()
 	leader.start()
 	waitUntil(t, "the member applies all commands after a restart", func() bool {
-		shown := leader.member.Shown()
+		shown := leader.member.PublishedState()
 		return shown != nil && leader.applied() >= count
 	})
 }
 
-// TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt checks that a leader reads a released
+// TestReleasedSnapshotIsReadFromDisk checks that a leader reads a released
 // snapshot from disk for a machine that joins after the log was compacted.
-func TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt(t *testing.T) {
+func TestReleasedSnapshotIsReadFromDisk(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
 	machines["d"].stop()
--- a/internal/app/group/standing.go
+++ b/internal/app/group/standing.go
@@ -48,7 +48,7 @@
 }
 
 // wasRemoved reports whether any known member confirms the removal of this one.
-func (m *Member) wasRemoved(ctx context.Context, stored identity, shown *Shown) bool {
+func (m *Member) wasRemoved(ctx context.Context, stored identity, shown *PublishedState) bool {
 	var contacts []string
 	for _, record := range shown.Records {
 		contacts = append(contacts, record.Address)
--- a/internal/app/group/standing_test.go
+++ b/internal/app/group/standing_test.go
@@ -140,7 +140,7 @@
 // leaderOf returns the machine, among those named, whose member leads.
 func leaderOf(machines map[string]*groupMachine, names ...string) *groupMachine {
 	for _, name := range names {
-		if shown := machines[name].member.Shown(); shown != nil && shown.Settled {
+		if shown := machines[name].member.PublishedState(); shown != nil && shown.LeaderReady {
 			return machines[name]
 		}
 	}
@@ -150,8 +150,8 @@
 // voters returns the names of the voters as seen by the leader.
 func voters(machines []*groupMachine) []string {
 	for _, m := range machines {
-		shown := m.member.Shown()
-		if shown == nil || !shown.Settled {
+		shown := m.member.PublishedState()
+		if shown == nil || !shown.LeaderReady {
 			continue
 		}
 		var names []string
@@ -171,9 +171,9 @@
 	waitUntil(t, fmt.Sprint("voters are ", want), func() bool { return slices.Equal(voters(machines), want) })
 }
 
-// TestAMemberThatWasRemovedWhileAwayTakesTheNextPlace checks that a member that was removed
+// TestRemovedMemberRejoins checks that a member that was removed
 // while it was stopped detects this and replaces the next lost member.
-func TestAMemberThatWasRemovedWhileAwayTakesTheNextPlace(t *testing.T) {
+func TestRemovedMemberRejoins(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
 
--- a/internal/app/group/suspend_test.go
+++ b/internal/app/group/suspend_test.go
@@ -8,9 +8,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// TestASuspendedLeaderAnswersNothingOnItsOwn checks that a leader that was suspended for longer
+// TestSuspendedLeaderNeedsQuorum checks that a leader that was suspended for longer
 // than an election timeout serves no reads and is not confirmed before it contacts a quorum.
-func TestASuspendedLeaderAnswersNothingOnItsOwn(t *testing.T) {
+func TestSuspendedLeaderNeedsQuorum(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
 	machines["d"].stop()
@@ -29,29 +29,29 @@
 		}
 	}
 	leader.suspend(10 * time.Second)
-	if shown := leader.member.Shown(); shown != nil && (shown.Settled || shown.Confirmed) {
-		t.Errorf("settled %v, confirmed %v after the suspension", shown.Settled, shown.Confirmed)
+	if shown := leader.member.PublishedState(); shown != nil && (shown.LeaderReady || shown.Confirmed) {
+		t.Errorf("settled %v, confirmed %v after the suspension", shown.LeaderReady, shown.Confirmed)
 	}
 	if err := read(300 * time.Millisecond); err == nil {
 		t.Error("a read succeeded without a quorum")
 	}
 }
 
-// TestALeaderThatWakesUpInTouchGoesOn checks that a leader that contacts a quorum after a
+// TestSuspendedLeaderResumesInSameTerm checks that a leader that contacts a quorum after a
 // suspension serves again in the same term, also after a second suspension.
-func TestALeaderThatWakesUpInTouchGoesOn(t *testing.T) {
+func TestSuspendedLeaderResumesInSameTerm(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
 	leader := leaderOf(machines, "a", "b", "c")
-	term := leader.member.Shown().Status.Term
+	term := leader.member.PublishedState().Status.Term
 	for range 2 {
 		leader.suspend(10 * time.Second)
 		waitUntil(t, "the leader is in contact with a quorum again", func() bool {
-			shown := leader.member.Shown()
-			return shown != nil && shown.Settled
+			shown := leader.member.PublishedState()
+			return shown != nil && shown.LeaderReady
 		})
 	}
-	if now := leader.member.Shown().Status.Term; now != term {
+	if now := leader.member.PublishedState().Status.Term; now != term {
 		t.Errorf("term %d, was %d", now, term)
 	}
 }
--- a/internal/app/guard/guard_test.go
+++ b/internal/app/guard/guard_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestWhatOneProcessSawHoldsAtAnother checks that a request that crashed three replicas at one
+// TestCrashesAreSharedBetweenProcesses checks that a request that crashed three replicas at one
 // process is withheld at another.
-func TestWhatOneProcessSawHoldsAtAnother(t *testing.T) {
+func TestCrashesAreSharedBetweenProcesses(t *testing.T) {
 	control := &controlGroup{}
 	first, second := newTestGuard(t, control, "a"), newTestGuard(t, control, "b")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestTrialsAreOneSendEach checks that only one of two processes gets a trial that is due.
-func TestTrialsAreOneSendEach(t *testing.T) {
+// TestTrialIsGrantedToOneProcess checks that only one of two processes gets a trial that is due.
+func TestTrialIsGrantedToOneProcess(t *testing.T) {
 	control := &controlGroup{}
 	first, second := newTestGuard(t, control, "a"), newTestGuard(t, control, "b")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestATrialWhoseAnswerWasLostIsSent checks that a trial whose grant was lost is sent once as
+// TestTrialWithLostGrantIsSentOnce checks that a trial whose grant was lost is sent once as
 // soon as the view shows it.
-func TestATrialWhoseAnswerWasLostIsSent(t *testing.T) {
+func TestTrialWithLostGrantIsSentOnce(t *testing.T) {
 	control := &controlGroup{}
 	g := newTestGuard(t, control, "a")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestATrialIsOneSendThoughTheViewIsBehind checks that a trial is sent only once while the view
+// TestTrialIsSentOnceWithStaleView checks that a trial is sent only once while the view
 // lags behind the response that granted it.
-func TestATrialIsOneSendThoughTheViewIsBehind(t *testing.T) {
+func TestTrialIsSentOnceWithStaleView(t *testing.T) {
 	control := &controlGroup{}
 	g := newTestGuard(t, control, "a")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestARequestThatIsWithheldAnewHasItsTrials checks that trials restart for a request that was
+// TestTrialsRestartForNewWithholding checks that trials restart for a request that was
 // cleared and withheld for other replicas between two views.
-func TestARequestThatIsWithheldAnewHasItsTrials(t *testing.T) {
+func TestTrialsRestartForNewWithholding(t *testing.T) {
 	control := &controlGroup{}
 	g := newTestGuard(t, control, "a")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -243,9 +243,9 @@
 	}
 }
 
-// TestAReplicaThatAnswersHadNotEnded checks that only an answer to a request sent after the
+// TestAnswerShowsReplicaIsAlive checks that only an answer to a request sent after the
 // reported crash shows that the replica is alive.
-func TestAReplicaThatAnswersHadNotEnded(t *testing.T) {
+func TestAnswerShowsReplicaIsAlive(t *testing.T) {
 	control := &controlGroup{}
 	g := newTestGuard(t, control, "a")
 	before := time.Now()
@@ -264,9 +264,9 @@
 	}
 }
 
-// TestWhatWasSeenWaitsForTheControlGroup checks that events stay pending while the control
+// TestPendingEventsAreLimited checks that events stay pending while the control
 // group fails, up to the limit.
-func TestWhatWasSeenWaitsForTheControlGroup(t *testing.T) {
+func TestPendingEventsAreLimited(t *testing.T) {
 	control := &controlGroup{fails: true}
 	g := newTestGuard(t, control, "a")
 	for i := range 2 * maxPendingEvents {
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestNoGuardWithholdsNothing(t *testing.T) {
+func TestNilGuard(t *testing.T) {
 	var g *Guard
 	g.RecordCrash(testRequest.Fingerprint(), "r")
 	g.RecordServed(testRequest.Fingerprint())
--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -35,12 +35,12 @@
 	Zone string
 	// View returns the current view of the site, or nil.
 	View func() *sitestate.View
-	// Place returns the shard of a model that has none in the view yet. The control group
+	// AssignShard returns the shard of a model that has none in the view yet. The control group
 	// chooses it, in one of the regions if any are given.
-	Place func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
-	// KeepsWithin reports whether all machines that store a shard's jobs are in homes; nil
+	AssignShard func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
+	// StoredWithin reports whether all machines that store a shard's jobs are in homes; nil
 	// means that regions are unknown.
-	KeepsWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
+	StoredWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
 }
 
 // Client calls the groups of the shards. It is safe for concurrent use.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if homes.Restricted() && (c.config.KeepsWithin == nil || !c.config.KeepsWithin(shard, homes)) {
+	if homes.Restricted() && (c.config.StoredWithin == nil || !c.config.StoredWithin(shard, homes)) {
 		return 0, port.NewError(port.NotRun, port.CodeUnavailable, "the jobs of the model are kept outside the regions where the job may be: %s", homes)
 	}
 	answer, err := c.call(ctx, Request{Shard: shard, Submit: submission})
@@ -91,7 +91,7 @@
 		}
 	}
 	// Nothing was sent to a shard yet, so the job has certainly not run.
-	shard, err := c.config.Place(ctx, model, homes.Regions())
+	shard, err := c.config.AssignShard(ctx, model, homes.Regions())
 	if err == nil && shard == 0 {
 		err = eris.New("no shard is known")
 	}
--- a/internal/app/jobsapi/client_test.go
+++ b/internal/app/jobsapi/client_test.go
@@ -86,7 +86,7 @@
 	}
 	return jobsapi.NewClient(jobsapi.Config{
 		Wire: options, View: func() *sitestate.View { return view },
-		Place: func(_ context.Context, model string, _ []string) (sitestate.ShardNumber, error) {
+		AssignShard: func(_ context.Context, model string, _ []string) (sitestate.ShardNumber, error) {
 			if model == "unplaceable" {
 				return 0, errors.New("no leader of the control group")
 			}
@@ -101,7 +101,7 @@
 	return ctx
 }
 
-func TestAJobGoesToTheShardOfItsModelAndIsFoundThere(t *testing.T) {
+func TestJobIsSentToShardOfItsModel(t *testing.T) {
 	client, shards := newShardedClient(t, 3, 0, map[string]sitestate.ShardNumber{"a": 1})
 	for model, want := range map[string]int{"a": 0, "not placed yet": 1} {
 		if _, err := client.Submit(context.Background(), &jobstate.Submission{ID: "job of " + model, Model: model}, routing.AllowedRegions{}); err != nil {
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestAJobIsDeniedOnlyIfEveryShardDeniesIt checks that a job is reported unknown only if every
+// TestJobIsUnknownOnlyIfAllShardsAnswer checks that a job is reported unknown only if every
 // shard answered, since an unreachable one may have it.
-func TestAJobIsDeniedOnlyIfEveryShardDeniesIt(t *testing.T) {
+func TestJobIsUnknownOnlyIfAllShardsAnswer(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 1}
 	for name, row := range map[string]struct {
 		up, down    int
--- a/internal/app/jobsapi/near_test.go
+++ b/internal/app/jobsapi/near_test.go
@@ -83,9 +83,9 @@
 	return page.Results[0].ID
 }
 
-// TestPagesAreReadInTheOwnZone checks that a page is read from the member in the client's zone
+// TestPagesAreReadFromZoneMember checks that a page is read from the member in the client's zone
 // if it has results, else from the leader.
-func TestPagesAreReadInTheOwnZone(t *testing.T) {
+func TestPagesAreReadFromZoneMember(t *testing.T) {
 	leader := &fakeMember{name: "leader", zone: "b", results: 5}
 	near := &fakeMember{name: "near", zone: "a", results: 3}
 	far := &fakeMember{name: "far", zone: "c", results: 5}
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestTheLeaderInTheOwnZoneIsAskedOnce checks that a leader in the client's zone is called once
+// TestLeaderInZoneIsCalledOnce checks that a leader in the client's zone is called once
 // for a page.
-func TestTheLeaderInTheOwnZoneIsAskedOnce(t *testing.T) {
+func TestLeaderInZoneIsCalledOnce(t *testing.T) {
 	leader := &fakeMember{name: "leader", zone: "a", results: 1}
 	client := newGroupClient(t, leader)
 	readPage(t, client, 0)
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestAMemberOfTheZoneThatFailedIsNotAskedFirst checks that reads do not wait again for a member
+// TestFailedZoneMemberIsInBackoff checks that reads do not wait again for a member
 // that failed.
-func TestAMemberOfTheZoneThatFailedIsNotAskedFirst(t *testing.T) {
+func TestFailedZoneMemberIsInBackoff(t *testing.T) {
 	leader := &fakeMember{name: "leader", zone: "b", results: 5}
 	near := &fakeMember{name: "near", zone: "a", unresponsive: true}
 	client := newGroupClient(t, leader, near)
--- a/internal/app/held/held.go
+++ b/internal/app/membudget/membudget.go
@@ -1,7 +1,7 @@
-// Package held limits the memory that a process uses for bodies of requests in flight and
+// Package membudget limits the memory that a process uses for bodies of requests in flight and
 // for answers whose readers are slow. If the budget is exhausted, the caller must reject the
 // body or stream it.
-package held
+package membudget
 
 import "sync/atomic"
 
@@ -20,8 +20,8 @@
 	return &Budget{limit: limit}
 }
 
-// Held returns the number of reserved bytes.
-func (b *Budget) Held() int64 {
+// Used returns the number of reserved bytes.
+func (b *Budget) Used() int64 {
 	if b == nil {
 		return 0
 	}
--- a/internal/app/held/held_test.go
+++ b/internal/app/membudget/membudget_test.go
@@ -1,4 +1,4 @@
-package held_test
+package membudget_test
 
 import (
 	"bytes"
@@ -9,41 +9,41 @@
 	"testing"
 	"testing/iotest"
 
-	"github.com/loomgrade/loomgrade/internal/app/held"
+	"github.com/loomgrade/loomgrade/internal/app/membudget"
 )
 
-func TestABudgetBoundsAllTogether(t *testing.T) {
-	budget := held.NewBudget(100)
+func TestBudgetLimitsAllReservations(t *testing.T) {
+	budget := membudget.NewBudget(100)
 	first, second := budget.NewReservation(), budget.NewReservation()
 	if !first.Reserve(60) || second.Reserve(41) || !second.Reserve(40) || first.Reserve(1) {
-		t.Errorf("%d of 100 bytes are reserved", budget.Held())
+		t.Errorf("%d of 100 bytes are reserved", budget.Used())
 	}
 	first.Close()
 	first.Close()
 	if first.Reserve(1) {
 		t.Error("bytes reserved after Close")
 	}
-	if got := budget.Held(); got != 40 {
+	if got := budget.Used(); got != 40 {
 		t.Errorf("%d bytes are reserved, want 40", got)
 	}
 	second.Close()
-	if got := budget.Held(); got != 0 {
+	if got := budget.Used(); got != 0 {
 		t.Errorf("%d bytes are reserved, want none", got)
 	}
 }
 
-func TestWithoutABudgetThereIsNoBound(t *testing.T) {
-	reservation := held.NewBudget(0).NewReservation()
+func TestNoBudgetMeansNoLimit(t *testing.T) {
+	reservation := membudget.NewBudget(0).NewReservation()
 	defer reservation.Close()
-	if !reservation.Reserve(1<<40) || !(*held.Reservation)(nil).Reserve(1) {
+	if !reservation.Reserve(1<<40) || !(*membudget.Reservation)(nil).Reserve(1) {
 		t.Error("Reserve failed without a limit")
 	}
 }
 
-// TestRequestsThatEndWhileOthersTake checks that concurrent Close and Reserve calls leave
+// TestConcurrentReserveAndClose checks that concurrent Close and Reserve calls leave
 // nothing reserved.
-func TestRequestsThatEndWhileOthersTake(t *testing.T) {
-	budget := held.NewBudget(1 << 20)
+func TestConcurrentReserveAndClose(t *testing.T) {
+	budget := membudget.NewBudget(1 << 20)
 	var group sync.WaitGroup
 	for range 50 {
 		reservation := budget.NewReservation()
@@ -57,12 +57,12 @@
 		group.Go(reservation.Close)
 	}
 	group.Wait()
-	if got := budget.Held(); got != 0 {
+	if got := budget.Used(); got != 0 {
 		t.Errorf("%d bytes stay reserved", got)
 	}
 }
 
-func TestBodiesAreReadWholeAsFarAsThereIsRoom(t *testing.T) {
+func TestReadWithinBudget(t *testing.T) {
 	const kilo = 1 << 10
 	for name, row := range map[string]struct {
 		size     int
@@ -84,9 +84,9 @@
 		if row.known {
 			size = int64(row.size)
 		}
-		budget := held.NewBudget(row.limit)
+		budget := membudget.NewBudget(row.limit)
 		reservation := budget.NewReservation()
-		read, rest, complete, err := held.Read(iotest.HalfReader(strings.NewReader(content)), size, reservation)
+		read, rest, complete, err := membudget.Read(iotest.HalfReader(strings.NewReader(content)), size, reservation)
 		if err != nil || complete != row.complete {
 			t.Errorf("%s: complete %v, %v", name, complete, err)
 		}
@@ -99,16 +99,16 @@
 			t.Errorf("%s: %d of %d bytes", name, len(read), row.size)
 		}
 		reservation.Close()
-		if got := budget.Held(); got != 0 {
+		if got := budget.Used(); got != 0 {
 			t.Errorf("%s: %d bytes stay reserved", name, got)
 		}
 	}
 }
 
-func TestABodyThatEndsEarlyIsAnError(t *testing.T) {
+func TestReadTruncatedBody(t *testing.T) {
 	for _, size := range []int64{10, -1, 1 << 50} {
 		broken := io.MultiReader(strings.NewReader("four"), iotest.ErrReader(io.ErrUnexpectedEOF))
-		if _, _, _, err := held.Read(broken, size, nil); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, _, _, err := membudget.Read(broken, size, nil); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("size %d: %v", size, err)
 		}
 	}
--- a/internal/app/held/read.go
+++ b/internal/app/membudget/read.go
@@ -1,4 +1,4 @@
-package held
+package membudget
 
 import (
 	"bytes"
--- a/internal/app/proxy/candidates.go
+++ b/internal/app/proxy/candidates.go
@@ -25,7 +25,7 @@
 		return candidates{}
 	}
 	service := request.Service
-	all := inRegions(view, view.ByService[service], request.Homes)
+	all := inRegions(view, view.ByService[service], request.AllowedRegions)
 	limits := p.coldLimits(view, service)
 	if !limits.Bounded() {
 		return candidates{replicas: all}
--- a/internal/app/proxy/candidates_test.go
+++ b/internal/app/proxy/candidates_test.go
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestColdReplicasAreLeftToThoseWhoHaveAShare checks that senders without a share of a cold
+// TestColdReplicaSharesAcrossSenders checks that senders without a share of a cold
 // replica use warm ones, and fail immediately with a Retry-After if there are none.
-func TestColdReplicasAreLeftToThoseWhoHaveAShare(t *testing.T) {
+func TestColdReplicaSharesAcrossSenders(t *testing.T) {
 	const senders = 800
 	sent := 0
 	for i := range senders {
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestAShareIsUsedUpAndComesBack checks that each pick uses up the share, which refills after
+// TestColdShareRefills checks that each pick uses up the share, which refills after
 // a span.
-func TestAShareIsUsedUpAndComesBack(t *testing.T) {
+func TestColdShareRefills(t *testing.T) {
 	sender := newColdProxy("front", coldView(1, 1, 0))
 	count := 0
 	for {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestWarmReplicasHaveNoBound checks that requests to warm replicas are not limited.
-func TestWarmReplicasHaveNoBound(t *testing.T) {
+// TestWarmReplicasAreUnlimited checks that requests to warm replicas are not limited.
+func TestWarmReplicasAreUnlimited(t *testing.T) {
 	sender := newColdProxy("front", coldView(1000, 1))
 	for n := range 200 {
 		if _, found := sender.pick(&Request{Service: "s"}, map[string]bool{}); !found {
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/boottime"
 	"github.com/loomgrade/loomgrade/internal/adapter/httpcall"
 	"github.com/loomgrade/loomgrade/internal/app/guard"
-	"github.com/loomgrade/loomgrade/internal/app/held"
+	"github.com/loomgrade/loomgrade/internal/app/membudget"
 	"github.com/loomgrade/loomgrade/internal/app/replicacall"
 	"github.com/loomgrade/loomgrade/internal/core/balance"
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
@@ -61,7 +61,7 @@
 
 	results chan result
 	// reservation accounts for the memory of the answers of all tries.
-	reservation *held.Reservation
+	reservation *membudget.Reservation
 	tried       map[string]bool
 	// triedIDs are the replicas tried, in order.
 	triedIDs   []string
@@ -249,7 +249,7 @@
 		return false
 	}
 	left := e.expiresAt - e.proxy.clock()
-	if deadline, _ := e.ctx.Deadline(); left > 0 && time.Until(deadline)-left > boottime.LeastSuspension {
+	if deadline, _ := e.ctx.Deadline(); left > 0 && time.Until(deadline)-left > boottime.MinSuspension {
 		ctx, cancel := context.WithTimeout(e.ctx, left)
 		cancelParent := e.cancel
 		e.ctx, e.cancel = ctx, func() { cancel(); cancelParent() }
@@ -328,7 +328,7 @@
 	}
 	answer := &Answer{Status: response.StatusCode, Header: response.Header, Replica: replica, reservation: e.reservation}
 	succeeded := response.StatusCode/100 == 2
-	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Seal) == "") {
+	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Signature) == "") {
 		_ = response.Body.Close()
 		return result{class: classMayHaveRun, reason: errors.New("a success without its id or seal")}
 	}
@@ -338,7 +338,7 @@
 	}
 	var rest io.Reader
 	var complete bool
-	answer.Body, rest, complete, err = held.Read(io.LimitReader(response.Body, maxBodyBytes), response.ContentLength, e.reservation)
+	answer.Body, rest, complete, err = membudget.Read(io.LimitReader(response.Body, maxBodyBytes), response.ContentLength, e.reservation)
 	if !complete {
 		response.Body = unbufferedBody{Reader: rest, Closer: response.Body}
 		answer.Stream = response
--- a/internal/app/proxy/exchange_test.go
+++ b/internal/app/proxy/exchange_test.go
@@ -28,12 +28,12 @@
 type testDialect struct{ dialect.Dialect }
 
 func (testDialect) Headers() dialect.Headers {
-	return dialect.Headers{RequestID: "Id", Deadline: "Deadline", ExpectInstance: "Instance", NotRun: "Not-Run", Seal: "Seal"}
+	return dialect.Headers{RequestID: "Id", Deadline: "Deadline", ExpectedInstance: "Instance", NotRun: "Not-Run", Signature: "Seal"}
 }
 
-// TestAReplicaThatEndsIsToldFromOtherFailures checks which failures of a server count as a
+// TestCrashIsDistinguishedFromOtherFailures checks which failures of a server count as a
 // crash.
-func TestAReplicaThatEndsIsToldFromOtherFailures(t *testing.T) {
+func TestCrashIsDistinguishedFromOtherFailures(t *testing.T) {
 	for name, row := range map[string]struct {
 		serve func(connection net.Conn)
 		want  bool
@@ -91,9 +91,9 @@
 	})
 }
 
-// TestARequestThatWaitedInSuspensionIsNotSentAgain checks that a request is not retried if
+// TestNoRetryAfterDeadlinePassedInSuspension checks that a request is not retried if
 // its deadline passed while the machine was suspended.
-func TestARequestThatWaitedInSuspensionIsNotSentAgain(t *testing.T) {
+func TestNoRetryAfterDeadlinePassedInSuspension(t *testing.T) {
 	var suspended atomic.Int64
 	var sends atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestReplicasAreToldWhatASuspensionLeft checks that the deadline sent to a replica excludes
+// TestSentDeadlineExcludesSuspension checks that the deadline sent to a replica excludes
 // time that the machine spent suspended.
-func TestReplicasAreToldWhatASuspensionLeft(t *testing.T) {
+func TestSentDeadlineExcludesSuspension(t *testing.T) {
 	var suspended atomic.Int64
 	// On a busy machine a second send may start before the first is answered.
 	var mutex sync.Mutex
@@ -150,7 +150,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(testDialect{}.Headers().RequestID, "1")
-		w.Header().Set(testDialect{}.Headers().Seal, "seal")
+		w.Header().Set(testDialect{}.Headers().Signature, "seal")
 	}))
 	defer server.Close()
 	sender := newTestProxy(server.Listener.Addr().String(), &suspended)
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -13,7 +13,7 @@
 
 	"github.com/loomgrade/loomgrade/internal/adapter/boottime"
 	"github.com/loomgrade/loomgrade/internal/app/guard"
-	"github.com/loomgrade/loomgrade/internal/app/held"
+	"github.com/loomgrade/loomgrade/internal/app/membudget"
 	"github.com/loomgrade/loomgrade/internal/app/replicacall"
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
 	"github.com/loomgrade/loomgrade/internal/core/balance"
@@ -36,7 +36,7 @@
 	guard    *guard.Guard
 	clock    boottime.Clock
 
-	held *held.Budget
+	held *membudget.Budget
 	// sender and cold determine how many requests this process may send to cold replicas.
 	sender string
 	cold   coldlimit.Limits
@@ -55,8 +55,8 @@
 	Logger *log.Logger
 	// Connections limits the connections to one replica.
 	Connections int
-	// Held limits the memory for answers; nil means no limit.
-	Held *held.Budget
+	// MemoryBudget limits the memory for answers; nil means no limit.
+	MemoryBudget *membudget.Budget
 	// Sender identifies the process among the senders. Cold are the limits for its cold
 	// replicas in addition to their service's rate.
 	Sender string
@@ -72,7 +72,7 @@
 	return &Proxy{
 		client: replicacall.New(config.Dialect, config.Connections), headers: config.Dialect.Headers(), readLoad: config.Dialect.ReadLoad,
 		view: config.View, logger: config.Logger, guard: config.Guard, clock: config.Clock.OrSystem(), balancer: balance.New(),
-		held: config.Held, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
+		held: config.MemoryBudget, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
 	}
 }
 
@@ -88,8 +88,8 @@
 	MaxAttempts int
 	// Aim is the latency that the caller aims for; 0 means none.
 	Aim time.Duration
-	// Homes are the regions in which the request may be served.
-	Homes routing.AllowedRegions
+	// AllowedRegions are the regions in which the request may be served.
+	AllowedRegions routing.AllowedRegions
 	// Stream returns a successful answer once its header is received, with its body unread.
 	Stream bool
 }
@@ -109,7 +109,7 @@
 	// that exceeds the memory budget; its body must be closed.
 	Body        []byte
 	Stream      *http.Response
-	reservation *held.Reservation
+	reservation *membudget.Reservation
 	Replica     sitestate.Replica
 	// SentAt is when the answered try was sent, by the proxy's clock.
 	SentAt time.Duration
@@ -194,8 +194,8 @@
 	if left := p.candidates(request, time.Now()).coldRemaining; left > 0 {
 		return "the replicas of the service are cold, and this process has no share of what they bear", left
 	}
-	if request.Homes.Restricted() {
-		return "no replica of the service is known in the regions where the request may be served: " + request.Homes.String(), 0
+	if request.AllowedRegions.Restricted() {
+		return "no replica of the service is known in the regions where the request may be served: " + request.AllowedRegions.String(), 0
 	}
 	if view := p.view(); view != nil && len(view.Drained) > 0 {
 		return "no replica of the service is known outside the zones that are drained: " + strings.Join(view.Drained, ", "), 0
--- a/internal/app/siteview/regions.go
+++ b/internal/app/siteview/regions.go
@@ -8,9 +8,9 @@
 // RegionOf returns the region of a zone, empty if unknown.
 func (v *View) RegionOf(zone string) string { return v.zones[zone] }
 
-// KeepsWithin reports whether all machines that store a shard's jobs are in homes: the members
+// StoredWithin reports whether all machines that store a shard's jobs are in homes: the members
 // of its group and its founders.
-func (v *View) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
+func (v *View) StoredWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	if !homes.Restricted() {
 		return true
 	}
@@ -26,10 +26,10 @@
 	return members > 0
 }
 
-// KeepsWithin calls KeepsWithin of the current view.
-func (w *Watcher) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
+// StoredWithin calls StoredWithin of the current view.
+func (w *Watcher) StoredWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	view := w.View()
-	return view != nil && view.KeepsWithin(shard, homes)
+	return view != nil && view.StoredWithin(shard, homes)
 }
 
 // founds reports whether a machine is a founder of a shard.
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -18,14 +18,14 @@
 	RequestID string
 	// Deadline is the caller's timeout in milliseconds.
 	Deadline string
-	// Seal is the signature of a replica's response.
-	Seal string
-	// ExpectInstance makes every replica except the named one reject the request.
-	ExpectInstance string
+	// Signature is the signature of a replica's response.
+	Signature string
+	// ExpectedInstance makes every replica except the named one reject the request.
+	ExpectedInstance string
 	// NotRun marks the rejection of a request that did not run.
 	NotRun string
-	// LastEvent is the id of the last event that the caller received.
-	LastEvent string
+	// LastEventID is the id of the last event that the caller received.
+	LastEventID string
 	// WeightVersion is the weight version that produced a response. Its name in
 	// lower case starts the event from which the version changed.
 	WeightVersion string
@@ -36,9 +36,9 @@
 	Tenant string
 	// Load is a replica's load, sent with a response; ReadLoad decodes it.
 	Load string
-	// Holder and Fence identify the caller of the provider and its term.
-	Holder string
-	Fence  string
+	// LeaseHolder and FencingToken identify the caller of the provider and its term.
+	LeaseHolder  string
+	FencingToken string
 }
 
 // Call is an HTTP request to a replica or to the provider.
@@ -52,12 +52,12 @@
 type Order struct {
 	Model   string
 	Version uint64
-	// Holder and Fence identify the sender and its term.
-	Holder string
-	Fence  uint64
-	// ExpectedOrders is the number of orders that the replica has accepted; it
+	// LeaseHolder and FencingToken identify the sender and its term.
+	LeaseHolder  string
+	FencingToken uint64
+	// ExpectedOrderCount is the number of orders that the replica has accepted; it
 	// rejects this one if the number differs.
-	ExpectedOrders uint64
+	ExpectedOrderCount uint64
 }
 
 // Report is a replica's status report.
@@ -65,10 +65,10 @@
 	Models []sitestate.ModelVersion
 	// Loading is set while an order is in progress.
 	Loading bool
-	// Orders is the number of orders that the replica has accepted.
-	Orders  uint64
-	Running int
-	Waiting int
+	// OrderCount is the number of orders that the replica has accepted.
+	OrderCount uint64
+	Running    int
+	Waiting    int
 }
 
 // Dialect names and encodes the product's terms.
