--- a/cmd/loomgrade/cmd_config.go
+++ b/cmd/loomgrade/cmd_config.go
@@ -14,7 +14,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// configCommand groups the commands on the configuration.
+// configCommand groups the configuration commands.
 type configCommand struct {
 	Get     configGetCommand     `cmd:"" help:"Show the configuration in force."`
 	Set     configSetCommand     `cmd:"" help:"Replace the configuration by that of a file."`
@@ -22,12 +22,12 @@
 	Status  configStatusCommand  `cmd:"" help:"Show where the revision is in force, where not, and since when."`
 }
 
-// configGetCommand shows the configuration.
+// configGetCommand shows the current configuration.
 type configGetCommand struct {
 	operatorFlags `embed:""`
 }
 
-// Run shows a summary as a table, or all as JSON, which config set takes back.
+// Run prints a summary table, or the full configuration as JSON, which config set accepts.
 func (c *configGetCommand) Run(std streams) error {
 	return query(&c.operatorFlags, std, (*operatorapi.Client).Config, func(lines *table, config operatorapi.Config) {
 		lines.row("revision", config.Revision)
@@ -60,7 +60,7 @@
 	Note          string         `help:"Why, for the history."`
 }
 
-// Run sends the edits that lead from the expected revision to the file.
+// Run sends the edits that turn the expected revision into the configuration of the file.
 func (c *configSetCommand) Run(std streams) error {
 	document, err := readDocument(c.File)
 	if err != nil {
@@ -111,12 +111,12 @@
 	}
 	accepted, err := client.ChangeConfig(ctx, change)
 	if err != nil {
-		return operatorapi.Accepted{}, unsure(err, c.ChangeID)
+		return operatorapi.Accepted{}, adviseRetry(err, c.ChangeID)
 	}
 	return accepted, nil
 }
 
-// findAccepted looks for a change in the history.
+// findAccepted searches the history for a change id.
 func findAccepted(ctx context.Context, client *operatorapi.Client, changeID string) (operatorapi.Accepted, bool, error) {
 	history, err := client.History(ctx)
 	if err != nil {
@@ -130,14 +130,15 @@
 	return operatorapi.Accepted{}, false, nil
 }
 
-// configDocument is a configuration with the revision it was taken from.
+// configDocument is a configuration and the revision it was read from.
 type configDocument struct {
 	Revision      *port.Revision      `json:"revision"`
 	Position      uint64              `json:"position"`
 	Configuration *port.Configuration `json:"configuration"`
 }
 
-// readDocument reads a configuration, or one wrapped by config get, strictly.
+// readDocument reads a plain configuration or the JSON output of config get. It rejects
+// unknown fields.
 func readDocument(path string) (configDocument, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -148,17 +149,17 @@
 		return configDocument{}, err
 	}
 	var wrapped configDocument
-	if strict(content, &wrapped) == nil && wrapped.Configuration != nil {
+	if decodeStrict(content, &wrapped) == nil && wrapped.Configuration != nil {
 		return wrapped, nil
 	}
 	var plain port.Configuration
-	if err := strict(content, &plain); err != nil {
+	if err := decodeStrict(content, &plain); err != nil {
 		return configDocument{}, err
 	}
 	return configDocument{Configuration: &plain}, nil
 }
 
-func strict(content []byte, value any) error {
+func decodeStrict(content []byte, value any) error {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(value)
@@ -174,17 +175,17 @@
 	return query(&c.operatorFlags, std, (*operatorapi.Client).History, func(lines *table, history operatorapi.ConfigHistory) {
 		lines.row("REVISION", "TIME", "EDITS", "AUTHOR", "NOTE", "CHANGE")
 		for _, change := range history.Changes {
-			lines.row(change.Revision, clock(change.Time), change.Edits, change.Author, change.Note, change.ChangeID)
+			lines.row(change.Revision, formatTime(change.Time), change.Edits, change.Author, change.Note, change.ChangeID)
 		}
 	})
 }
 
-// configStatusCommand shows where the revision is in force.
+// configStatusCommand shows which nodes apply the current revision.
 type configStatusCommand struct {
 	operatorFlags `embed:""`
 }
 
-// Run lists the nodes.
+// Run lists the nodes and their revisions.
 func (c *configStatusCommand) Run(std streams) error {
 	return query(&c.operatorFlags, std, (*operatorapi.Client).ConfigStatus, func(lines *table, status operatorapi.ConfigStatus) {
 		lines.row("revision", status.Revision)
@@ -194,7 +195,7 @@
 		}
 		lines.row("NODE", "ZONE", "STATE", "REVISION", "SINCE", "REPORTED")
 		for _, node := range status.Nodes {
-			lines.row(node.Node, node.Zone, node.State, node.Revision, clock(node.Since), age(node.ReportAgeMillis))
+			lines.row(node.Node, node.Zone, node.State, node.Revision, formatTime(node.Since), formatAge(node.ReportAgeMillis))
 		}
 	})
 }
--- a/cmd/loomgrade/cmd_control.go
+++ b/cmd/loomgrade/cmd_control.go
@@ -11,15 +11,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/policy"
 )
 
-// plannedStopTime bounds how long a planned stop waits for work in flight.
-const plannedStopTime = 5 * time.Minute
+// shutdownTimeout limits how long a planned stop waits for work in flight.
+const shutdownTimeout = 5 * time.Minute
 
 // controlCommand runs a control member.
 type controlCommand struct {
 	Settings string `arg:"" type:"path" help:"Settings file with a control section."`
 }
 
-// Run starts the member and waits until it is told to stop or fails.
+// Run starts the member and blocks until a stop signal or a failure.
 func (c *controlCommand) Run(std streams) error {
 	started, err := newProcess(c.Settings)
 	if err != nil {
@@ -40,19 +40,19 @@
 	measures.Observe(func() metrics.ControlReading { return readMember(member) })
 	fmt.Fprintf(std.stdout, "control member %d: peers %s, operators %s\n",
 		p.file.Control.ID, member.PeerAddress(), member.OperatorAddress())
-	p.untilStopped(member.Done())
+	p.awaitStop(member.Done())
 	select {
 	case <-member.Done():
 		return member.Wait()
 	default:
 	}
-	stopping, cancel := stopContext()
+	stopping, cancel := shutdownContext()
 	defer cancel()
 	return member.Stop(stopping)
 }
 
-// readMember reads a member's state for the measures; it is empty while the
-// member starts.
+// readMember reads a member's state for the metrics. The reading is empty until the
+// member has started.
 func readMember(member *control.Member) metrics.ControlReading {
 	status, err := member.Status(context.Background())
 	if err != nil {
--- a/cmd/loomgrade/cmd_dev.go
+++ b/cmd/loomgrade/cmd_dev.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// progressInterval lies between two lines of progress.
+	// progressInterval is the time between two progress lines.
 	progressInterval = 2 * time.Second
-	// endlessRun bounds a run without --duration.
-	endlessRun   = 24 * time.Hour
+	// maxDuration limits a run without --duration.
+	maxDuration  = 24 * time.Hour
 	devRingLines = 4096
 )
 
-// devCommand runs a whole fleet in one process.
+// devCommand runs a complete fleet in one process.
 type devCommand struct {
 	Duration time.Duration `help:"How long to run; without it until Ctrl-C."`
 	Site     string        `enum:"dev,inkwell,marea" default:"dev" help:"Which site: dev, inkwell or marea."`
@@ -33,7 +33,7 @@
 	outputFlags `embed:""`
 }
 
-// Run starts the fleet, plays its callers and trainers, and judges the run.
+// Run starts the fleet, runs its load and jobs, and audits the result.
 func (c *devCommand) Run(std streams) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -50,11 +50,11 @@
 	if err != nil {
 		return errors.Join(err, fleet.Close())
 	}
-	sound, err := c.play(ctx, std, fleet, site)
+	passed, err := c.runLoad(ctx, std, fleet, site)
 	if err = errors.Join(err, fleet.Close(), site.Close()); err != nil {
 		return err
 	}
-	if !sound {
+	if !passed {
 		return errAudit
 	}
 	return nil
@@ -71,8 +71,7 @@
 	return plan
 }
 
-// progress is where lines go that are not the report: the output is for
-// programs when it is JSON.
+// progress returns the writer for progress lines: stderr when stdout carries JSON.
 func (c *devCommand) progress(std streams) io.Writer {
 	if c.Output == outputJSON {
 		return std.stderr
@@ -80,11 +79,11 @@
 	return std.stdout
 }
 
-// play runs the load and the jobs, and reports whether the audits found nothing.
-func (c *devCommand) play(ctx context.Context, std streams, fleet *localfleet.Fleet, site *localsite.Site) (bool, error) {
+// runLoad runs the load and the jobs, and reports whether the audits found no violation.
+func (c *devCommand) runLoad(ctx context.Context, std streams, fleet *localfleet.Fleet, site *localsite.Site) (bool, error) {
 	duration := c.Duration
 	if duration == 0 {
-		duration = endlessRun
+		duration = maxDuration
 		steps, err := newFirstSteps(ctx, fleet)
 		if err != nil {
 			return false, err
@@ -108,12 +107,12 @@
 	endProgress()
 	violations := fleet.Audit(result.Observations())
 	report := devReport{Callers: result.Classes(), Trainers: fleet.Summary(), Jobs: <-jobs, Violations: violations}
-	sound := len(report.Violations) == 0 && len(report.Jobs.Violations) == 0
-	return sound, output(c.outputFlags, std, report, showDevReport)
+	passed := len(report.Violations) == 0 && len(report.Jobs.Violations) == 0
+	return passed, output(c.outputFlags, std, report, showDevReport)
 }
 
 func showProgress(ctx context.Context, out io.Writer, fleet *localfleet.Fleet) {
-	began := time.Now()
+	started := time.Now()
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
@@ -122,7 +121,7 @@
 			return
 		case <-ticker.C:
 		}
-		line := fmt.Sprintf("%5.0fs", time.Since(began).Seconds())
+		line := fmt.Sprintf("%5.0fs", time.Since(started).Seconds())
 		for _, trainer := range fleet.Summary() {
 			line += fmt.Sprintf("  %s: step %d, %d samples, idle %.0f %%, version %d",
 				trainer.Pool, trainer.Steps, trainer.Samples, 100*trainer.IdleShare, trainer.Version)
--- a/cmd/loomgrade/cmd_drain.go
+++ b/cmd/loomgrade/cmd_drain.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// drainCommand keeps a site's requests away from the replicas of a zone.
+// drainCommand stops a site from sending requests to the replicas of a zone.
 type drainCommand struct {
 	List  drainListCommand  `cmd:"" help:"List the zones whose replicas are sent nothing."`
 	Begin drainBeginCommand `cmd:"" help:"Send nothing more to the replicas of a zone; what they work on goes on."`
@@ -18,8 +18,8 @@
 	siteFlags `embed:""`
 }
 
-// shownDrain is a row of drain list: a drained zone, and how many replicas stand in it.
-type shownDrain struct {
+// drainRow is a row of drain list: a drained zone and the number of replicas in it.
+type drainRow struct {
 	Zone     string `json:"zone"`
 	Replicas int    `json:"replicas"`
 }
@@ -31,25 +31,25 @@
 		return err
 	}
 	defer cancel()
-	shown := make([]shownDrain, 0, len(view.Drained))
+	rows := make([]drainRow, 0, len(view.Drained))
 	for _, zone := range view.Drained {
-		drained := shownDrain{Zone: zone}
+		drained := drainRow{Zone: zone}
 		for _, replica := range view.Replicas.All() {
 			if replica.Zone == zone {
 				drained.Replicas++
 			}
 		}
-		shown = append(shown, drained)
+		rows = append(rows, drained)
 	}
-	return output(c.outputFlags, std, shown, func(lines *table, shown []shownDrain) {
+	return output(c.outputFlags, std, rows, func(lines *table, rows []drainRow) {
 		lines.row("ZONE", "REPLICAS")
-		for _, drained := range shown {
+		for _, drained := range rows {
 			lines.row(drained.Zone, drained.Replicas)
 		}
 	})
 }
 
-// drainedZone is the answer of drain begin and drain end.
+// drainedZone is the output of drain begin and drain end.
 type drainedZone struct {
 	Zone    string `json:"zone"`
 	Drained bool   `json:"drained"`
@@ -61,34 +61,34 @@
 	siteFlags `embed:""`
 }
 
-// Run drains the zone; it is in force at all processes in touch with a quorum soon after.
+// Run drains the zone. Processes in contact with a quorum apply the drain shortly after.
 func (c *drainBeginCommand) Run(std streams) error { return c.change(std, c.Zone, false) }
 
-// drainEndCommand takes a drain back.
+// drainEndCommand ends the drain of a zone.
 type drainEndCommand struct {
 	Zone      string `arg:"" help:"Name of the zone."`
 	siteFlags `embed:""`
 }
 
-// Run takes the drain back.
+// Run ends the drain.
 func (c *drainEndCommand) Run(std streams) error { return c.change(std, c.Zone, true) }
 
-// change drains a zone or takes it back.
-func (f *siteFlags) change(std streams, zone string, back bool) error {
+// change begins or ends the drain of a zone.
+func (f *siteFlags) change(std streams, zone string, end bool) error {
 	client, _, ctx, cancel, err := f.connect()
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	command := sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, End: back}}
-	answer, err := client.control(ctx, sitecontrol.Request{Command: &command})
+	command := sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, End: end}}
+	answer, err := client.callControl(ctx, sitecontrol.Request{Command: &command})
 	if err != nil {
 		return err
 	}
 	if answer.Outcome == sitestate.OutcomeMalformed {
-		return port.NewError(port.NotRun, port.CodeUnavailable, "the control group's leader is of a build that does not know drains")
+		return port.NewError(port.NotRun, port.CodeUnavailable, "the control group's leader runs a build that does not support drains")
 	}
-	return output(f.outputFlags, std, drainedZone{Zone: zone, Drained: !back}, func(lines *table, done drainedZone) {
+	return output(f.outputFlags, std, drainedZone{Zone: zone, Drained: !end}, func(lines *table, done drainedZone) {
 		lines.row("zone", done.Zone)
 		lines.row("drained", done.Drained)
 	})
--- a/cmd/loomgrade/cmd_explain.go
+++ b/cmd/loomgrade/cmd_explain.go
@@ -18,20 +18,20 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// maxExplanationBytes bounds an explanation.
+// maxExplanationBytes limits the size of an explanation.
 const maxExplanationBytes = 16 << 20
 
-// askTimeout bounds the wait for one node, which may be cut off in silence.
-const askTimeout = 5 * time.Second
+// nodeTimeout limits the wait for one node, which may be partitioned.
+const nodeTimeout = 5 * time.Second
 
-// explainCommand tells why something happened.
+// explainCommand explains the outcome of a request, sample, batch, replica or revision.
 type explainCommand struct {
 	operatorFlags `embed:""`
 	ID            string   `arg:"" help:"Id of a request (r-…), sample (s-…), batch (b-POOL-NUMBER-ATTEMPT), a replica's id or the number of a revision."`
 	Node          []string `env:"LOOMGRADE_NODES" default:"http://127.0.0.1:7121" help:"Base URLs of nodes, tried in order."`
 }
 
-// Run prints the decisions in plain words, oldest first.
+// Run prints the decisions as text, oldest first.
 func (c *explainCommand) Run(std streams) error {
 	explanation, err := c.explain()
 	if err != nil {
@@ -44,7 +44,7 @@
 	})
 }
 
-// explain asks control members about a revision, and nodes about all else.
+// explain queries control members for a revision, and nodes for any other id.
 func (c *explainCommand) explain() (httpapi.Explanation, error) {
 	if revision, err := strconv.ParseUint(strings.TrimPrefix(c.ID, "revision/"), 10, 64); err == nil {
 		return c.explainRevision(port.Revision(revision))
@@ -55,10 +55,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	return c.ask(ctx, token)
+	return c.queryNodes(ctx, token)
 }
 
-// explainRevision tells how a revision came about and where it is in force.
+// explainRevision reports how a revision was accepted and where it is in force.
 func (c *explainCommand) explainRevision(revision port.Revision) (httpapi.Explanation, error) {
 	explanation := httpapi.Explanation{Subject: fmt.Sprintf("revision/%d", revision), Decisions: []port.Decision{}}
 	client, ctx, cancel, err := c.connect()
@@ -85,7 +85,7 @@
 
 func acceptedText(change registry.HistoryEntry) string {
 	text := fmt.Sprintf("%s Configuration revision %d was accepted at log position %d under change id %s with %d edits",
-		clock(change.Time), change.Revision, change.Index, change.ChangeID, change.Edits)
+		formatTime(change.Time), change.Revision, change.Index, change.ChangeID, change.Edits)
 	if change.Author != "" {
 		text += " by " + change.Author
 	}
@@ -95,8 +95,8 @@
 	return text + "."
 }
 
-// inForceText counts the nodes that have reached a revision. Revisions only
-// rise, so that a node on a later one has it too.
+// inForceText counts the nodes that have reached a revision. Revisions only increase, so
+// a node at a later revision counts too.
 func inForceText(revision port.Revision, status operatorapi.ConfigStatus) string {
 	reached, silent := 0, 0
 	for _, node := range status.Nodes {
@@ -111,12 +111,12 @@
 		len(status.Nodes), reached, silent, status.Revision)
 }
 
-// ask tries the nodes in order; an answer that the id is not known at one node
-// is final only if no other node knows it.
-func (c *explainCommand) ask(ctx context.Context, token string) (httpapi.Explanation, error) {
+// queryNodes queries the nodes in order and returns the first explanation. "Not found" is
+// final only if no other node knows the id.
+func (c *explainCommand) queryNodes(ctx context.Context, token string) (httpapi.Explanation, error) {
 	var failure error
 	for _, node := range c.Node {
-		explanation, err := askNode(ctx, node, token, c.ID)
+		explanation, err := queryNode(ctx, node, token, c.ID)
 		if err == nil {
 			return explanation, nil
 		}
@@ -125,8 +125,8 @@
 	return httpapi.Explanation{}, failure
 }
 
-func askNode(ctx context.Context, node, token, id string) (httpapi.Explanation, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func queryNode(ctx context.Context, node, token, id string) (httpapi.Explanation, error) {
+	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	var explanation httpapi.Explanation
 	address := strings.TrimSuffix(node, "/") + strings.Replace(api.PathExplain, "{id}", url.PathEscape(id), 1)
@@ -144,9 +144,9 @@
 	if response.StatusCode == http.StatusOK {
 		return explanation, body.Decode(&explanation)
 	}
-	var refused api.ErrorBody
-	if err := body.Decode(&refused); err != nil {
-		return explanation, port.NewError(port.NotRun, port.CodeUnavailable, "%s answered status %d", node, response.StatusCode)
+	var errorBody api.ErrorBody
+	if err := body.Decode(&errorBody); err != nil {
+		return explanation, port.NewError(port.NotRun, port.CodeUnavailable, "%s responded with status %d", node, response.StatusCode)
 	}
-	return explanation, port.NewError(port.ParseVerdict(refused.Error.Verdict), port.Code(refused.Error.Code), "%s", refused.Error.Message)
+	return explanation, port.NewError(port.ParseVerdict(errorBody.Error.Verdict), port.Code(errorBody.Error.Code), "%s", errorBody.Error.Message)
 }
--- a/cmd/loomgrade/cmd_job.go
+++ b/cmd/loomgrade/cmd_job.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// jobCommand shows and ends the jobs of a site.
+// jobCommand submits, shows and ends the jobs of a site.
 type jobCommand struct {
 	Submit  jobSubmitCommand  `cmd:"" help:"Hand a job in."`
 	List    jobListCommand    `cmd:"" help:"List jobs."`
@@ -19,7 +19,7 @@
 	siteFlags `embed:""`
 }
 
-// Run lists the jobs that are kept, oldest first.
+// Run lists the stored jobs, oldest first.
 func (c *jobListCommand) Run(std streams) error {
 	client, _, ctx, cancel, err := c.connect()
 	if err != nil {
@@ -38,15 +38,15 @@
 	})
 }
 
-// jobResultsCommand shows results.
+// jobResultsCommand shows the results of a job.
 type jobResultsCommand struct {
 	Job       string `arg:"" help:"Id of the job."`
 	From      int    `default:"0" help:"Position of the first result."`
 	siteFlags `embed:""`
 }
 
-// maxShownBytes bounds the texts of one answer.
-const maxShownBytes = 1 << 20
+// maxPageBytes limits the text bytes of one page of results.
+const maxPageBytes = 1 << 20
 
 // Run shows one page of results.
 func (c *jobResultsCommand) Run(std streams) error {
@@ -55,12 +55,12 @@
 		return err
 	}
 	defer cancel()
-	page, found, err := client.jobs.Page(ctx, jobsapi.PageRequest{Job: c.Job, From: c.From, MaxBytes: maxShownBytes})
+	page, found, err := client.jobs.Page(ctx, jobsapi.PageRequest{Job: c.Job, From: c.From, MaxBytes: maxPageBytes})
 	if err != nil {
 		return err
 	}
 	if !found {
-		return noSuchJob(c.Job)
+		return jobNotFound(c.Job)
 	}
 	return output(c.outputFlags, std, page, func(lines *table, page jobstate.Page) {
 		lines.row("POSITION", "ITEM", "ERRORED", "VERSIONS", "BYTES", "SCORE")
@@ -77,12 +77,12 @@
 	siteFlags `embed:""`
 }
 
-// endedJob is the answer of job end.
+// endedJob is the output of job end.
 type endedJob struct {
 	Job string `json:"job"`
 }
 
-// Run ends a job; once more is no failure.
+// Run ends a job. Ending an ended job succeeds.
 func (c *jobEndCommand) Run(std streams) error {
 	client, _, ctx, cancel, err := c.connect()
 	if err != nil {
@@ -94,11 +94,11 @@
 		return err
 	}
 	if !found {
-		return noSuchJob(c.Job)
+		return jobNotFound(c.Job)
 	}
 	return output(c.outputFlags, std, endedJob{c.Job}, func(lines *table, ended endedJob) { lines.row("ended", ended.Job) })
 }
 
-func noSuchJob(id string) error {
-	return port.NewError(port.NotRun, port.CodeNotFound, "no job %q", id)
+func jobNotFound(id string) error {
+	return port.NewError(port.NotRun, port.CodeNotFound, "job %q not found", id)
 }
--- a/cmd/loomgrade/cmd_logs.go
+++ b/cmd/loomgrade/cmd_logs.go
@@ -13,31 +13,31 @@
 	"github.com/loomgrade/loomgrade/internal/core/logtrace"
 )
 
-// logsCommand reads the log lines that processes wrote.
+// logsCommand reads log lines of site processes.
 type logsCommand struct {
 	Explain logsExplainCommand `cmd:"" help:"Tell what happened to a request, job, item, replica or machine, from the logs of several processes."`
 	Steps   logsStepsCommand   `cmd:"" help:"List the jobs that were done with their times, and the item that each waited for last."`
 	Delays  logsDelaysCommand  `cmd:"" help:"List where the time of each step of a trainer went, from one job to the next."`
 }
 
-// logsExplainCommand puts the lines of one id in order and names the cause.
+// logsExplainCommand orders the log lines of one id and names the cause.
 type logsExplainCommand struct {
 	ID          string   `arg:"" help:"Id of a request, job, item, replica or member."`
 	Files       []string `arg:"" type:"path" help:"Files with log lines."`
 	outputFlags `embed:""`
 }
 
-// maxLogLine bounds one line of a file, in bytes.
+// maxLogLine limits one line of a log file, in bytes.
 const maxLogLine = 1 << 20
 
-// story is the answer of logs explain.
-type story struct {
+// logsExplanation is the output of logs explain.
+type logsExplanation struct {
 	ID    string   `json:"id"`
 	Lines []string `json:"lines"`
 	Cause string   `json:"cause"`
 }
 
-// Run prints the story of an id.
+// Run prints the log lines of an id, explained.
 func (c *logsExplainCommand) Run(std streams) error {
 	lines, err := readFiles(c.Files)
 	if err != nil {
@@ -49,11 +49,11 @@
 	}
 	selected := logtrace.Select(lines, c.ID)
 	if len(selected) == 0 {
-		return usageError{eris.Errorf("no line of %d is about %q", len(lines), c.ID)}
+		return usageError{eris.Errorf("none of %d log lines mentions %q", len(lines), c.ID)}
 	}
-	told := story{ID: c.ID, Lines: logtrace.Format(selected, meanings), Cause: logtrace.Cause(selected)}
-	return output(c.outputFlags, std, told, func(_ *table, told story) {
-		for _, line := range told.Lines {
+	explained := logsExplanation{ID: c.ID, Lines: logtrace.Format(selected, meanings), Cause: logtrace.Cause(selected)}
+	return output(c.outputFlags, std, explained, func(_ *table, explained logsExplanation) {
+		for _, line := range explained.Lines {
 			fmt.Fprintln(std.stdout, line)
 		}
 	})
@@ -65,7 +65,7 @@
 	outputFlags `embed:""`
 }
 
-// Run prints a row for each job that a runner has done with.
+// Run prints a row for each job that a runner has finished or abandoned.
 func (c *logsStepsCommand) Run(std streams) error {
 	lines, err := readFiles(c.Files)
 	if err != nil {
@@ -74,17 +74,17 @@
 	return output(c.outputFlags, std, logtrace.Steps(lines), func(lines *table, steps []logtrace.Step) {
 		lines.row("STEP", "JOB", "BEGUN", "ITEMS", "RUNS", "LAST PLACED", "WHOLE 50%", "90%", "100%", "TOOK", "LAST ITEM", "EVENTS", "MOVES", "WAITED", "REPLICA", "")
 		for _, step := range steps {
-			left := ""
+			note := ""
 			if !step.Ended {
-				left = "(left by the runner)"
+				note = "(abandoned by the runner)"
 			}
-			lines.row(step.Step, step.Job, clock(step.Started), step.Items, step.Runs, step.LastPlaced, step.Whole50, step.Whole90, step.Whole100,
-				step.Took, step.LastItem, step.LastEvents, step.LastMoves, step.LastWaited, step.LastReplica, left)
+			lines.row(step.Step, step.Job, formatTime(step.Started), step.Items, step.Runs, step.LastPlaced, step.Whole50, step.Whole90, step.Whole100,
+				step.Took, step.LastItem, step.LastEvents, step.LastMoves, step.LastWaited, step.LastReplica, note)
 		}
 	})
 }
 
-// logsDelaysCommand lists where the time of steps went.
+// logsDelaysCommand breaks the time of each step down into its delays.
 type logsDelaysCommand struct {
 	Files       []string `arg:"" type:"path" help:"Files with log lines of front, control and store processes."`
 	Worst       int      `default:"0" help:"Show so many steps that took longest; 0 shows all, in order."`
@@ -105,12 +105,12 @@
 	return output(c.outputFlags, std, delays, func(lines *table, delays []logtrace.Delay) {
 		lines.row("KEPT", "MODEL", "STEP", "ITEMS", "ACCEPT", "TAKEN OVER", "FIRST WAIT", "LATER", "RAN", "UNUSED", "SCORED", "READ", "NAMED", "ASKED", "TOTAL", "UNEXPLAINED", "REFUSED", "CUT", "DECIDING ITEM", "")
 		for _, d := range delays {
-			lost := ""
+			note := ""
 			if !d.Whole {
-				lost = "(not whole)"
+				note = "(incomplete)"
 			}
-			lines.row(clock(d.AcceptedAt), d.Model, d.Step, d.Items, d.Accept, d.StartDelay, d.FirstWait, d.LaterWaits, d.Ran, d.Unused, d.Scored, d.Read,
-				d.PublishDelay, d.NextJobDelay, d.Total, d.Unexplained, d.Refused, d.Cut, d.Deciding, lost)
+			lines.row(formatTime(d.AcceptedAt), d.Model, d.Step, d.Items, d.Accept, d.StartDelay, d.FirstWait, d.LaterWaits, d.Ran, d.Unused, d.Scored, d.Read,
+				d.PublishDelay, d.NextJobDelay, d.Total, d.Unexplained, d.Refused, d.Cut, d.Deciding, note)
 		}
 	})
 }
--- a/cmd/loomgrade/cmd_member.go
+++ b/cmd/loomgrade/cmd_member.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/operatorapi"
 )
 
-// memberCommand groups the commands on control members.
+// memberCommand groups the control member commands.
 type memberCommand struct {
 	List    memberListCommand    `cmd:"" help:"List control members."`
 	Add     memberAddCommand     `cmd:"" help:"Add a control member as a learner, which has no vote."`
@@ -19,7 +19,7 @@
 	operatorFlags `embed:""`
 }
 
-// Run lists the members as the asked one sees them.
+// Run lists the members as the queried member sees them.
 func (c *memberListCommand) Run(std streams) error {
 	return query(&c.operatorFlags, std, (*operatorapi.Client).Members, showMembers)
 }
@@ -36,7 +36,7 @@
 }
 
 func showMember(lines *table, member operatorapi.Member) {
-	lines.row(member.ID, member.Address, member.Role, member.Leader, member.Match, member.Active, member.CaughtUp, age(member.SilentMillis))
+	lines.row(member.ID, member.Address, member.Role, member.Leader, member.Match, member.Active, member.CaughtUp, formatAge(member.SilentMillis))
 }
 
 // memberAddCommand adds a member.
--- a/cmd/loomgrade/cmd_node.go
+++ b/cmd/loomgrade/cmd_node.go
@@ -15,7 +15,7 @@
 	Settings string `arg:"" type:"path" help:"Settings file with a node section."`
 }
 
-// Run starts the node and waits until it is told to stop.
+// Run starts the node and blocks until a stop signal.
 func (c *nodeCommand) Run(std streams) error {
 	started, err := newProcess(c.Settings)
 	if err != nil {
@@ -44,8 +44,8 @@
 	}
 	fmt.Fprintf(std.stdout, "node %s in zone %s: callers %s, peers %s\n",
 		section.ID, section.Zone, running.HTTPAddress(), running.PeerAddress())
-	p.untilStopped(nil)
-	stopping, cancel := stopContext()
+	p.awaitStop(nil)
+	stopping, cancel := shutdownContext()
 	defer cancel()
 	return running.Drain(stopping)
 }
--- a/cmd/loomgrade/cmd_policy.go
+++ b/cmd/loomgrade/cmd_policy.go
@@ -9,29 +9,29 @@
 	"github.com/loomgrade/loomgrade/internal/core/policy"
 )
 
-// policyCommand groups the commands on policy programs. They need no fleet.
+// policyCommand groups the policy program commands. They run without a fleet.
 type policyCommand struct {
 	Check    policyCheckCommand    `cmd:"" help:"Compile a policy program and run it on the standard views."`
 	Simulate policySimulateCommand `cmd:"" help:"Show what a policy program decides on standard views or on a view of your own."`
 }
 
-// policyCheckCommand says whether a program would be accepted.
+// policyCheckCommand checks whether a program would be accepted.
 type policyCheckCommand struct {
 	File string `arg:"" type:"existingfile" help:"Starlark file with def plan(pool)."`
 
 	outputFlags `embed:""`
 }
 
-// policyAccepted says that a program would be accepted.
+// policyAccepted describes a program that passed the check.
 type policyAccepted struct {
 	File  string `json:"file"`
 	Views int    `json:"views"`
-	// Steps is the most interpreter steps that a view took, of MaxSteps allowed.
+	// Steps is the largest number of interpreter steps of any view; MaxSteps is the limit.
 	Steps    uint64 `json:"steps"`
 	MaxSteps uint64 `json:"max_steps"`
 }
 
-// Run checks the program; what is wrong comes with its line or field.
+// Run checks the program. Errors name a line or a field.
 func (c *policyCheckCommand) Run(std streams) error {
 	program, err := compilePolicy(c.File)
 	if err != nil {
@@ -53,7 +53,7 @@
 	})
 }
 
-// policySimulateCommand shows a program's plans.
+// policySimulateCommand shows the plans of a program.
 type policySimulateCommand struct {
 	File string            `arg:"" type:"existingfile" help:"Starlark file with def plan(pool)."`
 	View string            `type:"existingfile" help:"JSON file with a view: the fields of the program's argument, replicas among them."`
@@ -63,7 +63,7 @@
 	outputFlags `embed:""`
 }
 
-// Run shows a plan for each view, also where the program fails on some.
+// Run prints a plan for each view, even if the program fails on some views.
 func (c *policySimulateCommand) Run(std streams) error {
 	program, err := compilePolicy(c.File)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// views gives the one view that the flags describe, or the standard ones.
+// views returns the view described by the flags, or the standard views without flags.
 func (c *policySimulateCommand) views() ([]policy.NamedView, error) {
 	if c.View == "" && c.From == "" && len(c.Set) == 0 {
 		return policy.StandardViews(), nil
@@ -95,7 +95,7 @@
 	if c.View != "" && c.From != "" {
 		return nil, errors.New("--view and --from: both given, allowed: one of them")
 	}
-	view, name, err := c.start()
+	view, name, err := c.startView()
 	if err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 	return []policy.NamedView{{Name: name, View: view}}, nil
 }
 
-func (c *policySimulateCommand) start() (policy.View, string, error) {
+func (c *policySimulateCommand) startView() (policy.View, string, error) {
 	if c.View != "" {
 		view, err := readView(c.View)
 		return view, c.View, err
@@ -137,8 +137,7 @@
 	return program, nil
 }
 
-// policyError is a usage error that names the file in place of the name that
-// programs have inside.
+// policyError returns a usage error that replaces the program's internal file name by file.
 func policyError(file string, err error) error {
 	text := strings.ReplaceAll(err.Error(), policy.FileName+":", file+":")
 	if !strings.Contains(text, file) {
--- a/cmd/loomgrade/cmd_pool.go
+++ b/cmd/loomgrade/cmd_pool.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// poolCommand groups the commands on pools.
+// poolCommand groups the pool commands.
 type poolCommand struct {
 	List poolListCommand `cmd:"" help:"List pools."`
 	Show poolShowCommand `cmd:"" help:"Show a pool with its replicas, weights and delivery."`
@@ -50,7 +50,7 @@
 		lines.row("batch", sampling.BatchSamples, "samples in groups of", sampling.GroupSize)
 	}
 	if detail.Weights != nil {
-		lines.row("published version", detail.Weights.Version, clock(detail.Weights.Time))
+		lines.row("published version", detail.Weights.Version, formatTime(detail.Weights.Time))
 	}
 	if ledger := detail.Ledger; ledger != nil {
 		lines.row("consumer", ledger.Consumer.Name, "epoch", ledger.Consumer.Epoch)
--- a/cmd/loomgrade/cmd_replica.go
+++ b/cmd/loomgrade/cmd_replica.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// replicaCommand groups the commands on replicas.
+// replicaCommand groups the replica commands.
 type replicaCommand struct {
 	List   replicaListCommand   `cmd:"" help:"List replicas."`
 	Drain  replicaDrainCommand  `cmd:"" help:"Give a replica no new work; what is in flight finishes."`
@@ -25,7 +25,7 @@
 func (c *replicaListCommand) Run(std streams) error {
 	call := func(client *operatorapi.Client, ctx context.Context) (operatorapi.Replicas, error) {
 		answer, err := client.Replicas(ctx)
-		answer.Replicas = c.chosen(answer.Replicas)
+		answer.Replicas = c.filterByPool(answer.Replicas)
 		return answer, err
 	}
 	return query(&c.operatorFlags, std, call, func(lines *table, answer operatorapi.Replicas) {
@@ -33,7 +33,7 @@
 	})
 }
 
-func (c *replicaListCommand) chosen(replicas []port.Replica) []port.Replica {
+func (c *replicaListCommand) filterByPool(replicas []port.Replica) []port.Replica {
 	chosen := []port.Replica{}
 	for _, replica := range replicas {
 		if c.Pool == "" || replica.Pool == c.Pool {
@@ -43,7 +43,7 @@
 	return chosen
 }
 
-// replicaChange holds what drain and return have in common.
+// replicaChange holds the flags and arguments shared by drain and return.
 type replicaChange struct {
 	operatorFlags `embed:""`
 	ID            port.ReplicaID `arg:"" help:"Id of the replica."`
@@ -57,7 +57,7 @@
 	replicaChange `embed:""`
 }
 
-// Run orders the drain.
+// Run requests the drain.
 func (c *replicaDrainCommand) Run(std streams) error {
 	return c.apply(std, (*operatorapi.Client).DrainReplica)
 }
@@ -67,17 +67,17 @@
 	replicaChange `embed:""`
 }
 
-// Run orders the return.
+// Run requests the return.
 func (c *replicaReturnCommand) Run(std streams) error {
 	return c.apply(std, (*operatorapi.Client).ReturnReplica)
 }
 
-// replicaCall is one of the client's calls that change a replica.
+// replicaCall is a client method that changes a replica.
 type replicaCall func(*operatorapi.Client, context.Context, port.ReplicaID, operatorapi.ReplicaChange) (operatorapi.Accepted, error)
 
-// maxReplicaTries bounds how often a change without an expected revision starts
-// again after another change came first.
-const maxReplicaTries = 5
+// maxReplicaAttempts limits the attempts of a change without an expected revision when
+// concurrent changes conflict with it.
+const maxReplicaAttempts = 5
 
 func (c *replicaChange) apply(std streams, call replicaCall) error {
 	client, ctx, cancel, err := c.connect()
@@ -86,8 +86,8 @@
 	}
 	defer cancel()
 	var accepted operatorapi.Accepted
-	for range maxReplicaTries {
-		accepted, err = c.once(ctx, client, call)
+	for range maxReplicaAttempts {
+		accepted, err = c.applyOnce(ctx, client, call)
 		if err == nil {
 			return output(c.outputFlags, std, accepted, showAccepted)
 		}
@@ -98,7 +98,7 @@
 	return err
 }
 
-func (c *replicaChange) once(ctx context.Context, client *operatorapi.Client, call replicaCall) (operatorapi.Accepted, error) {
+func (c *replicaChange) applyOnce(ctx context.Context, client *operatorapi.Client, call replicaCall) (operatorapi.Accepted, error) {
 	expected := c.Expected
 	if expected == nil {
 		replicas, err := client.Replicas(ctx)
--- a/cmd/loomgrade/cmd_settings.go
+++ b/cmd/loomgrade/cmd_settings.go
@@ -7,32 +7,32 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/settings"
 )
 
-// settingsCommand groups the commands on settings files.
+// settingsCommand groups the settings file commands.
 type settingsCommand struct {
 	Check settingsCheckCommand `cmd:"" help:"Check settings files and say which role each is for."`
 }
 
-// settingsCheckCommand checks files without starting anything.
+// settingsCheckCommand checks settings files without starting a process.
 type settingsCheckCommand struct {
 	Files []string `arg:"" type:"path" help:"Settings files."`
 
 	outputFlags `embed:""`
 }
 
-// checkedSettings is a settings file that a process would start from.
+// checkedSettings is a valid settings file and its role.
 type checkedSettings struct {
 	File string `json:"file"`
 	Role string `json:"role"`
 }
 
-// Run checks every file, lists the good ones and refuses the others.
+// Run checks every file, lists the valid ones and returns the errors of the others.
 func (c *settingsCheckCommand) Run(std streams) error {
 	good := []checkedSettings{}
-	var refused error
+	var failures error
 	for _, path := range c.Files {
 		file, err := settings.Load(path)
 		if err != nil {
-			refused = errors.Join(refused, err)
+			failures = errors.Join(failures, err)
 			continue
 		}
 		good = append(good, checkedSettings{File: path, Role: roleOf(file)})
@@ -42,8 +42,8 @@
 			lines.row(file.File, "good", file.Role)
 		}
 	})
-	if refused != nil {
-		return usageError{refused}
+	if failures != nil {
+		return usageError{failures}
 	}
 	return err
 }
--- a/cmd/loomgrade/cmd_site.go
+++ b/cmd/loomgrade/cmd_site.go
@@ -1,14 +1,13 @@
 package main
 
-// siteCommand runs the processes of a site whose members find each other, on
-// the users' platform.
+// siteCommand runs the processes of a site on the users' platform.
 type siteCommand struct {
 	Front   siteFrontCommand   `cmd:"" help:"Run the process that callers reach."`
 	Control siteControlCommand `cmd:"" help:"Run a control process, which operators and replicas reach."`
 	Store   siteStoreCommand   `cmd:"" help:"Run the process of a store machine, which keeps and runs jobs."`
 }
 
-// siteSettings is what every command of a site process takes.
+// siteSettings holds the argument of every site process command.
 type siteSettings struct {
 	Settings string `arg:"" optional:"" type:"path" env:"LOOMGRADE_CONFIG" help:"Settings file of the process."`
 }
--- a/cmd/loomgrade/cmd_site_control.go
+++ b/cmd/loomgrade/cmd_site_control.go
@@ -10,42 +10,42 @@
 	"github.com/loomgrade/loomgrade/platform"
 )
 
-// controlShutdown bounds how long a control process waits for calls in flight.
-const controlShutdown = 1500 * time.Millisecond
+// controlShutdownTimeout limits how long a control process waits for calls in flight.
+const controlShutdownTimeout = 1500 * time.Millisecond
 
 // siteControlCommand runs a control process.
 type siteControlCommand struct{ siteSettings }
 
-// Run serves until the process is told to stop.
+// Run serves until a stop signal.
 func (c *siteControlCommand) Run(streams) error {
 	p, err := newSiteProcess(c.Settings, "control")
 	if err != nil {
 		return err
 	}
-	var cloud sitecontrol.Provider
+	var usageProvider sitecontrol.Provider
 	if p.file.ReportsUsage() {
-		cloud = provider.New(p.file.ProviderAddress, p.dialect)
+		usageProvider = provider.New(p.file.ProviderAddress, p.dialect)
 	}
 	control := sitecontrol.New(sitecontrol.Config{
 		Machine: p.file.Machine, Address: p.file.PeerAddress(), HeartbeatAddress: p.file.ControlListen,
 		Seeds: p.file.SeedPeers(), Found: p.file.FirstStart, Folder: p.file.DataFolder, FileSystem: fileSystem(p.file.DataFolder), Wire: p.wire, Dialect: p.dialect,
 		Logger: p.logger, Seed: p.seed, ToleratedLosses: p.file.ToleratedLosses, HolderLease: p.file.HolderLease(), Recorder: p.metrics,
 		Zones:    p.file.Zones,
-		Provider: cloud, UsageWindow: p.file.UsageWindow(), UsageDue: p.file.UsageDue(),
+		Provider: usageProvider, UsageWindow: p.file.UsageWindow(), UsageDue: p.file.UsageDue(),
 	})
 	control.Register(p.server)
 	p.metrics.Observe(func() metrics.SiteReading {
-		view, shown := control.View(), control.Shown()
+		view, state := control.View(), control.Shown()
 		reading := metrics.SiteReading{
 			Position: view.Position, Configuration: view.Configuration.Version,
-			Confirmed: shown != nil && shown.Confirmed, LinesDropped: p.lines.Dropped(),
+			Confirmed: state != nil && state.Confirmed, LinesDropped: p.lines.Dropped(),
 		}
-		return ofGroup(reading, shown)
+		return addGroupReading(reading, state)
 	})
 	operators := newService(p.file.ControlListen, platform.ControlHandler(control))
 	drain := func(ctx context.Context) {
 		control.HandOver(ctx)
-		stopping, cancel := context.WithTimeout(ctx, controlShutdown)
+		stopping, cancel := context.WithTimeout(ctx, controlShutdownTimeout)
 		defer cancel()
 		_ = operators.server.Shutdown(stopping)
 	}
--- a/cmd/loomgrade/cmd_site_front.go
+++ b/cmd/loomgrade/cmd_site_front.go
@@ -20,25 +20,23 @@
 )
 
 const (
-	// drainNotice is how long a front that stops goes on taking connections:
-	// readiness is asked every second and two misses take it out.
-	drainNotice = 2600 * time.Millisecond
-	// keepAlive is how long callers may leave a connection unused before they
-	// send on it again; a front that stops closes none before. It is not much
-	// longer than drainNotice, so that a stop takes no longer for it.
-	keepAlive = 3 * time.Second
-	// heldShare is the part of a front's memory that bodies of requests and answers may take
-	// that are held for callers. A request's body stands there once, an answer's once; as
-	// much again is what the collector has not freed yet, and 30 MB are the process's own.
-	heldShare = 0.25
-	// stopReserve is left of the grace for the process's own end.
-	stopReserve = 1200 * time.Millisecond
+	// drainDelay is how long a stopping front keeps accepting connections. Readiness is
+	// probed every second; two failed probes remove the front.
+	drainDelay = 2600 * time.Millisecond
+	// callerKeepAlive is how long callers may reuse an idle connection. A stopping front
+	// closes no connection earlier, so a longer time delays the stop.
+	callerKeepAlive = 3 * time.Second
+	// bodyMemoryShare is the share of a front's memory for buffered request and answer
+	// bodies. Garbage that is not yet collected may take as much again.
+	bodyMemoryShare = 0.25
+	// shutdownReserve is the part of the grace period left for the process to exit.
+	shutdownReserve = 1200 * time.Millisecond
 )
 
-// siteFrontCommand runs a front.
+// siteFrontCommand runs a front process.
 type siteFrontCommand struct{ siteSettings }
 
-// Run serves until the process is told to stop.
+// Run serves until a stop signal.
 func (c *siteFrontCommand) Run(streams) error {
 	p, err := newSiteProcess(c.Settings, "front")
 	if err != nil {
@@ -48,41 +46,41 @@
 	watcher := p.newWatcher(siteview.Config{
 		Provisional: true, Interest: sitestate.InterestRouting, Changed: func(view *siteview.View) { sender.Observe(view) },
 	})
-	withholds := sitecontrol.NewGuard(p.file.Machine, watcher, p.logger)
-	budget := held.NewBudget(int64(heldShare * p.file.MemoryMegabytes * megabyte))
-	sender = p.newProxy(watcher, withholds, budget)
-	counted := p.newUsageReporter(watcher)
-	idle := httpserve.NewIdleConnections(keepAlive)
-	served := front.New(front.Config{
+	requestGuard := sitecontrol.NewGuard(p.file.Machine, watcher, p.logger)
+	budget := held.NewBudget(int64(bodyMemoryShare * p.file.MemoryMegabytes * megabyte))
+	sender = p.newProxy(watcher, requestGuard, budget)
+	usageReporter := p.newUsageReporter(watcher)
+	idle := httpserve.NewIdleConnections(callerKeepAlive)
+	frontServer := front.New(front.Config{
 		Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Idle: idle, Recorder: p.metrics,
-		Held: budget, Usage: counted, RevokeWithin: p.file.RevokeWithin(),
+		Held: budget, Usage: usageReporter, RevokeWithin: p.file.RevokeWithin(),
 		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, Place: sitecontrol.Placer(watcher), KeepsWithin: watcher.KeepsWithin}),
 	})
 	p.metrics.Observe(func() metrics.SiteReading {
-		return ofView(metrics.SiteReading{InFlight: served.InFlight(), HeldBytes: budget.Held(), LinesDropped: p.lines.Dropped()}, watcher)
+		return addViewReading(metrics.SiteReading{InFlight: frontServer.InFlight(), HeldBytes: budget.Held(), LinesDropped: p.lines.Dropped()}, watcher)
 	})
-	callers := newService(p.file.CallerListen, platform.FrontHandler(served))
+	callers := newService(p.file.CallerListen, platform.FrontHandler(frontServer))
 	callers.server.ConnState = idle.Observe
-	readiness := newService(p.file.ReadinessListen, platform.ReadinessHandler(served.Ready))
+	readiness := newService(p.file.ReadinessListen, platform.ReadinessHandler(frontServer.Ready))
 	drain := func(ctx context.Context) {
-		stopping, cancel := context.WithTimeout(ctx, p.file.Grace()-stopReserve)
+		stopping, cancel := context.WithTimeout(ctx, p.file.Grace()-shutdownReserve)
 		defer cancel()
-		served.Drain()
-		wait(stopping, drainNotice)
-		served.AwaitRested(stopping)
-		served.Close()
+		frontServer.Drain()
+		wait(stopping, drainDelay)
+		frontServer.AwaitRested(stopping)
+		frontServer.Close()
 		_ = callers.server.Shutdown(stopping)
-		counted.Drain(stopping)
-		withholds.Drain(stopping)
+		usageReporter.Drain(stopping)
+		requestGuard.Drain(stopping)
 	}
-	tasks := []func(context.Context) error{watcher.Run, withholds.Run}
-	if counted != nil {
-		tasks = append(tasks, counted.Run)
+	tasks := []func(context.Context) error{watcher.Run, requestGuard.Run}
+	if usageReporter != nil {
+		tasks = append(tasks, usageReporter.Run)
 	}
 	return p.serve([]service{callers, readiness}, watcher.SetSeeds, drain, tasks...)
 }
 
-// newUsageReporter makes what counts tenants' requests; nil where usage is not reported.
+// newUsageReporter returns the reporter of tenants' usage, or nil if usage is not reported.
 func (p *siteProcess) newUsageReporter(watcher *siteview.Watcher) *front.UsageReporter {
 	if !p.file.ReportsUsage() {
 		return nil
@@ -96,7 +94,7 @@
 	return front.NewUsageReporter(reporter, send, nil, p.logger)
 }
 
-// wait waits for a time or the end of the context.
+// wait blocks for a duration or until the context is done.
 func wait(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/cmd/loomgrade/cmd_site_store.go
+++ b/cmd/loomgrade/cmd_site_store.go
@@ -11,13 +11,13 @@
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
 )
 
-// keepJobsMargin is added to the time that a job can be asked about.
+// keepJobsMargin is added to the time for which a job can be queried.
 const keepJobsMargin = 15 * time.Second
 
-// siteStoreCommand runs the process of a store machine.
+// siteStoreCommand runs a store process.
 type siteStoreCommand struct{ siteSettings }
 
-// Run serves until the process is told to stop.
+// Run serves until a stop signal.
 func (c *siteStoreCommand) Run(streams) error {
 	p, err := newSiteProcess(c.Settings, "store")
 	if err != nil {
@@ -25,19 +25,19 @@
 	}
 	var sender *proxy.Proxy
 	watcher := p.newWatcher(siteview.Config{Changed: func(view *siteview.View) { sender.Observe(view) }})
-	withholds := sitecontrol.NewGuard(p.file.Machine, watcher, p.logger)
-	sender = p.newProxy(watcher, withholds, nil)
+	requestGuard := sitecontrol.NewGuard(p.file.Machine, watcher, p.logger)
+	sender = p.newProxy(watcher, requestGuard, nil)
 	store := sitestore.New(sitestore.Config{
 		Machine: p.file.Machine, Zone: p.file.Zone, Address: p.file.PeerAddress(), Folder: p.file.DataFolder, FileSystem: fileSystem(p.file.DataFolder),
 		Wire: p.wire, Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Seed: p.seed,
 		Cold: p.file.ColdLimits(), Recorder: p.metrics, ToleratedLosses: p.file.ToleratedLosses, KeepJobs: p.file.KeepJobs() + keepJobsMargin,
-		MostJobBytes: int(jobShare * p.file.MemoryMegabytes * megabyte),
+		MostJobBytes: int(jobMemoryShare * p.file.MemoryMegabytes * megabyte),
 	})
 	store.Register(p.server)
 	p.metrics.Observe(func() metrics.SiteReading {
 		reading := metrics.SiteReading{InFlight: store.Open(), JobBytes: store.JobBytes(), LinesDropped: p.lines.Dropped()}
-		return ofGroup(ofView(reading, watcher), store.Shown())
+		return addGroupReading(addViewReading(reading, watcher), store.Shown())
 	})
 	drain := func(ctx context.Context) { store.HandOver(ctx) }
-	return p.serve(nil, watcher.SetSeeds, drain, watcher.Run, withholds.Run, store.Run)
+	return p.serve(nil, watcher.SetSeeds, drain, watcher.Run, requestGuard.Run, store.Run)
 }
--- a/cmd/loomgrade/cmd_status.go
+++ b/cmd/loomgrade/cmd_status.go
@@ -9,7 +9,7 @@
 	operatorFlags `embed:""`
 }
 
-// Run shows the group as one member sees it.
+// Run prints the state of the group as one member sees it.
 func (c *statusCommand) Run(std streams) error {
 	return query(&c.operatorFlags, std, (*operatorapi.Client).Status, showStatus)
 }
@@ -27,7 +27,7 @@
 			showMember(lines, member)
 			continue
 		}
-		// Only the leader knows how far the others are.
+		// Only the leader knows the progress of the other members.
 		lines.row(member.ID, member.Address, member.Role, member.Leader, "-", "-", "-", "-")
 	}
 }
--- a/cmd/loomgrade/cmd_store.go
+++ b/cmd/loomgrade/cmd_store.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// storeCommand shows and empties the store machines of a site.
+// storeCommand groups the store machine commands.
 type storeCommand struct {
 	Status   storeStatusCommand   `cmd:"" help:"List store machines and what they are to do."`
 	Evacuate storeEvacuateCommand `cmd:"" help:"Empty a store machine, so that it can be taken away."`
@@ -17,13 +17,13 @@
 	siteFlags `embed:""`
 }
 
-// storeRow is a store machine in an answer.
+// storeRow is a row of store status.
 type storeRow struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	State   string `json:"state"`
-	// Shard is the one of the jobs whose group the machine is a member of, 0 for none.
+	// Shard is the job shard whose group the machine belongs to, or 0 for none.
 	Shard uint32 `json:"shard"`
 }
 
@@ -56,21 +56,21 @@
 	siteFlags `embed:""`
 }
 
-// Run begins to empty the machine and shows how it stands; repeat it to follow.
+// Run starts the evacuation and prints the machine's state. Repeat it to follow progress.
 func (c *storeEvacuateCommand) Run(std streams) error {
 	client, _, ctx, cancel, err := c.connect()
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	answer, err := client.control(ctx, sitecontrol.Request{Evacuate: c.Store})
+	answer, err := client.callControl(ctx, sitecontrol.Request{Evacuate: c.Store})
 	switch {
 	case err != nil:
 		return err
 	case answer.Outcome == sitestate.OutcomeUnknown:
-		return port.NewError(port.NotRun, port.CodeNotFound, "no store machine %q", c.Store)
+		return port.NewError(port.NotRun, port.CodeNotFound, "store machine %q not found", c.Store)
 	case answer.TooFew:
-		return port.NewError(port.NotRun, port.CodeConflict, "too few store machines would stay without %q", c.Store)
+		return port.NewError(port.NotRun, port.CodeConflict, "too few store machines would remain without %q", c.Store)
 	}
 	row := storeRow{Name: c.Store, State: storeStateNames[answer.StoreState]}
 	return output(c.outputFlags, std, row, func(lines *table, row storeRow) { lines.row(row.Name, row.State) })
--- a/cmd/loomgrade/cmd_version.go
+++ b/cmd/loomgrade/cmd_version.go
@@ -5,19 +5,19 @@
 	"runtime/debug"
 )
 
-// versionCommand prints what was built.
+// versionCommand prints the build version.
 type versionCommand struct {
 	outputFlags `embed:""`
 }
 
-// buildVersion says what was built.
+// buildVersion describes the build.
 type buildVersion struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
 	Go       string `json:"go"`
 }
 
-// Run prints the module version, the revision if known, and the Go release.
+// Run prints the module version, the VCS revision if known, and the Go release.
 func (c *versionCommand) Run(std streams) error {
 	return output(c.outputFlags, std, readBuildVersion(), func(lines *table, built buildVersion) {
 		lines.row("loomgrade", built.Version)
--- a/cmd/loomgrade/cmd_weights.go
+++ b/cmd/loomgrade/cmd_weights.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// weightsCommand groups the commands on weight versions.
+// weightsCommand groups the weight version commands.
 type weightsCommand struct {
 	Publish weightsPublishCommand `cmd:"" help:"Publish a weight version of a pool."`
 	Status  weightsStatusCommand  `cmd:"" help:"Show published versions and which replicas serve which."`
@@ -35,7 +35,7 @@
 		Pool: c.Pool, Version: c.Version, Bytes: c.Bytes, ChangeID: c.ChangeID,
 	})
 	if err != nil {
-		return unsure(err, c.ChangeID)
+		return adviseRetry(err, c.ChangeID)
 	}
 	return output(c.outputFlags, std, accepted, showAccepted)
 }
@@ -45,16 +45,16 @@
 	operatorFlags `embed:""`
 }
 
-// Run lists a line for each pool and version served.
+// Run prints a row for each pool and served version.
 func (c *weightsStatusCommand) Run(std streams) error {
 	return query(&c.operatorFlags, std, (*operatorapi.Client).Weights, func(lines *table, weights operatorapi.Weights) {
 		lines.row("POOL", "PUBLISHED", "TIME", "SERVED", "REPLICAS")
 		for _, pool := range weights.Pools {
 			if len(pool.Serving) == 0 {
-				lines.row(pool.Pool, pool.Version, clock(pool.Time), "-", 0)
+				lines.row(pool.Pool, pool.Version, formatTime(pool.Time), "-", 0)
 			}
 			for _, count := range pool.Serving {
-				lines.row(pool.Pool, pool.Version, clock(pool.Time), count.Version, count.Replicas)
+				lines.row(pool.Pool, pool.Version, formatTime(pool.Time), count.Version, count.Replicas)
 			}
 		}
 	})
--- a/cmd/loomgrade/dev_test.go
+++ b/cmd/loomgrade/dev_test.go
@@ -12,13 +12,12 @@
 	"github.com/loomgrade/loomgrade/internal/lab/localfleet"
 )
 
-// devPatience bounds waiting for a fleet that starts in a second or two.
-const devPatience = time.Minute
+// devTimeout limits a test that starts a fleet.
+const devTimeout = time.Minute
 
-// TestFirstStepsWorkAsPrinted runs the commands that dev prints against the
-// fleet that it prints them for.
+// TestFirstStepsWorkAsPrinted runs the commands that dev prints against their fleet.
 func TestFirstStepsWorkAsPrinted(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), devPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), devTimeout)
 	defer cancel()
 	fleet, err := localfleet.Start(ctx, localfleet.DevPlan(), localfleet.Options{Folder: t.TempDir()})
 	if err != nil {
@@ -32,32 +31,32 @@
 	defer steps.remove()
 	var printed strings.Builder
 	steps.print(&printed)
-	commands := printedCommands(printed.String())
+	commands := parseCommands(printed.String())
 	if len(commands) != 3 {
 		t.Fatalf("%d commands in:\n%s", len(commands), printed.String())
 	}
-	wanted := []string{"in touch with a quorum", "staleness bound", "was placed on"}
+	want := []string{"in touch with a quorum", "staleness bound", "was placed on"}
 	for index, command := range commands {
-		code, answer, complained := runAlone(t, command...)
-		if code != exitOK || !strings.Contains(answer, wanted[index]) {
-			t.Errorf("%v: exit code %d, %q is missing in:\n%s%s", command, code, wanted[index], answer, complained)
+		code, answer, stderr := runCommand(t, command...)
+		if code != exitOK || !strings.Contains(answer, want[index]) {
+			t.Errorf("%v: exit code %d, %q is missing in:\n%s%s", command, code, want[index], answer, stderr)
 		}
 	}
 	explainEachKind(t, ctx, fleet, steps)
 	steps.remove()
 	if _, err := os.Stat(steps.folder); !os.IsNotExist(err) {
-		t.Errorf("the token's folder is left behind: %v", err)
+		t.Errorf("the token folder still exists: %v", err)
 	}
 }
 
-// explainEachKind asks about everything that the help of explain names.
+// explainEachKind explains an id of every kind that the help of explain names.
 func explainEachKind(t *testing.T, ctx context.Context, fleet *localfleet.Fleet, steps *firstSteps) {
 	t.Helper()
 	trainer := fleet.Trainers()[0]
 	for trainer.Stats().Steps < 2 {
 		select {
 		case <-ctx.Done():
-			t.Fatal("the trainer got no second batch")
+			t.Fatal("the trainer received no second batch")
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -72,20 +71,20 @@
 		"r-node-zone-a-1-99": "",
 		"999":                "",
 	} {
-		code, answer, complained := runAlone(t, "explain", id, "--node", fleet.NodeURL(0),
+		code, answer, stderr := runCommand(t, "explain", id, "--node", fleet.NodeURL(0),
 			"--server", fleet.OperatorAddress(0), "--token-file", token)
 		wantCode := exitOK
 		if want == "" {
 			wantCode = exitNotFound
 		}
 		if code != wantCode || !strings.Contains(answer, want) {
-			t.Errorf("explain %s: exit code %d, %q is missing in:\n%s%s", id, code, want, answer, complained)
+			t.Errorf("explain %s: exit code %d, %q is missing in:\n%s%s", id, code, want, answer, stderr)
 		}
 	}
 }
 
-// printedCommands gives the arguments of the commands in a printed text.
-func printedCommands(printed string) [][]string {
+// parseCommands returns the arguments of the commands in a printed text.
+func parseCommands(printed string) [][]string {
 	var commands [][]string
 	for line := range strings.Lines(printed) {
 		if command, found := strings.CutPrefix(strings.TrimSpace(line), programName()+" "); found {
@@ -96,13 +95,13 @@
 }
 
 func TestDevReportsInJSON(t *testing.T) {
-	code, printed, complained := runAlone(t, "dev", "--duration", "3s", "--output", "json")
+	code, stdout, stderr := runCommand(t, "dev", "--duration", "3s", "--output", "json")
 	if code != exitOK {
-		t.Fatalf("exit code %d: %s%s", code, printed, complained)
+		t.Fatalf("exit code %d: %s%s", code, stdout, stderr)
 	}
 	var report devReport
-	if err := json.Unmarshal([]byte(printed), &report); err != nil {
-		t.Fatalf("%v in:\n%s", err, printed)
+	if err := json.Unmarshal([]byte(stdout), &report); err != nil {
+		t.Fatalf("%v in:\n%s", err, stdout)
 	}
 	if len(report.Jobs.Violations) != 0 {
 		t.Errorf("jobs: %+v", report.Jobs)
@@ -110,7 +109,7 @@
 	if len(report.Trainers) != 1 || len(report.Callers) == 0 || len(report.Violations) != 0 {
 		t.Errorf("report %+v", report)
 	}
-	if !strings.Contains(complained, "starting site dev") {
-		t.Errorf("no progress in %q", complained)
+	if !strings.Contains(stderr, "starting site dev") {
+		t.Errorf("no progress in %q", stderr)
 	}
 }
--- a/cmd/loomgrade/devreport.go
+++ b/cmd/loomgrade/devreport.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/localsite"
 )
 
-// devReport sums up a run of a whole fleet.
+// devReport summarizes a run of the dev command.
 type devReport struct {
 	Callers    []load.ClassResult          `json:"callers"`
 	Trainers   []localfleet.TrainerSummary `json:"trainers"`
@@ -18,7 +18,7 @@
 	Violations []audit.Violation           `json:"violations"`
 }
 
-// jobsReport sums up the jobs of the site that runs beside the fleet.
+// jobsReport summarizes the jobs of the site that runs next to the fleet.
 type jobsReport struct {
 	localsite.Summary
 	Violations []localsite.Violation `json:"violations"`
@@ -28,7 +28,7 @@
 	lines.row("CALLERS", "ANSWERED", "REFUSED (NOT RUN)", "OTHER FAILURES", "P50", "P99")
 	for _, class := range report.Callers {
 		answered, refused := class.Outcomes[audit.OutcomeAnswered], class.Outcomes[audit.OutcomeNotRun]
-		lines.row(class.Class, answered, refused, total(class)-answered-refused,
+		lines.row(class.Class, answered, refused, countCalls(class)-answered-refused,
 			class.P50.Round(time.Millisecond/10), class.P99.Round(time.Millisecond/10))
 	}
 	lines.row("TRAINERS", "STEPS", "SAMPLES", "IDLE SHARE", "STALENESS P50/P99/MAX", "VERSION")
@@ -38,7 +38,7 @@
 	}
 	for _, trainer := range report.Trainers {
 		if trainer.LastError != "" {
-			lines.row("", trainer.Pool, "last told: "+trainer.LastError)
+			lines.row("", trainer.Pool, "last error: "+trainer.LastError)
 		}
 	}
 	lines.row("JOBS", "DONE", "RESULTS", "GIVEN UP", "SLOWEST", "VERSION")
@@ -53,7 +53,7 @@
 	}
 }
 
-func total(class load.ClassResult) int {
+func countCalls(class load.ClassResult) int {
 	sum := 0
 	for _, count := range class.Outcomes {
 		sum += count
--- a/cmd/loomgrade/exit.go
+++ b/cmd/loomgrade/exit.go
@@ -13,25 +13,25 @@
 // Exit codes, documented in docs/operators/command-line.md.
 const (
 	exitOK          = 0
-	exitFailure     = 1 // anything without a code of its own
-	exitUsage       = 2 // the command line, a settings file or a field is not allowed
-	exitConflict    = 3 // another change came first
-	exitUnavailable = 4 // no process answered, or none in touch with a quorum
-	exitNotFound    = 5 // the named thing does not exist
-	exitDenied      = 6 // no or wrong token
+	exitFailure     = 1 // any error without a specific code
+	exitUsage       = 2 // invalid command line, settings file or field
+	exitConflict    = 3 // conflict with another change
+	exitUnavailable = 4 // no process responded, or none in contact with a quorum
+	exitNotFound    = 5 // the named object does not exist
+	exitDenied      = 6 // missing or wrong token
 	exitAudit       = 7 // the audit of a run found violations
 )
 
-// errAudit says that a run ended with violations of what must always hold.
+// errAudit is returned for a run with invariant violations.
 var errAudit = errors.New("the audit found violations")
 
-// usageError marks errors of the command line itself.
+// usageError marks an error in the command line or in an input file.
 type usageError struct{ error }
 
 // streams are the standard streams of one invocation.
 type streams struct{ stdout, stderr *os.File }
 
-// report prints an error, one line for each thing that is wrong, and gives its
+// report prints an error, one prefixed line for each line of its text, and returns the
 // exit code.
 func report(stderr *os.File, err error) int {
 	if err == nil {
@@ -53,13 +53,13 @@
 	case errors.Is(err, errAudit):
 		return exitAudit
 	case errors.As(err, &known):
-		return codeOf(known.Code)
+		return exitCodeFor(known.Code)
 	default:
 		return exitFailure
 	}
 }
 
-func codeOf(code port.Code) int {
+func exitCodeFor(code port.Code) int {
 	switch code {
 	case port.CodeInvalid, port.CodeTooLarge:
 		return exitUsage
--- a/cmd/loomgrade/filesystem.go
+++ b/cmd/loomgrade/filesystem.go
@@ -4,5 +4,5 @@
 
 import "github.com/loomgrade/loomgrade/internal/adapter/wal"
 
-// fileSystem gives the file system of a data folder.
+// fileSystem returns the file system for a data folder.
 func fileSystem(string) wal.FileSystem { return wal.OS{} }
--- a/cmd/loomgrade/filesystem_faultinjection.go
+++ b/cmd/loomgrade/filesystem_faultinjection.go
@@ -7,6 +7,6 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/wal/diskfault"
 )
 
-// fileSystem gives the file system of a data folder, whose disk misbehaves as
-// diskfault.ControlFile says.
+// fileSystem returns the file system for a data folder, with the disk faults configured in
+// diskfault.ControlFile.
 func fileSystem(folder string) wal.FileSystem { return diskfault.New(wal.OS{}, folder) }
--- a/cmd/loomgrade/firststeps.go
+++ b/cmd/loomgrade/firststeps.go
@@ -16,9 +16,8 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// firstSteps are commands to try on a running fleet. They work as printed: the
-// operator token lies in a file, and the id to explain is that of a request
-// which was sent for the purpose.
+// firstSteps holds example commands for a running fleet. They work as printed: the
+// operator token is in a file, and the id to explain is that of a request already sent.
 type firstSteps struct {
 	folder   string
 	nodes    []string
@@ -26,7 +25,7 @@
 	commands []string
 }
 
-// newFirstSteps sends a request to the fleet and writes the token file.
+// newFirstSteps sends a request to the fleet and writes the operator token file.
 func newFirstSteps(ctx context.Context, fleet *localfleet.Fleet) (*firstSteps, error) {
 	request, err := sendFirstRequest(ctx, fleet)
 	if err != nil {
@@ -48,7 +47,7 @@
 	return steps, nil
 }
 
-// sendFirstRequest makes an application call and gives its request id.
+// sendFirstRequest makes an application call and returns its request id.
 func sendFirstRequest(ctx context.Context, fleet *localfleet.Fleet) (port.RequestID, error) {
 	address := fleet.NodeURL(0) + api.PathApplication + string(fleet.Plan().Application.Pool) + "/first-request"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
@@ -61,7 +60,7 @@
 	}
 	defer response.Body.Close()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return "", eris.Wrap(err, "answer to the first request")
+		return "", eris.Wrap(err, "response to the first request")
 	}
 	return port.RequestID(response.Header.Get(api.HeaderRequestID)), nil
 }
@@ -70,7 +69,7 @@
 	f.commands = append(f.commands, programName()+" "+fmt.Sprintf(format, arguments...))
 }
 
-// print names the addresses and the commands.
+// print writes the addresses and the commands.
 func (f *firstSteps) print(out io.Writer) {
 	fmt.Fprintf(out, "nodes for callers: %s\noperators: %s\ntry:\n", strings.Join(f.nodes, " "), f.operator)
 	for _, command := range f.commands {
@@ -78,14 +77,13 @@
 	}
 }
 
-// remove takes the token file away; what is left of it lies in the folder for
-// temporary files.
+// remove deletes the token file and its folder.
 func (f *firstSteps) remove() { _ = os.RemoveAll(f.folder) }
 
-// goRunFolder is part of the path of every program that `go run` builds.
+// goRunFolder occurs in the path of every program built by `go run`.
 const goRunFolder = "go-build"
 
-// programName gives what to type to run this program again.
+// programName returns the command that runs this program.
 func programName() string {
 	path, err := os.Executable()
 	if err != nil {
--- a/cmd/loomgrade/jobfile.go
+++ b/cmd/loomgrade/jobfile.go
@@ -13,20 +13,20 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// jobFile is a job as an operator writes it, in JSON.
+// jobFile is the JSON form of a job.
 type jobFile struct {
-	Job        string     `json:"job"`
-	Host       string     `json:"host"`
-	Path       string     `json:"path"`
-	Model      string     `json:"model"`
-	MinVersion uint64     `json:"min_version"`
-	Wanted     int        `json:"wanted_groups"`
-	Step       uint64     `json:"step"`
-	OneVersion bool       `json:"one_version"`
-	Items      []itemFile `json:"items"`
+	Job           string     `json:"job"`
+	Host          string     `json:"host"`
+	Path          string     `json:"path"`
+	Model         string     `json:"model"`
+	MinVersion    uint64     `json:"min_version"`
+	DesiredGroups int        `json:"wanted_groups"`
+	Step          uint64     `json:"step"`
+	OneVersion    bool       `json:"one_version"`
+	Items         []itemFile `json:"items"`
 }
 
-// itemFile is one request of a job. Body is base64.
+// itemFile is one request of a job. Body is base64 in JSON.
 type itemFile struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
@@ -44,7 +44,7 @@
 	Body []byte `json:"body"`
 }
 
-// readJobFile reads a job and names the field at fault.
+// readJobFile decodes and validates a job. Errors name the invalid field.
 func readJobFile(content []byte) (*jobstate.Submission, error) {
 	var file jobFile
 	decoder := json.NewDecoder(bytes.NewReader(content))
@@ -66,16 +66,16 @@
 		}
 	}
 	if len(f.Items) == 0 {
-		return nil, invalidJob("items: there are none")
+		return nil, invalidJob("items is empty")
 	}
 	submission := &jobstate.Submission{
 		ID: f.Job, Host: f.Host, Path: f.Path, Model: f.Model, MinVersion: f.MinVersion,
-		Desired: f.Wanted, Step: f.Step, OneVersion: f.OneVersion,
+		Desired: f.DesiredGroups, Step: f.Step, OneVersion: f.OneVersion,
 	}
 	seen := map[string]bool{}
 	for i, item := range f.Items {
 		if item.ID == "" || item.Path == "" || seen[item.ID] {
-			return nil, invalidJob("items[%d]: an id of its own and a path are wanted", i)
+			return nil, invalidJob("items[%d]: a unique id and a path are required", i)
 		}
 		seen[item.ID] = true
 		submission.Items = append(submission.Items, item.item())
@@ -94,20 +94,20 @@
 	return item
 }
 
-// jobSubmitCommand hands a job in.
+// jobSubmitCommand submits a job.
 type jobSubmitCommand struct {
 	File      string `arg:"" type:"existingfile" help:"JSON file with the job."`
 	siteFlags `embed:""`
 }
 
-// submittedJob is the answer of job submit.
+// submittedJob is the output of job submit.
 type submittedJob struct {
 	Job string `json:"job"`
-	// Before is set if the job was kept already.
-	Before bool `json:"before"`
+	// AlreadyStored is set if the job was stored before this submission.
+	AlreadyStored bool `json:"before"`
 }
 
-// Run hands a job in; the same job once more is no failure.
+// Run submits a job. Submitting the same job again succeeds.
 func (c *jobSubmitCommand) Run(std streams) error {
 	content, err := os.ReadFile(c.File)
 	if err != nil {
@@ -123,14 +123,14 @@
 	}
 	defer cancel()
 	if view.Table == nil || view.Table.Lookup(submission.Host, submission.Path) == nil {
-		return port.NewError(port.NotRun, port.CodeNotFound, "no route leads from host %q and path %q", submission.Host, submission.Path)
+		return port.NewError(port.NotRun, port.CodeNotFound, "no route matches host %q and path %q", submission.Host, submission.Path)
 	}
 	outcome, err := client.jobs.Submit(ctx, submission, routing.AllowedRegions{})
 	if err != nil {
 		return err
 	}
-	accepted := submittedJob{Job: submission.ID, Before: outcome == jobstate.AlreadyAccepted}
+	accepted := submittedJob{Job: submission.ID, AlreadyStored: outcome == jobstate.AlreadyAccepted}
 	return output(c.outputFlags, std, accepted, func(lines *table, accepted submittedJob) {
-		lines.row("kept", accepted.Job, "before:", accepted.Before)
+		lines.row("kept", accepted.Job, "before:", accepted.AlreadyStored)
 	})
 }
--- a/cmd/loomgrade/jobfile_test.go
+++ b/cmd/loomgrade/jobfile_test.go
@@ -6,19 +6,19 @@
 )
 
 func TestReadJobFile(t *testing.T) {
-	const whole = `{"job":"j","host":"h","path":"/p/","model":"m","min_version":3,"wanted_groups":1,"items":[
+	const complete = `{"job":"j","host":"h","path":"/p/","model":"m","min_version":3,"wanted_groups":1,"items":[
 		{"id":"a","path":"/p/a","group":"g","headers":{"X-B":"2","X-A":"1"},"body":"eA==","scorer":{"id":"s","host":"h","path":"/s","body":"eQ=="}}]}`
 	for _, row := range []struct{ name, file, want string }{
-		{"whole", whole, ""},
-		{"no JSON", `{"job":`, "unexpected EOF"},
+		{"complete", complete, ""},
+		{"invalid JSON", `{"job":`, "unexpected EOF"},
 		{"unknown field", `{"job":"j","jobs":1}`, "jobs"},
 		{"no id", `{"host":"h","path":"/p/","items":[{"id":"a","path":"/p"}]}`, "job is missing"},
 		{"no host", `{"job":"j","path":"/p/","items":[{"id":"a","path":"/p"}]}`, "host is missing"},
 		{"no path", `{"job":"j","host":"h","items":[{"id":"a","path":"/p"}]}`, "path is missing"},
 		{"no items", `{"job":"j","host":"h","path":"/p/"}`, "items"},
 		{"item without a path", `{"job":"j","host":"h","path":"/p/","items":[{"id":"a"}]}`, "items[0]"},
-		{"two items of one id", `{"job":"j","host":"h","path":"/p/","items":[{"id":"a","path":"/p"},{"id":"a","path":"/p"}]}`, "items[1]"},
-		{"body that is no base64", `{"job":"j","host":"h","path":"/p/","items":[{"id":"a","path":"/p","body":"?"}]}`, "base64"},
+		{"duplicate item id", `{"job":"j","host":"h","path":"/p/","items":[{"id":"a","path":"/p"},{"id":"a","path":"/p"}]}`, "items[1]"},
+		{"body is not base64", `{"job":"j","host":"h","path":"/p/","items":[{"id":"a","path":"/p","body":"?"}]}`, "base64"},
 	} {
 		submission, err := readJobFile([]byte(row.file))
 		if row.want == "" {
@@ -31,7 +31,7 @@
 			t.Errorf("%s: %+v, %v", row.name, submission, err)
 		}
 	}
-	submission, err := readJobFile([]byte(whole))
+	submission, err := readJobFile([]byte(complete))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/loomgrade/main.go
+++ b/cmd/loomgrade/main.go
@@ -9,8 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is the root of the command line: one field a command, one file
-// a command.
+// commandLine is the root of the command line; each field is a command with a file of its own.
 type commandLine struct {
 	Control    controlCommand    `cmd:"" help:"Run a control member from its settings file."`
 	Node       nodeCommand       `cmd:"" help:"Run a node from its settings file."`
@@ -37,7 +36,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run parses and runs one command line and gives the exit code.
+// run parses and executes one command line and returns the exit code.
 func run(arguments []string, stdout, stderr *os.File) int {
 	var line commandLine
 	parser, err := kong.New(&line,
--- a/cmd/loomgrade/operator.go
+++ b/cmd/loomgrade/operator.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// operatorFlags are common to the commands that talk to control members.
+// operatorFlags are the flags of the commands that call control members.
 type operatorFlags struct {
 	Server    []string      `env:"LOOMGRADE_SERVERS" default:"127.0.0.1:7111,127.0.0.1:7112,127.0.0.1:7113" help:"Operator addresses (IP:port) of control members, tried in order."`
 	TokenFile string        `env:"LOOMGRADE_TOKEN_FILE" required:"" type:"path" help:"File that holds the operator token."`
@@ -17,7 +17,7 @@
 	outputFlags `embed:""`
 }
 
-// connect gives a client and a context bounded by the timeout.
+// connect returns a client and a context limited by the timeout.
 func (f *operatorFlags) connect() (*operatorapi.Client, context.Context, context.CancelFunc, error) {
 	token, err := operatorapi.LoadToken(f.TokenFile)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return client, ctx, cancel, nil
 }
 
-// query makes one call and shows its answer as JSON or as a table.
+// query makes one call and prints the response as JSON or as a table.
 func query[Answer any](flags *operatorFlags, std streams, call func(*operatorapi.Client, context.Context) (Answer, error), show func(*table, Answer)) error {
 	client, ctx, cancel, err := flags.connect()
 	if err != nil {
@@ -49,8 +49,8 @@
 	lines.row("accepted, revision", accepted.Revision)
 }
 
-// unsure adds to an error whose change may have been accepted how to find out.
-func unsure(err error, changeID string) error {
+// adviseRetry extends an error whose change may have been accepted by how to retry safely.
+func adviseRetry(err error, changeID string) error {
 	if refusal := port.AsError(err); refusal != nil && refusal.Verdict == port.MayHaveRun {
 		advised := *refusal
 		advised.Message += "; the change may have been accepted: repeat the command with --change-id " + changeID
--- a/cmd/loomgrade/operator_test.go
+++ b/cmd/loomgrade/operator_test.go
@@ -64,7 +64,7 @@
 	return path
 }
 
-// run runs a command and gives its exit code and what it printed.
+// run runs a command and returns its exit code and output.
 func (s *operatorShell) run(arguments ...string) (code int, printed string) {
 	s.t.Helper()
 	out, err := os.Create(filepath.Join(s.folder, "out"))
@@ -81,8 +81,8 @@
 	return code, string(content)
 }
 
-// must runs a command that has to succeed.
-func (s *operatorShell) must(arguments ...string) string {
+// mustRun runs a command and fails the test on a non-zero exit code.
+func (s *operatorShell) mustRun(arguments ...string) string {
 	s.t.Helper()
 	code, printed := s.run(arguments...)
 	if code != exitOK {
@@ -91,7 +91,7 @@
 	return printed
 }
 
-// TestOperatorCommands runs the commands in the order of a first day.
+// TestOperatorCommands runs most operator commands in sequence against one member.
 func TestOperatorCommands(t *testing.T) {
 	shell := newOperatorShell(t)
 	path := shell.file("configuration.yaml", testConfiguration)
@@ -116,7 +116,7 @@
 		{[]string{"status"}, []string{"in touch with a quorum  true"}},
 	}
 	for _, step := range steps {
-		printed := shell.must(step.command...)
+		printed := shell.mustRun(step.command...)
 		for _, want := range step.contains {
 			if !strings.Contains(printed, want) {
 				t.Errorf("%v: %q is missing in:\n%s", step.command, want, printed)
@@ -125,23 +125,23 @@
 	}
 }
 
-// TestEditedOutputOfConfigGetIsTakenBack also checks the conflict on a resend
-// from an old revision, and the resend under the first change id.
+// TestEditedOutputOfConfigGetIsTakenBack also checks that config set conflicts on an old
+// revision and succeeds when repeated under the first change id.
 func TestEditedOutputOfConfigGetIsTakenBack(t *testing.T) {
 	shell := newOperatorShell(t)
-	shell.must("config", "set", shell.file("configuration.yaml", testConfiguration))
-	edited := strings.Replace(shell.must("config", "get", "--output", "json"), `"queue_length": 16`, `"queue_length": 32`, 1)
+	shell.mustRun("config", "set", shell.file("configuration.yaml", testConfiguration))
+	edited := strings.Replace(shell.mustRun("config", "get", "--output", "json"), `"queue_length": 16`, `"queue_length": 32`, 1)
 	path := shell.file("edited.json", edited)
-	shell.must("config", "set", path)
+	shell.mustRun("config", "set", path)
 	code, printed := shell.run("config", "set", path)
 	if code != exitConflict || !strings.Contains(printed, "revision 1") {
 		t.Fatalf("exit code %d: %s", code, printed)
 	}
 	var history operatorapi.ConfigHistory
-	if err := json.Unmarshal([]byte(shell.must("config", "history", "--output", "json")), &history); err != nil {
+	if err := json.Unmarshal([]byte(shell.mustRun("config", "history", "--output", "json")), &history); err != nil {
 		t.Fatal(err)
 	}
-	again := shell.must("config", "set", path, "--change-id", history.Changes[1].ChangeID)
+	again := shell.mustRun("config", "set", path, "--change-id", history.Changes[1].ChangeID)
 	if !strings.Contains(again, "revision  2") {
 		t.Fatal(again)
 	}
@@ -175,6 +175,6 @@
 	}
 	shell.server = "127.0.0.1:1"
 	if code, printed := shell.run("status", "--timeout", "1s"); code != exitUnavailable {
-		t.Errorf("nobody there: exit code %d: %s", code, printed)
+		t.Errorf("no server: exit code %d: %s", code, printed)
 	}
 }
--- a/cmd/loomgrade/output.go
+++ b/cmd/loomgrade/output.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// outputJSON is the form of output for programs; the other form is a table.
+// outputJSON selects JSON output; the alternative is a table.
 const outputJSON = "json"
 
-// outputFlags are common to every command that prints an answer.
+// outputFlags are the flags of every command that prints a result.
 type outputFlags struct {
 	Output string `enum:"table,json" default:"table" help:"Form of the output: table or json."`
 }
 
-// output shows an answer as JSON or as a table.
+// output prints a result as JSON or as a table.
 func output[Answer any](flags outputFlags, std streams, answer Answer, show func(*table, Answer)) error {
 	if flags.Output == outputJSON {
 		encoder := json.NewEncoder(std.stdout)
@@ -37,7 +37,7 @@
 	return &table{writer: tabwriter.NewWriter(out, minWidth, tabWidth, padding, ' ', 0)}
 }
 
-// row writes one line; a failure shows when the table is flushed.
+// row writes one line. flush returns any write error.
 func (t *table) row(cells ...any) {
 	texts := make([]string, len(cells))
 	for index, cell := range cells {
@@ -48,16 +48,16 @@
 
 func (t *table) flush() error { return t.writer.Flush() }
 
-// clock shows milliseconds since 1970 as a time, or a dash for none.
-func clock(millis int64) string {
+// formatTime formats Unix milliseconds as a UTC time, or "-" if they are not positive.
+func formatTime(millis int64) string {
 	if millis <= 0 {
 		return "-"
 	}
 	return time.UnixMilli(millis).UTC().Format(time.RFC3339)
 }
 
-// age shows how long ago something was, or a dash where that is not known.
-func age(millis int64) string {
+// formatAge formats a duration in milliseconds, or "-" if it is negative (unknown).
+func formatAge(millis int64) string {
 	if millis < 0 {
 		return "-"
 	}
--- a/cmd/loomgrade/page_test.go
+++ b/cmd/loomgrade/page_test.go
@@ -14,8 +14,8 @@
 
 const commandLinePage = "docs/operators/command-line.md"
 
-// TestExitCodesAreThoseOfThePage also holds every code of an error against the
-// exit code that the page gives it.
+// TestExitCodesAreThoseOfThePage also compares the exit code of every error code with the
+// page.
 func TestExitCodesAreThoseOfThePage(t *testing.T) {
 	documented := map[port.Code]int{}
 	var numbers []int
@@ -39,7 +39,7 @@
 			t.Errorf("the page does not list code %s", code)
 		}
 		if got := exitCode(port.NewError(port.NotRun, code, "x")); got != number {
-			t.Errorf("code %s gives %d, the page says %d", code, got, number)
+			t.Errorf("code %s: exit code %d, the page lists %d", code, got, number)
 		}
 		delete(documented, code)
 	}
@@ -48,8 +48,7 @@
 	}
 }
 
-// commandsOf lists the commands of the command line, and whether each takes
-// --output.
+// commandsOf returns the commands of the command line, and whether each accepts --output.
 func commandsOf(t *testing.T) map[string]bool {
 	t.Helper()
 	var line commandLine
@@ -90,8 +89,7 @@
 	}
 }
 
-// TestEveryAnswerCanBeJSON leaves out the commands that give no answer: they run
-// a process.
+// TestEveryAnswerCanBeJSON excludes the commands that run a process and print no result.
 func TestEveryAnswerCanBeJSON(t *testing.T) {
 	processes := []string{"control", "node", "site front", "site control", "site store"}
 	for name, takesOutput := range commandsOf(t) {
@@ -101,7 +99,7 @@
 	}
 }
 
-// TestCommandsExist names the commands that must not get lost.
+// TestCommandsExist guards against the loss of a command.
 func TestCommandsExist(t *testing.T) {
 	commands := commandsOf(t)
 	for _, name := range []string{
--- a/cmd/loomgrade/policy_test.go
+++ b/cmd/loomgrade/policy_test.go
@@ -8,9 +8,8 @@
 	"testing"
 )
 
-// runAlone runs a command that needs no fleet and gives its exit code and what
-// it printed on both streams.
-func runAlone(t *testing.T, arguments ...string) (code int, printed, complained string) {
+// runCommand runs a command line and returns its exit code, stdout and stderr.
+func runCommand(t *testing.T, arguments ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	streams := make([]*os.File, 2)
 	for index, name := range []string{"stdout", "stderr"} {
@@ -61,10 +60,10 @@
 		{"unknown name", []string{"policy", "check", file("name.star", "def plan(pool):\n  return x\n")}, exitUsage, []string{"name.star:2:10", "x"}},
 		{"run-time error", []string{"policy", "check", divides}, exitUsage, []string{"divides.star:4:15", "zero"}},
 		{"field that is not allowed", []string{"policy", "check", file("field.star", "def plan(pool):\n  return {'resume': 'always'}\n")}, exitUsage, []string{"field.star", "resume", "always", "never, failed, long"}},
-		{"endless", []string{"policy", "check", file("endless.star", "def plan(pool):\n  for a in range(9999):\n    for b in range(9999):\n      pass\n")}, exitUsage, []string{"endless.star", "step limit"}},
+		{"endless loop", []string{"policy", "check", file("endless.star", "def plan(pool):\n  for a in range(9999):\n    for b in range(9999):\n      pass\n")}, exitUsage, []string{"endless.star", "step limit"}},
 		{"no such file", []string{"policy", "check", "none.star"}, exitUsage, []string{"none.star"}},
 		{"simulate", []string{"policy", "simulate", good}, exitOK, []string{"trainer waiting", "3500 replicas", "freshest_first"}},
-		{"simulate shows what works and what fails", []string{"policy", "simulate", divides}, exitUsage, []string{"running", "error", "divides.star:4:15"}},
+		{"simulate shows results and errors", []string{"policy", "simulate", divides}, exitUsage, []string{"running", "error", "divides.star:4:15"}},
 		{"simulate a view from a file", []string{"policy", "simulate", good, "--view", view, "--output", "json"}, exitOK, []string{`"target_in_flight": 42`}},
 		{"simulate with fields set", []string{"policy", "simulate", good, "--view", view, "--set", "buffered=7,trainer_waiting=true,name=other", "--output", "json"}, exitOK, []string{`"target_in_flight": 8`}},
 		{"simulate from a standard view", []string{"policy", "simulate", good, "--from", "buffer full"}, exitOK, []string{"buffer full"}},
@@ -76,33 +75,32 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			code, printed, complained := runAlone(t, test.arguments...)
+			code, stdout, stderr := runCommand(t, test.arguments...)
 			if code != test.code {
-				t.Errorf("exit code %d, want %d: %s", code, test.code, complained)
+				t.Errorf("exit code %d, want %d: %s", code, test.code, stderr)
 			}
 			for _, want := range test.contains {
-				if !strings.Contains(printed+complained, want) {
-					t.Errorf("%q is missing in:\n%s%s", want, printed, complained)
+				if !strings.Contains(stdout+stderr, want) {
+					t.Errorf("%q is missing in:\n%s%s", want, stdout, stderr)
 				}
 			}
-			if code != exitOK && strings.Count(complained, "\n") != 1 {
-				t.Errorf("the error is not one line:\n%s", complained)
+			if code != exitOK && strings.Count(stderr, "\n") != 1 {
+				t.Errorf("the error is not one line:\n%s", stderr)
 			}
 		})
 	}
 }
 
-// TestCommandsWithoutAFleetAnswerInJSON also checks that nothing else stands on
-// the standard output.
+// TestCommandsWithoutAFleetAnswerInJSON checks that stdout holds JSON and nothing else.
 func TestCommandsWithoutAFleetAnswerInJSON(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"version"},
 		{"settings", "check", "../../examples/dev/control-1.yaml", "../../examples/dev/node-zone-a.yaml"},
 		{"policy", "simulate", "../../examples/policies/low-idle.star"},
 	} {
-		code, printed, complained := runAlone(t, append(arguments, "--output", "json")...)
-		if code != exitOK || !json.Valid([]byte(printed)) {
-			t.Errorf("%v: exit code %d: %s%s", arguments, code, printed, complained)
+		code, stdout, stderr := runCommand(t, append(arguments, "--output", "json")...)
+		if code != exitOK || !json.Valid([]byte(stdout)) {
+			t.Errorf("%v: exit code %d: %s%s", arguments, code, stdout, stderr)
 		}
 	}
 }
@@ -113,16 +111,16 @@
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, printed, complained := runAlone(t, "settings", "check", path, "../../examples/dev/control-1.yaml")
-	if code != exitUsage || !strings.Contains(printed, "control, member 1") {
-		t.Errorf("exit code %d, printed %q", code, printed)
+	code, stdout, stderr := runCommand(t, "settings", "check", path, "../../examples/dev/control-1.yaml")
+	if code != exitUsage || !strings.Contains(stdout, "control, member 1") {
+		t.Errorf("exit code %d, stdout %q", code, stdout)
 	}
 	for _, want := range []string{":4: node.zone = \"Dub North\"", ":5: node.http_listen = \"localhost:1\""} {
-		if !strings.Contains(complained, want) {
-			t.Errorf("%q is missing in:\n%s", want, complained)
+		if !strings.Contains(stderr, want) {
+			t.Errorf("%q is missing in:\n%s", want, stderr)
 		}
 	}
-	for line := range strings.Lines(complained) {
+	for line := range strings.Lines(stderr) {
 		if !strings.HasPrefix(line, "loomgrade: ") || !strings.Contains(line, "allowed") {
 			t.Errorf("line %q", line)
 		}
--- a/cmd/loomgrade/policyview.go
+++ b/cmd/loomgrade/policyview.go
@@ -12,24 +12,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// defaultView names the standard view that --set starts from.
+// defaultView names the standard view that --set modifies by default.
 const defaultView = "running"
 
-// readView reads a view from a JSON file, strictly.
+// readView reads a view from a JSON file. It rejects unknown fields.
 func readView(path string) (policy.View, error) {
 	var view policy.View
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return view, err
 	}
-	if err := strict(content, &view); err != nil {
+	if err := decodeStrict(content, &view); err != nil {
 		return view, fmt.Errorf("%s:%d: %w, allowed: the fields of a policy program's argument", path, lineAt(content, err), err)
 	}
 	return view, nil
 }
 
-// lineAt gives the line that a JSON error stands in, or that of the field that
-// it names; 1 where it tells neither.
+// lineAt returns the line of a JSON error or of the unknown field that it names, or 1 if
+// neither is known.
 func lineAt(content []byte, err error) int {
 	offset := 0
 	switch fault := err.(type) {
@@ -45,8 +45,7 @@
 	return 1 + bytes.Count(content[:min(offset, len(content))], []byte{'\n'})
 }
 
-// changeView sets single fields; values are JSON, and text may stand without
-// quotes.
+// changeView sets fields of a view. Values are JSON; strings may be unquoted.
 func changeView(view *policy.View, fields map[string]string) error {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
@@ -62,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		if err := strict(change, view); err != nil {
+		if err := decodeStrict(change, view); err != nil {
 			return fmt.Errorf("--set %s = %q is not allowed, allowed: fields of the view with values of their type (%w)", name, fields[name], err)
 		}
 	}
--- a/cmd/loomgrade/process.go
+++ b/cmd/loomgrade/process.go
@@ -13,17 +13,17 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/settings"
 )
 
-// process is what every long-running command starts from.
+// process holds what every control member or node process needs.
 type process struct {
 	file          *settings.File
 	ring          *ringlog.Ring
 	peerToken     string
 	operatorToken string
-	// signals are taken from before anything starts, so that none is lost.
+	// signals is registered before anything starts, so that no signal is lost.
 	signals chan os.Signal
 }
 
-// newProcess reads a settings file and opens what it names.
+// newProcess loads a settings file, its tokens and the log ring, and registers signals.
 func newProcess(path string) (*process, error) {
 	file, err := settings.Load(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return started, nil
 }
 
-// readToken reads a token from a file; an empty path gives no token.
+// readToken reads a token from a file; an empty path yields an empty token.
 func readToken(key, path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -55,9 +55,9 @@
 	return token, nil
 }
 
-// untilStopped waits for an interrupt or a termination signal, or until done
-// is closed. On SIGUSR1 it writes the log ring out and goes on waiting.
-func (p *process) untilStopped(done <-chan struct{}) {
+// awaitStop blocks until SIGINT, SIGTERM or the close of done. On SIGUSR1 it writes out
+// the log ring and continues to wait.
+func (p *process) awaitStop(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
@@ -71,7 +71,7 @@
 	}
 }
 
-// finish writes the log ring out when the process ends with an error.
+// finish writes out the log ring if the process ends with an error, and returns err.
 func (p *process) finish(err error) error {
 	if err != nil {
 		p.writeOut("the process ends with an error")
@@ -79,13 +79,13 @@
 	return err
 }
 
-// writeOut writes the log ring out; a failure to write has nowhere else to go
-// than the exit code of the process, which reports its own error.
+// writeOut writes out the log ring. It ignores write errors: the process reports the
+// error that ended it.
 func (p *process) writeOut(reason string) { _ = p.ring.WriteOut(reason) }
 
-// stopContext bounds a planned stop; a second signal ends it at once.
-func stopContext() (context.Context, context.CancelFunc) {
-	bounded, cancel := context.WithTimeout(context.Background(), plannedStopTime)
+// shutdownContext limits a planned stop; a second signal cancels it immediately.
+func shutdownContext() (context.Context, context.CancelFunc) {
+	bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	interrupted, release := signal.NotifyContext(bounded, os.Interrupt, syscall.SIGTERM)
 	return interrupted, func() { release(); cancel() }
 }
--- a/cmd/loomgrade/process_test.go
+++ b/cmd/loomgrade/process_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// memberFiles are the files of a control member in a folder.
+// memberFiles holds the paths of a control member's files.
 type memberFiles struct{ folder, settings, ring, token string }
 
-// writeMember writes the settings of the only member of a cluster.
+// writeMember writes the settings of a single-member cluster.
 func writeMember(t *testing.T, folder, cluster string) memberFiles {
 	t.Helper()
 	files := memberFiles{
@@ -63,7 +63,7 @@
 	return listener.Addr().String()
 }
 
-// runMember runs the member in this process until it ends or gets SIGTERM.
+// runMember runs the member in this process until it ends or receives SIGTERM.
 func runMember(t *testing.T, files memberFiles) (ended <-chan int, printed func() string) {
 	t.Helper()
 	out, err := os.Create(filepath.Join(files.folder, "out"))
@@ -79,7 +79,7 @@
 	}
 }
 
-// waitFor polls a condition for as long as no sound run needs.
+// waitFor polls a condition and fails the test if it does not hold in time.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -88,15 +88,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// TestSignalsOfAProcess sends signals to this process, which runs a member: a
-// SIGUSR1 writes the ring out and the member goes on; a SIGTERM stops it as
-// planned, which is no error and writes nothing.
+// TestSignalsOfAProcess sends signals to this process, which runs a member: SIGUSR1 writes
+// out the log ring and the member continues; SIGTERM stops it without an error.
 func TestSignalsOfAProcess(t *testing.T) {
-	// The test's own handler keeps a signal that comes early from ending the
-	// process.
+	// The test's own handler keeps an early signal from ending the process.
 	early := make(chan os.Signal, 1)
 	signal.Notify(early, syscall.SIGUSR1, syscall.SIGTERM)
 	defer signal.Stop(early)
@@ -104,7 +102,7 @@
 	ended, printed := runMember(t, files)
 	waitFor(t, "the member", func() bool { return strings.Contains(printed(), "control member 1") })
 	if text := files.ringText(t); text != "" {
-		t.Errorf("written in quiet operation: %q", text)
+		t.Errorf("log ring written without a reason: %q", text)
 	}
 	waitFor(t, "the ring", func() bool {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGUSR1)
@@ -127,17 +125,17 @@
 	}
 }
 
-// TestProcessesThatDoNotStart lists what a process refuses. It says why in one
-// line, writes the ring out where it has one, and nothing of it runs.
+// TestProcessesThatDoNotStart checks that a process that cannot start reports the reason,
+// writes out the log ring if it has one, and prints nothing on stdout.
 func TestProcessesThatDoNotStart(t *testing.T) {
 	cases := []struct {
-		name    string
-		prepare func(t *testing.T, files memberFiles)
-		code    int
-		says    []string
-		ring    bool
+		name     string
+		prepare  func(t *testing.T, files memberFiles)
+		code     int
+		contains []string
+		ring     bool
 	}{
-		{"settings that are refused", func(t *testing.T, files memberFiles) {
+		{"invalid settings", func(t *testing.T, files memberFiles) {
 			files.write(t, files.settings, "cluster: one\ncontrol:\n  id: 0\n")
 		}, exitUsage, []string{"control.yaml:3: control.id"}, false},
 		{"settings of another role", func(t *testing.T, files memberFiles) {
@@ -161,7 +159,7 @@
 		}, exitFailure, []string{"other"}, true},
 		{"damaged data folder", func(t *testing.T, files memberFiles) {
 			runOnce(t, files)
-			damage(t, filepath.Join(files.folder, "data"))
+			corruptFiles(t, filepath.Join(files.folder, "data"))
 		}, exitFailure, []string{"data"}, true},
 		{"address in use", func(t *testing.T, files memberFiles) {
 			content, err := os.ReadFile(files.settings)
@@ -181,13 +179,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			files := writeMember(t, t.TempDir(), "one")
 			test.prepare(t, files)
-			code, printed, complained := runAlone(t, "control", files.settings)
-			if code != test.code || printed != "" {
-				t.Errorf("exit code %d, want %d; printed %q", code, test.code, printed)
+			code, stdout, stderr := runCommand(t, "control", files.settings)
+			if code != test.code || stdout != "" {
+				t.Errorf("exit code %d, want %d; stdout %q", code, test.code, stdout)
 			}
-			for _, want := range test.says {
-				if !strings.Contains(complained, want) {
-					t.Errorf("%q is missing in %q", want, complained)
+			for _, want := range test.contains {
+				if !strings.Contains(stderr, want) {
+					t.Errorf("%q is missing in %q", want, stderr)
 				}
 			}
 			if wrote := strings.Contains(files.ringText(t), "the process ends with an error"); wrote != test.ring {
@@ -197,7 +195,7 @@
 	}
 }
 
-// runOnce runs a member until it takes part, and stops it as planned.
+// runOnce runs a member until it has written its log, and stops it with SIGTERM.
 func runOnce(t *testing.T, files memberFiles) {
 	t.Helper()
 	early := make(chan os.Signal, 1)
@@ -217,8 +215,8 @@
 	}
 }
 
-// damage turns a byte at the beginning of every file over.
-func damage(t *testing.T, folder string) {
+// corruptFiles flips the bits of one byte near the start of every file in a folder.
+func corruptFiles(t *testing.T, folder string) {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
 	if err != nil {
--- a/cmd/loomgrade/siteoperator.go
+++ b/cmd/loomgrade/siteoperator.go
@@ -16,7 +16,7 @@
 	"github.com/loomgrade/loomgrade/platform"
 )
 
-// siteFlags are common to the commands that ask a site's processes.
+// siteFlags are the flags of the commands that call site processes.
 type siteFlags struct {
 	Peer    []string      `env:"LOOMGRADE_PEERS" required:"" help:"Peer addresses (IP:port) of control processes of the site, tried in order."`
 	Timeout time.Duration `default:"10s" help:"How long to try."`
@@ -24,22 +24,22 @@
 	outputFlags `embed:""`
 }
 
-// siteClient asks a site's processes.
+// siteClient calls the processes of a site.
 type siteClient struct {
 	watcher *siteview.Watcher
 	jobs    *jobsapi.Client
 	view    chan *siteview.View
 }
 
-// connect follows the site's control state until the first view is there. The
-// result's context ends with the timeout.
+// connect watches the site's control state and returns the first view. The returned
+// context ends with the timeout.
 func (f *siteFlags) connect() (*siteClient, *siteview.View, context.Context, context.CancelFunc, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 	options := wire.Options{ClusterID: siteCluster, Name: "operator", DialTimeout: siteDial, Dial: tcpsocket.Dial(siteIdle, "")}
 	client := &siteClient{view: make(chan *siteview.View, 1)}
 	client.watcher = siteview.New(siteview.Config{
 		Seeds: f.Peer, Wire: options, Decode: platform.Dialect{}.DecodeConfiguration,
-		Changed: client.take, Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
+		Changed: client.setFirstView, Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
 	})
 	client.jobs = jobsapi.NewClient(jobsapi.Config{Wire: options, View: client.watcher.State, Place: sitecontrol.Placer(client.watcher)})
 	go func() { _ = client.watcher.Run(ctx) }()
@@ -48,20 +48,20 @@
 		return client, view, ctx, cancel, nil
 	case <-ctx.Done():
 		cancel()
-		return nil, nil, nil, nil, port.NewError(port.NotRun, port.CodeUnavailable, "no control process in touch with a quorum answered")
+		return nil, nil, nil, nil, port.NewError(port.NotRun, port.CodeUnavailable, "no control process in contact with a quorum responded")
 	}
 }
 
-// take keeps the first view.
-func (c *siteClient) take(view *siteview.View) {
+// setFirstView stores the first view and drops later ones.
+func (c *siteClient) setFirstView(view *siteview.View) {
 	select {
 	case c.view <- view:
 	default:
 	}
 }
 
-// control makes a call to the control group.
-func (c *siteClient) control(ctx context.Context, request sitecontrol.Request) (sitecontrol.Answer, error) {
+// callControl calls the control group.
+func (c *siteClient) callControl(ctx context.Context, request sitecontrol.Request) (sitecontrol.Answer, error) {
 	var answer sitecontrol.Answer
 	err := c.watcher.Call(ctx, sitecontrol.MethodCall, request, &answer)
 	return answer, err
--- a/cmd/loomgrade/siteprocess.go
+++ b/cmd/loomgrade/siteprocess.go
@@ -34,36 +34,34 @@
 
 const (
 	siteCluster = "site"
-	// Times of connections between processes: a peer that is cut off is given
-	// up well within the time that a change has to be in force.
+	// Timeouts between processes. An unreachable peer is dropped well within the time
+	// limit for applying a change.
 	sitePing      = 400 * time.Millisecond
 	siteIdle      = 1500 * time.Millisecond
 	siteDial      = 500 * time.Millisecond
 	siteWrite     = 1500 * time.Millisecond
 	siteBackoff   = 300 * time.Millisecond
-	callerSilence = 10 * time.Second
-	// settingsPoll is how often the settings file is looked at for a change.
-	settingsPoll = 2 * time.Second
-	// heapShare is the part of the machine's memory that the heap may take
-	// before collections become more frequent.
+	callerTimeout = 10 * time.Second
+	// settingsPollInterval is the interval between checks of the settings file for changes.
+	settingsPollInterval = 2 * time.Second
+	// heapShare is the share of the machine's memory that the heap may use before garbage
+	// collection becomes more frequent.
 	heapShare = 0.6
-	// collectAt is the growth of the heap, in percent, at which it is
-	// collected: memory at its peak costs these machines more than processor
-	// time.
-	collectAt = 40
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is
+	// below the default: it saves peak memory at the cost of CPU time.
+	gcPercent = 40
 	megabyte  = 1 << 20
-	// jobShare is the part of a store machine's memory that jobs may take. What they
-	// take stands there up to three times, in the state, in a snapshot in the making and in
-	// what is sent of it; 40 MB are the process's own.
-	jobShare = 0.25
-	// headerTimeout and keepIdle bound what a caller's connection may wait.
-	headerTimeout = 10 * time.Second
-	keepIdle      = 90 * time.Second
-	// connectionsToReplica bounds a front's connections to one replica.
+	// jobMemoryShare is the share of a store machine's memory for jobs. Each job may be in
+	// memory three times: in the state, in a snapshot being built, and in a transfer.
+	jobMemoryShare = 0.25
+	// headerTimeout and callerIdleTimeout limit how long a caller's connection may wait.
+	headerTimeout     = 10 * time.Second
+	callerIdleTimeout = 90 * time.Second
+	// connectionsToReplica limits the connections of a process to one replica.
 	connectionsToReplica = 10
 )
 
-// siteProcess is what every process of a site starts from.
+// siteProcess holds what every process of a site needs.
 type siteProcess struct {
 	path    string
 	file    *sitesettings.File
@@ -75,19 +73,19 @@
 	dialect dialect.Dialect
 	signals chan os.Signal
 	seed    uint64
-	// stopped is closed once the process was told to stop and has drained.
+	// stopped is closed once the process has drained after a stop signal.
 	stopped chan struct{}
 }
 
 func newSiteProcess(path, role string) (*siteProcess, error) {
 	if path == "" {
-		return nil, usageError{errors.New("no settings file is named")}
+		return nil, usageError{errors.New("no settings file given")}
 	}
 	file, err := sitesettings.Load(path)
 	if err != nil {
 		return nil, usageError{err}
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if file.MemoryMegabytes > 0 {
 		debug.SetMemoryLimit(int64(heapShare * file.MemoryMegabytes * megabyte))
 	}
@@ -111,23 +109,24 @@
 	return p, nil
 }
 
-// newWatcher makes the watcher of the control state; config holds what differs
-// between the processes.
+// newWatcher returns a watcher of the control state. It sets the fields of config that all
+// processes share.
 func (p *siteProcess) newWatcher(config siteview.Config) *siteview.Watcher {
 	config.Seeds, config.Wire, config.Logger, config.Zones = p.file.SeedPeers(), p.wire, p.logger, p.file.Zones
 	config.Decode = p.dialect.DecodeConfiguration
 	return siteview.New(config)
 }
 
-// newProxy makes the sender of requests to replicas; budget bounds the answers that it holds.
-func (p *siteProcess) newProxy(watcher *siteview.Watcher, withholds *guard.Guard, budget *held.Budget) *proxy.Proxy {
+// newProxy returns the proxy that sends requests to replicas. budget limits the memory for
+// buffered answers.
+func (p *siteProcess) newProxy(watcher *siteview.Watcher, requestGuard *guard.Guard, budget *held.Budget) *proxy.Proxy {
 	return proxy.New(proxy.Config{
-		Dialect: p.dialect, View: watcher.View, Logger: p.logger, Connections: connectionsToReplica, Guard: withholds,
+		Dialect: p.dialect, View: watcher.View, Logger: p.logger, Connections: connectionsToReplica, Guard: requestGuard,
 		Held: budget, Sender: p.file.Machine, Cold: p.file.ColdLimits(),
 	})
 }
 
-// service is an HTTP server with its address.
+// service is an HTTP server and its listen address.
 type service struct {
 	address string
 	server  *http.Server
@@ -135,15 +134,14 @@
 
 func newService(address string, handler http.Handler) service {
 	return service{address: address, server: &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: keepIdle,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout,
 		ErrorLog: nil, DisableGeneralOptionsHandler: true,
 	}}
 }
 
-// serve listens on the peer address and those of the services, runs the tasks,
-// and stops when a task fails or the process is told to. Before it stops it
-// calls drain.
-func (p *siteProcess) serve(services []service, reseed func([]string), drain func(context.Context), tasks ...func(context.Context) error) error {
+// serve listens on the peer address and the services' addresses and runs the tasks. It
+// stops when a task fails, or on a stop signal after calling drain.
+func (p *siteProcess) serve(services []service, setSeeds func([]string), drain func(context.Context), tasks ...func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
@@ -156,7 +154,7 @@
 	}
 	group.Go(func() error { return p.server.Serve(peers) })
 	for _, served := range services {
-		listener, err := tcpsocket.Listen(ctx, served.address, callerSilence)
+		listener, err := tcpsocket.Listen(ctx, served.address, callerTimeout)
 		if err != nil {
 			return err
 		}
@@ -165,9 +163,9 @@
 	for _, task := range tasks {
 		group.Go(func() error { return task(ctx) })
 	}
-	group.Go(func() error { return boottime.NewWatch(boottime.Now).Run(ctx, p.noteSuspension) })
+	group.Go(func() error { return boottime.NewWatch(boottime.Now).Run(ctx, p.recordSuspension) })
 	group.Go(func() error {
-		p.untilTold(ctx, reseed)
+		p.awaitStop(ctx, setSeeds)
 		p.logger.Info().Str(eventlog.Field, eventlog.ProcessStopping).Err(ctx.Err()).Msg("the process stops")
 		if ctx.Err() == nil {
 			drain(ctx)
@@ -180,26 +178,26 @@
 		close(p.stopped)
 		return nil
 	})
-	err = p.awaitEnd(group)
+	err = p.awaitTasks(group)
 	if err == nil || errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed) || errors.Is(err, wire.ErrClosed) || errors.Is(err, net.ErrClosed) {
 		p.logger.Info().Str(eventlog.Field, eventlog.ProcessStopped).Msg("the process has stopped")
-		time.Sleep(logFlush)
+		time.Sleep(logFlushDelay)
 		return nil
 	}
-	p.logger.Error().Str(eventlog.Field, eventlog.ProcessFailed).Err(err).Msg("the process ends with a failure")
-	time.Sleep(logFlush)
+	p.logger.Error().Str(eventlog.Field, eventlog.ProcessFailed).Err(err).Msg("the process failed")
+	time.Sleep(logFlushDelay)
 	return err
 }
 
-// noteSuspension tells that the machine was suspended. What the process may no longer hold it
-// gives up by itself: whoever acts reads the clock that counted.
-func (p *siteProcess) noteSuspension(slept time.Duration) {
+// recordSuspension records that the machine was suspended. Leases expire without it, since
+// their clocks count suspended time.
+func (p *siteProcess) recordSuspension(slept time.Duration) {
 	p.metrics.Suspended(slept)
 	p.logger.Warn().Str(eventlog.Field, eventlog.ProcessSuspended).Dur("slept_ms", slept).Msg("the machine was suspended")
 }
 
-// serveUntilClosed serves a listener. The end of the listener is no failure: what
-// is in flight goes on after it, and must not be ended by it.
+// serveUntilClosed serves a listener. A closed server is no error, so that requests in
+// flight can finish.
 func serveUntilClosed(server *http.Server, listener net.Listener) error {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -207,9 +205,9 @@
 	return nil
 }
 
-// awaitEnd waits for the tasks, though not for long once the process is told to
-// stop: whatever then still waits must not outlive the grace.
-func (p *siteProcess) awaitEnd(group *errgroup.Group) error {
+// awaitTasks waits for the tasks, and at most taskEndTimeout after the process has stopped,
+// so that no task outlives the grace period.
+func (p *siteProcess) awaitTasks(group *errgroup.Group) error {
 	ended := make(chan error, 1)
 	go func() { ended <- group.Wait() }()
 	select {
@@ -220,22 +218,22 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(endPatience):
-		p.logger.Warn().Str(eventlog.Field, eventlog.ProcessAbandoned).Msg("tasks did not end in time and are left")
+	case <-time.After(taskEndTimeout):
+		p.logger.Warn().Str(eventlog.Field, eventlog.ProcessAbandoned).Msg("tasks did not end in time; exiting without them")
 		return nil
 	}
 }
 
-// endPatience is how long tasks may take to end.
-const endPatience = 300 * time.Millisecond
+// taskEndTimeout limits how long tasks may take to end after a stop.
+const taskEndTimeout = 300 * time.Millisecond
 
-// logFlush lets the last lines out.
-const logFlush = 20 * time.Millisecond
+// logFlushDelay gives the log writer time to write the last lines.
+const logFlushDelay = 20 * time.Millisecond
 
-// untilTold waits for a signal to stop or the end of the context. It reads the
-// settings again when they have changed.
-func (p *siteProcess) untilTold(ctx context.Context, reseed func([]string)) {
-	ticker := time.NewTicker(settingsPoll)
+// awaitStop blocks until a stop signal or the end of the context. On SIGHUP and at intervals
+// it reloads the settings.
+func (p *siteProcess) awaitStop(ctx context.Context, setSeeds func([]string)) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -245,30 +243,30 @@
 			if received != syscall.SIGHUP {
 				return
 			}
-			p.reload(reseed)
+			p.reload(setSeeds)
 		case <-ticker.C:
-			p.reload(reseed)
+			p.reload(setSeeds)
 		}
 	}
 }
 
-// reload takes over changed seeds; everything else needs a new start.
-func (p *siteProcess) reload(reseed func([]string)) {
+// reload applies changed seeds. Other settings take effect only after a restart.
+func (p *siteProcess) reload(setSeeds func([]string)) {
 	file, err := sitesettings.Load(p.path)
 	if err != nil {
-		p.logger.Warn().Str(eventlog.Field, eventlog.SettingsRefused).Err(err).Msg("changed settings cannot be read")
+		p.logger.Warn().Str(eventlog.Field, eventlog.SettingsRefused).Err(err).Msg("cannot load changed settings")
 		return
 	}
 	if fmt.Sprint(file.Seeds) == fmt.Sprint(p.file.Seeds) {
 		return
 	}
 	p.file = file
-	p.logger.Info().Str(eventlog.Field, eventlog.SettingsReloaded).Str("seeds", fmt.Sprint(file.Seeds)).Msg("the seeds have changed")
-	reseed(file.SeedPeers())
+	p.logger.Info().Str(eventlog.Field, eventlog.SettingsReloaded).Str("seeds", fmt.Sprint(file.Seeds)).Msg("seeds reloaded")
+	setSeeds(file.SeedPeers())
 }
 
-// ofView adds what a watcher's view shows to a reading.
-func ofView(reading metrics.SiteReading, watcher *siteview.Watcher) metrics.SiteReading {
+// addViewReading adds the watcher's current view to a reading.
+func addViewReading(reading metrics.SiteReading, watcher *siteview.Watcher) metrics.SiteReading {
 	if view := watcher.View(); view != nil {
 		reading.Position, reading.Configuration = view.Position, view.Configuration.Version
 		reading.Withheld = view.Withheld()
@@ -277,11 +275,11 @@
 	return reading
 }
 
-// ofGroup adds what a member shows to a reading.
-func ofGroup(reading metrics.SiteReading, shown *group.Shown) metrics.SiteReading {
-	if shown != nil {
-		reading.Shard, reading.Leads = uint32(shown.Shard), shown.Settled
-		reading.Term, reading.Applied = shown.Status.Term, shown.Applied
+// addGroupReading adds a group member's published state to a reading.
+func addGroupReading(reading metrics.SiteReading, state *group.Shown) metrics.SiteReading {
+	if state != nil {
+		reading.Shard, reading.Leads = uint32(state.Shard), state.Settled
+		reading.Term, reading.Applied = state.Status.Term, state.Applied
 	}
 	return reading
 }
