--- a/cmd/loomlab/cmd_audit.go
+++ b/cmd/loomlab/cmd_audit.go
@@ -12,17 +12,17 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim/fault"
 )
 
-// errBroken makes the command exit non-zero.
-var errBroken = eris.New("promises were broken")
+// errAuditViolations is returned when an audit reports violations.
+var errAuditViolations = eris.New("audit violations found")
 
-// Settings of the garbage collector.
+// Garbage collector settings: a run allocates much and retains little.
 const (
-	garbagePercent = 400
-	memoryLimit    = 1 << 30
+	gcPercent   = 400
+	memoryLimit = 1 << 30
 )
 
-// auditCommand runs the site in virtual time under faults, and judges it by what
-// the systems around loomgrade saw.
+// auditCommand runs a site in virtual time under faults and audits what the systems around
+// loomgrade observed.
 type auditCommand struct {
 	Seeds    int    `default:"20" help:"Number of seeds for each scenario, from 1 on."`
 	Scenario string `help:"Run this scenario only."`
@@ -37,8 +37,7 @@
 	if err != nil {
 		return err
 	}
-	// The runs make much garbage and keep little.
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit)
 	if c.Trace {
 		return c.trace(scenarios)
@@ -48,17 +47,17 @@
 		first, count = c.Seed, 1
 	}
 	var summaries []fault.Summary
-	broken := 0
+	violations := 0
 	for _, scenario := range scenarios {
 		reports, err := fault.RunMany(context.Background(), fault.Options{Scenario: scenario}, first, count, c.Parallel)
 		if err != nil {
 			return eris.Wrap(err, "run scenario")
 		}
 		for index := range reports {
-			printBroken(&reports[index])
+			printFindings(&reports[index])
 		}
 		summary := fault.Summarize(scenario, reports)
-		broken += summary.Violations
+		violations += summary.Violations
 		summaries = append(summaries, summary)
 	}
 	if err := fault.WriteTable(os.Stdout, summaries); err != nil {
@@ -68,8 +67,8 @@
 	if err := fault.WriteFaults(os.Stdout, summaries); err != nil {
 		return eris.Wrap(err, "write table")
 	}
-	if broken > 0 {
-		return errBroken
+	if violations > 0 {
+		return errAuditViolations
 	}
 	return nil
 }
@@ -89,7 +88,7 @@
 	return []fault.Scenario{scenario}, nil
 }
 
-// trace replays one run and prints each step that matters.
+// trace replays one run and prints its trace.
 func (c *auditCommand) trace(scenarios []fault.Scenario) error {
 	if len(scenarios) != 1 || c.Seed == 0 {
 		return eris.New("--trace needs --seed and --scenario")
@@ -98,15 +97,15 @@
 	if err != nil {
 		return eris.Wrap(err, "run scenario")
 	}
-	printBroken(&report)
+	printFindings(&report)
 	if report.Broken() > 0 {
-		return errBroken
+		return errAuditViolations
 	}
 	return nil
 }
 
-// printBroken prints what was found wrong in a run.
-func printBroken(report *fault.Report) {
+// printFindings prints the violations and failures of a run.
+func printFindings(report *fault.Report) {
 	for _, violation := range report.Violations {
 		fmt.Printf("VIOLATION scenario %s seed %d: %v\n", report.Scenario, report.Seed, violation)
 	}
--- a/cmd/loomlab/cmd_chaos.go
+++ b/cmd/loomlab/cmd_chaos.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/chaos"
 )
 
-// errViolations makes the command exit non-zero.
+// errViolations is returned when a run violates invariants.
 var errViolations = eris.New("invariants were violated")
 
 // chaosCommand runs the fault simulator of the control members.
@@ -57,7 +57,7 @@
 	if err := chaos.WriteCoverage(os.Stdout, summaries); err != nil {
 		return eris.Wrap(err, "write table")
 	}
-	return verdict(summaries)
+	return violationsError(summaries)
 }
 
 func (c *chaosCommand) scenarios() ([]chaos.Scenario, error) {
@@ -75,13 +75,13 @@
 	return []chaos.Scenario{scenario}, nil
 }
 
-// trace replays one run and prints each step that matters.
+// trace replays one run and prints its trace.
 func (c *chaosCommand) trace(scenarios []chaos.Scenario) error {
 	if len(scenarios) != 1 || c.Seed == 0 {
 		return eris.New("--trace needs --seed and --scenario")
 	}
 	report := chaos.Run(chaos.Options{Scenario: scenarios[0], Seed: c.Seed, Trace: os.Stdout})
-	return verdict([]chaos.Summary{chaos.Summarize(scenarios[0], []chaos.Report{report})})
+	return violationsError([]chaos.Summary{chaos.Summarize(scenarios[0], []chaos.Report{report})})
 }
 
 func printViolations(reports []chaos.Report) {
@@ -93,7 +93,7 @@
 	}
 }
 
-func verdict(summaries []chaos.Summary) error {
+func violationsError(summaries []chaos.Summary) error {
 	for _, summary := range summaries {
 		if summary.Violations > 0 {
 			return errViolations
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Sizes of the measurement.
+// Number of seeds of the measurements.
 const (
 	failoverSeeds = 100
 	inForceSeeds  = 5
--- a/cmd/loomlab/cmd_compare.go
+++ b/cmd/loomlab/cmd_compare.go
@@ -9,10 +9,10 @@
 	"github.com/loomgrade/loomgrade/internal/lab/report"
 )
 
-// errWorse makes the command exit with a code of its own.
+// errWorse is returned when a figure is worse; it has its own exit code.
 var errWorse = eris.New("at least one figure is worse")
 
-// compareCommand compares two results.
+// compareCommand compares the results of two experiment runs.
 type compareCommand struct {
 	Before     string  `arg:"" help:"Results file or output folder to compare with."`
 	After      string  `arg:"" help:"Results file or output folder to judge."`
--- a/cmd/loomlab/cmd_run.go
+++ b/cmd/loomlab/cmd_run.go
@@ -99,7 +99,7 @@
 // writeResults writes the results and the report into a folder.
 func writeResults(folder string, results *experiment.Results) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return eris.Wrap(err, "make the output folder")
+		return eris.Wrap(err, "create the output folder")
 	}
 	content, err := results.Encode()
 	if err != nil {
@@ -119,41 +119,40 @@
 	return eris.Wrap(file.Close(), "write report")
 }
 
-// progressParts is how often a progress line is written where it cannot be
-// overwritten.
-const progressParts = 10
+// maxProgressLines limits the progress lines when the output is not a terminal.
+const maxProgressLines = 10
 
-// progressLine says how many runs are done: on one line of a terminal, or a line
-// for each tenth elsewhere.
+// progressLine reports the number of finished runs: as one line overwritten in place on a
+// terminal, as separate lines elsewhere.
 type progressLine struct {
 	output   io.Writer
 	name     string
 	terminal bool
 
-	mutex sync.Mutex
-	most  int
+	mutex   sync.Mutex
+	maxDone int
 }
 
-// show is called by several goroutines, not always in order.
+// show may be called concurrently and out of order.
 func (p *progressLine) show(done, total int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	before := p.most
+	before := p.maxDone
 	if done <= before {
 		return
 	}
-	p.most = done
+	p.maxDone = done
 	switch {
 	case p.terminal && done < total:
 		fmt.Fprintf(p.output, "\r%s: %d of %d runs done", p.name, done, total)
 	case p.terminal:
 		fmt.Fprintf(p.output, "\r%s: %d of %d runs done\n", p.name, done, total)
-	case done*progressParts/total > before*progressParts/total:
+	case done*maxProgressLines/total > before*maxProgressLines/total:
 		fmt.Fprintf(p.output, "%s: %d of %d runs done\n", p.name, done, total)
 	}
 }
 
-// isTerminal says whether a file can be overwritten line by line.
+// isTerminal reports whether a file is a character device.
 func isTerminal(file *os.File) bool {
 	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/cmd/loomlab/cmd_run_test.go
+++ b/cmd/loomlab/cmd_run_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/experiment"
 )
 
-// smallExperiment ends in a few seconds.
+// smallExperiment takes a few seconds.
 const smallExperiment = `name: small
 site: marea
 overrides:
@@ -28,7 +28,7 @@
   - {name: loomgrade, routing: loomgrade}
 `
 
-// runExperiment runs an experiment file and gives its output folder.
+// runExperiment runs an experiment file and returns its output folder.
 func runExperiment(t *testing.T, content string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -55,7 +55,7 @@
 			first = content
 		}
 		if !bytes.Equal(first, content) {
-			t.Error("the same settings gave other bytes")
+			t.Error("two runs with the same settings wrote different bytes")
 		}
 		page, err := os.ReadFile(filepath.Join(output, reportFile))
 		if err != nil || !strings.Contains(string(page), "data:image/png") {
--- a/cmd/loomlab/cmd_standin.go
+++ b/cmd/loomlab/cmd_standin.go
@@ -19,7 +19,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// standInCommand holds one command for each kind of stand-in.
+// standInCommand groups the stand-in commands.
 type standInCommand struct {
 	Engine   standInEngine   `cmd:"" help:"Model engine."`
 	App      standInApp      `cmd:"" help:"Replica of an application service."`
@@ -29,25 +29,25 @@
 	Machines standInMachines `cmd:"" help:"Machine list that shows changes late."`
 }
 
-// standInCommon are the flags of every stand-in.
+// standInCommon holds the flags of every stand-in.
 type standInCommon struct {
 	Listen       string `default:"127.0.0.1:0" help:"Loopback address to listen on."`
 	Observations string `type:"path" help:"File that receives each observation as a line of JSON; a trainer goes on from what it holds."`
 }
 
-// running is a started stand-in.
-type running interface {
+// server is a started stand-in.
+type server interface {
 	Addr() string
 	Close()
 	Shutdown(context.Context) error
 }
 
-// drainTime bounds how long an orderly stop waits for requests in flight.
-const drainTime = 30 * time.Second
+// shutdownTimeout limits how long a planned stop waits for requests in flight.
+const shutdownTimeout = 30 * time.Second
 
-// serve starts a stand-in and runs it until an interrupt or a termination
-// signal, which lets it finish what is in flight.
-func (c standInCommon) serve(start func(context.Context, standin.Common) (running, error)) error {
+// serve starts a stand-in and runs it until SIGINT or SIGTERM, then waits for requests in
+// flight.
+func (c standInCommon) serve(start func(context.Context, standin.Common) (server, error)) error {
 	common := standin.Common{Listen: c.Listen}
 	if c.Observations != "" {
 		file, err := openJournal(c.Observations)
@@ -65,13 +65,13 @@
 	}
 	fmt.Printf("listening on %s\n", standIn.Addr())
 	<-stop.Done()
-	drain, cancelDrain := context.WithTimeout(context.Background(), drainTime)
+	drain, cancelDrain := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancelDrain()
 	return standIn.Shutdown(drain)
 }
 
-// openJournal opens a file for appending. A line that a killed process left
-// unfinished is cut off.
+// openJournal opens a file for appending. It truncates a partial last line, which a killed
+// process may leave.
 func openJournal(path string) (*os.File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -81,9 +81,9 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "open the observations file")
 	}
-	whole := int64(bytes.LastIndexByte(content, '\n') + 1)
-	if err := file.Truncate(whole); err != nil {
-		return nil, eris.Wrap(err, "cut the observations file")
+	complete := int64(bytes.LastIndexByte(content, '\n') + 1)
+	if err := file.Truncate(complete); err != nil {
+		return nil, eris.Wrap(err, "truncate the observations file")
 	}
 	return file, nil
 }
@@ -108,7 +108,7 @@
 
 // Run implements the command.
 func (c *standInEngine) Run() error {
-	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
+	return c.serve(func(ctx context.Context, common standin.Common) (server, error) {
 		return standin.StartEngine(ctx, standin.EngineConfig{
 			Common: common, TimeScale: c.TimeScale, Adapters: c.Adapters,
 			Lengths: engine.Lengths{Median: c.MedianTokens, Sigma: c.Sigma, Max: c.MaxTokens},
@@ -131,7 +131,7 @@
 
 // Run implements the command.
 func (c *standInApp) Run() error {
-	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
+	return c.serve(func(ctx context.Context, common standin.Common) (server, error) {
 		return standin.StartApplication(ctx, standin.ApplicationConfig{
 			Common: common, ServiceTime: c.ServiceTime, Workers: c.Workers, PayloadBytes: c.Payload,
 		})
@@ -146,7 +146,7 @@
 
 // Run implements the command.
 func (c *standInWeights) Run() error {
-	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
+	return c.serve(func(ctx context.Context, common standin.Common) (server, error) {
 		return standin.StartWeightStore(ctx, standin.WeightStoreConfig{Common: common, BytesPerSecond: c.Rate, Bytes: c.Bytes})
 	})
 }
@@ -170,13 +170,13 @@
 	if err != nil {
 		return err
 	}
-	kept, err := c.kept()
+	deliveries, err := c.previousDeliveries()
 	if err != nil {
 		return err
 	}
-	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
+	return c.serve(func(ctx context.Context, common standin.Common) (server, error) {
 		return standin.StartTrainer(ctx, standin.TrainerConfig{
-			Kept:   kept,
+			Kept:   deliveries,
 			Common: common, Nodes: c.Nodes, Pool: c.Pool, Name: c.Name, Token: token,
 			StepTime: c.StepTime, PublishEvery: c.PublishEvery, FirstVersion: c.FirstVersion,
 			MaxSteps: c.MaxSteps, Prompts: standin.PromptConfig{Seed: c.Seed},
@@ -184,8 +184,8 @@
 	})
 }
 
-// kept reads the deliveries of earlier lives.
-func (c *standInTrainer) kept() ([]audit.Delivery, error) {
+// previousDeliveries reads the deliveries that earlier processes recorded.
+func (c *standInTrainer) previousDeliveries() ([]audit.Delivery, error) {
 	file, err := os.Open(c.Observations)
 	if c.Observations == "" || errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -194,8 +194,8 @@
 		return nil, eris.Wrap(err, "open the observations file")
 	}
 	defer file.Close()
-	seen, err := audit.ReadJournal(file)
-	return seen.Deliveries, err
+	observations, err := audit.ReadJournal(file)
+	return observations.Deliveries, err
 }
 
 func (c *standInTrainer) token() (string, error) {
@@ -213,7 +213,7 @@
 
 // Run implements the command.
 func (c *standInScorer) Run() error {
-	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
+	return c.serve(func(ctx context.Context, common standin.Common) (server, error) {
 		return standin.StartScorer(ctx, standin.ScorerConfig{Common: common, ServiceTime: c.ServiceTime})
 	})
 }
@@ -226,7 +226,7 @@
 
 // Run implements the command.
 func (c *standInMachines) Run() error {
-	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
+	return c.serve(func(ctx context.Context, common standin.Common) (server, error) {
 		return standin.StartMachineList(ctx, standin.MachineListConfig{Common: common, Live: c.Live, Lag: c.Lag})
 	})
 }
--- a/cmd/loomlab/main.go
+++ b/cmd/loomlab/main.go
@@ -1,5 +1,5 @@
-// Command loomlab runs the laboratory around loomgrade: stand-ins of the
-// systems that it serves, load, experiments and audits.
+// Command loomlab runs the test tools around loomgrade: stand-ins of the systems that it
+// serves, load, experiments and audits.
 package main
 
 import (
@@ -11,8 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is the root of the command line: one field a command, one file
-// a command.
+// commandLine is the root of the command line; each field is a command with a file of its own.
 type commandLine struct {
 	StandIn standInCommand `cmd:"" name:"stand-in" help:"Run a stand-in of a system around loomgrade."`
 	Run     runCommand     `cmd:"" help:"Run an experiment's variants side by side in virtual time."`
@@ -23,22 +22,22 @@
 
 // Exit codes, documented in docs/operators/experiments.md.
 const (
-	exitFailure = 1 // anything without a code of its own, violations included
-	exitUsage   = 2 // the command line or an experiment file is not allowed
-	exitWorse   = 3 // compare found at least one figure worse
+	exitFailure = 1 // any error without a specific code, including violations
+	exitUsage   = 2 // invalid command line or experiment file
+	exitWorse   = 3 // compare found at least one worse figure
 )
 
-// usageError marks errors of the command line and of experiment files.
+// usageError marks an error in the command line or in an experiment file.
 type usageError struct{ error }
 
-// Unwrap gives the marked error.
+// Unwrap returns the underlying error.
 func (e usageError) Unwrap() error { return e.error }
 
 func main() {
 	os.Exit(run(os.Args[1:]))
 }
 
-// run parses and runs one command line and gives the exit code.
+// run parses and executes one command line and returns the exit code.
 func run(arguments []string) int {
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name("loomlab"), kong.Description("Laboratory of loomgrade."), kong.UsageOnError())
@@ -67,7 +66,7 @@
 	}
 }
 
-// reportError prints an error in one line and gives the exit code back.
+// reportError prints an error on one line and returns the exit code.
 func reportError(err error, code int) int {
 	fmt.Fprintf(os.Stderr, "loomlab: %s\n", strings.TrimSpace(err.Error()))
 	return code
