--- a/internal/testkit/address.go
+++ b/internal/testkit/address.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// FreeAddress gives a TCP address that a test may listen at, again and again. It is
-// of a loopback address of its own: a port of the common one may be taken meanwhile
-// by an outgoing connection of another test.
+// FreeAddress returns a TCP address that a test may listen on repeatedly. It picks a random
+// loopback host, since outgoing connections of other tests may take ports of 127.0.0.1.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
--- a/internal/testkit/codes.go
+++ b/internal/testkit/codes.go
@@ -12,8 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ErrorCodes reads the codes of errors from their declaration, so that a page or
-// a table that leaves one out shows.
+// ErrorCodes returns all error codes, read from their declarations in the source.
 func ErrorCodes(t testing.TB) []port.Code {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(Root(t), "internal/port/verdict.go"), nil, 0)
@@ -33,8 +32,8 @@
 		codes = append(codes, port.Code(text))
 		return true
 	})
-	const least = 10
-	if len(codes) < least {
+	const minCodes = 10
+	if len(codes) < minCodes {
 		t.Fatalf("only %d codes found", len(codes))
 	}
 	return codes
--- a/internal/testkit/doc.go
+++ b/internal/testkit/doc.go
@@ -1,2 +1,2 @@
-// Package testkit holds the few helpers that tests of several packages share.
+// Package testkit holds helpers shared by the tests of several packages.
 package testkit
--- a/internal/testkit/page.go
+++ b/internal/testkit/page.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// Root gives the folder of the repository: the nearest one above the test's
-// that holds go.mod.
+// Root returns the root folder of the repository: the nearest parent folder with a go.mod.
 func Root(t testing.TB) string {
 	t.Helper()
 	folder, err := os.Getwd()
@@ -21,13 +20,13 @@
 		}
 		parent := filepath.Dir(folder)
 		if parent == folder {
-			t.Fatal("no folder above holds go.mod")
+			t.Fatal("no parent folder holds go.mod")
 		}
 		folder = parent
 	}
 }
 
-// Page reads a page of the repository, by its path from the root.
+// Page returns the text of a page, named by its path from the repository root.
 func Page(t testing.TB, path string) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(Root(t), path))
@@ -37,8 +36,8 @@
 	return string(content)
 }
 
-// PageRows gives the cells of the table rows under a second-level heading of a
-// Markdown page, without the rows of headings.
+// PageRows returns the table rows, without heading rows, under a second-level heading of a
+// Markdown page.
 func PageRows(t testing.TB, path, heading string) [][]string {
 	t.Helper()
 	_, section, found := strings.Cut(Page(t, path), "\n## "+heading+"\n")
@@ -53,14 +52,14 @@
 	return rows
 }
 
-// TableRows gives the cells of the rows of every table in a Markdown text,
-// without the rows of headings.
+// TableRows returns the cells of the rows of every table in a Markdown text, without heading
+// rows.
 func TableRows(text string) [][]string {
 	var rows [][]string
 	lines := strings.Split(text, "\n")
 	for index, line := range lines {
-		isHeading := index+1 < len(lines) && isRule(lines[index+1])
-		if !strings.HasPrefix(line, "|") || isRule(line) || isHeading {
+		isHeading := index+1 < len(lines) && isDelimiterRow(lines[index+1])
+		if !strings.HasPrefix(line, "|") || isDelimiterRow(line) || isHeading {
 			continue
 		}
 		rows = append(rows, cellsOf(line))
@@ -68,8 +67,8 @@
 	return rows
 }
 
-// isRule says that a line parts a table's headings from its rows.
-func isRule(line string) bool {
+// isDelimiterRow reports whether a line separates a table's heading from its rows.
+func isDelimiterRow(line string) bool {
 	return strings.HasPrefix(line, "|") && strings.Trim(line, "|-: ") == ""
 }
 
@@ -81,7 +80,7 @@
 	return cells
 }
 
-// Quoted gives the texts between backquotes of a cell.
+// Quoted returns the texts between backquotes in a cell.
 func Quoted(cell string) []string {
 	var quoted []string
 	for index, part := range strings.Split(cell, "`") {
--- a/internal/testkit/rapid.go
+++ b/internal/testkit/rapid.go
@@ -9,12 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// rapidFlags guards the process-wide flags of the rapid library.
+// rapidFlags serializes changes to the process-wide flags of the rapid library.
 var rapidFlags sync.Mutex
 
-// Check runs a rapid property with a fixed seed, so that every run of the
-// test draws the same cases and gives the same verdict. Seed must not be 0,
-// which the library takes for "choose one at random".
+// Check runs a rapid property with a fixed seed, so that every run draws the same cases. The
+// seed must not be 0: the library then picks a random one.
 func Check(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
 	rapidFlags.Lock()
