--- a/test/examples/doc.go
+++ b/test/examples/doc.go
@@ -1,4 +1,3 @@
-// Package examples holds the test that runs the sites of examples/ as separate
-// processes with scripts/fleet, at the sizes that the users name, and judges
-// them by the audit of what the stand-ins saw.
+// Package examples tests the sites of examples/: it runs them as separate processes with
+// scripts/fleet and audits what the stand-ins observed.
 package examples
--- a/test/examples/examples_test.go
+++ b/test/examples/examples_test.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// patience bounds waiting; it decides only when a hanging test is given up.
-	patience = 90 * time.Second
-	// staleness is the bound that all sites configure.
-	staleness = 2
-	steps     = 3
+	// waitTimeout limits each wait.
+	waitTimeout = 90 * time.Second
+	// stalenessBound is the bound that all sites configure.
+	stalenessBound = 2
+	stepsToAwait   = 3
 )
 
-// site is a site of examples/ in a copy of its own.
+// site is a copy of a site of examples/.
 type site struct {
 	name     string
-	folder   string // the copy of the repository's scripts and examples
-	host     string // in place of 127.0.0.1
+	folder   string // copy of the repository's scripts and examples
+	host     string // replaces 127.0.0.1
 	trainers map[string]string
 }
 
@@ -40,7 +40,7 @@
 		killed   string
 		engines  int
 		trainers map[string]string // pool by process
-		calls    string            // path of an application call
+		callPath string            // path of an application call
 	}{
 		{"dev", "node-zone-b", 4, map[string]string{"trainer-captions": "captions"}, "/app/pages/pages/1"},
 		{"inkwell", "engine-3", 8, map[string]string{"trainer-caption-lm": "caption-lm"}, "/app/page-api/pages/1"},
@@ -52,31 +52,30 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := &site{name: c.name, folder: t.TempDir(), host: loopbackHost(number), trainers: c.trainers}
 			s.copySite(t)
-			t.Cleanup(func() { s.fleet(t, "down") })
-			s.fleet(t, "up")
-			s.untilSteps(t)
-			s.call(t, c.calls)
-			s.untilServed(t, c.engines)
-			s.fleet(t, "kill", c.killed)
-			s.fleet(t, "start", c.killed)
-			s.untilSteps(t)
-			s.check(t)
-			s.fleet(t, "down")
-			if status := s.fleet(t, "status"); strings.Contains(status, "running, pid") {
+			t.Cleanup(func() { s.runFleet(t, "down") })
+			s.runFleet(t, "up")
+			s.awaitSteps(t)
+			s.callApplication(t, c.callPath)
+			s.awaitServing(t, c.engines)
+			s.runFleet(t, "kill", c.killed)
+			s.runFleet(t, "start", c.killed)
+			s.awaitSteps(t)
+			s.checkAudit(t)
+			s.runFleet(t, "down")
+			if status := s.runFleet(t, "status"); strings.Contains(status, "running, pid") {
 				t.Errorf("after down:\n%s", status)
 			}
 		})
 	}
 }
 
-// loopbackHost gives an address of the loopback network that nobody else uses.
+// loopbackHost returns a loopback address that no other test process uses.
 func loopbackHost(number int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 128+pid>>16&63, pid>>8&255, 1+(pid+64*number)&127)
 }
 
-// copySite copies the script and the site, with other addresses, and builds the
-// programs beside them.
+// copySite copies the script and the site, replaces their addresses, and builds the programs.
 func (s *site) copySite(t *testing.T) {
 	t.Helper()
 	root := testkit.Root(t)
@@ -113,8 +112,8 @@
 	}
 }
 
-// fleet runs the script, which must succeed.
-func (s *site) fleet(t *testing.T, verb string, names ...string) string {
+// runFleet runs the script and fails the test on a non-zero exit code.
+func (s *site) runFleet(t *testing.T, verb string, names ...string) string {
 	t.Helper()
 	arguments := append([]string{filepath.Join(s.folder, "scripts", "fleet"), verb, "examples/" + s.name}, names...)
 	command := exec.Command("bash", arguments...)
@@ -126,32 +125,32 @@
 	return string(output)
 }
 
-// untilSteps waits until every trainer has done a few further steps.
-func (s *site) untilSteps(t *testing.T) {
+// awaitSteps waits until every trainer has finished stepsToAwait more steps.
+func (s *site) awaitSteps(t *testing.T) {
 	t.Helper()
-	wanted := map[string]int{}
+	targets := map[string]int{}
 	for name := range s.trainers {
-		wanted[name] = s.stepsOf(t, name) + steps
+		targets[name] = s.countSteps(t, name) + stepsToAwait
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for name := range s.trainers {
-		for s.stepsOf(t, name) < wanted[name] {
+		for s.countSteps(t, name) < targets[name] {
 			if time.Now().After(deadline) {
-				t.Fatalf("gave up waiting until %s has done %d steps; it has done %d", name, wanted[name], s.stepsOf(t, name))
+				t.Fatalf("timed out waiting until %s has finished %d steps; it has finished %d", name, targets[name], s.countSteps(t, name))
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
 }
 
-// untilServed waits until every engine is known to serve weights of every pool.
-func (s *site) untilServed(t *testing.T, engines int) {
+// awaitServing waits until every engine is reported to serve weights of every pool.
+func (s *site) awaitServing(t *testing.T, engines int) {
 	t.Helper()
 	operator, err := os.ReadFile(filepath.Join(s.folder, "examples", s.name, "operator"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		command := exec.Command(filepath.Join(s.folder, "bin", "loomgrade"), "weights", "status", "--output", "json",
 			"--server", strings.TrimSpace(string(operator)), "--token-file", filepath.Join("examples", s.name, "operator.token"))
@@ -162,7 +161,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("gave up waiting until %d engines serve each pool: %v\n%s", engines, err, output)
+			t.Fatalf("timed out waiting until %d engines serve each pool: %v\n%s", engines, err, output)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -183,11 +182,11 @@
 	return len(weights.Pools) == len(s.trainers)
 }
 
-// stepsOf gives the number of batches that a trainer's journal holds.
-func (s *site) stepsOf(t *testing.T, name string) int {
+// countSteps returns the number of trained batches in a trainer's journal.
+func (s *site) countSteps(t *testing.T, name string) int {
 	t.Helper()
 	done := 0
-	for _, delivery := range s.journal(t, filepath.Join(s.folder, "run", s.name, name+".journal")).Deliveries {
+	for _, delivery := range s.readJournal(t, filepath.Join(s.folder, "run", s.name, name+".journal")).Deliveries {
 		if delivery.Trained {
 			done++
 		}
@@ -195,10 +194,10 @@
 	return done
 }
 
-// call makes an application call through the first node.
-func (s *site) call(t *testing.T, path string) {
+// callApplication makes an application call through the first node.
+func (s *site) callApplication(t *testing.T, path string) {
 	t.Helper()
-	response, err := http.Get("http://" + s.nodeAddress(t) + path + "?" + standin.QueryCall + "=mine")
+	response, err := http.Get("http://" + s.firstNodeAddress(t) + path + "?" + standin.QueryCall + "=mine")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,8 +208,8 @@
 	}
 }
 
-// nodeAddress gives the address of the first node that trainers ask.
-func (s *site) nodeAddress(t *testing.T) string {
+// firstNodeAddress returns the address of the first node in the trainers' arguments.
+func (s *site) firstNodeAddress(t *testing.T) string {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(s.folder, "examples", s.name, "processes"))
 	if err != nil {
@@ -221,8 +220,8 @@
 	return address
 }
 
-// journal reads a journal; one that is not there yet is empty.
-func (s *site) journal(t *testing.T, path string) audit.Observations {
+// readJournal reads a journal; a missing file counts as empty.
+func (s *site) readJournal(t *testing.T, path string) audit.Observations {
 	t.Helper()
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -232,22 +231,22 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	seen, err := audit.ReadJournal(file)
+	observations, err := audit.ReadJournal(file)
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	return seen
+	return observations
 }
 
-// check audits the journals, those of trainers first, so that what they got is
-// in the others.
-func (s *site) check(t *testing.T) {
+// checkAudit audits the journals. It reads those of the trainers first, so that the other
+// journals cover all that the trainers received.
+func (s *site) checkAudit(t *testing.T) {
 	t.Helper()
 	var all audit.Observations
 	bounds := audit.Bounds{Staleness: map[string]uint64{}}
 	for name, pool := range s.trainers {
-		bounds.Staleness[pool] = staleness
-		all.Merge(s.journal(t, filepath.Join(s.folder, "run", s.name, name+".journal")))
+		bounds.Staleness[pool] = stalenessBound
+		all.Merge(s.readJournal(t, filepath.Join(s.folder, "run", s.name, name+".journal")))
 	}
 	journals, err := filepath.Glob(filepath.Join(s.folder, "run", s.name, "*.journal"))
 	if err != nil {
@@ -255,7 +254,7 @@
 	}
 	for _, path := range journals {
 		if _, trainer := s.trainers[strings.TrimSuffix(filepath.Base(path), ".journal")]; !trainer {
-			all.Merge(s.journal(t, path))
+			all.Merge(s.readJournal(t, path))
 		}
 	}
 	for _, violation := range audit.Check(all, bounds) {
--- a/test/examples/policy_test.go
+++ b/test/examples/policy_test.go
@@ -9,8 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestSitesUseTheDefaultPolicy holds the copies in the sites' configurations to
-// the policy that loomgrade carries.
+// TestSitesUseTheDefaultPolicy checks that the policies in the sites' configurations equal
+// the built-in default.
 func TestSitesUseTheDefaultPolicy(t *testing.T) {
 	configurations, err := filepath.Glob(filepath.Join(testkit.Root(t), "examples", "*", "configuration.yaml"))
 	if err != nil || len(configurations) == 0 {
