--- a/examples/policies/low-idle.star
+++ b/examples/policies/low-idle.star
@@ -1,7 +1,7 @@
-# For a pool whose trainers must not wait: work for the next batches runs ahead,
-# groups get extra samples, and long samples get priority and a second replica.
-# An extra sample lets a group do without its longest one: the trainer idles less
-# and learns from shorter samples. Leave over_provision out where that matters.
+# Keeps trainers busy: it starts work for the next batches early, adds extra
+# samples to groups, and gives long samples priority and a second replica. With an
+# extra sample a group can finish without its longest one, which biases training
+# towards shorter samples. Remove over_provision where that matters.
 
 def plan(pool):
     ahead = pool.buffer_batches * pool.batch_samples - pool.buffered
--- a/examples/policies/low-staleness.star
+++ b/examples/policies/low-staleness.star
@@ -1,10 +1,10 @@
-# For a pool whose readers see the newest weights: little work ahead of the
-# trainer, only replicas on the current version, and no group left behind.
+# Keeps samples fresh: it starts little work ahead of the trainer, uses only replicas
+# on the current version, and delivers the oldest groups first.
 
 def plan(pool):
-    # Finished samples of groups that are not whole yet are counted nowhere, so
-    # aiming for a whole batch would start more than one. The rest of it starts
-    # when the trainer waits.
+    # The view does not count finished samples of incomplete groups, so a target of
+    # a full batch would start more than one batch. The rest starts when the trainer
+    # waits.
     wanted = pool.batch_samples * 7 // 8
     if pool.trainer_waiting:
         wanted = pool.batch_samples
@@ -21,6 +21,6 @@
         resume = "failed",
         predict_stale = True,
         abandon_age = pool.staleness_bound,
-        # Freshest first would leave older groups to go stale.
+        # With freshest_first, older groups would become stale.
         selection = "oldest_first",
     )
--- a/examples/policies/one-version.star
+++ b/examples/policies/one-version.star
@@ -1,5 +1,5 @@
-# Each sample comes from one weight version alone: a sample that a weight switch
-# would split is started again.
+# Generates each sample with a single weight version: a sample interrupted by a weight
+# switch restarts.
 
 def plan(pool):
     return struct(
