--- a/cmd/loomgrade/cmd_control.go
+++ b/cmd/loomgrade/cmd_control.go
@@ -21,23 +21,23 @@
 
 // Run starts the member and blocks until a stop signal or a failure.
 func (c *controlCommand) Run(std streams) error {
-	started, err := newProcess(c.Settings)
+	p, err := newProcess(c.Settings)
 	if err != nil {
 		return err
 	}
-	if started.file.Control == nil {
+	if p.file.Control == nil {
 		return usageError{&settings.Error{File: c.Settings, Key: "control", Allowed: "a control section"}}
 	}
-	return started.finish(started.runControl(std))
+	return p.finish(p.runControl(std))
 }
 
 func (p *process) runControl(std streams) error {
-	measures := metrics.NewControl()
-	member, err := control.Start(p.controlConfig(measures))
+	controlMetrics := metrics.NewControl()
+	member, err := control.Start(p.controlConfig(controlMetrics))
 	if err != nil {
 		return err
 	}
-	measures.Observe(func() metrics.ControlReading { return readMember(member) })
+	controlMetrics.Observe(func() metrics.ControlReading { return readMember(member) })
 	fmt.Fprintf(std.stdout, "control member %d: peers %s, operators %s\n",
 		p.file.Control.ID, member.PeerAddress(), member.OperatorAddress())
 	p.awaitStop(member.Done())
@@ -75,7 +75,7 @@
 	}
 }
 
-func (p *process) controlConfig(measures *metrics.Control) control.Config {
+func (p *process) controlConfig(controlMetrics *metrics.Control) control.Config {
 	section := p.file.Control
 	config := control.Config{
 		Cluster:            p.file.Cluster,
@@ -90,8 +90,8 @@
 		SnapshotEntries:    section.SnapshotEntries,
 		CheckConfiguration: policy.CheckConfiguration,
 		Seed:               uint64(time.Now().UnixNano()),
-		Metrics:            measures.Handler(),
-		Recorder:           measures,
+		Metrics:            controlMetrics.Handler(),
+		Recorder:           controlMetrics,
 		Logger:             p.ring.Logger(),
 	}
 	for _, member := range section.Members {
--- a/cmd/loomgrade/cmd_node.go
+++ b/cmd/loomgrade/cmd_node.go
@@ -17,14 +17,14 @@
 
 // Run starts the node and blocks until a stop signal.
 func (c *nodeCommand) Run(std streams) error {
-	started, err := newProcess(c.Settings)
+	p, err := newProcess(c.Settings)
 	if err != nil {
 		return err
 	}
-	if started.file.Node == nil {
+	if p.file.Node == nil {
 		return usageError{&settings.Error{File: c.Settings, Key: "node", Allowed: "a node section"}}
 	}
-	return started.finish(started.runNode(std))
+	return p.finish(p.runNode(std))
 }
 
 func (p *process) runNode(std streams) error {
--- a/cmd/loomgrade/cmd_settings.go
+++ b/cmd/loomgrade/cmd_settings.go
@@ -27,7 +27,7 @@
 
 // Run checks every file, lists the valid ones and returns the errors of the others.
 func (c *settingsCheckCommand) Run(std streams) error {
-	good := []checkedSettings{}
+	valid := []checkedSettings{}
 	var failures error
 	for _, path := range c.Files {
 		file, err := settings.Load(path)
@@ -35,9 +35,9 @@
 			failures = errors.Join(failures, err)
 			continue
 		}
-		good = append(good, checkedSettings{File: path, Role: roleOf(file)})
+		valid = append(valid, checkedSettings{File: path, Role: roleOf(file)})
 	}
-	err := output(c.outputFlags, std, good, func(lines *table, files []checkedSettings) {
+	err := output(c.outputFlags, std, valid, func(lines *table, files []checkedSettings) {
 		for _, file := range files {
 			lines.row(file.File, "good", file.Role)
 		}
--- a/cmd/loomgrade/exit.go
+++ b/cmd/loomgrade/exit.go
@@ -46,14 +46,14 @@
 func exitCode(err error) int {
 	var usage usageError
 	var setting *settings.Error
-	var known *port.Error
+	var portError *port.Error
 	switch {
 	case errors.As(err, &usage), errors.As(err, &setting):
 		return exitUsage
 	case errors.Is(err, errAudit):
 		return exitAudit
-	case errors.As(err, &known):
-		return exitCodeFor(known.Code)
+	case errors.As(err, &portError):
+		return exitCodeFor(portError.Code)
 	default:
 		return exitFailure
 	}
--- a/cmd/loomgrade/jobfile_test.go
+++ b/cmd/loomgrade/jobfile_test.go
@@ -37,6 +37,6 @@
 	}
 	item := submission.Items[0]
 	if submission.ID != "j" || submission.Desired != 1 || string(item.Body) != "x" || item.Headers[0].Name != "X-A" || string(item.Scorer.Body) != "y" {
-		t.Errorf("read %+v", submission)
+		t.Errorf("decoded job: %+v", submission)
 	}
 }
--- a/cmd/loomgrade/operator.go
+++ b/cmd/loomgrade/operator.go
@@ -52,9 +52,9 @@
 // adviseRetry extends an error whose change may have been accepted by how to retry safely.
 func adviseRetry(err error, changeID string) error {
 	if refusal := port.AsError(err); refusal != nil && refusal.Verdict == port.MayHaveRun {
-		advised := *refusal
-		advised.Message += "; the change may have been accepted: repeat the command with --change-id " + changeID
-		return &advised
+		extended := *refusal
+		extended.Message += "; the change may have been accepted: repeat the command with --change-id " + changeID
+		return &extended
 	}
 	return err
 }
--- a/cmd/loomgrade/policy_test.go
+++ b/cmd/loomgrade/policy_test.go
@@ -122,7 +122,7 @@
 	}
 	for line := range strings.Lines(stderr) {
 		if !strings.HasPrefix(line, "loomgrade: ") || !strings.Contains(line, "allowed") {
-			t.Errorf("line %q", line)
+			t.Errorf("malformed error line %q", line)
 		}
 	}
 }
--- a/cmd/loomgrade/process.go
+++ b/cmd/loomgrade/process.go
@@ -29,18 +29,18 @@
 	if err != nil {
 		return nil, usageError{err}
 	}
-	started := &process{file: file, signals: make(chan os.Signal, 1)}
-	if started.peerToken, err = readToken("peer_token_file", file.PeerTokenFile); err != nil {
+	p := &process{file: file, signals: make(chan os.Signal, 1)}
+	if p.peerToken, err = readToken("peer_token_file", file.PeerTokenFile); err != nil {
 		return nil, err
 	}
-	if started.operatorToken, err = readToken("operator_token_file", file.OperatorTokenFile); err != nil {
+	if p.operatorToken, err = readToken("operator_token_file", file.OperatorTokenFile); err != nil {
 		return nil, err
 	}
-	if started.ring, err = ringlog.Open(file.Log.RingLines, file.Log.File); err != nil {
+	if p.ring, err = ringlog.Open(file.Log.RingLines, file.Log.File); err != nil {
 		return nil, err
 	}
-	signal.Notify(started.signals, os.Interrupt, syscall.SIGTERM, syscall.SIGUSR1)
-	return started, nil
+	signal.Notify(p.signals, os.Interrupt, syscall.SIGTERM, syscall.SIGUSR1)
+	return p, nil
 }
 
 // readToken reads a token from a file; an empty path yields an empty token.
--- a/cmd/loomgrade/status_test.go
+++ b/cmd/loomgrade/status_test.go
@@ -16,12 +16,12 @@
 		2: {"1 a voter true - - - -", "2 b voter false 8 true true 20ms"},
 	} {
 		var printed bytes.Buffer
-		shown := newTable(&printed)
-		showStatus(shown, operatorapi.Status{Member: queried, Leader: 1, Members: []operatorapi.Member{
+		rendered := newTable(&printed)
+		showStatus(rendered, operatorapi.Status{Member: queried, Leader: 1, Members: []operatorapi.Member{
 			{ID: 1, Address: "a", Role: "voter", Leader: true, Match: 9, Active: true, CaughtUp: true},
 			{ID: 2, Address: "b", Role: "voter", Match: 8, Active: true, CaughtUp: true, SilentMillis: 20},
 		}})
-		if err := shown.flush(); err != nil {
+		if err := rendered.flush(); err != nil {
 			t.Fatal(err)
 		}
 		for _, line := range lines {
--- a/test/examples/examples_test.go
+++ b/test/examples/examples_test.go
@@ -63,7 +63,7 @@
 			s.checkAudit(t)
 			s.runFleet(t, "down")
 			if status := s.runFleet(t, "status"); strings.Contains(status, "running, pid") {
-				t.Errorf("after down:\n%s", status)
+				t.Errorf("processes still running after down:\n%s", status)
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 	s.copyFile(t, root, filepath.Join("scripts", "fleet"))
 	files, err := filepath.Glob(filepath.Join(root, "examples", s.name, "*"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found %d files of the site, %v", len(files), err)
 	}
 	for _, file := range files {
 		s.copyFile(t, root, filepath.Join("examples", s.name, filepath.Base(file)))
@@ -204,7 +204,7 @@
 	defer response.Body.Close()
 	var answer standin.ApplicationAnswer
 	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || !answer.Whole("mine") {
-		t.Fatalf("status %d, %v, %+v", response.StatusCode, err, answer)
+		t.Fatalf("application call: status %d, %v, %+v", response.StatusCode, err, answer)
 	}
 }
 
