--- a/cmd/loomgrade/cmd_site_front.go
+++ b/cmd/loomgrade/cmd_site_front.go
@@ -53,11 +53,11 @@
 	idle := httpserve.NewIdleConnections(callerKeepAlive)
 	frontServer := front.New(front.Config{
 		Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Idle: idle, Recorder: p.metrics,
-		Held: budget, Usage: usageReporter, RevokeWithin: p.file.RevokeWithin(),
-		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, Place: sitecontrol.Placer(watcher), KeepsWithin: watcher.KeepsWithin}),
+		MemoryBudget: budget, Usage: usageReporter, RevokeWithin: p.file.RevokeWithin(),
+		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, AssignShard: sitecontrol.Placer(watcher), StoredWithin: watcher.StoredWithin}),
 	})
 	p.metrics.Observe(func() metrics.SiteReading {
-		return addViewReading(metrics.SiteReading{InFlight: frontServer.InFlight(), HeldBytes: budget.Held(), LinesDropped: p.lines.Dropped()}, watcher)
+		return addViewReading(metrics.SiteReading{InFlight: frontServer.InFlight(), HeldBytes: budget.Used(), LinesDropped: p.lines.Dropped()}, watcher)
 	})
 	callers := newService(p.file.CallerListen, platform.FrontHandler(frontServer))
 	callers.server.ConnState = idle.Observe
@@ -67,7 +67,7 @@
 		defer cancel()
 		frontServer.Drain()
 		wait(stopping, drainDelay)
-		frontServer.AwaitRested(stopping)
+		frontServer.AwaitIdle(stopping)
 		frontServer.Close()
 		_ = callers.server.Shutdown(stopping)
 		usageReporter.Drain(stopping)
--- a/cmd/loomgrade/siteprocess.go
+++ b/cmd/loomgrade/siteprocess.go
@@ -122,7 +122,7 @@
 func (p *siteProcess) newProxy(watcher *siteview.Watcher, requestGuard *guard.Guard, budget *held.Budget) *proxy.Proxy {
 	return proxy.New(proxy.Config{
 		Dialect: p.dialect, View: watcher.View, Logger: p.logger, Connections: connectionsToReplica, Guard: requestGuard,
-		Held: budget, Sender: p.file.Machine, Cold: p.file.ColdLimits(),
+		MemoryBudget: budget, Sender: p.file.Machine, Cold: p.file.ColdLimits(),
 	})
 }
 
@@ -276,9 +276,9 @@
 }
 
 // addGroupReading adds a group member's published state to a reading.
-func addGroupReading(reading metrics.SiteReading, state *group.Shown) metrics.SiteReading {
+func addGroupReading(reading metrics.SiteReading, state *group.PublishedState) metrics.SiteReading {
 	if state != nil {
-		reading.Shard, reading.Leads = uint32(state.Shard), state.Settled
+		reading.Shard, reading.Leads = uint32(state.Shard), state.LeaderReady
 		reading.Term, reading.Applied = state.Status.Term, state.Applied
 	}
 	return reading
