--- a/internal/adapter/httpapi/application.go
+++ b/internal/adapter/httpapi/application.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// application serves a call that passes through to an application back end.
+// application forwards a request to an application back end.
 func (s *Server) application(writer http.ResponseWriter, request *http.Request) {
 	id := s.backend.NewRequestID()
 	writer.Header().Set(api.HeaderRequestID, string(id))
@@ -35,17 +35,17 @@
 		return port.ApplicationResponse{}, refusal
 	}
 	defer release()
-	ended := s.measure(call.Pool)
-	ctx, cancel := terms{deadline: call.Deadline}.limit(ctx)
+	recordEnd := s.measure(call.Pool)
+	ctx, cancel := requestOptions{deadline: call.Deadline}.withDeadline(ctx)
 	defer cancel()
 	response, failure := await(ctx, s, func(ctx context.Context) (port.ApplicationResponse, error) {
 		return s.backend.Application(ctx, call)
 	})
-	ended(failure)
+	recordEnd(failure)
 	return response, failure
 }
 
-// applicationRequest checks a request before anything of it runs.
+// applicationRequest validates a request and reads its body.
 func (s *Server) applicationRequest(writer http.ResponseWriter, request *http.Request, id port.RequestID) (port.ApplicationRequest, *port.Error) {
 	none := port.ApplicationRequest{}
 	if refusal := s.refuseWhileDraining(); refusal != nil {
@@ -62,7 +62,7 @@
 	if request.Method == http.MethodConnect || request.Method == http.MethodTrace {
 		return none, port.InvalidField("method", request.Method, "a method other than CONNECT and TRACE")
 	}
-	asked, refusal := readTerms(request, time.Now())
+	options, refusal := readOptions(request, time.Now())
 	if refusal != nil {
 		return none, refusal
 	}
@@ -78,15 +78,15 @@
 		Path:     path,
 		Header:   headerFields(request.Header, from.known),
 		Body:     body,
-		Priority: asked.priority,
-		Safe:     asked.safe,
-		Key:      asked.key,
-		Deadline: asked.deadline,
+		Priority: options.priority,
+		Safe:     options.safe,
+		Key:      options.key,
+		Deadline: options.deadline,
 	}, nil
 }
 
-// splitApplicationPath gives the pool and the path for the back end, with its
-// escapes and query as they came.
+// splitApplicationPath returns the pool and the path for the back end, with the
+// original escapes and query.
 func splitApplicationPath(request *http.Request) (port.PoolName, string, *port.Error) {
 	rest := strings.TrimPrefix(request.URL.EscapedPath(), api.PathApplication)
 	pool, path, _ := strings.Cut(rest, "/")
@@ -100,8 +100,8 @@
 	return port.PoolName(pool), path, nil
 }
 
-// headerFields lists the header for the back end. The token of a caller that
-// loomgrade knows is not passed on.
+// headerFields lists the header for the back end, without the token of a tenant or
+// the operator.
 func headerFields(header http.Header, knownCaller bool) []port.HeaderField {
 	fields := make([]port.HeaderField, 0, len(header))
 	for name, values := range header {
@@ -115,10 +115,10 @@
 	return fields
 }
 
-// writeApplication writes a back end's whole answer.
+// writeApplication writes a back end's complete response.
 func writeApplication(writer http.ResponseWriter, response port.ApplicationResponse) {
 	header := writer.Header()
-	header["Content-Type"] = nil // no guess where the back end names none
+	header["Content-Type"] = nil // disables content sniffing
 	for _, field := range response.Header {
 		header.Add(field.Name, field.Value)
 	}
--- a/internal/adapter/httpapi/authorize.go
+++ b/internal/adapter/httpapi/authorize.go
@@ -10,8 +10,8 @@
 
 const bearerPrefix = "Bearer "
 
-// bearer gives the digest of a request's token.
-func bearer(request *http.Request) apikey.Digest {
+// bearerDigest returns the digest of a request's bearer token.
+func bearerDigest(request *http.Request) apikey.Digest {
 	token, found := strings.CutPrefix(request.Header.Get("Authorization"), bearerPrefix)
 	if !found {
 		return apikey.Digest{}
@@ -26,18 +26,18 @@
 	return s.backend.View().Configuration.Tenants
 }
 
-// caller is who sent a request.
+// caller identifies the sender of a request.
 type caller struct {
 	tenant   port.TenantName
 	operator bool
-	// known says that the token named a tenant or the operator.
+	// known reports whether the token belongs to a tenant or the operator.
 	known bool
 }
 
-// authorize finds the caller. Where tenants are configured, a token of one of
-// them or of the operator is needed.
+// authorize identifies the caller. If tenants are configured, the token of a tenant
+// or the operator is required.
 func (s *Server) authorize(request *http.Request) (caller, *port.Error) {
-	token := bearer(request)
+	token := bearerDigest(request)
 	if s.operator.Equal(token) {
 		return caller{operator: true, known: true}, nil
 	}
@@ -52,17 +52,17 @@
 		}
 	}
 	if !found.known {
-		return caller{}, unauthorized("no or wrong token")
+		return caller{}, unauthorized("missing or wrong token")
 	}
 	return found, nil
 }
 
-// authorizeOperator lets only the operator in.
+// authorizeOperator rejects every caller but the operator.
 func (s *Server) authorizeOperator(request *http.Request) *port.Error {
-	if s.operator.Equal(bearer(request)) {
+	if s.operator.Equal(bearerDigest(request)) {
 		return nil
 	}
-	return unauthorized("this needs the operator's token")
+	return unauthorized("the operator's token is required")
 }
 
 func unauthorized(message string) *port.Error {
--- a/internal/adapter/httpapi/backend.go
+++ b/internal/adapter/httpapi/backend.go
@@ -10,104 +10,100 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Backend is the node behind the interface. Errors carry a *port.Error.
+// Backend is the node that serves the requests. Errors carry a *port.Error.
 type Backend interface {
-	// ID gives the node's id.
+	// ID returns the node's id.
 	ID() port.NodeID
-	// NewRequestID gives an id that names the node as the holder of the
-	// request's records.
+	// NewRequestID returns an id that names the node as the holder of the request's
+	// records.
 	NewRequestID() port.RequestID
-	// Application serves a call and gives the whole answer.
+	// Application runs an application call and returns the complete response.
 	Application(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error)
-	// Generate serves a completion; an error may come after chunks.
+	// Generate runs a completion; an error may follow chunks.
 	Generate(ctx context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error
 	// RegisterConsumer makes a trainer the only consumer of a pool.
 	RegisterConsumer(ctx context.Context, register port.RegisterConsumer) (port.Consumer, error)
-	// Batch answers a trainer's question, held for at most waitMillis.
+	// Batch returns a batch to a trainer, waiting for it at most waitMillis.
 	Batch(ctx context.Context, pool port.PoolName, number port.BatchNumber, consumer port.Epoch, waitMillis int64) (api.Batch, error)
 	// PublishWeights makes a version of a pool's weights current.
 	PublishWeights(ctx context.Context, changeID string, publish port.PublishWeights) (port.Result, error)
-	// Explain tells the decisions about a subject in words, with the records.
+	// Explain describes the decisions about a subject, with their records.
 	Explain(ctx context.Context, subject string) ([]string, []port.Decision, error)
-	// Ready says whether the node takes requests.
+	// Ready reports whether the node accepts requests.
 	Ready() bool
-	// Unconfirmed says whether the configuration lease has run out.
+	// Unconfirmed reports whether the configuration lease has expired.
 	Unconfirmed() bool
-	// View gives the control view that is in force here.
+	// View returns the current control view.
 	View() *port.View
-	// Serving counts, by pool and version, the replicas of this home.
+	// Serving counts the replicas of this home node by pool and version.
 	Serving() []port.ServingCount
 }
 
-// Recorder takes the measures of requests to configured pools.
+// Recorder records metrics of requests to configured pools.
 type Recorder interface {
-	RequestBegun(pool port.PoolName) (done func())
+	RequestStarted(pool port.PoolName) (done func())
 	RequestDone(pool port.PoolName, failure *port.Error, elapsed time.Duration)
 	TrainerWaited(pool port.PoolName, waited time.Duration)
 }
 
-// TenantLookup gives the tenants that may call now. An empty list lets every
-// caller in, without a tenant.
+// TenantLookup returns the current tenants. If there are none, every caller is
+// accepted, without a tenant.
 type TenantLookup func() []port.Tenant
 
-// Config says how a Server serves.
+// Config configures a Server.
 type Config struct {
 	Backend Backend
 	// Tenants defaults to the tenants of the Backend's view.
 	Tenants TenantLookup
-	// OperatorToken allows operators' requests; empty refuses them all.
+	// OperatorToken authenticates operators; if empty, their requests are rejected.
 	OperatorToken string
 	// Metrics serves /metrics; nil means none.
 	Metrics http.Handler
 	// Recorder may be nil.
 	Recorder Recorder
-	// Panicked is told of a panic of the Backend, which is answered as an
-	// internal error; nil ignores it.
+	// Panicked receives panics of the Backend, which are answered with an internal
+	// error; nil ignores them.
 	Panicked func(recovered any, stack []byte)
 	Limits   Limits
 }
 
-// Limits bound what callers can use. The zero value of a field means its
-// default.
+// Limits limits what callers can use. Zero fields take their defaults.
 type Limits struct {
-	// BodyBytes bounds the body of an application call or completion; default
-	// 1 MiB.
+	// BodyBytes limits the body of an application call or completion; default 1 MiB.
 	BodyBytes int64
-	// CommandBytes bounds every other body; default 64 KiB.
+	// CommandBytes limits every other body; default 64 KiB.
 	CommandBytes int64
-	// HeaderBytes bounds a request's header; default 32 KiB.
+	// HeaderBytes limits a request's header; default 32 KiB.
 	HeaderBytes int
-	// TextBytes bounds the text of a completion that isn't streamed; default
-	// 16 MiB.
+	// TextBytes limits the text of a completion that isn't streamed; default 16 MiB.
 	TextBytes int
-	// Connections bounds open connections; further ones wait. Default 8192.
+	// Connections limits open connections; further ones wait. Default 8192.
 	Connections int
-	// Calls and Streams bound application calls and completions under way;
-	// further ones are refused. Defaults 4096 each.
+	// Calls and Streams limit application calls and completions in flight; further
+	// ones are rejected. Defaults 4096 each.
 	Calls   int
 	Streams int
-	// HeaderTimeout and BodyTimeout bound the time to send a header and a body;
+	// HeaderTimeout and BodyTimeout limit the time to receive a header and a body;
 	// defaults 5s and 15s.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
-	// WriteTimeout bounds the time a client may take to accept one write;
+	// WriteTimeout limits the time that a client may take to accept one write;
 	// default 10s.
 	WriteTimeout time.Duration
 	// IdleTimeout closes unused connections; default 60s.
 	IdleTimeout time.Duration
-	// KeepAlive is how long callers are told that they may leave a connection
-	// unused before they send on it again; a stopping server waits as long.
-	// Default 2s, in whole seconds.
+	// KeepAlive is the announced time for which callers may reuse an idle connection;
+	// a stopping server waits as long. Default 2s, in whole seconds.
 	KeepAlive time.Duration
-	// GiveUpGrace is how long a request whose deadline has passed or whose
-	// caller is gone waits for the Backend's own verdict; default 100ms.
-	GiveUpGrace time.Duration
-	// DrainDelay is how long a stopping server goes on refusing requests, with
-	// "Connection: close", before it closes unused connections; default 250ms.
+	// CancelGrace is how long a request whose deadline has passed or whose caller has
+	// gone waits for the Backend's own verdict; default 100ms.
+	CancelGrace time.Duration
+	// DrainDelay is how long a stopping server rejects requests with
+	// "Connection: close" before it closes idle connections; default 250ms.
 	DrainDelay time.Duration
 }
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	defaultBodyBytes     = 1 << 20
 	defaultCommandBytes  = 64 << 10
@@ -121,7 +117,7 @@
 	defaultWriteTimeout  = 10 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
 	defaultKeepAlive     = 2 * time.Second
-	defaultGiveUpGrace   = 100 * time.Millisecond
+	defaultCancelGrace   = 100 * time.Millisecond
 	defaultDrainDelay    = 250 * time.Millisecond
 )
 
@@ -138,7 +134,7 @@
 	l.WriteTimeout = cmp.Or(l.WriteTimeout, defaultWriteTimeout)
 	l.IdleTimeout = cmp.Or(l.IdleTimeout, defaultIdleTimeout)
 	l.KeepAlive = cmp.Or(l.KeepAlive, defaultKeepAlive)
-	l.GiveUpGrace = cmp.Or(l.GiveUpGrace, defaultGiveUpGrace)
+	l.CancelGrace = cmp.Or(l.CancelGrace, defaultCancelGrace)
 	l.DrainDelay = cmp.Or(l.DrainDelay, defaultDrainDelay)
 	return l
 }
--- a/internal/adapter/httpapi/backend_test.go
+++ b/internal/adapter/httpapi/backend_test.go
@@ -15,7 +15,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// A node serves as it is.
+// A node is a Backend.
 var _ httpapi.Backend = (*node.Node)(nil)
 
 const (
@@ -25,7 +25,7 @@
 	tenantDigest = "c4fc99450884048588eb16d93597290ea6c31b0fd4d2fcc9157f9ffb35e95f1a"
 )
 
-// fakeBackend answers with its functions; a nil one answers nothing.
+// fakeBackend answers with its functions.
 type fakeBackend struct {
 	ids         atomic.Int64
 	application func(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error)
@@ -74,7 +74,7 @@
 func (b *fakeBackend) View() *port.View             { return &b.view }
 func (b *fakeBackend) Serving() []port.ServingCount { return nil }
 
-// newServer serves a backend and gives the server with its address.
+// newServer serves a backend and returns the server and its address.
 func newServer(t testing.TB, backend httpapi.Backend, limits httpapi.Limits) (*httpapi.Server, string) {
 	t.Helper()
 	return newServerWith(t, httpapi.Config{Backend: backend, OperatorToken: operatorToken, Limits: limits})
@@ -95,7 +95,7 @@
 	return server, listener.Addr().String()
 }
 
-// echoApplication answers with what it was called with.
+// echoApplication returns the method, path and body of the request.
 func echoApplication(_ context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error) {
 	return port.ApplicationResponse{
 		Status: http.StatusAccepted,
@@ -104,8 +104,8 @@
 	}, nil
 }
 
-// generateThree streams three chunks under two versions.
-func generateThree(_ context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error {
+// generateThreeChunks streams three chunks with two versions.
+func generateThreeChunks(_ context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error {
 	chunks := []port.GenerateChunk{
 		{Text: "one ", Tokens: 2, Version: 4},
 		{Text: "two ", Tokens: 1, Version: 5},
--- a/internal/adapter/httpapi/bench_test.go
+++ b/internal/adapter/httpapi/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// benchChunks is the number of chunks of the benchmarked completion.
+// benchChunks is the number of chunks in a benchmarked completion.
 const benchChunks = 16
 
 func serveBench(b *testing.B, handler http.HandlerFunc) (address string) {
@@ -77,9 +77,8 @@
 	}
 }
 
-// BenchmarkApplicationCall measures a call from a client over httpapi and
-// appclient to a back end, all on the loopback interface, and the same call
-// without loomgrade in between.
+// BenchmarkApplicationCall measures a call over loopback to a back end, directly and
+// through httpapi and appclient.
 func BenchmarkApplicationCall(b *testing.B) {
 	address := serveBench(b, applicationAnswer)
 	b.Run("direct", func(b *testing.B) { benchmarkPost(b, "http://"+address+"/read", []byte("{}")) })
@@ -92,8 +91,8 @@
 	})
 }
 
-// BenchmarkCompletion measures a streamed completion of 16 chunks over httpapi
-// and engineclient, and the same without loomgrade in between.
+// BenchmarkCompletion measures a streamed completion of 16 chunks, directly and
+// through httpapi and engineclient.
 func BenchmarkCompletion(b *testing.B) {
 	address := serveBench(b, engineAnswer)
 	body, err := json.Marshal(api.Completion{Model: "lm", Prompt: "a short prompt", MaxTokens: 1024, Stream: true})
--- a/internal/adapter/httpapi/bounds_test.go
+++ b/internal/adapter/httpapi/bounds_test.go
@@ -13,11 +13,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// endPatience is longer than any sound run takes to give a client up.
-const endPatience = 30 * time.Second
+// endTimeout limits the wait for the end of a stream.
+const endTimeout = 30 * time.Second
 
-// TestSlowReadersTimeOut lets a client ask and then read nothing of an answer
-// that fills every buffer on the way.
+// TestSlowReadersTimeOut guards against waiting forever for a client that does not
+// read a response larger than all buffers.
 func TestSlowReadersTimeOut(t *testing.T) {
 	const answerBytes = 32 << 20
 	limits := httpapi.Limits{WriteTimeout: 50 * time.Millisecond, TextBytes: 2 * answerBytes}
@@ -55,26 +55,26 @@
 			time.Sleep(20 * limits.WriteTimeout)
 			received, err := io.Copy(io.Discard, connection)
 			if received >= answerBytes {
-				t.Errorf("%d bytes came, %v: the connection was kept for a client that read nothing", received, err)
+				t.Errorf("%d bytes received, %v: the connection stayed open for a client that does not read", received, err)
 			}
 		})
 	}
 }
 
-// expectEnd waits for the failure of a stream that nobody reads.
+// expectEnd waits for the failure of a stream whose client does not read.
 func expectEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Fatal("the whole stream was written to a client that reads nothing")
+			t.Fatal("the complete stream was written to a client that does not read")
 		}
-	case <-time.After(endPatience):
-		t.Fatal("the stream waits for a client that reads nothing")
+	case <-time.After(endTimeout):
+		t.Fatal("the stream still waits for a client that does not read")
 	}
 }
 
-// TestHealthAndReadinessAreApart: a node that is not ready is healthy.
+// TestHealthAndReadinessAreApart checks that a node that is not ready is healthy.
 func TestHealthAndReadinessAreApart(t *testing.T) {
 	cases := []struct {
 		name          string
--- a/internal/adapter/httpapi/completion.go
+++ b/internal/adapter/httpapi/completion.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// completionBody is api.Completion with the fields of the customary interface
-// that would change the answer's form.
+// completionBody is api.Completion with the fields of the OpenAI interface that
+// would change the shape of the response.
 type completionBody struct {
 	api.Completion
 	Count  *int `json:"n"`
@@ -19,12 +19,12 @@
 	Echo   bool `json:"echo"`
 }
 
-// completion serves POST /v1/completions, streamed or whole.
+// completion serves POST /v1/completions, streamed or as one response.
 func (s *Server) completion(writer http.ResponseWriter, request *http.Request) {
 	id := s.backend.NewRequestID()
 	writer.Header().Set(api.HeaderRequestID, string(id))
 	s.markConfirmation(writer)
-	asked, body, refusal := s.completionRequest(writer, request)
+	options, body, refusal := s.completionRequest(writer, request)
 	if refusal != nil {
 		s.fail(writer, refusal)
 		return
@@ -35,34 +35,34 @@
 		return
 	}
 	defer release()
-	generate := generateRequest(id, body, asked)
-	ended := s.measure(generate.Pool)
-	ctx, cancel := asked.limit(request.Context())
+	generate := generateRequest(id, body, options)
+	recordEnd := s.measure(generate.Pool)
+	ctx, cancel := options.withDeadline(request.Context())
 	defer cancel()
 	answer := newCompletionAnswer(writer, generate, body.Stream, s.limits.TextBytes)
 	_, failure := await(ctx, s, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, s.backend.Generate(ctx, generate, answer.receive)
 	})
 	failure = answer.end(failure)
-	ended(failure)
+	recordEnd(failure)
 	if failure != nil && !answer.broken() {
 		s.fail(writer, failure)
 	}
 	if answer.broken() {
-		// The stream's missing end must show, also to a client that looks
-		// for no error event.
+		// Aborts the connection, so that clients that ignore error events see that
+		// the stream is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// completionTerms are a completion's checked terms with the caller.
-type completionTerms struct {
-	terms
+// completionOptions are a completion's options and its tenant.
+type completionOptions struct {
+	requestOptions
 	tenant port.TenantName
 }
 
-func (s *Server) completionRequest(writer http.ResponseWriter, request *http.Request) (completionTerms, api.Completion, *port.Error) {
-	var none completionTerms
+func (s *Server) completionRequest(writer http.ResponseWriter, request *http.Request) (completionOptions, api.Completion, *port.Error) {
+	var none completionOptions
 	if refusal := s.refuseWhileDraining(); refusal != nil {
 		return none, api.Completion{}, refusal
 	}
@@ -70,7 +70,7 @@
 	if refusal != nil {
 		return none, api.Completion{}, refusal
 	}
-	asked, refusal := readTerms(request, time.Now())
+	options, refusal := readOptions(request, time.Now())
 	if refusal != nil {
 		return none, api.Completion{}, refusal
 	}
@@ -82,14 +82,14 @@
 	if err := json.Unmarshal(encoded, &body); err != nil {
 		return none, api.Completion{}, malformedBody(err)
 	}
-	if refusal := checkCompletion(&body, asked); refusal != nil {
+	if refusal := checkCompletion(&body, options); refusal != nil {
 		return none, api.Completion{}, refusal
 	}
-	return completionTerms{asked, from.tenant}, body.Completion, nil
+	return completionOptions{options, from.tenant}, body.Completion, nil
 }
 
-// checkCompletion refuses what a node does not offer to callers.
-func checkCompletion(body *completionBody, asked terms) *port.Error {
+// checkCompletion rejects options that nodes don't offer to callers.
+func checkCompletion(body *completionBody, options requestOptions) *port.Error {
 	switch {
 	case body.Model == "" || len(body.Model) > maxKeyBytes:
 		return port.InvalidField("model", body.Model[:min(len(body.Model), maxKeyBytes)], "the name of a generation pool")
@@ -100,29 +100,29 @@
 	case body.ResumeTokens < 0:
 		return port.InvalidField("resume_tokens", formatInt(int64(body.ResumeTokens)), "0 or more")
 	case body.KVHandle != "":
-		return port.InvalidField("kv_handle", body.KVHandle, "nothing: nodes choose it")
+		return port.InvalidField("kv_handle", body.KVHandle, "empty: set by nodes only")
 	case body.Count != nil && *body.Count != 1:
 		return port.InvalidField("n", formatInt(int64(*body.Count)), "1")
 	case body.BestOf != nil && *body.BestOf != 1:
 		return port.InvalidField("best_of", formatInt(int64(*body.BestOf)), "1")
 	case body.Echo:
 		return port.InvalidField("echo", "true", "false")
-	case asked.key != "":
-		return port.InvalidField(api.HeaderRequestKey, asked.key, "nothing: completions are not remembered by key")
+	case options.key != "":
+		return port.InvalidField(api.HeaderRequestKey, options.key, "empty: results of completions are not cached")
 	default:
 		return nil
 	}
 }
 
-func generateRequest(id port.RequestID, body api.Completion, asked completionTerms) port.GenerateRequest {
-	priority := asked.priority
+func generateRequest(id port.RequestID, body api.Completion, options completionOptions) port.GenerateRequest {
+	priority := options.priority
 	if body.Priority != 0 {
 		priority = port.Priority(body.Priority)
 	}
 	return port.GenerateRequest{
 		ID:           id,
 		Pool:         port.PoolName(body.Model),
-		Tenant:       asked.tenant,
+		Tenant:       options.tenant,
 		Prompt:       body.Prompt,
 		MaxTokens:    body.MaxTokens,
 		Priority:     priority,
@@ -131,6 +131,6 @@
 		Resume:       body.ResumeText,
 		ResumeTokens: body.ResumeTokens,
 		MinVersion:   port.WeightVersion(body.MinVersion),
-		Safe:         asked.safe,
+		Safe:         options.safe,
 	}
 }
--- a/internal/adapter/httpapi/completion_test.go
+++ b/internal/adapter/httpapi/completion_test.go
@@ -22,7 +22,7 @@
 	var seen port.GenerateRequest
 	backend := &fakeBackend{generate: func(ctx context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error {
 		seen = request
-		return generateThree(ctx, request, receive)
+		return generateThreeChunks(ctx, request, receive)
 	}}
 	_, address := newServer(t, backend, httpapi.Limits{})
 	got := send(t, address, "POST", "/v1/completions",
@@ -47,7 +47,7 @@
 }
 
 func TestWholeCompletion(t *testing.T) {
-	_, address := newServer(t, &fakeBackend{generate: generateThree}, httpapi.Limits{})
+	_, address := newServer(t, &fakeBackend{generate: generateThreeChunks}, httpapi.Limits{})
 	got := send(t, address, "POST", "/v1/completions", `{"model":"lm","prompt":"p"}`)
 	want := `{"id":"r-n1-1","object":"text_completion","model":"lm","choices":[{"index":0,"text":"one two three","finish_reason":"stop"}],` +
 		`"spans":[{"version":4,"tokens":2},{"version":5,"tokens":2}],"usage":{"prompt_tokens":0,"completion_tokens":4,"cached_tokens":0}}`
@@ -57,13 +57,13 @@
 }
 
 func TestWholeCompletionIsBounded(t *testing.T) {
-	_, address := newServer(t, &fakeBackend{generate: generateThree}, httpapi.Limits{TextBytes: 8})
+	_, address := newServer(t, &fakeBackend{generate: generateThreeChunks}, httpapi.Limits{TextBytes: 8})
 	got := send(t, address, "POST", "/v1/completions", `{"model":"lm"}`)
 	expectRefusal(t, got, 413, port.CodeTooLarge, port.MayHaveRun)
 }
 
-// TestCompletionNeverLooksWholeWhenItIsNot covers ends of a completion without
-// its last chunk.
+// TestCompletionNeverLooksWholeWhenItIsNot covers completions that end without their
+// last chunk.
 func TestCompletionNeverLooksWholeWhenItIsNot(t *testing.T) {
 	broke := port.NewError(port.MayHaveRun, port.CodeBackEnd, "cut")
 	cases := []struct {
@@ -102,10 +102,10 @@
 				t.Errorf("the stream has an end marker: %s", body)
 			}
 			if !strings.Contains(string(body), `"code":"`+string(test.code)+`"`) {
-				t.Errorf("the stream does not tell of %s: %s", test.code, body)
+				t.Errorf("the stream does not report %s: %s", test.code, body)
 			}
 			if response.StatusCode == 200 && !errors.Is(err, io.ErrUnexpectedEOF) {
-				t.Errorf("the stream ended in order: %v", err)
+				t.Errorf("the stream was not aborted: %v", err)
 			}
 		})
 	}
@@ -135,14 +135,14 @@
 	}
 }
 
-// TestNodeKeepsTheEnginesContract checks a node's own completions with the
-// client that checks engines: the events are numbered, counted and ended.
+// TestNodeKeepsTheEnginesContract reads a node's completions with engineclient, which
+// checks the numbers, the counts and the end of the events.
 func TestNodeKeepsTheEnginesContract(t *testing.T) {
-	_, address := newServer(t, &fakeBackend{generate: generateThree}, httpapi.Limits{})
+	_, address := newServer(t, &fakeBackend{generate: generateThreeChunks}, httpapi.Limits{})
 	streams, control := httpcall.New(httpcall.Limits{}), httpcall.New(httpcall.Limits{})
 	client := engineclient.New(streams, control, address, engineclient.Limits{})
 	var text strings.Builder
-	// The node gives ids of its own, so that the request has to foresee its id.
+	// The node assigns request ids; the client expects the first one.
 	err := client.Generate(t.Context(), port.GenerateRequest{ID: "r-n1-1", Pool: "lm", Prompt: "p", MaxTokens: 8}, func(chunk port.GenerateChunk) error {
 		text.WriteString(chunk.Text)
 		return nil
@@ -153,8 +153,8 @@
 	client.Close()
 }
 
-// TestErrorsReachCallersThroughTheContract runs a refusal through the client
-// side's reading of errors.
+// TestErrorsReachCallersThroughTheContract checks that the client decodes the error
+// that the backend returned.
 func TestErrorsReachCallersThroughTheContract(t *testing.T) {
 	refusal := &port.Error{Verdict: port.NotRun, Code: port.CodeNoBackEnd, Message: "none", Field: "f", Value: "v", Allowed: "a", RetryAfter: 1500e6}
 	backend := &fakeBackend{generate: func(context.Context, port.GenerateRequest, func(port.GenerateChunk) error) error { return refusal }}
--- a/internal/adapter/httpapi/completionanswer.go
+++ b/internal/adapter/httpapi/completionanswer.go
@@ -19,12 +19,12 @@
 	endMarker        = "[DONE]"
 )
 
-// errAnswerEnded refuses chunks that come after the final answer.
-var errAnswerEnded = errors.New("the request has had its final answer")
+// errAnswerEnded rejects chunks after the end of the response.
+var errAnswerEnded = errors.New("the response has already ended")
 
-// completionAnswer writes a completion's chunks as they come, or gathers them.
-// Chunks come from the goroutine that runs the request, the end from the
-// handler's; a mutex orders them, so that nothing follows the final answer.
+// completionAnswer writes a completion's chunks as they arrive, or collects them.
+// Chunks arrive on the goroutine that runs the request and the handler ends the
+// response; the mutex ensures that no chunk is written after the end.
 type completionAnswer struct {
 	mutex     sync.Mutex
 	writer    http.ResponseWriter
@@ -33,9 +33,9 @@
 	streamed  bool
 	textBytes int
 
-	begun    bool
+	started  bool
 	ended    bool
-	broke    bool
+	failed   bool
 	events   uint64
 	tokens   int
 	finish   port.FinishReason
@@ -54,7 +54,7 @@
 	}
 }
 
-// receive takes the next chunk.
+// receive writes or collects the next chunk.
 func (a *completionAnswer) receive(chunk port.GenerateChunk) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -81,32 +81,32 @@
 	return port.AppendTokens(spans, chunk.Version, chunk.Tokens)
 }
 
-// end writes what is still to come of a whole completion. It gives the failure
-// that the request ended with; a completion without its last chunk is one.
+// end completes the response. It returns the request's failure; a completion without
+// its last chunk has failed.
 func (a *completionAnswer) end(failure *port.Error) *port.Error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.ended = true
 	if failure == nil && a.finish == "" {
-		failure = port.NewError(port.MayHaveRun, port.CodeInternal, "the completion ended without its last part")
+		failure = port.NewError(port.MayHaveRun, port.CodeInternal, "the completion ended without its last chunk")
 	}
 	switch {
-	case failure != nil && a.begun:
+	case failure != nil && a.started:
 		a.writeFailure(failure)
 	case failure != nil:
 	case a.streamed:
 		a.writeEnd()
 	default:
-		a.writeWhole()
+		a.writeComplete()
 	}
 	return failure
 }
 
-// broken says that an answer had begun and could not be finished.
+// broken reports whether a started response could not be completed.
 func (a *completionAnswer) broken() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.broke
+	return a.failed
 }
 
 func (a *completionAnswer) chunk(text string, finish port.FinishReason, spans []port.Span) api.CompletionChunk {
@@ -131,10 +131,10 @@
 	return a.writeEvent("", encoded)
 }
 
-// writeEvent writes one numbered event at once.
+// writeEvent writes and flushes one numbered event.
 func (a *completionAnswer) writeEvent(name string, data []byte) error {
-	if !a.begun {
-		a.begun = true
+	if !a.started {
+		a.started = true
 		a.writer.Header().Set("Content-Type", contentTypeSSE)
 		a.writer.Header().Set("Cache-Control", "no-store")
 	}
@@ -149,11 +149,11 @@
 	event = append(event, "\n\n"...)
 	a.encoding = event
 	if _, err := a.writer.Write(event); err != nil {
-		a.broke = true
+		a.failed = true
 		return err
 	}
 	if err := a.flusher.Flush(); err != nil {
-		a.broke = true
+		a.failed = true
 		return err
 	}
 	return nil
@@ -161,15 +161,15 @@
 
 func (a *completionAnswer) writeEnd() { _ = a.writeEvent("", []byte(endMarker)) }
 
-// writeFailure tells of a failure inside a stream, which then has no end marker.
+// writeFailure writes an error event; the stream then has no end marker.
 func (a *completionAnswer) writeFailure(failure *port.Error) {
 	encoded, err := json.Marshal(errorBody(failure))
-	if err == nil && !a.broke {
+	if err == nil && !a.failed {
 		_ = a.writeEvent("error", encoded)
 	}
-	a.broke = true
+	a.failed = true
 }
 
-func (a *completionAnswer) writeWhole() {
+func (a *completionAnswer) writeComplete() {
 	httpserve.WriteJSON(a.writer, http.StatusOK, a.chunk(a.text.String(), a.finish, a.spans))
 }
--- a/internal/adapter/httpapi/contract_test.go
+++ b/internal/adapter/httpapi/contract_test.go
@@ -11,8 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestServerKeepsContract runs the table of faulty requests against the calls of
-// callers and trainers that carry a body; the stand-ins run the same one.
+// TestServerKeepsContract sends faulty requests to the endpoints of callers and
+// trainers that take a body.
 func TestServerKeepsContract(t *testing.T) {
 	const bodyLimit = 4 << 10
 	var ran atomic.Int64
@@ -20,7 +20,7 @@
 	backend := &fakeBackend{
 		generate: func(ctx context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error {
 			ran.Add(1)
-			return generateThree(ctx, request, receive)
+			return generateThreeChunks(ctx, request, receive)
 		},
 		register: func(register port.RegisterConsumer) (port.Consumer, error) {
 			ran.Add(1)
--- a/internal/adapter/httpapi/doc.go
+++ b/internal/adapter/httpapi/doc.go
@@ -2,8 +2,7 @@
 // completions in the OpenAI-compatible form, trainers' batches and weights,
 // explanations, status, health and metrics. docs/PROTOCOLS.md is its contract.
 //
-// The package turns HTTP into the typed requests of a Backend and back. Every
-// error answer is an api.ErrorBody and carries the verdict in a header. What a
-// caller can make the process hold is bounded: headers, bodies, connections,
-// calls, streams and the time that each may take.
+// The package translates between HTTP and the typed requests of a Backend. Every
+// error response is an api.ErrorBody and carries the verdict in a header. Limits
+// apply to headers, bodies, connections, calls, streams and their durations.
 package httpapi
--- a/internal/adapter/httpapi/errors.go
+++ b/internal/adapter/httpapi/errors.go
@@ -9,12 +9,12 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// errorBody gives the body that tells of a failure.
+// errorBody returns the response body for a failure.
 func errorBody(failure *port.Error) api.ErrorBody {
 	return api.ErrorBody{Error: httpserve.Detail(failure)}
 }
 
-// fail writes an error answer.
+// fail writes an error response.
 func (s *Server) fail(writer http.ResponseWriter, failure *port.Error) {
 	httpserve.WriteError(writer, failure)
 }
--- a/internal/adapter/httpapi/httpapi_test.go
+++ b/internal/adapter/httpapi/httpapi_test.go
@@ -18,15 +18,15 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// answered is an answer as the tests compare it.
-type answered struct {
+// reply is a response as the tests compare it.
+type reply struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// send sends a request whose header is given in lines.
-func send(t *testing.T, address, method, path, body string, header ...string) answered {
+// send sends a request; header has lines of the form "Name: value".
+func send(t *testing.T, address, method, path, body string, header ...string) reply {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -46,12 +46,11 @@
 	if err != nil {
 		t.Fatalf("%s %s: read: %v", method, path, err)
 	}
-	return answered{response.StatusCode, response.Header, string(text)}
+	return reply{response.StatusCode, response.Header, string(text)}
 }
 
-// expectRefusal checks an error answer: status, code and verdict in the body
-// and in the header.
-func expectRefusal(t *testing.T, got answered, status int, code port.Code, verdict port.Verdict) {
+// expectRefusal checks the status, code and verdict of an error response.
+func expectRefusal(t *testing.T, got reply, status int, code port.Code, verdict port.Verdict) {
 	t.Helper()
 	var body api.ErrorBody
 	if err := json.Unmarshal([]byte(got.body), &body); err != nil {
@@ -112,7 +111,7 @@
 	}
 }
 
-// TestRefusals holds one row for each request that must not reach the backend.
+// TestRefusals covers requests that must not reach the backend.
 func TestRefusals(t *testing.T) {
 	reached := func(context.Context, port.ApplicationRequest) (port.ApplicationResponse, error) {
 		t.Error("the call reached the backend")
@@ -128,31 +127,31 @@
 	}{
 		{"no such path", "GET", "/nothing", "", nil, 404, port.CodeNotFound},
 		{"no pool", "GET", "/app/", "", nil, 400, port.CodeInvalid},
-		{"body over its bound", "POST", "/app/p/x", strings.Repeat("x", 65), nil, 413, port.CodeTooLarge},
-		{"priority that is none", "GET", "/app/p/x", "", []string{"X-Priority: high"}, 400, port.CodeInvalid},
-		{"deadline that is none", "GET", "/app/p/x", "", []string{"X-Deadline-Ms: 0"}, 400, port.CodeInvalid},
-		{"safe that is none", "GET", "/app/p/x", "", []string{"X-Safe-To-Repeat: perhaps"}, 400, port.CodeInvalid},
-		{"key over its bound", "GET", "/app/p/x", "", []string{"Idempotency-Key: " + strings.Repeat("k", 129)}, 400, port.CodeInvalid},
-		{"method that is not passed on", "TRACE", "/app/p/x", "", nil, 400, port.CodeInvalid},
+		{"body too large", "POST", "/app/p/x", strings.Repeat("x", 65), nil, 413, port.CodeTooLarge},
+		{"invalid priority", "GET", "/app/p/x", "", []string{"X-Priority: high"}, 400, port.CodeInvalid},
+		{"invalid deadline", "GET", "/app/p/x", "", []string{"X-Deadline-Ms: 0"}, 400, port.CodeInvalid},
+		{"invalid safe header", "GET", "/app/p/x", "", []string{"X-Safe-To-Repeat: perhaps"}, 400, port.CodeInvalid},
+		{"key too long", "GET", "/app/p/x", "", []string{"Idempotency-Key: " + strings.Repeat("k", 129)}, 400, port.CodeInvalid},
+		{"unsupported method", "TRACE", "/app/p/x", "", nil, 400, port.CodeInvalid},
 		{"completion without a model", "POST", "/v1/completions", `{}`, nil, 400, port.CodeInvalid},
-		{"completion that is no JSON", "POST", "/v1/completions", `{"model"`, nil, 400, port.CodeInvalid},
+		{"completion with malformed JSON", "POST", "/v1/completions", `{"model"`, nil, 400, port.CodeInvalid},
 		{"two completions", "POST", "/v1/completions", `{"model":"m","n":2}`, nil, 400, port.CodeInvalid},
-		{"foreign cache", "POST", "/v1/completions", `{"model":"m","kv_handle":"http://x"}`, nil, 400, port.CodeInvalid},
+		{"completion with a cache handle", "POST", "/v1/completions", `{"model":"m","kv_handle":"http://x"}`, nil, 400, port.CodeInvalid},
 		{"completion with a key", "POST", "/v1/completions", `{"model":"m"}`, []string{"Idempotency-Key: k"}, 400, port.CodeInvalid},
 		{"consumer without a name", "POST", "/v1/pools/p/consumers", `{}`, nil, 400, port.CodeInvalid},
 		{"consumer with an unknown field", "POST", "/v1/pools/p/consumers", `{"consumer":"t","x":1}`, nil, 400, port.CodeInvalid},
-		{"consumer followed by more", "POST", "/v1/pools/p/consumers", `{"consumer":"t"} {}`, nil, 400, port.CodeInvalid},
-		{"consumer over its bound", "POST", "/v1/pools/p/consumers", `{"consumer":"` + strings.Repeat("x", 256) + `"}`, nil, 413, port.CodeTooLarge},
+		{"consumer with trailing data", "POST", "/v1/pools/p/consumers", `{"consumer":"t"} {}`, nil, 400, port.CodeInvalid},
+		{"consumer body too large", "POST", "/v1/pools/p/consumers", `{"consumer":"` + strings.Repeat("x", 256) + `"}`, nil, 413, port.CodeTooLarge},
 		{"rewind without the operator", "POST", "/v1/pools/p/consumers", `{"consumer":"t","rewind_to":3}`, nil, 401, port.CodeUnauthorized},
 		{"batch 0", "GET", "/v1/pools/p/batches/0?consumer_epoch=1", "", nil, 400, port.CodeInvalid},
 		{"batch without an epoch", "GET", "/v1/pools/p/batches/1", "", nil, 400, port.CodeInvalid},
 		{"batch with too long a wait", "GET", "/v1/pools/p/batches/1?consumer_epoch=1&wait_ms=60001", "", nil, 400, port.CodeInvalid},
 		{"weights without a version", "POST", "/v1/pools/p/weights", `{"change_id":"c"}`, []string{operator}, 400, port.CodeInvalid},
-		{"weights with a change id over its bound", "POST", "/v1/pools/p/weights", `{"version":1,"change_id":"` + strings.Repeat("c", 129) + `"}`, []string{operator}, 400, port.CodeInvalid},
+		{"weights with an overlong change id", "POST", "/v1/pools/p/weights", `{"version":1,"change_id":"` + strings.Repeat("c", 129) + `"}`, []string{operator}, 400, port.CodeInvalid},
 		{"operator's weights without the token", "POST", "/v1/pools/p/weights", `{"version":1,"change_id":"c"}`, nil, 401, port.CodeUnauthorized},
 		{"explain without the token", "GET", "/v1/explain/x", "", nil, 401, port.CodeUnauthorized},
 		{"status with a wrong token", "GET", "/v1/status", "", []string{"Authorization: Bearer " + tenantToken}, 401, port.CodeUnauthorized},
-		{"explain what nobody knows", "GET", "/v1/explain/x", "", []string{operator}, 404, port.CodeNotFound},
+		{"explain an unknown subject", "GET", "/v1/explain/x", "", []string{operator}, 404, port.CodeNotFound},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -218,8 +217,8 @@
 	}
 }
 
-// TestGivenUpGetsItsAnswer lets the backend hang: the deadline alone ends the
-// request.
+// TestGivenUpGetsItsAnswer checks that the deadline ends a request while the backend
+// hangs.
 func TestGivenUpGetsItsAnswer(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -241,12 +240,12 @@
 }
 
 func TestPanicIsAnswered(t *testing.T) {
-	told := make(chan any, 1)
+	panics := make(chan any, 1)
 	backend := &fakeBackend{application: func(context.Context, port.ApplicationRequest) (port.ApplicationResponse, error) { panic("fault") }}
-	_, address := newServerWith(t, httpapi.Config{Backend: backend, Panicked: func(recovered any, _ []byte) { told <- recovered }})
+	_, address := newServerWith(t, httpapi.Config{Backend: backend, Panicked: func(recovered any, _ []byte) { panics <- recovered }})
 	expectRefusal(t, send(t, address, "GET", "/app/p/x", ""), 500, port.CodeInternal, port.MayHaveRun)
-	if recovered := <-told; recovered != "fault" {
-		t.Errorf("told of %v", recovered)
+	if recovered := <-panics; recovered != "fault" {
+		t.Errorf("Panicked received %v", recovered)
 	}
 }
 
@@ -261,12 +260,12 @@
 		generate: func(ctx context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error {
 			entered <- struct{}{}
 			<-release
-			return generateThree(ctx, request, receive)
+			return generateThreeChunks(ctx, request, receive)
 		},
 	}
 	_, address := newServer(t, backend, httpapi.Limits{Calls: 1, Streams: 1})
 	for path, body := range map[string]string{"/app/p/x": "", "/v1/completions": `{"model":"m"}`} {
-		first := make(chan answered, 1)
+		first := make(chan reply, 1)
 		go func() { first <- send(t, address, "POST", path, body) }()
 		<-entered
 		expectRefusal(t, send(t, address, "POST", path, body), 503, port.CodeQueueFull, port.NotRun)
@@ -294,7 +293,7 @@
 	_, _ = io.WriteString(second, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	_ = second.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := second.Read(make([]byte, 1)); err == nil {
-		t.Fatal("second connection was served beside the first")
+		t.Fatal("the second connection was served while the first was open")
 	}
 	_ = first.Close()
 	_ = second.SetReadDeadline(time.Time{})
@@ -314,7 +313,7 @@
 	return response.StatusCode
 }
 
-// TestSlowClients sends part of a request and then nothing.
+// TestSlowClients checks the timeouts for incomplete requests.
 func TestSlowClients(t *testing.T) {
 	limits := httpapi.Limits{HeaderTimeout: 30 * time.Millisecond, BodyTimeout: 30 * time.Millisecond}
 	_, address := newServer(t, &fakeBackend{application: echoApplication}, limits)
@@ -336,7 +335,7 @@
 			_, _ = io.WriteString(connection, test.sent)
 			answer, err := io.ReadAll(connection)
 			if err != nil {
-				t.Fatalf("the connection was not closed in order: %v", err)
+				t.Fatalf("the connection was not closed cleanly: %v", err)
 			}
 			if test.status != 0 && !strings.HasPrefix(string(answer), fmt.Sprintf("HTTP/1.1 %d ", test.status)) {
 				t.Errorf("answer %q, want status %d", answer, test.status)
@@ -345,8 +344,8 @@
 	}
 }
 
-// TestHeaderIsBounded looks at the backend only: the refusal may be lost when
-// the connection closes over what the client still sends.
+// TestHeaderIsBounded checks only that the backend is not called: closing the
+// connection while the client sends may lose the response.
 func TestHeaderIsBounded(t *testing.T) {
 	reached := make(chan struct{}, 1)
 	backend := &fakeBackend{application: func(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error) {
@@ -374,7 +373,7 @@
 		return echoApplication(ctx, request)
 	}}
 	server, address := newServer(t, backend, httpapi.Limits{})
-	first := make(chan answered, 1)
+	first := make(chan reply, 1)
 	go func() { first <- send(t, address, "POST", "/app/p/x", "whole") }()
 	<-entered
 	server.Drain()
@@ -397,8 +396,8 @@
 	}
 }
 
-// TestShutdownLeavesIdleConnectionsOpenAsAnnounced sends on a connection that was
-// idle when the stop began and that its caller may still use.
+// TestShutdownLeavesIdleConnectionsOpenAsAnnounced sends on an idle connection during
+// the announced keep-alive of a stopping server.
 func TestShutdownLeavesIdleConnectionsOpenAsAnnounced(t *testing.T) {
 	server, address := newServer(t, &fakeBackend{application: echoApplication}, httpapi.Limits{KeepAlive: time.Hour})
 	connection, err := net.Dial("tcp", address)
@@ -420,8 +419,7 @@
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
-	// Time for a stop that closes idle connections at once; the pass does not
-	// depend on it.
+	// Gives a server that wrongly closes idle connections time to do so.
 	time.Sleep(50 * time.Millisecond)
 	if answer, err := call(); err != nil || !answer.Close {
 		t.Errorf("%v, %v", answer, err)
@@ -473,10 +471,10 @@
 		t.Errorf("status %s", status.body)
 	}
 	if got := send(t, address, "GET", "/metrics", ""); !strings.Contains(got.body, `loomgrade_trainer_wait_seconds_count{pool="lm"} 1`) {
-		t.Error("no measure of the trainer's wait")
+		t.Error("the trainer's wait was not recorded")
 	}
 	send(t, address, "GET", "/v1/pools/unknown/batches/7?consumer_epoch=3", "")
 	if got := send(t, address, "GET", "/metrics", ""); strings.Contains(got.body, `pool="unknown"`) {
-		t.Error("a caller's word became a label")
+		t.Error("a pool name from a request became a label")
 	}
 }
--- a/internal/adapter/httpapi/operator.go
+++ b/internal/adapter/httpapi/operator.go
@@ -8,15 +8,15 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Explanation answers GET /v1/explain/ID.
+// Explanation is the response to GET /v1/explain/ID.
 type Explanation struct {
 	Subject string `json:"subject"`
-	// Text tells the decisions in plain words, oldest first.
+	// Text describes the decisions, oldest first.
 	Text      []string        `json:"text"`
 	Decisions []port.Decision `json:"decisions"`
 }
 
-// NodeStatus answers GET /v1/status.
+// NodeStatus is the response to GET /v1/status.
 type NodeStatus struct {
 	Node        port.NodeID             `json:"node"`
 	Ready       bool                    `json:"ready"`
@@ -29,16 +29,16 @@
 	Replicas    int                     `json:"replicas"`
 	Nodes       []port.NodeAddress      `json:"nodes"`
 	Weights     []port.PublishedWeights `json:"weights"`
-	// Serving counts the replicas that this node is the home of.
+	// Serving counts the replicas whose home is this node.
 	Serving []port.ServingCount `json:"serving"`
 }
 
-// Health answers GET /healthz and /readyz.
+// Health is the response to GET /healthz and /readyz.
 type Health struct {
 	Status string `json:"status"`
 }
 
-// The statuses of Health.
+// Values of Health.Status.
 const (
 	statusAlive    = "alive"
 	statusReady    = "ready"
@@ -56,7 +56,7 @@
 		return Explanation{Subject: subject, Text: text, Decisions: decisions}, err
 	})
 	if failure == nil && len(answer.Decisions) == 0 {
-		failure = port.NewError(port.NotRun, port.CodeNotFound, "no decision about %q is known", subject)
+		failure = port.NewError(port.NotRun, port.CodeNotFound, "no decision recorded about %q", subject)
 	}
 	s.answer(writer, answer, failure)
 }
@@ -83,12 +83,12 @@
 	}, nil)
 }
 
-// health says that the process runs and answers.
+// health reports that the process is running.
 func (s *Server) health(writer http.ResponseWriter, _ *http.Request) {
 	httpserve.WriteJSON(writer, http.StatusOK, Health{statusAlive})
 }
 
-// ready says whether callers should send requests here.
+// ready reports whether callers should send requests to this node.
 func (s *Server) ready(writer http.ResponseWriter, _ *http.Request) {
 	if s.isReady() {
 		httpserve.WriteJSON(writer, http.StatusOK, Health{statusReady})
--- a/internal/adapter/httpapi/server.go
+++ b/internal/adapter/httpapi/server.go
@@ -38,7 +38,7 @@
 
 var _ http.Handler = (*Server)(nil)
 
-// New makes a Server.
+// New returns a Server.
 func New(config Config) *Server {
 	limits := config.Limits.withDefaults()
 	s := &Server{
@@ -75,11 +75,11 @@
 	if s.config.Metrics != nil {
 		s.mux.Handle("GET "+api.PathMetrics, s.config.Metrics)
 	}
-	s.mux.HandleFunc("/", s.unknown)
+	s.mux.HandleFunc("/", s.notFound)
 }
 
-// Start serves a listener in the background. When ctx ends, what is in flight
-// is cut off; Shutdown is the planned way.
+// Start serves a listener in the background until ctx ends, which cuts off requests
+// in flight; Shutdown stops gracefully.
 func (s *Server) Start(ctx context.Context, listener net.Listener) {
 	s.http.BaseContext = func(net.Listener) context.Context { return ctx }
 	bounded := httpserve.BoundListener(listener, s.limits.Connections)
@@ -87,13 +87,12 @@
 	context.AfterFunc(ctx, s.Close)
 }
 
-// Drain refuses new requests as not run from now on; what is in flight goes on.
+// Drain rejects new requests as not run; requests in flight continue.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown stops as planned: it drains for Limits.DrainDelay, so that callers
-// with open connections move on, leaves idle connections open for as long as
-// their callers may use them (Limits.KeepAlive), and then waits for what is in
-// flight. When ctx ends first, the rest is cut off and ctx's error is returned.
+// Shutdown stops gracefully: it drains for Limits.DrainDelay, keeps idle connections
+// open for as long as their callers may use them (Limits.KeepAlive), and waits for
+// requests in flight. If ctx ends first, it cuts off the rest and returns ctx's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	delay := time.NewTimer(s.limits.DrainDelay)
@@ -111,7 +110,7 @@
 	return nil
 }
 
-// Close stops at once.
+// Close stops immediately.
 func (s *Server) Close() {
 	s.closing.Do(func() {
 		s.draining.Store(true)
@@ -120,12 +119,12 @@
 	})
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	timed := newTimedWriter(writer, s.limits.WriteTimeout)
 	if request.ContentLength != 0 {
-		// It holds for what net/http reads of a refused body too; readBody
-		// lifts it once the body is whole.
+		// The deadline also covers the body of a rejected request, which net/http
+		// reads; readBody removes it once the body is complete.
 		_ = timed.controller.SetReadDeadline(time.Now().Add(s.limits.BodyTimeout))
 	}
 	s.idle.Announce(timed.Header(), s.draining.Load())
@@ -136,11 +135,11 @@
 	s.mux.ServeHTTP(timed, request)
 }
 
-func (s *Server) unknown(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) notFound(writer http.ResponseWriter, request *http.Request) {
 	s.fail(writer, port.NewError(port.NotRun, port.CodeNotFound, "no %s %s", request.Method, request.URL.Path))
 }
 
-// refuseWhileDraining gives the refusal of new requests to a stopping node.
+// refuseWhileDraining returns the refusal of new requests while the node is stopping.
 func (s *Server) refuseWhileDraining() *port.Error {
 	if !s.draining.Load() {
 		return nil
@@ -150,19 +149,19 @@
 	return refusal
 }
 
-// acquire takes a slot, or refuses at once.
+// acquire takes a slot, or fails immediately if none is free.
 func acquire(slots chan struct{}) (release func(), refusal *port.Error) {
 	select {
 	case slots <- struct{}{}:
 		return func() { <-slots }, nil
 	default:
-		refusal = port.NewError(port.NotRun, port.CodeQueueFull, "too many requests are under way")
+		refusal = port.NewError(port.NotRun, port.CodeQueueFull, "too many requests in flight")
 		refusal.RetryAfter = time.Second
 		return nil, refusal
 	}
 }
 
-// timedWriter bounds how long a client may take to accept each write.
+// timedWriter limits how long a client may take to accept each write.
 type timedWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
@@ -173,7 +172,7 @@
 	return &timedWriter{writer, http.NewResponseController(writer), timeout}
 }
 
-// Unwrap lets http.ResponseController find the writer below.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *timedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // Write writes within the timeout.
@@ -189,12 +188,11 @@
 }
 
 func (w *timedWriter) extend() {
-	// Writers of tests have no deadlines.
+	// Writers in tests don't support deadlines.
 	_ = w.controller.SetWriteDeadline(time.Now().Add(w.timeout))
 }
 
-// readBody reads a bounded body; ServeHTTP bounds the time that clients have
-// for it.
+// readBody reads a body of at most limit bytes; ServeHTTP sets the read deadline.
 func (s *Server) readBody(writer http.ResponseWriter, request *http.Request, limit int64) ([]byte, *port.Error) {
 	if request.ContentLength > limit {
 		writer.Header().Set("Connection", "close")
@@ -213,15 +211,15 @@
 		return nil, bodyTooLarge(limit)
 	}
 	writer.Header().Set("Connection", "close")
-	return nil, port.NewError(port.NotRun, port.CodeInvalid, "the body did not come whole: %v", err)
+	return nil, port.NewError(port.NotRun, port.CodeInvalid, "incomplete body: %v", err)
 }
 
-// smallBody is allocated at once; a longer body takes memory only as it comes.
-const smallBody = 16 << 10
+// maxPreallocBytes limits the memory allocated by the announced length of a body.
+const maxPreallocBytes = 16 << 10
 
-// readAll reads to the end; length is that announced, or -1.
+// readAll reads source to its end; length is the announced length, or -1.
 func readAll(source io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > smallBody {
+	if length < 0 || length > maxPreallocBytes {
 		return io.ReadAll(source)
 	}
 	body := make([]byte, length)
--- a/internal/adapter/httpapi/trainer.go
+++ b/internal/adapter/httpapi/trainer.go
@@ -11,10 +11,10 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// maxWait bounds how long a trainer's question may be held.
+// maxWait limits how long a trainer's request may wait for a batch.
 const maxWait = time.Minute
 
-// registerConsumer makes a trainer its pool's consumer.
+// registerConsumer makes a trainer the consumer of its pool.
 func (s *Server) registerConsumer(writer http.ResponseWriter, request *http.Request) {
 	from, refusal := s.authorize(request)
 	if refusal != nil {
@@ -44,13 +44,13 @@
 	s.answer(writer, consumer, failure)
 }
 
-// batch delivers a batch by number.
+// batch returns a batch by number.
 func (s *Server) batch(writer http.ResponseWriter, request *http.Request) {
 	if _, refusal := s.authorize(request); refusal != nil {
 		s.fail(writer, refusal)
 		return
 	}
-	question, refusal := readBatchQuestion(request)
+	query, refusal := readBatchRequest(request)
 	if refusal != nil {
 		s.fail(writer, refusal)
 		return
@@ -61,26 +61,26 @@
 		return
 	}
 	defer release()
-	asked := time.Now()
+	started := time.Now()
 	batch, failure := await(request.Context(), s, func(ctx context.Context) (api.Batch, error) {
-		return s.backend.Batch(ctx, question.pool, question.number, question.consumer, question.waitMillis)
+		return s.backend.Batch(ctx, query.pool, query.number, query.consumer, query.waitMillis)
 	})
-	if s.config.Recorder != nil && s.configuredPool(question.pool) {
-		s.config.Recorder.TrainerWaited(question.pool, time.Since(asked))
+	if s.config.Recorder != nil && s.configuredPool(query.pool) {
+		s.config.Recorder.TrainerWaited(query.pool, time.Since(started))
 	}
 	s.answer(writer, batch, failure)
 }
 
-// batchQuestion is a trainer's question for a batch.
-type batchQuestion struct {
+// batchRequest is a trainer's request for a batch.
+type batchRequest struct {
 	pool       port.PoolName
 	number     port.BatchNumber
 	consumer   port.Epoch
 	waitMillis int64
 }
 
-func readBatchQuestion(request *http.Request) (batchQuestion, *port.Error) {
-	none := batchQuestion{}
+func readBatchRequest(request *http.Request) (batchRequest, *port.Error) {
+	none := batchRequest{}
 	number, err := strconv.ParseUint(request.PathValue("number"), 10, 64)
 	if err != nil || number == 0 {
 		return none, port.InvalidField("number", request.PathValue("number"), "a batch number from 1 on")
@@ -88,7 +88,7 @@
 	query := request.URL.Query()
 	epoch, err := strconv.ParseUint(query.Get(api.QueryConsumerEpoch), 10, 64)
 	if err != nil || epoch == 0 {
-		return none, port.InvalidField(api.QueryConsumerEpoch, query.Get(api.QueryConsumerEpoch), "the epoch that registration gave")
+		return none, port.InvalidField(api.QueryConsumerEpoch, query.Get(api.QueryConsumerEpoch), "the epoch returned by registration")
 	}
 	var wait int64
 	if text := query.Get(api.QueryWaitMs); text != "" {
@@ -97,7 +97,7 @@
 			return none, port.InvalidField(api.QueryWaitMs, text, "milliseconds from 0 to 60000")
 		}
 	}
-	return batchQuestion{
+	return batchRequest{
 		pool:       port.PoolName(request.PathValue("pool")),
 		number:     port.BatchNumber(number),
 		consumer:   port.Epoch(epoch),
@@ -105,8 +105,8 @@
 	}, nil
 }
 
-// publishWeights makes a new version current. Without a consumer epoch it is
-// an operator's publication.
+// publishWeights makes a new version current. A request without a consumer epoch
+// needs the operator's token.
 func (s *Server) publishWeights(writer http.ResponseWriter, request *http.Request) {
 	from, refusal := s.authorize(request)
 	if refusal != nil {
@@ -147,7 +147,7 @@
 	return checkName("change_id", body.ChangeID)
 }
 
-// answer writes a JSON answer or the failure.
+// answer writes a JSON response or the failure.
 func (s *Server) answer(writer http.ResponseWriter, body any, failure *port.Error) {
 	s.markConfirmation(writer)
 	if failure != nil {
--- a/internal/adapter/metrics/metrics_test.go
+++ b/internal/adapter/metrics/metrics_test.go
@@ -32,7 +32,7 @@
 
 func TestNode(t *testing.T) {
 	node := metrics.NewNode()
-	done := node.RequestBegun("lm")
+	done := node.RequestStarted("lm")
 	node.RequestDone("lm", nil, time.Second)
 	node.RequestDone("lm", port.NewError(port.NotRun, port.CodeQueueFull, "full"), 0)
 	node.Attempt("lm")
--- a/internal/adapter/metrics/node.go
+++ b/internal/adapter/metrics/node.go
@@ -78,8 +78,8 @@
 	n.seconds.WithLabelValues(string(pool)).Observe(elapsed.Seconds())
 }
 
-// RequestBegun counts a request as in flight until done is called.
-func (n *Node) RequestBegun(pool port.PoolName) (done func()) {
+// RequestStarted counts a request as in flight until done is called.
+func (n *Node) RequestStarted(pool port.PoolName) (done func()) {
 	running := n.inFlight.WithLabelValues(string(pool))
 	running.Inc()
 	return running.Dec
--- a/internal/adapter/metrics/page_test.go
+++ b/internal/adapter/metrics/page_test.go
@@ -16,7 +16,7 @@
 // usedNode gives a node's measures after each of its methods was called.
 func usedNode() *metrics.Node {
 	node := metrics.NewNode()
-	node.RequestBegun("lm")()
+	node.RequestStarted("lm")()
 	node.RequestDone("lm", port.NewError(port.NotRun, port.CodeQueueFull, "full"), time.Second)
 	node.Attempt("lm")
 	node.Queued("lm", 3)
