--- a/internal/adapter/operatorapi/bounds_test.go
+++ b/internal/adapter/operatorapi/bounds_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// serve serves a seeded backend with limits and gives the address.
+// serve serves a seeded backend with limits and returns the address.
 func serve(t *testing.T, limits Limits) string {
 	t.Helper()
-	return serveBackend(t, seeded(t), limits)
+	return serveBackend(t, newSeededBackend(t), limits)
 }
 
 func serveBackend(t *testing.T, backend Backend, limits Limits) string {
@@ -37,8 +37,8 @@
 	return listener.Addr().String()
 }
 
-// patience is longer than any sound run takes to close a connection.
-const patience = 30 * time.Second
+// testTimeout limits the wait for an event that a correct server causes.
+const testTimeout = 30 * time.Second
 
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
@@ -47,18 +47,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = connection.Close() })
-	_ = connection.SetDeadline(time.Now().Add(patience))
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
 	return connection
 }
 
-// TestSlowClientsAreCutOff sends part of a request and then nothing.
+// TestSlowClientsAreCutOff checks the timeouts for incomplete requests.
 func TestSlowClientsAreCutOff(t *testing.T) {
 	limits := Limits{HeaderTimeout: 30 * time.Millisecond, BodyTimeout: 30 * time.Millisecond}
 	head := "PUT " + PathConfig + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testToken + "\r\n"
 	for name, sent := range map[string]string{
-		"nothing":     "",
-		"half a head": head,
-		"half a body": head + "Content-Length: 100\r\n\r\n{",
+		"nothing":        "",
+		"partial header": head,
+		"partial body":   head + "Content-Length: 100\r\n\r\n{",
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := serve(t, limits)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestLongHeadersAreRefused looks at the status only where one comes: it may be
-// lost when the connection closes over what the client still sends.
+// TestLongHeadersAreRefused checks the status only if one is received: closing the
+// connection while the client sends may lose it.
 func TestLongHeadersAreRefused(t *testing.T) {
 	connection := dial(t, serve(t, Limits{}))
 	_, _ = io.WriteString(connection, "GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: "+strings.Repeat("x", 4*MaxHeaderBytes)+"\r\n\r\n")
@@ -84,7 +84,7 @@
 
 func TestConnectionsAreBounded(t *testing.T) {
 	address := serve(t, Limits{Connections: 1})
-	ask := func(connection net.Conn) error {
+	get := func(connection net.Conn) error {
 		if _, err := io.WriteString(connection, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			return err
 		}
@@ -95,13 +95,13 @@
 		return err
 	}
 	first := dial(t, address)
-	if err := ask(first); err != nil {
+	if err := get(first); err != nil {
 		t.Fatal(err)
 	}
 	second := dial(t, address)
 	_ = second.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if err := ask(second); err == nil {
-		t.Fatal("the second connection was served beside the first")
+	if err := get(second); err == nil {
+		t.Fatal("the second connection was served while the first was open")
 	}
 	_ = first.Close()
 	_ = second.SetReadDeadline(time.Time{})
@@ -110,13 +110,13 @@
 	}
 }
 
-// TestStoppedServerIsNotAFailure covers the planned stop.
+// TestStoppedServerIsNotAFailure covers the graceful stop.
 func TestStoppedServerIsNotAFailure(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(ServerConfig{Backend: seeded(t), Token: testToken})
+	server := NewServer(ServerConfig{Backend: newSeededBackend(t), Token: testToken})
 	done := make(chan error, 1)
 	go func() { done <- server.Serve(listener) }()
 	if _, err := http.Get("http://" + listener.Addr().String() + "/healthz"); err != nil {
--- a/internal/adapter/operatorapi/client.go
+++ b/internal/adapter/operatorapi/client.go
@@ -24,27 +24,26 @@
 const (
 	maxAnswerBytes    = 16 << 20
 	clientDialTimeout = 2 * time.Second
-	// clientAttempt bounds the wait for one member, which may be cut off in
-	// silence; the repetition at the next one takes effect once.
-	clientAttempt     = 5 * time.Second
-	clientTimeout     = 30 * time.Second
-	clientBackoffBase = 100 * time.Millisecond
-	clientBackoffMax  = 2 * time.Second
+	// clientAttemptTimeout limits the wait for one member, which may be unreachable;
+	// changes are idempotent, so the next member can retry.
+	clientAttemptTimeout = 5 * time.Second
+	clientTimeout        = 30 * time.Second
+	clientBackoffBase    = 100 * time.Millisecond
+	clientBackoffMax     = 2 * time.Second
 )
 
-// ErrNoServers refuses a client without addresses.
+// ErrNoServers means that a client was given no addresses.
 var ErrNoServers = errors.New("no operator addresses of control members")
 
-// Client calls the operators' interface of any control member. A call that one
-// member cannot serve, or does not answer in time, goes to the next; changes carry a change id, so that the
-// repetition takes effect once. Errors are *port.Error, whose verdict covers
-// all attempts.
+// Client calls the operator API of any control member. If a member cannot serve a call
+// or does not answer in time, the client retries at the next one; change ids make
+// retried changes idempotent. Errors are *port.Error, whose verdict covers all attempts.
 type Client struct {
 	servers []string
 	token   string
 	http    *http.Client
-	// first is the place of the member that answered last; it is asked first.
-	first atomic.Int64
+	// preferred is the index of the member that answered last; calls start with it.
+	preferred atomic.Int64
 }
 
 // NewClient returns a client for members at IP:port addresses.
@@ -54,10 +53,10 @@
 	}
 	dialer := &net.Dialer{Timeout: clientDialTimeout}
 	transport := &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}
-	return &Client{servers: servers, token: token, http: &http.Client{Transport: transport, Timeout: clientAttempt}}, nil
+	return &Client{servers: servers, token: token, http: &http.Client{Transport: transport, Timeout: clientAttemptTimeout}}, nil
 }
 
-// Config gives the configuration in force.
+// Config returns the current configuration.
 func (c *Client) Config(ctx context.Context) (Config, error) {
 	return call[Config](ctx, c, http.MethodGet, PathConfig, nil)
 }
@@ -67,17 +66,17 @@
 	return call[Accepted](ctx, c, http.MethodPut, PathConfig, change)
 }
 
-// History gives the accepted changes, oldest first.
+// History returns the accepted changes, oldest first.
 func (c *Client) History(ctx context.Context) (ConfigHistory, error) {
 	return call[ConfigHistory](ctx, c, http.MethodGet, PathConfigHistory, nil)
 }
 
-// ConfigStatus says where the revision is in force.
+// ConfigStatus returns the revision of each node.
 func (c *Client) ConfigStatus(ctx context.Context) (ConfigStatus, error) {
 	return call[ConfigStatus](ctx, c, http.MethodGet, PathConfigStatus, nil)
 }
 
-// Weights gives the published versions and where they are served.
+// Weights returns the published versions and the replicas that serve each.
 func (c *Client) Weights(ctx context.Context) (Weights, error) {
 	return call[Weights](ctx, c, http.MethodGet, PathWeights, nil)
 }
@@ -87,32 +86,32 @@
 	return call[Accepted](ctx, c, http.MethodPost, PathWeights, publication)
 }
 
-// Pools gives one line about each pool.
+// Pools returns a summary of each pool.
 func (c *Client) Pools(ctx context.Context) (Pools, error) {
 	return call[Pools](ctx, c, http.MethodGet, PathPools, nil)
 }
 
-// Pool gives the details of a pool.
+// Pool returns the details of a pool.
 func (c *Client) Pool(ctx context.Context, name port.PoolName) (PoolDetail, error) {
 	return call[PoolDetail](ctx, c, http.MethodGet, withName(PathPool, "{pool}", string(name)), nil)
 }
 
-// Replicas gives all replicas.
+// Replicas returns all replicas.
 func (c *Client) Replicas(ctx context.Context) (Replicas, error) {
 	return call[Replicas](ctx, c, http.MethodGet, PathReplicas, nil)
 }
 
-// DrainReplica orders that a replica gets no new work.
+// DrainReplica stops new work for a replica.
 func (c *Client) DrainReplica(ctx context.Context, id port.ReplicaID, change ReplicaChange) (Accepted, error) {
 	return call[Accepted](ctx, c, http.MethodPost, withName(PathReplicaDrain, "{id}", string(id)), change)
 }
 
-// ReturnReplica takes the order to drain back.
+// ReturnReplica returns a drained replica to service.
 func (c *Client) ReturnReplica(ctx context.Context, id port.ReplicaID, change ReplicaChange) (Accepted, error) {
 	return call[Accepted](ctx, c, http.MethodPost, withName(PathReplicaReturn, "{id}", string(id)), change)
 }
 
-// Members gives the control members as one of them sees them.
+// Members returns the control members from one member's view.
 func (c *Client) Members(ctx context.Context) (Members, error) {
 	return call[Members](ctx, c, http.MethodGet, PathMembers, nil)
 }
@@ -128,13 +127,13 @@
 	return call[Members](ctx, c, http.MethodPost, path, nil)
 }
 
-// RemoveMember takes a control member out of the group.
+// RemoveMember removes a control member from the group.
 func (c *Client) RemoveMember(ctx context.Context, id uint64) (Members, error) {
 	path := withName(PathMember, "{id}", strconv.FormatUint(id, 10))
 	return call[Members](ctx, c, http.MethodDelete, path, nil)
 }
 
-// Status gives one member's view of the group.
+// Status returns one member's view of the group.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	return call[Status](ctx, c, http.MethodGet, PathStatus, nil)
 }
@@ -143,7 +142,7 @@
 	return strings.Replace(path, placeholder, url.PathEscape(name), 1)
 }
 
-// call makes one call and decodes its answer.
+// call makes one call and decodes its response.
 func call[Answer any](ctx context.Context, c *Client, method, path string, body any) (Answer, error) {
 	var answer Answer
 	content, err := encodeBody(body)
@@ -165,9 +164,8 @@
 	return content, nil
 }
 
-// tryAll goes through the members again and again, with backoff between the
-// rounds, while the failures are of a kind that time or another member may
-// mend and the context lasts.
+// tryAll tries the members in turn, with backoff between rounds, until one answers,
+// the failure is not retriable or ctx ends.
 func (c *Client) tryAll(ctx context.Context, method, path string, content []byte, answer any) error {
 	if _, bounded := ctx.Deadline(); !bounded {
 		var cancel context.CancelFunc
@@ -177,12 +175,12 @@
 	mayHaveRun := false
 	for round := 0; ; round++ {
 		var last *port.Error
-		first := int(c.first.Load())
+		first := int(c.preferred.Load())
 		for offset := range c.servers {
-			place := (first + offset) % len(c.servers)
-			err := c.try(ctx, c.servers[place], method, path, content, answer)
+			index := (first + offset) % len(c.servers)
+			err := c.try(ctx, c.servers[index], method, path, content, answer)
 			if err == nil {
-				c.first.Store(int64(place))
+				c.preferred.Store(int64(index))
 				return nil
 			}
 			last = port.AsError(err)
@@ -197,12 +195,11 @@
 	}
 }
 
-// pause waits a full-jitter delay; it reports false when the context ended
-// first.
+// pause waits for a delay with full jitter; it reports false if ctx ends first.
 func pause(ctx context.Context, round int) bool {
 	const maxShift = 8
-	bound := min(clientBackoffBase<<min(round, maxShift), clientBackoffMax)
-	timer := time.NewTimer(rand.N(bound))
+	limit := min(clientBackoffBase<<min(round, maxShift), clientBackoffMax)
+	timer := time.NewTimer(rand.N(limit))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -220,13 +217,13 @@
 	return false
 }
 
-// withVerdict keeps a refusal from claiming NotRun when an earlier attempt may
-// have run.
+// withVerdict replaces the verdict NotRun of a refusal if an earlier attempt may have
+// run.
 func withVerdict(refusal *port.Error, mayHaveRun bool) *port.Error {
 	if mayHaveRun && refusal.Verdict == port.NotRun {
-		careful := *refusal
-		careful.Verdict = port.MayHaveRun
-		return &careful
+		weakened := *refusal
+		weakened.Verdict = port.MayHaveRun
+		return &weakened
 	}
 	return refusal
 }
@@ -253,7 +250,7 @@
 		return port.NewError(port.MayHaveRun, port.CodeTooLarge, "the answer of %s is larger than %d bytes", server, maxAnswerBytes)
 	}
 	if response.StatusCode != http.StatusOK {
-		return answeredError(response, body)
+		return parseErrorResponse(response, body)
 	}
 	if err := json.Unmarshal(body, answer); err != nil {
 		return port.NewError(port.MayHaveRun, port.CodeInternal, "undecodable answer of %s: %s", server, err.Error())
@@ -261,8 +258,8 @@
 	return nil
 }
 
-// transportError gives a failure of the connection its verdict: only a failed
-// dial proves that nothing was sent.
+// transportError returns the error for a connection failure; only a failed dial proves
+// that nothing was sent.
 func transportError(err error) *port.Error {
 	verdict := port.MayHaveRun
 	var operation *net.OpError
@@ -272,16 +269,16 @@
 	return port.NewError(verdict, port.CodeUnavailable, "%s", eris.Cause(err).Error())
 }
 
-// answeredError reads an error answer. One that is not in the documented form,
-// such as a proxy's, may have run.
-func answeredError(response *http.Response, body []byte) *port.Error {
+// parseErrorResponse decodes an error response. Without the documented body, such as
+// from a proxy, the call may have run.
+func parseErrorResponse(response *http.Response, body []byte) *port.Error {
 	var decoded ConflictBody
 	if err := json.Unmarshal(body, &decoded); err != nil || decoded.Error.Code == "" {
 		return port.NewError(port.MayHaveRun, port.CodeInternal, "status %d without an error body", response.StatusCode)
 	}
 	refusal := httpserve.ParseDetail(decoded.Error)
 	if decoded.Current != nil {
-		refusal.Message += "; it is shown by config get"
+		refusal.Message += "; run config get to see it"
 	}
 	return refusal
 }
--- a/internal/adapter/operatorapi/config.go
+++ b/internal/adapter/operatorapi/config.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// silentAfterMillis is the age of a report from which a node counts as silent.
+// silentAfterMillis is the report age above which a node counts as silent.
 const silentAfterMillis = 10_000
 
 func (s *Server) view(request *http.Request) (*port.View, error) {
@@ -41,7 +41,7 @@
 	if change.Configuration != nil {
 		edits, err := s.editsTo(request, *change.ExpectedRevision, *change.Configuration)
 		if err != nil {
-			return s.answerChange(writer, request, port.Result{}, err)
+			return s.writeChangeResult(writer, request, port.Result{}, err)
 		}
 		change.Edits = edits
 	}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// editsTo turns a whole configuration into edits of the expected revision.
+// editsTo returns the edits from the expected revision to a complete configuration.
 func (s *Server) editsTo(request *http.Request, expected port.Revision, wanted port.Configuration) ([]port.Edit, error) {
 	view, err := s.config.Backend.View(request.Context(), false)
 	if err != nil {
@@ -72,12 +72,12 @@
 	}
 	edits := registry.DiffConfiguration(view.Configuration, wanted)
 	if len(edits) == 0 {
-		return nil, port.InvalidField("configuration", "the present one", "a configuration that changes something")
+		return nil, port.InvalidField("configuration", "the current one", "a configuration that changes something")
 	}
 	return edits, nil
 }
 
-// proposeEdits checks where the edits lead and puts them through the log.
+// proposeEdits checks the resulting configuration and proposes the edits.
 func (s *Server) proposeEdits(writer http.ResponseWriter, request *http.Request, change ConfigChange) error {
 	if err := s.checkOutcome(request, change); err != nil {
 		return err
@@ -94,11 +94,11 @@
 	if err == nil && result.Error != nil {
 		err = result.Error
 	}
-	return s.answerChange(writer, request, result, err)
+	return s.writeChangeResult(writer, request, result, err)
 }
 
-// checkOutcome runs the check on what the edits lead to, where the expected
-// revision is this member's; the log judges all else.
+// checkOutcome checks the configuration that results from the edits, if this member has
+// the expected revision; applying the command validates everything else.
 func (s *Server) checkOutcome(request *http.Request, change ConfigChange) error {
 	if s.config.CheckConfiguration == nil {
 		return nil
@@ -114,9 +114,9 @@
 	return s.config.CheckConfiguration(outcome)
 }
 
-// answerChange answers an accepted change or shows a conflicting one what is
-// in force.
-func (s *Server) answerChange(writer http.ResponseWriter, request *http.Request, result port.Result, err error) error {
+// writeChangeResult writes the result of a change; a conflict includes the current
+// configuration.
+func (s *Server) writeChangeResult(writer http.ResponseWriter, request *http.Request, result port.Result, err error) error {
 	if err == nil {
 		httpserve.WriteJSON(writer, http.StatusOK, Accepted{Revision: result.Revision, Index: result.Index})
 		return nil
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// configStatus says for each registered node which revision it has in force.
+// configStatus returns the state of the revision at each registered node.
 func configStatus(view *port.View, reports Reports) ConfigStatus {
 	byNode := make(map[port.NodeID]NodeReport, len(reports.Nodes))
 	for _, report := range reports.Nodes {
@@ -171,7 +171,7 @@
 		if report, known := byNode[node.ID]; known {
 			line.Revision, line.Since = report.Report.Revision, report.RevisionSince
 			line.ReportAgeMillis = report.AgeMillis
-			line.State = stateOf(report, view.Revision)
+			line.State = nodeState(report, view.Revision)
 		}
 		status.count(line.State)
 		status.Nodes = append(status.Nodes, line)
@@ -179,7 +179,7 @@
 	return status
 }
 
-func stateOf(report NodeReport, revision port.Revision) string {
+func nodeState(report NodeReport, revision port.Revision) string {
 	switch {
 	case report.AgeMillis > silentAfterMillis:
 		return StateSilent
--- a/internal/adapter/operatorapi/contract_test.go
+++ b/internal/adapter/operatorapi/contract_test.go
@@ -8,11 +8,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestServerKeepsContract runs the table of faulty requests against the changes
-// that operators make.
+// TestServerKeepsContract sends faulty requests to endpoints that change the
+// configuration.
 func TestServerKeepsContract(t *testing.T) {
 	machineList := "http://127.0.0.1:8000"
-	change := put(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: []port.Edit{{MachineList: &machineList}}})
+	change := marshalChange(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: []port.Edit{{MachineList: &machineList}}})
 	drain := `{"expected_revision":1,"change_id":"` + changeID(3) + `"}`
 	calls := map[string]struct{ method, path, body string }{
 		"configuration": {http.MethodPut, PathConfig, change},
@@ -20,7 +20,7 @@
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			backend := seeded(t)
+			backend := newSeededBackend(t)
 			address := serveBackend(t, backend, Limits{})
 			contracttest.RunServer(t, contracttest.Endpoint{
 				Address: address, Method: call.method, Path: call.path, Body: call.body,
--- a/internal/adapter/operatorapi/doc.go
+++ b/internal/adapter/operatorapi/doc.go
@@ -1,8 +1,8 @@
-// Package operatorapi is the HTTP and JSON interface that a control member
-// serves to operators, and the client that the command line uses.
+// Package operatorapi is the HTTP and JSON interface of a control member for operators,
+// and its client.
 //
-// Every call but the health checks needs the operator token. Bodies, headers,
-// connections and times are bounded. A change carries the revision that it
-// expects and a change id: a resend under the same id, to any member, gets the
-// first answer. Errors are api.ErrorBody, with the verdict.
+// Every call except health checks and metrics needs the operator token. Bodies, headers,
+// connections and durations are limited. A change carries the expected revision and a
+// change id: a retry with the same id, at any member, returns the first result. Errors
+// are api.ErrorBody, with the verdict.
 package operatorapi
--- a/internal/adapter/operatorapi/errors.go
+++ b/internal/adapter/operatorapi/errors.go
@@ -15,8 +15,8 @@
 	httpserve.WriteError(writer, port.AsError(err))
 }
 
-// readJSON reads one JSON value strictly: an unknown field, a wrong type, more
-// than one value and a body over the limit are refused as not run.
+// readJSON reads one JSON value strictly: it rejects, as not run, unknown fields, wrong
+// types, trailing data and bodies over the limit.
 func readJSON(writer http.ResponseWriter, request *http.Request, limit int64, body any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, limit))
 	decoder.DisallowUnknownFields()
--- a/internal/adapter/operatorapi/fleet.go
+++ b/internal/adapter/operatorapi/fleet.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// serving adds up what the nodes that are not silent report of a pool.
+// serving sums the replicas of a pool in recent node reports by version.
 func serving(reports Reports, pool port.PoolName) []port.ServingCount {
 	byVersion := make(map[port.WeightVersion]int)
 	for _, report := range reports.Nodes {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// addDelivery adds weights and delivery state of a pool that feeds a trainer.
+// addDelivery adds the weights and delivery state of a pool with a trainer.
 func (s *Server) addDelivery(request *http.Request, view *port.View, answer *PoolDetail) error {
 	ledger, err := s.config.Backend.Ledger(request.Context(), answer.Pool.Name)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// setReplica makes the configuration change that drains or returns a replica.
+// setReplica returns a handler that drains a replica or returns it to service.
 func (s *Server) setReplica(state port.ReplicaState) handler {
 	return func(writer http.ResponseWriter, request *http.Request) error {
 		var body ReplicaChange
@@ -219,10 +219,10 @@
 		return err
 	}
 	if change.ID == 0 {
-		return port.InvalidField("id", "0", "a number above every earlier member's")
+		return port.InvalidField("id", "0", "a number above the id of every earlier member")
 	}
 	if _, err := netip.ParseAddrPort(change.Address); err != nil {
-		return port.InvalidField("address", change.Address, "IP:port, by number")
+		return port.InvalidField("address", change.Address, "a numeric IP:port")
 	}
 	change.Action = MemberAdd
 	return s.applyMemberChange(writer, request, change)
--- a/internal/adapter/operatorapi/operatorapi_test.go
+++ b/internal/adapter/operatorapi/operatorapi_test.go
@@ -22,7 +22,7 @@
 
 const testToken = "operator-token"
 
-// stateBackend is a Backend on one state machine, without a group.
+// stateBackend is a Backend with one state machine and no replication.
 type stateBackend struct {
 	mutex   sync.Mutex
 	state   *controlstate.State
@@ -45,7 +45,7 @@
 	return b.state.Apply(b.index, 1, command), nil
 }
 
-// revision gives the configuration's revision.
+// revision returns the configuration's revision.
 func (b *stateBackend) revision() port.Revision {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -92,8 +92,8 @@
 	return &port.Replica{ID: id, Pool: pool, Zone: "zone-a", Address: "127.0.0.1:9001", State: port.ReplicaActive}
 }
 
-// seeded gives a backend at revision 1, with a pool and a replica.
-func seeded(t *testing.T) *stateBackend {
+// newSeededBackend returns a backend at revision 1, with a pool and a replica.
+func newSeededBackend(t *testing.T) *stateBackend {
 	t.Helper()
 	backend := newStateBackend()
 	result, _ := backend.Propose(context.Background(), port.Command{
@@ -112,7 +112,7 @@
 	return registry.FormatChangeID(time.Now(), []byte{0, 0, 0, 0, 0, 0, 0, number})
 }
 
-func request(server *Server, method, path, token, body string) *httptest.ResponseRecorder {
+func serveRequest(server *Server, method, path, token, body string) *httptest.ResponseRecorder {
 	call := httptest.NewRequest(method, path, strings.NewReader(body))
 	if token != "" {
 		call.Header.Set("Authorization", "Bearer "+token)
@@ -122,7 +122,7 @@
 	return recorder
 }
 
-func put(t *testing.T, change ConfigChange) string {
+func marshalChange(t *testing.T, change ConfigChange) string {
 	t.Helper()
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -133,11 +133,11 @@
 
 func revision(number port.Revision) *port.Revision { return &number }
 
-// TestContract runs the interface's calls and faults against one server each.
+// TestContract runs each call, valid or faulty, on a new server.
 func TestContract(t *testing.T) {
 	machineList := "http://127.0.0.1:8000"
 	edits := []port.Edit{{MachineList: &machineList}}
-	good := put(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: edits})
+	good := marshalChange(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: edits})
 	drain := `{"expected_revision":1,"change_id":"` + changeID(3) + `"}`
 	unavailable := port.NewError(port.NotRun, port.CodeUnavailable, "no leader")
 	unavailable.RetryAfter = time.Second
@@ -146,7 +146,7 @@
 		token                    string
 		failure                  *port.Error
 		status                   int
-		// contains must stand in the answer.
+		// contains lists substrings of the response.
 		contains []string
 	}{
 		{name: "no token", method: "GET", path: PathConfig, token: "none", status: 401, contains: []string{`"unauthorized"`, `"not-run"`}},
@@ -157,17 +157,17 @@
 		{name: "configuration", method: "GET", path: PathConfig, status: 200, contains: []string{`"revision":1`, `"page-api"`}},
 		{name: "no leader", method: "GET", path: PathConfig, failure: unavailable, status: 503, contains: []string{`"retry_after_ms":1000`}},
 		{name: "change", method: "PUT", path: PathConfig, body: good, status: 200, contains: []string{`"revision":2`}},
-		{name: "conflict shows what is in force", method: "PUT", path: PathConfig, status: 409,
-			body:     put(t, ConfigChange{ExpectedRevision: revision(0), ChangeID: changeID(2), Edits: edits}),
+		{name: "conflict includes the current configuration", method: "PUT", path: PathConfig, status: 409,
+			body:     marshalChange(t, ConfigChange{ExpectedRevision: revision(0), ChangeID: changeID(2), Edits: edits}),
 			contains: []string{`"conflict"`, `"current":{"revision":1`, `"page-api"`}},
 		{name: "change without expected revision", method: "PUT", path: PathConfig, status: 400,
-			body: put(t, ConfigChange{ChangeID: changeID(2), Edits: edits}), contains: []string{`"expected_revision"`}},
+			body: marshalChange(t, ConfigChange{ChangeID: changeID(2), Edits: edits}), contains: []string{`"expected_revision"`}},
 		{name: "change without change id", method: "PUT", path: PathConfig, status: 400,
-			body: put(t, ConfigChange{ExpectedRevision: revision(1), Edits: edits}), contains: []string{`"change_id"`}},
+			body: marshalChange(t, ConfigChange{ExpectedRevision: revision(1), Edits: edits}), contains: []string{`"change_id"`}},
 		{name: "change without edits", method: "PUT", path: PathConfig, status: 400,
-			body: put(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2)}), contains: []string{`"edits"`}},
-		{name: "change of a field to what is not allowed", method: "PUT", path: PathConfig, status: 400,
-			body:     put(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: []port.Edit{{PutPool: &port.Pool{Name: "x", Kind: "odd"}}}}),
+			body: marshalChange(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2)}), contains: []string{`"edits"`}},
+		{name: "change of a field to an invalid value", method: "PUT", path: PathConfig, status: 400,
+			body:     marshalChange(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: []port.Edit{{PutPool: &port.Pool{Name: "x", Kind: "odd"}}}}),
 			contains: []string{`"field":"pools[x].kind"`, `"value":"odd"`, `"allowed":"generation or application"`}},
 		{name: "unknown field", method: "PUT", path: PathConfig, body: `{"expectedRevision":1}`, status: 400, contains: []string{"expectedRevision"}},
 		{name: "wrong type", method: "PUT", path: PathConfig, body: `{"expected_revision":"one"}`, status: 400, contains: []string{`"field":"expected_revision"`}},
@@ -183,20 +183,20 @@
 		{name: "weights of a pool without a trainer", method: "POST", path: PathWeights, status: 400,
 			body: `{"pool":"page-api","version":1,"bytes":1,"change_id":"` + changeID(4) + `"}`, contains: []string{`"field":"pool"`}},
 		{name: "member without an address", method: "POST", path: PathMembers, body: `{"id":4,"address":"host"}`, status: 400, contains: []string{`"address"`}},
-		{name: "member by a name", method: "DELETE", path: "/v1/members/four", status: 400},
+		{name: "non-numeric member id", method: "DELETE", path: "/v1/members/four", status: 400},
 		{name: "unknown path", method: "GET", path: "/v1/none", status: 404},
 		{name: "wrong method", method: "PATCH", path: PathConfig, status: 405},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			backend := seeded(t)
+			backend := newSeededBackend(t)
 			backend.failure = test.failure
 			token := test.token
 			if token == "" {
 				token = testToken
 			}
 			server := NewServer(ServerConfig{Backend: backend, Token: testToken})
-			answer := request(server, test.method, test.path, token, test.body)
+			answer := serveRequest(server, test.method, test.path, token, test.body)
 			if answer.Code != test.status {
 				t.Fatalf("status %d, want %d: %s", answer.Code, test.status, answer.Body)
 			}
@@ -210,7 +210,7 @@
 }
 
 func TestAnEmptyTokenOpensNothing(t *testing.T) {
-	server := NewServer(ServerConfig{Backend: seeded(t)})
+	server := NewServer(ServerConfig{Backend: newSeededBackend(t)})
 	call := httptest.NewRequest("GET", PathConfig, nil)
 	call.Header.Set("Authorization", "Bearer ")
 	recorder := httptest.NewRecorder()
@@ -221,12 +221,12 @@
 }
 
 func TestRefusedCheckKeepsAChangeOut(t *testing.T) {
-	backend := seeded(t)
+	backend := newSeededBackend(t)
 	check := func(port.Configuration) error { return port.InvalidField("policy", "", "a program that compiles") }
 	server := NewServer(ServerConfig{Backend: backend, Token: testToken, CheckConfiguration: check})
 	address := "http://127.0.0.1:8000"
 	change := ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: []port.Edit{{MachineList: &address}}}
-	answer := request(server, "PUT", PathConfig, testToken, put(t, change))
+	answer := serveRequest(server, "PUT", PathConfig, testToken, marshalChange(t, change))
 	if answer.Code != http.StatusBadRequest || backend.revision() != 1 {
 		t.Fatalf("status %d, revision %d", answer.Code, backend.revision())
 	}
@@ -259,24 +259,24 @@
 			t.Fatal(err)
 		}
 		if token, err := LoadToken(path); token != want || (err == nil) != (want != "") {
-			t.Errorf("%d bytes gave %q, %v", len(content), token, err)
+			t.Errorf("%d bytes: token %q, %v", len(content), token, err)
 		}
 	}
 }
 
-// TestClientMovesOnUnderOneChangeID lets the first member accept the change and
-// cut the answer off: the second must see the same body.
+// TestClientMovesOnUnderOneChangeID checks that a retry takes effect once: the first
+// member accepts the change but its response is cut off.
 func TestClientMovesOnUnderOneChangeID(t *testing.T) {
-	backend := seeded(t)
+	backend := newSeededBackend(t)
 	server := NewServer(ServerConfig{Backend: backend, Token: testToken})
-	cut := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, call *http.Request) {
+	cutOff := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, call *http.Request) {
 		server.Handler().ServeHTTP(httptest.NewRecorder(), call)
 		panic(http.ErrAbortHandler)
 	}))
-	defer cut.Close()
-	whole := httptest.NewServer(server.Handler())
-	defer whole.Close()
-	client, err := NewClient([]string{closedAddress(t), cut.Listener.Addr().String(), whole.Listener.Addr().String()}, testToken)
+	defer cutOff.Close()
+	healthy := httptest.NewServer(server.Handler())
+	defer healthy.Close()
+	client, err := NewClient([]string{closedAddress(t), cutOff.Listener.Addr().String(), healthy.Listener.Addr().String()}, testToken)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -298,7 +298,7 @@
 	return listener.Addr().String()
 }
 
-// TestClientVerdicts lists what a client says when no member answers well.
+// TestClientVerdicts covers the client's errors if no member sends a valid response.
 func TestClientVerdicts(t *testing.T) {
 	serve := func(handler http.HandlerFunc) string {
 		server := httptest.NewServer(handler)
@@ -311,7 +311,7 @@
 		verdict port.Verdict
 		code    port.Code
 	}{
-		{"nobody listens", closedAddress(t), port.NotRun, port.CodeUnavailable},
+		{"connection refused", closedAddress(t), port.NotRun, port.CodeUnavailable},
 		{"cut off", serve(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), port.MayHaveRun, port.CodeUnavailable},
 		{"not an error body", serve(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(502) }), port.MayHaveRun, port.CodeInternal},
 		{"wrong content", serve(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("[]")) }), port.MayHaveRun, port.CodeInternal},
@@ -325,8 +325,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// Only what is tried again ends with the time that the client has.
-			allowed := patience
+			// Retriable failures are retried until ctx ends.
+			allowed := testTimeout
 			if test.code == port.CodeUnavailable {
 				allowed = time.Second
 			}
--- a/internal/adapter/operatorapi/server.go
+++ b/internal/adapter/operatorapi/server.go
@@ -20,7 +20,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Bounds of the interface.
+// Limits of the interface.
 const (
 	MaxBodyBytes   = 3 << 20
 	MaxHeaderBytes = 16 << 10
@@ -34,15 +34,12 @@
 	maxTokenBytes        = 4096
 )
 
-// Limits bound what clients can use. The zero value of a field means its
-// default.
+// Limits limits what clients can use. Zero fields take their defaults.
 type Limits struct {
-	// Connections bounds open connections; further ones wait. Default
-	// MaxConnections.
+	// Connections limits open connections; further ones wait. Default MaxConnections.
 	Connections int
-	// HeaderTimeout, BodyTimeout and WriteTimeout bound the time to send a
-	// header, to send a whole request, and to take the answer; defaults 5s, 30s
-	// and 60s.
+	// HeaderTimeout, BodyTimeout and WriteTimeout limit the time to receive a header,
+	// to receive a complete request, and to write the response; defaults 5s, 30s and 60s.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
 	WriteTimeout  time.Duration
@@ -56,29 +53,28 @@
 	return l
 }
 
-// ServerConfig sets a server up.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Backend Backend
-	// Token is what operators present; with an empty one every operator call
-	// is refused.
+	// Token authenticates operators; if empty, every operator call is rejected.
 	Token string
-	// CheckConfiguration, if set, looks at the configuration that a change
-	// would lead to before it is proposed, such as at its policy programs.
+	// CheckConfiguration, if set, checks the configuration that results from a change,
+	// such as its policy programs, before the change is proposed.
 	CheckConfiguration func(port.Configuration) error
 	// Metrics, if set, serves api.PathMetrics without a token.
 	Metrics http.Handler
 	Limits  Limits
-	// Now gives the time, for ages in answers; nil takes the system's clock.
+	// Now returns the time for ages in responses; nil means the system clock.
 	Now func() time.Time
 }
 
-// Server serves operators over HTTP.
+// Server serves the operator API over HTTP.
 type Server struct {
 	config ServerConfig
 	http   *http.Server
 }
 
-// LoadToken reads a token from a file and drops white space around it.
+// LoadToken reads a token from a file and trims white space.
 func LoadToken(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -110,7 +106,7 @@
 	return server
 }
 
-// Handler gives the routes, for tests and for embedding.
+// Handler returns the routes, for tests and embedding.
 func (s *Server) Handler() http.Handler { return s.http.Handler }
 
 // Serve serves until Shutdown.
@@ -122,13 +118,13 @@
 	return eris.Wrap(err, "serve operators")
 }
 
-// Close stops at once and cuts off the calls in flight.
+// Close stops immediately and cuts off calls in flight.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Shutdown finishes the calls in flight and stops.
+// Shutdown finishes calls in flight and stops.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// handler is a call whose error becomes the answer.
+// handler serves a call; its error becomes the response.
 type handler func(writer http.ResponseWriter, request *http.Request) error
 
 func (s *Server) routes() http.Handler {
@@ -158,13 +154,13 @@
 		"POST " + PathMemberPromote: s.changeMember(MemberPromote),
 		"GET " + PathStatus:         s.getStatus,
 	} {
-		mux.HandleFunc(pattern, s.protect(call))
+		mux.HandleFunc(pattern, s.authenticate(call))
 	}
 	return mux
 }
 
-// protect checks the token, bounds the call's time and writes its error.
-func (s *Server) protect(call handler) http.HandlerFunc {
+// authenticate checks the token, limits the call's duration and writes its error.
+func (s *Server) authenticate(call handler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if !s.authorized(request) {
 			writeError(writer, port.NewError(port.NotRun, port.CodeUnauthorized, "the operator token is missing or wrong"))
@@ -178,8 +174,7 @@
 	}
 }
 
-// authorized compares digests, so that neither the time nor the length of the
-// comparison tells anything about the token.
+// authorized compares digests, so that the duration reveals nothing about the token.
 func (s *Server) authorized(request *http.Request) bool {
 	presented, found := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	if !found || s.config.Token == "" {
@@ -189,14 +184,14 @@
 	return subtle.ConstantTimeCompare(want[:], got[:]) == 1
 }
 
-// ready says whether this member is in touch with a quorum.
+// ready reports whether this member is in contact with a quorum.
 func (s *Server) ready(writer http.ResponseWriter, request *http.Request) {
 	status, err := s.config.Backend.Status(request.Context())
 	switch {
 	case err != nil:
 		writeError(writer, err)
 	case !status.QuorumActive:
-		writeError(writer, port.NewError(port.NotRun, port.CodeUnavailable, "out of touch with a quorum"))
+		writeError(writer, port.NewError(port.NotRun, port.CodeUnavailable, "no contact with a quorum"))
 	default:
 		httpserve.WriteJSON(writer, http.StatusOK, struct{}{})
 	}
--- a/internal/adapter/operatorapi/silent_test.go
+++ b/internal/adapter/operatorapi/silent_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A member that is cut off in silence takes connections, as its kernel does, and
-// answers nothing.
+// TestClientPassesASilentMember covers a member that accepts connections but never
+// answers.
 func TestClientPassesASilentMember(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/adapter/operatorapi/types.go
+++ b/internal/adapter/operatorapi/types.go
@@ -25,24 +25,24 @@
 	PathStatus        = "/v1/status"
 )
 
-// QueryLocal, set to true, reads this member's state without asking the
-// leader; the answer may be old.
+// QueryLocal, set to true, reads this member's state without contacting the leader; the
+// result may be stale.
 const QueryLocal = "local"
 
 // Backend is the control member behind the interface. Errors are *port.Error.
 type Backend interface {
-	// Propose puts a command through the log.
+	// Propose commits a command through the log and returns its result.
 	Propose(ctx context.Context, command port.Command) (port.Result, error)
-	// View gives the control state: as new as any change answered before the
-	// call, or with local set what this member has.
+	// View returns the control state: at least as recent as any change answered before
+	// the call or, if local is set, this member's own.
 	View(ctx context.Context, local bool) (*port.View, error)
-	// History gives the accepted configuration changes, oldest first.
+	// History returns the accepted configuration changes, oldest first.
 	History(ctx context.Context) ([]registry.HistoryEntry, error)
-	// Ledger gives the delivery state of a pool.
+	// Ledger returns the delivery state of a pool.
 	Ledger(ctx context.Context, pool port.PoolName) (port.LedgerState, error)
-	// Reports gathers what nodes reported to the members.
+	// Reports collects the node reports of all members.
 	Reports(ctx context.Context) (Reports, error)
-	// Status gives this member's view of the group.
+	// Status returns this member's view of the group.
 	Status(ctx context.Context) (Status, error)
 	// ChangeMember adds, promotes or removes a control member.
 	ChangeMember(ctx context.Context, change MemberChange) error
@@ -51,31 +51,31 @@
 // NodeReport is the last report of a node.
 type NodeReport struct {
 	Report port.NodeReport `cbor:"1,keyasint" json:"report"`
-	// AgeMillis is how long ago it came.
+	// AgeMillis is the age of the report.
 	AgeMillis int64 `cbor:"2,keyasint" json:"age_ms"`
-	// RevisionSince is when the node first reported this revision, in
-	// milliseconds since 1970 by the clock of the member that it told.
+	// RevisionSince is when the node first reported this revision, in Unix milliseconds
+	// by the clock of the member that received the report.
 	RevisionSince int64 `cbor:"3,keyasint" json:"revision_since_ms"`
 }
 
-// Reports is what the reachable members know of the nodes.
+// Reports holds the node reports of the reachable members.
 type Reports struct {
 	Nodes []NodeReport
-	// Unreachable lists members that did not answer; what nodes told only them
-	// is missing.
+	// Unreachable lists members that did not answer; reports that only they received
+	// are missing.
 	Unreachable []uint64
 }
 
-// Config answers GET PathConfig.
+// Config is the response to GET PathConfig.
 type Config struct {
 	Revision      port.Revision      `json:"revision"`
 	Position      uint64             `json:"position"`
 	Configuration port.Configuration `json:"configuration"`
 }
 
-// ConfigChange is the body of PUT PathConfig. Exactly one of Edits and
-// Configuration is given; a whole configuration must start from the present
-// revision and is turned into edits. A resend is recognised for edits only.
+// ConfigChange is the body of PUT PathConfig, with exactly one of Edits and
+// Configuration. A complete configuration must start from the current revision and is
+// converted to edits. Only changes with Edits are idempotent.
 type ConfigChange struct {
 	ExpectedRevision *port.Revision      `json:"expected_revision"`
 	ChangeID         string              `json:"change_id"`
@@ -85,33 +85,33 @@
 	Note             string              `json:"note,omitempty"`
 }
 
-// Accepted answers a change that was accepted.
+// Accepted is the response to an accepted change.
 type Accepted struct {
 	Revision port.Revision `json:"revision"`
 	// Index is the change's position in the replicated log.
 	Index uint64 `json:"index"`
 }
 
-// ConflictBody answers a change that another one came before.
+// ConflictBody is the response to a change that conflicts with an earlier one.
 type ConflictBody struct {
 	api.ErrorBody
-	// Current is the configuration in force.
+	// Current is the current configuration.
 	Current *Config `json:"current,omitempty"`
 }
 
-// ConfigHistory answers GET PathConfigHistory, oldest change first.
+// ConfigHistory is the response to GET PathConfigHistory, oldest change first.
 type ConfigHistory struct {
 	Changes []registry.HistoryEntry `json:"changes"`
 }
 
-// States of a revision at a node.
+// States of a configuration revision at a node.
 const (
 	StateInForce = "in_force"
 	StateBehind  = "behind"
 	StateSilent  = "silent"
 )
 
-// ConfigStatus answers GET PathConfigStatus.
+// ConfigStatus is the response to GET PathConfigStatus.
 type ConfigStatus struct {
 	Revision port.Revision `json:"revision"`
 	// InForce, Behind and Silent count nodes.
@@ -119,22 +119,21 @@
 	Behind  int          `json:"behind"`
 	Silent  int          `json:"silent"`
 	Nodes   []NodeConfig `json:"nodes"`
-	// UnreachableMembers did not answer; nodes that only they hear of count as
+	// UnreachableMembers did not answer; nodes that report only to them count as
 	// silent.
 	UnreachableMembers []uint64 `json:"unreachable_members,omitempty"`
 }
 
-// NodeConfig says which revision is in force at a node.
+// NodeConfig reports the revision in force at a node.
 type NodeConfig struct {
 	Node     port.NodeID   `json:"node"`
 	Zone     port.ZoneName `json:"zone"`
 	State    string        `json:"state"`
 	Revision port.Revision `json:"revision"`
-	// Since is when the revision came into force there, in milliseconds since
-	// 1970; 0 if the node is not known to have any.
+	// Since is when the revision came into force there, in Unix milliseconds; 0 if
+	// unknown.
 	Since int64 `json:"since_ms"`
-	// ReportAgeMillis is how old the node's report is; -1 means that there is
-	// none.
+	// ReportAgeMillis is the age of the node's report, or -1 without a report.
 	ReportAgeMillis int64 `json:"report_age_ms"`
 }
 
@@ -146,24 +145,24 @@
 	ChangeID string             `json:"change_id"`
 }
 
-// Weights answers GET PathWeights.
+// Weights is the response to GET PathWeights.
 type Weights struct {
 	Pools []PoolWeights `json:"pools"`
 }
 
-// PoolWeights says which versions of a pool's weights are where.
+// PoolWeights reports a pool's published version and the versions being served.
 type PoolWeights struct {
 	port.PublishedWeights
 	// Serving counts replicas by the version that they serve.
 	Serving []port.ServingCount `json:"serving"`
 }
 
-// Pools answers GET PathPools.
+// Pools is the response to GET PathPools.
 type Pools struct {
 	Pools []PoolSummary `json:"pools"`
 }
 
-// PoolSummary is one line about a pool.
+// PoolSummary summarizes a pool.
 type PoolSummary struct {
 	Name     port.PoolName      `json:"name"`
 	Kind     port.PoolKind      `json:"kind"`
@@ -172,7 +171,7 @@
 	Version  port.WeightVersion `json:"version"`
 }
 
-// PoolDetail answers GET PathPool.
+// PoolDetail is the response to GET PathPool.
 type PoolDetail struct {
 	Pool     port.Pool           `json:"pool"`
 	Replicas []port.Replica      `json:"replicas"`
@@ -181,7 +180,7 @@
 	Serving  []port.ServingCount `json:"serving,omitempty"`
 }
 
-// Replicas answers GET PathReplicas.
+// Replicas is the response to GET PathReplicas.
 type Replicas struct {
 	Revision port.Revision  `json:"revision"`
 	Replicas []port.Replica `json:"replicas"`
@@ -198,48 +197,48 @@
 // MemberAction is what a MemberChange does.
 type MemberAction string
 
-// The actions.
+// Values of MemberAction.
 const (
 	MemberAdd     MemberAction = "add"
 	MemberPromote MemberAction = "promote"
 	MemberRemove  MemberAction = "remove"
 )
 
-// MemberChange changes the group of control members by one.
+// MemberChange changes one control member of the group.
 type MemberChange struct {
 	Action MemberAction `cbor:"1,keyasint" json:"-"`
-	// ID must be above every id that was ever used, for MemberAdd.
+	// ID must be above every id ever used, for MemberAdd.
 	ID uint64 `cbor:"2,keyasint" json:"id"`
 	// Address is the new member's peer address, for MemberAdd.
 	Address string `cbor:"3,keyasint,omitempty" json:"address"`
 }
 
-// Members answers GET PathMembers.
+// Members is the response to GET PathMembers.
 type Members struct {
 	Members []Member `json:"members"`
 }
 
-// Member is one control member as the asked one sees it.
+// Member is a control member from the view of the member that answers.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Address string `json:"address"`
 	// Role is voter or learner.
 	Role   string `json:"role"`
 	Leader bool   `json:"leader"`
-	// Match, Active, CaughtUp and SilentMillis are known to the leader alone.
+	// Match, Active, CaughtUp and SilentMillis are reported by the leader only.
 	Match        uint64 `json:"match,omitempty"`
 	Active       bool   `json:"active"`
 	CaughtUp     bool   `json:"caught_up"`
 	SilentMillis int64  `json:"silent_ms"`
 }
 
-// Status answers GET PathStatus.
+// Status is the response to GET PathStatus.
 type Status struct {
 	Member uint64 `json:"member"`
 	Role   string `json:"role"`
 	Leader uint64 `json:"leader"`
 	Term   uint64 `json:"term"`
-	// QuorumActive says that this member is in touch with a quorum.
+	// QuorumActive reports whether this member is in contact with a quorum.
 	QuorumActive  bool          `json:"quorum_active"`
 	SilentMillis  int64         `json:"silent_ms"`
 	Commit        uint64        `json:"commit"`
@@ -251,7 +250,7 @@
 	Nodes         int           `json:"nodes"`
 	Watches       int           `json:"watches"`
 	Members       []Member      `json:"members"`
-	// Syncs and Commits count since the start of the process.
+	// Syncs and Commits count from the start of the process.
 	Syncs   uint64 `json:"syncs"`
 	Commits uint64 `json:"commits"`
 }
