--- a/internal/adapter/engineclient/client.go
+++ b/internal/adapter/engineclient/client.go
@@ -16,61 +16,59 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Limits bound one engine's answers. The zero value of a field means its
-// default.
+// Limits limits the responses of one engine. Zero fields take their defaults.
 type Limits struct {
-	// EventBytes bounds one server-sent event; default 256 KiB.
+	// EventBytes limits one server-sent event; default 256 KiB.
 	EventBytes int
-	// TextBytes bounds a completion's text; default 16 MiB.
+	// TextBytes limits a completion's text; default 16 MiB.
 	TextBytes int
-	// AnswerBytes bounds every other answer; default 8 MiB.
+	// AnswerBytes limits every other response; default 8 MiB.
 	AnswerBytes int64
-	// Silence bounds the wait for the first and for each further event;
-	// default 2m.
-	Silence time.Duration
-	// CancelTimeout bounds telling the engine of a cancelled request; default 2s.
+	// StallTimeout limits the wait for each event; default 2m.
+	StallTimeout time.Duration
+	// CancelTimeout limits a call that cancels a request; default 2s.
 	CancelTimeout time.Duration
-	// Cancels bounds such calls at a time; further ones are left to the closed
-	// connection. Default 64.
-	Cancels int
+	// MaxCancels limits concurrent cancel calls; requests beyond it are cancelled only
+	// by closing their connection. Default 64.
+	MaxCancels int
 }
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	defaultEventBytes    = 256 << 10
 	defaultTextBytes     = 16 << 20
 	defaultAnswerBytes   = 8 << 20
-	defaultSilence       = 2 * time.Minute
+	defaultStallTimeout  = 2 * time.Minute
 	defaultCancelTimeout = 2 * time.Second
-	defaultCancels       = 64
+	defaultMaxCancels    = 64
 )
 
 const (
 	cancelAnswerBytes = 4 << 10
-	// drainBytes and drainTimeout bound what is read after the end marker.
+	// drainBytes and drainTimeout limit what is read after the end marker.
 	drainBytes        = 4 << 10
 	drainTimeout      = 50 * time.Millisecond
 	contentTypeEvents = "text/event-stream"
 	contentTypeJSON   = "application/json"
 )
 
-// errSilence ends a completion whose engine sent nothing for Limits.Silence.
-var errSilence = errors.New("engine was silent for too long")
+// errStalled ends a completion without events for Limits.StallTimeout.
+var errStalled = errors.New("engine was silent for too long")
 
 func (l Limits) withDefaults() Limits {
 	l.EventBytes = cmp.Or(l.EventBytes, defaultEventBytes)
 	l.TextBytes = cmp.Or(l.TextBytes, defaultTextBytes)
 	l.AnswerBytes = cmp.Or(l.AnswerBytes, defaultAnswerBytes)
-	l.Silence = cmp.Or(l.Silence, defaultSilence)
+	l.StallTimeout = cmp.Or(l.StallTimeout, defaultStallTimeout)
 	l.CancelTimeout = cmp.Or(l.CancelTimeout, defaultCancelTimeout)
-	l.Cancels = cmp.Or(l.Cancels, defaultCancels)
+	l.MaxCancels = cmp.Or(l.MaxCancels, defaultMaxCancels)
 	return l
 }
 
-// Client talks to one engine. It is safe for concurrent use.
+// Client calls one engine. It is safe for concurrent use.
 type Client struct {
-	// streams carries completions, control everything else, so that orders and
-	// cancellations never wait behind completions for a connection.
+	// streams carries completions and control everything else, so that orders and
+	// cancellations don't wait for a connection behind completions.
 	streams *httpcall.Client
 	control *httpcall.Client
 	base    string
@@ -81,8 +79,8 @@
 
 var _ port.Engine = (*Client)(nil)
 
-// New makes the client of the engine at address (IP:port). The HTTP clients
-// may be shared between engines; they are not closed by Close.
+// New returns a client of the engine at address (IP:port). The HTTP clients may be shared
+// between engines; Close does not close them.
 func New(streams, control *httpcall.Client, address string, limits Limits) *Client {
 	limits = limits.withDefaults()
 	return &Client{
@@ -90,43 +88,42 @@
 		control: control,
 		base:    "http://" + address,
 		limits:  limits,
-		cancels: make(chan struct{}, limits.Cancels),
+		cancels: make(chan struct{}, limits.MaxCancels),
 	}
 }
 
-// Close waits for cancellations that are under way.
+// Close waits for pending cancellations.
 func (c *Client) Close() { c.pending.Wait() }
 
-// Generate streams a completion; see port.Engine. The chunk with Finish set
-// comes only once the whole stream has come. Errors from receive are returned
-// as they are.
+// Generate streams a completion; see port.Engine. The chunk with Finish set is delivered
+// only once the stream is complete. Errors from receive are returned unchanged.
 func (c *Client) Generate(ctx context.Context, request port.GenerateRequest, receive func(port.GenerateChunk) error) error {
 	ctx, abort := context.WithCancelCause(ctx)
 	defer abort(nil)
-	silence := time.AfterFunc(c.limits.Silence, func() { abort(errSilence) })
-	defer silence.Stop()
+	stallTimer := time.AfterFunc(c.limits.StallTimeout, func() { abort(errStalled) })
+	defer stallTimer.Stop()
 
-	response, err := c.start(ctx, request)
+	response, err := c.startCompletion(ctx, request)
 	if err != nil {
 		if port.AsError(err).Verdict != port.NotRun {
-			c.cancelLater(request.ID)
+			c.cancelAsync(request.ID)
 		}
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	stream := &stream{request: request, receive: receive, limits: c.limits}
-	err = stream.run(response.Body, func() { silence.Reset(c.limits.Silence) })
+	err = stream.run(response.Body, func() { stallTimer.Reset(c.limits.StallTimeout) })
 	if err == nil {
-		silence.Reset(drainTimeout)
+		stallTimer.Reset(drainTimeout)
 		drain(response.Body)
 		return nil
 	}
-	c.cancelLater(request.ID)
+	c.cancelAsync(request.ID)
 	return streamFailure(ctx, stream, err)
 }
 
-// start sends the request and checks the answer's head.
-func (c *Client) start(ctx context.Context, request port.GenerateRequest) (*http.Response, error) {
+// startCompletion sends the request and checks the response header.
+func (c *Client) startCompletion(ctx context.Context, request port.GenerateRequest) (*http.Response, error) {
 	body, err := encodeCompletion(request)
 	if err != nil {
 		return nil, err
@@ -150,15 +147,13 @@
 	return response, nil
 }
 
-// drain reads the end of a stream whose end marker has come, so that the
-// connection can be used again.
+// drain reads a stream past its end marker, so that the connection can be reused.
 func drain(body io.Reader) { _, _ = io.Copy(io.Discard, io.LimitReader(body, drainBytes)) }
 
-// streamFailure gives err a verdict. Whatever broke a stream that had begun,
-// the request may have run.
+// streamFailure adds a verdict to an error of a started stream: the request may have run.
 func streamFailure(ctx context.Context, stream *stream, err error) error {
-	if stream.refused != nil {
-		return stream.refused
+	if stream.receiveErr != nil {
+		return stream.receiveErr
 	}
 	var known *port.Error
 	if errors.As(err, &known) {
@@ -167,9 +162,9 @@
 	return httpcall.Failure(ctx, port.MayHaveRun, err, "read completion")
 }
 
-// cancelLater tells the engine in the background to give a request up, so
-// that the caller gets its final answer at once.
-func (c *Client) cancelLater(id port.RequestID) {
+// cancelAsync cancels a request at the engine in the background, so that the caller
+// doesn't wait for it.
+func (c *Client) cancelAsync(id port.RequestID) {
 	select {
 	case c.cancels <- struct{}{}:
 	default:
@@ -183,8 +178,8 @@
 	})
 }
 
-// cancel ignores the outcome: a request that the engine no longer knows has
-// ended, and the closed connection ends it too.
+// cancel cancels a request at the engine. It ignores failures: closing the connection
+// also ends the request.
 func (c *Client) cancel(ctx context.Context, id port.RequestID) {
 	path := strings.Replace(api.PathEngineRequest, "{id}", url.PathEscape(string(id)), 1)
 	request, err := httpcall.NewRequest(ctx, http.MethodDelete, c.base+path, string(id), nil, nil)
--- a/internal/adapter/engineclient/contract_test.go
+++ b/internal/adapter/engineclient/contract_test.go
@@ -31,8 +31,8 @@
 	return client
 }
 
-// completeThree streams three chunks that spell the request's id.
-func completeThree(writer http.ResponseWriter, request *http.Request) {
+// streamThreeChunks streams three chunks; the text begins with the request's id.
+func streamThreeChunks(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	id := request.Header.Get(api.HeaderRequestID)
 	parts := []string{id, "-mid", "-end"}
@@ -74,7 +74,7 @@
 
 func TestGenerateKeepsContract(t *testing.T) {
 	contracttest.Run(t, contracttest.Subject{
-		Handler: http.HandlerFunc(completeThree),
+		Handler: http.HandlerFunc(streamThreeChunks),
 		Dial: func(address string) func(context.Context, int) (string, error) {
 			client := newClient(t, address)
 			return func(ctx context.Context, number int) (string, error) {
@@ -90,7 +90,7 @@
 	})
 }
 
-// controlCall is one of the calls that answer with JSON.
+// controlCall is a call with a JSON response.
 type controlCall struct {
 	name   string
 	answer any
--- a/internal/adapter/engineclient/control.go
+++ b/internal/adapter/engineclient/control.go
@@ -43,15 +43,15 @@
 	return report, err
 }
 
-// Load asks for the load report; see port.Engine.
+// Load requests the load report; see port.Engine.
 func (c *Client) Load(ctx context.Context) (port.LoadReport, error) {
 	var report port.LoadReport
 	err := c.control.JSON(ctx, http.MethodGet, c.base+api.PathEngineLoad, "", nil, &report, c.limits.AnswerBytes)
 	return report, err
 }
 
-// CacheEvents asks for the events after a sequence number; see port.Engine.
-// Events come back in order, without repeats and without those up to after.
+// CacheEvents returns the events after a sequence number, in order and without
+// duplicates; see port.Engine.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) (events []port.CacheEvent, gap bool, err error) {
 	target := c.base + api.PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
 	var answer api.CacheEvents
@@ -62,8 +62,8 @@
 	return events, gap || answer.First > after+1, nil
 }
 
-// orderEvents sorts events, drops repeats and old ones, and reports whether a
-// sequence number after the given one is missing.
+// orderEvents sorts events, drops duplicates and events up to after, and reports whether
+// a sequence number above after is missing.
 func orderEvents(events []port.CacheEvent, after uint64) (ordered []port.CacheEvent, gap bool) {
 	bySequence := func(a, b port.CacheEvent) int { return cmp.Compare(a.Sequence, b.Sequence) }
 	slices.SortStableFunc(events, bySequence)
@@ -79,9 +79,8 @@
 	return ordered, gap
 }
 
-// ExportKV asks for a handle of a running request's cache; see port.Engine. A
-// handle that is not yet a URL becomes one at this engine, so that another
-// engine can fetch it.
+// ExportKV requests a handle for a running request's cache; see port.Engine. It converts
+// a relative handle to a URL of this engine, so that another engine can fetch it.
 func (c *Client) ExportKV(ctx context.Context, id port.RequestID) (handle string, err error) {
 	var answer api.KVHandle
 	body := api.KVExport{RequestID: string(id)}
--- a/internal/adapter/engineclient/events.go
+++ b/internal/adapter/engineclient/events.go
@@ -8,41 +8,41 @@
 	"strconv"
 )
 
-// Errors of the reader of server-sent events.
+// Errors of eventReader.
 var (
-	errEventTooLarge  = errors.New("server-sent event over its bound")
-	errMalformedEvent = errors.New("malformed server-sent event")
-	errStreamCut      = errors.New("stream ended without its end marker")
+	errEventTooLarge   = errors.New("server-sent event over its bound")
+	errMalformedEvent  = errors.New("malformed server-sent event")
+	errStreamTruncated = errors.New("stream ended without its end marker")
 )
 
 // event is one server-sent event. Its data is valid until the next read.
 type event struct {
 	name string
 	data []byte
-	// id is the event's number; 0 if it has none.
+	// id is the event's number, or 0.
 	id uint64
 }
 
-// eventReader reads server-sent events of bounded size.
+// eventReader reads server-sent events of limited size.
 type eventReader struct {
 	lines *bufio.Reader
 	limit int
 	data  []byte
 }
 
-// newEventReader reads events whose data and lines hold at most limit bytes.
+// newEventReader returns a reader that limits the data and lines of an event to limit bytes.
 func newEventReader(source io.Reader, limit int) *eventReader {
 	return &eventReader{lines: bufio.NewReaderSize(source, 4<<10), limit: limit}
 }
 
-// next gives the next event with data. An end of the source gives
-// errStreamCut, also in the middle of an event.
+// next returns the next event with data. At the end of the source, also within an event,
+// it returns errStreamTruncated.
 func (r *eventReader) next() (event, error) {
 	var current event
 	r.data = r.data[:0]
 	hasData := false
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return event{}, err
 		}
@@ -54,7 +54,7 @@
 			current.data = r.data
 			return current, nil
 		}
-		isData, err := r.field(&current, line, hasData)
+		isData, err := r.parseField(&current, line, hasData)
 		if err != nil {
 			return event{}, err
 		}
@@ -62,8 +62,8 @@
 	}
 }
 
-// field takes in one "name: value" line and says whether it was a data line.
-func (r *eventReader) field(current *event, line []byte, hasData bool) (isData bool, err error) {
+// parseField parses a "name: value" line and reports whether it is a data line.
+func (r *eventReader) parseField(current *event, line []byte, hasData bool) (isData bool, err error) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
@@ -87,16 +87,15 @@
 	return false, nil
 }
 
-// line gives the next line without its line end. It is valid until the next
-// call.
-func (r *eventReader) line() ([]byte, error) {
+// readLine returns the next line without its line end, valid until the next call.
+func (r *eventReader) readLine() ([]byte, error) {
 	line, err := r.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = r.longLine(line)
+		line, err = r.readLongLine(line)
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		return nil, errStreamCut
+		return nil, errStreamTruncated
 	case err != nil:
 		return nil, err
 	}
@@ -104,8 +103,8 @@
 	return bytes.TrimSuffix(line, []byte{'\r'}), nil
 }
 
-// longLine gathers a line that is longer than the read buffer.
-func (r *eventReader) longLine(start []byte) ([]byte, error) {
+// readLongLine reads the rest of a line that is longer than the read buffer.
+func (r *eventReader) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for {
 		part, err := r.lines.ReadSlice('\n')
--- a/internal/adapter/engineclient/standin_test.go
+++ b/internal/adapter/engineclient/standin_test.go
@@ -31,13 +31,13 @@
 		Start: startEngine,
 		Dial: func(address string) func(context.Context, int) error {
 			client := newClient(t, address)
-			return func(ctx context.Context, number int) error { return generateWhole(ctx, client, number) }
+			return func(ctx context.Context, number int) error { return generateAndCheck(ctx, client, number) }
 		},
 	})
 }
 
-// generateWhole checks that the tokens of the spans are those of the text.
-func generateWhole(ctx context.Context, client *engineclient.Client, number int) error {
+// generateAndCheck compares the tokens of the spans with the length of the text.
+func generateAndCheck(ctx context.Context, client *engineclient.Client, number int) error {
 	text, tokens, finish := 0, 0, port.FinishReason("")
 	request := port.GenerateRequest{ID: requestID(number), Pool: "lm", Prompt: fmt.Sprint("prompt ", number), MaxTokens: 2 * standInTokens}
 	err := client.Generate(ctx, request, func(chunk port.GenerateChunk) error {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// TestControlCallsAndStandInKeepOneContract leaves out the faults of streams.
+// TestControlCallsAndStandInKeepOneContract runs control calls with all faults except
+// those of streams.
 func TestControlCallsAndStandInKeepOneContract(t *testing.T) {
 	calls := map[string]func(ctx context.Context, client *engineclient.Client, number int) error{
 		"load": func(ctx context.Context, client *engineclient.Client, _ int) error {
@@ -72,10 +73,10 @@
 			return err
 		},
 		"cache events": func(ctx context.Context, client *engineclient.Client, _ int) error {
-			// An engine's start clears its cache, which is a gap to every asker.
+			// A started engine has an empty cache, which appears as a gap.
 			events, gap, err := client.CacheEvents(ctx, 0)
 			if err == nil && (len(events) > 0 || !gap) {
-				return fmt.Errorf("events %v, gap %v of an engine that has just started", events, gap)
+				return fmt.Errorf("events %v, gap %v from a new engine", events, gap)
 			}
 			return err
 		},
@@ -83,7 +84,7 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			contracttest.RunPairing(t, contracttest.Pairing{
-				Start: func(t *testing.T) contracttest.StandIn { return streamFaultsOff{startEngine(t)} },
+				Start: func(t *testing.T) contracttest.StandIn { return withoutStreamFaults{startEngine(t)} },
 				Dial: func(address string) func(context.Context, int) error {
 					client := newClient(t, address)
 					return func(ctx context.Context, number int) error { return call(ctx, client, number) }
@@ -94,10 +95,10 @@
 	}
 }
 
-// streamFaultsOff refuses the faults that act on an engine's streams alone.
-type streamFaultsOff struct{ contracttest.StandIn }
+// withoutStreamFaults rejects the faults that affect only an engine's streams.
+type withoutStreamFaults struct{ contracttest.StandIn }
 
-func (s streamFaultsOff) Inject(fault standin.Fault) error {
+func (s withoutStreamFaults) Inject(fault standin.Fault) error {
 	switch fault.Kind {
 	case standin.FaultLate, standin.FaultCut, standin.FaultMix:
 		return &standin.FaultError{Kind: fault.Kind}
@@ -106,7 +107,7 @@
 	}
 }
 
-// TestFencesAtTheStandIn sends orders late, twice and out of order.
+// TestFencesAtTheStandIn sends delayed, repeated and reordered orders.
 func TestFencesAtTheStandIn(t *testing.T) {
 	client := newClient(t, startEngine(t).Addr())
 	steps := []struct {
@@ -116,11 +117,11 @@
 		fence port.Epoch
 	}{
 		{"first", port.Order{Kind: port.OrderSetRole, Fence: 5, Role: port.RoleBoth}, "", 5},
-		{"twice", port.Order{Kind: port.OrderSetRole, Fence: 5, Role: port.RoleBoth}, "", 5},
-		{"late, from an old fence", port.Order{Kind: port.OrderSetRole, Fence: 4, Role: port.RolePrefill}, port.CodeFenced, 5},
+		{"repeated", port.Order{Kind: port.OrderSetRole, Fence: 5, Role: port.RoleBoth}, "", 5},
+		{"delayed, with an old fence", port.Order{Kind: port.OrderSetRole, Fence: 4, Role: port.RolePrefill}, port.CodeFenced, 5},
 		{"newer", port.Order{Kind: port.OrderSetRole, Fence: 7, Role: port.RoleBoth}, "", 7},
-		{"activation of what is not staged", port.Order{Kind: port.OrderActivate, Fence: 7, Version: 9}, port.CodeConflict, 7},
-		{"no such order", port.Order{Kind: "dance", Fence: 8}, port.CodeInvalid, 7},
+		{"activation of a version not staged", port.Order{Kind: port.OrderActivate, Fence: 7, Version: 9}, port.CodeConflict, 7},
+		{"unknown order", port.Order{Kind: "dance", Fence: 8}, port.CodeInvalid, 7},
 	}
 	for _, step := range steps {
 		report, err := client.Order(t.Context(), step.order)
@@ -135,6 +136,6 @@
 		}
 	}
 	if report, err := client.Load(t.Context()); err != nil || report.Role != port.RoleBoth || report.Fence != 7 {
-		t.Errorf("after all: %+v, %v", report, err)
+		t.Errorf("final report: %+v, %v", report, err)
 	}
 }
--- a/internal/adapter/engineclient/stream.go
+++ b/internal/adapter/engineclient/stream.go
@@ -13,45 +13,45 @@
 
 const (
 	endMarker = "[DONE]"
-	// completionIDPrefix is what some engines put before the request's id.
+	// completionIDPrefix is the prefix that some engines add to the request's id.
 	completionIDPrefix = "cmpl-"
 	errorEvent         = "error"
 )
 
-// stream checks the events of one completion and hands its chunks on.
+// stream checks the events of one completion and delivers its chunks.
 type stream struct {
 	request port.GenerateRequest
 	receive func(port.GenerateChunk) error
 	limits  Limits
-	// lastEvent is the number of the last event; 0 while none was numbered.
+	// lastEvent is the number of the last event; 0 if events are not numbered.
 	lastEvent uint64
 	events    uint64
 	tokens    int
 	textBytes int
-	// last is the finishing chunk, held back until the end marker.
+	// last is the chunk with the finish reason, withheld until the end marker.
 	last *port.GenerateChunk
-	// refused is the error that receive refused a chunk with.
-	refused error
+	// receiveErr is the error that receive returned.
+	receiveErr error
 }
 
-// run reads events to the end marker. alive is called on every event.
-func (s *stream) run(source io.Reader, alive func()) error {
+// run reads events up to the end marker and calls onEvent for each.
+func (s *stream) run(source io.Reader, onEvent func()) error {
 	reader := newEventReader(source, s.limits.EventBytes)
 	for {
 		next, err := reader.next()
 		if err != nil {
 			return s.readFailure(err)
 		}
-		alive()
-		done, err := s.event(next)
+		onEvent()
+		done, err := s.handleEvent(next)
 		if done || err != nil {
 			return err
 		}
 	}
 }
 
-// readFailure gives protocol errors a verdict and leaves read errors as they
-// are, for the caller who knows the context.
+// readFailure adds a verdict to protocol errors; the caller, which has the context,
+// handles read errors.
 func (s *stream) readFailure(err error) error {
 	switch {
 	case errors.Is(err, errEventTooLarge):
@@ -67,8 +67,8 @@
 	return port.NewError(port.MayHaveRun, port.CodeTooLarge, "completion's %s is over its bound", what)
 }
 
-// event takes in one event and says whether the stream is done.
-func (s *stream) event(next event) (done bool, err error) {
+// handleEvent processes one event and reports whether the stream is done.
+func (s *stream) handleEvent(next event) (done bool, err error) {
 	if err := s.checkOrder(next.id); err != nil {
 		return false, err
 	}
@@ -82,11 +82,11 @@
 	if err := json.Unmarshal(next.data, &chunk); err != nil {
 		return false, httpcall.Malformed("malformed completion chunk: %v", err)
 	}
-	return false, s.chunk(&chunk)
+	return false, s.handleChunk(&chunk)
 }
 
-// checkOrder refuses events that are out of order, missing or repeated, where
-// the engine numbers them: 1, 2, 3 and so on.
+// checkOrder rejects reordered, missing or repeated events of an engine that numbers them
+// from 1.
 func (s *stream) checkOrder(id uint64) error {
 	s.events++
 	numbered := s.lastEvent != 0
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// engineError reads the error that an engine reports inside a stream.
+// engineError decodes an error event.
 func engineError(data []byte) error {
 	var body api.ErrorBody
 	if json.Unmarshal(data, &body) != nil {
@@ -113,8 +113,8 @@
 	return failure
 }
 
-// chunk checks one chunk and hands it on, unless it is the last.
-func (s *stream) chunk(chunk *api.CompletionChunk) error {
+// handleChunk checks a chunk and delivers it, unless it is the last.
+func (s *stream) handleChunk(chunk *api.CompletionChunk) error {
 	if strings.TrimPrefix(chunk.ID, completionIDPrefix) != string(s.request.ID) {
 		return httpcall.Malformed("chunk belongs to request %q", chunk.ID)
 	}
@@ -122,25 +122,25 @@
 		return httpcall.Malformed("chunk has %d choices", len(chunk.Choices))
 	}
 	if len(chunk.Choices) == 1 {
-		if err := s.choice(chunk.Choices[0], chunk.Spans); err != nil {
+		if err := s.handleChoice(chunk.Choices[0], chunk.Spans); err != nil {
 			return err
 		}
 	}
 	return s.checkUsage(chunk.Usage)
 }
 
-// choice hands on the text of a chunk, one piece for each span.
-func (s *stream) choice(choice api.CompletionChoice, spans []port.Span) error {
+// handleChoice delivers the text of a chunk, one piece per span.
+func (s *stream) handleChoice(choice api.CompletionChoice, spans []port.Span) error {
 	if s.last != nil {
 		return httpcall.Malformed("chunk after the last one")
 	}
 	if choice.Index != 0 {
 		return httpcall.Malformed("chunk of choice %d", choice.Index)
 	}
-	if err := s.account(choice.Text, spans); err != nil {
+	if err := s.addTotals(choice.Text, spans); err != nil {
 		return err
 	}
-	pieces := split(choice.Text, spans)
+	pieces := splitBySpan(choice.Text, spans)
 	finish, err := finishReason(choice.FinishReason)
 	if err != nil {
 		return err
@@ -154,8 +154,8 @@
 	return s.deliver(pieces)
 }
 
-// account adds a chunk to the totals and checks the bounds.
-func (s *stream) account(text string, spans []port.Span) error {
+// addTotals adds a chunk to the totals and checks the limits.
+func (s *stream) addTotals(text string, spans []port.Span) error {
 	s.textBytes += len(text)
 	if s.textBytes > s.limits.TextBytes {
 		return s.tooLarge("text")
@@ -172,9 +172,9 @@
 	return nil
 }
 
-// split makes one piece for each span; the text goes with the first. Without
-// spans the version is not known.
-func split(text string, spans []port.Span) []port.GenerateChunk {
+// splitBySpan returns one piece per span, with the text in the first. Without spans the
+// version is unknown.
+func splitBySpan(text string, spans []port.Span) []port.GenerateChunk {
 	if len(spans) == 0 {
 		return []port.GenerateChunk{{Text: text}}
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-// checkUsage compares the engine's own count with the spans that came.
+// checkUsage compares the engine's token count with the spans received.
 func (s *stream) checkUsage(usage *api.Usage) error {
 	if usage == nil || s.last == nil || s.tokens == 0 {
 		return nil
@@ -209,17 +209,17 @@
 func (s *stream) deliver(pieces []port.GenerateChunk) error {
 	for _, piece := range pieces {
 		if err := s.receive(piece); err != nil {
-			s.refused = err
+			s.receiveErr = err
 			return err
 		}
 	}
 	return nil
 }
 
-// finish delivers the last chunk once the end marker has come.
+// finish delivers the last chunk after the end marker.
 func (s *stream) finish() error {
 	if s.last == nil {
-		return errStreamCut
+		return errStreamTruncated
 	}
 	return s.deliver([]port.GenerateChunk{*s.last})
 }
--- a/internal/adapter/engineclient/stream_test.go
+++ b/internal/adapter/engineclient/stream_test.go
@@ -11,8 +11,7 @@
 
 const idR1 = `"id":"r1",`
 
-// TestStreamDeliversWholeOrFails covers streams that are well-formed HTTP and
-// wrong.
+// TestStreamDeliversWholeOrFails covers incorrect streams in well-formed HTTP.
 func TestStreamDeliversWholeOrFails(t *testing.T) {
 	const (
 		first = `{` + idR1 + `"choices":[{"text":"a"}],"spans":[{"version":4,"tokens":2}]}`
@@ -25,13 +24,13 @@
 		want   string
 		code   port.Code
 	}{
-		{"whole", []string{first, last, done}, "a 4*2, b 5*1 stop", ""},
+		{"complete", []string{first, last, done}, "a 4*2, b 5*1 stop", ""},
 		{"prefixed id", []string{`{"id":"cmpl-r1","choices":[{"text":"a","finish_reason":"length"}]}`, done}, "a 0*0 length", ""},
-		{"usage alone", []string{first, `{` + idR1 + `"choices":[{"text":"","finish_reason":"stop"}]}`, `{` + idR1 + `"choices":[],"usage":{"completion_tokens":2}}`, done}, "a 4*2,  0*0 stop", ""},
+		{"separate usage chunk", []string{first, `{` + idR1 + `"choices":[{"text":"","finish_reason":"stop"}]}`, `{` + idR1 + `"choices":[],"usage":{"completion_tokens":2}}`, done}, "a 4*2,  0*0 stop", ""},
 		{"two versions in a chunk", []string{`{` + idR1 + `"choices":[{"text":"ab","finish_reason":"stop"}],"spans":[{"version":4,"tokens":1},{"version":5,"tokens":2}]}`, done}, "ab 4*1,  5*2 stop", ""},
 		{"no end marker", []string{first, last}, "a 4*2", port.CodeBackEnd},
 		{"end marker without a finish", []string{first, done}, "a 4*2", port.CodeBackEnd},
-		{"another's chunk", []string{first, strings.Replace(last, "r1", "r2", 1), done}, "a 4*2", port.CodeBackEnd},
+		{"chunk of another request", []string{first, strings.Replace(last, "r1", "r2", 1), done}, "a 4*2", port.CodeBackEnd},
 		{"no id", []string{`{"choices":[{"text":"a"}]}`}, "", port.CodeBackEnd},
 		{"chunk after the last", []string{last, first, done}, "", port.CodeBackEnd},
 		{"token lost", []string{last, done}, "", port.CodeBackEnd},
