--- a/internal/adapter/appclient/contract_test.go
+++ b/internal/adapter/appclient/contract_test.go
@@ -60,7 +60,7 @@
 					return fmt.Sprintf("%s /a%%2Fb/%d?q=%d %s", template.Method, number, number, template.Body)
 				},
 				AnswerBytes: answerBytes,
-				Passes:      true,
+				PassThrough: true,
 			})
 		})
 	}
--- a/internal/adapter/contracttest/doc.go
+++ b/internal/adapter/contracttest/doc.go
@@ -1,6 +1,5 @@
-// Package contracttest runs one table of faults against every HTTP client
-// adapter. A Subject says how to answer an adapter's call well; the table
-// injects the faults below that, on the raw connection: late, cut, repeated,
-// reordered, oversize, mixed-up and malformed answers, refusals, and
-// connections reset on reuse.
+// Package contracttest runs one table of faults against every HTTP client adapter, and one
+// of faulty requests against servers. A Subject handles an adapter's calls correctly; the
+// table injects faults on the raw connection: delayed, truncated, repeated, reordered,
+// oversize, mixed-up and malformed responses, refusals, and resets of reused connections.
 package contracttest
--- a/internal/adapter/contracttest/faults.go
+++ b/internal/adapter/contracttest/faults.go
@@ -11,70 +11,71 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// bend makes a fault that writes a changed answer.
-func bend(change func(*answer)) fault {
+// alterAnswer returns a fault that writes a modified response.
+func alterAnswer(change func(*answer)) fault {
 	return func(_ *faultServer, connection net.Conn, good answer) bool {
-		bent := good.clone()
-		change(&bent)
-		return bent.write(connection) && !bent.noLength
+		altered := good.clone()
+		change(&altered)
+		return altered.write(connection) && !altered.noLength
 	}
 }
 
-// cutAt makes a fault that writes a share of the answer's bytes, at least one
-// unless the share is 0, and closes the connection.
-func cutAt(share float64) fault {
+// truncateAt returns a fault that writes a fraction of the response, at least one byte
+// unless the fraction is 0, and closes the connection.
+func truncateAt(fraction float64) fault {
 	return func(_ *faultServer, connection net.Conn, good answer) bool {
-		whole := good.bytes()
-		length := int(share * float64(len(whole)))
-		if share > 0 {
+		encoded := good.bytes()
+		length := int(fraction * float64(len(encoded)))
+		if fraction > 0 {
 			length = max(1, length)
 		}
-		_, _ = connection.Write(whole[:length])
+		_, _ = connection.Write(encoded[:length])
 		return false
 	}
 }
 
-// cutBeforeEnd leaves out the last bytes of the answer.
-func cutBeforeEnd(_ *faultServer, connection net.Conn, good answer) bool {
-	whole := good.bytes()
-	cut := 1
+// truncateBeforeEnd omits the last bytes of the response.
+func truncateBeforeEnd(_ *faultServer, connection net.Conn, good answer) bool {
+	encoded := good.bytes()
+	missing := 1
 	if good.chunked {
 		last := good.pieces[len(good.pieces)-1]
-		cut = len(last) + len("0\r\n\r\n") + len("\r\n")
+		missing = len(last) + len("0\r\n\r\n") + len("\r\n")
 	}
-	_, _ = connection.Write(whole[:len(whole)-cut])
+	_, _ = connection.Write(encoded[:len(encoded)-missing])
 	return false
 }
 
-// silent answers nothing until the client closes the connection.
-func silent(_ *faultServer, connection net.Conn, _ answer) bool {
+// neverAnswer writes nothing until the client closes the connection.
+func neverAnswer(_ *faultServer, connection net.Conn, _ answer) bool {
 	_, _ = connection.Read(make([]byte, 1))
 	return false
 }
 
-// silentAfterHead answers half and then nothing until the client closes.
-func silentAfterHead(_ *faultServer, connection net.Conn, good answer) bool {
-	whole := good.bytes()
-	_, _ = connection.Write(whole[:len(whole)/2])
+// stallAfterHalf writes half of the response, then nothing until the client closes.
+func stallAfterHalf(_ *faultServer, connection net.Conn, good answer) bool {
+	encoded := good.bytes()
+	_, _ = connection.Write(encoded[:len(encoded)/2])
 	_, _ = connection.Read(make([]byte, 1))
 	return false
 }
 
 // reset reads the request and resets the connection.
-func reset(_ *faultServer, connection net.Conn, _ answer) bool {
+func resetConnection(_ *faultServer, connection net.Conn, _ answer) bool {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	return false
 }
 
-// afterRelease answers once the test says so, as if the caller still waited.
-func afterRelease(server *faultServer, connection net.Conn, good answer) bool {
+// answerAfterRelease writes the response once the test releases it, even if the caller
+// has cancelled.
+func answerAfterRelease(server *faultServer, connection net.Conn, good answer) bool {
 	<-server.release
 	return good.write(connection)
 }
 
-// repeatPrevious answers with the whole answer to the request before.
+// repeatPrevious writes the response to the previous request again.
 func repeatPrevious(server *faultServer, connection net.Conn, good answer) bool {
 	server.mutex.Lock()
 	previous := *server.previous
@@ -83,7 +84,7 @@
 }
 
 func refuse(status int, verdict port.Verdict) fault {
-	return bend(func(a *answer) {
+	return alterAnswer(func(a *answer) {
 		a.status = status
 		a.chunked = false
 		a.header = http.Header{"Content-Type": {"application/json"}, "Retry-After": {"2"}}
@@ -95,24 +96,24 @@
 	})
 }
 
-// oversize puts twice as many spaces as the bound allows before the answer.
+// oversize prepends twice as many spaces as the limit allows.
 func oversize(limit int) fault {
-	return bend(func(a *answer) {
+	return alterAnswer(func(a *answer) {
 		a.pieces[0] = append(bytes.Repeat([]byte{' '}, 2*limit), a.pieces[0]...)
 	})
 }
 
 func headerField(name, value string) fault {
-	return bend(func(a *answer) { a.header.Set(name, value) })
+	return alterAnswer(func(a *answer) { a.header.Set(name, value) })
 }
 
 var (
 	largeHeader   = headerField("X-Padding", strings.Repeat("x", 128<<10))
 	wrongContent  = headerField("Content-Type", "text/html")
 	wrongID       = headerField(api.HeaderRequestID, "r-other-1")
-	noExplicitEnd = bend(func(a *answer) { a.noLength, a.chunked = true, false })
-	malformed     = bend(func(a *answer) { a.pieces[0] = bytes.Replace(a.pieces[0], []byte("}"), []byte("]"), 1) })
-	swappedChunks = bend(func(a *answer) { a.pieces[0], a.pieces[1] = a.pieces[1], a.pieces[0] })
-	repeatedChunk = bend(func(a *answer) { a.pieces = append([][]byte{a.pieces[0]}, a.pieces...) })
-	missingChunk  = bend(func(a *answer) { a.pieces = append(a.pieces[:1:1], a.pieces[2:]...) })
+	noExplicitEnd = alterAnswer(func(a *answer) { a.noLength, a.chunked = true, false })
+	malformed     = alterAnswer(func(a *answer) { a.pieces[0] = bytes.Replace(a.pieces[0], []byte("}"), []byte("]"), 1) })
+	swappedChunks = alterAnswer(func(a *answer) { a.pieces[0], a.pieces[1] = a.pieces[1], a.pieces[0] })
+	repeatedChunk = alterAnswer(func(a *answer) { a.pieces = append([][]byte{a.pieces[0]}, a.pieces...) })
+	missingChunk  = alterAnswer(func(a *answer) { a.pieces = append(a.pieces[:1:1], a.pieces[2:]...) })
 )
--- a/internal/adapter/contracttest/server.go
+++ b/internal/adapter/contracttest/server.go
@@ -15,41 +15,40 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// answer is a response as the fault table may bend it before it is written.
+// answer is a response that a fault may alter before it is written.
 type answer struct {
 	status int
 	header http.Header
-	// pieces are the body; a stream has one piece for each event.
+	// pieces make up the body; a stream has one piece per event.
 	pieces  [][]byte
 	chunked bool
-	// noLength leaves out both Content-Length and chunked encoding.
+	// noLength omits both Content-Length and chunked encoding.
 	noLength bool
 }
 
-// fault says what the server does with one request instead of answering it
-// well. A nil fault answers well.
+// fault handles one request incorrectly; a nil fault sends the correct response.
 type fault func(server *faultServer, connection net.Conn, good answer) (keepOpen bool)
 
-// faultServer answers raw HTTP/1.1 connections; the n-th request gets the
-// n-th fault, and every request beyond the list a good answer.
+// faultServer serves raw HTTP/1.1 connections. The n-th request gets the n-th fault;
+// further requests get correct responses.
 type faultServer struct {
 	listener net.Listener
 	handler  http.Handler
 	faults   []fault
-	// cancelled counts DELETE requests, which are not part of the script.
-	mutex     sync.Mutex
-	requests  int
-	cancelled int
-	previous  *answer
-	open      map[net.Conn]bool
-	// seen gets a value for each request of the script when it has been read.
-	seen chan struct{}
-	// release lets a fault that waits go on.
+	// cancelled counts DELETE requests, to which no faults apply.
+	mutex       sync.Mutex
+	requests    int
+	cancelled   int
+	previous    *answer
+	connections map[net.Conn]bool
+	// requestRead receives a value for each request read, except DELETE.
+	requestRead chan struct{}
+	// release, once closed, unblocks answerAfterRelease.
 	release chan struct{}
 	done    sync.WaitGroup
 }
 
-const seenBuffer = 64
+const requestReadBuffer = 64
 
 func newFaultServer(t *testing.T, handler http.Handler, faults []fault) *faultServer {
 	t.Helper()
@@ -58,12 +57,12 @@
 		t.Fatalf("listen: %v", err)
 	}
 	server := &faultServer{
-		listener: listener,
-		handler:  handler,
-		faults:   faults,
-		open:     map[net.Conn]bool{},
-		seen:     make(chan struct{}, seenBuffer),
-		release:  make(chan struct{}),
+		listener:    listener,
+		handler:     handler,
+		faults:      faults,
+		connections: map[net.Conn]bool{},
+		requestRead: make(chan struct{}, requestReadBuffer),
+		release:     make(chan struct{}),
 	}
 	server.done.Go(server.accept)
 	t.Cleanup(func() {
@@ -83,23 +82,23 @@
 			return
 		}
 		s.mutex.Lock()
-		s.open[connection] = true
+		s.connections[connection] = true
 		s.mutex.Unlock()
 		s.done.Go(func() { s.serve(connection) })
 	}
 }
 
-// closeConnections ends what is left at the test's end: idle connections and
-// faults that wait for the client.
+// closeConnections closes the remaining connections at the end of the test: idle ones and
+// those whose fault waits for the client.
 func (s *faultServer) closeConnections() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for connection := range s.open {
+	for connection := range s.connections {
 		_ = connection.Close()
 	}
 }
 
-// serve ends when the client closes the connection or a fault does.
+// serve handles requests until the client or a fault closes the connection.
 func (s *faultServer) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
@@ -131,7 +130,7 @@
 	number := s.requests
 	s.requests++
 	s.mutex.Unlock()
-	s.seen <- struct{}{}
+	s.requestRead <- struct{}{}
 	if number < len(s.faults) && s.faults[number] != nil {
 		return s.faults[number](s, connection, good)
 	}
@@ -141,14 +140,14 @@
 	return good.write(connection)
 }
 
-// counts gives the requests and cancellations so far.
+// counts returns the numbers of requests and cancellations.
 func (s *faultServer) counts() (requests, cancelled int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.requests, s.cancelled
 }
 
-// goodAnswer runs the subject's handler.
+// goodAnswer returns the response of the subject's handler.
 func (s *faultServer) goodAnswer(request *http.Request) answer {
 	recorder := httptest.NewRecorder()
 	recorder.Header().Set(api.HeaderRequestID, request.Header.Get(api.HeaderRequestID))
@@ -167,7 +166,7 @@
 	return result
 }
 
-// clone makes a copy that can be bent.
+// clone returns a copy that can be altered.
 func (a answer) clone() answer {
 	a.header = a.header.Clone()
 	pieces := make([][]byte, len(a.pieces))
@@ -178,7 +177,7 @@
 	return a
 }
 
-// bytes gives the answer as it goes over the wire.
+// bytes returns the encoded response.
 func (a answer) bytes() []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
--- a/internal/adapter/contracttest/serverside.go
+++ b/internal/adapter/contracttest/serverside.go
@@ -14,19 +14,17 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Endpoint is one call that a server takes with a JSON body, at a server of the
-// product or at a stand-in.
+// Endpoint is a call with a JSON body at a server of the product or a stand-in.
 type Endpoint struct {
-	// Address is the server's, Method and Path name the call.
+	// Address is the server's address; Method and Path identify the call.
 	Address, Method, Path string
 	// Header is sent with every request.
 	Header http.Header
-	// Body is one that the server answers with 200.
+	// Body is a body that the server answers with 200.
 	Body string
-	// BodyLimit is the server's bound on a body.
+	// BodyLimit is the server's limit on a body.
 	BodyLimit int
-	// Ran counts how often the call took effect so far; nil for a call without
-	// effects.
+	// Ran returns how often the call has taken effect; nil for a call without effects.
 	Ran func() int
 }
 
@@ -37,14 +35,14 @@
 	return e.Ran()
 }
 
-// serverRow is a faulty request with what the server must answer.
+// serverRow is a faulty request with the expected response.
 type serverRow struct {
 	name string
 	body func(Endpoint) string
-	// cut closes the connection after half of the body.
-	cut    bool
-	status int
-	code   port.Code
+	// truncate closes the connection after half of the body.
+	truncate bool
+	status   int
+	code     port.Code
 }
 
 var serverRows = []serverRow{
@@ -53,23 +51,22 @@
 	{name: "wrong type", body: func(Endpoint) string { return "[1]" }, status: http.StatusBadRequest, code: port.CodeInvalid},
 	{name: "half of the JSON", body: func(e Endpoint) string { return e.Body[:len(e.Body)/2] }, status: http.StatusBadRequest, code: port.CodeInvalid},
 	{name: "oversize", body: oversizeBody, status: http.StatusRequestEntityTooLarge, code: port.CodeTooLarge},
-	{name: "cut off", body: func(e Endpoint) string { return e.Body }, cut: true},
+	{name: "cut off", body: func(e Endpoint) string { return e.Body }, truncate: true},
 }
 
-// oversizeBody is a good body behind more white space than is allowed.
+// oversizeBody returns a valid body after more white space than the limit allows.
 func oversizeBody(e Endpoint) string { return strings.Repeat(" ", e.BodyLimit) + e.Body }
 
-// RunServer runs the table of faulty requests against an endpoint: each is
-// refused as not run and takes no effect, and a good request after it is
-// answered.
+// RunServer sends faulty requests to an endpoint. Each must be rejected as not run and
+// take no effect; a valid request must then succeed.
 func RunServer(t *testing.T, endpoint Endpoint) {
 	for _, row := range serverRows {
 		t.Run(row.name, func(t *testing.T) {
 			before := endpoint.ran()
-			if row.cut {
+			if row.truncate {
 				endpoint.sendHalf(t, row.body(endpoint))
 			} else {
-				expectRefused(t, endpoint.send(t, row.body(endpoint)), row.status, row.code)
+				expectRejected(t, endpoint.send(t, row.body(endpoint)), row.status, row.code)
 			}
 			if ran := endpoint.ran() - before; ran != 0 {
 				t.Errorf("the faulty request took effect %d times", ran)
@@ -87,8 +84,8 @@
 	})
 }
 
-// received is an answer as the table compares it.
-type received struct {
+// reply is a response as the table compares it.
+type reply struct {
 	status int
 	header http.Header
 	body   []byte
@@ -107,7 +104,7 @@
 	return request, nil
 }
 
-func (e Endpoint) send(t *testing.T, body string) received {
+func (e Endpoint) send(t *testing.T, body string) reply {
 	t.Helper()
 	request, err := e.request(strings.NewReader(body))
 	if err != nil {
@@ -122,11 +119,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return received{response.StatusCode, response.Header, content}
+	return reply{response.StatusCode, response.Header, content}
 }
 
-// sendHalf announces a whole body, sends half of it and closes its side of the
-// connection; it returns once the server has ended the connection.
+// sendHalf announces a complete body, sends half of it and closes the write side; it
+// returns once the server has closed the connection.
 func (e Endpoint) sendHalf(t *testing.T, body string) {
 	t.Helper()
 	connection, err := net.Dial("tcp", e.Address)
@@ -149,7 +146,7 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(connection), request)
 	if err != nil {
-		return // no answer is a good one
+		return // closing without a response is also correct
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode < http.StatusBadRequest {
@@ -157,7 +154,7 @@
 	}
 }
 
-func expectRefused(t *testing.T, got received, status int, code port.Code) {
+func expectRejected(t *testing.T, got reply, status int, code port.Code) {
 	t.Helper()
 	var body api.ErrorBody
 	if err := json.Unmarshal(got.body, &body); err != nil {
--- a/internal/adapter/contracttest/standin.go
+++ b/internal/adapter/contracttest/standin.go
@@ -11,49 +11,49 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// StandIn is a stand-in as the table drives it.
+// StandIn is the interface of a stand-in that the table uses.
 type StandIn interface {
 	Addr() string
 	Inject(standin.Fault) error
 }
 
-// Pairing is one call of an adapter to the stand-in of what it calls.
+// Pairing is an adapter's call to the stand-in of the service that the adapter calls.
 type Pairing struct {
-	// Start makes a stand-in that ends with the test.
+	// Start starts a stand-in that stops when the test ends.
 	Start func(t *testing.T) StandIn
-	// Dial makes an adapter for an address and gives its call, which checks its
-	// answer itself: a wrong answer is an error.
+	// Dial returns the call of an adapter for an address. The call checks its response
+	// itself: a wrong response is an error.
 	Dial func(address string) (call func(ctx context.Context, number int) error)
-	// Lacks lists the faults that the stand-in does not have for this call.
-	Lacks []standin.FaultKind
+	// UnsupportedFaults lists the faults that the stand-in doesn't support for this call.
+	UnsupportedFaults []standin.FaultKind
 }
 
-// longFault outlasts every test.
-const longFault = 10 * time.Minute
+// longFaultDuration exceeds the duration of every test.
+const longFaultDuration = 10 * time.Minute
 
-// pairedRow is a fault of the stand-in with what must come of it at the adapter.
+// pairedRow is a fault of the stand-in with the adapter's expected error.
 type pairedRow struct {
 	name    string
 	fault   standin.Fault
 	verdict port.Verdict
 	code    port.Code
-	// once says that the next call must get its own answer again.
-	once bool
-	// down waits until the stand-in takes no connections.
-	down bool
+	// recovers means that the next call must succeed.
+	recovers bool
+	// waitDown waits until the stand-in accepts no connections.
+	waitDown bool
 }
 
 var pairedRows = []pairedRow{
-	{name: "late", fault: standin.Fault{Kind: standin.FaultLate, Count: 1, DurationMs: longFault.Milliseconds()}, verdict: port.MayHaveRun, code: port.CodeDeadline, once: true},
-	{name: "cut off", fault: standin.Fault{Kind: standin.FaultCut, Count: 1}, verdict: port.MayHaveRun, code: port.CodeBackEnd, once: true},
-	{name: "another's answer", fault: standin.Fault{Kind: standin.FaultMix, Count: 1}, verdict: port.MayHaveRun, code: port.CodeBackEnd, once: true},
-	{name: "refused", fault: standin.Fault{Kind: standin.FaultRefuse, DurationMs: longFault.Milliseconds()}, verdict: port.NotRun, code: port.CodeUnavailable},
-	{name: "hung", fault: standin.Fault{Kind: standin.FaultHang, DurationMs: longFault.Milliseconds()}, verdict: port.MayHaveRun, code: port.CodeDeadline},
-	{name: "crashed", fault: standin.Fault{Kind: standin.FaultCrash, DurationMs: longFault.Milliseconds()}, verdict: port.NotRun, code: port.CodeBackEnd, down: true},
+	{name: "late", fault: standin.Fault{Kind: standin.FaultLate, Count: 1, DurationMs: longFaultDuration.Milliseconds()}, verdict: port.MayHaveRun, code: port.CodeDeadline, recovers: true},
+	{name: "cut off", fault: standin.Fault{Kind: standin.FaultCut, Count: 1}, verdict: port.MayHaveRun, code: port.CodeBackEnd, recovers: true},
+	{name: "answer to another request", fault: standin.Fault{Kind: standin.FaultMix, Count: 1}, verdict: port.MayHaveRun, code: port.CodeBackEnd, recovers: true},
+	{name: "refused", fault: standin.Fault{Kind: standin.FaultRefuse, DurationMs: longFaultDuration.Milliseconds()}, verdict: port.NotRun, code: port.CodeUnavailable},
+	{name: "hung", fault: standin.Fault{Kind: standin.FaultHang, DurationMs: longFaultDuration.Milliseconds()}, verdict: port.MayHaveRun, code: port.CodeDeadline},
+	{name: "crashed", fault: standin.Fault{Kind: standin.FaultCrash, DurationMs: longFaultDuration.Milliseconds()}, verdict: port.NotRun, code: port.CodeBackEnd, waitDown: true},
 }
 
-// RunPairing runs the table of faults that the raw connection shows in Run
-// against the stand-in, so that adapter and stand-in keep one contract.
+// RunPairing runs faults of the stand-in that match those of Run, to check that adapter
+// and stand-in follow the same contract.
 func RunPairing(t *testing.T, pairing Pairing) {
 	t.Run("good", func(t *testing.T) {
 		call := pairing.Dial(pairing.Start(t).Addr())
@@ -66,8 +66,8 @@
 	for _, row := range pairedRows {
 		t.Run(row.name, func(t *testing.T) {
 			started := pairing.Start(t)
-			if slices.Contains(pairing.Lacks, row.fault.Kind) {
-				expectLack(t, started, row.fault)
+			if slices.Contains(pairing.UnsupportedFaults, row.fault.Kind) {
+				expectUnsupported(t, started, row.fault)
 				return
 			}
 			runPaired(t, started, pairing.Dial(started.Addr()), row)
@@ -75,12 +75,11 @@
 	}
 }
 
-// expectLack checks that a fault which is left out is one that the stand-in
-// refuses.
-func expectLack(t *testing.T, started StandIn, fault standin.Fault) {
+// expectUnsupported checks that the stand-in rejects a fault listed as unsupported.
+func expectUnsupported(t *testing.T, started StandIn, fault standin.Fault) {
 	t.Helper()
 	if err := started.Inject(fault); err == nil {
-		t.Errorf("the stand-in has fault %s; the pairing leaves it out", fault.Kind)
+		t.Errorf("the stand-in supports fault %s; the pairing lists it as unsupported", fault.Kind)
 	}
 }
 
@@ -89,28 +88,28 @@
 	if err := started.Inject(row.fault); err != nil {
 		t.Fatal(err)
 	}
-	if row.down {
-		untilDown(t, started.Addr())
+	if row.waitDown {
+		awaitDown(t, started.Addr())
 	}
 	var err error
 	if row.code == port.CodeDeadline {
-		err = callUntilLate(t.Context(), call)
+		err = callUntilDeadline(t.Context(), call)
 	} else {
 		err = call(t.Context(), 0)
 	}
 	expectError(t, "", err, row.verdict, row.code)
-	if !row.once {
+	if !row.recovers {
 		return
 	}
 	if err := call(t.Context(), 1); err != nil {
-		t.Errorf("the call after it: %v", err)
+		t.Errorf("the next call: %v", err)
 	}
 }
 
-// callUntilLate lets a call's deadline pass while it waits for its answer. Where
-// the deadline passed before the call was sent, it has more time the next time.
-func callUntilLate(ctx context.Context, call func(context.Context, int) error) error {
-	for allowed := givenUpAfter; ; allowed *= 2 {
+// callUntilDeadline calls with a deadline that passes while the call waits for its
+// response. If the deadline passed before the request was sent, it tries a longer one.
+func callUntilDeadline(ctx context.Context, call func(context.Context, int) error) error {
+	for allowed := firstDeadline; ; allowed *= 2 {
 		limited, cancel := context.WithTimeout(ctx, allowed)
 		err := call(limited, 0)
 		cancel()
@@ -120,8 +119,8 @@
 	}
 }
 
-// untilDown waits until an address refuses connections.
-func untilDown(t *testing.T, address string) {
+// awaitDown waits until an address refuses connections.
+func awaitDown(t *testing.T, address string) {
 	t.Helper()
 	for {
 		connection, err := net.Dial("tcp", address)
--- a/internal/adapter/contracttest/standins_test.go
+++ b/internal/adapter/contracttest/standins_test.go
@@ -24,8 +24,7 @@
 	return started
 }
 
-// TestStandInsKeepTheServersContract runs the table that the servers of the
-// product run.
+// TestStandInsKeepTheServersContract runs the table of the product's servers.
 func TestStandInsKeepTheServersContract(t *testing.T) {
 	target := startEngine(t, standin.EngineConfig{})
 	scorer, err := standin.StartScorer(context.Background(), standin.ScorerConfig{})
--- a/internal/adapter/contracttest/table.go
+++ b/internal/adapter/contracttest/table.go
@@ -13,35 +13,35 @@
 
 // Subject is one call of one adapter.
 type Subject struct {
-	// Handler answers the call well. The server echoes the request's id.
+	// Handler handles the call correctly. The server echoes the request's id.
 	Handler http.Handler
-	// Dial makes an adapter for an address and gives its call. The call's
-	// answer must equal Want; number differs from call to call.
+	// Dial returns the call of an adapter for an address. The call's result must equal
+	// Want; number differs between calls.
 	Dial func(address string) (call func(ctx context.Context, number int) (answer string, err error))
 	Want func(number int) string
-	// AnswerBytes is the adapter's bound on an answer.
+	// AnswerBytes is the adapter's limit on a response.
 	AnswerBytes int
-	// Streamed says that the answer is a stream of numbered events, Passes that
-	// every status and content is an answer that is passed on.
-	Streamed, Passes bool
-	// Cancels says that the adapter sends DELETE for a call given up.
+	// Streamed means that the response is a stream of numbered events, PassThrough that
+	// the adapter returns responses of every status and content.
+	Streamed, PassThrough bool
+	// Cancels means that the adapter sends DELETE for a cancelled call.
 	Cancels bool
 }
 
-// row is one fault with what must come of it.
+// row is a fault with its expected result.
 type row struct {
 	name   string
 	faults []fault
-	// skip leaves the row out where the subject has no such thing.
+	// skip omits the row if it doesn't apply to the subject.
 	skip bool
-	// verdict is that of the last call's error; passes means it is an answer.
-	verdict port.Verdict
-	passes  bool
-	code    port.Code
-	// requests is how many the server must have seen.
+	// verdict is that of the last call's error, unless succeeds is set.
+	verdict  port.Verdict
+	succeeds bool
+	code     port.Code
+	// requests is the number of requests that the server must have received.
 	requests int
-	// The last call is given up once the server has the request: its deadline
-	// passes, or it is cancelled.
+	// The last call's deadline passes, or the call is cancelled, once the server has
+	// read the request.
 	deadline, cancel bool
 }
 
@@ -56,25 +56,25 @@
 	deadline := func(r *row) { r.deadline, r.code = true, port.CodeDeadline }
 	cancelled := func(r *row) { r.cancel, r.code = true, port.CodeCancelled }
 	streamed := func(r *row) { r.skip = !subject.Streamed }
-	structured := func(r *row) { r.skip = subject.Passes }
-	// A stream has an end marker of its own.
+	structured := func(r *row) { r.skip = subject.PassThrough }
+	// A stream has its own end marker.
 	unmarked := func(r *row) { r.skip = subject.Streamed }
 	notRun := func(r *row) { r.verdict, r.code = port.NotRun, port.CodeQueueFull }
-	answered := func(r *row) { r.passes = subject.Passes }
+	answered := func(r *row) { r.succeeds = subject.PassThrough }
 	return []row{
-		with(failed("good", nil), func(r *row) { r.passes = true }),
-		with(failed("late", silent), deadline),
-		with(failed("late after the first half", silentAfterHead), deadline),
-		with(failed("cancelled", silent), cancelled),
-		failed("cut before the first byte", cutAt(0)),
-		failed("cut after the first byte", cutAt(0.001)),
-		failed("cut at a quarter", cutAt(0.25)),
-		failed("cut at three quarters", cutAt(0.75)),
-		failed("cut before the end", cutBeforeEnd),
-		failed("reset", reset),
-		failed("reset on a reused connection", nil, reset),
-		failed("closed on a reused connection", nil, cutAt(0)),
-		failed("duplicate of the answer before", nil, repeatPrevious),
+		with(failed("good", nil), func(r *row) { r.succeeds = true }),
+		with(failed("late", neverAnswer), deadline),
+		with(failed("late after the first half", stallAfterHalf), deadline),
+		with(failed("cancelled", neverAnswer), cancelled),
+		failed("cut before the first byte", truncateAt(0)),
+		failed("cut after the first byte", truncateAt(0.001)),
+		failed("cut at a quarter", truncateAt(0.25)),
+		failed("cut at three quarters", truncateAt(0.75)),
+		failed("cut before the end", truncateBeforeEnd),
+		failed("reset", resetConnection),
+		failed("reset on a reused connection", nil, resetConnection),
+		failed("closed on a reused connection", nil, truncateAt(0)),
+		failed("repeat of the previous answer", nil, repeatPrevious),
 		failed("other request's id", wrongID),
 		with(failed("oversize", oversize(subject.AnswerBytes)), func(r *row) { r.code = port.CodeTooLarge }),
 		failed("oversize header", largeHeader),
@@ -91,15 +91,15 @@
 	}
 }
 
-// givenUpAfter is the first deadline of calls to stand-ins that never answer.
-const givenUpAfter = 100 * time.Millisecond
+// firstDeadline is the first deadline of calls to stand-ins that never respond.
+const firstDeadline = 100 * time.Millisecond
 
-// Run runs the table against a subject.
+// Run runs the fault table against a subject.
 func Run(t *testing.T, subject Subject) {
 	for _, row := range rows(subject) {
 		t.Run(row.name, func(t *testing.T) {
 			if row.skip {
-				t.Skip("the interface has no such thing")
+				t.Skip("not applicable to this interface")
 			}
 			runRow(t, subject, row)
 		})
@@ -115,23 +115,23 @@
 	last := len(row.faults) - 1
 	for number := range last {
 		expectAnswer(t, subject, call, number)
-		<-server.seen
+		<-server.requestRead
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	if row.deadline {
 		passed := make(chan struct{})
-		ctx = &expiring{ctx, passed}
+		ctx = &deadlineContext{ctx, passed}
 		cancel = func() { close(passed) }
 	}
 	if row.cancel || row.deadline {
 		go func() {
-			<-server.seen
+			<-server.requestRead
 			cancel()
 		}()
 	}
 	answer, err := call(ctx, last)
-	if row.passes {
+	if row.succeeds {
 		if err != nil {
 			t.Fatalf("call: %v", err)
 		}
@@ -149,17 +149,17 @@
 	}
 }
 
-// expiring is a context whose deadline passes when its channel is closed.
-type expiring struct {
+// deadlineContext is a context whose deadline passes when its channel is closed.
+type deadlineContext struct {
 	context.Context
 	passed chan struct{}
 }
 
 // Done is closed when the deadline passes.
-func (e *expiring) Done() <-chan struct{} { return e.passed }
+func (e *deadlineContext) Done() <-chan struct{} { return e.passed }
 
-// Err tells of the deadline once it has passed.
-func (e *expiring) Err() error {
+// Err returns context.DeadlineExceeded once the deadline has passed.
+func (e *deadlineContext) Err() error {
 	select {
 	case <-e.passed:
 		return context.DeadlineExceeded
@@ -196,7 +196,7 @@
 	}
 }
 
-// waitForCancel waits for the DELETE, which follows the error.
+// waitForCancel waits for the DELETE that follows the error.
 func waitForCancel(t *testing.T, server *faultServer) {
 	t.Helper()
 	for range 500 {
@@ -205,7 +205,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("engine was not told of the cancellation")
+	t.Error("the engine did not receive the cancellation")
 }
 
 func refusedConnection(t *testing.T, subject Subject) {
@@ -230,15 +230,15 @@
 	}
 }
 
-// answerAfterCancel lets the answer to a cancelled call come while the next
-// call waits for its own.
+// answerAfterCancel checks that the response to a cancelled call is not returned to the
+// next call.
 func answerAfterCancel(t *testing.T, subject Subject) {
-	server := newFaultServer(t, subject.Handler, []fault{afterRelease})
+	server := newFaultServer(t, subject.Handler, []fault{answerAfterRelease})
 	call := subject.Dial(server.address())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
-		<-server.seen
+		<-server.requestRead
 		cancel()
 	}()
 	answer, err := call(ctx, 0)
--- a/internal/adapter/contracttest/trainer_test.go
+++ b/internal/adapter/contracttest/trainer_test.go
@@ -18,19 +18,19 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// trainerSteps is how many batches each row delivers.
+// trainerSteps is the number of batches that each row delivers.
 const trainerSteps = 3
 
-// scriptedNode serves batches to a trainer; the first question for batch 2 meets
-// a fault.
+// scriptedNode serves batches to a trainer; the first request for batch 2 fails with a
+// fault.
 type scriptedNode struct {
 	fault http.HandlerFunc
 
-	mutex    sync.Mutex
-	epoch    port.Epoch
-	faulted  bool
-	asked    []uint64
-	versions []uint64
+	mutex     sync.Mutex
+	epoch     port.Epoch
+	faulted   bool
+	requested []uint64
+	versions  []uint64
 }
 
 func (n *scriptedNode) routes() http.Handler {
@@ -51,11 +51,11 @@
 func (n *scriptedNode) batch(writer http.ResponseWriter, request *http.Request) {
 	number, _ := strconv.ParseUint(request.PathValue("number"), 10, 64)
 	n.mutex.Lock()
-	n.asked = append(n.asked, number)
-	meetsFault := number == 2 && !n.faulted
-	n.faulted = n.faulted || meetsFault
+	n.requested = append(n.requested, number)
+	faulty := number == 2 && !n.faulted
+	n.faulted = n.faulted || faulty
 	n.mutex.Unlock()
-	if meetsFault {
+	if faulty {
 		n.fault(writer, request)
 		return
 	}
@@ -79,27 +79,26 @@
 	return func(writer http.ResponseWriter, _ *http.Request) { httpserve.WriteError(writer, failure) }
 }
 
-// TestTrainerStandInKeepsTheContract lets a trainer meet each fault of an answer:
-// it asks for the same number again, never trains on what is not that batch, and
-// publishes each version once.
+// TestTrainerStandInKeepsTheContract checks that after each faulty response the trainer
+// requests the same batch again, trains on no other, and publishes each version once.
 func TestTrainerStandInKeepsTheContract(t *testing.T) {
-	whole, err := json.Marshal(batchOf(2))
+	encoded, err := json.Marshal(batchOf(2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	faults := map[string]http.HandlerFunc{
-		"not ready": refuse(port.NewError(port.NotRun, port.CodeNotReady, "the batch is not whole")),
+		"not ready": refuse(port.NewError(port.NotRun, port.CodeNotReady, "the batch is not complete")),
 		"draining":  refuse(port.NewError(port.NotRun, port.CodeDraining, "the node is stopping")),
 		"fenced":    refuse(port.NewError(port.NotRun, port.CodeFenced, "consumer epoch 1 is fenced off")),
 		"internal":  refuse(port.NewError(port.MayHaveRun, port.CodeInternal, "fault")),
-		"cut off before the first byte": func(http.ResponseWriter, *http.Request) {
+		"closed before the first byte": func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		},
-		"cut off halfway": func(writer http.ResponseWriter, _ *http.Request) {
-			writer.Header().Set("Content-Length", strconv.Itoa(len(whole)))
-			_, _ = writer.Write(whole[:len(whole)/2])
+		"truncated": func(writer http.ResponseWriter, _ *http.Request) {
+			writer.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
+			_, _ = writer.Write(encoded[:len(encoded)/2])
 		},
-		"duplicate of the batch before": func(writer http.ResponseWriter, _ *http.Request) {
+		"previous batch repeated": func(writer http.ResponseWriter, _ *http.Request) {
 			httpserve.WriteJSON(writer, http.StatusOK, batchOf(1))
 		},
 		"batch out of order": func(writer http.ResponseWriter, _ *http.Request) {
@@ -123,13 +122,13 @@
 				t.Fatal(err)
 			}
 			defer trainer.Close()
-			until(t, "the trainer is done", func() bool { return trainer.Stats().Steps == trainerSteps })
+			waitUntil(t, "the trainer is done", func() bool { return trainer.Stats().Steps == trainerSteps })
 			expectDeliveries(t, trainer)
-			until(t, "every version is published", func() bool { return len(published(node)) == trainerSteps })
+			waitUntil(t, "every version is published", func() bool { return len(published(node)) == trainerSteps })
 			if got := published(node); !slices.Equal(got, []uint64{2, 3, 4}) {
 				t.Errorf("published versions %v", got)
 			}
-			expectAsked(t, node)
+			expectRequested(t, node)
 		})
 	}
 }
@@ -153,13 +152,12 @@
 	}
 }
 
-// expectAsked checks that the question that met the fault was asked again, and
-// nothing else.
-func expectAsked(t *testing.T, node *scriptedNode) {
+// expectRequested checks that only the request that failed was repeated.
+func expectRequested(t *testing.T, node *scriptedNode) {
 	t.Helper()
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	if !slices.Equal(node.asked, []uint64{1, 2, 2, 3}) {
-		t.Errorf("asked for %v", node.asked)
+	if !slices.Equal(node.requested, []uint64{1, 2, 2, 3}) {
+		t.Errorf("requested batches %v", node.requested)
 	}
 }
--- a/internal/adapter/contracttest/weightstore_test.go
+++ b/internal/adapter/contracttest/weightstore_test.go
@@ -26,9 +26,8 @@
 	return client
 }
 
-// until polls a condition; it fails the test after a time that no sound run
-// needs.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil polls a condition and fails the test if it does not hold in time.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for range 2000 {
 		if holds() {
@@ -36,14 +35,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("waited in vain until %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
 const weightBytes = 256 << 10
 
-// TestWeightStoreAndEngineKeepOneContract orders an engine to stage weights from
-// a store with a fault. Weights that did not come whole are never staged and
-// cannot be activated; the same order sent again mends it.
+// TestWeightStoreAndEngineKeepOneContract stages weights from a faulty store. Incomplete
+// weights must not be staged or activated; repeating the order must succeed.
 func TestWeightStoreAndEngineKeepOneContract(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -53,7 +51,7 @@
 		{name: "good", path: "/v1/weights/lm/2"},
 		{name: "cut off", path: "/v1/weights/lm/2", fault: &standin.Fault{Kind: standin.FaultCut, Count: 1}},
 		{name: "refused", path: "/v1/weights/lm/2", fault: &standin.Fault{Kind: standin.FaultRefuse, DurationMs: 100}},
-		{name: "no such path", path: "/v1/other"},
+		{name: "unknown path", path: "/v1/other"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -70,9 +68,9 @@
 				expectNotStaged(t, client)
 			}
 			stage.Source = store.URL() + "/v1/weights/lm/2"
-			until(t, "version 2 is staged", func() bool { return order(t, client, stage).Staged == 2 })
+			waitUntil(t, "version 2 is staged", func() bool { return order(t, client, stage).Staged == 2 })
 			order(t, client, port.Order{Kind: port.OrderActivate, Fence: 1, Version: 2})
-			until(t, "version 2 is served", func() bool { return load(t, client).Version == 2 })
+			waitUntil(t, "version 2 is served", func() bool { return load(t, client).Version == 2 })
 		})
 	}
 }
@@ -105,22 +103,22 @@
 	return report
 }
 
-// expectNotStaged looks for a while at what must not happen.
+// expectNotStaged checks for a while that version 2 is neither staged nor activated.
 func expectNotStaged(t *testing.T, client *engineclient.Client) {
 	t.Helper()
 	for range 20 {
 		if report := load(t, client); report.Staged == 2 || report.Version == 2 {
-			t.Fatalf("weights that did not come whole are staged: %+v", report)
+			t.Fatalf("incomplete weights are staged: %+v", report)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	_, err := client.Order(t.Context(), port.Order{Kind: port.OrderActivate, Fence: 1, Version: 2})
 	if known := port.AsError(err); known == nil || known.Code != port.CodeConflict || known.Verdict != port.NotRun {
-		t.Errorf("activation of what is not staged: %v, want a conflict and not run", err)
+		t.Errorf("activation of a version not staged: %v, want a conflict and not run", err)
 	}
 }
 
-// TestWeightStoreServesWholeVersions compares the length told with the bytes.
+// TestWeightStoreServesWholeVersions compares the Content-Length with the bytes received.
 func TestWeightStoreServesWholeVersions(t *testing.T) {
 	store := startStore(t, 64<<20)
 	for _, version := range []int{1, 2} {
--- a/internal/adapter/engineclient/standin_test.go
+++ b/internal/adapter/engineclient/standin_test.go
@@ -89,7 +89,7 @@
 					client := newClient(t, address)
 					return func(ctx context.Context, number int) error { return call(ctx, client, number) }
 				},
-				Lacks: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
+				UnsupportedFaults: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
 			})
 		})
 	}
--- a/internal/adapter/services/standin_test.go
+++ b/internal/adapter/services/standin_test.go
@@ -46,7 +46,7 @@
 				return err
 			}
 		},
-		Lacks: []standin.FaultKind{standin.FaultMix},
+		UnsupportedFaults: []standin.FaultKind{standin.FaultMix},
 	})
 }
 
@@ -66,7 +66,7 @@
 				return err
 			}
 		},
-		Lacks: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
+		UnsupportedFaults: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
 	})
 }
 
@@ -86,6 +86,6 @@
 				return err
 			}
 		},
-		Lacks: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
+		UnsupportedFaults: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
 	})
 }
