--- a/internal/adapter/appclient/client.go
+++ b/internal/adapter/appclient/client.go
@@ -14,10 +14,10 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// DefaultAnswerBytes bounds an answer's body unless New is told otherwise.
+// DefaultAnswerBytes is the default limit on a response body.
 const DefaultAnswerBytes = 8 << 20
 
-// Client talks to one back end. It is safe for concurrent use.
+// Client calls one back end. It is safe for concurrent use.
 type Client struct {
 	http        *httpcall.Client
 	address     string
@@ -26,9 +26,9 @@
 
 var _ port.Application = (*Client)(nil)
 
-// New makes the client of the back end at address (IP:port). The HTTP client
-// may be shared between back ends. Answers longer than answerBytes are
-// errors; 0 means DefaultAnswerBytes.
+// New returns a client of the back end at address (IP:port). The HTTP client may be shared
+// between back ends. A response longer than answerBytes is an error; 0 means
+// DefaultAnswerBytes.
 func New(client *httpcall.Client, address string, answerBytes int64) *Client {
 	if answerBytes <= 0 {
 		answerBytes = DefaultAnswerBytes
@@ -36,12 +36,12 @@
 	return &Client{http: client, address: address, answerBytes: answerBytes}
 }
 
-// Call sends the request once; see port.Application. Any status is an answer,
+// Call sends the request once; see port.Application. It returns a response of any status,
 // except a credible refusal as not run, which is an error with that verdict.
 func (c *Client) Call(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error) {
-	ctx, cancel := c.limit(ctx, request)
+	ctx, cancel := c.withDeadline(ctx, request)
 	defer cancel()
-	outgoing, err := c.outgoing(ctx, request)
+	outgoing, err := c.newRequest(ctx, request)
 	if err != nil {
 		return port.ApplicationResponse{}, err
 	}
@@ -63,15 +63,15 @@
 	return port.ApplicationResponse{Status: response.StatusCode, Header: incomingHeader(response.Header), Body: body}, nil
 }
 
-// limit applies the request's deadline, or else the client's timeout.
-func (c *Client) limit(ctx context.Context, request port.ApplicationRequest) (context.Context, context.CancelFunc) {
+// withDeadline applies the request's deadline, or else the client's timeout, to ctx.
+func (c *Client) withDeadline(ctx context.Context, request port.ApplicationRequest) (context.Context, context.CancelFunc) {
 	if request.Deadline.IsZero() {
 		return c.http.WithTimeout(ctx)
 	}
 	return context.WithDeadline(ctx, request.Deadline)
 }
 
-func (c *Client) outgoing(ctx context.Context, request port.ApplicationRequest) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, request port.ApplicationRequest) (*http.Request, error) {
 	target, err := url.ParseRequestURI(request.Path)
 	if err != nil || !strings.HasPrefix(request.Path, "/") || target.Host != "" {
 		return nil, eris.Wrap(port.InvalidField("path", request.Path, "an absolute path with an optional query"), "make request")
@@ -93,7 +93,7 @@
 		header.Add(field.Name, field.Value)
 	}
 	dropConnectionFields(header)
-	for _, name := range ownRequestFields {
+	for _, name := range reservedRequestFields {
 		header.Del(name)
 	}
 	header.Set(api.HeaderPriority, strconv.Itoa(int(request.Priority)))
--- a/internal/adapter/appclient/contract_test.go
+++ b/internal/adapter/appclient/contract_test.go
@@ -27,9 +27,8 @@
 	return appclient.New(client, address, answerBytes)
 }
 
-// TestCallKeepsContract runs the table for requests that net/http would resend
-// by itself (GET without body, or a key in the header) and for those it would
-// not.
+// TestCallKeepsContract covers requests that net/http would retry by itself (GET without a
+// body, or a key in the header) and requests that it would not.
 func TestCallKeepsContract(t *testing.T) {
 	templates := map[string]port.ApplicationRequest{
 		"GET":              {Method: http.MethodGet},
@@ -67,7 +66,7 @@
 }
 
 func TestHeadersOfOneConnectionStayOnIt(t *testing.T) {
-	server, requests := recordingServer(t, func(writer http.ResponseWriter) {
+	server, requests := startRecordingServer(t, func(writer http.ResponseWriter) {
 		header := writer.Header()
 		header.Set("Connection", "X-Hop")
 		header.Set("X-Hop", "1")
@@ -89,7 +88,7 @@
 	sent := (<-requests).Header
 	for _, name := range []string{"X-Secret", "Te", "Expect", "Connection"} {
 		if sent.Get(name) != "" {
-			t.Errorf("request field %s was passed on: %q", name, sent.Get(name))
+			t.Errorf("request field %s was forwarded: %q", name, sent.Get(name))
 		}
 	}
 	for name, want := range map[string]string{"X-End": "kept", api.HeaderPriority: "3", api.HeaderSafe: "false", api.HeaderRequestID: "r-n-1"} {
@@ -98,7 +97,7 @@
 		}
 	}
 	if sent.Get(api.HeaderDeadline) == "1" || sent.Get(api.HeaderDeadline) == "" {
-		t.Errorf("deadline %q, want what is left of ours", sent.Get(api.HeaderDeadline))
+		t.Errorf("deadline %q, want the client's remaining time", sent.Get(api.HeaderDeadline))
 	}
 	got := map[string]string{}
 	for _, field := range response.Header {
@@ -106,11 +105,11 @@
 	}
 	for _, name := range []string{"Connection", "X-Hop", "Keep-Alive", api.HeaderVerdict} {
 		if value, present := got[name]; present {
-			t.Errorf("answer field %s was passed on: %q", name, value)
+			t.Errorf("response field %s was forwarded: %q", name, value)
 		}
 	}
 	if got["X-End"] != "kept" {
-		t.Errorf("answer field X-End = %q, want kept", got["X-End"])
+		t.Errorf("response field X-End = %q, want kept", got["X-End"])
 	}
 }
 
--- a/internal/adapter/appclient/doc.go
+++ b/internal/adapter/appclient/doc.go
@@ -1,4 +1,4 @@
-// Package appclient is the client of one application back end over HTTP. It
-// implements port.Application: the whole answer or an error, and each call
-// sent exactly once.
+// Package appclient is the HTTP client of one application back end. It implements
+// port.Application: a call is sent exactly once and returns the complete response or an
+// error.
 package appclient
--- a/internal/adapter/appclient/header.go
+++ b/internal/adapter/appclient/header.go
@@ -9,18 +9,18 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// connectionFields belong to one connection and are not passed on (RFC 9110,
-// section 7.6.1), together with every field that Connection names.
+// connectionFields apply to one connection and are not forwarded (RFC 9110, section
+// 7.6.1), nor is any field that Connection names.
 var connectionFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Host", "Content-Length",
 }
 
-// ownRequestFields are written anew on every request.
-var ownRequestFields = []string{api.HeaderRequestID, api.HeaderRequestKey, api.HeaderSafe, api.HeaderDeadline, api.HeaderPriority}
+// reservedRequestFields are replaced in every request.
+var reservedRequestFields = []string{api.HeaderRequestID, api.HeaderRequestKey, api.HeaderSafe, api.HeaderDeadline, api.HeaderPriority}
 
-// ownResponseFields are loomgrade's to write: a back end cannot speak for it.
-var ownResponseFields = []string{api.HeaderRequestID, api.HeaderVerdict, api.HeaderUnconfirmed}
+// reservedResponseFields may only be set by loomgrade and are removed from responses.
+var reservedResponseFields = []string{api.HeaderRequestID, api.HeaderVerdict, api.HeaderUnconfirmed}
 
 func dropConnectionFields(header http.Header) {
 	for _, line := range header["Connection"] {
@@ -33,10 +33,10 @@
 	}
 }
 
-// incomingHeader gives the fields to pass on to the caller, sorted by name.
+// incomingHeader returns the fields to forward to the caller, sorted by name.
 func incomingHeader(header http.Header) []port.HeaderField {
 	dropConnectionFields(header)
-	for _, name := range ownResponseFields {
+	for _, name := range reservedResponseFields {
 		header.Del(name)
 	}
 	fields := make([]port.HeaderField, 0, len(header))
--- a/internal/adapter/appclient/helper_test.go
+++ b/internal/adapter/appclient/helper_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// recordingServer hands over each request that it answers with prepare.
-func recordingServer(t *testing.T, prepare func(http.ResponseWriter)) (address string, requests <-chan *http.Request) {
+// startRecordingServer returns a channel of the requests that its server received.
+func startRecordingServer(t *testing.T, prepare func(http.ResponseWriter)) (address string, requests <-chan *http.Request) {
 	seen := make(chan *http.Request, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		seen <- request
