--- a/internal/adapter/controlclient/client.go
+++ b/internal/adapter/controlclient/client.go
@@ -26,31 +26,30 @@
 	changeIDBytes = 8
 )
 
-// ErrNoMembers refuses a Config without addresses.
+// ErrNoMembers means that a Config has no addresses.
 var ErrNoMembers = errors.New("no control member addresses")
 
-// Config says where the control members are and how long to wait for them. A
-// zero duration takes its default.
+// Config configures a Client. Zero durations take their defaults.
 type Config struct {
 	// Addresses are peer addresses of control members, nearest first.
 	Addresses []string
-	// Wire holds cluster id, token and limits of the connections.
+	// Wire holds the cluster id, the token and the connection limits.
 	Wire wire.Options
-	// Node names this process to the members.
+	// Node identifies this process to the members.
 	Node port.NodeID
-	// ProposeTimeout bounds a proposal whose context has no deadline.
+	// ProposeTimeout limits a proposal whose context has no deadline.
 	ProposeTimeout time.Duration
-	// AttemptTimeout bounds one attempt at one member.
+	// AttemptTimeout limits one attempt at one member.
 	AttemptTimeout time.Duration
-	// SilenceTimeout is how long a watch may hear nothing, or nothing that is
-	// confirmed, before it moves to the next member.
+	// SilenceTimeout is how long a watch waits for a confirmed update before it moves to
+	// the next member.
 	SilenceTimeout time.Duration
-	// RetryBase and RetryMax bound the full-jitter delay between attempts.
+	// RetryBase and RetryMax limit the full-jitter delay between attempts.
 	RetryBase time.Duration
 	RetryMax  time.Duration
 }
 
-func (c Config) normalized() Config {
+func (c Config) withDefaults() Config {
 	c.ProposeTimeout = cmp.Or(c.ProposeTimeout, DefaultProposeTimeout)
 	c.AttemptTimeout = cmp.Or(c.AttemptTimeout, DefaultAttemptTimeout)
 	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, DefaultSilenceTimeout)
@@ -59,8 +58,8 @@
 	return c
 }
 
-// Client implements port.Control over the internal protocol. It is safe for
-// use by many goroutines.
+// Client implements port.Control over the internal protocol. It is safe for concurrent
+// use.
 type Client struct {
 	config  Config
 	members []*wire.Client
@@ -73,12 +72,12 @@
 
 var _ port.Control = (*Client)(nil)
 
-// New returns a client; it connects when first used.
+// New returns a client that connects on first use.
 func New(config Config) (*Client, error) {
 	if len(config.Addresses) == 0 {
 		return nil, ErrNoMembers
 	}
-	config = config.normalized()
+	config = config.withDefaults()
 	if config.Wire.Name == "" {
 		config.Wire.Name = string(config.Node)
 	}
@@ -89,24 +88,24 @@
 	return client, nil
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (c *Client) Close() {
 	for _, member := range c.members {
 		member.Close()
 	}
 }
 
-// Stats counts what the client did.
+// Stats are counters of a Client.
 type Stats struct {
-	// Moves counts changes of member.
+	// Moves counts changes to another member.
 	Moves uint64
-	// Ignored counts updates that would have gone back or did not fit.
+	// Ignored counts updates dropped as stale or out of sequence.
 	Ignored uint64
 	// BytesIn and BytesOut count the traffic with all members.
 	BytesIn, BytesOut uint64
 }
 
-// Stats returns the counts since the start.
+// Stats returns the counters since the client's creation.
 func (c *Client) Stats() Stats {
 	c.mutex.Lock()
 	stats := Stats{Moves: c.moves, Ignored: c.ignored}
@@ -119,28 +118,28 @@
 	return stats
 }
 
-// Traffic gives the bytes exchanged with all members since the start.
+// Traffic returns the bytes exchanged with all members since the client's creation.
 func (c *Client) Traffic() (sent, received uint64) {
 	stats := c.Stats()
 	return stats.BytesOut, stats.BytesIn
 }
 
-// NewChangeID draws a change id born now.
+// NewChangeID returns a random change id with the current time.
 func NewChangeID() string {
 	random := make([]byte, changeIDBytes)
 	_, _ = crand.Read(random) // never fails, by its documentation
 	return registry.FormatChangeID(time.Now(), random)
 }
 
-// member returns the member in use and its number in the list.
+// member returns the current member and its sequence number.
 func (c *Client) member() (*wire.Client, int64) {
 	number := c.current.Load()
 	return c.members[number%int64(len(c.members))], number
 }
 
-// moveOn makes the next member the one in use, unless another caller already
-// moved on from this one.
-func (c *Client) moveOn(from int64) {
+// failOver selects the next member, unless another caller has already moved on from this
+// one.
+func (c *Client) failOver(from int64) {
 	if !c.current.CompareAndSwap(from, from+1) {
 		return
 	}
@@ -149,12 +148,12 @@
 	c.mutex.Unlock()
 }
 
-// pause waits a full-jitter delay after so many failures in a row; it reports
-// false when the context ended first.
+// pause waits for a delay with full jitter that grows with the number of consecutive
+// failures; it reports false if ctx ends first.
 func (c *Client) pause(ctx context.Context, failures int) bool {
 	const maxShift = 10
-	bound := min(c.config.RetryBase<<min(failures, maxShift), c.config.RetryMax)
-	timer := time.NewTimer(rand.N(bound))
+	limit := min(c.config.RetryBase<<min(failures, maxShift), c.config.RetryMax)
+	timer := time.NewTimer(rand.N(limit))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -164,9 +163,9 @@
 	}
 }
 
-// Propose puts a command through the log. It draws a change id where the
-// command has none. Attempts are repeated, at other members too, under the one
-// change id until the context ends; the error's verdict covers all attempts.
+// Propose commits a command through the log, with a new change id if the command has
+// none. It retries, also at other members, with the same change id until ctx ends. The
+// error's verdict covers all attempts.
 func (c *Client) Propose(ctx context.Context, command port.Command) (port.Result, error) {
 	if command.ChangeID == "" {
 		command.ChangeID = NewChangeID()
@@ -197,12 +196,12 @@
 	var result port.Result
 	err := member.Call(attempt, MethodPropose, command, &result)
 	if err != nil {
-		c.moveOn(number)
+		c.failOver(number)
 	}
 	return result, err
 }
 
-// retriable says which failures another attempt may mend.
+// retriable reports whether another attempt may succeed.
 func retriable(code port.Code) bool {
 	switch code {
 	case port.CodeUnavailable, port.CodeDeadline, port.CodeQueueFull, port.CodeDraining, wire.CodeProtocol:
@@ -211,18 +210,18 @@
 	return false
 }
 
-// withVerdict keeps a refusal from claiming NotRun when an earlier attempt may
-// have run.
+// withVerdict replaces the verdict NotRun of a refusal if an earlier attempt may have
+// run.
 func withVerdict(refusal *port.Error, mayHaveRun bool) *port.Error {
 	if !mayHaveRun || refusal.Verdict != port.NotRun {
 		return refusal
 	}
-	careful := *refusal
-	careful.Verdict = port.MayHaveRun
-	return &careful
+	weakened := *refusal
+	weakened.Verdict = port.MayHaveRun
+	return &weakened
 }
 
-// Report tells the member in use about this node, or the next one that answers.
+// Report sends this node's report to the current member, or to the next that accepts it.
 func (c *Client) Report(ctx context.Context, report port.NodeReport) error {
 	var err error
 	for range c.members {
@@ -233,7 +232,7 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		c.moveOn(number)
+		c.failOver(number)
 	}
 	return err
 }
--- a/internal/adapter/controlclient/client_test.go
+++ b/internal/adapter/controlclient/client_test.go
@@ -15,7 +15,7 @@
 
 const testTimeout = 10 * time.Second
 
-// fakeMember answers as a test says and notes what it was asked.
+// fakeMember is a scripted control member that records its requests.
 type fakeMember struct {
 	address string
 	mutex   sync.Mutex
@@ -24,15 +24,15 @@
 	reports int
 }
 
-// behaviour is what a fakeMember does; nil fields refuse as unavailable.
+// behaviour scripts a fakeMember; nil fields answer with CodeUnavailable.
 type behaviour struct {
 	propose func(ctx context.Context, command port.Command) (port.Result, error)
-	// updates are streamed to each watch, which then stays silent.
+	// updates are sent on each watch, which then sends no more.
 	updates []port.ViewUpdate
 	report  error
 }
 
-func startFake(t *testing.T, does behaviour) *fakeMember {
+func startFakeMember(t *testing.T, script behaviour) *fakeMember {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,20 +40,20 @@
 	}
 	member := &fakeMember{address: listener.Addr().String()}
 	server := wire.NewServer(wire.Options{ClusterID: "test"})
-	server.Handle(MethodPropose, func(ctx context.Context, call *wire.Call) error { return member.propose(ctx, call, does) })
-	server.Handle(MethodWatch, func(ctx context.Context, call *wire.Call) error { return member.watch(ctx, call, does) })
+	server.Handle(MethodPropose, func(ctx context.Context, call *wire.Call) error { return member.propose(ctx, call, script) })
+	server.Handle(MethodWatch, func(ctx context.Context, call *wire.Call) error { return member.watch(ctx, call, script) })
 	server.Handle(MethodReport, func(context.Context, *wire.Call) error {
 		member.mutex.Lock()
 		defer member.mutex.Unlock()
 		member.reports++
-		return does.report
+		return script.report
 	})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
 	return member
 }
 
-func (m *fakeMember) propose(ctx context.Context, call *wire.Call, does behaviour) error {
+func (m *fakeMember) propose(ctx context.Context, call *wire.Call, script behaviour) error {
 	var command port.Command
 	if err := call.Decode(&command); err != nil {
 		return err
@@ -61,17 +61,17 @@
 	m.mutex.Lock()
 	m.changes = append(m.changes, command.ChangeID)
 	m.mutex.Unlock()
-	if does.propose == nil {
+	if script.propose == nil {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "no leader")
 	}
-	result, err := does.propose(ctx, command)
+	result, err := script.propose(ctx, command)
 	if err != nil {
 		return err
 	}
 	return call.Send(result)
 }
 
-func (m *fakeMember) watch(ctx context.Context, call *wire.Call, does behaviour) error {
+func (m *fakeMember) watch(ctx context.Context, call *wire.Call, script behaviour) error {
 	var request WatchRequest
 	if err := call.Decode(&request); err != nil {
 		return err
@@ -79,7 +79,7 @@
 	m.mutex.Lock()
 	m.watches = append(m.watches, request.After)
 	m.mutex.Unlock()
-	for _, update := range does.updates {
+	for _, update := range script.updates {
 		if err := call.Send(update); err != nil {
 			return err
 		}
@@ -88,13 +88,13 @@
 	return ctx.Err()
 }
 
-func (m *fakeMember) asked() (changes []string, watches []uint64) {
+func (m *fakeMember) requests() (changes []string, watches []uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Clone(m.changes), slices.Clone(m.watches)
 }
 
-func clientOf(t *testing.T, members ...*fakeMember) *Client {
+func newTestClient(t *testing.T, members ...*fakeMember) *Client {
 	t.Helper()
 	var addresses []string
 	for _, member := range members {
@@ -125,25 +125,25 @@
 	}
 }
 
-// TestProposeResendsUnderOneChangeID lists faults of the first member after
-// which the second one must see the same change id.
+// TestProposeResendsUnderOneChangeID checks that after a fault of the first member the
+// second one receives the same change id.
 func TestProposeResendsUnderOneChangeID(t *testing.T) {
 	cases := map[string]func(context.Context, port.Command) (port.Result, error){
 		"no leader":                      nil,
 		"no answer":                      hang,
-		"leadership lost in the middle":  refuse(port.MayHaveRun, port.CodeUnavailable),
+		"leadership lost meanwhile":      refuse(port.MayHaveRun, port.CodeUnavailable),
 		"member stopping":                refuse(port.NotRun, port.CodeDraining),
 		"too many proposals in progress": refuse(port.NotRun, port.CodeQueueFull),
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
-			first, second := startFake(t, behaviour{propose: fault}), startFake(t, behaviour{propose: accept})
-			result, err := clientOf(t, first, second).Propose(context.Background(), port.Command{})
+			first, second := startFakeMember(t, behaviour{propose: fault}), startFakeMember(t, behaviour{propose: accept})
+			result, err := newTestClient(t, first, second).Propose(context.Background(), port.Command{})
 			if err != nil || result.Index != 7 {
 				t.Fatalf("%+v, %v", result, err)
 			}
-			before, _ := first.asked()
-			after, _ := second.asked()
+			before, _ := first.requests()
+			after, _ := second.requests()
 			if len(before) == 0 || before[0] == "" || len(after) != 1 || after[0] != before[0] {
 				t.Fatalf("change ids %v, then %v", before, after)
 			}
@@ -151,8 +151,7 @@
 	}
 }
 
-// TestProposeVerdictCoversAllAttempts gives up after attempts with different
-// verdicts.
+// TestProposeVerdictCoversAllAttempts covers attempts with different verdicts.
 func TestProposeVerdictCoversAllAttempts(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -166,7 +165,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			client := clientOf(t, startFake(t, behaviour{propose: test.first}), startFake(t, behaviour{propose: test.second}))
+			client := newTestClient(t, startFakeMember(t, behaviour{propose: test.first}), startFakeMember(t, behaviour{propose: test.second}))
 			ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 			defer cancel()
 			if _, err := client.Propose(ctx, port.Command{}); port.AsError(err).Verdict != test.verdict {
@@ -176,11 +175,10 @@
 	}
 }
 
-// TestGivingUpBetweenAttemptsSaysNotRun: the context ends while the client waits
-// before its next attempt. The pause is so long that no attempt can be under way
-// then: one that is may have run, and the client says so.
+// TestGivingUpBetweenAttemptsSaysNotRun cancels during the backoff, when no attempt is in
+// flight.
 func TestGivingUpBetweenAttemptsSaysNotRun(t *testing.T) {
-	member := startFake(t, behaviour{})
+	member := startFakeMember(t, behaviour{})
 	client, err := New(Config{
 		Addresses: []string{member.address}, Wire: wire.Options{ClusterID: "test"}, Node: "tester",
 		RetryBase: 1000 * time.Hour, RetryMax: 1000 * time.Hour,
@@ -192,11 +190,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		for asked := 0; asked == 0; time.Sleep(10 * time.Millisecond) {
-			ids, _ := member.asked()
-			asked = len(ids)
+		for attempts := 0; attempts == 0; time.Sleep(10 * time.Millisecond) {
+			ids, _ := member.requests()
+			attempts = len(ids)
 		}
-		time.Sleep(time.Second) // the answer is on its way
+		time.Sleep(time.Second) // lets the response arrive
 		cancel()
 	}()
 	if _, err := client.Propose(ctx, port.Command{}); port.AsError(err).Verdict != port.NotRun {
@@ -204,8 +202,8 @@
 	}
 }
 
-// received watches until it has so many updates.
-func received(t *testing.T, client *Client, after uint64, count int) []port.ViewUpdate {
+// receiveUpdates watches until it has received count updates.
+func receiveUpdates(t *testing.T, client *Client, after uint64, count int) []port.ViewUpdate {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -233,21 +231,20 @@
 	return port.ViewUpdate{After: after, Position: position, Term: term, Confirmed: true}
 }
 
-// TestWatchNeverGoesBack sends updates that are old, of an older term, or that
-// do not follow the observer's position.
+// TestWatchNeverGoesBack sends updates with an old position, an old term or a gap.
 func TestWatchNeverGoesBack(t *testing.T) {
 	full := update(0, 8, 3)
 	full.Full = &port.View{Position: 8}
-	member := startFake(t, behaviour{updates: []port.ViewUpdate{
+	member := startFakeMember(t, behaviour{updates: []port.ViewUpdate{
 		update(5, 6, 3),
-		update(2, 4, 3),  // behind the observer
-		update(6, 7, 2),  // of an older term
-		full,             // replaces all
-		update(8, 8, 3),  // no news
-		update(8, 10, 3), // news
+		update(2, 4, 3),  // old position
+		update(6, 7, 2),  // old term
+		full,             // full view
+		update(8, 8, 3),  // no change
+		update(8, 10, 3), // change
 	}})
-	client := clientOf(t, member)
-	if got := positions(received(t, client, 5, 4)); !slices.Equal(got, []uint64{6, 8, 8, 10}) {
+	client := newTestClient(t, member)
+	if got := positions(receiveUpdates(t, client, 5, 4)); !slices.Equal(got, []uint64{6, 8, 8, 10}) {
 		t.Fatalf("positions %v", got)
 	}
 	if client.Stats().Ignored != 2 {
@@ -255,32 +252,32 @@
 	}
 }
 
-// TestWatchAsksAgainAfterAMisfit sends a delta from another position.
+// TestWatchAsksAgainAfterAMisfit sends a delta that starts at another position.
 func TestWatchAsksAgainAfterAMisfit(t *testing.T) {
-	first := startFake(t, behaviour{updates: []port.ViewUpdate{update(5, 6, 1), update(9, 12, 1)}})
-	second := startFake(t, behaviour{updates: []port.ViewUpdate{update(6, 7, 1)}})
-	if got := positions(received(t, clientOf(t, first, second), 5, 2)); !slices.Equal(got, []uint64{6, 7}) {
+	first := startFakeMember(t, behaviour{updates: []port.ViewUpdate{update(5, 6, 1), update(9, 12, 1)}})
+	second := startFakeMember(t, behaviour{updates: []port.ViewUpdate{update(6, 7, 1)}})
+	if got := positions(receiveUpdates(t, newTestClient(t, first, second), 5, 2)); !slices.Equal(got, []uint64{6, 7}) {
 		t.Fatalf("positions %v", got)
 	}
-	if _, watches := second.asked(); watches[0] != 6 {
-		t.Fatalf("the second member was asked after %v", watches)
+	if _, watches := second.requests(); watches[0] != 6 {
+		t.Fatalf("the second member received watches from %v", watches)
 	}
 }
 
-// TestWatchMovesOn lists members that a watch must leave.
+// TestWatchMovesOn covers members that a watch must leave.
 func TestWatchMovesOn(t *testing.T) {
 	unconfirmed := update(0, 0, 0)
 	unconfirmed.Confirmed = false
 	cases := map[string]behaviour{
-		"silent":                    {},
-		"out of touch with quorum":  {updates: []port.ViewUpdate{unconfirmed, unconfirmed}},
-		"confirms and falls silent": {updates: []port.ViewUpdate{update(0, 0, 0)}},
+		"unresponsive":                  {},
+		"no quorum":                     {updates: []port.ViewUpdate{unconfirmed, unconfirmed}},
+		"unresponsive after one update": {updates: []port.ViewUpdate{update(0, 0, 0)}},
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
-			first := startFake(t, fault)
-			second := startFake(t, behaviour{updates: []port.ViewUpdate{update(0, 3, 1)}})
-			updates := received(t, clientOf(t, first, second), 0, len(fault.updates)+1)
+			first := startFakeMember(t, fault)
+			second := startFakeMember(t, behaviour{updates: []port.ViewUpdate{update(0, 3, 1)}})
+			updates := receiveUpdates(t, newTestClient(t, first, second), 0, len(fault.updates)+1)
 			if updates[len(updates)-1].Position != 3 {
 				t.Fatalf("positions %v", positions(updates))
 			}
@@ -289,16 +286,16 @@
 }
 
 func TestReportGoesToTheNextMember(t *testing.T) {
-	refusing := startFake(t, behaviour{report: port.NewError(port.NotRun, port.CodeUnavailable, "starting")})
-	taking := startFake(t, behaviour{})
-	client := clientOf(t, refusing, taking)
+	rejecting := startFakeMember(t, behaviour{report: port.NewError(port.NotRun, port.CodeUnavailable, "starting")})
+	accepting := startFakeMember(t, behaviour{})
+	client := newTestClient(t, rejecting, accepting)
 	for range 2 {
 		if err := client.Report(context.Background(), port.NodeReport{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if refusing.reports != 1 || taking.reports != 2 {
-		t.Fatalf("%d reports refused, %d taken", refusing.reports, taking.reports)
+	if rejecting.reports != 1 || accepting.reports != 2 {
+		t.Fatalf("%d reports rejected, %d accepted", rejecting.reports, accepting.reports)
 	}
 }
 
--- a/internal/adapter/controlclient/doc.go
+++ b/internal/adapter/controlclient/doc.go
@@ -1,5 +1,4 @@
-// Package controlclient is a node's way to the replicated control state. It
-// keeps to the nearest control member that is in touch with a quorum, moves on
-// from one that is not, and repeats a proposal whose answer was lost under the
-// same change id, so that the proposal takes effect at most once.
+// Package controlclient is a node's client of the replicated control state. It prefers the
+// nearest control member in contact with a quorum and fails over from others. It retries a
+// proposal with the same change id, so that the proposal takes effect at most once.
 package controlclient
--- a/internal/adapter/controlclient/watch.go
+++ b/internal/adapter/controlclient/watch.go
@@ -9,11 +9,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// errMisfit reports a delta that starts at another position than the
-// observer's; the watch asks again from its own.
-var errMisfit = errors.New("update does not follow the observer's position")
+// errPositionMismatch means that a delta does not start at the observer's position; the
+// watch restarts from its own.
+var errPositionMismatch = errors.New("update does not follow the observer's position")
 
-// observer is the state of one watch: a position that never goes back.
+// observer is the state of one watch; its position never decreases.
 type observer struct {
 	client   *Client
 	position uint64
@@ -21,10 +21,9 @@
 	receive  func(port.ViewUpdate)
 }
 
-// Watch hands over updates after a position until ctx ends, whose error it
-// returns. An update that would go back in (position, term), or that does not
-// follow the observer's position, is dropped and counted. Updates without news
-// come too: they carry Confirmed.
+// Watch passes the updates after a position to receive until ctx ends, and returns ctx's
+// error. It drops and counts updates with a lower position or term and those that do not
+// follow the observer's position. Updates without changes carry Confirmed.
 func (c *Client) Watch(ctx context.Context, after uint64, receive func(port.ViewUpdate)) error {
 	watch := &observer{client: c, position: after, receive: receive}
 	failures := 0
@@ -35,10 +34,10 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if errors.Is(err, errMisfit) && watch.position != started {
+		if errors.Is(err, errPositionMismatch) && watch.position != started {
 			continue
 		}
-		c.moveOn(number)
+		c.failOver(number)
 		if watch.position != started {
 			failures = 0
 		}
@@ -48,13 +47,13 @@
 	return ctx.Err()
 }
 
-// follow reads one member's updates until they fail, fall silent, or stay
-// without confirmation for too long.
+// follow reads one member's updates until the stream fails or sends no confirmed update
+// for SilenceTimeout.
 func (o *observer) follow(ctx context.Context, member *wire.Client) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(o.client.config.SilenceTimeout, func() { cancel(context.DeadlineExceeded) })
-	defer silence.Stop()
+	unconfirmedTimer := time.AfterFunc(o.client.config.SilenceTimeout, func() { cancel(context.DeadlineExceeded) })
+	defer unconfirmedTimer.Stop()
 	stream, err := member.Stream(ctx, MethodWatch, WatchRequest{After: o.position, Node: o.client.config.Node})
 	if err != nil {
 		return err
@@ -65,31 +64,31 @@
 		if err := stream.Recv(&update); err != nil {
 			return err
 		}
-		if err := o.take(update); err != nil {
+		if err := o.apply(update); err != nil {
 			return err
 		}
 		if update.Confirmed {
-			silence.Reset(o.client.config.SilenceTimeout)
+			unconfirmedTimer.Reset(o.client.config.SilenceTimeout)
 		}
 	}
 }
 
-// take hands an update over if it moves forward or confirms the position.
-func (o *observer) take(update port.ViewUpdate) error {
+// apply passes an update to receive if it advances or confirms the position.
+func (o *observer) apply(update port.ViewUpdate) error {
 	switch {
 	case update.Position < o.position || update.Term < o.term:
-		o.client.ignore()
+		o.client.countIgnored()
 		return nil
 	case update.Full == nil && update.After != o.position:
-		o.client.ignore()
-		return errMisfit
+		o.client.countIgnored()
+		return errPositionMismatch
 	}
 	o.position, o.term = update.Position, update.Term
 	o.receive(update)
 	return nil
 }
 
-func (c *Client) ignore() {
+func (c *Client) countIgnored() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.ignored++
