--- a/internal/adapter/engineclient/client.go
+++ b/internal/adapter/engineclient/client.go
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, httpcall.ErrorOf(response)
+		return nil, httpcall.ParseError(response)
 	}
 	if err := httpcall.CheckContentType(response, contentTypeEvents); err != nil {
 		_ = response.Body.Close()
@@ -190,5 +190,5 @@
 	if err != nil {
 		return
 	}
-	_, _ = httpcall.ReadWhole(response, cancelAnswerBytes)
+	_, _ = httpcall.ReadBody(response, cancelAnswerBytes)
 }
--- a/internal/adapter/httpcall/answer.go
+++ b/internal/adapter/httpcall/answer.go
@@ -20,14 +20,14 @@
 
 const (
 	contentTypeJSON = "application/json"
-	// errorBodyLimit bounds how much of an error answer is read.
+	// errorBodyLimit limits the part of an error response that is read.
 	errorBodyLimit = 16 << 10
-	// maxRetryAfter bounds the Retry-After that is believed.
+	// maxRetryAfter limits the Retry-After that is accepted.
 	maxRetryAfter = time.Hour
 )
 
-// Failure makes the error for a call that broke: CodeDeadline or CodeCancelled
-// when ctx ended, CodeBackEnd otherwise.
+// Failure returns the error for a failed call: CodeDeadline or CodeCancelled if ctx has
+// ended, CodeBackEnd otherwise.
 func Failure(ctx context.Context, verdict port.Verdict, err error, action string) error {
 	code := port.CodeBackEnd
 	cause := context.Cause(ctx)
@@ -41,23 +41,22 @@
 	return eris.Wrap(port.NewError(verdict, code, "%v", err).WithCause(err), action)
 }
 
-// BrokenOff reports whether an error of a call says that the other side closed or reset the
-// connection before the answer was whole. One that fell silent says nothing of the other side.
+// BrokenOff reports whether a call's error means that the peer closed or reset the
+// connection before the response was complete. A timeout does not count.
 func BrokenOff(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Malformed makes the error for an answer that breaks the protocol. The
-// request ran or may have run; its answer must not be delivered.
+// Malformed returns the error for a response that violates the protocol. The request may
+// have run, but its response must not be delivered.
 func Malformed(format string, arguments ...any) error {
 	return eris.Wrap(port.NewError(port.MayHaveRun, port.CodeBackEnd, format, arguments...), "read answer")
 }
 
-// ReadWhole reads an answer's body, at most limit bytes, and closes it. It
-// refuses a body that is cut short, longer than limit, or whose end is marked
-// only by the end of the connection.
-func ReadWhole(response *http.Response, limit int64) ([]byte, error) {
+// ReadBody reads and closes a response body of at most limit bytes. It rejects a body that
+// is truncated, longer than limit, or ended only by the close of the connection.
+func ReadBody(response *http.Response, limit int64) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	ctx := response.Request.Context()
 	if response.ContentLength > limit && response.Request.Method != http.MethodHead {
@@ -87,7 +86,7 @@
 	return slices.Contains(response.TransferEncoding, "chunked")
 }
 
-// CheckContentType refuses an answer of another media type.
+// CheckContentType rejects a response of another media type.
 func CheckContentType(response *http.Response, want string) error {
 	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if err != nil || mediaType != want {
@@ -96,8 +95,8 @@
 	return nil
 }
 
-// RefusedAsNotRun reports whether an answer says credibly that the request did
-// not run: status 4xx or 503 with the header HeaderVerdict "not-run".
+// RefusedAsNotRun reports whether a response is a credible refusal as not run: status 4xx
+// or 503 with the header HeaderVerdict "not-run".
 func RefusedAsNotRun(response *http.Response) bool {
 	clientError := response.StatusCode >= 400 && response.StatusCode < 500
 	if !clientError && response.StatusCode != http.StatusServiceUnavailable {
@@ -106,10 +105,10 @@
 	return port.ParseVerdict(response.Header.Get(api.HeaderVerdict)) == port.NotRun
 }
 
-// ErrorOf reads an error answer and closes its body. Without a credible
-// not-run the verdict is MayHaveRun, or Ran if the answer says so. Code and
-// message come from an api.ErrorBody if there is one.
-func ErrorOf(response *http.Response) error {
+// ParseError decodes an error response and closes its body. Without a credible not-run the
+// verdict is MayHaveRun, or Ran if the response states it. An api.ErrorBody, if present,
+// sets code and message.
+func ParseError(response *http.Response) error {
 	failure := port.NewError(port.MayHaveRun, port.CodeBackEnd, "answered status %d", response.StatusCode)
 	switch {
 	case RefusedAsNotRun(response):
@@ -123,7 +122,7 @@
 }
 
 func fillFromBody(failure *port.Error, response *http.Response) {
-	body, err := ReadWhole(response, errorBodyLimit)
+	body, err := ReadBody(response, errorBodyLimit)
 	if err != nil {
 		return
 	}
@@ -148,8 +147,8 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// JSON sends a request with an optional JSON body and decodes the whole JSON
-// answer, at most limit bytes, into answer. Every status but 200 is an error.
+// JSON sends a request with an optional JSON body and decodes the JSON response, at most
+// limit bytes, into answer. Every status but 200 is an error.
 func (c *Client) JSON(ctx context.Context, method, url, id string, body, answer any, limit int64) error {
 	ctx, cancel := c.WithTimeout(ctx)
 	defer cancel()
@@ -186,13 +185,13 @@
 
 func decodeAnswer(response *http.Response, answer any, limit int64) error {
 	if response.StatusCode != http.StatusOK {
-		return ErrorOf(response)
+		return ParseError(response)
 	}
 	if err := CheckContentType(response, contentTypeJSON); err != nil {
 		_ = response.Body.Close()
 		return err
 	}
-	body, err := ReadWhole(response, limit)
+	body, err := ReadBody(response, limit)
 	if err != nil {
 		return err
 	}
--- a/internal/adapter/httpcall/client.go
+++ b/internal/adapter/httpcall/client.go
@@ -19,42 +19,41 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Limits bound what a Client uses. The zero value of a field means its default.
+// Limits limits what a Client uses. Zero fields take their defaults.
 type Limits struct {
-	// DialTimeout bounds setting up a connection; default 2s.
+	// DialTimeout limits connection setup; default 2s.
 	DialTimeout time.Duration
-	// Connections bounds open connections to one address; default 1024.
+	// Connections limits open connections per address; default 1024.
 	Connections int
-	// IdleConnections bounds those kept for reuse to one address; default 64.
+	// IdleConnections limits idle connections per address; default 64.
 	IdleConnections int
 	// IdleTimeout closes unused connections; default 30s.
 	IdleTimeout time.Duration
-	// HeaderBytes bounds an answer's header; default 32 KiB.
+	// HeaderBytes limits a response's header; default 32 KiB.
 	HeaderBytes int64
-	// Timeout bounds a whole answer when the context has no deadline;
-	// default 30s.
+	// Timeout limits a call whose context has no deadline; default 30s.
 	Timeout time.Duration
-	// SilenceTimeout ends a connection whose sent bytes are not acknowledged
-	// for so long (TCP_USER_TIMEOUT); default 10s.
+	// SilenceTimeout closes a connection whose sent data remains unacknowledged for this
+	// long (TCP_USER_TIMEOUT); default 10s.
 	SilenceTimeout time.Duration
-	// Names are the headers that a call's id and deadline travel in; default
-	// HeaderRequestID and HeaderDeadline of package api.
+	// Names are the headers for a call's id and deadline; default HeaderRequestID and
+	// HeaderDeadline of package api.
 	Names Names
-	// Clock also counts suspended time; nil is that of the machine.
+	// Clock includes suspended time; nil means the machine's clock.
 	Clock boottime.Clock
 }
 
-// Names are the headers that every call carries.
+// Names are the names of headers sent with every call.
 type Names struct {
-	// ID names the call; an answer that names another one is refused.
+	// ID carries the call's id; a response with another id is rejected.
 	ID string
-	// Deadline is what is left of the call's deadline, in milliseconds.
+	// Deadline carries the call's remaining time in milliseconds.
 	Deadline string
 }
 
 var defaultNames = Names{ID: api.HeaderRequestID, Deadline: api.HeaderDeadline}
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	defaultDialTimeout     = 2 * time.Second
 	defaultConnections     = 1024
@@ -78,16 +77,16 @@
 	return l
 }
 
-// Client sends requests over pooled connections. It is safe for concurrent use
-// and meant to be shared by the clients of many addresses.
+// Client sends requests over pooled connections. It is safe for concurrent use and may be
+// shared by clients of many addresses.
 type Client struct {
 	transport *http.Transport
 	limits    Limits
-	// calls numbers the calls that come without an id of their own.
+	// calls numbers the calls without an id.
 	calls atomic.Uint64
 }
 
-// New makes a Client.
+// New returns a Client.
 func New(limits Limits) *Client {
 	limits = limits.withDefaults()
 	dialer := &net.Dialer{Timeout: limits.DialTimeout, Control: tcpsocket.UserTimeout(limits.SilenceTimeout)}
@@ -111,7 +110,7 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// WithTimeout gives ctx the client's timeout if it has no deadline of its own.
+// WithTimeout applies the client's timeout to ctx unless ctx has a deadline.
 func (c *Client) WithTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, limited := ctx.Deadline(); limited {
 		return context.WithCancel(ctx)
@@ -119,13 +118,13 @@
 	return context.WithTimeout(ctx, c.limits.Timeout)
 }
 
-// nextID gives an id for a call that has none, so that an answer to another
-// call shows.
+// nextID returns an id for a call without one, so that a response to another call is
+// detected.
 func (c *Client) nextID() string { return "c-" + strconv.FormatUint(c.calls.Add(1), 10) }
 
-// NewRequest makes a request that net/http cannot resend by itself. It carries
-// what is left of ctx's deadline as HeaderDeadline, and id, if not empty, as
-// HeaderRequestID. A malformed method or URL gives NotRun.
+// NewRequest returns a request that net/http cannot retry by itself. HeaderDeadline carries
+// the time left until ctx's deadline, and HeaderRequestID the id, if not empty. A malformed
+// method or URL returns NotRun.
 func NewRequest(ctx context.Context, method, url, id string, header http.Header, body []byte) (*http.Request, error) {
 	return defaultNames.NewRequest(ctx, method, url, id, header, body)
 }
@@ -156,13 +155,11 @@
 // Close does nothing.
 func (singleUseBody) Close() error { return nil }
 
-// setSingleUseBody sets the body so that net/http finds the request neither
-// replayable nor rewindable, whatever its method and headers are. It resends
-// a request without body when the method is idempotent or a header such as
-// Idempotency-Key says so; an empty body of its own type keeps it from that.
+// setSingleUseBody sets the body so that net/http never retries the request. For a request
+// without a body that net/http considers replayable, it sets an empty body of its own type.
 func setSingleUseBody(request *http.Request, body []byte) {
 	request.GetBody = nil
-	if len(body) == 0 && !looksReplayable(request) {
+	if len(body) == 0 && !isReplayable(request) {
 		request.Body = http.NoBody
 		return
 	}
@@ -170,8 +167,8 @@
 	request.ContentLength = int64(len(body))
 }
 
-// looksReplayable mirrors net/http's rule for requests without a body.
-func looksReplayable(request *http.Request) bool {
+// isReplayable mirrors net/http's rule for requests without a body.
+func isReplayable(request *http.Request) bool {
 	switch request.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
@@ -179,9 +176,9 @@
 	return len(request.Header["Idempotency-Key"]) > 0 || len(request.Header["X-Idempotency-Key"]) > 0
 }
 
-// Send sends a request of NewRequest once and gives the answer's head. Its
-// errors carry an exact verdict: NotRun if no byte of the request left,
-// MayHaveRun otherwise. The caller closes the answer's body.
+// Send sends a request of NewRequest once and returns the response, whose body the caller
+// closes. Errors carry an exact verdict: NotRun if no byte of the request was sent,
+// MayHaveRun otherwise.
 func (c *Client) Send(request *http.Request) (*http.Response, error) {
 	ctx := request.Context()
 	var attempt attempt
@@ -192,10 +189,10 @@
 	}
 	if err := c.limits.Names.checkID(request, response); err != nil {
 		_ = response.Body.Close()
-		attempt.closeConnections() // what else comes on it belongs to no request
+		attempt.closeConnections() // further data on them belongs to no request
 		return nil, err
 	}
-	attempt.noteKeepAlive(response)
+	attempt.recordKeepAlive(response)
 	return response, nil
 }
 
@@ -207,7 +204,7 @@
 	return Failure(ctx, verdict, err, "send request")
 }
 
-// checkID refuses an answer that names another request's id.
+// checkID rejects a response with another request's id.
 func (n Names) checkID(request *http.Request, response *http.Response) error {
 	got := response.Header.Get(n.ID)
 	if got == "" || got == request.Header.Get(n.ID) {
--- a/internal/adapter/httpcall/connection.go
+++ b/internal/adapter/httpcall/connection.go
@@ -13,30 +13,29 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/boottime"
 )
 
-// errSealed is what a write on a sealed connection fails with.
+// errSealed is returned by writes on a sealed connection.
 var errSealed = errors.New("connection sealed: its request was given up before the first byte")
 
-// countedConnection counts the writes that began and can be sealed against
-// further ones. HTTP/1.1 runs one request at a time on it.
+// countedConnection counts the writes started and can be sealed against further ones.
+// HTTP/1.1 runs one request at a time on it.
 type countedConnection struct {
 	net.Conn
 	mutex  sync.Mutex
 	writes uint64
 	sealed bool
-	// idleLimit is how long the server keeps the connection unused, 0 if it
-	// did not say.
+	// idleLimit is the server's announced idle timeout, or 0.
 	idleLimit time.Duration
 	lastUsed  time.Time
-	// suspended tells whether the machine was suspended since the connection was taken last.
+	// suspended detects suspensions of the machine since the connection's last use.
 	suspended *boottime.Watch
 }
 
-// idleMargin is how long before the server's own limit a connection is no
-// longer used: the server's closing may be on its way.
+// idleMargin is subtracted from the server's idle timeout, since the server's close may
+// already be in flight.
 const idleMargin = 300 * time.Millisecond
 
-// Write counts before the bytes can leave, so that the count errs only towards
-// "may have run".
+// Write counts the write before any byte is sent, so that the count errs only towards "may
+// have run".
 func (c *countedConnection) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	if c.sealed || c.expired() {
@@ -49,7 +48,7 @@
 	return c.Conn.Write(data)
 }
 
-// Read notes when the connection was last used.
+// Read records when the connection was last used.
 func (c *countedConnection) Read(data []byte) (int, error) {
 	count, err := c.Conn.Read(data)
 	c.mutex.Lock()
@@ -58,15 +57,14 @@
 	return count, err
 }
 
-// expired reports whether the server may be about to close the connection. The
-// caller holds the lock.
+// expired reports whether the server may be closing the connection. The caller holds the
+// mutex.
 func (c *countedConnection) expired() bool {
 	return c.idleLimit > 0 && time.Since(c.lastUsed) > c.idleLimit-idleMargin
 }
 
-// sealIfSuspended keeps a request off a connection that was open while the machine was
-// suspended: the server has likely closed it, and a request on it may have run as far as its
-// sender can tell.
+// sealIfSuspended seals a connection that was open while the machine was suspended: the
+// server has probably closed it, and a request on it could end with an unknown outcome.
 func (c *countedConnection) sealIfSuspended() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,25 +73,25 @@
 	}
 }
 
-// setIdleLimit takes over what the server said of idle connections.
+// setIdleLimit sets the server's announced idle timeout.
 func (c *countedConnection) setIdleLimit(limit time.Duration) {
 	c.mutex.Lock()
 	c.idleLimit = limit
 	c.mutex.Unlock()
 }
 
-// writesBegun gives the number of writes so far.
-func (c *countedConnection) writesBegun() uint64 {
+// writeCount returns the number of writes started.
+func (c *countedConnection) writeCount() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.writes
 }
 
-// sealUnlessWritten reports whether a write began since the count was before;
-// if none did, none can follow.
-func (c *countedConnection) sealUnlessWritten(before uint64) (written bool) {
+// sealUnlessWritten reports whether a write has started since the count was initialWrites;
+// if not, it seals the connection against further writes.
+func (c *countedConnection) sealUnlessWritten(initialWrites uint64) (written bool) {
 	c.mutex.Lock()
-	written = c.writes != before
+	written = c.writes != initialWrites
 	if !written {
 		c.sealed = true
 	}
@@ -104,20 +102,19 @@
 	return written
 }
 
-// attempt follows one request over the connections that it was given.
+// attempt tracks the connections used by one request.
 type attempt struct {
 	mutex       sync.Mutex
 	connections []attemptConnection
 }
 
-// attemptConnection is a connection with its count of writes when the request
-// got it.
+// attemptConnection is a connection with its write count when the request got it.
 type attemptConnection struct {
-	connection *countedConnection
-	before     uint64
+	connection    *countedConnection
+	initialWrites uint64
 }
 
-// trace gives the hooks that record the connections.
+// trace returns the hooks that record the connections.
 func (a *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: a.gotConnection}
 }
@@ -130,26 +127,26 @@
 	connection.sealIfSuspended()
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.connections = append(a.connections, attemptConnection{connection, connection.writesBegun()})
+	a.connections = append(a.connections, attemptConnection{connection, connection.writeCount()})
 }
 
-// mayHaveRun reports whether a byte of the request may have left. If it says
-// no, none can leave any more.
+// mayHaveRun reports whether a byte of the request may have been sent. If not, none can be
+// sent any more.
 func (a *attempt) mayHaveRun() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	written := false
 	for _, used := range a.connections {
-		if used.connection.sealUnlessWritten(used.before) {
+		if used.connection.sealUnlessWritten(used.initialWrites) {
 			written = true
 		}
 	}
 	return written
 }
 
-// noteKeepAlive takes over how long the server keeps the connection, if its
-// answer says so in the Keep-Alive header, in whole seconds.
-func (a *attempt) noteKeepAlive(response *http.Response) {
+// recordKeepAlive stores the idle timeout, in whole seconds, from the Keep-Alive header of
+// a response, if it has one.
+func (a *attempt) recordKeepAlive(response *http.Response) {
 	limit, stated := keepAliveTimeout(response.Header.Get("Keep-Alive"))
 	if !stated {
 		return
@@ -173,7 +170,7 @@
 	return 0, false
 }
 
-// closeConnections closes the connections that the request was given.
+// closeConnections closes the request's connections.
 func (a *attempt) closeConnections() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/adapter/httpcall/suspend_test.go
+++ b/internal/adapter/httpcall/suspend_test.go
@@ -15,10 +15,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestAConnectionFromBeforeASuspensionIsNotUsed: the server has closed it long ago, and its
-// closing may not have arrived yet. A request on it may have run, as far as its sender knows.
+// TestAConnectionFromBeforeASuspensionIsNotUsed checks that a request after a suspension
+// uses a new connection: the server may have closed the old one.
 func TestAConnectionFromBeforeASuspensionIsNotUsed(t *testing.T) {
-	var slept, connections atomic.Int64
+	var suspended, connections atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
 		connections.Add(1)
@@ -26,7 +26,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	client := httpcall.New(httpcall.Limits{Clock: func() time.Duration { return boottime.Now() + time.Duration(slept.Load()) }})
+	client := httpcall.New(httpcall.Limits{Clock: func() time.Duration { return boottime.Now() + time.Duration(suspended.Load()) }})
 	defer client.Close()
 	call := func() error {
 		request, err := httpcall.NewRequest(context.Background(), http.MethodGet, server.URL, "1", nil, nil)
@@ -48,10 +48,10 @@
 	if connections.Load() != 1 {
 		t.Fatalf("%d connections", connections.Load())
 	}
-	slept.Store(int64(10 * time.Second))
+	suspended.Store(int64(10 * time.Second))
 	for range 2 {
 		if err := call(); err != nil && port.AsError(err).Verdict != port.NotRun {
-			t.Errorf("a request on it may have run: %v", err)
+			t.Errorf("a request on the old connection may have run: %v", err)
 		}
 	}
 	if connections.Load() != 2 {
