--- a/internal/adapter/httpserve/doc.go
+++ b/internal/adapter/httpserve/doc.go
@@ -1,4 +1,4 @@
-// Package httpserve holds what loomgrade's HTTP servers have in common: a
-// listener with a bounded number of connections, and the form of error answers
-// with their status and verdict, as docs/PROTOCOLS.md describes them.
+// Package httpserve is shared by loomgrade's HTTP servers: a listener with a limited number
+// of connections, the announced keep-alive of idle connections, and error responses with
+// status and verdict, as documented in docs/PROTOCOLS.md.
 package httpserve
--- a/internal/adapter/httpserve/errors.go
+++ b/internal/adapter/httpserve/errors.go
@@ -10,12 +10,12 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// StatusClientClosed is the customary status for a caller that gave up.
+// StatusClientClosed is the nonstandard status for a cancelled request.
 const StatusClientClosed = 499
 
 const contentTypeJSON = "application/json"
 
-// Status gives the HTTP status of a code.
+// Status returns the HTTP status for a code.
 func Status(code port.Code) int {
 	switch code {
 	case port.CodeInvalid:
@@ -43,12 +43,11 @@
 	}
 }
 
-// Detail gives the JSON form of a failure. An unset verdict is told as
-// may-have-run.
+// Detail returns the JSON form of a failure. An unset verdict becomes MayHaveRun.
 func Detail(failure *port.Error) api.ErrorDetail {
 	return api.ErrorDetail{
 		Code:         string(failure.Code),
-		Verdict:      toldVerdict(failure).String(),
+		Verdict:      reportedVerdict(failure).String(),
 		Message:      failure.Message,
 		Field:        failure.Field,
 		Value:        failure.Value,
@@ -57,14 +56,14 @@
 	}
 }
 
-func toldVerdict(failure *port.Error) port.Verdict {
+func reportedVerdict(failure *port.Error) port.Verdict {
 	if failure.Verdict == port.VerdictUnset {
 		return port.MayHaveRun
 	}
 	return failure.Verdict
 }
 
-// ParseDetail reads the JSON form of a failure.
+// ParseDetail converts the JSON form of a failure to a port.Error.
 func ParseDetail(detail api.ErrorDetail) *port.Error {
 	verdict := port.ParseVerdict(detail.Verdict)
 	if verdict == port.VerdictUnset {
@@ -81,18 +80,17 @@
 	}
 }
 
-// WriteError answers with a failure.
+// WriteError writes an error response.
 func WriteError(writer http.ResponseWriter, failure *port.Error) {
 	WriteErrorBody(writer, failure, api.ErrorBody{Error: Detail(failure)})
 }
 
-// WriteErrorBody answers with a failure and a body that holds more than its
-// detail.
+// WriteErrorBody writes an error response with a body that extends api.ErrorBody.
 func WriteErrorBody(writer http.ResponseWriter, failure *port.Error, body any) {
 	header := writer.Header()
-	header.Set(api.HeaderVerdict, toldVerdict(failure).String())
+	header.Set(api.HeaderVerdict, reportedVerdict(failure).String())
 	if failure.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatInt(wholeSeconds(failure.RetryAfter), 10))
+		header.Set("Retry-After", strconv.FormatInt(ceilSeconds(failure.RetryAfter), 10))
 	}
 	if failure.Code == port.CodeUnauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
@@ -100,13 +98,13 @@
 	WriteJSON(writer, Status(failure.Code), body)
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
-func wholeSeconds(duration time.Duration) int64 {
+// ceilSeconds rounds up, so that clients don't retry too early.
+func ceilSeconds(duration time.Duration) int64 {
 	return int64((duration + time.Second - 1) / time.Second)
 }
 
-// WriteJSON writes a whole JSON answer. A failed write shows to the client,
-// which misses the end; there is no one else to tell.
+// WriteJSON writes a JSON response. It ignores write errors, which the client detects by
+// the truncated body.
 func WriteJSON(writer http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/internal/adapter/httpserve/httpserve_test.go
+++ b/internal/adapter/httpserve/httpserve_test.go
@@ -29,11 +29,11 @@
 	codes := testkit.ErrorCodes(t)
 	for _, code := range codes {
 		if got := httpserve.Status(code); got != documented[code] {
-			t.Errorf("%s is %d, the page says %d", code, got, documented[code])
+			t.Errorf("%s is %d, documented as %d", code, got, documented[code])
 		}
 	}
 	if len(documented) != len(codes) {
-		t.Errorf("the page lists %d codes, there are %d", len(documented), len(codes))
+		t.Errorf("%d codes are documented, %d exist", len(documented), len(codes))
 	}
 }
 
@@ -43,10 +43,10 @@
 		failure, want port.Error
 		retryAfter    string
 	}{
-		{"whole", port.Error{Verdict: port.NotRun, Code: port.CodeInvalid, Message: "m", Field: "f", Value: "v", Allowed: "a"},
+		{"complete", port.Error{Verdict: port.NotRun, Code: port.CodeInvalid, Message: "m", Field: "f", Value: "v", Allowed: "a"},
 			port.Error{Verdict: port.NotRun, Code: port.CodeInvalid, Message: "m", Field: "f", Value: "v", Allowed: "a"}, ""},
 		{"unset verdict", port.Error{Code: port.CodeInternal}, port.Error{Verdict: port.MayHaveRun, Code: port.CodeInternal}, ""},
-		{"time to come back", port.Error{Verdict: port.NotRun, Code: port.CodeQueueFull, RetryAfter: 1001 * time.Millisecond},
+		{"retry after", port.Error{Verdict: port.NotRun, Code: port.CodeQueueFull, RetryAfter: 1001 * time.Millisecond},
 			port.Error{Verdict: port.NotRun, Code: port.CodeQueueFull, RetryAfter: 1001 * time.Millisecond}, "2"},
 	}
 	for _, test := range cases {
@@ -78,15 +78,14 @@
 	}
 }
 
-// TestBoundedListenerClosesWhileItWaits closes a listener whose Accept waits for
-// a slot.
+// TestBoundedListenerClosesWhileItWaits closes a listener whose Accept waits for a slot.
 func TestBoundedListenerClosesWhileItWaits(t *testing.T) {
-	below, err := net.Listen("tcp", "127.0.0.1:0")
+	underlying, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := httpserve.BoundListener(below, 1)
-	client, err := net.Dial("tcp", below.Addr().String())
+	listener := httpserve.BoundListener(underlying, 1)
+	client, err := net.Dial("tcp", underlying.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +105,7 @@
 	if err := <-waiting; err == nil {
 		t.Error("a closed listener accepted")
 	}
-	// Closing a connection twice gives one slot back.
+	// Closing a connection twice releases one slot.
 	_ = accepted.Close()
 	_ = accepted.Close()
 }
--- a/internal/adapter/httpserve/idle.go
+++ b/internal/adapter/httpserve/idle.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// idlePoll is how often a stopping server looks at its idle connections.
-const idlePoll = 10 * time.Millisecond
+// idlePollInterval is how often a stopping server checks its idle connections.
+const idlePollInterval = 10 * time.Millisecond
 
-// IdleConnections lets a server stop without a request crossing the close of the
-// connection that it was sent on. Every answer announces for how long the
-// connection may rest (RFC 2068, section 19.7.1.1: Keep-Alive), and a stopping
-// server closes none before that time is over. It is safe for concurrent use.
+// IdleConnections keeps a stopping server from closing a connection on which a client is
+// sending a request. Every response announces how long the connection may stay idle
+// (Keep-Alive, RFC 2068, section 19.7.1.1), and a stopping server closes no idle connection
+// before that time has passed. It is safe for concurrent use.
 type IdleConnections struct {
 	announced time.Duration
 	header    string
@@ -24,8 +24,8 @@
 	since map[net.Conn]time.Time
 }
 
-// NewIdleConnections makes IdleConnections for a server whose callers may reuse
-// a connection for the announced time, at least a second, in whole seconds.
+// NewIdleConnections returns IdleConnections that announce a keep-alive timeout, at least
+// a second, in whole seconds.
 func NewIdleConnections(announced time.Duration) *IdleConnections {
 	announced = max(time.Second, announced.Truncate(time.Second))
 	return &IdleConnections{
@@ -46,8 +46,8 @@
 	delete(i.since, connection)
 }
 
-// Announce tells a caller how long its connection may rest, or, of a server that
-// stops, not to use it again.
+// Announce sets the header with the keep-alive timeout or, if the server is stopping, with
+// the close of the connection.
 func (i *IdleConnections) Announce(header http.Header, stopping bool) {
 	if stopping {
 		header.Set("Connection", "close")
@@ -56,12 +56,12 @@
 	header.Set("Keep-Alive", i.header)
 }
 
-// AwaitRested waits until no caller that heeds what it was told sends on an idle
-// connection any more, or the end of ctx.
+// AwaitRested waits until the announced time of every idle connection has passed, or ctx
+// ends.
 func (i *IdleConnections) AwaitRested(ctx context.Context) {
-	ticker := time.NewTicker(idlePoll)
+	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
-	for !i.rested(time.Now()) {
+	for !i.expired(time.Now()) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -70,7 +70,7 @@
 	}
 }
 
-func (i *IdleConnections) rested(now time.Time) bool {
+func (i *IdleConnections) expired(now time.Time) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	for _, since := range i.since {
--- a/internal/adapter/httpserve/idle_test.go
+++ b/internal/adapter/httpserve/idle_test.go
@@ -11,14 +11,14 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/httpserve"
 )
 
-// idleServer serves a handler that announces how long connections may rest.
+// idleServer is a server whose responses announce the keep-alive timeout.
 type idleServer struct {
 	idle     *httpserve.IdleConnections
 	http     *http.Server
 	address  string
 	stopping chan struct{}
-	// rested holds a token for each time that a connection became idle.
-	rested chan struct{}
+	// idled receives a value each time a connection becomes idle.
+	idled chan struct{}
 }
 
 func startIdleServer(t *testing.T, announced time.Duration) *idleServer {
@@ -29,12 +29,12 @@
 	}
 	s := &idleServer{
 		idle: httpserve.NewIdleConnections(announced), address: listener.Addr().String(), stopping: make(chan struct{}),
-		rested: make(chan struct{}, 8),
+		idled: make(chan struct{}, 8),
 	}
 	observe := func(connection net.Conn, state http.ConnState) {
 		s.idle.Observe(connection, state)
 		if state == http.StateIdle {
-			s.rested <- struct{}{}
+			s.idled <- struct{}{}
 		}
 	}
 	s.http = &http.Server{ConnState: observe, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -50,7 +50,7 @@
 	return s
 }
 
-// stop stops as a planned stop does.
+// stop stops the server gracefully.
 func (s *idleServer) stop(ctx context.Context) <-chan struct{} {
 	close(s.stopping)
 	stopped := make(chan struct{})
@@ -62,8 +62,8 @@
 	return stopped
 }
 
-// exchange sends a request and reads the answer's head.
-func exchange(t *testing.T, connection net.Conn) *http.Response {
+// sendRequest sends a request and reads the response header.
+func sendRequest(t *testing.T, connection net.Conn) *http.Response {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://host/", nil)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	answer, err := http.ReadResponse(bufio.NewReader(connection), request)
 	if err != nil {
-		t.Fatalf("a request on a connection that may be used got no answer: %v", err)
+		t.Fatalf("no response on a connection within its keep-alive timeout: %v", err)
 	}
 	_ = answer.Body.Close()
 	return answer
@@ -90,38 +90,37 @@
 	return connection
 }
 
-// TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced sends on a connection that
-// was idle when the stop began.
+// TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced sends on a connection that was idle
+// when the server began to stop.
 func TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced(t *testing.T) {
 	server := startIdleServer(t, time.Hour)
 	connection := dialIdle(t, server.address)
-	if got := exchange(t, connection).Header.Get("Keep-Alive"); got != "timeout=3600" {
+	if got := sendRequest(t, connection).Header.Get("Keep-Alive"); got != "timeout=3600" {
 		t.Errorf("Keep-Alive %q", got)
 	}
-	<-server.rested
+	<-server.idled
 	stopped := server.stop(t.Context())
-	// Time for a stop that closes idle connections at once; the pass does not
-	// depend on it.
+	// Gives a server that wrongly closes idle connections time to do so.
 	time.Sleep(50 * time.Millisecond)
-	if answer := exchange(t, connection); !answer.Close {
-		t.Error("the caller was not told that the connection closes")
+	if answer := sendRequest(t, connection); !answer.Close {
+		t.Error("the response does not announce that the connection closes")
 	}
 	<-stopped
 }
 
-// TestAPlannedStopWaitsNoLongerThanAnnounced has a caller that never sends again.
+// TestAPlannedStopWaitsNoLongerThanAnnounced has a client that never sends again.
 func TestAPlannedStopWaitsNoLongerThanAnnounced(t *testing.T) {
 	server := startIdleServer(t, time.Second)
-	exchange(t, dialIdle(t, server.address))
-	<-server.rested
+	sendRequest(t, dialIdle(t, server.address))
+	<-server.idled
 	<-server.stop(t.Context())
 }
 
-// TestAPlannedStopEndsWithItsTime has one, but the stop's time ends first.
+// TestAPlannedStopEndsWithItsTime checks that the end of the context ends the stop.
 func TestAPlannedStopEndsWithItsTime(t *testing.T) {
 	server := startIdleServer(t, time.Hour)
-	exchange(t, dialIdle(t, server.address))
-	<-server.rested
+	sendRequest(t, dialIdle(t, server.address))
+	<-server.idled
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	<-server.stop(ctx)
--- a/internal/adapter/httpserve/listener.go
+++ b/internal/adapter/httpserve/listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// boundedListener accepts a bounded number of connections at a time; further
-// ones wait in the system's queue.
+// boundedListener limits the open connections; further ones wait in the kernel's accept
+// queue.
 type boundedListener struct {
 	net.Listener
 	slots  chan struct{}
@@ -14,7 +14,7 @@
 	once   sync.Once
 }
 
-// BoundListener bounds the connections that a listener has open at a time.
+// BoundListener limits the open connections of a listener.
 func BoundListener(listener net.Listener, connections int) net.Listener {
 	return &boundedListener{
 		Listener: listener,
@@ -38,20 +38,20 @@
 	return &boundedConnection{Conn: connection, slots: l.slots}, nil
 }
 
-// Close ends Accept.
+// Close closes the listener and unblocks Accept.
 func (l *boundedListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// boundedConnection gives its slot back when it is closed.
+// boundedConnection releases its slot when closed.
 type boundedConnection struct {
 	net.Conn
 	slots chan struct{}
 	once  sync.Once
 }
 
-// Close closes the connection.
+// Close closes the connection and releases its slot once.
 func (c *boundedConnection) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { <-c.slots })
