--- a/internal/adapter/metrics/control.go
+++ b/internal/adapter/metrics/control.go
@@ -10,12 +10,12 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ControlReading is the state of a control member at one moment.
+// ControlReading is a snapshot of a control member's state.
 type ControlReading struct {
 	Revision port.Revision
 	Term     uint64
-	// Leads and QuorumActive say whether the member leads and whether it is in
-	// touch with a quorum.
+	// Leads and QuorumActive report whether the member is the leader and whether it is in
+	// contact with a quorum.
 	Leads        bool
 	QuorumActive bool
 	// Committed, Applied and Snapshot are positions in the log.
@@ -24,7 +24,7 @@
 	Snapshot  uint64
 	// Syncs counts syncs of the log since the start of the process.
 	Syncs uint64
-	// Nodes are those of the view, Watching those that watch this member.
+	// Nodes counts the nodes of the view, Watching those that watch this member.
 	Nodes    int
 	Watching int
 	// PeerSent and PeerReceived count bytes on connections that nodes and
@@ -33,8 +33,7 @@
 	PeerReceived uint64
 }
 
-// Control holds the measures of a control member. Its methods are safe for
-// concurrent use.
+// Control holds the metrics of a control member. It is safe for concurrent use.
 type Control struct {
 	registry    *prometheus.Registry
 	commands    *prometheus.CounterVec
@@ -42,7 +41,7 @@
 	read        atomic.Pointer[func() ControlReading]
 }
 
-// NewControl makes the measures of a control member.
+// NewControl returns the metrics of a control member.
 func NewControl() *Control {
 	c := &Control{
 		registry: newRegistry(),
@@ -55,8 +54,8 @@
 	c.registry.MustRegister(c.commands, c.commandTime)
 	c.gauge("configuration_revision", "Configuration revision applied here.", func(r ControlReading) float64 { return float64(r.Revision) })
 	c.gauge("consensus_term", "Current term.", func(r ControlReading) float64 { return float64(r.Term) })
-	c.gauge("consensus_leader", "1 while this member is the leader.", func(r ControlReading) float64 { return oneIf(r.Leads) })
-	c.gauge("consensus_quorum_active", "1 while this member is in touch with a quorum.", func(r ControlReading) float64 { return oneIf(r.QuorumActive) })
+	c.gauge("consensus_leader", "1 while this member is the leader.", func(r ControlReading) float64 { return boolToFloat(r.Leads) })
+	c.gauge("consensus_quorum_active", "1 while this member is in touch with a quorum.", func(r ControlReading) float64 { return boolToFloat(r.QuorumActive) })
 	c.gauge("log_committed_index", "Position of the last committed log entry.", func(r ControlReading) float64 { return float64(r.Committed) })
 	c.gauge("log_applied_index", "Position of the last applied log entry.", func(r ControlReading) float64 { return float64(r.Applied) })
 	c.gauge("log_snapshot_index", "Position of the last snapshot.", func(r ControlReading) float64 { return float64(r.Snapshot) })
@@ -77,8 +76,8 @@
 	readGauge(c.registry, options, &c.read, value)
 }
 
-// readGauge registers a gauge that is read when it is collected, 0 before there is
-// anything to read.
+// readGauge registers a gauge whose value is read at collection, 0 while there is no
+// reader.
 func readGauge[R any](registry *prometheus.Registry, options prometheus.GaugeOpts, read *atomic.Pointer[func() R], value func(R) float64) {
 	registry.MustRegister(prometheus.NewGaugeFunc(options, func() float64 {
 		var reading R
@@ -89,7 +88,7 @@
 	}))
 }
 
-// reading gives the zero value before Observe and while the member starts.
+// reading returns the zero value until Observe is called.
 func (c *Control) reading() ControlReading {
 	read := c.read.Load()
 	if read == nil {
@@ -98,15 +97,15 @@
 	return (*read)()
 }
 
-// Observe sets where the state of the member is read from.
+// Observe sets the function that reads the member's state.
 func (c *Control) Observe(read func() ControlReading) { c.read.Store(&read) }
 
-// Handler serves the measures.
+// Handler serves the metrics.
 func (c *Control) Handler() http.Handler { return handlerOf(c.registry) }
 
-// CommandDone counts an answered command; refusal is nil for an accepted one.
+// CommandDone counts a finished command; refusal is nil for an accepted one.
 func (c *Control) CommandDone(refusal *port.Error, elapsed time.Duration) {
-	code := codeAnswered
+	code := codeOK
 	if refusal != nil {
 		code = string(refusal.Code)
 	}
@@ -114,7 +113,7 @@
 	c.commandTime.Observe(elapsed.Seconds())
 }
 
-func oneIf(holds bool) float64 {
+func boolToFloat(holds bool) float64 {
 	if holds {
 		return 1
 	}
--- a/internal/adapter/metrics/doc.go
+++ b/internal/adapter/metrics/doc.go
@@ -1,4 +1,4 @@
-// Package metrics counts and measures what a process does, for collection in
-// the Prometheus text format. Labels take values from closed sets or from the
-// configuration only, so that no caller can make them grow.
+// Package metrics collects the metrics of a process and serves them in the Prometheus text
+// format. Label values come from closed sets or the configuration, so that callers cannot
+// create new ones.
 package metrics
--- a/internal/adapter/metrics/metrics_test.go
+++ b/internal/adapter/metrics/metrics_test.go
@@ -63,7 +63,7 @@
 	expectLines(t, scrape(t, node.Handler()), `loomgrade_inflight_requests{pool="lm"} 0`)
 	node.Forget("lm")
 	if text := scrape(t, node.Handler()); strings.Contains(text, `pool="lm"`) {
-		t.Error("a forgotten pool still shows")
+		t.Error("metrics of a removed pool are still served")
 	}
 }
 
@@ -98,7 +98,7 @@
 	expectLines(t, scrape(t, control.Handler()), `loomgrade_consensus_leader 0`)
 }
 
-// TestProcess checks that both kinds of process measure the runtime too.
+// TestProcess checks that nodes and control members serve the runtime metrics too.
 func TestProcess(t *testing.T) {
 	for name, handler := range map[string]http.Handler{
 		"node": metrics.NewNode().Handler(), "control": metrics.NewControl().Handler(),
--- a/internal/adapter/metrics/node.go
+++ b/internal/adapter/metrics/node.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Labels.
+// Label names.
 const (
 	labelPool    = "pool"
 	labelVerdict = "verdict"
@@ -17,10 +17,10 @@
 	labelReason  = "reason"
 )
 
-// codeAnswered stands in the label code for a request without an error.
-const codeAnswered = "ok"
+// codeOK is the label code of a request without an error.
+const codeOK = "ok"
 
-// Node holds the measures of a node. Its methods are safe for concurrent use.
+// Node holds the metrics of a node. It is safe for concurrent use.
 type Node struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec
@@ -34,7 +34,7 @@
 	trainerWait *prometheus.HistogramVec
 }
 
-// NewNode makes the measures of a node.
+// NewNode returns the metrics of a node.
 func NewNode() *Node {
 	n := &Node{
 		registry:    newRegistry(),
@@ -64,13 +64,13 @@
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: buckets}, labels)
 }
 
-// Handler serves the measures.
+// Handler serves the metrics.
 func (n *Node) Handler() http.Handler { return handlerOf(n.registry) }
 
-// RequestDone counts an answered request; failure is nil for a whole answer.
-// The pool must be a configured one.
+// RequestDone counts a finished request; failure is nil for a complete response. The pool
+// must be in the configuration.
 func (n *Node) RequestDone(pool port.PoolName, failure *port.Error, elapsed time.Duration) {
-	verdict, code := port.Ran, port.Code(codeAnswered)
+	verdict, code := port.Ran, port.Code(codeOK)
 	if failure != nil {
 		verdict, code = failure.Verdict, failure.Code
 	}
@@ -88,21 +88,21 @@
 // Attempt counts an attempt at a back end.
 func (n *Node) Attempt(pool port.PoolName) { n.attempts.WithLabelValues(string(pool)).Inc() }
 
-// Queued sets how many requests of a pool wait for a replica.
+// Queued sets the number of a pool's requests that wait for a replica.
 func (n *Node) Queued(pool port.PoolName, waiting int) {
 	n.queued.WithLabelValues(string(pool)).Set(float64(waiting))
 }
 
-// SampleDelivered counts a delivered sample of an age in weight versions.
+// SampleDelivered counts a delivered sample; age is in weight versions.
 func (n *Node) SampleDelivered(pool port.PoolName, age uint64) {
 	n.delivered.WithLabelValues(string(pool)).Inc()
 	n.staleness.WithLabelValues(string(pool)).Observe(float64(age))
 }
 
-// DropReason says why a sample was not delivered.
+// DropReason is why a sample was dropped.
 type DropReason string
 
-// The reasons.
+// Values of DropReason.
 const (
 	DropStale  DropReason = "stale"
 	DropVoided DropReason = "voided"
@@ -113,24 +113,24 @@
 	n.dropped.WithLabelValues(string(pool), string(reason)).Inc()
 }
 
-// TrainerWaited measures how long a question for a batch was held.
+// TrainerWaited records how long a request waited for a batch.
 func (n *Node) TrainerWaited(pool port.PoolName, waited time.Duration) {
 	n.trainerWait.WithLabelValues(string(pool)).Observe(waited.Seconds())
 }
 
-// CountControlBytes sets where the bytes exchanged with control members are
-// read from. It is called at most once.
+// CountControlBytes sets the function that reads the bytes exchanged with control members.
+// It must be called at most once.
 func (n *Node) CountControlBytes(read func() (sent, received uint64)) {
 	countBytes(n.registry, "control_bytes_total", "Bytes exchanged with control members, by direction.", read)
 }
 
-// CountPeerBytes sets where the bytes on connections that other nodes opened are
-// read from. It is called at most once.
+// CountPeerBytes sets the function that reads the bytes on connections from other nodes.
+// It must be called at most once.
 func (n *Node) CountPeerBytes(read func() (sent, received uint64)) {
 	countBytes(n.registry, "peer_bytes_total", "Bytes on connections that other nodes opened, by direction.", read)
 }
 
-// Forget drops the measures of a pool that is no longer configured.
+// Forget removes the metrics of a pool that is no longer configured.
 func (n *Node) Forget(pool port.PoolName) {
 	match := prometheus.Labels{labelPool: string(pool)}
 	for _, counted := range []*prometheus.CounterVec{n.requests, n.attempts, n.delivered, n.dropped} {
--- a/internal/adapter/metrics/page_test.go
+++ b/internal/adapter/metrics/page_test.go
@@ -13,8 +13,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// usedNode gives a node's measures after each of its methods was called.
-func usedNode() *metrics.Node {
+// populatedNode returns a node's metrics after a call of each method.
+func populatedNode() *metrics.Node {
 	node := metrics.NewNode()
 	node.RequestStarted("lm")()
 	node.RequestDone("lm", port.NewError(port.NotRun, port.CodeQueueFull, "full"), time.Second)
@@ -28,15 +28,15 @@
 	return node
 }
 
-// usedControl gives a control member's measures after a command.
-func usedControl() *metrics.Control {
+// populatedControl returns a control member's metrics after a command.
+func populatedControl() *metrics.Control {
 	control := metrics.NewControl()
 	control.CommandDone(nil, time.Second)
 	return control
 }
 
-// usedSite gives a site process's measures after each of its methods was called.
-func usedSite() *metrics.Site {
+// populatedSite returns a site process's metrics after a call of each method.
+func populatedSite() *metrics.Site {
 	site := metrics.NewSite()
 	site.RequestEnded("answered", time.Second)
 	site.RunEnded("whole")
@@ -49,7 +49,7 @@
 	return site
 }
 
-// families lists what a handler serves of loomgrade's own as "name type labels".
+// families returns loomgrade's own metrics of a handler as "name type labels".
 func families(t *testing.T, handler http.Handler) map[string]bool {
 	t.Helper()
 	text := scrape(t, handler)
@@ -63,8 +63,8 @@
 	return found
 }
 
-// labelsOf gives the labels of a family's first series, without the bound of a
-// histogram's bucket, in the order of the alphabet.
+// labelsOf returns the sorted labels of a family's first series, without the le label of
+// a histogram.
 func labelsOf(text, name string) string {
 	for line := range strings.Lines(text) {
 		series, isFirst := strings.CutPrefix(line, name)
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// documentedFamilies reads the table under a heading of the page.
+// documentedFamilies reads the table under a heading of the documentation.
 func documentedFamilies(t *testing.T, heading string) map[string]bool {
 	t.Helper()
 	found := map[string]bool{}
@@ -101,12 +101,12 @@
 
 func TestMeasuresAreThoseOfThePage(t *testing.T) {
 	for heading, handler := range map[string]http.Handler{
-		"Nodes": usedNode().Handler(), "Control members": usedControl().Handler(),
-		"Processes of a site": usedSite().Handler(),
+		"Nodes": populatedNode().Handler(), "Control members": populatedControl().Handler(),
+		"Processes of a site": populatedSite().Handler(),
 	} {
 		documented, served := documentedFamilies(t, heading), families(t, handler)
 		if !maps.Equal(documented, served) {
-			t.Errorf("%s: the page lists\n%v\nthe code serves\n%v", heading, documented, served)
+			t.Errorf("%s: documented\n%v\nserved\n%v", heading, documented, served)
 		}
 	}
 }
--- a/internal/adapter/metrics/process.go
+++ b/internal/adapter/metrics/process.go
@@ -10,7 +10,7 @@
 
 const namespace = "loomgrade"
 
-// newRegistry makes a registry with the measures of the process and runtime.
+// newRegistry returns a registry with the process and runtime metrics.
 func newRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -24,18 +24,17 @@
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxScrapes})
 }
 
-// maxScrapes bounds the collections that run at a time.
+// maxScrapes limits concurrent collections.
 const maxScrapes = 4
 
-// The directions of counted bytes.
+// Label direction and its values.
 const (
 	labelDirection    = "direction"
 	directionSent     = "sent"
 	directionReceived = "received"
 )
 
-// countBytes registers a pair of counters that are read when they are
-// collected.
+// countBytes registers two counters whose values are read at collection.
 func countBytes(registry *prometheus.Registry, name, help string, read func() (sent, received uint64)) {
 	pick := map[string]func() uint64{
 		directionSent:     func() uint64 { sent, _ := read(); return sent },
--- a/internal/adapter/metrics/site.go
+++ b/internal/adapter/metrics/site.go
@@ -8,52 +8,50 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// SiteReading is the state of a process of a site at one moment.
+// SiteReading is a snapshot of the state of a site's process.
 type SiteReading struct {
-	// Position is the log position of its view of the control state, and
-	// Configuration the version in force there.
+	// Position is the log position of the process's view of the control state, and
+	// Configuration the version in force in that view.
 	Position      uint64
 	Configuration uint64
 	// Confirmed is set while a quorum confirms the view.
 	Confirmed bool
-	// Shard is the one that its group keeps, 0 for none; Leads, Term and Applied are
-	// those of its member of the group.
+	// Shard is the shard that the process's group stores, 0 for none. Leads, Term and
+	// Applied are the state of the process as a member of the group.
 	Shard   uint32
 	Leads   bool
 	Term    uint64
 	Applied uint64
-	// InFlight is what it serves or runs at present: requests of callers, or
-	// items of jobs.
+	// InFlight counts requests of callers or items of jobs in flight.
 	InFlight int64
-	// HeldBytes is what is held of requests and answers for callers.
+	// HeldBytes is the size of buffered requests and responses.
 	HeldBytes int64
-	// JobBytes is about what jobs take in a store machine's memory.
+	// JobBytes estimates the memory that jobs use on a store machine.
 	JobBytes int64
-	// Withheld is how many requests are known here to be withheld: replicas ended under them.
+	// Withheld counts the requests withheld because replicas crashed during them.
 	Withheld int
-	// LinesDropped counts log lines that were left out.
+	// LinesDropped counts dropped log lines.
 	LinesDropped uint64
 }
 
-// Site holds the measures of a process of a site. Its methods are safe for
-// concurrent use.
+// Site holds the metrics of a site's process. It is safe for concurrent use.
 type Site struct {
-	registry *prometheus.Registry
-	requests *prometheus.HistogramVec
-	runs     *prometheus.CounterVec
-	items    *prometheus.HistogramVec
-	pages    *prometheus.CounterVec
-	loads    *prometheus.HistogramVec
-	beats    prometheus.Counter
-	refused  *prometheus.CounterVec
-	slept    prometheus.Counter
-	read     atomic.Pointer[func() SiteReading]
+	registry           *prometheus.Registry
+	requests           *prometheus.HistogramVec
+	runs               *prometheus.CounterVec
+	items              *prometheus.HistogramVec
+	pages              *prometheus.CounterVec
+	loads              *prometheus.HistogramVec
+	heartbeats         prometheus.Counter
+	heartbeatsRejected *prometheus.CounterVec
+	suspended          prometheus.Counter
+	read               atomic.Pointer[func() SiteReading]
 }
 
-// labelOutcome names how something ended, by a few fixed words.
+// labelOutcome is the label for the outcome of an operation, from a closed set.
 const labelOutcome = "outcome"
 
-// siteBuckets bound latencies from a millisecond to about a minute.
+// siteBuckets covers latencies from a millisecond to about a minute.
 var siteBuckets = prometheus.ExponentialBuckets(0.001, 2, 17)
 
 func siteHistogram(name, help string) *prometheus.HistogramVec {
@@ -62,24 +60,24 @@
 	}, []string{labelOutcome})
 }
 
-// NewSite makes the measures of a process of a site.
+// NewSite returns the metrics of a site's process.
 func NewSite() *Site {
 	s := &Site{
-		registry: newRegistry(),
-		requests: siteHistogram("request_seconds", "Time from a caller's request to its answer, by outcome."),
-		runs:     counter("site_runs_total", "Runs of items at replicas, by outcome.", labelOutcome),
-		items:    siteHistogram("item_seconds", "Time from an item's taking over to its result, by outcome."),
-		pages:    counter("site_pages_total", "Pages of results that a store machine gave, by its role in the group.", "role"),
-		loads:    siteHistogram("load_seconds", "Time of an ordered load of weights, by outcome."),
-		beats:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: "site", Name: "heartbeats_total", Help: "Heartbeats of replicas taken as the leader."}),
+		registry:   newRegistry(),
+		requests:   siteHistogram("request_seconds", "Time from a caller's request to its answer, by outcome."),
+		runs:       counter("site_runs_total", "Runs of items at replicas, by outcome.", labelOutcome),
+		items:      siteHistogram("item_seconds", "Time from an item's taking over to its result, by outcome."),
+		pages:      counter("site_pages_total", "Pages of results that a store machine gave, by its role in the group.", "role"),
+		loads:      siteHistogram("load_seconds", "Time of an ordered load of weights, by outcome."),
+		heartbeats: prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: "site", Name: "heartbeats_total", Help: "Heartbeats of replicas taken as the leader."}),
 	}
-	s.refused = counter("site_heartbeats_refused_total", "Heartbeats that name no replica to use, by the field at fault.", "field")
-	s.slept = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: "site", Name: "suspended_seconds_total", Help: "Seconds for which the machine was suspended while the process ran."})
-	s.registry.MustRegister(s.requests, s.runs, s.items, s.pages, s.loads, s.beats, s.refused, s.slept)
+	s.heartbeatsRejected = counter("site_heartbeats_refused_total", "Heartbeats that name no replica to use, by the field at fault.", "field")
+	s.suspended = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: "site", Name: "suspended_seconds_total", Help: "Seconds for which the machine was suspended while the process ran."})
+	s.registry.MustRegister(s.requests, s.runs, s.items, s.pages, s.loads, s.heartbeats, s.heartbeatsRejected, s.suspended)
 	s.gauge("view_position", "Log position of the view of the control state.", func(r SiteReading) float64 { return float64(r.Position) })
 	s.gauge("configuration_version", "Version of the configuration in force here.", func(r SiteReading) float64 { return float64(r.Configuration) })
-	s.gauge("view_confirmed", "1 while a quorum confirms the view.", func(r SiteReading) float64 { return oneIf(r.Confirmed) })
-	s.gauge("leader", "1 while this process leads its group.", func(r SiteReading) float64 { return oneIf(r.Leads) })
+	s.gauge("view_confirmed", "1 while a quorum confirms the view.", func(r SiteReading) float64 { return boolToFloat(r.Confirmed) })
+	s.gauge("leader", "1 while this process leads its group.", func(r SiteReading) float64 { return boolToFloat(r.Leads) })
 	s.gauge("shard", "Shard of the jobs that its group keeps, 0 for none.", func(r SiteReading) float64 { return float64(r.Shard) })
 	s.gauge("term", "Term of its group.", func(r SiteReading) float64 { return float64(r.Term) })
 	s.gauge("applied_index", "Last applied position of its group's log.", func(r SiteReading) float64 { return float64(r.Applied) })
@@ -96,7 +94,7 @@
 	readGauge(s.registry, options, &s.read, value)
 }
 
-// Observe sets where the gauges are read from.
+// Observe sets the function that reads the gauges' values.
 func (s *Site) Observe(read func() SiteReading) { s.read.Store(&read) }
 
 // RequestEnded counts a caller's request.
@@ -107,7 +105,7 @@
 // RunEnded counts a run of an item.
 func (s *Site) RunEnded(outcome string) { s.runs.WithLabelValues(outcome).Inc() }
 
-// ItemEnded counts an item with its result.
+// ItemEnded counts an item that has a result.
 func (s *Site) ItemEnded(outcome string, took time.Duration) {
 	s.items.WithLabelValues(outcome).Observe(took.Seconds())
 }
@@ -120,14 +118,14 @@
 	s.loads.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// HeartbeatTaken counts a heartbeat.
-func (s *Site) HeartbeatTaken() { s.beats.Inc() }
+// HeartbeatTaken counts an accepted heartbeat.
+func (s *Site) HeartbeatTaken() { s.heartbeats.Inc() }
 
-// HeartbeatRefused counts a heartbeat that was not taken. Field is one of a few fixed words.
-func (s *Site) HeartbeatRefused(field string) { s.refused.WithLabelValues(field).Inc() }
+// HeartbeatRefused counts a rejected heartbeat; field is from a closed set.
+func (s *Site) HeartbeatRefused(field string) { s.heartbeatsRejected.WithLabelValues(field).Inc() }
 
 // Suspended counts a suspension of the machine.
-func (s *Site) Suspended(slept time.Duration) { s.slept.Add(slept.Seconds()) }
+func (s *Site) Suspended(slept time.Duration) { s.suspended.Add(slept.Seconds()) }
 
-// Handler serves the measures.
+// Handler serves the metrics.
 func (s *Site) Handler() http.Handler { return handlerOf(s.registry) }
