--- a/internal/adapter/services/clients.go
+++ b/internal/adapter/services/clients.go
@@ -13,10 +13,10 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// DefaultAnswerBytes bounds an answer unless a constructor is told otherwise.
+// DefaultAnswerBytes is the default limit on a response.
 const DefaultAnswerBytes = 8 << 20
 
-// service is one base URL with the bound on its answers.
+// service is a base URL with the limit on its responses.
 type service struct {
 	http        *httpcall.Client
 	base        string
@@ -30,13 +30,13 @@
 	return service{http: client, base: strings.TrimSuffix(base, "/"), answerBytes: answerBytes}
 }
 
-// Scorer asks a scoring service for rewards.
+// Scorer is the client of a scoring service.
 type Scorer struct{ service }
 
-// PromptSource asks for prompts by index.
+// PromptSource is the client of a prompt source.
 type PromptSource struct{ service }
 
-// MachineList asks for the machines that exist.
+// MachineList is the client of a machine list.
 type MachineList struct{ service }
 
 var (
@@ -45,30 +45,30 @@
 	_ port.MachineList  = (*MachineList)(nil)
 )
 
-// NewScorer makes the client of the scorer at a base URL. Answers longer than
-// answerBytes are errors; 0 means DefaultAnswerBytes.
+// NewScorer returns a client of the scorer at a base URL. A response longer than
+// answerBytes is an error; 0 means DefaultAnswerBytes.
 func NewScorer(client *httpcall.Client, base string, answerBytes int64) *Scorer {
 	return &Scorer{newService(client, base, answerBytes)}
 }
 
-// NewPromptSource makes the client of the prompt source at a base URL; see
-// NewScorer for answerBytes.
+// NewPromptSource returns a client of the prompt source at a base URL; see NewScorer for
+// answerBytes.
 func NewPromptSource(client *httpcall.Client, base string, answerBytes int64) *PromptSource {
 	return &PromptSource{newService(client, base, answerBytes)}
 }
 
-// NewMachineList makes the client of the machine list at a base URL; see
-// NewScorer for answerBytes.
+// NewMachineList returns a client of the machine list at a base URL; see NewScorer for
+// answerBytes.
 func NewMachineList(client *httpcall.Client, base string, answerBytes int64) *MachineList {
 	return &MachineList{newService(client, base, answerBytes)}
 }
 
-// Score asks for a sample's reward; an answer for another sample is an error.
+// Score returns a sample's reward. A response for another sample is an error.
 func (s *Scorer) Score(ctx context.Context, sample port.SampleID, prompt, text string) (reward float64, err error) {
 	id := sample.String()
-	question := api.Score{SampleID: id, Prompt: prompt, Text: text}
+	request := api.Score{SampleID: id, Prompt: prompt, Text: text}
 	var answer api.Reward
-	if err := s.http.JSON(ctx, http.MethodPost, s.base+api.PathScore, id, question, &answer, s.answerBytes); err != nil {
+	if err := s.http.JSON(ctx, http.MethodPost, s.base+api.PathScore, id, request, &answer, s.answerBytes); err != nil {
 		return 0, err
 	}
 	if answer.SampleID != id {
@@ -77,8 +77,8 @@
 	return answer.Reward, nil
 }
 
-// Prompts asks for up to count prompts from an index on. It refuses prompts
-// that are not consecutive from there; fewer than count is no error.
+// Prompts returns up to count prompts that start at an index. Prompts that are not
+// consecutive are an error; fewer than count are not.
 func (p *PromptSource) Prompts(ctx context.Context, from port.PromptIndex, count int) ([]port.Prompt, error) {
 	query := url.Values{"from": {strconv.FormatUint(uint64(from), 10)}, "count": {strconv.Itoa(count)}}
 	var answer api.Prompts
@@ -97,8 +97,8 @@
 	return answer.Prompts, nil
 }
 
-// Machines asks for the list. One malformed or repeated entry makes the whole
-// list an error, so that a broken list never looks like machines gone.
+// Machines returns the machines. A malformed or repeated entry fails the whole list, so
+// that a damaged list never looks like machines were removed.
 func (m *MachineList) Machines(ctx context.Context) ([]port.Machine, error) {
 	var answer api.Machines
 	if err := m.http.JSON(ctx, http.MethodGet, m.base+api.PathMachines, "", nil, &answer, m.answerBytes); err != nil {
--- a/internal/adapter/services/contract_test.go
+++ b/internal/adapter/services/contract_test.go
@@ -36,9 +36,9 @@
 func TestScorerKeepsContract(t *testing.T) {
 	contracttest.Run(t, contracttest.Subject{
 		Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			var question api.Score
-			_ = json.NewDecoder(request.Body).Decode(&question)
-			writeJSON(writer, api.Reward{SampleID: question.SampleID, Reward: float64(len(question.Text))})
+			var score api.Score
+			_ = json.NewDecoder(request.Body).Decode(&score)
+			writeJSON(writer, api.Reward{SampleID: score.SampleID, Reward: float64(len(score.Text))})
 		}),
 		Dial: func(address string) func(context.Context, int) (string, error) {
 			scorer := services.NewScorer(newHTTP(t), "http://"+address+"/", answerBytes)
@@ -87,7 +87,7 @@
 	})
 }
 
-// TestRefusesWrongContent covers answers that are well-formed and wrong.
+// TestRefusesWrongContent covers well-formed responses with wrong content.
 func TestRefusesWrongContent(t *testing.T) {
 	score := func(client *httpcall.Client, base string) error {
 		_, err := services.NewScorer(client, base, 0).Score(context.Background(), sampleID(1), "p", "t")
@@ -107,12 +107,12 @@
 	}{
 		{"reward of another sample", `{"sample_id":"s-lm-1-2","reward":1}`, score},
 		{"reward without a sample", `{"reward":1}`, score},
-		{"prompts from elsewhere", `{"prompts":[{"index":6}]}`, prompts},
-		{"prompts with a hole", `{"prompts":[{"index":5},{"index":7}]}`, prompts},
+		{"prompts from another index", `{"prompts":[{"index":6}]}`, prompts},
+		{"prompts with a gap", `{"prompts":[{"index":5},{"index":7}]}`, prompts},
 		{"too many prompts", `{"prompts":[{"index":5},{"index":6},{"index":7}]}`, prompts},
 		{"no machine list", `{}`, machines},
 		{"machine without an address", `{"machines":[{"state":"live"}]}`, machines},
-		{"machine in no known state", `{"machines":[{"address":"127.0.0.1","state":"gone"}]}`, machines},
+		{"machine in an unknown state", `{"machines":[{"address":"127.0.0.1","state":"gone"}]}`, machines},
 		{"machine listed twice", `{"machines":[{"address":"127.0.0.1","state":"live"},{"address":"127.0.0.1","state":"leaving"}]}`, machines},
 	}
 	for _, test := range cases {
@@ -122,7 +122,7 @@
 			}))
 			defer server.Close()
 			if err := test.call(newHTTP(t), server.URL); err == nil {
-				t.Error("accepted")
+				t.Error("the response was accepted")
 			}
 		})
 	}
--- a/internal/adapter/services/doc.go
+++ b/internal/adapter/services/doc.go
@@ -1,7 +1,6 @@
-// Package services holds the clients of the services that loomgrade finds in
-// place: scorers, prompt sources and machine lists. They implement
-// port.Scorer, port.PromptSource and port.MachineList.
+// Package services holds the clients of external services: scorers, prompt sources and
+// machine lists. They implement port.Scorer, port.PromptSource and port.MachineList.
 //
-// All three interfaces may be asked again without harm; their clients still
-// send each request once, and leave it to the caller to repeat it.
+// Requests to all three are idempotent, but the clients send each request once and leave
+// retries to the caller.
 package services
--- a/internal/adapter/services/standin_test.go
+++ b/internal/adapter/services/standin_test.go
@@ -11,14 +11,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// closing is a stand-in that ends with the test.
-type closing interface {
+// closableStandIn is a stand-in that the test closes.
+type closableStandIn interface {
 	contracttest.StandIn
 	Close()
 }
 
-// starting turns a start function into one for a table.
-func starting[Started closing](start func(context.Context) (Started, error)) func(*testing.T) contracttest.StandIn {
+// startWith adapts a start function to contracttest.Pairing.
+func startWith[Started closableStandIn](start func(context.Context) (Started, error)) func(*testing.T) contracttest.StandIn {
 	return func(t *testing.T) contracttest.StandIn {
 		t.Helper()
 		started, err := start(context.Background())
@@ -32,7 +32,7 @@
 
 func TestScorerAndStandInKeepOneContract(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
-		Start: starting(func(ctx context.Context) (*standin.Scorer, error) {
+		Start: startWith(func(ctx context.Context) (*standin.Scorer, error) {
 			return standin.StartScorer(ctx, standin.ScorerConfig{})
 		}),
 		Dial: func(address string) func(context.Context, int) error {
@@ -53,7 +53,7 @@
 func TestMachineListAndStandInKeepOneContract(t *testing.T) {
 	const listed = "127.0.0.1:80"
 	contracttest.RunPairing(t, contracttest.Pairing{
-		Start: starting(func(ctx context.Context) (*standin.MachineList, error) {
+		Start: startWith(func(ctx context.Context) (*standin.MachineList, error) {
 			return standin.StartMachineList(ctx, standin.MachineListConfig{Live: []string{listed}})
 		}),
 		Dial: func(address string) func(context.Context, int) error {
@@ -72,7 +72,7 @@
 
 func TestPromptSourceAndStandInKeepOneContract(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
-		Start: starting(func(ctx context.Context) (*standin.Trainer, error) {
+		Start: startWith(func(ctx context.Context) (*standin.Trainer, error) {
 			return standin.StartTrainer(ctx, standin.TrainerConfig{})
 		}),
 		Dial: func(address string) func(context.Context, int) error {
