--- a/internal/adapter/provider/provider.go
+++ b/internal/adapter/provider/provider.go
@@ -1,5 +1,5 @@
-// Package provider calls the provider of the site's machines, under the name of the
-// machine that holds the lease and its fencing token.
+// Package provider calls the provider of the site's machines, with the name and the fencing
+// token of the lease holder.
 package provider
 
 import (
@@ -17,13 +17,13 @@
 
 const (
 	dialTimeout = time.Second
-	// silence ends a connection whose bytes are not acknowledged: a call that a cut
-	// holds up must not arrive long after.
-	silence = 1500 * time.Millisecond
-	// idleTimeout closes connections between two windows; windows last seconds.
+	// ackTimeout closes a connection with unacknowledged data, so that a partition cannot
+	// deliver a call long after it was sent.
+	ackTimeout = 1500 * time.Millisecond
+	// idleTimeout closes idle connections between two reporting windows.
 	idleTimeout = 2 * time.Second
-	// answerLimit bounds what is read of an answer, in bytes.
-	answerLimit = 64 << 10
+	// maxAnswerBytes limits the part of a response that is read.
+	maxAnswerBytes = 64 << 10
 )
 
 // Client calls the provider. It is safe for concurrent use.
@@ -33,29 +33,29 @@
 	http    *httpcall.Client
 }
 
-// New makes a client of the provider at host:port.
-func New(address string, terms dialect.Dialect) *Client {
-	return &Client{address: address, dialect: terms, http: httpcall.New(httpcall.Limits{
-		DialTimeout: dialTimeout, Connections: 1, IdleConnections: 1, IdleTimeout: idleTimeout, SilenceTimeout: silence,
-		Names: httpcall.Names{ID: terms.Headers().RequestID},
+// New returns a client of the provider at host:port.
+func New(address string, providerDialect dialect.Dialect) *Client {
+	return &Client{address: address, dialect: providerDialect, http: httpcall.New(httpcall.Limits{
+		DialTimeout: dialTimeout, Connections: 1, IdleConnections: 1, IdleTimeout: idleTimeout, SilenceTimeout: ackTimeout,
+		Names: httpcall.Names{ID: providerDialect.Headers().RequestID},
 	})}
 }
 
 // ReportUsage implements sitecontrol.Provider.
-func (c *Client) ReportUsage(ctx context.Context, by sitecontrol.Authority, total usage.Total) (status int, err error) {
+func (c *Client) ReportUsage(ctx context.Context, authority sitecontrol.Authority, total usage.Total) (status int, err error) {
 	call, err := c.dialect.UsageCall(total)
 	if err != nil {
 		return 0, err
 	}
-	return c.call(ctx, by, call)
+	return c.call(ctx, authority, call)
 }
 
-func (c *Client) call(ctx context.Context, by sitecontrol.Authority, call dialect.Call) (status int, err error) {
+func (c *Client) call(ctx context.Context, authority sitecontrol.Authority, call dialect.Call) (status int, err error) {
 	headers := c.dialect.Headers()
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
-	header.Set(headers.Holder, by.Machine)
-	header.Set(headers.Fence, strconv.FormatUint(by.Fence, 10))
+	header.Set(headers.Holder, authority.Machine)
+	header.Set(headers.Fence, strconv.FormatUint(authority.Fence, 10))
 	names := httpcall.Names{ID: headers.RequestID}
 	request, err := names.NewRequest(ctx, call.Method, "http://"+c.address+call.Path, "", header, call.Body)
 	if err != nil {
@@ -65,6 +65,6 @@
 	if err != nil {
 		return 0, err
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, answerLimit))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes))
 	return response.StatusCode, response.Body.Close()
 }
