--- a/internal/adapter/contracttest/faults.go
+++ b/internal/adapter/contracttest/faults.go
@@ -60,7 +60,7 @@
 	return false
 }
 
-// reset reads the request and resets the connection.
+// resetConnection resets the connection after reading the request.
 func resetConnection(_ *faultServer, connection net.Conn, _ answer) bool {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
