--- a/internal/adapter/httpapi/completionanswer.go
+++ b/internal/adapter/httpapi/completionanswer.go
@@ -20,7 +20,7 @@
 )
 
 // errAnswerEnded rejects chunks after the end of the response.
-var errAnswerEnded = errors.New("the response has already ended")
+var errAnswerEnded = errors.New("the request has had its final answer")
 
 // completionAnswer writes a completion's chunks as they arrive, or collects them.
 // Chunks arrive on the goroutine that runs the request and the handler ends the
