--- a/internal/adapter/boottime/watch.go
+++ b/internal/adapter/boottime/watch.go
@@ -11,7 +11,7 @@
 	// LeastSuspension is by how much the clocks must have parted since they were compared
 	// last for it to be called a suspension: two readings of two clocks are apart by what
 	// the processor does between them, some milliseconds on a busy machine.
-	LeastSuspension = 50 * time.Millisecond
+	MinSuspension = 50 * time.Millisecond
 )
 
 // Watch tells of suspensions that it finds afterwards. Whoever acts on what it believed
@@ -30,11 +30,11 @@
 }
 
 // Look gives how long the machine was suspended since the last look, 0 if it was not.
-func (w *Watch) Look() time.Duration {
+func (w *Watch) Check() time.Duration {
 	parted := w.clock() - steady()
 	slept := parted - w.parted
 	w.parted = parted
-	if slept < LeastSuspension {
+	if slept < MinSuspension {
 		return 0
 	}
 	return slept
@@ -50,7 +50,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if slept := w.Look(); slept > 0 {
+		if slept := w.Check(); slept > 0 {
 			woken(slept)
 		}
 	}
--- a/internal/adapter/eventlog/eventlog_test.go
+++ b/internal/adapter/eventlog/eventlog_test.go
@@ -18,7 +18,7 @@
 
 // TestTheCatalogueIsThatOfThePage: every event that is declared is described, and
 // the page shows the same words.
-func TestTheCatalogueIsThatOfThePage(t *testing.T) {
+func TestCatalogueMatchesPage(t *testing.T) {
 	described := map[string]string{}
 	for _, event := range eventlog.Catalogue {
 		described[event.Event] = event.Meaning
@@ -59,7 +59,7 @@
 }
 
 // TestAStuckOutputHoldsNobodyUp: the pipe is full and nobody reads it.
-func TestAStuckOutputHoldsNobodyUp(t *testing.T) {
+func TestStalledOutputDoesNotBlock(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 }
 
 // TestImportantLinesAreNotLeftOut: however many ordinary ones there are.
-func TestImportantLinesAreNotLeftOut(t *testing.T) {
+func TestImportantLinesAreNotDropped(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/httpserve/idle.go
+++ b/internal/adapter/httpserve/idle.go
@@ -58,7 +58,7 @@
 
 // AwaitRested waits until the announced time of every idle connection has passed, or ctx
 // ends.
-func (i *IdleConnections) AwaitRested(ctx context.Context) {
+func (i *IdleConnections) AwaitIdle(ctx context.Context) {
 	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
 	for !i.expired(time.Now()) {
--- a/internal/adapter/metrics/site.go
+++ b/internal/adapter/metrics/site.go
@@ -119,10 +119,10 @@
 }
 
 // HeartbeatTaken counts an accepted heartbeat.
-func (s *Site) HeartbeatTaken() { s.heartbeats.Inc() }
+func (s *Site) HeartbeatAccepted() { s.heartbeats.Inc() }
 
 // HeartbeatRefused counts a rejected heartbeat; field is from a closed set.
-func (s *Site) HeartbeatRefused(field string) { s.heartbeatsRejected.WithLabelValues(field).Inc() }
+func (s *Site) HeartbeatRejected(field string) { s.heartbeatsRejected.WithLabelValues(field).Inc() }
 
 // Suspended counts a suspension of the machine.
 func (s *Site) Suspended(slept time.Duration) { s.suspended.Add(slept.Seconds()) }
--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -150,7 +150,7 @@
 }
 
 func (c *checker) durationRange(key string, duration Duration, low, high time.Duration) {
-	if fault := duration.Outside(key, low, high); fault != nil {
+	if fault := duration.CheckRange(key, low, high); fault != nil {
 		c.faults = append(c.faults, fault)
 	}
 }
--- a/internal/adapter/settings/duration.go
+++ b/internal/adapter/settings/duration.go
@@ -13,11 +13,11 @@
 }
 
 // DurationOf gives the setting for a time.
-func DurationOf(value time.Duration) Duration { return Duration{value: value} }
+func NewDuration(value time.Duration) Duration { return Duration{value: value} }
 
 // Outside gives the fault of a duration that is malformed or not between low
 // and high, and nil for one that is.
-func (d Duration) Outside(key string, low, high time.Duration) *Error {
+func (d Duration) CheckRange(key string, low, high time.Duration) *Error {
 	allowed := fmt.Sprintf("%s to %s, with a unit", low, high)
 	switch {
 	case d.malformed != "":
--- a/internal/adapter/wal/log_test.go
+++ b/internal/adapter/wal/log_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReopenGivesBackWhatWasSynced(t *testing.T) {
+func TestReopenRestoresSyncedState(t *testing.T) {
 	files := faultfs.New(1)
 	log := mustCreate(t, files)
 	hard := consensus.HardState{Term: 3, VotedFor: 2, Commit: 4}
@@ -118,7 +118,7 @@
 
 // A crash at any sync leaves a folder that opens, with all that was synced
 // before and a prefix of the rest.
-func TestCrashAnywhereKeepsWhatWasSynced(t *testing.T) {
+func TestCrashPreservesSyncedEntries(t *testing.T) {
 	torn := uint64(0)
 	for seed := range uint64(400) {
 		files := faultfs.New(seed)
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestOpenRefusesBadFolders(t *testing.T) {
+func TestOpenRejectsDamagedFolders(t *testing.T) {
 	cases := []struct {
 		name   string
 		damage func(t *testing.T, files *faultfs.FileSystem)
@@ -324,7 +324,7 @@
 // TestASnapshotWrittenBesideTheLog: it counts once it is adopted, with what was
 // appended since it was captured; a crash before that, or a later snapshot of the
 // leader, leaves it without effect.
-func TestASnapshotWrittenBesideTheLog(t *testing.T) {
+func TestConcurrentSnapshotAdoption(t *testing.T) {
 	written := consensus.Snapshot{Index: 2, Term: 1, Membership: voters, Data: []byte("state")}
 	later := consensus.Snapshot{Index: 9, Term: 1, Membership: voters, Data: []byte("later")}
 	for name, row := range map[string]struct {
--- a/internal/adapter/wire/bounds_test.go
+++ b/internal/adapter/wire/bounds_test.go
@@ -87,7 +87,7 @@
 
 // TestShortagesOfFilesPass: a server goes on after errors that pass, and reports
 // a listener that is broken.
-func TestShortagesOfFilesPass(t *testing.T) {
+func TestTemporaryAcceptErrors(t *testing.T) {
 	below, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/wire/callcontext_test.go
+++ b/internal/adapter/wire/callcontext_test.go
@@ -26,7 +26,7 @@
 
 // TestEndedCallLeavesNothingAtTheConnection ends calls with and without a
 // deadline. What a call leaves behind stays until the connection closes.
-func TestEndedCallLeavesNothingAtTheConnection(t *testing.T) {
+func TestFinishedCallReleasesContext(t *testing.T) {
 	for _, deadline := range []time.Duration{0, time.Hour} {
 		connection := &countingContext{Context: context.Background(), done: make(chan struct{})}
 		ctx, cancel := callContext(connection, deadline)
--- a/internal/adapter/wire/pack.go
+++ b/internal/adapter/wire/pack.go
@@ -90,7 +90,7 @@
 
 // MarshalPacked gives a message encoded and compressed, to be a part of messages to many
 // receivers.
-func MarshalPacked(message any) ([]byte, error) {
+func MarshalCompressed(message any) ([]byte, error) {
 	encoded, err := Marshal(message)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 }
 
 // UnmarshalPacked decodes what MarshalPacked gave, of at most so many bytes.
-func UnmarshalPacked(packed []byte, maxSize int, message any) error {
+func UnmarshalCompressed(packed []byte, maxSize int, message any) error {
 	encoded, err := unpack(packed, maxSize)
 	if err != nil {
 		return err
--- a/internal/app/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -58,7 +58,7 @@
 
 // TestResendGetsTheFirstAnswer sends a change again under its id, to another
 // member, after the leader is gone and after a snapshot.
-func TestResendGetsTheFirstAnswer(t *testing.T) {
+func TestResendReturnsFirstResult(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 20, 5 })
 	command := machineListChange(0, 1)
 	first := group.mustAccept(group.client(1), command)
@@ -85,7 +85,7 @@
 }
 
 // TestRacingEqualRevisions lets clients race with one expected revision.
-func TestRacingEqualRevisions(t *testing.T) {
+func TestConcurrentChangesOfOneRevision(t *testing.T) {
 	const racers, rounds = 4, 5
 	group := startGroup(t, 3, nil)
 	clients := make([]*controlclient.Client, racers)
@@ -199,7 +199,7 @@
 
 // TestWatchMovesFromAMemberWithoutQuorum leaves one member alone, which the
 // watch must leave; no update of that member may be confirmed.
-func TestWatchMovesFromAMemberWithoutQuorum(t *testing.T) {
+func TestWatchLeavesMemberWithoutQuorum(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	watch := startFollow(group.client(1), controlstate.NewObserver())
 	last := group.change(group.client(2), 3)
@@ -237,7 +237,7 @@
 
 // TestLostDataFolderIsRefused removes a voter's folder: it must not come back
 // under its old id, and may come back as a learner under a new one.
-func TestLostDataFolderIsRefused(t *testing.T) {
+func TestStartRejectsLostDataFolder(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
 	group.change(client, 3)
@@ -292,7 +292,7 @@
 
 // TestSecondMachineLostAfterARepair loses another voter right after the repair
 // of the first: what was accepted must still be there.
-func TestSecondMachineLostAfterARepair(t *testing.T) {
+func TestSecondMemberLostAfterReplacement(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	last := group.change(group.client(1), 10)
 	group.kill(3)
@@ -304,7 +304,7 @@
 }
 
 // TestBadFolderIsRefused starts members on folders that they must not use.
-func TestBadFolderIsRefused(t *testing.T) {
+func TestStartRejectsInvalidFolder(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	group.change(group.client(1), 3)
 	group.kill(3)
@@ -349,7 +349,7 @@
 
 // TestPlannedStopHandsOver stops the leader as planned: the watch and the
 // proposals go on at another member.
-func TestPlannedStopHandsOver(t *testing.T) {
+func TestStopTransfersLeadership(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
 	last := group.change(client, 2)
@@ -366,7 +366,7 @@
 
 // TestSilentNodeLeavesTheView lets two nodes report, of which one falls silent,
 // comes back at another address and drains.
-func TestSilentNodeLeavesTheView(t *testing.T) {
+func TestTimedOutNodeIsRemoved(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.NodeTimeout = 2 * time.Second })
 	client := group.client(1)
 	node := func(id port.NodeID, peer string) port.NodeAddress {
--- a/internal/app/control/distribution_bench_test.go
+++ b/internal/app/control/distribution_bench_test.go
@@ -18,7 +18,7 @@
 // BenchmarkInForce measures the time from sending a change until it was
 // accepted, and until it is in force at the median and the last of so many
 // observers, each with a connection of its own.
-func BenchmarkInForce(b *testing.B) {
+func BenchmarkUpdateDistribution(b *testing.B) {
 	for _, observers := range []int{3, 60, 660} {
 		b.Run(fmt.Sprintf("observers=%d", observers), func(b *testing.B) {
 			group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
@@ -123,7 +123,7 @@
 // BenchmarkQuietWatch measures what a watch without news costs: bytes a second
 // and observer both ways, and processor time of members and observers together
 // a second and observer.
-func BenchmarkQuietWatch(b *testing.B) {
+func BenchmarkIdleWatch(b *testing.B) {
 	const observers = 660
 	group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
 	fleet := startObservers(group, observers)
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -20,7 +20,7 @@
 // accept nothing, confirm nothing and serve no read of the newest state; a
 // client that only knows it is told that its change may have run; back again it
 // catches up, and no observer goes back.
-func TestLeaderCutOffInSilence(t *testing.T) {
+func TestIsolatedLeader(t *testing.T) {
 	network := newTestNetwork()
 	group := startGroup(t, 3, func(config *Config) {
 		config.Wire.Dial = network.dialer(config.addressOf(config.ID))
@@ -66,7 +66,7 @@
 
 // TestDiskFaultsStopAMember lets the disk of one member fail: it must stop and
 // say so, and the others go on.
-func TestDiskFaultsStopAMember(t *testing.T) {
+func TestDiskErrorStopsMember(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(*faultfs.FileSystem)
@@ -106,7 +106,7 @@
 
 // TestPowerLossOfAllMembersKeepsWhatWasAccepted crashes all disks, which lose
 // what was not synced, in the middle of changes.
-func TestPowerLossOfAllMembersKeepsWhatWasAccepted(t *testing.T) {
+func TestPowerLossKeepsAcceptedChanges(t *testing.T) {
 	disks := map[uint64]*faultfs.FileSystem{}
 	group := startGroup(t, 3, func(config *Config) {
 		if disks[config.ID] == nil {
@@ -133,7 +133,7 @@
 
 // TestOnlyAMemberOfTheClusterIsHeard offers calls and messages with a wrong
 // token and cluster.
-func TestOnlyAMemberOfTheClusterIsHeard(t *testing.T) {
+func TestRejectsOtherClusters(t *testing.T) {
 	group := startGroup(t, 1, nil)
 	for _, options := range []wire.Options{{ClusterID: "test", Token: "wrong"}, {ClusterID: "other", Token: "peer"}} {
 		client := wire.NewClient(group.members[0].Peer, options)
--- a/internal/app/control/process_folder_test.go
+++ b/internal/app/control/process_folder_test.go
@@ -124,7 +124,7 @@
 // meet a full disk: a link leads its temporary file to /dev/full. The process
 // must stop and say so, the others go on, and with room it is back with all that
 // was accepted.
-func TestProcessWithFullDiskStopsAndComesBack(t *testing.T) {
+func TestProcessRecoversFromFullDisk(t *testing.T) {
 	group, writing, client := startWritten(t, 5)
 	var sequence uint64
 	segments := group.segmentsOf(2)
--- a/internal/app/control/suspend_test.go
+++ b/internal/app/control/suspend_test.go
@@ -12,7 +12,7 @@
 // TestASuspendedLeaderReadsNothingOnItsOwn: a leader that is suspended for longer than an
 // election timeout may have a successor when it wakes up, and its steady clock does not show
 // that. Here the others cannot answer.
-func TestASuspendedLeaderReadsNothingOnItsOwn(t *testing.T) {
+func TestSuspendedLeaderRejectsReads(t *testing.T) {
 	var slept [4]atomic.Int64 // by member
 	group := startGroup(t, 3, func(config *Config) {
 		id := config.ID
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -19,13 +19,13 @@
 	// Deadline is how long the caller waits, in milliseconds.
 	Deadline string
 	// Seal signs a replica's answer.
-	Seal string
+	Signature string
 	// ExpectInstance makes every replica but the named one refuse.
-	ExpectInstance string
+	ExpectedInstance string
 	// NotRun marks a refusal that did not run the request.
 	NotRun string
 	// LastEvent is the id of the last event that the caller has.
-	LastEvent string
+	LastEventID string
 	// WeightVersion is the weight version that made an answer, and its name in
 	// lower case begins an event from which on it changed.
 	WeightVersion string
@@ -36,8 +36,8 @@
 	// Load is what a replica says of its load with an answer; ReadLoad reads it.
 	Load string
 	// Holder and Fence say who calls the provider, and in which term.
-	Holder string
-	Fence  string
+	LeaseHolder  string
+	FencingToken string
 }
 
 // Call is an HTTP request to a replica or to the provider.
@@ -52,11 +52,11 @@
 	Model   string
 	Version uint64
 	// Holder and Fence say who orders, and in which term.
-	Holder string
-	Fence  uint64
+	LeaseHolder  string
+	FencingToken uint64
 	// ExpectedOrders is how many orders the replica has taken; it refuses if
 	// there were others meanwhile.
-	ExpectedOrders uint64
+	ExpectedOrderCount uint64
 }
 
 // Report is what a replica says of itself when asked.
@@ -65,9 +65,9 @@
 	// Loading is set while an order is under way.
 	Loading bool
 	// Orders is how many orders it has taken.
-	Orders  uint64
-	Running int
-	Waiting int
+	OrderCount uint64
+	Running    int
+	Waiting    int
 }
 
 // Dialect names and encodes.
