--- a/internal/adapter/services/standin_test.go
+++ b/internal/adapter/services/standin_test.go
@@ -11,14 +11,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// closing is a stand-in that ends with the test.
-type closing interface {
+// closableStandIn is a stand-in that the test closes.
+type closableStandIn interface {
 	contracttest.StandIn
 	Close()
 }
 
-// starting turns a start function into one for a table.
-func starting[Started closing](start func(context.Context) (Started, error)) func(*testing.T) contracttest.StandIn {
+// startWith adapts a start function to contracttest.Pairing.
+func startWith[Started closableStandIn](start func(context.Context) (Started, error)) func(*testing.T) contracttest.StandIn {
 	return func(t *testing.T) contracttest.StandIn {
 		t.Helper()
 		started, err := start(context.Background())
@@ -32,7 +32,7 @@
 
 func TestScorerAndStandInKeepOneContract(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
-		Start: starting(func(ctx context.Context) (*standin.Scorer, error) {
+		Start: startWith(func(ctx context.Context) (*standin.Scorer, error) {
 			return standin.StartScorer(ctx, standin.ScorerConfig{})
 		}),
 		Dial: func(address string) func(context.Context, int) error {
@@ -46,14 +46,14 @@
 				return err
 			}
 		},
-		Lacks: []standin.FaultKind{standin.FaultMix},
+		UnsupportedFaults: []standin.FaultKind{standin.FaultMix},
 	})
 }
 
 func TestMachineListAndStandInKeepOneContract(t *testing.T) {
 	const listed = "127.0.0.1:80"
 	contracttest.RunPairing(t, contracttest.Pairing{
-		Start: starting(func(ctx context.Context) (*standin.MachineList, error) {
+		Start: startWith(func(ctx context.Context) (*standin.MachineList, error) {
 			return standin.StartMachineList(ctx, standin.MachineListConfig{Live: []string{listed}})
 		}),
 		Dial: func(address string) func(context.Context, int) error {
@@ -66,13 +66,13 @@
 				return err
 			}
 		},
-		Lacks: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
+		UnsupportedFaults: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
 	})
 }
 
 func TestPromptSourceAndStandInKeepOneContract(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
-		Start: starting(func(ctx context.Context) (*standin.Trainer, error) {
+		Start: startWith(func(ctx context.Context) (*standin.Trainer, error) {
 			return standin.StartTrainer(ctx, standin.TrainerConfig{})
 		}),
 		Dial: func(address string) func(context.Context, int) error {
@@ -86,6 +86,6 @@
 				return err
 			}
 		},
-		Lacks: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
+		UnsupportedFaults: []standin.FaultKind{standin.FaultLate, standin.FaultCut, standin.FaultMix},
 	})
 }
