--- a/internal/lab/standin/application.go
+++ b/internal/lab/standin/application.go
@@ -18,15 +18,14 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// QueryCall is the query parameter by which a caller marks a call with its
-// unique key.
+// QueryCall is the query parameter that carries the unique key of a call.
 const QueryCall = "call"
 
-// pathApplicationHealth answers 200 while the service is well.
+// pathApplicationHealth answers 200 while the service is healthy.
 const pathApplicationHealth = "/healthz"
 
-// Application stands in for one replica of an application service. It answers
-// every path with content that belongs to the call and to no other.
+// Application simulates one replica of an application service. It answers every path
+// with content that is unique to the call.
 type Application struct {
 	*server
 	config ApplicationConfig
@@ -36,12 +35,12 @@
 // ApplicationConfig describes an application service.
 type ApplicationConfig struct {
 	Common
-	// ServiceTime is the mean time of a call, drawn exponentially above half
-	// of it. Default 5 ms.
+	// ServiceTime is the mean time of a call: half of it is fixed, the rest is
+	// exponentially distributed. Default 5 ms.
 	ServiceTime time.Duration
-	// Workers bounds the calls that run at once. Default 64.
+	// Workers is the maximum number of concurrent calls. Default 64.
 	Workers int
-	// PayloadBytes is the size of the answer's content. Default 256.
+	// PayloadBytes is the size of the payload. Default 256.
 	PayloadBytes int
 }
 
@@ -53,16 +52,16 @@
 	Path     string `json:"path"`
 	BodyHash string `json:"body_hash"`
 	Payload  string `json:"payload"`
-	// Size is the length of the whole payload.
+	// Size is the length of the complete payload.
 	Size int `json:"size"`
 }
 
-// Whole reports whether the answer holds all of the content of a call.
+// Whole reports whether the answer is the complete answer to a call.
 func (a ApplicationAnswer) Whole(call string) bool {
 	return a.Call == call && a.Size > 0 && a.Payload == payload(call, a.Size)
 }
 
-// payload returns the content that belongs to a call.
+// payload returns the content for a call.
 func payload(call string, size int) string {
 	content := make([]byte, 0, size+16)
 	for i := uint64(0); len(content) < size; i++ {
@@ -82,12 +81,12 @@
 		FaultCrash, FaultHang, FaultSlow, FaultRefuse, FaultCut, FaultLate, FaultMix)
 	a.inject = a.injectFault
 	a.mux.HandleFunc("GET "+pathApplicationHealth, func(w http.ResponseWriter, r *http.Request) {
-		if !a.disturbed(w, r) {
+		if !a.applyFaults(w, r) {
 			w.WriteHeader(http.StatusOK)
 		}
 	})
 	a.mux.HandleFunc("/", a.handleCall)
-	if err := a.open(config.Listen); err != nil {
+	if err := a.listen(config.Listen); err != nil {
 		return nil, err
 	}
 	return a, nil
@@ -95,14 +94,14 @@
 
 func (a *Application) injectFault(fault Fault) error {
 	if fault.Kind == FaultCrash {
-		a.crash(fault.Duration(), a.loseAll, func() {})
+		a.crash(fault.Duration(), a.endExecutions, func() {})
 		return nil
 	}
 	return a.faults.set(fault)
 }
 
-// loseAll marks all calls in progress as lost.
-func (a *Application) loseAll() {
+// endExecutions records all calls in progress as crashed.
+func (a *Application) endExecutions() {
 	a.recorder.mutex.Lock()
 	var lost []*audit.Execution
 	for execution := range a.recorder.executions {
@@ -115,7 +114,7 @@
 }
 
 func (a *Application) handleCall(w http.ResponseWriter, r *http.Request) {
-	if a.disturbed(w, r) {
+	if a.applyFaults(w, r) {
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
@@ -132,13 +131,13 @@
 	execution := &audit.Execution{
 		BackEnd: a.address, RequestID: r.Header.Get(api.HeaderRequestID), Call: r.URL.Query().Get(QueryCall),
 	}
-	a.recorder.beginExecution(execution)
+	a.recorder.startExecution(execution)
 	defer a.recorder.endExecution(execution, audit.EndCut)
-	if !pause(r.Context(), a.serviceTime()) {
+	if !sleep(r.Context(), a.serviceTime()) {
 		a.recorder.endExecution(execution, audit.EndCancelled)
 		return
 	}
-	if fault, late := a.faults.take(FaultLate); late && !pause(r.Context(), fault.Duration()) {
+	if fault, late := a.faults.consume(FaultLate); late && !sleep(r.Context(), fault.Duration()) {
 		a.recorder.endExecution(execution, audit.EndCancelled)
 		return
 	}
@@ -146,13 +145,13 @@
 }
 
 func (a *Application) serviceTime() time.Duration {
-	mean := float64(a.config.ServiceTime) * a.faults.factor()
+	mean := float64(a.config.ServiceTime) * a.faults.slowdown()
 	return time.Duration(mean/2 + rand.ExpFloat64()*mean/2)
 }
 
 func (a *Application) answer(w http.ResponseWriter, r *http.Request, body []byte, execution *audit.Execution) {
 	call, id := execution.Call, execution.RequestID
-	if _, mix := a.faults.take(FaultMix); mix {
+	if _, mix := a.faults.consume(FaultMix); mix {
 		call, id = "mixed-"+call, "mixed-"+id
 	}
 	answer, err := json.Marshal(ApplicationAnswer{
@@ -161,15 +160,15 @@
 		Payload:  payload(call, a.config.PayloadBytes), Size: a.config.PayloadBytes,
 	})
 	if err != nil {
-		cutConnection()
+		abortConnection()
 	}
 	w.Header().Set("Content-Type", contentTypeJSON)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	w.Header().Set(api.HeaderRequestID, id)
-	if _, cut := a.faults.take(FaultCut); cut {
+	if _, cut := a.faults.consume(FaultCut); cut {
 		_, _ = w.Write(answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
-		cutConnection()
+		abortConnection()
 	}
 	if _, err := w.Write(answer); err == nil {
 		a.recorder.endExecution(execution, audit.EndFinished)
--- a/internal/lab/standin/completion.go
+++ b/internal/lab/standin/completion.go
@@ -11,11 +11,11 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// defaultMaxTokens applies to a request that names no bound.
+// defaultMaxTokens applies to requests without max_tokens.
 const defaultMaxTokens = 4096
 
 func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	var body api.Completion
@@ -23,7 +23,7 @@
 		return
 	}
 	key := engine.ContentKey(body.Prompt, body.Seed)
-	if fault := resumeFault(body, key); fault != nil {
+	if fault := checkResume(body, key); fault != nil {
 		writeError(w, http.StatusBadRequest, fault)
 		return
 	}
@@ -33,54 +33,54 @@
 		writeError(w, status, fault)
 		return
 	}
-	defer e.leave(s)
+	defer e.releaseStream(s)
 	e.answer(w, r.Context(), s, key)
 }
 
-// resumeFault refuses a resume whose text is not the start of the output.
-func resumeFault(body api.Completion, key uint64) *port.Error {
+// checkResume rejects a resume whose text is not a prefix of the output.
+func checkResume(body api.Completion, key uint64) *port.Error {
 	if len(body.ResumeText) != body.ResumeTokens*engine.BytesPerToken || !engine.SameContent(body.ResumeText, key) {
 		return port.InvalidField("resume_text", body.ResumeText[:min(len(body.ResumeText), 32)], "the start of this request's own output, resume_tokens long")
 	}
 	return nil
 }
 
-// submit hands a request to the model and opens its stream.
+// submit passes a request to the model and opens its stream.
 func (e *Engine) submit(r *http.Request, body api.Completion, key uint64, imported int) (*stream, *port.Error, int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	id := e.requestID(r)
-	if fault, status := e.versionFault(body); fault != nil {
+	if fault, status := e.checkMinVersion(body); fault != nil {
 		return nil, fault, status
 	}
 	if body.MaxTokens <= 0 {
 		body.MaxTokens = defaultMaxTokens
 	}
 	request := e.modelRequest(id, body, key, imported)
-	whole := body.ResumeTokens + min(request.OutputTokens, request.MaxTokens)
+	total := body.ResumeTokens + min(request.OutputTokens, request.MaxTokens)
 	s := newStream(id, body, &audit.Generation{
 		Engine: e.address, RequestID: id, Call: audit.PromptKey(body.Prompt),
-		Key: key, First: body.ResumeTokens, Whole: whole,
+		Key: key, First: body.ResumeTokens, Whole: total,
 	})
 	if request.OutputTokens > 0 || request.PrefillOnly {
 		if err := e.model.Submit(e.now(), request); err != nil {
-			fault, status := refusal(err)
+			fault, status := modelError(err)
 			return nil, fault, status
 		}
 		e.streams[id] = s
-		e.recorder.beginGeneration(s.seen)
-		e.poke()
+		e.recorder.startGeneration(s.generation)
+		e.wakeDriver()
 		return s, nil, 0
 	}
-	// The resumed text was whole already.
-	e.recorder.beginGeneration(s.seen)
-	e.recorder.endGeneration(s.seen, audit.EndFinished)
+	// The resumed text was already complete.
+	e.recorder.startGeneration(s.generation)
+	e.recorder.endGeneration(s.generation, audit.EndFinished)
 	s.push(engine.Event{Kind: engine.EventFinished, ID: id, Completion: &engine.Completion{}})
 	return s, nil, 0
 }
 
-// versionFault refuses a request that wants newer weights than are served.
-func (e *Engine) versionFault(body api.Completion) (*port.Error, int) {
+// checkMinVersion rejects a request that needs newer weights than the engine serves.
+func (e *Engine) checkMinVersion(body api.Completion) (*port.Error, int) {
 	if body.MinVersion == 0 {
 		return nil, 0
 	}
@@ -105,8 +105,9 @@
 	}
 }
 
-// refusal translates the model's refusal of a request, which never ran.
-func refusal(err error) (*port.Error, int) {
+// modelError converts an error of the model into an API error and a status. The
+// request has not run.
+func modelError(err error) (*port.Error, int) {
 	code, status := port.CodeConflict, http.StatusConflict
 	switch {
 	case errors.Is(err, engine.ErrQueueFull):
@@ -123,49 +124,49 @@
 	return port.NewError(port.NotRun, code, "%v", err), status
 }
 
-// leave takes a request off the engine when its handler ends, unless its KV
-// state is held for an export or being exported.
-func (e *Engine) leave(s *stream) {
+// releaseStream removes a request from the engine when its handler returns, unless its
+// KV cache is waiting for an export or being exported.
+func (e *Engine) releaseStream(s *stream) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.streams[s.id] != s || s.held || e.exports[s.id] != nil {
+	if e.streams[s.id] != s || s.awaitingExport || e.exports[s.id] != nil {
 		return
 	}
 	delete(e.streams, s.id)
 	e.model.Cancel(e.now(), s.id)
-	e.recorder.endGeneration(s.seen, audit.EndCancelled)
+	e.recorder.endGeneration(s.generation, audit.EndCancelled)
 }
 
-// answer writes a request's events as they come.
+// answer writes the events of a request as they arrive.
 func (e *Engine) answer(w http.ResponseWriter, ctx context.Context, s *stream, key uint64) {
 	writer := &answerWriter{http: w, id: s.id, body: s.body, key: key, position: s.body.ResumeTokens}
-	if fault, cut := e.faults.take(FaultCut); cut {
-		writer.cutAfter = max(s.seen.Whole/2, 1)
+	if fault, cut := e.faults.consume(FaultCut); cut {
+		writer.cutAfter = max(s.generation.Whole/2, 1)
 		if fault.Factor > 0 {
 			writer.cutAfter = int(fault.Factor)
 		}
 	}
-	if _, mix := e.faults.take(FaultMix); mix {
+	if _, mix := e.faults.consume(FaultMix); mix {
 		writer.id, writer.key = "mixed-"+s.id, key+1
 	}
-	late, isLate := e.faults.take(FaultLate)
+	late, isLate := e.faults.consume(FaultLate)
 	for {
 		select {
 		case <-s.notify:
 		case <-ctx.Done():
 			return
 		}
-		if isLate && !pause(ctx, late.Duration()) {
+		if isLate && !sleep(ctx, late.Duration()) {
 			return
 		}
 		isLate = false
-		e.faults.waitWhileHung(ctx)
+		e.faults.waitOutHang(ctx)
 		e.mutex.Lock()
 		events, aborted := s.pending, s.aborted
 		s.pending = nil
 		e.mutex.Unlock()
 		if aborted {
-			cutConnection()
+			abortConnection()
 		}
 		if done, err := writeEvents(writer, s, events); done || err != nil {
 			return
@@ -177,11 +178,11 @@
 	for _, event := range events {
 		switch event.Kind {
 		case engine.EventTokens:
-			if err := writer.tokens(event.Count, event.Version); err != nil {
+			if err := writer.writeTokens(event.Count, event.Version); err != nil {
 				return false, err
 			}
 		case engine.EventFinished:
-			return true, writer.finish(finishName(event.Completion.Reason), s.usage(writer, event.Completion))
+			return true, writer.finish(finishReason(event.Completion.Reason), s.usage(writer, event.Completion))
 		case engine.EventExported:
 			return true, writer.finish(finishExported, s.usage(writer, event.Completion))
 		}
@@ -190,10 +191,10 @@
 }
 
 func (s *stream) usage(writer *answerWriter, completion *engine.Completion) api.Usage {
-	return api.Usage{PromptTokens: s.prompt, CompletionTokens: writer.written, CachedTokens: completion.CachedTokens}
+	return api.Usage{PromptTokens: s.promptTokens, CompletionTokens: writer.tokensWritten, CachedTokens: completion.CachedTokens}
 }
 
-func finishName(reason engine.FinishReason) string {
+func finishReason(reason engine.FinishReason) string {
 	switch reason {
 	case engine.FinishLength:
 		return string(port.FinishLength)
@@ -205,7 +206,7 @@
 }
 
 func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	e.mutex.Lock()
@@ -213,12 +214,12 @@
 	id := r.PathValue("id")
 	found := e.model.Cancel(e.now(), id)
 	if s := e.streams[id]; s != nil {
-		e.recorder.endGeneration(s.seen, audit.EndCancelled)
+		e.recorder.endGeneration(s.generation, audit.EndCancelled)
 		delete(e.streams, id)
 		s.abort()
 	}
 	if !found {
-		fault, status := refusal(engine.ErrUnknownRequest)
+		fault, status := modelError(engine.ErrUnknownRequest)
 		writeError(w, status, fault)
 		return
 	}
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -14,57 +14,56 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Engine stands in for a model engine: it drives the engine model in real
-// time behind the HTTP interface that engines have.
+// Engine simulates a model engine: it runs the engine model in real time behind the
+// HTTP API of engines.
 type Engine struct {
 	*server
 	config EngineConfig
 	client *http.Client
 	wake   chan struct{}
 
-	mutex    sync.Mutex
-	model    *engine.Model
-	origin   time.Time     // real time at model time 0
-	frozen   time.Duration // real time spent hung
-	streams  map[string]*stream
-	exports  map[string]chan exported // by request id
-	blobs    map[string]kvBlob        // by handle
-	handles  []string                 // oldest first
-	feed     *engine.Feed
-	cacheEnd uint64 // events up to here are void: the cache was cleared
-	loads    *engine.Lagged[port.LoadReport]
-	epoch    context.Context // ends with the present incarnation
-	endEpoch context.CancelFunc
-	created  uint64 // ids made for requests without one
-	fault    int    // of slow faults, to end only the newest
+	mutex          sync.Mutex
+	model          *engine.Model
+	origin         time.Time     // real time at model time 0
+	hungTime       time.Duration // real time spent hung
+	streams        map[string]*stream
+	exports        map[string]chan exportResult // by request id
+	blobs          map[string]kvBlob            // by handle
+	handles        []string                     // oldest first
+	cacheFeed      *engine.Feed
+	clearedThrough uint64 // last event before the cache was cleared
+	loadReports    *engine.Lagged[port.LoadReport]
+	incarnation    context.Context // cancelled by a crash
+	endIncarnation context.CancelFunc
+	lastID         uint64 // of requests that came without an id
+	lastSlowdown   int    // only the newest slowdown is ended
 }
 
-// EngineConfig describes an engine stand-in. All times of the model pass
-// TimeScale times faster than real time.
+// EngineConfig describes an engine stand-in. Model time runs TimeScale times faster than
+// real time.
 type EngineConfig struct {
 	Common
 	Model engine.Config
-	// TimeScale speeds the model up. Default 1.
+	// TimeScale is the speed of model time. Default 1.
 	TimeScale float64
-	// Lengths are the output lengths. Default median 120 tokens, sigma 0.8,
-	// at most 2000.
+	// Lengths is the distribution of output lengths. Default median 120 tokens, sigma
+	// 0.8, at most 2000.
 	Lengths engine.Lengths
-	// ChunkInterval is the real time between the chunks of a stream.
-	// Default 20 ms.
+	// ChunkInterval is the real time between the chunks of a stream. Default 20 ms.
 	ChunkInterval time.Duration
-	// LoadLag is how late load reports are, CacheLag how late cache events.
+	// LoadLag is the delay of load reports, CacheLag that of cache events.
 	LoadLag, CacheLag time.Duration
-	// Adapters are loaded after a start, at the version of Model.Weights.
+	// Adapters are loaded at start, at the version of Model.Weights.
 	Adapters []string
-	// CacheGapEvery loses every n-th cache event; 0 loses none.
+	// CacheGapEvery drops every n-th cache event; 0 drops none.
 	CacheGapEvery uint64
 }
 
 const (
-	keptCacheEvents = 20_000
-	cacheEventsPage = 2000
-	keptBlobs       = 256
-	loadInterval    = 50 * time.Millisecond
+	maxCacheEvents      = 20_000
+	cacheEventsPageSize = 2000
+	maxBlobs            = 256
+	loadReportInterval  = 50 * time.Millisecond
 )
 
 // StartEngine starts an engine. It runs until ctx ends or Close is called.
@@ -78,22 +77,22 @@
 	for _, name := range config.Adapters {
 		config.Model.Adapters[name] = config.Model.Weights.Version
 	}
-	config.Model.Store = nil // weights are fetched from the order's source
+	config.Model.Store = nil // weights are downloaded from the source in the order
 	e := &Engine{
 		config: config, client: &http.Client{}, wake: make(chan struct{}, 1),
 		model: engine.New(config.Model), origin: time.Now(),
-		streams: map[string]*stream{}, exports: map[string]chan exported{}, blobs: map[string]kvBlob{},
-		feed: engine.NewFeed(config.CacheLag, config.CacheGapEvery, keptCacheEvents),
+		streams: map[string]*stream{}, exports: map[string]chan exportResult{}, blobs: map[string]kvBlob{},
+		cacheFeed: engine.NewFeed(config.CacheLag, config.CacheGapEvery, maxCacheEvents),
 	}
-	_, e.cacheEnd = e.model.CacheSnapshot()
-	e.loads = engine.NewLagged[port.LoadReport](config.LoadLag)
+	_, e.clearedThrough = e.model.CacheSnapshot()
+	e.loadReports = engine.NewLagged[port.LoadReport](config.LoadLag)
 	e.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultSlow, FaultRefuse, FaultCut,
 		FaultLate, FaultMix, FaultLoadVersion, FaultSwapFails, FaultSwapMisdirected)
 	e.inject = e.injectFault
-	e.epoch, e.endEpoch = context.WithCancel(e.ctx)
-	e.loads.Put(since()-config.LoadLag, e.loadReport())
+	e.incarnation, e.endIncarnation = context.WithCancel(e.ctx)
+	e.loadReports.Put(unixNow()-config.LoadLag, e.loadReport())
 	e.register()
-	if err := e.open(config.Listen); err != nil {
+	if err := e.listen(config.Listen); err != nil {
 		return nil, err
 	}
 	e.work.Go(e.drive)
@@ -109,28 +108,28 @@
 	e.mux.HandleFunc("POST "+api.PathKVExport, e.handleExport)
 	e.mux.HandleFunc("GET "+api.PathKVBlob, e.handleBlob)
 	e.mux.HandleFunc("GET "+api.PathHealth, func(w http.ResponseWriter, r *http.Request) {
-		if !e.disturbed(w, r) {
+		if !e.applyFaults(w, r) {
 			w.WriteHeader(http.StatusOK)
 		}
 	})
 	e.mux.HandleFunc("GET "+api.PathMetrics, e.handleMetrics)
 }
 
-// now gives the model's time. The mutex must be held.
+// now returns the model time. The mutex must be held.
 func (e *Engine) now() time.Duration {
-	elapsed := time.Since(e.origin) - e.frozen
+	elapsed := time.Since(e.origin) - e.hungTime
 	return time.Duration(float64(elapsed) * e.config.TimeScale)
 }
 
 // drive advances the model until the stand-in is closed.
 func (e *Engine) drive() {
 	for e.ctx.Err() == nil {
-		if e.stayHung() {
+		if e.waitHung() {
 			continue
 		}
 		e.mutex.Lock()
-		e.step()
-		wait := e.untilNext()
+		e.advance()
+		wait := e.nextStepDelay()
 		e.mutex.Unlock()
 		timer := time.NewTimer(wait)
 		select {
@@ -142,84 +141,85 @@
 	}
 }
 
-// stayHung waits for the end of a hang and takes its time out of the model's.
-func (e *Engine) stayHung() bool {
+// waitHung waits until a hang is over and excludes its duration from model time. It
+// reports whether there was one.
+func (e *Engine) waitHung() bool {
 	if _, hung := e.faults.active(FaultHang); !hung {
 		return false
 	}
-	began := time.Now()
+	start := time.Now()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.faults.waitWhileHung(e.ctx)
-	e.frozen += time.Since(began)
+	e.faults.waitOutHang(e.ctx)
+	e.hungTime += time.Since(start)
 	return true
 }
 
-// untilNext returns the real time until the model must be advanced again. The
-// mutex must be held.
-func (e *Engine) untilNext() time.Duration {
+// nextStepDelay returns the real time until the model must be advanced. The mutex must
+// be held.
+func (e *Engine) nextStepDelay() time.Duration {
 	next, some := e.model.Next()
 	if !some {
-		return loadInterval
+		return loadReportInterval
 	}
 	wait := time.Duration(float64(next-e.now()) / e.config.TimeScale)
 	return max(min(wait, e.config.ChunkInterval), 0)
 }
 
-// step advances the model to the present and hands out what happened. The
-// mutex must be held.
-func (e *Engine) step() {
+// advance advances the model to the current time and dispatches its events. The mutex
+// must be held.
+func (e *Engine) advance() {
 	now := e.now()
 	for _, event := range e.model.Advance(now) {
 		e.dispatch(event)
 	}
-	e.loads.Put(since(), e.loadReport())
+	e.loadReports.Put(unixNow(), e.loadReport())
 }
 
-// poke makes the driver look at the model at once.
-func (e *Engine) poke() {
+// wakeDriver makes the driver advance the model immediately.
+func (e *Engine) wakeDriver() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// dispatch hands one event of the model to whom it concerns. The mutex must
+// dispatch delivers one event of the model to its stream, export or feed. The mutex must
 // be held.
 func (e *Engine) dispatch(event engine.Event) {
 	switch event.Kind {
 	case engine.EventTokens:
 		if s := e.streams[event.ID]; s != nil {
-			e.recorder.addTokens(s.seen, event.Version, event.Count)
+			e.recorder.addTokens(s.generation, event.Version, event.Count)
 			s.push(event)
 		}
 	case engine.EventFinished:
 		if s := e.streams[event.ID]; s != nil {
-			e.recorder.endGeneration(s.seen, audit.EndFinished)
-			s.held = event.Completion.Reason == engine.FinishPrefilled
+			e.recorder.endGeneration(s.generation, audit.EndFinished)
+			s.awaitingExport = event.Completion.Reason == engine.FinishPrefilled
 			s.push(event)
 		}
 	case engine.EventExported:
 		e.finishExport(event)
 	case engine.EventCache:
 		if event.Cache.Kind == engine.CacheCleared {
-			e.feed.Reset()
-			e.cacheEnd = event.Cache.Sequence
+			e.cacheFeed.Reset()
+			e.clearedThrough = event.Cache.Sequence
 			return
 		}
-		e.feed.Append(since(), event.Cache)
+		e.cacheFeed.Append(unixNow(), event.Cache)
 	}
 }
 
-// injectFault switches a fault on.
+// injectFault activates a fault.
 func (e *Engine) injectFault(fault Fault) error {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	switch fault.Kind {
 	case FaultCrash:
-		e.crash(fault.Duration(), e.loseAll, e.restart)
+		e.crash(fault.Duration(), e.crashModel, e.restart)
 	case FaultSlow:
-		e.slow(fault)
+		e.startSlowdown(fault)
 	case FaultSwapFails:
 		e.model.FailNextSwap()
 	case FaultSwapMisdirected:
@@ -230,35 +230,35 @@
 	return nil
 }
 
-func (e *Engine) slow(fault Fault) {
-	e.fault++
-	mine := e.fault
+func (e *Engine) startSlowdown(fault Fault) {
+	e.lastSlowdown++
+	number := e.lastSlowdown
 	e.model.SetSlowdown(e.now(), max(fault.Factor, 1))
 	e.work.Go(func() {
-		pause(e.ctx, fault.Duration())
+		sleep(e.ctx, fault.Duration())
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		if e.fault == mine {
+		if e.lastSlowdown == number {
 			e.model.SetSlowdown(e.now(), 1)
 		}
 	})
 }
 
-// loseAll crashes the model: every stream ends without an answer.
-func (e *Engine) loseAll() {
+// crashModel crashes the model and aborts all streams.
+func (e *Engine) crashModel() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.model.Crash(e.now())
-	e.endEpoch()
+	e.endIncarnation()
 	for id, s := range e.streams {
-		e.recorder.endGeneration(s.seen, audit.EndCrashed)
+		e.recorder.endGeneration(s.generation, audit.EndCrashed)
 		s.abort()
 		delete(e.streams, id)
 	}
 	clear(e.exports)
 	clear(e.blobs)
 	e.handles = nil
-	e.feed.Reset()
+	e.cacheFeed.Reset()
 }
 
 func (e *Engine) restart() {
@@ -266,18 +266,18 @@
 	defer e.mutex.Unlock()
 	e.model.Restart(e.now())
 	e.model.Advance(e.now())
-	_, e.cacheEnd = e.model.CacheSnapshot()
-	e.epoch, e.endEpoch = context.WithCancel(e.ctx)
-	e.loads = engine.NewLagged[port.LoadReport](e.config.LoadLag)
-	e.loads.Put(since()-e.config.LoadLag, e.loadReport())
+	_, e.clearedThrough = e.model.CacheSnapshot()
+	e.incarnation, e.endIncarnation = context.WithCancel(e.ctx)
+	e.loadReports = engine.NewLagged[port.LoadReport](e.config.LoadLag)
+	e.loadReports.Put(unixNow()-e.config.LoadLag, e.loadReport())
 }
 
-// requestID returns the id of a request, made up if it came without one. The
-// mutex must be held.
+// requestID returns the id of a request, or a new one if it has none. The mutex must be
+// held.
 func (e *Engine) requestID(r *http.Request) string {
 	if id := r.Header.Get(api.HeaderRequestID); id != "" {
 		return id
 	}
-	e.created++
-	return fmt.Sprintf("engine-%d", e.created)
+	e.lastID++
+	return fmt.Sprintf("engine-%d", e.lastID)
 }
--- a/internal/lab/standin/engine_test.go
+++ b/internal/lab/standin/engine_test.go
@@ -45,19 +45,19 @@
 
 func TestResumeContinuesTheSameText(t *testing.T) {
 	e := testEngine(t, nil)
-	whole := complete(t, e, "r1", api.Completion{Prompt: "p", Seed: 1})
+	full := complete(t, e, "r1", api.Completion{Prompt: "p", Seed: 1})
 	cut := 12 * engine.BytesPerToken
-	rest := complete(t, e, "r2", api.Completion{Prompt: "p", Seed: 1, ResumeText: whole.text[:cut], ResumeTokens: 12})
-	if whole.text[:cut]+rest.text != whole.text {
-		t.Fatalf("resumed text %q does not continue", rest.text)
+	rest := complete(t, e, "r2", api.Completion{Prompt: "p", Seed: 1, ResumeText: full.text[:cut], ResumeTokens: 12})
+	if full.text[:cut]+rest.text != full.text {
+		t.Fatalf("resumed text %q is not the rest of the output", rest.text)
 	}
-	wrong := complete(t, e, "r3", api.Completion{Prompt: "p", Seed: 2, ResumeText: whole.text[:cut], ResumeTokens: 12})
+	wrong := complete(t, e, "r3", api.Completion{Prompt: "p", Seed: 2, ResumeText: full.text[:cut], ResumeTokens: 12})
 	if wrong.status != http.StatusBadRequest || wrong.fault.Verdict != port.NotRun.String() {
-		t.Fatalf("resume with another's text: %+v", wrong)
+		t.Fatalf("resume with text of another request: %+v", wrong)
 	}
-	ended := complete(t, e, "r4", api.Completion{Prompt: "p", Seed: 1, ResumeText: whole.text, ResumeTokens: 40})
+	ended := complete(t, e, "r4", api.Completion{Prompt: "p", Seed: 1, ResumeText: full.text, ResumeTokens: 40})
 	if !ended.done || ended.text != "" {
-		t.Fatalf("resume of a whole text: %+v", ended)
+		t.Fatalf("resume of a complete text: %+v", ended)
 	}
 }
 
@@ -68,10 +68,10 @@
 		body   api.Completion
 		status int
 	}{
-		{"older weights than asked for", nil, api.Completion{Prompt: "p", MinVersion: 2}, http.StatusConflict},
+		{"weights older than min_version", nil, api.Completion{Prompt: "p", MinVersion: 2}, http.StatusConflict},
 		{"adapter not loaded", nil, api.Completion{Prompt: "p", Adapter: "x"}, http.StatusNotFound},
 		{"no prompt", nil, api.Completion{}, http.StatusBadRequest},
-		{"refusing", &Fault{Kind: FaultRefuse, DurationMs: 60_000}, api.Completion{Prompt: "p"}, http.StatusServiceUnavailable},
+		{"refuse fault", &Fault{Kind: FaultRefuse, DurationMs: 60_000}, api.Completion{Prompt: "p"}, http.StatusServiceUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 				t.Fatalf("got %+v", got)
 			}
 			if ran := e.Observations().Generations; len(ran) > 0 {
-				t.Fatalf("it ran: %+v", ran)
+				t.Fatalf("rejected request ran: %+v", ran)
 			}
 		})
 	}
@@ -96,17 +96,17 @@
 	cases := []struct {
 		name  string
 		fault Fault
-		check func(completed) bool
+		check func(completionResult) bool
 	}{
-		{"cut mid-stream", Fault{Kind: FaultCut, Count: 1}, func(c completed) bool {
+		{"cut mid-stream", Fault{Kind: FaultCut, Count: 1}, func(c completionResult) bool {
 			return !c.done && c.text != "" && len(c.text) < 40*engine.BytesPerToken
 		}},
-		{"another's content", Fault{Kind: FaultMix, Count: 1}, func(c completed) bool {
+		{"content of another request", Fault{Kind: FaultMix, Count: 1}, func(c completionResult) bool {
 			return c.id != "r1" && !engine.SameContent(c.text, engine.ContentKey("p", 0))
 		}},
-		{"late but whole", Fault{Kind: FaultLate, Count: 1, DurationMs: 30}, func(c completed) bool { return c.done }},
-		{"hung, then whole", Fault{Kind: FaultHang, DurationMs: 30}, func(c completed) bool { return c.done }},
-		{"slow but whole", Fault{Kind: FaultSlow, DurationMs: 30, Factor: 3}, func(c completed) bool { return c.done }},
+		{"late", Fault{Kind: FaultLate, Count: 1, DurationMs: 30}, func(c completionResult) bool { return c.done }},
+		{"hung", Fault{Kind: FaultHang, DurationMs: 30}, func(c completionResult) bool { return c.done }},
+		{"slow", Fault{Kind: FaultSlow, DurationMs: 30, Factor: 3}, func(c completionResult) bool { return c.done }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 				t.Fatalf("got %+v", got)
 			}
 			if got := complete(t, e, "r2", api.Completion{Prompt: "p"}); !got.done {
-				t.Fatalf("the fault outlived its count: %+v", got)
+				t.Fatalf("fault applied to more requests than its count: %+v", got)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 
 func TestCrashLosesStreamsAndComesBack(t *testing.T) {
 	e := testEngine(t, func(c *EngineConfig) { c.Lengths.Median, c.TimeScale = 20_000, 1 })
-	ended := make(chan completed, 1)
+	ended := make(chan completionResult, 1)
 	go func() { ended <- complete(t, e, "r1", api.Completion{Prompt: "p", MaxTokens: 20_000}) }()
 	eventually(t, "tokens", func() bool {
 		seen := e.Observations().Generations
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	if got := <-ended; got.done {
-		t.Fatalf("a crashed engine gave a whole answer: %+v", got)
+		t.Fatalf("crashed engine completed a request: %+v", got)
 	}
 	if seen := generationOf(t, e, "r1"); seen.End != audit.EndCrashed {
 		t.Fatalf("recorded %+v", seen)
@@ -148,7 +148,7 @@
 
 func TestCancelEndsTheRequest(t *testing.T) {
 	e := testEngine(t, func(c *EngineConfig) { c.Lengths.Median, c.TimeScale = 20_000, 1 })
-	ended := make(chan completed, 1)
+	ended := make(chan completionResult, 1)
 	go func() { ended <- complete(t, e, "r1", api.Completion{Prompt: "p", MaxTokens: 20_000}) }()
 	eventually(t, "the request", func() bool { return len(e.Observations().Generations) > 0 })
 	status, _, err := send(t, http.MethodDelete, e.URL()+"/v1/requests/r1", "", nil)
@@ -156,7 +156,7 @@
 		t.Fatalf("cancel: %d %v", status, err)
 	}
 	if got := <-ended; got.done {
-		t.Fatal("a cancelled request gave a whole answer")
+		t.Fatal("cancelled request was completed")
 	}
 	if seen := generationOf(t, e, "r1"); seen.End != audit.EndCancelled {
 		t.Fatalf("recorded %+v", seen)
@@ -164,15 +164,15 @@
 }
 
 func TestOrdersAreFencedAndSwapVersions(t *testing.T) {
-	store := started[*WeightStore](t)(StartWeightStore(t.Context(), WeightStoreConfig{Bytes: 200_000}))
+	store := mustStart[*WeightStore](t)(StartWeightStore(t.Context(), WeightStoreConfig{Bytes: 200_000}))
 	cases := []struct {
 		name  string
 		fault *Fault
 		want  port.WeightVersion
 	}{
-		{"clean", nil, 2},
-		{"fails partway", &Fault{Kind: FaultSwapFails}, 0},
-		{"lands elsewhere", &Fault{Kind: FaultSwapMisdirected, Version: 9}, 9},
+		{"no fault", nil, 2},
+		{"swap fails", &Fault{Kind: FaultSwapFails}, 0},
+		{"swap ends on another version", &Fault{Kind: FaultSwapMisdirected, Version: 9}, 9},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -183,19 +183,19 @@
 				}
 			}
 			stage := port.Order{Kind: port.OrderStage, Fence: 5, Version: 2, Source: store.URL() + "/v1/weights/pool/2"}
-			if status, _ := order(t, e, stage); status != http.StatusOK {
+			if status, _ := sendOrder(t, e, stage); status != http.StatusOK {
 				t.Fatalf("stage: %d", status)
 			}
 			report := func() port.LoadReport {
-				_, current := order(t, e, stage)
+				_, current := sendOrder(t, e, stage)
 				return current
 			}
 			eventually(t, "staging", func() bool { return report().Staged == 2 })
 			stale := port.Order{Kind: port.OrderActivate, Fence: 4, Version: 2}
-			if status, _ := order(t, e, stale); status != http.StatusConflict {
-				t.Fatalf("order with an old fence: %d", status)
+			if status, _ := sendOrder(t, e, stale); status != http.StatusConflict {
+				t.Fatalf("order with a stale fence: %d", status)
 			}
-			if status, _ := order(t, e, port.Order{Kind: port.OrderActivate, Fence: 5, Version: 2}); status != http.StatusOK {
+			if status, _ := sendOrder(t, e, port.Order{Kind: port.OrderActivate, Fence: 5, Version: 2}); status != http.StatusOK {
 				t.Fatalf("activate: %d", status)
 			}
 			eventually(t, "activation", func() bool { return report().Version == c.want })
@@ -206,7 +206,7 @@
 	}
 }
 
-// computedTokens returns how many context tokens an engine has computed.
+// computedTokens returns the number of context tokens that an engine has prefilled.
 func computedTokens(e *Engine) uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -216,7 +216,7 @@
 func TestExportMovesARequest(t *testing.T) {
 	slow := func(c *EngineConfig) { c.Lengths.Median, c.TimeScale = 400, 4 }
 	source, target := testEngine(t, slow), testEngine(t, slow)
-	ended := make(chan completed, 1)
+	ended := make(chan completionResult, 1)
 	go func() { ended <- complete(t, source, "r1", api.Completion{Prompt: "a prompt to move"}) }()
 	eventually(t, "tokens", func() bool {
 		seen := source.Observations().Generations
@@ -229,22 +229,22 @@
 	}
 	first := <-ended
 	if first.finish != finishExported {
-		t.Fatalf("source ended with %+v", first)
+		t.Fatalf("source returned %+v", first)
 	}
 	tokens := len(first.text) / engine.BytesPerToken
 	rest := complete(t, target, "r1", api.Completion{
 		Prompt: "a prompt to move", ResumeText: first.text, ResumeTokens: tokens, KVHandle: handle.Handle,
 	})
-	if whole := first.text + rest.text; !rest.done || !engine.SameContent(whole, engine.ContentKey("a prompt to move", 0)) || len(whole) != 400*engine.BytesPerToken {
+	if full := first.text + rest.text; !rest.done || !engine.SameContent(full, engine.ContentKey("a prompt to move", 0)) || len(full) != 400*engine.BytesPerToken {
 		t.Fatalf("moved answer: %d tokens, then %+v", tokens, rest)
 	}
 	if computed := computedTokens(target); computed > 1 {
-		t.Fatalf("target computed %d context tokens", computed)
+		t.Fatalf("target prefilled %d context tokens", computed)
 	}
 	before := computedTokens(target)
 	foreign := api.Completion{Prompt: "abc", MaxTokens: 2, KVHandle: handle.Handle}
 	if got := complete(t, target, "r2", foreign); !got.done || computedTokens(target) == before {
-		t.Fatalf("a foreign cache was used: %+v", got)
+		t.Fatalf("KV cache of another prompt was used: %+v", got)
 	}
 }
 
@@ -262,14 +262,14 @@
 	e := testEngine(t, nil)
 	complete(t, e, "r1", api.Completion{Prompt: strings.Repeat("0123456789abcdef", 8)})
 	before := cacheEvents(t, e)
-	order(t, e, port.Order{Kind: port.OrderStage, Version: 2})
+	sendOrder(t, e, port.Order{Kind: port.OrderStage, Version: 2})
 	eventually(t, "activation", func() bool {
-		_, report := order(t, e, port.Order{Kind: port.OrderActivate, Version: 2})
+		_, report := sendOrder(t, e, port.Order{Kind: port.OrderActivate, Version: 2})
 		return report.Version == 2
 	})
 	last := before.Events[len(before.Events)-1].Sequence
 	if after := cacheEvents(t, e); after.First <= last+1 || len(after.Events) > 0 {
-		t.Fatalf("a reader at %d does not notice the cleared cache: %+v", last, after)
+		t.Fatalf("reader at %d sees no gap after the cache was cleared: %+v", last, after)
 	}
 }
 
@@ -288,7 +288,7 @@
 	_, data, _ := send(t, http.MethodGet, e.URL()+api.PathEngineLoad, "", nil)
 	var report port.LoadReport
 	if err := json.Unmarshal(data, &report); err != nil || report.Version != 1 || report.AgeMillis != time.Hour.Milliseconds() {
-		t.Fatalf("a lagging report shows %+v", report)
+		t.Fatalf("lagged report is %+v", report)
 	}
 	_, data, _ = send(t, http.MethodGet, e.URL()+api.PathMetrics, "", nil)
 	if !strings.Contains(string(data), "vllm:num_requests_running 0") {
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -8,42 +8,40 @@
 	"time"
 )
 
-// FaultKind names a fault switch.
+// FaultKind identifies a fault.
 type FaultKind string
 
-// The faults. Those with a duration act until it has passed, those with a
-// count act on so many requests.
+// Faults with a duration stay active until it has passed; those with a count apply to
+// that many requests.
 const (
-	// FaultCrash closes the listener and every connection, loses the state,
-	// and comes back after Duration.
+	// FaultCrash closes the listener and every connection, drops the state and restarts
+	// after Duration.
 	FaultCrash FaultKind = "crash"
-	// FaultHang accepts connections and does nothing for Duration.
+	// FaultHang accepts connections but does not respond for Duration.
 	FaultHang FaultKind = "hang"
 	// FaultSlow multiplies all service times by Factor for Duration.
 	FaultSlow FaultKind = "slow"
 	// FaultRefuse answers 503 with verdict not-run for Duration.
 	FaultRefuse FaultKind = "refuse"
-	// FaultCut closes the connection in the middle of Count answers.
+	// FaultCut closes the connection in the middle of Count responses.
 	FaultCut FaultKind = "cut"
-	// FaultLate holds Count answers back by Duration.
+	// FaultLate delays Count responses by Duration.
 	FaultLate FaultKind = "late"
-	// FaultMix puts another request's id and content into Count answers.
+	// FaultMix puts the id and content of another request into Count responses.
 	FaultMix FaultKind = "mix"
-	// FaultLoadVersion makes an engine's load report claim Version for
-	// Duration.
+	// FaultLoadVersion makes an engine's load report show Version for Duration.
 	FaultLoadVersion FaultKind = "load_version"
 	// FaultSwapFails makes an engine's next activation fail partway.
 	FaultSwapFails FaultKind = "swap_fails"
-	// FaultSwapMisdirected makes an engine's next activation end on Version.
+	// FaultSwapMisdirected makes an engine's next activation load Version instead.
 	FaultSwapMisdirected FaultKind = "swap_misdirected"
-	// FaultAskTwice makes a trainer ask for Count batches twice at once.
+	// FaultAskTwice makes a trainer send Count batch requests twice, concurrently.
 	FaultAskTwice FaultKind = "ask_twice"
-	// FaultAskPrevious makes a trainer ask for an acknowledged batch again,
-	// Count times.
+	// FaultAskPrevious makes a trainer request an acknowledged batch again, Count times.
 	FaultAskPrevious FaultKind = "ask_previous"
 )
 
-// Fault is one order to a fault switch.
+// Fault is a request to inject a fault.
 type Fault struct {
 	Kind       FaultKind `json:"kind"`
 	DurationMs int64     `json:"duration_ms,omitempty"`
@@ -52,16 +50,18 @@
 	Version    uint64    `json:"version,omitempty"`
 }
 
-// Duration returns how long the fault lasts.
+// Duration returns the duration of the fault.
 func (f Fault) Duration() time.Duration { return time.Duration(f.DurationMs) * time.Millisecond }
 
-// FaultError says that a stand-in has no such fault switch.
+// FaultError is returned for a fault that a stand-in does not support.
 type FaultError struct{ Kind FaultKind }
 
-// Error names the fault.
-func (e *FaultError) Error() string { return fmt.Sprintf("no fault switch %q here", e.Kind) }
+// Error implements error.
+func (e *FaultError) Error() string {
+	return fmt.Sprintf("fault %q is not supported by this stand-in", e.Kind)
+}
 
-// faultSet holds the faults that are in force.
+// faultSet holds the active faults.
 type faultSet struct {
 	mutex   sync.Mutex
 	allowed []FaultKind
@@ -77,7 +77,7 @@
 	}
 }
 
-// set switches a fault on. A fault with a count needs no duration to act.
+// set activates a fault. A fault with a count needs no duration.
 func (s *faultSet) set(fault Fault) error {
 	if !slices.Contains(s.allowed, fault.Kind) {
 		return &FaultError{fault.Kind}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// active returns a timed fault while it lasts.
+// active returns a timed fault that has not expired.
 func (s *faultSet) active(kind FaultKind) (Fault, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -103,8 +103,8 @@
 	return Fault{}, false
 }
 
-// take uses up one count of a counted fault.
-func (s *faultSet) take(kind FaultKind) (Fault, bool) {
+// consume uses up one count of a counted fault.
+func (s *faultSet) consume(kind FaultKind) (Fault, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	fault := s.counted[kind]
@@ -116,25 +116,25 @@
 	return fault, true
 }
 
-// factor returns what service times are multiplied by.
-func (s *faultSet) factor() float64 {
+// slowdown returns the factor for service times.
+func (s *faultSet) slowdown() float64 {
 	if fault, on := s.active(FaultSlow); on && fault.Factor > 0 {
 		return fault.Factor
 	}
 	return 1
 }
 
-// waitWhileHung returns when no hang is in force or ctx has ended.
-func (s *faultSet) waitWhileHung(ctx context.Context) {
+// waitOutHang blocks until no hang is active or ctx is done.
+func (s *faultSet) waitOutHang(ctx context.Context) {
 	s.mutex.Lock()
 	wait := time.Until(s.until[FaultHang])
 	s.mutex.Unlock()
-	pause(ctx, wait)
+	sleep(ctx, wait)
 }
 
-// pause waits for a duration or the end of ctx, and reports whether it waited
-// in full.
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits for a duration or until ctx is done, and reports whether the full duration
+// has passed.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/lab/standin/helpers_test.go
+++ b/internal/lab/standin/helpers_test.go
@@ -17,11 +17,11 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// closer is any stand-in.
+// closer is implemented by all stand-ins.
 type closer interface{ Close() }
 
-// started unwraps a Start function and closes the stand-in with the test.
-func started[T closer](t *testing.T) func(T, error) T {
+// mustStart unwraps the result of a Start function and closes the stand-in after the test.
+func mustStart[T closer](t *testing.T) func(T, error) T {
 	return func(standIn T, err error) T {
 		t.Helper()
 		if err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// testEngine starts an engine that runs fast and answers with 40 tokens.
+// testEngine starts a fast engine with outputs of 40 tokens.
 func testEngine(t *testing.T, change func(*EngineConfig)) *Engine {
 	t.Helper()
 	config := EngineConfig{
@@ -42,11 +42,10 @@
 	if change != nil {
 		change(&config)
 	}
-	return started[*Engine](t)(StartEngine(context.Background(), config))
+	return mustStart[*Engine](t)(StartEngine(context.Background(), config))
 }
 
-// send makes one HTTP call and returns status, body and the error that
-// reading it ended with.
+// send makes one HTTP call and returns the status, the body and the error of reading it.
 func send(t *testing.T, method, url, id string, body any) (int, []byte, error) {
 	t.Helper()
 	var content io.Reader
@@ -71,8 +70,8 @@
 	return response.StatusCode, read, err
 }
 
-// completed is a completion as its caller saw it.
-type completed struct {
+// completionResult is the result of a completion as received by the caller.
+type completionResult struct {
 	status int
 	id     string
 	text   string
@@ -82,12 +81,12 @@
 	fault  api.ErrorDetail
 }
 
-// complete asks for a streamed completion.
-func complete(t *testing.T, e *Engine, id string, body api.Completion) completed {
+// complete requests a streamed completion.
+func complete(t *testing.T, e *Engine, id string, body api.Completion) completionResult {
 	t.Helper()
 	body.Stream = true
 	status, data, _ := send(t, http.MethodPost, e.URL()+api.PathCompletions, id, body)
-	result := completed{status: status}
+	result := completionResult{status: status}
 	if status != http.StatusOK {
 		var fault api.ErrorBody
 		_ = json.Unmarshal(data, &fault)
@@ -119,7 +118,7 @@
 }
 
 // order sends an order and returns the status and the load report.
-func order(t *testing.T, e *Engine, body port.Order) (int, port.LoadReport) {
+func sendOrder(t *testing.T, e *Engine, body port.Order) (int, port.LoadReport) {
 	t.Helper()
 	status, data, err := send(t, http.MethodPost, e.URL()+api.PathEngineOrders, "", body)
 	if err != nil {
@@ -130,19 +129,19 @@
 	return status, report
 }
 
-// eventually waits until a condition holds; the test's own deadline bounds it.
+// eventually waits until a condition holds or the test's context ends.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for !condition() {
 		select {
 		case <-t.Context().Done():
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// generationOf returns what an engine recorded of a request.
+// generationOf returns the recorded generation of a request.
 func generationOf(t *testing.T, e *Engine, id string) audit.Generation {
 	t.Helper()
 	for _, g := range e.Observations().Generations {
@@ -150,6 +149,6 @@
 			return g
 		}
 	}
-	t.Fatalf("engine recorded nothing of %s", id)
+	t.Fatalf("engine recorded no generation of %s", id)
 	return audit.Generation{}
 }
--- a/internal/lab/standin/journal_test.go
+++ b/internal/lab/standin/journal_test.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		trainer := started[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{
+		trainer := mustStart[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{
 			Common: Common{Lines: &journal}, Kept: seen.Deliveries,
 			Nodes: []string{front.URL}, Pool: "p", StepTime: time.Millisecond, MaxSteps: steps, PublishEvery: 2,
 		}))
--- a/internal/lab/standin/kv.go
+++ b/internal/lab/standin/kv.go
@@ -13,15 +13,15 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// kvBlob is what an exported KV cache holds: which content, and how much. The
-// time of its transfer is the model's.
+// kvBlob describes an exported KV cache. It has no data; the model simulates the
+// transfer time.
 type kvBlob struct {
 	Key    uint64 `json:"key"`
 	Tokens int    `json:"tokens"`
 }
 
-// exported is the outcome of an export.
-type exported struct {
+// exportResult is the result of an export.
+type exportResult struct {
 	handle string
 	blob   kvBlob
 }
@@ -31,11 +31,10 @@
 	maxBlobBytes = 4 << 10
 )
 
-// handleExport stops a running request and answers with the handle of its KV
-// cache once the transfer is done. The request's own stream ends with the
-// finish reason "exported".
+// handleExport stops a running request and returns the handle of its KV cache when the
+// transfer is done. The request's own stream ends with finish reason "exported".
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	var body api.KVExport
@@ -44,15 +43,15 @@
 	}
 	e.mutex.Lock()
 	err := e.model.Export(e.now(), body.RequestID)
-	done := make(chan exported, 1)
+	done := make(chan exportResult, 1)
 	if err == nil {
 		e.exports[body.RequestID] = done
-		e.poke()
+		e.wakeDriver()
 	}
-	ended := e.epoch.Done()
+	crashed := e.incarnation.Done()
 	e.mutex.Unlock()
 	if err != nil {
-		fault, status := refusal(err)
+		fault, status := modelError(err)
 		writeError(w, status, fault)
 		return
 	}
@@ -60,28 +59,27 @@
 	case result := <-done:
 		bytes := uint64(result.blob.Tokens) * uint64(e.model.Config().KVBytesPerToken)
 		writeJSON(w, api.KVHandle{Handle: result.handle, Bytes: bytes, Tokens: result.blob.Tokens})
-	case <-ended:
-		cutConnection()
+	case <-crashed:
+		abortConnection()
 	case <-r.Context().Done():
 	}
 }
 
-// finishExport publishes the handle of an export that has ended. The mutex
-// must be held.
+// finishExport publishes the handle of a finished export. The mutex must be held.
 func (e *Engine) finishExport(event engine.Event) {
-	result := exported{blob: kvBlob{Tokens: event.Count}}
+	result := exportResult{blob: kvBlob{Tokens: event.Count}}
 	if s := e.streams[event.ID]; s != nil {
-		result.blob.Key = s.seen.Key
-		e.recorder.endGeneration(s.seen, audit.EndExported)
+		result.blob.Key = s.generation.Key
+		e.recorder.endGeneration(s.generation, audit.EndExported)
 		s.push(event)
 		delete(e.streams, event.ID)
 	}
-	e.created++
-	name := fmt.Sprintf("%d-%d", e.model.Load().Incarnation, e.created)
+	e.lastID++
+	name := fmt.Sprintf("%d-%d", e.model.Load().Incarnation, e.lastID)
 	result.handle = e.URL() + "/v1/kv/" + name
 	e.blobs[name] = result.blob
 	e.handles = append(e.handles, name)
-	if len(e.handles) > keptBlobs {
+	if len(e.handles) > maxBlobs {
 		delete(e.blobs, e.handles[0])
 		e.handles = e.handles[1:]
 	}
@@ -92,23 +90,23 @@
 }
 
 func (e *Engine) handleBlob(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	e.mutex.Lock()
 	blob, found := e.blobs[r.PathValue("handle")]
 	e.mutex.Unlock()
 	if !found {
-		fault, status := refusal(engine.ErrUnknownRequest)
+		fault, status := modelError(engine.ErrUnknownRequest)
 		writeError(w, status, fault)
 		return
 	}
 	writeJSON(w, blob)
 }
 
-// fetchBlob returns how many context tokens the handle's cache brings. A
-// cache that cannot be had, or is of another content, brings none: the engine
-// then computes the context itself.
+// fetchBlob returns the number of context tokens in the KV cache behind a handle. It
+// returns 0 if the cache is unavailable or has other content; the engine then computes
+// the context itself.
 func (e *Engine) fetchBlob(ctx context.Context, handle string, key uint64) int {
 	if handle == "" {
 		return 0
--- a/internal/lab/standin/machines.go
+++ b/internal/lab/standin/machines.go
@@ -14,44 +14,44 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// MachineGone removes a machine from the list when it is set as its state.
+// MachineGone is the state that removes a machine from the list.
 const MachineGone port.MachineState = "gone"
 
-// MachineList stands in for the list of machines, which shows changes late.
+// MachineList simulates the machine list, whose changes become visible after a lag.
 type MachineList struct {
 	*server
 	config MachineListConfig
 
 	mutex    sync.Mutex
 	machines map[string]port.Machine
-	shown    *engine.Lagged[[]port.Machine]
+	visible  *engine.Lagged[[]port.Machine]
 }
 
 // MachineListConfig describes a machine list.
 type MachineListConfig struct {
 	Common
-	// Lag is how late changes show.
+	// Lag is the delay of changes.
 	Lag time.Duration
-	// Live are the addresses that are listed from the start.
+	// Live are the addresses listed initially.
 	Live []string
 }
 
-// StartMachineList starts a machine list. It runs until ctx ends or Close is
-// called. POST of a port.Machine to its path sets one machine's state.
+// StartMachineList starts a machine list. It runs until ctx ends or Close is called. POST
+// of a port.Machine to its path sets the state of one machine.
 func StartMachineList(ctx context.Context, config MachineListConfig) (*MachineList, error) {
 	m := &MachineList{
 		config: config, machines: map[string]port.Machine{},
-		shown: engine.NewLagged[[]port.Machine](config.Lag),
+		visible: engine.NewLagged[[]port.Machine](config.Lag),
 	}
 	m.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultRefuse)
 	m.inject = m.injectFault
 	for _, address := range config.Live {
 		m.machines[address] = port.Machine{Address: address, State: port.MachineLive, Since: time.Now().UnixMilli()}
 	}
-	m.shown.Put(since()-config.Lag, m.sorted())
+	m.visible.Put(unixNow()-config.Lag, m.sorted())
 	m.mux.HandleFunc("GET "+api.PathMachines, m.handleList)
 	m.mux.HandleFunc("POST "+api.PathMachines, m.handleSet)
-	if err := m.open(config.Listen); err != nil {
+	if err := m.listen(config.Listen); err != nil {
 		return nil, err
 	}
 	return m, nil
@@ -65,7 +65,7 @@
 	return m.faults.set(fault)
 }
 
-// Set changes a machine's state; the list shows it after the lag.
+// Set changes the state of a machine. The list shows the change after the lag.
 func (m *MachineList) Set(address string, state port.MachineState) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -74,10 +74,10 @@
 	if state == MachineGone {
 		delete(m.machines, address)
 	}
-	m.shown.Put(since(), m.sorted())
+	m.visible.Put(unixNow(), m.sorted())
 	if state == port.MachineLeaving && before != state {
 		m.recorder.add(audit.Observations{Departures: []audit.Departure{
-			{BackEnd: address, SignalledAt: since() + m.config.Lag},
+			{BackEnd: address, SignalledAt: unixNow() + m.config.Lag},
 		}})
 	}
 }
@@ -92,11 +92,11 @@
 }
 
 func (m *MachineList) handleList(w http.ResponseWriter, r *http.Request) {
-	if m.disturbed(w, r) {
+	if m.applyFaults(w, r) {
 		return
 	}
 	m.mutex.Lock()
-	list, _ := m.shown.Get(since())
+	list, _ := m.visible.Get(unixNow())
 	m.mutex.Unlock()
 	writeJSON(w, api.Machines{Machines: list})
 }
--- a/internal/lab/standin/orders.go
+++ b/internal/lab/standin/orders.go
@@ -16,7 +16,7 @@
 )
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	var body port.Order
@@ -30,7 +30,7 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	already := slices.Contains(e.model.Load().Staging, order.Weights)
+	alreadyStaging := slices.Contains(e.model.Load().Staging, order.Weights)
 	if err := e.model.Order(e.now(), order); err != nil {
 		code := port.CodeConflict
 		if errors.Is(err, engine.ErrStaleFence) {
@@ -39,27 +39,27 @@
 		writeError(w, http.StatusConflict, port.NewError(port.NotRun, code, "%v", err))
 		return
 	}
-	needed := slices.Contains(e.model.Load().Staging, order.Weights)
-	if order.Kind == engine.OrderStage && needed && !already {
+	staging := slices.Contains(e.model.Load().Staging, order.Weights)
+	if order.Kind == engine.OrderStage && staging && !alreadyStaging {
 		e.download(body.Source, order.Weights)
 	}
-	e.poke()
+	e.wakeDriver()
 	writeJSON(w, e.loadReport())
 }
 
 // download fetches weights in the background. The mutex must be held.
 func (e *Engine) download(source string, weights engine.Weights) {
-	epoch := e.epoch
+	incarnation := e.incarnation
 	e.work.Go(func() {
-		complete := e.fetchWeights(epoch, source)
-		if epoch.Err() != nil {
+		complete := e.fetchWeights(incarnation, source)
+		if incarnation.Err() != nil {
 			return
 		}
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		// A refusal means that the engine no longer wants these weights.
+		// An error means that the engine no longer needs these weights.
 		_ = e.model.CompleteStaging(e.now(), weights, complete)
-		e.poke()
+		e.wakeDriver()
 	})
 }
 
@@ -83,7 +83,7 @@
 	return err == nil && (response.ContentLength < 0 || received == response.ContentLength)
 }
 
-// loadReport describes the engine as it is. The mutex must be held.
+// loadReport returns the current load report. The mutex must be held.
 func (e *Engine) loadReport() port.LoadReport {
 	report := e.model.Load().Report()
 	if fault, on := e.faults.active(FaultLoadVersion); on {
@@ -92,25 +92,25 @@
 	return report
 }
 
-// laggedReport returns the newest report that is visible by now. Without a lag
-// that is the engine as it is, also before its driver looks at the model again.
+// laggedReport returns the newest report that is older than the lag. Without a lag it is
+// the current one, even before the driver advances the model.
 func (e *Engine) laggedReport() port.LoadReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.loads.Put(since(), e.loadReport())
-	report, _ := e.loads.Get(since())
+	e.loadReports.Put(unixNow(), e.loadReport())
+	report, _ := e.loadReports.Get(unixNow())
 	report.AgeMillis = e.config.LoadLag.Milliseconds()
 	return report
 }
 
 func (e *Engine) handleLoad(w http.ResponseWriter, r *http.Request) {
-	if !e.disturbed(w, r) {
+	if !e.applyFaults(w, r) {
 		writeJSON(w, e.laggedReport())
 	}
 }
 
 func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	after, err := strconv.ParseUint(strings.TrimSpace(r.URL.Query().Get("after")), 10, 64)
@@ -118,8 +118,8 @@
 		after = 0
 	}
 	e.mutex.Lock()
-	visible := e.feed.After(since(), after, cacheEventsPage)
-	answer := api.CacheEvents{First: max(e.feed.First(), e.cacheEnd+1), Events: make([]port.CacheEvent, 0, len(visible))}
+	visible := e.cacheFeed.After(unixNow(), after, cacheEventsPageSize)
+	answer := api.CacheEvents{First: max(e.cacheFeed.First(), e.clearedThrough+1), Events: make([]port.CacheEvent, 0, len(visible))}
 	e.mutex.Unlock()
 	for _, change := range visible {
 		answer.Events = append(answer.Events, port.CacheEvent{
@@ -129,10 +129,9 @@
 	writeJSON(w, answer)
 }
 
-// handleMetrics serves the load as Prometheus text, under the names that
-// engines of the field use.
+// handleMetrics serves the load as Prometheus text, under the metric names of vLLM.
 func (e *Engine) handleMetrics(w http.ResponseWriter, r *http.Request) {
-	if e.disturbed(w, r) {
+	if e.applyFaults(w, r) {
 		return
 	}
 	report := e.laggedReport()
--- a/internal/lab/standin/others_test.go
+++ b/internal/lab/standin/others_test.go
@@ -19,20 +19,20 @@
 
 func TestApplicationAnswersBelongToTheirCall(t *testing.T) {
 	cases := []struct {
-		name  string
-		fault *Fault
-		whole bool
-		end   audit.End
+		name     string
+		fault    *Fault
+		complete bool
+		end      audit.End
 	}{
-		{"sound", nil, true, audit.EndFinished},
+		{"no fault", nil, true, audit.EndFinished},
 		{"cut", &Fault{Kind: FaultCut, Count: 1}, false, audit.EndCut},
-		{"mixed up", &Fault{Kind: FaultMix, Count: 1}, false, audit.EndFinished},
+		{"content of another call", &Fault{Kind: FaultMix, Count: 1}, false, audit.EndFinished},
 		{"late", &Fault{Kind: FaultLate, Count: 1, DurationMs: 20}, true, audit.EndFinished},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var lines bytes.Buffer
-			a := started[*Application](t)(StartApplication(t.Context(), ApplicationConfig{
+			a := mustStart[*Application](t)(StartApplication(t.Context(), ApplicationConfig{
 				Common: Common{Lines: &lines}, ServiceTime: time.Millisecond,
 			}))
 			if c.fault != nil {
@@ -45,8 +45,8 @@
 			if err == nil {
 				err = json.Unmarshal(data, &answer)
 			}
-			if whole := err == nil && answer.Whole("c1"); whole != c.whole {
-				t.Fatalf("whole is %v: %v %+v", whole, err, answer)
+			if complete := err == nil && answer.Whole("c1"); complete != c.complete {
+				t.Fatalf("complete is %v: %v %+v", complete, err, answer)
 			}
 			a.Close()
 			seen := a.Observations().Executions
@@ -54,14 +54,14 @@
 				t.Fatalf("recorded %+v", seen)
 			}
 			if !bytes.Contains(lines.Bytes(), []byte(`"call":"c1"`)) {
-				t.Fatalf("no line of it in %q", lines.String())
+				t.Fatalf("no journal line of the call in %q", lines.String())
 			}
 		})
 	}
 }
 
 func TestUnknownFaultIsRefused(t *testing.T) {
-	s := started[*Scorer](t)(StartScorer(t.Context(), ScorerConfig{}))
+	s := mustStart[*Scorer](t)(StartScorer(t.Context(), ScorerConfig{}))
 	var fault *FaultError
 	if err := s.Inject(Fault{Kind: FaultSwapFails}); !errors.As(err, &fault) {
 		t.Fatalf("got %v", err)
@@ -73,7 +73,7 @@
 }
 
 func TestScorerIsRepeatable(t *testing.T) {
-	s := started[*Scorer](t)(StartScorer(t.Context(), ScorerConfig{ServiceTime: time.Millisecond}))
+	s := mustStart[*Scorer](t)(StartScorer(t.Context(), ScorerConfig{ServiceTime: time.Millisecond}))
 	var rewards [2]api.Reward
 	for i := range rewards {
 		_, data, err := send(t, http.MethodPost, s.URL()+api.PathScore, "", api.Score{SampleID: "s1", Prompt: "p", Text: "t"})
@@ -87,7 +87,7 @@
 }
 
 func TestMachineListShowsChangesLate(t *testing.T) {
-	m := started[*MachineList](t)(StartMachineList(t.Context(), MachineListConfig{Lag: time.Hour, Live: []string{"127.0.0.1:1"}}))
+	m := mustStart[*MachineList](t)(StartMachineList(t.Context(), MachineListConfig{Lag: time.Hour, Live: []string{"127.0.0.1:1"}}))
 	m.Set("127.0.0.1:1", port.MachineLeaving)
 	_, data, _ := send(t, http.MethodGet, m.URL()+api.PathMachines, "", nil)
 	var list api.Machines
@@ -95,13 +95,13 @@
 		t.Fatalf("%v %q", err, data)
 	}
 	seen := m.Observations().Departures
-	if len(seen) != 1 || seen[0].SignalledAt <= since() {
+	if len(seen) != 1 || seen[0].SignalledAt <= unixNow() {
 		t.Fatalf("recorded %+v", seen)
 	}
 }
 
 func TestWeightStoreCutsADownload(t *testing.T) {
-	s := started[*WeightStore](t)(StartWeightStore(t.Context(), WeightStoreConfig{Bytes: 300_000}))
+	s := mustStart[*WeightStore](t)(StartWeightStore(t.Context(), WeightStoreConfig{Bytes: 300_000}))
 	if _, data, err := send(t, http.MethodGet, s.URL()+"/v1/weights/p/2", "", nil); err != nil || len(data) != 300_000 {
 		t.Fatalf("%d bytes, %v", len(data), err)
 	}
@@ -109,17 +109,17 @@
 		t.Fatal(err)
 	}
 	if _, data, err := send(t, http.MethodGet, s.URL()+"/v1/weights/p/2", "", nil); err == nil {
-		t.Fatalf("a cut download ended well with %d bytes", len(data))
+		t.Fatalf("no error from a cut download of %d bytes", len(data))
 	}
 }
 
-// fakeNode is the least of a node that a trainer needs.
+// fakeNode implements the endpoints of a node that a trainer uses.
 type fakeNode struct {
 	mutex     sync.Mutex
 	epoch     uint64
-	asked     []uint64
+	requested []uint64
 	published map[uint64]string // change id by version
-	loseOne   bool              // the next batch is cut off once
+	cutNext   bool              // abort the next batch response
 }
 
 func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -143,10 +143,10 @@
 			writeError(w, http.StatusConflict, port.NewError(port.NotRun, port.CodeFenced, "old epoch"))
 			return
 		}
-		n.asked = append(n.asked, number)
-		if n.loseOne {
-			n.loseOne = false
-			cutConnection()
+		n.requested = append(n.requested, number)
+		if n.cutNext {
+			n.cutNext = false
+			abortConnection()
 		}
 		sample := api.Sample{ID: fmt.Sprint("s-", number), Prompt: port.Prompt{Index: port.PromptIndex(number)}}
 		writeJSON(w, api.Batch{Number: number, Attempt: 1, Samples: []api.Sample{sample}})
@@ -155,10 +155,10 @@
 }
 
 func TestTrainerTrainsOnEachBatchOnce(t *testing.T) {
-	node := &fakeNode{published: map[uint64]string{}, loseOne: true}
+	node := &fakeNode{published: map[uint64]string{}, cutNext: true}
 	front := httptest.NewServer(node)
 	defer front.Close()
-	trainer := started[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{
+	trainer := mustStart[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{
 		Nodes: []string{front.URL}, Pool: "p", StepTime: time.Millisecond, MaxSteps: 6, PublishEvery: 2,
 	}))
 	eventually(t, "two steps", func() bool { return trainer.Stats().Steps >= 2 })
@@ -168,7 +168,7 @@
 	eventually(t, "all steps", func() bool { return trainer.Stats().Steps == 6 && trainer.Stats().Version == 4 })
 	trainer.Close()
 	if calls := trainer.Observations().Calls; len(calls) != 1 || calls[0].Outcome != audit.OutcomeLost {
-		t.Errorf("one answer was cut off, recorded are %+v", calls)
+		t.Errorf("want one lost call for the cut response, got %+v", calls)
 	}
 	if found := audit.Check(trainer.Observations(), audit.Bounds{}); len(found) > 0 {
 		for _, violation := range found {
@@ -179,13 +179,13 @@
 	}
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	if len(node.published) != 3 || node.asked[0] != 1 || node.asked[1] != 1 {
-		t.Fatalf("published %v, asked for %v", node.published, node.asked)
+	if len(node.published) != 3 || node.requested[0] != 1 || node.requested[1] != 1 {
+		t.Fatalf("published %v, requested %v", node.published, node.requested)
 	}
 }
 
 func TestPromptsAreStable(t *testing.T) {
-	trainer := started[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{Prompts: PromptConfig{Seed: 3}}))
+	trainer := mustStart[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{Prompts: PromptConfig{Seed: 3}}))
 	_, data, _ := send(t, http.MethodGet, trainer.URL()+api.PathPrompts+"?from=5&count=2", "", nil)
 	var answer api.Prompts
 	if err := json.Unmarshal(data, &answer); err != nil || len(answer.Prompts) != 2 {
--- a/internal/lab/standin/prompts.go
+++ b/internal/lab/standin/prompts.go
@@ -14,14 +14,13 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// PromptConfig describes a source of prompts. Prompts of one family share
-// their beginning; every prompt ends in text of its own.
+// PromptConfig describes a source of prompts. Prompts of one family share a prefix;
+// every prompt ends in text of its own.
 type PromptConfig struct {
 	Seed uint64
-	// Families is the number of shared beginnings. Default 8.
+	// Families is the number of shared prefixes. Default 8.
 	Families int
-	// SharedTokens and OwnTokens are the lengths of the two parts. Defaults
-	// 128 and 32.
+	// SharedTokens and OwnTokens are the lengths of the two parts. Defaults 128 and 32.
 	SharedTokens, OwnTokens int
 }
 
@@ -33,19 +32,18 @@
 	c.OwnTokens = cmp.Or(c.OwnTokens, 32)
 }
 
-// Prompt returns the prompt at an index. The same index always gives the same
-// prompt.
+// Prompt returns the prompt at an index. It is deterministic.
 func (c PromptConfig) Prompt(index port.PromptIndex) port.Prompt {
 	c.applyDefaults()
 	family := xxhash.Sum64String(fmt.Sprint("family ", c.Seed, index)) % uint64(c.Families)
 	var text strings.Builder
 	fill(&text, fmt.Sprintf("Family %d of %d. ", family, c.Seed), c.SharedTokens*engine.BytesPerToken)
 	fill(&text, fmt.Sprintf("Prompt %d of %d. ", index, c.Seed), (c.SharedTokens+c.OwnTokens)*engine.BytesPerToken)
-	whole := text.String()
-	return port.Prompt{Index: index, Text: whole, Tokens: engine.CountTokens(whole)}
+	content := text.String()
+	return port.Prompt{Index: index, Text: content, Tokens: engine.CountTokens(content)}
 }
 
-// fill repeats a phrase until the text has a length.
+// fill repeats a phrase until the text has the given length.
 func fill(text *strings.Builder, phrase string, length int) {
 	for text.Len() < length {
 		text.WriteString(phrase[:min(len(phrase), length-text.Len())])
--- a/internal/lab/standin/recorder.go
+++ b/internal/lab/standin/recorder.go
@@ -11,33 +11,33 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// recorder keeps what a stand-in saw. Work in progress is kept by pointer and
-// changed in place until it ends. With a file, all of it is written there too,
-// before anyone else can see its effect, so that it outlasts a killed process.
+// recorder stores the observations of a stand-in. Work in progress is stored by pointer
+// and updated in place until it ends. With a journal, each change is written to it before
+// its effect is visible, so that the record survives a killed process.
 type recorder struct {
 	mutex       sync.Mutex
-	past        audit.Observations
+	ended       audit.Observations
 	generations map[*audit.Generation]bool
 	executions  map[*audit.Execution]bool
-	lines       *json.Encoder // nil without a file
-	life        time.Duration // start, which keeps the names of work of two lives apart
-	begun       uint64
+	journal     *json.Encoder // may be nil
+	startedAt   time.Duration // makes work ids unique across restarts
+	lastWork    uint64
 }
 
 func newRecorder(lines io.Writer) *recorder {
 	r := &recorder{
-		generations: map[*audit.Generation]bool{}, executions: map[*audit.Execution]bool{}, life: since(),
+		generations: map[*audit.Generation]bool{}, executions: map[*audit.Execution]bool{}, startedAt: unixNow(),
 	}
 	if lines != nil {
-		r.lines = json.NewEncoder(lines)
+		r.journal = json.NewEncoder(lines)
 	}
 	return r
 }
 
-// since gives the present time as the audit counts it.
-func since() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// unixNow returns the time since the Unix epoch, the origin of audit times.
+func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// add records something that has ended.
+// add records observations that have ended.
 func (r *recorder) add(seen audit.Observations) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -45,32 +45,32 @@
 }
 
 func (r *recorder) append(seen audit.Observations) {
-	r.past.Merge(seen)
+	r.ended.Merge(seen)
 	r.write(audit.Entry{Observations: seen})
 }
 
 func (r *recorder) write(entry audit.Entry) {
-	if r.lines != nil {
-		// A failed write loses a copy; the record in memory is complete.
-		_ = r.lines.Encode(entry)
+	if r.journal != nil {
+		// The record in memory is complete even if the write fails.
+		_ = r.journal.Encode(entry)
 	}
 }
 
-// nameWork gives the next piece of work its name. The mutex must be held.
-func (r *recorder) nameWork() string {
-	r.begun++
-	return fmt.Sprintf("%x-%d", int64(r.life), r.begun)
+// nextWork returns a new work id. The mutex must be held.
+func (r *recorder) nextWork() string {
+	r.lastWork++
+	return fmt.Sprintf("%x-%d", int64(r.startedAt), r.lastWork)
 }
 
-func (r *recorder) beginGeneration(g *audit.Generation) {
+func (r *recorder) startGeneration(g *audit.Generation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	g.Work, g.StartedAt = r.nameWork(), since()
+	g.Work, g.StartedAt = r.nextWork(), unixNow()
 	r.generations[g] = true
 	r.write(audit.Entry{Observations: audit.Observations{Generations: []audit.Generation{*g}}})
 }
 
-// addTokens notes tokens that a generation in progress produced.
+// addTokens records tokens of a generation in progress.
 func (r *recorder) addTokens(g *audit.Generation, version port.WeightVersion, count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// endGeneration closes a generation; only the first end counts.
+// endGeneration records the end of a generation; later calls are ignored.
 func (r *recorder) endGeneration(g *audit.Generation, end audit.End) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -88,19 +88,19 @@
 		return
 	}
 	delete(r.generations, g)
-	g.End, g.EndedAt = end, since()
+	g.End, g.EndedAt = end, unixNow()
 	r.append(audit.Observations{Generations: []audit.Generation{*g}})
 }
 
-func (r *recorder) beginExecution(e *audit.Execution) {
+func (r *recorder) startExecution(e *audit.Execution) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	e.Work, e.StartedAt = r.nameWork(), since()
+	e.Work, e.StartedAt = r.nextWork(), unixNow()
 	r.executions[e] = true
 	r.write(audit.Entry{Observations: audit.Observations{Executions: []audit.Execution{*e}}})
 }
 
-// endExecution closes an execution; only the first end counts.
+// endExecution records the end of an execution; later calls are ignored.
 func (r *recorder) endExecution(e *audit.Execution, end audit.End) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -108,17 +108,16 @@
 		return
 	}
 	delete(r.executions, e)
-	e.End, e.EndedAt = end, since()
+	e.End, e.EndedAt = end, unixNow()
 	r.append(audit.Observations{Executions: []audit.Execution{*e}})
 }
 
-// observations returns a copy of everything seen so far, work in progress
-// included.
+// observations returns a copy of all observations, including work in progress.
 func (r *recorder) observations() audit.Observations {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var all audit.Observations
-	all.Merge(r.past)
+	all.Merge(r.ended)
 	for g := range r.generations {
 		copied := *g
 		copied.Spans = append(copied.Spans[:0:0], g.Spans...)
--- a/internal/lab/standin/scorer.go
+++ b/internal/lab/standin/scorer.go
@@ -11,8 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Scorer stands in for a scoring service. The same sample always gets the
-// same reward, between 0 and 1.
+// Scorer simulates a scoring service. Rewards are deterministic, between 0 and 1.
 type Scorer struct {
 	*server
 	config ScorerConfig
@@ -21,11 +20,11 @@
 // ScorerConfig describes a scoring service.
 type ScorerConfig struct {
 	Common
-	// ServiceTime is how long scoring takes. Default 10 ms.
+	// ServiceTime is the time that scoring takes. Default 10 ms.
 	ServiceTime time.Duration
 }
 
-// rewardSteps is the resolution of rewards.
+// rewardSteps is the number of steps between the lowest and the highest reward.
 const rewardSteps = 1000
 
 // RewardOf returns the reward of a text for a prompt.
@@ -41,7 +40,7 @@
 	s.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultSlow, FaultRefuse, FaultCut, FaultLate)
 	s.inject = s.injectFault
 	s.mux.HandleFunc("POST "+api.PathScore, s.handleScore)
-	if err := s.open(config.Listen); err != nil {
+	if err := s.listen(config.Listen); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -56,24 +55,24 @@
 }
 
 func (s *Scorer) handleScore(w http.ResponseWriter, r *http.Request) {
-	if s.disturbed(w, r) {
+	if s.applyFaults(w, r) {
 		return
 	}
 	var score api.Score
 	if !readJSON(w, r, &score) {
 		return
 	}
-	wait := time.Duration(float64(s.config.ServiceTime) * s.faults.factor())
-	if fault, late := s.faults.take(FaultLate); late {
+	wait := time.Duration(float64(s.config.ServiceTime) * s.faults.slowdown())
+	if fault, late := s.faults.consume(FaultLate); late {
 		wait += fault.Duration()
 	}
-	if !pause(r.Context(), wait) {
+	if !sleep(r.Context(), wait) {
 		return
 	}
-	if _, cut := s.faults.take(FaultCut); cut {
+	if _, cut := s.faults.consume(FaultCut); cut {
 		_, _ = w.Write([]byte(`{"sample_id":`))
 		_ = http.NewResponseController(w).Flush()
-		cutConnection()
+		abortConnection()
 	}
 	writeJSON(w, api.Reward{SampleID: score.SampleID, Reward: RewardOf(score.Prompt, score.Text)})
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -17,22 +17,22 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Paths that every stand-in serves for the driver of a test.
+// Paths that every stand-in serves for the test driver.
 const (
 	PathFault        = "/fault"        // POST Fault
 	PathObservations = "/observations" // GET audit.Observations
 )
 
-// MaxBody bounds the body of every request to a stand-in, in bytes.
+// MaxBody is the maximum size of request bodies, in bytes.
 const MaxBody = 8 << 20
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	relistenEvery     = 20 * time.Millisecond
+	relistenInterval  = 20 * time.Millisecond
 	contentTypeJSON   = "application/json"
 )
 
-// Common are the settings that all stand-ins share.
+// Common holds the settings that all stand-ins share.
 type Common struct {
 	// Listen is an address of the loopback interface; default 127.0.0.1:0.
 	Listen string
@@ -40,14 +40,14 @@
 	Lines io.Writer
 }
 
-// server is the HTTP side of a stand-in: it listens, can crash and come back
-// on the same address, and serves the fault and observation paths.
+// server is the HTTP server of a stand-in. It can crash and restart on the same address,
+// and serves the fault and observation paths.
 type server struct {
 	faults   *faultSet
 	recorder *recorder
 	mux      *http.ServeMux
 	address  string
-	inject   func(Fault) error // nil: the fault set alone
+	inject   func(Fault) error // default faults.set
 
 	mutex  sync.Mutex
 	http   *http.Server
@@ -67,8 +67,8 @@
 	return s
 }
 
-// open starts to listen; the handlers have been registered before.
-func (s *server) open(address string) error {
+// listen starts the server. The handlers must be registered before.
+func (s *server) listen(address string) error {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
@@ -98,13 +98,13 @@
 // Addr returns the address that the stand-in listens on.
 func (s *server) Addr() string { return s.address }
 
-// URL returns the address as the start of a URL.
+// URL returns the base URL of the stand-in.
 func (s *server) URL() string { return "http://" + s.address }
 
-// Close ends the stand-in at once and waits for its goroutines.
+// Close stops the stand-in immediately and waits for its goroutines.
 func (s *server) Close() {
 	s.mutex.Lock()
-	already := s.closed
+	alreadyClosed := s.closed
 	s.closed = true
 	running := s.http
 	s.mutex.Unlock()
@@ -112,13 +112,13 @@
 	if running != nil {
 		running.Close()
 	}
-	if !already {
+	if !alreadyClosed {
 		s.work.Wait()
 	}
 }
 
-// Shutdown stops in an orderly way: no new connections, and requests in
-// flight are finished until ctx ends.
+// Shutdown stops the stand-in gracefully: it accepts no new connections and waits for
+// requests in flight until ctx ends.
 func (s *server) Shutdown(ctx context.Context) error {
 	s.mutex.Lock()
 	running := s.http
@@ -131,14 +131,14 @@
 	return nil
 }
 
-// Observations returns what the stand-in has seen so far.
+// Observations returns the observations recorded so far.
 func (s *server) Observations() audit.Observations { return s.recorder.observations() }
 
-// Inject switches a fault on. It returns a *FaultError for a fault that the
-// stand-in does not have.
+// Inject activates a fault. It returns a *FaultError if the stand-in does not support the
+// fault.
 func (s *server) Inject(fault Fault) error {
 	s.recorder.add(audit.Observations{Faults: []audit.Fault{{
-		Target: s.address, Kind: string(fault.Kind), From: since(), To: since() + fault.Duration(),
+		Target: s.address, Kind: string(fault.Kind), From: unixNow(), To: unixNow() + fault.Duration(),
 	}}})
 	if s.inject != nil {
 		return s.inject(fault)
@@ -146,9 +146,9 @@
 	return s.faults.set(fault)
 }
 
-// crash closes the listener and all connections and listens again after a
-// time; lose and restore run in between and at the end.
-func (s *server) crash(after time.Duration, lose, restore func()) {
+// crash closes the listener and all connections and listens again after a delay. It calls
+// onCrash first and onRestart before listening again.
+func (s *server) crash(after time.Duration, onCrash, onRestart func()) {
 	s.mutex.Lock()
 	if s.down || s.closed {
 		s.mutex.Unlock()
@@ -157,17 +157,17 @@
 	s.down = true
 	running := s.http
 	s.work.Go(func() {
-		lose()
+		onCrash()
 		running.Close()
-		if pause(s.ctx, after) {
-			restore()
+		if sleep(s.ctx, after) {
+			onRestart()
 			s.reopen()
 		}
 	})
 	s.mutex.Unlock()
 }
 
-// reopen listens on the former address again, as soon as it is free.
+// reopen listens on the previous address again as soon as it is free.
 func (s *server) reopen() {
 	for s.ctx.Err() == nil {
 		listener, err := net.Listen("tcp", s.address)
@@ -175,7 +175,7 @@
 			s.serve(listener)
 			return
 		}
-		pause(s.ctx, relistenEvery)
+		sleep(s.ctx, relistenInterval)
 	}
 }
 
@@ -195,10 +195,10 @@
 	writeJSON(w, s.Observations())
 }
 
-// disturbed applies the faults that act before a request is looked at, and
-// reports whether the request has been answered with a refusal.
-func (s *server) disturbed(w http.ResponseWriter, r *http.Request) bool {
-	s.faults.waitWhileHung(r.Context())
+// applyFaults applies the faults that act before a request is handled, and reports
+// whether the handler must return.
+func (s *server) applyFaults(w http.ResponseWriter, r *http.Request) bool {
+	s.faults.waitOutHang(r.Context())
 	if _, refuse := s.faults.active(FaultRefuse); refuse {
 		writeError(w, http.StatusServiceUnavailable, port.NewError(port.NotRun, port.CodeUnavailable, "refused by a fault switch"))
 		return true
@@ -206,8 +206,8 @@
 	return r.Context().Err() != nil
 }
 
-// cutConnection ends the connection without an orderly end of the answer.
-func cutConnection() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without finishing the response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
@@ -224,7 +224,7 @@
 
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", contentTypeJSON)
-	// The reader notices a connection that broke; there is no one else to tell.
+	// The client notices a broken connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/internal/lab/standin/stream.go
+++ b/internal/lab/standin/stream.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// Finish reasons that a chunk can carry besides those of port.
+// Finish reasons in addition to those of port.
 const (
 	finishExported  = "exported"
 	finishPrefilled = "prefilled"
@@ -19,23 +19,22 @@
 
 const objectCompletion = "text_completion"
 
-// stream carries the events of one request from the model's driver to the
-// handler that writes the answer. Its fields but notify belong to the
-// engine's mutex.
+// stream passes the events of one request from the model's driver to the handler that
+// writes the response. The engine's mutex guards all fields but notify.
 type stream struct {
-	id      string
-	body    api.Completion
-	prompt  int // tokens
-	seen    *audit.Generation
-	pending []engine.Event
-	aborted bool
-	held    bool // prefilled, kept for export
-	notify  chan struct{}
+	id             string
+	body           api.Completion
+	promptTokens   int // tokens
+	generation     *audit.Generation
+	pending        []engine.Event
+	aborted        bool
+	awaitingExport bool // prefilled
+	notify         chan struct{}
 }
 
 func newStream(id string, body api.Completion, seen *audit.Generation) *stream {
 	return &stream{
-		id: id, body: body, prompt: engine.CountTokens(body.Prompt), seen: seen,
+		id: id, body: body, promptTokens: engine.CountTokens(body.Prompt), generation: seen,
 		notify: make(chan struct{}, 1),
 	}
 }
@@ -45,7 +44,7 @@
 	s.signal()
 }
 
-// abort makes the handler cut the connection.
+// abort makes the handler abort the connection.
 func (s *stream) abort() {
 	s.aborted = true
 	s.signal()
@@ -58,18 +57,18 @@
 	}
 }
 
-// answerWriter writes a completion, streamed or whole.
+// answerWriter writes a completion as a stream or as one response.
 type answerWriter struct {
-	http     http.ResponseWriter
-	id       string
-	body     api.Completion
-	key      uint64
-	position int
-	started  bool
-	whole    strings.Builder
-	spans    []port.Span
-	written  int // tokens
-	cutAfter int // cut the connection after so many tokens; 0 never
+	http          http.ResponseWriter
+	id            string
+	body          api.Completion
+	key           uint64
+	position      int
+	started       bool
+	text          strings.Builder
+	spans         []port.Span
+	tokensWritten int // tokens
+	cutAfter      int // abort the connection after so many tokens; 0 means never
 }
 
 func (a *answerWriter) chunk(text, finish string, spans []port.Span, usage *api.Usage) api.CompletionChunk {
@@ -79,24 +78,24 @@
 	}
 }
 
-// tokens writes the tokens of one event.
-func (a *answerWriter) tokens(count int, version port.WeightVersion) error {
+// writeTokens writes the tokens of one event.
+func (a *answerWriter) writeTokens(count int, version port.WeightVersion) error {
 	text := engine.Text(a.key, a.position, count, version)
 	a.position += count
-	a.written += count
+	a.tokensWritten += count
 	a.spans = port.AppendTokens(a.spans, version, count)
 	if !a.body.Stream {
-		a.whole.WriteString(text)
+		a.text.WriteString(text)
 		return nil
 	}
-	err := a.event(a.chunk(text, "", []port.Span{{Version: version, Tokens: count}}, nil))
-	if a.cutAfter > 0 && a.written >= a.cutAfter {
-		cutConnection()
+	err := a.writeChunk(a.chunk(text, "", []port.Span{{Version: version, Tokens: count}}, nil))
+	if a.cutAfter > 0 && a.tokensWritten >= a.cutAfter {
+		abortConnection()
 	}
 	return err
 }
 
-// finish writes the end of the answer.
+// finish writes the end of the response.
 func (a *answerWriter) finish(reason string, usage api.Usage) error {
 	if !a.body.Stream {
 		a.http.Header().Set("Content-Type", contentTypeJSON)
@@ -104,28 +103,28 @@
 		if a.cutAfter > 0 {
 			a.http.Header().Set("Content-Length", "1000000")
 			_, _ = a.http.Write([]byte("{"))
-			cutConnection()
+			abortConnection()
 		}
-		return json.NewEncoder(a.http).Encode(a.chunk(a.whole.String(), reason, a.spans, &usage))
+		return json.NewEncoder(a.http).Encode(a.chunk(a.text.String(), reason, a.spans, &usage))
 	}
 	if a.cutAfter > 0 {
-		cutConnection()
+		abortConnection()
 	}
-	if err := a.event(a.chunk("", reason, nil, &usage)); err != nil {
+	if err := a.writeChunk(a.chunk("", reason, nil, &usage)); err != nil {
 		return err
 	}
-	return a.raw("[DONE]")
+	return a.writeData("[DONE]")
 }
 
-func (a *answerWriter) event(chunk api.CompletionChunk) error {
+func (a *answerWriter) writeChunk(chunk api.CompletionChunk) error {
 	data, err := json.Marshal(chunk)
 	if err != nil {
 		return err
 	}
-	return a.raw(string(data))
+	return a.writeData(string(data))
 }
 
-func (a *answerWriter) raw(data string) error {
+func (a *answerWriter) writeData(data string) error {
 	if !a.started {
 		a.started = true
 		a.http.Header().Set("Content-Type", "text/event-stream")
--- a/internal/lab/standin/trainer.go
+++ b/internal/lab/standin/trainer.go
@@ -15,8 +15,8 @@
 // PathTrainerStats serves TrainerStats.
 const PathTrainerStats = "/stats"
 
-// Trainer stands in for a trainer: it serves its prompts, asks loomgrade for
-// batches by number, trains on each for a set time and publishes versions.
+// Trainer simulates a trainer: it serves prompts, requests batches from loomgrade by
+// number, trains on each for a set time and publishes weight versions.
 type Trainer struct {
 	*server
 	config TrainerConfig
@@ -25,61 +25,60 @@
 	mutex sync.Mutex
 	stats TrainerStats
 	epoch port.Epoch
-	// good is the position of the node that answered last; it is asked first.
-	good int
-	// unpublished counts the steps since the last publication; like the
-	// stats it is part of the checkpoint.
-	unpublished int
-	life        context.Context // ends with a crash
-	endLife     context.CancelFunc
+	// currentNode is the index of the node to call next.
+	currentNode int
+	// unpublishedSteps counts the steps since the last publication. Like the stats it is
+	// part of the checkpoint.
+	unpublishedSteps int
+	run              context.Context // cancelled by a crash
+	endRun           context.CancelFunc
 }
 
 // TrainerConfig describes a trainer.
 type TrainerConfig struct {
 	Common
-	// Nodes are the base URLs of loomgrade's nodes, tried in turn. Without any
-	// the trainer only serves prompts.
+	// Nodes are the base URLs of loomgrade's nodes, tried in turn. Without nodes the
+	// trainer only serves prompts.
 	Nodes []string
 	Pool  string
 	// Name is the consumer's name. Default "trainer".
 	Name string
 	// Token, if set, is sent as bearer token.
 	Token string
-	// StepTime is how long training on a batch takes. Default 1 s.
+	// StepTime is the duration of a training step. Default 1 s.
 	StepTime time.Duration
 	// PublishEvery is the number of steps between publications. Default 1.
 	PublishEvery int
-	// FirstVersion is the version that the trainer starts from. Default 1.
+	// FirstVersion is the initial weight version. Default 1.
 	FirstVersion uint64
-	// WeightBytes is the size that publications name. Default 4 MiB.
+	// WeightBytes is the size of the weights in publications. Default 4 MiB.
 	WeightBytes uint64
-	// MaxSteps ends the training after so many steps; 0 means never.
+	// MaxSteps is the number of training steps; 0 means no limit.
 	MaxSteps int
-	// Wait is how long a question for a batch may be held. Default 2 s.
+	// Wait is how long a node may block a batch request. Default 2 s.
 	Wait time.Duration
-	// Patience is how long over Wait an answer may take before the trainer asks
-	// again. Default 10 s.
+	// Patience is how much longer than Wait a response may take before the trainer
+	// retries. Default 10 s.
 	Patience time.Duration
 	Prompts  PromptConfig
-	// Kept are the deliveries that earlier lives recorded. They are the
-	// checkpoint that a trainer of a new process goes on from.
+	// Kept are the deliveries recorded by earlier processes. The trainer uses them as
+	// its checkpoint.
 	Kept []audit.Delivery
 }
 
-// TrainerStats sums up a trainer's time.
+// TrainerStats summarizes a trainer's run.
 type TrainerStats struct {
 	Steps      int           `json:"steps"`
 	Samples    int           `json:"samples"`
 	Version    uint64        `json:"version"`
 	NextBatch  uint64        `json:"next_batch"`
 	Training   time.Duration `json:"training_ns"`
-	Idle       time.Duration `json:"idle_ns"` // waiting for batches, the first one left out
+	Idle       time.Duration `json:"idle_ns"` // waiting for batches, except the first
 	Publishing time.Duration `json:"publishing_ns"`
 	LastError  string        `json:"last_error,omitempty"`
 }
 
-// IdleShare returns the share of the trainer's time that it waited for
-// batches.
+// IdleShare returns the share of time that the trainer waited for batches.
 func (s TrainerStats) IdleShare() float64 {
 	total := s.Training + s.Idle + s.Publishing
 	if total == 0 {
@@ -102,48 +101,48 @@
 		Timeout: config.Wait + config.Patience, Transport: &http.Transport{IdleConnTimeout: trainerIdleTimeout},
 	}}
 	t.stats.Version = config.FirstVersion
-	t.restore(config.Kept)
+	t.restoreCheckpoint(config.Kept)
 	t.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultSlow, FaultRefuse,
 		FaultAskTwice, FaultAskPrevious)
 	t.inject = t.injectFault
 	t.mux.HandleFunc("GET "+api.PathPrompts, func(w http.ResponseWriter, r *http.Request) {
-		if !t.disturbed(w, r) {
+		if !t.applyFaults(w, r) {
 			config.Prompts.handlePrompts(w, r)
 		}
 	})
 	t.mux.HandleFunc("GET "+PathTrainerStats, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, t.Stats()) })
-	t.life, t.endLife = context.WithCancel(t.ctx)
-	if err := t.open(config.Listen); err != nil {
+	t.run, t.endRun = context.WithCancel(t.ctx)
+	if err := t.listen(config.Listen); err != nil {
 		return nil, err
 	}
 	if len(config.Nodes) > 0 {
-		t.startLife(t.life)
+		t.startRun(t.run)
 	}
 	return t, nil
 }
 
-// restore goes on from the last batch that was trained on. Whether the version
-// that follows it was published is not known; publishing it again does no harm.
-func (t *Trainer) restore(kept []audit.Delivery) {
-	for _, delivery := range kept {
+// restoreCheckpoint resumes after the last batch that was trained on. The next version may
+// have been published already; publishing it again is harmless.
+func (t *Trainer) restoreCheckpoint(deliveries []audit.Delivery) {
+	for _, delivery := range deliveries {
 		if !delivery.Trained || delivery.Batch < t.stats.NextBatch {
 			continue
 		}
 		if uint64(delivery.Version) != t.stats.Version {
-			t.stats.Version, t.unpublished = uint64(delivery.Version), 0
+			t.stats.Version, t.unpublishedSteps = uint64(delivery.Version), 0
 		}
-		t.unpublished++
+		t.unpublishedSteps++
 		t.stats.Steps++
 		t.stats.Samples += len(delivery.Samples)
 		t.stats.NextBatch = delivery.Batch + 1
 	}
 }
 
-func (t *Trainer) startLife(life context.Context) {
-	t.work.Go(func() { t.train(life) })
+func (t *Trainer) startRun(ctx context.Context) {
+	t.work.Go(func() { t.train(ctx) })
 }
 
-// Stats returns the figures so far.
+// Stats returns the current statistics.
 func (t *Trainer) Stats() TrainerStats {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -157,42 +156,42 @@
 	t.crash(fault.Duration(), func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		t.endLife()
+		t.endRun()
 	}, func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		t.life, t.endLife = context.WithCancel(t.ctx)
+		t.run, t.endRun = context.WithCancel(t.ctx)
 		if len(t.config.Nodes) > 0 {
-			t.startLife(t.life)
+			t.startRun(t.run)
 		}
 	})
 	return nil
 }
 
-// train is one life of the trainer. What it has learned survives from the
-// checkpoint that it writes before it asks for the next batch.
-func (t *Trainer) train(life context.Context) {
-	if !t.untilDone(life, func(node string) error { return t.register(life, node) }) {
+// train runs until ctx ends. Each step ends with a checkpoint, from which the trainer
+// resumes after a crash.
+func (t *Trainer) train(ctx context.Context) {
+	if !t.retry(ctx, func(node string) error { return t.register(ctx, node) }) {
 		return
 	}
-	for first := true; life.Err() == nil; first = false {
-		if t.publicationDue() && !t.publishNext(life) {
+	for first := true; ctx.Err() == nil; first = false {
+		if t.publicationDue() && !t.publishNext(ctx) {
 			return
 		}
 		if t.done() {
 			return
 		}
-		t.faults.waitWhileHung(life)
-		asked := time.Now()
-		delivery, ok := t.receive(life, t.Stats().NextBatch)
+		t.faults.waitOutHang(ctx)
+		requestedAt := time.Now()
+		delivery, ok := t.receiveBatch(ctx, t.Stats().NextBatch)
 		if !ok {
 			return
 		}
-		idle := time.Since(asked)
+		idle := time.Since(requestedAt)
 		if first {
 			idle = 0
 		}
-		if !t.learn(life, delivery, idle) {
+		if !t.trainOn(ctx, delivery, idle) {
 			return
 		}
 	}
@@ -202,11 +201,10 @@
 	return t.config.MaxSteps > 0 && t.Stats().Steps >= t.config.MaxSteps
 }
 
-// learn trains on a batch and writes the checkpoint. It reports false when
-// the life ended before.
-func (t *Trainer) learn(life context.Context, delivery audit.Delivery, idle time.Duration) bool {
-	step := time.Duration(float64(t.config.StepTime) * t.faults.factor())
-	delivery.Trained = pause(life, step)
+// trainOn trains on a batch and writes the checkpoint. It reports false if ctx ended first.
+func (t *Trainer) trainOn(ctx context.Context, delivery audit.Delivery, idle time.Duration) bool {
+	step := time.Duration(float64(t.config.StepTime) * t.faults.slowdown())
+	delivery.Trained = sleep(ctx, step)
 	t.recorder.add(audit.Observations{Deliveries: []audit.Delivery{delivery}})
 	if !delivery.Trained {
 		return false
@@ -214,7 +212,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.stats.Steps++
-	t.unpublished++
+	t.unpublishedSteps++
 	t.stats.Samples += len(delivery.Samples)
 	t.stats.Training += step
 	t.stats.Idle += idle
@@ -225,31 +223,30 @@
 func (t *Trainer) publicationDue() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.unpublished >= t.config.PublishEvery
+	return t.unpublishedSteps >= t.config.PublishEvery
 }
 
-// publishNext publishes the next version. A crash before the end leaves it
-// due.
-func (t *Trainer) publishNext(life context.Context) bool {
+// publishNext publishes the next version. After a crash it remains due.
+func (t *Trainer) publishNext(ctx context.Context) bool {
 	version := t.Stats().Version + 1
-	began := time.Now()
-	if !t.publish(life, version) {
+	start := time.Now()
+	if !t.publish(ctx, version) {
 		return false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.unpublished = 0
+	t.unpublishedSteps = 0
 	t.stats.Version = version
-	t.stats.Publishing += time.Since(began)
+	t.stats.Publishing += time.Since(start)
 	return true
 }
 
-// observe turns a received batch into what the audit reads.
-func (t *Trainer) observe(batch receivedBatch) audit.Delivery {
+// delivery converts a received batch for the audit.
+func (t *Trainer) delivery(batch receivedBatch) audit.Delivery {
 	delivery := audit.Delivery{
 		Trainer: t.config.Name, Pool: t.config.Pool, Batch: batch.Number, Attempt: batch.Attempt,
-		Version: port.WeightVersion(t.Stats().Version), At: since(),
-		AskedAt: batch.askedAt, HeadAt: batch.headAt, HeadVersion: port.WeightVersion(batch.headVersion),
+		Version: port.WeightVersion(t.Stats().Version), At: unixNow(),
+		AskedAt: batch.requestedAt, HeadAt: batch.headerAt, HeadVersion: port.WeightVersion(batch.headerVersion),
 	}
 	for _, sample := range batch.Samples {
 		delivery.Samples = append(delivery.Samples, audit.Sample{
--- a/internal/lab/standin/trainer_calls.go
+++ b/internal/lab/standin/trainer_calls.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	retryPause    = 100 * time.Millisecond
+	retryInterval = 100 * time.Millisecond
 	maxBatchBytes = 256 << 20
-	// trainerIdleTimeout is below the time that nodes announce (Keep-Alive), so
-	// that a call does not meet a connection that is just being closed.
+	// trainerIdleTimeout is below the keep-alive timeout of nodes, so that no request is
+	// sent on a connection that the node is closing.
 	trainerIdleTimeout = time.Second
 )
 
-// statusError is an error answer of loomgrade.
+// statusError is an error response of loomgrade.
 type statusError struct {
 	status int
 	detail api.ErrorDetail
 }
 
-// Error gives the answer in one line.
+// Error implements error.
 func (e *statusError) Error() string {
 	return fmt.Sprintf("status %d: %s (%s): %s", e.status, e.detail.Code, e.detail.Verdict, e.detail.Message)
 }
 
-// ReadOnce hides what kind of body it is, also that it is empty. The HTTP client
-// repeats requests by itself whose body it can take for repeatable, and the
-// record of attempts would then be wrong.
+// ReadOnce hides the type of a request body, even an empty one, from the HTTP client,
+// which otherwise retries requests with replayable bodies by itself. Such retries would be
+// missing in the record of attempts.
 type ReadOnce struct{ io.Reader }
 
-// call sends one request to a node and decodes a good answer.
+// call sends one request to a node and decodes a successful response.
 func (t *Trainer) call(ctx context.Context, node, method, path string, body, answer any) error {
 	return t.exchange(ctx, node, method, path, body, answer, func() {})
 }
 
-// exchange is a call that tells when the head of a good answer has come.
-func (t *Trainer) exchange(ctx context.Context, node, method, path string, body, answer any, headCame func()) error {
+// exchange is a call that invokes onHeader when the header of a successful response arrives.
+func (t *Trainer) exchange(ctx context.Context, node, method, path string, body, answer any, onHeader func()) error {
 	var encoded []byte
 	if body != nil {
 		var err error
@@ -66,68 +66,67 @@
 	if t.config.Token != "" {
 		request.Header.Set("Authorization", "Bearer "+t.config.Token)
 	}
-	began := since()
+	start := unixNow()
 	response, err := t.client.Do(request)
 	if err != nil {
-		t.noteCutOff(ctx, node, method+" "+path, began, err)
+		t.recordLost(ctx, node, method+" "+path, start, err)
 		return err
 	}
 	defer response.Body.Close()
 	limited := io.LimitReader(response.Body, maxBatchBytes)
 	if response.StatusCode/100 != 2 {
 		var fault api.ErrorBody
-		_ = json.NewDecoder(limited).Decode(&fault) // the status says enough
+		_ = json.NewDecoder(limited).Decode(&fault) // the status is enough
 		return &statusError{response.StatusCode, fault.Error}
 	}
-	headCame()
+	onHeader()
 	err = json.NewDecoder(limited).Decode(answer)
 	if err != nil {
-		t.noteCutOff(ctx, node, method+" "+path, began, err)
+		t.recordLost(ctx, node, method+" "+path, start, err)
 	}
 	return err
 }
 
-// noteCutOff records a call whose connection ended without a whole answer. One
-// whose connection was never made is none, nor is one that the trainer's own
-// end cut off.
-func (t *Trainer) noteCutOff(ctx context.Context, node, what string, began time.Duration, err error) {
+// recordLost records a call whose connection ended without a complete response. It ignores
+// calls that never connected and those cancelled by the trainer itself.
+func (t *Trainer) recordLost(ctx context.Context, node, what string, start time.Duration, err error) {
 	var operation *net.OpError
 	if ctx.Err() != nil || errors.As(err, &operation) && operation.Op == "dial" {
 		return
 	}
 	t.recorder.add(audit.Observations{Calls: []audit.Call{{
-		Class: "trainer", Target: strings.TrimPrefix(node, "http://"), Call: fmt.Sprintf("%s at %d", what, began),
-		Outcome: audit.OutcomeLost, Detail: err.Error(), StartedAt: began, EndedAt: since(),
+		Class: "trainer", Target: strings.TrimPrefix(node, "http://"), Call: fmt.Sprintf("%s at %d", what, start),
+		Outcome: audit.OutcomeLost, Detail: err.Error(), StartedAt: start, EndedAt: unixNow(),
 	}}})
 }
 
-// untilDone repeats a call over the nodes, beginning with the one that answered
-// last, until it succeeds, which it reports, or ctx ends. A trainer that was fenced off registers again.
-func (t *Trainer) untilDone(ctx context.Context, call func(node string) error) bool {
+// retry calls the nodes in turn, starting with the last one that answered, until one call
+// succeeds or ctx ends, and reports success. A fenced trainer registers again.
+func (t *Trainer) retry(ctx context.Context, call func(node string) error) bool {
 	for ctx.Err() == nil {
-		position, node := t.goodNode()
+		position, node := t.node()
 		err := call(node)
 		if err == nil {
 			return true
 		}
 		t.mutex.Lock()
 		t.stats.LastError = err.Error()
-		t.good = (position + 1) % len(t.config.Nodes)
+		t.currentNode = (position + 1) % len(t.config.Nodes)
 		t.mutex.Unlock()
 		if hasCode(err, port.CodeFenced) {
-			// Without success the next attempt is fenced off and comes here again.
+			// If this fails, the next attempt is fenced again.
 			_ = t.register(ctx, node)
 		}
-		pause(ctx, retryPause)
+		sleep(ctx, retryInterval)
 	}
 	return false
 }
 
-// goodNode returns the node to ask next.
-func (t *Trainer) goodNode() (position int, url string) {
+// node returns the node to call next.
+func (t *Trainer) node() (position int, url string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.good, t.config.Nodes[t.good]
+	return t.currentNode, t.config.Nodes[t.currentNode]
 }
 
 func (t *Trainer) path(pattern string, number uint64) string {
@@ -135,13 +134,13 @@
 	return replacer.Replace(pattern)
 }
 
-// hasCode reports whether an error is loomgrade's answer with this code.
+// hasCode reports whether an error is a response of loomgrade with this code.
 func hasCode(err error, code port.Code) bool {
 	var fault *statusError
 	return errors.As(err, &fault) && fault.detail.Code == string(code)
 }
 
-// register makes this trainer the pool's consumer.
+// register registers the trainer as the pool's consumer.
 func (t *Trainer) register(ctx context.Context, node string) error {
 	var consumer port.Consumer
 	body := api.RegisterConsumer{Consumer: t.config.Name}
@@ -164,76 +163,76 @@
 	return t.epoch
 }
 
-// receive asks for a batch until it has come whole.
-func (t *Trainer) receive(life context.Context, number uint64) (audit.Delivery, bool) {
-	if _, again := t.faults.take(FaultAskPrevious); again && number > 2 {
-		// The batch before is acknowledged only by the question to come.
-		t.askAgain(life, number-2)
+// receiveBatch requests a batch until it is received completely.
+func (t *Trainer) receiveBatch(ctx context.Context, number uint64) (audit.Delivery, bool) {
+	if _, repeat := t.faults.consume(FaultAskPrevious); repeat && number > 2 {
+		// The previous batch is acknowledged only by the next request.
+		t.requestAcknowledged(ctx, number-2)
 	}
 	var received receivedBatch
-	ok := t.untilDone(life, func(node string) error {
-		if _, twice := t.faults.take(FaultAskTwice); twice {
-			t.work.Go(func() { t.askAtOnce(life, number) })
+	ok := t.retry(ctx, func(node string) error {
+		if _, twice := t.faults.consume(FaultAskTwice); twice {
+			t.work.Go(func() { t.requestDuplicate(ctx, number) })
 		}
 		var err error
-		if received, err = t.ask(life, node, number); err != nil {
+		if received, err = t.requestBatch(ctx, node, number); err != nil {
 			return err
 		}
 		if received.Number != number {
-			return fmt.Errorf("asked for batch %d and got %d", number, received.Number)
+			return fmt.Errorf("requested batch %d, got %d", number, received.Number)
 		}
 		return nil
 	})
-	return t.observe(received), ok
+	return t.delivery(received), ok
 }
 
-// receivedBatch is an answer with its course.
+// receivedBatch is a batch with the times of its request.
 type receivedBatch struct {
 	api.Batch
-	askedAt, headAt time.Duration
-	headVersion     uint64
+	requestedAt, headerAt time.Duration
+	headerVersion         uint64
 }
 
-func (t *Trainer) ask(life context.Context, node string, number uint64) (receivedBatch, error) {
+func (t *Trainer) requestBatch(ctx context.Context, node string, number uint64) (receivedBatch, error) {
 	query := url.Values{}
 	query.Set(api.QueryConsumerEpoch, strconv.FormatUint(uint64(t.consumerEpoch()), 10))
 	query.Set(api.QueryWaitMs, strconv.FormatInt(t.config.Wait.Milliseconds(), 10))
-	received := receivedBatch{askedAt: since()}
+	received := receivedBatch{requestedAt: unixNow()}
 	path := t.path(api.PathBatch, number) + "?" + query.Encode()
-	err := t.exchange(life, node, http.MethodGet, path, nil, &received.Batch, func() {
-		received.headAt, received.headVersion = since(), t.Stats().Version
+	err := t.exchange(ctx, node, http.MethodGet, path, nil, &received.Batch, func() {
+		received.headerAt, received.headerVersion = unixNow(), t.Stats().Version
 	})
 	return received, err
 }
 
-// askAtOnce asks for the batch that is being asked for anyway, over the last
-// node, and throws the answer away after recording it.
-func (t *Trainer) askAtOnce(life context.Context, number uint64) {
-	if received, err := t.ask(life, t.config.Nodes[len(t.config.Nodes)-1], number); err == nil {
-		t.recorder.add(audit.Observations{Deliveries: []audit.Delivery{t.observe(received)}})
+// requestDuplicate requests a batch that is already being requested, from the last node,
+// and discards the response after recording it.
+func (t *Trainer) requestDuplicate(ctx context.Context, number uint64) {
+	if received, err := t.requestBatch(ctx, t.config.Nodes[len(t.config.Nodes)-1], number); err == nil {
+		t.recorder.add(audit.Observations{Deliveries: []audit.Delivery{t.delivery(received)}})
 	}
 }
 
-// askAgain asks for a batch that was acknowledged. Getting it would be a
-// second delivery, and is recorded as one.
-func (t *Trainer) askAgain(life context.Context, number uint64) {
-	if received, err := t.ask(life, t.config.Nodes[0], number); err == nil && len(received.Samples) > 0 {
-		delivery := t.observe(received)
+// requestAcknowledged requests a batch that was acknowledged. A response with samples is a
+// second delivery and is recorded as one.
+func (t *Trainer) requestAcknowledged(ctx context.Context, number uint64) {
+	if received, err := t.requestBatch(ctx, t.config.Nodes[0], number); err == nil && len(received.Samples) > 0 {
+		delivery := t.delivery(received)
 		delivery.Trained = true
 		t.recorder.add(audit.Observations{Deliveries: []audit.Delivery{delivery}})
 	}
 }
 
-// publish announces a version until loomgrade has it. Resends under one
-// consumer epoch carry the same change id. A conflict means that an earlier
-// attempt was accepted and its answer lost.
-func (t *Trainer) publish(life context.Context, version uint64) bool {
-	return t.untilDone(life, func(node string) error {
+// publish publishes a version, retrying until loomgrade has accepted it. Retries under one
+// consumer epoch have the same change id. A conflict means that an earlier attempt was
+// accepted but its response was lost.
+func (t *Trainer) publish(ctx context.Context, version uint64) bool {
+	return t.retry(ctx, func(node string) error {
 		body := api.PublishWeights{
 			Version: version, Bytes: t.config.WeightBytes, ConsumerEpoch: uint64(t.consumerEpoch()),
 		}
 		var published api.PublishedWeights
-		err := t.call(life, node, http.MethodPost, t.path(api.PathWeights, 0), body, &published)
+		err := t.call(ctx, node, http.MethodPost, t.path(api.PathWeights, 0), body, &published)
 		if hasCode(err, port.CodeConflict) {
 			return nil
 		}
--- a/internal/lab/standin/weights.go
+++ b/internal/lab/standin/weights.go
@@ -12,8 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// WeightStore stands in for the weight store. All its downloads share one
-// rate.
+// WeightStore simulates the weight store.
 type WeightStore struct {
 	*server
 	config WeightStoreConfig
@@ -25,14 +24,14 @@
 // WeightStoreConfig describes a weight store.
 type WeightStoreConfig struct {
 	Common
-	// BytesPerSecond is the rate that all downloads share. Default 64 MiB/s.
+	// BytesPerSecond is the total rate of all downloads. Default 64 MiB/s.
 	BytesPerSecond int64
 	// Bytes is the size of every version. Default 4 MiB.
 	Bytes int64
 }
 
-// weightChunk is how much is sent at a time.
-const weightChunk = 64 << 10
+// weightChunkBytes is the size of one write.
+const weightChunkBytes = 64 << 10
 
 // StartWeightStore starts a weight store. It runs until ctx ends or Close is
 // called.
@@ -43,7 +42,7 @@
 	s.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultSlow, FaultRefuse, FaultCut)
 	s.inject = s.injectFault
 	s.mux.HandleFunc("GET "+api.PathWeightsBlob, s.handleBlob)
-	if err := s.open(config.Listen); err != nil {
+	if err := s.listen(config.Listen); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -58,19 +57,19 @@
 }
 
 func (s *WeightStore) handleBlob(w http.ResponseWriter, r *http.Request) {
-	if s.disturbed(w, r) {
+	if s.applyFaults(w, r) {
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(s.config.Bytes, 10))
-	chunk := make([]byte, weightChunk)
-	_, cut := s.faults.take(FaultCut)
+	chunk := make([]byte, weightChunkBytes)
+	_, cut := s.faults.consume(FaultCut)
 	for sent := int64(0); sent < s.config.Bytes; {
-		size := min(s.config.Bytes-sent, weightChunk)
-		if !pause(r.Context(), s.reserve(size)) {
+		size := min(s.config.Bytes-sent, weightChunkBytes)
+		if !sleep(r.Context(), s.reserve(size)) {
 			return
 		}
 		if cut && sent >= s.config.Bytes/2 {
-			cutConnection()
+			abortConnection()
 		}
 		if _, err := w.Write(chunk[:size]); err != nil {
 			return
@@ -79,11 +78,11 @@
 	}
 }
 
-// reserve books the shared rate and returns how long to wait before sending.
+// reserve reserves bandwidth and returns how long to wait before sending.
 func (s *WeightStore) reserve(bytes int64) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	now := since()
-	slowed := int64(float64(bytes) * s.faults.factor())
+	now := unixNow()
+	slowed := int64(float64(bytes) * s.faults.slowdown())
 	return s.rate.Reserve(now, slowed) - now
 }
