--- a/internal/lab/audit/check.go
+++ b/internal/lab/audit/check.go
@@ -9,63 +9,63 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Rule names a promise.
+// Rule identifies a guarantee that Check verifies.
 type Rule string
 
 // The rules that Check applies.
 const (
-	RuleWholeAnswer   Rule = "whole answer to its own request"
-	RuleUnsafeOnce    Rule = "unsafe request runs at most once"
-	RuleNotRun        Rule = "not run means not run"
-	RuleSampleOnce    Rule = "each sample once"
-	RuleSampleLost    Rule = "no batch or prompt is left out"
-	RuleVersionsTrue  Rule = "versions are true"
-	RuleStaleness     Rule = "no sample older than its bound"
-	RuleDeparture     Rule = "no new work on a leaving back end"
-	RulePlannedStop   Rule = "a planned stop cuts nothing off"
-	defaultDeparture       = 3 * time.Second
-	recordedTextLimit      = 24
+	RuleWholeAnswer       Rule = "whole answer to its own request"
+	RuleUnsafeOnce        Rule = "unsafe request runs at most once"
+	RuleNotRun            Rule = "not run means not run"
+	RuleSampleOnce        Rule = "each sample once"
+	RuleSampleLost        Rule = "no batch or prompt is left out"
+	RuleVersionsTrue      Rule = "versions are true"
+	RuleStaleness         Rule = "no sample older than its bound"
+	RuleDeparture         Rule = "no new work on a leaving back end"
+	RulePlannedStop       Rule = "a planned stop cuts nothing off"
+	defaultDepartureGrace      = 3 * time.Second
+	maxQuotedBytes             = 24
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	Rule    Rule   `json:"rule"`
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// String returns the violation in one line.
+// String returns the violation on one line.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Rule, v.Subject, v.Detail) }
 
 // Bounds are the configured limits of a run.
 type Bounds struct {
-	// Staleness is the largest age of a sample in versions, by pool. Pools
-	// that are not listed are not checked.
+	// Staleness is the maximum age of a sample in versions, by pool. Other pools are
+	// not checked.
 	Staleness map[string]uint64
-	// DepartureGrace is how long a leaving back end may still get new work;
-	// default 3 s.
+	// DepartureGrace is how long a leaving back end may still receive new work.
+	// Default 3 s.
 	DepartureGrace time.Duration
-	// PromptWindow is how far below the highest delivered prompt of a pool a
-	// prompt may still be missing; 0 turns the check off.
+	// PromptWindow is how far below a pool's highest delivered prompt a prompt may
+	// still be missing; 0 disables the check.
 	PromptWindow uint64
-	// PromptsDone is, by pool, the lowest prompt that loomgrade does not hold for
-	// delivered: all below must have reached the trainer. Unlike a window it
-	// holds however long a prompt takes.
+	// PromptsDone is, by pool, the first prompt that loomgrade does not report as
+	// delivered: all prompts below it must have reached the trainer, however long they
+	// took.
 	PromptsDone map[string]port.PromptIndex
 }
 
-// Check returns every violation, ordered by rule and subject.
+// Check returns all violations, sorted by rule, subject and detail.
 func Check(o Observations, bounds Bounds) []Violation {
 	if bounds.DepartureGrace == 0 {
-		bounds.DepartureGrace = defaultDeparture
+		bounds.DepartureGrace = defaultDepartureGrace
 	}
-	index := newIndex(o)
+	index := newRunIndex(o)
 	var found []Violation
-	found = append(found, checkWholeAnswers(o, index)...)
+	found = append(found, checkAnswers(o, index)...)
 	found = append(found, checkUnsafeOnce(o, index)...)
 	found = append(found, checkNotRun(o, index)...)
 	found = append(found, checkSampleOnce(o)...)
-	found = append(found, checkNothingLost(o, bounds)...)
+	found = append(found, checkSampleLost(o, bounds)...)
 	found = append(found, checkVersions(o, index)...)
 	found = append(found, checkStaleness(o, bounds)...)
 	found = append(found, checkDepartures(o, bounds)...)
@@ -76,16 +76,16 @@
 	return found
 }
 
-// runIndex finds the runs of a call by its key.
+// runIndex holds the runs of each call.
 type runIndex struct {
 	executions  map[string]int          // by call
-	starts      map[string]int          // generations from position 0, by call
+	firstRuns   map[string]int          // generations from position 0, by call
 	generations map[string][]Generation // by call
 }
 
-func newIndex(o Observations) runIndex {
+func newRunIndex(o Observations) runIndex {
 	index := runIndex{
-		executions: map[string]int{}, starts: map[string]int{}, generations: map[string][]Generation{},
+		executions: map[string]int{}, firstRuns: map[string]int{}, generations: map[string][]Generation{},
 	}
 	for _, execution := range o.Executions {
 		index.executions[execution.Call]++
@@ -93,16 +93,16 @@
 	for _, generation := range o.Generations {
 		index.generations[generation.Call] = append(index.generations[generation.Call], generation)
 		if generation.First == 0 {
-			index.starts[generation.Call]++
+			index.firstRuns[generation.Call]++
 		}
 	}
 	return index
 }
 
-// runs returns how often a call was run from its beginning.
-func (i runIndex) runs(call string) int { return i.executions[call] + i.starts[call] }
+// runs returns how often a call was run from its start.
+func (i runIndex) runs(call string) int { return i.executions[call] + i.firstRuns[call] }
 
-func checkWholeAnswers(o Observations, index runIndex) []Violation {
+func checkAnswers(o Observations, index runIndex) []Violation {
 	var found []Violation
 	report := func(call Call, format string, arguments ...any) {
 		found = append(found, Violation{RuleWholeAnswer, call.Call, fmt.Sprintf(format, arguments...)})
@@ -111,19 +111,19 @@
 		switch {
 		case call.Outcome != OutcomeAnswered:
 		case call.AnswerTo != call.Call:
-			report(call, "caller of class %s got the answer to %q%s", call.Class, call.AnswerTo, call.course())
+			report(call, "caller of class %s got the answer to %q%s", call.Class, call.AnswerTo, call.details())
 		case !call.Whole:
 			report(call, "caller of class %s got only part of the answer", call.Class)
 		case index.runs(call.Call) == 0:
-			report(call, "answered, but no back end ran it%s", call.course())
+			report(call, "answered, but no back end ran it%s", call.details())
 		}
 	}
 	return found
 }
 
-// course tells how an answer came that is not the right one.
-func (c *Call) course() string {
-	return fmt.Sprintf("; from %s, begun %v before it ended, %d bytes of text, spans %v, %q",
+// details describes how a wrong answer arrived.
+func (c *Call) details() string {
+	return fmt.Sprintf("; from %s, took %v, %d bytes of text, spans %v, %q",
 		c.Target, c.EndedAt-c.StartedAt, len(c.Text), c.Spans, c.Detail)
 }
 
@@ -142,19 +142,18 @@
 	return found
 }
 
-// checkNotRun finds calls that ran although every attempt was told that it
-// did not.
+// checkNotRun returns calls that ran although every attempt was reported as not run.
 func checkNotRun(o Observations, index runIndex) []Violation {
-	explained := map[string]bool{}
+	mayHaveRun := map[string]bool{}
 	for _, call := range o.Calls {
 		if call.Outcome != OutcomeNotRun {
-			explained[call.Call] = true
+			mayHaveRun[call.Call] = true
 		}
 	}
 	var found []Violation
 	seen := map[string]bool{}
 	for _, call := range o.Calls {
-		if explained[call.Call] || seen[call.Call] {
+		if mayHaveRun[call.Call] || seen[call.Call] {
 			continue
 		}
 		seen[call.Call] = true
@@ -165,31 +164,31 @@
 	return found
 }
 
-// route is a back end with the zone that its requests come from.
+// route is a back end and the zone that sends requests to it.
 type route struct {
-	backEnd, from string
+	backEnd, zone string
 }
 
-// checkDepartures finds work that began on a back end later than the grace after
-// its departure was signalled to the zone of the sender.
+// checkDepartures returns work that started on a back end after the grace period of its
+// departure. The period starts when the sender's zone receives the departure.
 func checkDepartures(o Observations, bounds Bounds) []Violation {
 	limit := map[route]time.Duration{}
 	for _, departure := range o.Departures {
-		way := route{departure.BackEnd, departure.From}
+		key := route{departure.BackEnd, departure.From}
 		last := departure.SignalledAt + bounds.DepartureGrace
-		if earlier, known := limit[way]; !known || last < earlier {
-			limit[way] = last
+		if earlier, known := limit[key]; !known || last < earlier {
+			limit[key] = last
 		}
 	}
 	var found []Violation
-	check := func(way route, id string, startedAt time.Duration) {
-		last, leaving := limit[way]
-		if all, known := limit[route{backEnd: way.backEnd}]; known && (!leaving || all < last) {
+	check := func(key route, id string, startedAt time.Duration) {
+		last, leaving := limit[key]
+		if all, known := limit[route{backEnd: key.backEnd}]; known && (!leaving || all < last) {
 			last, leaving = all, true
 		}
 		if leaving && startedAt > last {
 			detail := fmt.Sprintf("request %s started %v after the limit", id, startedAt-last)
-			found = append(found, Violation{RuleDeparture, way.backEnd, detail})
+			found = append(found, Violation{RuleDeparture, key.backEnd, detail})
 		}
 	}
 	for _, generation := range o.Generations {
@@ -201,8 +200,8 @@
 	return found
 }
 
-// checkPlannedStops finds calls and work that a planned stop ended. A failure
-// that overlaps a fault is not blamed on the stop.
+// checkPlannedStops returns calls and work that a planned stop interrupted. Calls that
+// overlap a fault are ignored.
 func checkPlannedStops(o Observations) []Violation {
 	var found []Violation
 	for _, stop := range o.PlannedStops {
@@ -212,18 +211,18 @@
 		for _, call := range o.Calls {
 			failed := call.Outcome == OutcomeLost || call.Outcome == OutcomeMayHaveRun
 			if failed && overlaps(call.StartedAt, call.EndedAt, stop.From, stop.To) &&
-				!disturbed(o.Faults, call.StartedAt, call.EndedAt) {
-				report(call.Call, fmt.Sprintf("failed during the stop, which took %v, %v after its beginning: %s%s",
-					stop.To-stop.From, call.StartedAt-stop.From, call.Outcome, call.course()))
+				!overlapsFault(o.Faults, call.StartedAt, call.EndedAt) {
+				report(call.Call, fmt.Sprintf("failed during the stop, which took %v, %v after its start: %s%s",
+					stop.To-stop.From, call.StartedAt-stop.From, call.Outcome, call.details()))
 			}
 		}
 		for _, generation := range o.Generations {
-			if generation.Engine == stop.Process && cutBy(generation.End, generation.EndedAt, stop) {
+			if generation.Engine == stop.Process && cutDuring(generation.End, generation.EndedAt, stop) {
 				report(generation.RequestID, "was cut off")
 			}
 		}
 		for _, execution := range o.Executions {
-			if execution.BackEnd == stop.Process && cutBy(execution.End, execution.EndedAt, stop) {
+			if execution.BackEnd == stop.Process && cutDuring(execution.End, execution.EndedAt, stop) {
 				report(execution.RequestID, "was cut off")
 			}
 		}
@@ -231,7 +230,7 @@
 	return found
 }
 
-func cutBy(end End, endedAt time.Duration, stop PlannedStop) bool {
+func cutDuring(end End, endedAt time.Duration, stop PlannedStop) bool {
 	return (end == EndCut || end == EndCrashed) && endedAt >= stop.From && endedAt <= stop.To
 }
 
@@ -239,11 +238,11 @@
 	return from <= otherTo && to >= otherFrom
 }
 
-func disturbed(faults []Fault, from, to time.Duration) bool {
+func overlapsFault(faults []Fault, from, to time.Duration) bool {
 	return slices.ContainsFunc(faults, func(f Fault) bool { return overlaps(from, to, f.From, f.To) })
 }
 
-// tokenCount returns the tokens of all spans.
+// tokenCount returns the number of tokens in all spans.
 func tokenCount(spans []port.Span) int {
 	total := 0
 	for _, span := range spans {
--- a/internal/lab/audit/check_test.go
+++ b/internal/lab/audit/check_test.go
@@ -15,9 +15,9 @@
 	address = "127.0.0.1:9001"
 )
 
-// sampleOf returns a sample of 6 tokens, the last two of version 5, and the
-// generation that produced it.
-func sampleOf(id string, seed uint64) (Sample, Generation) {
+// newSample returns a sample of 6 tokens, the last two of version 5, and the generation
+// that produced it.
+func newSample(id string, seed uint64) (Sample, Generation) {
 	prompt := "prompt of " + id
 	key := engine.ContentKey(prompt, seed)
 	spans := []port.Span{{Version: 4, Tokens: 4}, {Version: 5, Tokens: 2}}
@@ -30,10 +30,10 @@
 	return sample, generation
 }
 
-// goodHistory is a history without violations that every check looks at.
-func goodHistory() Observations {
-	first, ranFirst := sampleOf("s1", 0)
-	other, ranOther := sampleOf("s2", 1)
+// validHistory returns a history without violations that exercises every rule.
+func validHistory() Observations {
+	first, ranFirst := newSample("s1", 0)
+	other, ranOther := newSample("s2", 1)
 	return Observations{
 		Generations: []Generation{ranFirst, ranOther},
 		Executions: []Execution{
@@ -59,32 +59,32 @@
 	}
 }
 
-func testBounds() Bounds {
+func defaultBounds() Bounds {
 	return Bounds{Staleness: map[string]uint64{pool: 2}, PromptWindow: 1, PromptsDone: map[string]port.PromptIndex{pool: 2}}
 }
 
 func TestGoodHistoryIsClean(t *testing.T) {
-	if found := Check(goodHistory(), testBounds()); len(found) > 0 {
-		t.Fatalf("violations in a good history: %v", found)
+	if found := Check(validHistory(), defaultBounds()); len(found) > 0 {
+		t.Fatalf("violations in a valid history: %v", found)
 	}
 }
 
 func TestEachRuleIsEnforced(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(*Observations)
-		want  Rule
+		name    string
+		corrupt func(*Observations)
+		want    Rule
 	}{
-		{"answer to another", func(o *Observations) { o.Calls[0].AnswerTo = "write" }, RuleWholeAnswer},
-		{"answer cut short", func(o *Observations) { o.Calls[0].Whole = false }, RuleWholeAnswer},
-		{"answer from nowhere", func(o *Observations) { o.Executions = o.Executions[:2] }, RuleWholeAnswer},
+		{"answer of another call", func(o *Observations) { o.Calls[0].AnswerTo = "write" }, RuleWholeAnswer},
+		{"incomplete answer", func(o *Observations) { o.Calls[0].Whole = false }, RuleWholeAnswer},
+		{"answer without a run", func(o *Observations) { o.Executions = o.Executions[:2] }, RuleWholeAnswer},
 		{"unsafe ran twice", func(o *Observations) { o.Executions[1].Call = "write" }, RuleUnsafeOnce},
 		{"unsafe completion ran twice", func(o *Observations) {
 			o.Calls[1].Call, o.Calls[1].AnswerTo = o.Generations[0].Call, o.Generations[0].Call
 			o.Generations = append(o.Generations, o.Generations[0])
 		}, RuleUnsafeOnce},
-		{"refused yet ran", func(o *Observations) { o.Executions[0].Call = "refused" }, RuleNotRun},
-		{"refused yet generated", func(o *Observations) { o.Calls[2].Call = o.Generations[0].Call }, RuleNotRun},
+		{"not-run call ran", func(o *Observations) { o.Executions[0].Call = "refused" }, RuleNotRun},
+		{"not-run call generated", func(o *Observations) { o.Calls[2].Call = o.Generations[0].Call }, RuleNotRun},
 		{"same id twice", func(o *Observations) { o.Deliveries[2].Samples = o.Deliveries[1].Samples }, RuleSampleOnce},
 		{"same content twice", func(o *Observations) {
 			again := o.Deliveries[1].Samples[0]
@@ -96,12 +96,12 @@
 			again.Samples = nil
 			o.Deliveries = append(o.Deliveries, again)
 		}, RuleSampleOnce},
-		{"batch left out", func(o *Observations) { o.Deliveries[2].Batch = 3 }, RuleSampleLost},
-		{"prompt left out", func(o *Observations) { o.Deliveries[2].Samples[0].Prompt = 5 }, RuleSampleLost},
-		{"prompt held for done left out", func(o *Observations) {
+		{"missing batch", func(o *Observations) { o.Deliveries[2].Batch = 3 }, RuleSampleLost},
+		{"missing prompt", func(o *Observations) { o.Deliveries[2].Samples[0].Prompt = 5 }, RuleSampleLost},
+		{"missing prompt below PromptsDone", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Prompt = 2
 		}, RuleSampleLost},
-		{"claims another version", func(o *Observations) {
+		{"sample claims another version", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Spans = []port.Span{{Version: 5, Tokens: 6}}
 		}, RuleVersionsTrue},
 		{"engine used another version", func(o *Observations) {
@@ -111,73 +111,73 @@
 		{"text of another prompt", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Text = o.Deliveries[1].Samples[0].Text
 		}, RuleVersionsTrue},
-		{"sample cut short", func(o *Observations) { o.Generations[1].Whole = 9 }, RuleVersionsTrue},
+		{"incomplete sample", func(o *Observations) { o.Generations[1].Whole = 9 }, RuleVersionsTrue},
 		{"sample without spans", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Spans, o.Deliveries[2].Samples[0].Tokens = nil, 0
 		}, RuleVersionsTrue},
-		{"caller told another version", func(o *Observations) {
+		{"completion claims another version", func(o *Observations) {
 			s := o.Deliveries[1].Samples[0]
 			o.Calls[0].Call, o.Calls[0].AnswerTo, o.Calls[0].Text = s.Call, s.Call, s.Text
 			o.Calls[0].Spans = []port.Span{{Version: 4, Tokens: 6}}
 		}, RuleVersionsTrue},
-		{"too old", func(o *Observations) { o.Deliveries[2].Version = 7 }, RuleStaleness},
+		{"stale sample", func(o *Observations) { o.Deliveries[2].Version = 7 }, RuleStaleness},
 		{"unknown version", func(o *Observations) { o.Deliveries[2].Samples[0].Spans[1].Version = 0 }, RuleStaleness},
 		{"new work while leaving", func(o *Observations) { o.Generations[1].StartedAt = 6 * second }, RuleDeparture},
 		{"new call while leaving", func(o *Observations) {
 			o.Departures[0].BackEnd, o.Executions[0].StartedAt = "app", 6*second
 		}, RuleDeparture},
-		{"new work from a zone that was told of the departure", func(o *Observations) {
+		{"new work from a zone that received the departure", func(o *Observations) {
 			o.Departures[0].From = "a"
 			o.Generations[1].From, o.Generations[1].StartedAt = "a", 6*second
 		}, RuleDeparture},
-		{"generation cut by a stop", func(o *Observations) {
+		{"generation interrupted by a stop", func(o *Observations) {
 			o.Generations[0].End, o.Generations[0].EndedAt = EndCut, 25*second
 		}, RulePlannedStop},
-		{"execution cut by a stop", func(o *Observations) {
+		{"execution interrupted by a stop", func(o *Observations) {
 			o.Executions[0].End, o.Executions[0].EndedAt, o.Executions[0].BackEnd = EndCut, 25*second, address
 			o.Departures = nil
 		}, RulePlannedStop},
-		{"caller cut by a stop", func(o *Observations) {
+		{"call interrupted by a stop", func(o *Observations) {
 			o.Calls[3].Outcome, o.Calls[3].EndedAt = OutcomeLost, 21*second
 		}, RulePlannedStop},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o := goodHistory()
-			c.spoil(&o)
-			found := Check(o, testBounds())
+			o := validHistory()
+			c.corrupt(&o)
+			found := Check(o, defaultBounds())
 			if !slices.ContainsFunc(found, func(v Violation) bool { return v.Rule == c.want }) {
-				t.Fatalf("rule %q did not fire; found %v", c.want, found)
+				t.Fatalf("rule %q not violated; found %v", c.want, found)
 			}
 		})
 	}
 }
 
 func TestResumedSampleIsTrue(t *testing.T) {
-	o := goodHistory()
+	o := validHistory()
 	resumed := o.Generations[0]
 	resumed.First, resumed.Spans = 4, resumed.Spans[1:]
 	o.Generations[0].Spans, o.Generations[0].End = o.Generations[0].Spans[:1], EndCancelled
 	o.Generations = append(o.Generations, resumed)
-	if found := Check(o, testBounds()); len(found) > 0 {
+	if found := Check(o, defaultBounds()); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
 
 func TestFaultExplainsFailureDuringStop(t *testing.T) {
-	o := goodHistory()
+	o := validHistory()
 	o.Calls[3].EndedAt = 21 * second
 	o.Faults = []Fault{{Kind: "crash", From: 10 * second, To: 22 * second}}
-	if found := Check(o, testBounds()); len(found) > 0 {
+	if found := Check(o, defaultBounds()); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
 
 func TestDepartureConcernsOnlyTheZoneThatWasTold(t *testing.T) {
-	o := goodHistory()
+	o := validHistory()
 	o.Departures[0].From = "a"
 	o.Generations[1].From, o.Generations[1].StartedAt = "b", 6*second
-	for _, found := range Check(o, testBounds()) {
+	for _, found := range Check(o, defaultBounds()) {
 		if found.Rule == RuleDeparture {
 			t.Errorf("%v", found)
 		}
--- a/internal/lab/audit/doc.go
+++ b/internal/lab/audit/doc.go
@@ -1,8 +1,7 @@
-// Package audit judges a run of loomgrade by what the systems around it saw:
-// engines and application services say what ran, trainers and callers what
-// arrived. Nothing that loomgrade says about itself is used.
+// Package audit checks a run of loomgrade against the observations of the systems around
+// it: engines and application services report what ran, trainers and callers what they
+// received. Nothing that loomgrade itself reports is used.
 //
-// Check is a pure function from Observations to Violations. Times are
-// durations since one origin that all observers of a run share; observers in
-// real time use the Unix epoch.
+// Check is a pure function of the Observations. Times are durations since an origin that
+// all observers share; observers in real time use the Unix epoch.
 package audit
--- a/internal/lab/audit/journal.go
+++ b/internal/lab/audit/journal.go
@@ -10,10 +10,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Entry is one line of a journal, the file to which a stand-in writes what it
-// sees, so that one that is killed is audited as well. A generation or an
-// execution is written when it begins and, under the same Work, when it ends;
-// the later line replaces the earlier one. Tokens come in between.
+// Entry is one line of a journal, the file that makes the observations of a killed
+// stand-in available to the audit. A generation or an execution is written when it starts
+// and again, with the same Work, when it ends; the later line replaces the earlier one.
+// Tokens lines may come in between.
 type Entry struct {
 	Observations
 	Tokens *WorkTokens `json:"tokens,omitempty"`
@@ -26,18 +26,18 @@
 	Count   int                `json:"count"`
 }
 
-// errUnknownWork says that a journal lacks the beginning of some work.
-var errUnknownWork = errors.New("tokens of work that the journal does not hold")
+// errUnknownWork is returned for tokens of a generation whose start is missing.
+var errUnknownWork = errors.New("journal: tokens of unknown work")
 
-// ReadJournal gives what a journal holds. A last line without its end, which a
-// killed stand-in leaves, is passed over.
+// ReadJournal returns the observations in a journal. It ignores an incomplete last line,
+// which a killed stand-in leaves.
 func ReadJournal(journal io.Reader) (Observations, error) {
-	reading := journalReader{generations: map[string]int{}, executions: map[string]int{}}
+	reader := journalReader{generations: map[string]int{}, executions: map[string]int{}}
 	lines := bufio.NewReader(journal)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return reading.seen, nil
+			return reader.observations, nil
 		}
 		if err != nil {
 			return Observations{}, fmt.Errorf("read a journal: %w", err)
@@ -46,46 +46,46 @@
 		if err := json.Unmarshal(line, &entry); err != nil {
 			return Observations{}, fmt.Errorf("journal line %q: %w", line, err)
 		}
-		if err := reading.take(entry); err != nil {
+		if err := reader.apply(entry); err != nil {
 			return Observations{}, err
 		}
 	}
 }
 
-// journalReader holds what was read so far and, by Work, where it stands.
+// journalReader holds the observations read so far and the index of each Work.
 type journalReader struct {
-	seen        Observations
-	generations map[string]int
-	executions  map[string]int
+	observations Observations
+	generations  map[string]int
+	executions   map[string]int
 }
 
-func (j *journalReader) take(entry Entry) error {
+func (j *journalReader) apply(entry Entry) error {
 	if tokens := entry.Tokens; tokens != nil {
 		index, known := j.generations[tokens.Work]
 		if !known {
 			return fmt.Errorf("%w: %s", errUnknownWork, tokens.Work)
 		}
-		generation := &j.seen.Generations[index]
+		generation := &j.observations.Generations[index]
 		generation.Spans = port.AppendTokens(generation.Spans, tokens.Version, tokens.Count)
 		return nil
 	}
 	for _, generation := range entry.Generations {
-		put(j.generations, &j.seen.Generations, generation.Work, generation)
+		upsert(j.generations, &j.observations.Generations, generation.Work, generation)
 	}
 	for _, execution := range entry.Executions {
-		put(j.executions, &j.seen.Executions, execution.Work, execution)
+		upsert(j.executions, &j.observations.Executions, execution.Work, execution)
 	}
 	entry.Generations, entry.Executions = nil, nil
-	j.seen.Merge(entry.Observations)
+	j.observations.Merge(entry.Observations)
 	return nil
 }
 
-// put replaces what stands under a name of work, or adds it.
-func put[Kind any](places map[string]int, all *[]Kind, work string, latest Kind) {
-	if place, known := places[work]; known {
-		(*all)[place] = latest
+// upsert replaces the entry of a work id, or adds it.
+func upsert[Kind any](indexes map[string]int, all *[]Kind, work string, latest Kind) {
+	if index, known := indexes[work]; known {
+		(*all)[index] = latest
 		return
 	}
-	places[work] = len(*all)
+	indexes[work] = len(*all)
 	*all = append(*all, latest)
 }
--- a/internal/lab/audit/journal_test.go
+++ b/internal/lab/audit/journal_test.go
@@ -23,18 +23,18 @@
 		{"work in progress", begin + tokens + more, Observations{
 			Generations: []Generation{{Work: "1", RequestID: "r1", Spans: spans}},
 		}, false},
-		{"the end replaces the beginning", begin + tokens + end, Observations{
+		{"end replaces start", begin + tokens + end, Observations{
 			Generations: []Generation{{Work: "1", RequestID: "r1", Spans: spans[:1], End: EndFinished}},
 		}, false},
-		{"executions and other things", `{"executions":[{"work":"2"}]}` + "\n" + `{"executions":[{"work":"2","end":"cut"}]}` + "\n" +
+		{"executions and deliveries", `{"executions":[{"work":"2"}]}` + "\n" + `{"executions":[{"work":"2","end":"cut"}]}` + "\n" +
 			`{"deliveries":[{"batch":3}]}` + "\n", Observations{
 			Executions: []Execution{{Work: "2", End: EndCut}}, Deliveries: []Delivery{{Batch: 3}},
 		}, false},
-		{"last line torn", begin + tokens[:20], Observations{
+		{"incomplete last line", begin + tokens[:20], Observations{
 			Generations: []Generation{{Work: "1", RequestID: "r1"}},
 		}, false},
-		{"corrupt middle", begin[:20] + "\n" + begin, Observations{}, true},
-		{"beginning lost", tokens, Observations{}, true},
+		{"corrupt line", begin[:20] + "\n" + begin, Observations{}, true},
+		{"missing start", tokens, Observations{}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,14 +49,14 @@
 	}
 }
 
-// A stay that a killed engine left unfinished counts with what it produced.
+// An unfinished generation of a killed engine counts with the tokens it produced.
 func TestTokensOfUnfinishedWorkCount(t *testing.T) {
-	o := goodHistory()
+	o := validHistory()
 	resumed := o.Generations[0]
 	resumed.First, resumed.Spans = 4, resumed.Spans[1:]
 	o.Generations[0].Spans, o.Generations[0].End, o.Generations[0].EndedAt = o.Generations[0].Spans[:1], "", time.Duration(0)
 	o.Generations = append(o.Generations, resumed)
-	if found := Check(o, testBounds()); len(found) > 0 {
+	if found := Check(o, defaultBounds()); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
--- a/internal/lab/audit/observations.go
+++ b/internal/lab/audit/observations.go
@@ -9,36 +9,35 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// End says how work at a back end ended.
+// End is how work at a back end ended.
 type End string
 
-// Ways for work to end. Work that was still going on when the observations
-// were taken has the empty End.
+// Ends of work. Work in progress has the empty End.
 const (
-	EndFinished  End = "finished"  // the whole answer was written
-	EndCancelled End = "cancelled" // the asker cancelled it or went away
-	EndExported  End = "exported"  // its KV state was moved elsewhere
+	EndFinished  End = "finished"  // the complete answer was written
+	EndCancelled End = "cancelled" // the caller cancelled it or disconnected
+	EndExported  End = "exported"  // its KV cache was exported
 	EndCrashed   End = "crashed"   // the back end crashed
 	EndCut       End = "cut"       // the back end closed the connection early
 )
 
-// Generation is one stay of a request on an engine.
+// Generation is the part of a request that ran on one engine.
 type Generation struct {
-	// Work names the stay in a journal; see Entry.
+	// Work identifies the generation in a journal; see Entry.
 	Work      string `json:"work,omitempty"`
 	Engine    string `json:"engine"` // address
 	RequestID string `json:"request_id"`
-	// From is the zone of the process that sent the request, if it is known.
+	// From is the zone of the process that sent the request, if known.
 	From string `json:"from,omitempty"`
-	// Call is PromptKey of the prompt.
+	// Call is the PromptKey of the prompt.
 	Call string `json:"call"`
 	// Key is the content key of prompt and seed.
 	Key uint64 `json:"key"`
-	// First is the position of the first token generated in this stay.
+	// First is the position of the first generated token.
 	First int `json:"first"`
-	// Whole is the length of the complete output from position 0.
+	// Whole is the length of the complete output, counted from position 0.
 	Whole int `json:"whole"`
-	// Spans are the tokens produced, with the versions that truly did.
+	// Spans are the generated tokens, by the version that generated them.
 	Spans     []port.Span   `json:"spans"`
 	StartedAt time.Duration `json:"started_at"`
 	EndedAt   time.Duration `json:"ended_at"`
@@ -47,11 +46,11 @@
 
 // Execution is one run of a call on an application service.
 type Execution struct {
-	// Work names the run in a journal; see Entry.
+	// Work identifies the execution in a journal; see Entry.
 	Work      string `json:"work,omitempty"`
 	BackEnd   string `json:"back_end"` // address
 	RequestID string `json:"request_id"`
-	// From is the zone of the process that sent the request, if it is known.
+	// From is the zone of the process that sent the request, if known.
 	From      string        `json:"from,omitempty"`
 	Call      string        `json:"call"`
 	StartedAt time.Duration `json:"started_at"`
@@ -59,29 +58,28 @@
 	End       End           `json:"end"`
 }
 
-// Outcome is what a caller was told.
+// Outcome is the result of a call as its caller received it.
 type Outcome string
 
 // Outcomes of a call.
 const (
 	OutcomeAnswered   Outcome = "answered"
-	OutcomeNotRun     Outcome = "not_run"      // refused or failed with this verdict
-	OutcomeMayHaveRun Outcome = "may_have_run" // failed with this verdict, or without one
-	OutcomeRan        Outcome = "ran"          // failed with this verdict
-	OutcomeLost       Outcome = "lost"         // the connection ended without a whole answer
-	OutcomeLeft       Outcome = "left"         // the caller itself gave up
+	OutcomeNotRun     Outcome = "not_run"      // error with this verdict
+	OutcomeMayHaveRun Outcome = "may_have_run" // error with this verdict, or without one
+	OutcomeRan        Outcome = "ran"          // error with this verdict
+	OutcomeLost       Outcome = "lost"         // the connection ended before the complete answer
+	OutcomeLeft       Outcome = "left"         // the caller gave up
 )
 
-// Call is one attempt of a caller. A resend is a further Call with the same
-// key.
+// Call is one attempt of a caller. A retry is another Call with the same key.
 type Call struct {
 	Class   string  `json:"class"`  // kind of caller
-	Target  string  `json:"target"` // address that was asked
-	Call    string  `json:"call"`   // unique key of the content asked for
+	Target  string  `json:"target"` // address of the called process
+	Call    string  `json:"call"`   // unique key of the requested content
 	Unsafe  bool    `json:"unsafe"` // must run at most once
 	Outcome Outcome `json:"outcome"`
-	// AnswerTo is the key that the answer's content belongs to, and Whole says
-	// that all of the content was there.
+	// AnswerTo is the key of the call that the answer's content belongs to; Whole
+	// reports whether the content was complete.
 	AnswerTo  string        `json:"answer_to,omitempty"`
 	Whole     bool          `json:"whole,omitempty"`
 	Text      string        `json:"text,omitempty"` // of a completion
@@ -91,21 +89,21 @@
 	EndedAt   time.Duration `json:"ended_at"`
 }
 
-// Delivery is one batch that a trainer received whole.
+// Delivery is one batch that a trainer received completely.
 type Delivery struct {
 	Trainer string `json:"trainer"`
 	Pool    string `json:"pool"`
 	Batch   uint64 `json:"batch"`
 	Attempt uint32 `json:"attempt"`
-	// Version is the trainer's own newest version on receipt.
+	// Version is the trainer's newest version on receipt.
 	Version port.WeightVersion `json:"version"`
-	// AskedAt is when the trainer asked, HeadAt when the head of the answer came and
-	// HeadVersion the trainer's version then; all are 0 if the trainer does not note them.
-	AskedAt     time.Duration      `json:"asked_at,omitempty"`
-	HeadAt      time.Duration      `json:"head_at,omitempty"`
-	HeadVersion port.WeightVersion `json:"head_version,omitempty"`
-	// Trained says that the trainer learned from the batch and kept it: false
-	// when a crash lost it before it was acknowledged.
+	// RequestedAt is when the trainer sent the request, HeaderAt when the response header
+	// arrived and HeaderVersion the trainer's version then; 0 if not recorded.
+	RequestedAt   time.Duration      `json:"asked_at,omitempty"`
+	HeaderAt      time.Duration      `json:"head_at,omitempty"`
+	HeaderVersion port.WeightVersion `json:"head_version,omitempty"`
+	// Trained reports whether the trainer trained on the batch. It is false if a crash
+	// lost the batch before it was acknowledged.
 	Trained bool          `json:"trained"`
 	At      time.Duration `json:"at"`
 	Samples []Sample      `json:"samples"`
@@ -121,24 +119,23 @@
 	Spans  []port.Span      `json:"spans"`
 }
 
-// Departure says that a back end is leaving.
+// Departure is the announcement that a back end is leaving.
 type Departure struct {
 	BackEnd string `json:"back_end"` // address
 	// From limits the departure to requests from one zone; empty means all.
 	From string `json:"from,omitempty"`
-	// SignalledAt is when the machine list first showed it as leaving, to the
-	// zone.
+	// SignalledAt is when the machine list first showed the zone that it is leaving.
 	SignalledAt time.Duration `json:"signalled_at"`
 }
 
-// PlannedStop is an orderly stop of a process, from the signal to its exit.
+// PlannedStop is a graceful stop of a process, from the signal to its exit.
 type PlannedStop struct {
 	Process string        `json:"process"` // address
 	From    time.Duration `json:"from"`
 	To      time.Duration `json:"to"`
 }
 
-// Fault is a disturbance that the run's driver caused.
+// Fault is a fault injected by the test driver.
 type Fault struct {
 	Target string        `json:"target"`
 	Kind   string        `json:"kind"`
@@ -146,7 +143,7 @@
 	To     time.Duration `json:"to"`
 }
 
-// Observations is everything seen in a run.
+// Observations holds the observations of a run.
 type Observations struct {
 	Generations  []Generation  `json:"generations,omitempty"`
 	Executions   []Execution   `json:"executions,omitempty"`
@@ -157,7 +154,7 @@
 	Faults       []Fault       `json:"faults,omitempty"`
 }
 
-// Merge adds the observations of another observer.
+// Merge appends the observations of another observer.
 func (o *Observations) Merge(other Observations) {
 	o.Generations = append(o.Generations, other.Generations...)
 	o.Executions = append(o.Executions, other.Executions...)
@@ -168,8 +165,8 @@
 	o.Faults = append(o.Faults, other.Faults...)
 }
 
-// PromptKey returns the key of a completion call. Callers make their prompts
-// unique, so that the key names one call.
+// PromptKey returns the key of a completion call, derived from its prompt. Callers use
+// unique prompts.
 func PromptKey(prompt string) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt), 16)
 }
--- a/internal/lab/audit/samples.go
+++ b/internal/lab/audit/samples.go
@@ -8,17 +8,16 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// distinctTokens is the length from which equal texts of one prompt cannot be
-// a coincidence of two seeds.
-const distinctTokens = 4
+// minDistinctTokens is the length from which two seeds cannot produce equal texts for one
+// prompt by chance.
+const minDistinctTokens = 4
 
-// trained returns the deliveries that trainers kept.
+// trained returns the deliveries that were trained on.
 func trained(o Observations) []Delivery {
 	return slices.DeleteFunc(slices.Clone(o.Deliveries), func(d Delivery) bool { return !d.Trained })
 }
 
-// checkSampleOnce finds samples that were trained on twice, by id or by
-// content.
+// checkSampleOnce returns samples that were trained on twice, by id or by content.
 func checkSampleOnce(o Observations) []Violation {
 	type content struct{ pool, call, text string }
 	type identity struct{ pool, id string }
@@ -33,10 +32,10 @@
 				continue
 			}
 			ids[id] = delivery.Batch
-			if sample.Tokens < distinctTokens {
+			if sample.Tokens < minDistinctTokens {
 				continue
 			}
-			same := content{delivery.Pool, sample.Call, withoutVersions(sample.Text)}
+			same := content{delivery.Pool, sample.Call, maskVersions(sample.Text)}
 			if earlier, again := contents[same]; again {
 				found = append(found, Violation{RuleSampleOnce, sample.ID, "same content as " + earlier})
 			}
@@ -46,9 +45,9 @@
 	return found
 }
 
-// withoutVersions blanks the version digits of a text, so that two runs of
-// one seed compare equal under different weights.
-func withoutVersions(text string) string {
+// maskVersions replaces the version digits of a text, so that runs of one seed under
+// different weights compare equal.
+func maskVersions(text string) string {
 	blank := []byte(text)
 	for i := 0; i < len(blank); i += engine.BytesPerToken {
 		blank[i] = '.'
@@ -56,9 +55,9 @@
 	return string(blank)
 }
 
-// checkNothingLost finds gaps in the batches that a pool's trainer kept, and
-// prompts that were passed over.
-func checkNothingLost(o Observations, bounds Bounds) []Violation {
+// checkSampleLost returns batches and prompts that a pool's trainer never received, and
+// batches that it trained on twice.
+func checkSampleLost(o Observations, bounds Bounds) []Violation {
 	batches, prompts := map[string]map[uint64]int{}, map[string]map[port.PromptIndex]bool{}
 	for _, delivery := range trained(o) {
 		if batches[delivery.Pool] == nil {
@@ -84,7 +83,7 @@
 				found = append(found, Violation{RuleSampleLost, pool, fmt.Sprintf("batch %d never arrived", number)})
 			}
 		}
-		found = append(found, promptsPassedOver(pool, prompts[pool], bounds.PromptWindow)...)
+		found = append(found, checkPromptWindow(pool, prompts[pool], bounds.PromptWindow)...)
 	}
 	for pool, done := range bounds.PromptsDone {
 		found = append(found, missingPrompts(pool, prompts[pool], 0, done)...)
@@ -92,9 +91,9 @@
 	return found
 }
 
-// promptsPassedOver finds prompts that are more than a window below the highest
-// delivered one and did not arrive.
-func promptsPassedOver(pool string, seen map[port.PromptIndex]bool, window uint64) []Violation {
+// checkPromptWindow returns missing prompts that are more than a window below the highest
+// delivered one.
+func checkPromptWindow(pool string, seen map[port.PromptIndex]bool, window uint64) []Violation {
 	if window == 0 || len(seen) == 0 {
 		return nil
 	}
@@ -108,7 +107,7 @@
 	return missingPrompts(pool, seen, lowest, highest-port.PromptIndex(window))
 }
 
-// missingPrompts finds prompts from first to below end that did not arrive.
+// missingPrompts returns a violation for each missing prompt from first to before end.
 func missingPrompts(pool string, seen map[port.PromptIndex]bool, first, end port.PromptIndex) []Violation {
 	var found []Violation
 	for prompt := first; prompt < end; prompt++ {
@@ -119,8 +118,8 @@
 	return found
 }
 
-// checkVersions holds the spans of every delivered sample and completion
-// against its text and against what engines produced.
+// checkVersions compares the spans of every delivered sample and completion with its text
+// and with the generations of engines.
 func checkVersions(o Observations, index runIndex) []Violation {
 	var found []Violation
 	report := func(subject, detail string) {
@@ -134,21 +133,21 @@
 				report(sample.ID, fmt.Sprintf("%d tokens, but spans of %d", sample.Tokens, tokenCount(sample.Spans)))
 				continue
 			}
-			report(sample.ID, textFault(sample.Text, sample.Spans, index.generations[sample.Call]))
+			report(sample.ID, checkText(sample.Text, sample.Spans, index.generations[sample.Call]))
 		}
 	}
 	for _, call := range o.Calls {
 		if call.Outcome == OutcomeAnswered && call.Text != "" {
-			report(call.Call, textFault(call.Text, call.Spans, index.generations[call.Call]))
+			report(call.Call, checkText(call.Text, call.Spans, index.generations[call.Call]))
 		}
 	}
 	return found
 }
 
-// textFault says what is wrong with a text and its spans, or nothing. The
-// text must be whole, carry the digits of the claimed versions, and have been
-// produced by the engines' generations under just these versions.
-func textFault(text string, spans []port.Span, generations []Generation) string {
+// checkText returns what is wrong with a text and its spans, or "". The text must be
+// complete, have the digits of the claimed versions, and match the engines' generations
+// under these versions.
+func checkText(text string, spans []port.Span, generations []Generation) string {
 	if len(text) != tokenCount(spans)*engine.BytesPerToken {
 		return fmt.Sprintf("text of %d bytes for spans of %d tokens", len(text), tokenCount(spans))
 	}
@@ -156,20 +155,20 @@
 	for _, span := range spans {
 		for range span.Tokens {
 			if digit := text[len(versions)*engine.BytesPerToken]; digit != engine.VersionDigit(span.Version) {
-				return fmt.Sprintf("token %d claims version %d, but its text says %q", len(versions), span.Version, digit)
+				return fmt.Sprintf("token %d claims version %d, but its text has %q", len(versions), span.Version, digit)
 			}
 			versions = append(versions, span.Version)
 		}
 	}
-	return contentFault(text, versions, generations)
+	return checkContent(text, versions, generations)
 }
 
-func contentFault(text string, versions []port.WeightVersion, generations []Generation) string {
+func checkContent(text string, versions []port.WeightVersion, generations []Generation) string {
 	matching := slices.DeleteFunc(slices.Clone(generations), func(g Generation) bool {
 		return !engine.SameContent(text, g.Key)
 	})
 	if len(matching) == 0 {
-		return fmt.Sprintf("no engine produced the text %q", text[:min(len(text), recordedTextLimit)])
+		return fmt.Sprintf("no engine produced the text %q", text[:min(len(text), maxQuotedBytes)])
 	}
 	if !slices.ContainsFunc(matching, func(g Generation) bool { return g.Whole == len(versions) }) {
 		return fmt.Sprintf("%d tokens of an output of %d", len(versions), matching[0].Whole)
@@ -200,36 +199,35 @@
 	return engine.UnknownVersion
 }
 
-// checkStaleness compares every delivered sample with the trainer's version
-// on receipt.
+// checkStaleness compares every delivered sample with the trainer's version on receipt.
 func checkStaleness(o Observations, bounds Bounds) []Violation {
 	var found []Violation
 	for _, delivery := range o.Deliveries {
-		bound, bounded := bounds.Staleness[delivery.Pool]
-		if !bounded {
+		limit, limited := bounds.Staleness[delivery.Pool]
+		if !limited {
 			continue
 		}
 		for _, sample := range delivery.Samples {
 			oldest := port.OldestVersion(sample.Spans)
 			if oldest == engine.UnknownVersion {
-				found = append(found, Violation{RuleStaleness, sample.ID, "holds tokens of an unknown version"})
+				found = append(found, Violation{RuleStaleness, sample.ID, "has tokens of an unknown version"})
 				continue
 			}
-			if age := uint64(max(delivery.Version, oldest) - oldest); age > bound {
-				detail := fmt.Sprintf("age %d, bound %d, trainer at version %d", age, bound, delivery.Version)
-				found = append(found, Violation{RuleStaleness, sample.ID, detail + delivery.course()})
+			if age := uint64(max(delivery.Version, oldest) - oldest); age > limit {
+				detail := fmt.Sprintf("age %d, limit %d, trainer at version %d", age, limit, delivery.Version)
+				found = append(found, Violation{RuleStaleness, sample.ID, detail + delivery.details()})
 			}
 		}
 	}
 	return found
 }
 
-// course tells when an answer came, as far as its trainer noted it: what it says of the
-// service's knowledge depends on whether the trainer went on while it read.
-func (d *Delivery) course() string {
-	if d.HeadAt == 0 {
+// details describes the times of a delivery, if recorded: the trainer may have published
+// versions while it read the response.
+func (d *Delivery) details() string {
+	if d.HeaderAt == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; batch %d asked for at %v, head at %v at version %d, read at %v",
-		d.Batch, d.AskedAt, d.HeadAt, d.HeadVersion, d.At)
+	return fmt.Sprintf("; batch %d requested at %v, header at %v at version %d, read at %v",
+		d.Batch, d.RequestedAt, d.HeaderAt, d.HeaderVersion, d.At)
 }
--- a/internal/lab/standin/trainer.go
+++ b/internal/lab/standin/trainer.go
@@ -246,7 +246,7 @@
 	delivery := audit.Delivery{
 		Trainer: t.config.Name, Pool: t.config.Pool, Batch: batch.Number, Attempt: batch.Attempt,
 		Version: port.WeightVersion(t.Stats().Version), At: unixNow(),
-		AskedAt: batch.requestedAt, HeadAt: batch.headerAt, HeadVersion: port.WeightVersion(batch.headerVersion),
+		RequestedAt: batch.requestedAt, HeaderAt: batch.headerAt, HeaderVersion: port.WeightVersion(batch.headerVersion),
 	}
 	for _, sample := range batch.Samples {
 		delivery.Samples = append(delivery.Samples, audit.Sample{
