--- a/internal/lab/report/bars.go
+++ b/internal/lab/report/bars.go
@@ -9,22 +9,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// bar is one horizontal bar with its interval and its limit, if it has one.
+// bar is one horizontal bar with its interval and an optional limit.
 type bar struct {
-	name        string
-	value, half float64
-	limit       *float64
-	shade       color.Color
+	name             string
+	value, halfWidth float64
+	limit            *float64
+	shade            color.Color
 }
 
-// The colours of bars: baselines are grey.
+// Colors of bars.
 var (
 	baselineShade  = color.Gray{Y: 0xAA}
 	loomgradeShade = palette[4]
 )
 
-// barChart draws horizontal bars, the first on top, with their intervals as
-// whiskers and their limits as black lines across them.
+// barChart draws horizontal bars from top to bottom, with intervals as whiskers and limits
+// as black lines across the bars.
 func barChart(xLabel string, bars []bar) ([]byte, error) {
 	drawing := newPlot(xLabel, "")
 	points := make(plotter.XYs, len(bars))
@@ -34,7 +34,7 @@
 		position := len(bars) - 1 - index
 		names[position] = bar.name
 		points[position] = plotter.XY{X: bar.value, Y: float64(position)}
-		halves[position] = bar.half
+		halves[position] = bar.halfWidth
 		if err := addBar(drawing, bar, float64(position)); err != nil {
 			return nil, err
 		}
@@ -71,15 +71,14 @@
 	return nil
 }
 
-// stack is a part of every bar of a stacked chart.
-type stack struct {
+// stackLayer is one segment of every bar of a stacked chart.
+type stackLayer struct {
 	name   string
 	values []float64
 }
 
-// stackedBars draws horizontal bars, the first on top, each made of the values
-// of all stacks.
-func stackedBars(xLabel string, names []string, stacks []stack) ([]byte, error) {
+// stackedBars draws horizontal bars from top to bottom, each with one segment per layer.
+func stackedBars(xLabel string, names []string, stacks []stackLayer) ([]byte, error) {
 	drawing := newPlot(xLabel, "")
 	legend := newLegend()
 	var below *plotter.BarChart
@@ -101,20 +100,20 @@
 	return renderBars(drawing, reversed(names), &legend)
 }
 
-// renderBars labels and draws a plot of bars, named from the bottom up.
+// renderBars labels and draws a plot of bars. The names are ordered from bottom to top.
 func renderBars(drawing *plot.Plot, names []string, legend *plot.Legend) ([]byte, error) {
 	drawing.NominalY(names...)
 	drawing.X.Min = 0
 	drawing.X.Max *= headroom
-	widen(&drawing.X)
+	ensureRange(&drawing.X)
 	return render(drawing, legend, barFrame+vg.Length(len(names))*barHeight)
 }
 
-// reversed gives a copy from the last to the first.
+// reversed returns a reversed copy.
 func reversed[T any](values []T) []T {
-	turned := make([]T, 0, len(values))
+	result := make([]T, 0, len(values))
 	for index := len(values) - 1; index >= 0; index-- {
-		turned = append(turned, values[index])
+		result = append(result, values[index])
 	}
-	return turned
+	return result
 }
--- a/internal/lab/report/comparison.go
+++ b/internal/lab/report/comparison.go
@@ -9,8 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/lab/experiment"
 )
 
-// WriteComparison writes one line for each figure that changed, or for every
-// figure, and the counts of the verdicts.
+// WriteComparison writes one line for each figure that changed, or for all figures, and
+// the number of each verdict.
 func WriteComparison(output io.Writer, changes []experiment.Change, all bool) error {
 	table := Table{
 		Title:  "Comparison, second less first",
@@ -24,7 +24,7 @@
 		}
 		table.add(
 			change.Point, change.Variant, change.Figure+" "+change.Unit,
-			number(change.Before), number(change.After), interval(change.Difference), source(change), string(change.Verdict),
+			number(change.Before), number(change.After), interval(change.Difference), intervalSource(change), string(change.Verdict),
 		)
 	}
 	if len(table.Rows) > 0 {
@@ -37,8 +37,8 @@
 	return eris.Wrap(err, "write comparison")
 }
 
-// source says which runs the interval comes from.
-func source(change experiment.Change) string {
+// intervalSource describes the runs that the interval was computed from.
+func intervalSource(change experiment.Change) string {
 	switch {
 	case !change.Difference.Known:
 		return "too few seeds"
--- a/internal/lab/report/doc.go
+++ b/internal/lab/report/doc.go
@@ -1,7 +1,6 @@
-// Package report shows the results of an experiment: tables as text, and one
-// HTML page with tables and plots that needs no other file.
+// Package report renders the results of an experiment: tables as text, and a
+// self-contained HTML page with tables and plots.
 //
-// Every number comes from the results alone, so a report can be made again from
-// a results file. Where a physical limit is known it stands beside the result,
-// with the ratio of the two.
+// A report depends only on the results, so it can be rebuilt from a results file. Known
+// physical limits are listed next to the results, with the ratio of the two.
 package report
--- a/internal/lab/report/draw.go
+++ b/internal/lab/report/draw.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 )
 
-// Figure is a plot as PNG with its title and an explanation.
+// Figure is a plot as PNG with a title and a note.
 type Figure struct {
 	Title string
 	Note  string
@@ -35,8 +35,8 @@
 	lineWidth     = 1.5 * vg.Inch / 72
 )
 
-// palette is that of Okabe and Ito, which colour-blind readers can tell apart,
-// without its yellow, which is too faint for lines.
+// palette is the color-blind safe palette of Okabe and Ito, without yellow, which is too
+// faint for lines.
 var palette = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xB2, A: 0xFF},
 	color.RGBA{R: 0xD5, G: 0x5E, B: 0x00, A: 0xFF},
@@ -47,10 +47,10 @@
 	color.RGBA{R: 0x40, G: 0x40, B: 0x40, A: 0xFF},
 }
 
-// dashes tell lines apart whose colours repeat.
+// dashes distinguish lines whose colors repeat.
 var dashes = [][]vg.Length{nil, {vg.Length(6), vg.Length(3)}, {vg.Length(2), vg.Length(2)}}
 
-// lineStyle gives the style of the line at a position.
+// lineStyle returns the style of the n-th line.
 func lineStyle(index int) draw.LineStyle {
 	return draw.LineStyle{
 		Color:  palette[index%len(palette)],
@@ -64,7 +64,7 @@
 	name   string
 	points plotter.XYs
 	errors []float64
-	// limit marks a physical limit, drawn black and dashed.
+	// limit marks a physical limit, drawn in black and dashed.
 	limit bool
 }
 
@@ -77,14 +77,14 @@
 	lines          []line
 }
 
-// png draws the chart with its legend to the right. It gives nil where there is
-// nothing to draw.
+// png draws the chart with its legend on the right. It returns nil if there is nothing to
+// draw.
 func (c chart) png() ([]byte, error) {
 	drawing := newPlot(c.xLabel, c.yLabel)
 	legend := newLegend()
 	drawn := 0
 	for index, line := range c.lines {
-		points := c.drawable(line.points)
+		points := c.drawablePoints(line.points)
 		if len(points) == 0 {
 			continue
 		}
@@ -110,15 +110,16 @@
 	return render(drawing, &legend, lineHeight)
 }
 
-// drawable leaves out what a logarithmic axis cannot show.
-func (c chart) drawable(points plotter.XYs) plotter.XYs {
-	var kept plotter.XYs
+// drawablePoints returns the points that the axes can show: a logarithmic axis only shows
+// positive values.
+func (c chart) drawablePoints(points plotter.XYs) plotter.XYs {
+	var drawable plotter.XYs
 	for _, point := range points {
 		if !c.logarithmicY || point.Y > 0 {
-			kept = append(kept, point)
+			drawable = append(drawable, point)
 		}
 	}
-	return kept
+	return drawable
 }
 
 func (c chart) scale(drawing *plot.Plot) {
@@ -132,19 +133,19 @@
 	if c.logarithmicY {
 		drawing.Y.Scale = plot.LogScale{}
 		drawing.Y.Tick.Marker = plot.LogTicks{Prec: -1}
-		// Whole decades keep at least two labelled ticks.
+		// Limits at powers of ten give the axis at least two labelled ticks.
 		drawing.Y.Min = math.Pow(10, math.Floor(math.Log10(drawing.Y.Min)))
 		drawing.Y.Max = math.Pow(10, math.Ceil(math.Log10(drawing.Y.Max*1.01)))
 	}
-	widen(&drawing.X)
-	widen(&drawing.Y)
+	ensureRange(&drawing.X)
+	ensureRange(&drawing.Y)
 }
 
-// headroom keeps the largest value off the edge.
+// headroom keeps the largest value away from the edge.
 const headroom = 1.05
 
-// widen gives an axis of one value a range.
-func widen(axis *plot.Axis) {
+// ensureRange widens an axis whose values are all equal.
+func ensureRange(axis *plot.Axis) {
 	if axis.Max <= axis.Min {
 		axis.Max = axis.Min + 1
 	}
@@ -169,19 +170,19 @@
 	halves []float64
 }
 
-// Len gives the number of points.
+// Len implements plotter.XYer.
 func (i intervals) Len() int { return len(i.points) }
 
-// XY gives a point.
+// XY implements plotter.XYer.
 func (i intervals) XY(index int) (x, y float64) { return i.points[index].X, i.points[index].Y }
 
-// XError gives the ends of a point's interval, relative to it.
+// XError implements plotter.XErrorer.
 func (i intervals) XError(index int) (low, high float64) { return i.halves[index], i.halves[index] }
 
-// YError gives the ends of a point's interval, relative to it.
+// YError implements plotter.YErrorer.
 func (i intervals) YError(index int) (low, high float64) { return i.halves[index], i.halves[index] }
 
-// newPlot gives an empty plot with a grid.
+// newPlot returns an empty plot with a grid.
 func newPlot(xLabel, yLabel string) *plot.Plot {
 	drawing := plot.New()
 	drawing.X.Label.Text = xLabel
@@ -195,10 +196,10 @@
 	return drawing
 }
 
-// plainTicks labels an axis with as few digits as the values need.
+// plainTicks labels an axis with few digits.
 type plainTicks struct{}
 
-// Ticks gives the positions between two ends, with labels at the main ones.
+// Ticks implements plot.Ticker.
 func (plainTicks) Ticks(low, high float64) []plot.Tick {
 	ticks := plot.DefaultTicks{}.Ticks(low, high)
 	for index := range ticks {
@@ -218,14 +219,14 @@
 	return legend
 }
 
-// render draws a plot, with the legend to its right if there is one.
+// render draws a plot, with an optional legend on the right.
 func render(drawing *plot.Plot, legend *plot.Legend, height vg.Length) ([]byte, error) {
 	canvas := vgimg.New(plotWidth, height)
-	whole := draw.New(canvas)
-	area := draw.Crop(whole, margin, -margin, 0, -margin)
+	full := draw.New(canvas)
+	area := draw.Crop(full, margin, -margin, 0, -margin)
 	if legend != nil {
-		area = draw.Crop(whole, margin, -legendWidth, 0, -margin)
-		legend.Draw(draw.Crop(whole, plotWidth-legendWidth+legendPadding, 0, 0, -legendPadding))
+		area = draw.Crop(full, margin, -legendWidth, 0, -margin)
+		legend.Draw(draw.Crop(full, plotWidth-legendWidth+legendPadding, 0, 0, -legendPadding))
 	}
 	drawing.Draw(area)
 	var content bytes.Buffer
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -13,21 +13,21 @@
 	"github.com/loomgrade/loomgrade/internal/lab/experiment"
 )
 
-// figureMaker makes one plot, with nil PNG where there is nothing to show.
-type figureMaker func() (Figure, error)
+// figureFunc draws one plot. The PNG is nil if there is nothing to show.
+type figureFunc func() (Figure, error)
 
 // Figures draws all plots of a report.
 func Figures(results *experiment.Results) ([]Figure, error) {
 	base := results.Base()
-	makers := []figureMaker{
+	makers := []figureFunc{
 		func() (Figure, error) { return idleFigure(results) },
-		func() (Figure, error) { return ageFigure(base) },
+		func() (Figure, error) { return stalenessFigure(base) },
 		func() (Figure, error) {
 			return quantileFigure(base, experiment.DistributionStaleSeconds,
 				"Staleness of delivered samples, in seconds", "seconds since the oldest version was replaced")
 		},
 	}
-	for _, class := range parts(base, experiment.FigureLatencyP50) {
+	for _, class := range figureParts(base, experiment.FigureLatencyP50) {
 		makers = append(makers, func() (Figure, error) {
 			return quantileFigure(base, experiment.DistributionLatency+"/"+class, "Latency of "+class, "milliseconds")
 		})
@@ -35,12 +35,12 @@
 	makers = append(makers, func() (Figure, error) {
 		return quantileFigure(base, experiment.DistributionLongSamples, "Long samples, from first start to score", "seconds")
 	})
-	makers = append(makers, seriesMakers(results)...)
-	makers = append(makers, sweepMakers(results)...)
-	return makeAll(makers)
+	makers = append(makers, seriesFigures(results)...)
+	makers = append(makers, sweepFigures(results)...)
+	return drawAll(makers)
 }
 
-func makeAll(makers []figureMaker) ([]Figure, error) {
+func drawAll(makers []figureFunc) ([]Figure, error) {
 	var figures []Figure
 	for _, maker := range makers {
 		figure, err := maker()
@@ -54,7 +54,7 @@
 	return figures, nil
 }
 
-// idleFigure shows the idle share of every variant.
+// idleFigure plots the idle share of every variant.
 func idleFigure(results *experiment.Results) (Figure, error) {
 	figure := Figure{
 		Title: "Trainer idle share by variant",
@@ -66,7 +66,7 @@
 		if !known {
 			continue
 		}
-		one := bar{name: variant.Name, value: summary.Mean, half: summary.Half, limit: summary.Limit, shade: loomgradeShade}
+		one := bar{name: variant.Name, value: summary.Mean, halfWidth: summary.Half, limit: summary.Limit, shade: loomgradeShade}
 		if isBaseline(results.Settings, variant.Name) {
 			one.shade = baselineShade
 		}
@@ -89,11 +89,11 @@
 	return false
 }
 
-// ageFigure shows how many of the delivered samples were how many versions old.
-func ageFigure(point experiment.Point) (Figure, error) {
+// stalenessFigure plots the share of delivered samples by age in versions.
+func stalenessFigure(point experiment.Point) (Figure, error) {
 	figure := Figure{Title: "Staleness of delivered samples, in versions", Note: "All seeds together."}
 	var names []string
-	var stacks []stack
+	var stacks []stackLayer
 	for _, variant := range point.Variants {
 		distribution := variant.DistributionNamed(experiment.DistributionStaleness)
 		if distribution.Count == 0 {
@@ -102,59 +102,59 @@
 		names = append(names, variant.Name)
 		for _, count := range distribution.Counts {
 			for len(stacks) <= int(count.Value) {
-				stacks = append(stacks, stack{name: fmt.Sprintf("age %d", len(stacks))})
+				stacks = append(stacks, stackLayer{name: fmt.Sprintf("age %d", len(stacks))})
 			}
 			part := &stacks[int(count.Value)]
-			part.values = append(grown(part.values, len(names)-1), float64(count.Count)/float64(distribution.Count))
+			part.values = append(padded(part.values, len(names)-1), float64(count.Count)/float64(distribution.Count))
 		}
 	}
 	if len(names) == 0 {
 		return figure, nil
 	}
 	for index := range stacks {
-		stacks[index].values = grown(stacks[index].values, len(names))
+		stacks[index].values = padded(stacks[index].values, len(names))
 	}
 	var err error
 	figure.PNG, err = stackedBars("share of samples", names, stacks)
 	return figure, err
 }
 
-// grown fills up with zeros to a length.
-func grown(values []float64, length int) []float64 {
+// padded appends zeros up to a length.
+func padded(values []float64, length int) []float64 {
 	return append(values, make([]float64, max(length-len(values), 0))...)
 }
 
-// wideRange is the ratio of values beyond which an axis is logarithmic.
-const wideRange = 50
+// logAxisRatio is the ratio of largest to smallest value above which an axis is logarithmic.
+const logAxisRatio = 50
 
-// quantileFigure shows the values at rising quantiles, with room for the tail.
+// quantileFigure plots the quantiles of a distribution, with an expanded tail.
 func quantileFigure(point experiment.Point, distribution, title, unit string) (Figure, error) {
 	picture := chart{xLabel: "quantile", yLabel: unit, xTicks: quantileTicks{}}
-	least, most := math.Inf(1), 0.0
+	lowest, highest := math.Inf(1), 0.0
 	for _, variant := range point.Variants {
 		values := line{name: variant.Name}
 		for _, quantile := range variant.DistributionNamed(distribution).Quantiles {
 			if quantile.Share < 1 {
 				values.points = append(values.points, plotter.XY{X: tailPosition(quantile.Share), Y: quantile.Value})
-				least, most = min(least, quantile.Value), max(most, quantile.Value)
+				lowest, highest = min(lowest, quantile.Value), max(highest, quantile.Value)
 			}
 		}
 		picture.lines = append(picture.lines, values)
 	}
-	picture.logarithmicY = least > 0 && most > wideRange*least
+	picture.logarithmicY = lowest > 0 && highest > logAxisRatio*lowest
 	picture.fromZero = !picture.logarithmicY
 	content, err := picture.png()
 	return Figure{Title: title, Note: "All seeds together; the axis gives each further nine of the quantile the same room.", PNG: content}, err
 }
 
-// tailPosition places a quantile so that 0.9, 0.99 and 0.999 are equally far
-// apart.
+// tailPosition returns the axis position of a quantile: 0.9, 0.99 and 0.999 are equally
+// far apart.
 func tailPosition(share float64) float64 { return -math.Log10(1 - share) }
 
 // quantileTicks labels the axis of quantiles.
 type quantileTicks struct{}
 
-// Ticks gives the labelled positions between two ends.
+// Ticks implements plot.Ticker.
 func (quantileTicks) Ticks(low, high float64) []plot.Tick {
 	const rounding = 1e-9
 	var ticks []plot.Tick
@@ -170,10 +170,9 @@
 	return ticks
 }
 
-// seriesMakers show the course of the first seed's run under the baselines and
-// the reference.
-func seriesMakers(results *experiment.Results) []figureMaker {
-	courses := []struct {
+// seriesFigures plot the first seed's run over time, for the baselines and the reference.
+func seriesFigures(results *experiment.Results) []figureFunc {
+	metrics := []struct {
 		title, label string
 		of           func(experiment.SeriesPoint) float64
 	}{
@@ -181,48 +180,47 @@
 		{"Requests in flight over time", "requests in flight", func(p experiment.SeriesPoint) float64 { return float64(p.InFlight) }},
 		{"Memory of the engines over time", "share of KV memory in use", func(p experiment.SeriesPoint) float64 { return p.MemoryShare }},
 	}
-	var makers []figureMaker
-	for _, course := range courses {
+	var makers []figureFunc
+	for _, metric := range metrics {
 		makers = append(makers, func() (Figure, error) {
-			picture := chart{xLabel: "virtual time in minutes", yLabel: course.label, fromZero: true}
+			picture := chart{xLabel: "virtual time in minutes", yLabel: metric.label, fromZero: true}
 			for _, variant := range results.Base().Variants {
-				if shownOverTime(results.Settings, variant.Name) && len(variant.Runs) > 0 {
-					picture.lines = append(picture.lines, courseOf(variant, course.of))
+				if hasSeriesLine(results.Settings, variant.Name) && len(variant.Runs) > 0 {
+					picture.lines = append(picture.lines, seriesLine(variant, metric.of))
 				}
 			}
 			content, err := picture.png()
-			return Figure{Title: course.title, Note: "Seed 1, baselines and reference.", PNG: content}, err
+			return Figure{Title: metric.title, Note: "Seed 1, baselines and reference.", PNG: content}, err
 		})
 	}
 	return makers
 }
 
-func shownOverTime(settings experiment.Settings, name string) bool {
+func hasSeriesLine(settings experiment.Settings, name string) bool {
 	return isBaseline(settings, name) || name == settings.Reference
 }
 
-// coursePoints bounds the points of a line over time; each is the mean of its
-// stretch.
-const coursePoints = 100
+// maxSeriesPoints limits the points of a line over time; each is the mean of a chunk.
+const maxSeriesPoints = 100
 
-func courseOf(variant experiment.VariantResult, of func(experiment.SeriesPoint) float64) line {
+func seriesLine(variant experiment.VariantResult, of func(experiment.SeriesPoint) float64) line {
 	const secondsPerMinute = 60
-	course := line{name: variant.Name}
+	curve := line{name: variant.Name}
 	series := variant.Runs[0].Series
-	stretch := max((len(series)+coursePoints-1)/coursePoints, 1)
-	for part := range slices.Chunk(series, stretch) {
+	chunkSize := max((len(series)+maxSeriesPoints-1)/maxSeriesPoints, 1)
+	for chunk := range slices.Chunk(series, chunkSize) {
 		sum := 0.0
-		for _, point := range part {
+		for _, point := range chunk {
 			sum += of(point)
 		}
-		course.points = append(course.points, plotter.XY{X: part[0].Seconds / secondsPerMinute, Y: sum / float64(len(part))})
+		curve.points = append(curve.points, plotter.XY{X: chunk[0].Seconds / secondsPerMinute, Y: sum / float64(len(chunk))})
 	}
-	return course
+	return curve
 }
 
-// sweepMakers show how idle share and staleness change with each swept setting.
-func sweepMakers(results *experiment.Results) []figureMaker {
-	var makers []figureMaker
+// sweepFigures plot idle share and staleness against each swept setting.
+func sweepFigures(results *experiment.Results) []figureFunc {
+	var makers []figureFunc
 	for index := range results.Settings.Sweeps {
 		for _, figure := range []struct{ name, label string }{
 			{experiment.FigureIdleShare, "idle share of the trainers"},
@@ -241,8 +239,8 @@
 	point experiment.Point
 }
 
-// sweptPoints gives the values of a sweep, that of the settings as given
-// included, in rising order.
+// sweptPoints returns the values of a sweep in ascending order, including the one in the
+// settings.
 func sweptPoints(results *experiment.Results, index int) []sweptPoint {
 	given := results.Given[index]
 	points := []sweptPoint{{label: given + " (as given)", value: experiment.SweptValue(given), point: results.Base()}}
@@ -252,14 +250,14 @@
 			continue
 		}
 		points = append(points, sweptPoint{
-			label: value, value: experiment.SweptValue(value), point: pointOf(results, sweep.Setting, value),
+			label: value, value: experiment.SweptValue(value), point: findPoint(results, sweep.Setting, value),
 		})
 	}
 	slices.SortStableFunc(points, func(a, b sweptPoint) int { return cmp.Compare(a.value, b.value) })
 	return points
 }
 
-// sweptVariants are the names of a sweep's variants, or of all.
+// sweptVariants returns the names of a sweep's variants; the default is all.
 func sweptVariants(results *experiment.Results, sweep experiment.Sweep) []string {
 	if len(sweep.Variants) > 0 {
 		return sweep.Variants
@@ -281,20 +279,20 @@
 	picture := chart{xLabel: sweep.Setting, yLabel: label, xTicks: labelTicks(labels), fromZero: true}
 	limits := line{name: "limit", limit: true}
 	for index, name := range sweptVariants(results, sweep) {
-		course := line{name: name}
+		curve := line{name: name}
 		for position, point := range points {
 			result, _ := point.point.VariantNamed(name)
 			summary, known := result.SummaryNamed(figure)
 			if !known {
 				continue
 			}
-			course.points = append(course.points, plotter.XY{X: float64(position), Y: summary.Mean})
-			course.errors = append(course.errors, summary.Half)
+			curve.points = append(curve.points, plotter.XY{X: float64(position), Y: summary.Mean})
+			curve.errors = append(curve.errors, summary.Half)
 			if summary.Limit != nil && index == 0 {
 				limits.points = append(limits.points, plotter.XY{X: float64(position), Y: *summary.Limit})
 			}
 		}
-		picture.lines = append(picture.lines, course)
+		picture.lines = append(picture.lines, curve)
 	}
 	picture.lines = append(picture.lines, limits)
 	content, err := picture.png()
@@ -302,7 +300,7 @@
 	return Figure{Title: title, Note: "Intervals over the seeds; the limit is that of the first variant.", PNG: content}, err
 }
 
-func pointOf(results *experiment.Results, setting, value string) experiment.Point {
+func findPoint(results *experiment.Results, setting, value string) experiment.Point {
 	for _, point := range results.Points {
 		if point.Setting == setting && point.Value == value {
 			return point
@@ -311,10 +309,10 @@
 	return experiment.Point{}
 }
 
-// labelTicks puts texts at 0, 1, 2 and so on.
+// labelTicks are labels at 0, 1, 2 and so on.
 type labelTicks []string
 
-// Ticks gives all labels.
+// Ticks implements plot.Ticker.
 func (l labelTicks) Ticks(float64, float64) []plot.Tick {
 	ticks := make([]plot.Tick, 0, len(l))
 	for index, label := range l {
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -16,7 +16,7 @@
 
 var page = template.Must(template.New("report").Parse(pageSource))
 
-// pageData is what the page's template gets.
+// pageData is the data of the page template.
 type pageData struct {
 	Headline string
 	Results  *experiment.Results
@@ -24,13 +24,13 @@
 	Figures  []pageFigure
 }
 
-// pageFigure is a plot with its content as a data URL.
+// pageFigure is a plot as a data URL.
 type pageFigure struct {
 	Title, Note string
 	Source      template.URL
 }
 
-// WriteHTML writes one page with all tables and plots.
+// WriteHTML writes a page with all tables and plots.
 func WriteHTML(output io.Writer, results *experiment.Results) error {
 	figures, err := Figures(results)
 	if err != nil {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -15,7 +15,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-const file = `name: demo
+const settingsYAML = `name: demo
 site: marea
 length: 20m
 warm_up: 2m
@@ -33,7 +33,7 @@
   - {figure: idle_share, variant: loomgrade, against: limit, at_most: 1.25}
 `
 
-// simulate gives round numbers, so that tables can be checked.
+// simulate returns round figures for tests of the tables.
 func simulate(options sim.Options) (sim.Outcome, error) {
 	values := hdrhistogram.New(1, 1_000_000, 3)
 	for value := range int64(200) {
@@ -55,22 +55,22 @@
 	}, nil
 }
 
-func results(t *testing.T, simulate experiment.Simulator) *experiment.Results {
+func runExperiment(t *testing.T, simulate experiment.Simulator) *experiment.Results {
 	t.Helper()
-	settings, err := experiment.Parse("demo.yaml", []byte(file))
+	settings, err := experiment.Parse("demo.yaml", []byte(settingsYAML))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made, err := experiment.Run(context.Background(), experiment.Plan{Settings: settings, Simulate: simulate, Parallel: 2})
+	results, err := experiment.Run(context.Background(), experiment.Plan{Settings: settings, Simulate: simulate, Parallel: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return made
+	return results
 }
 
 func TestTextShowsLimitsRatiosAndVerdicts(t *testing.T) {
 	var output bytes.Buffer
-	if err := report.WriteText(&output, results(t, simulate)); err != nil {
+	if err := report.WriteText(&output, runExperiment(t, simulate)); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range [][]string{
@@ -82,7 +82,7 @@
 		{"pilot", "loomgrade"},
 	} {
 		if !hasLine(output.String(), want) {
-			t.Errorf("no line holds %q in\n%s", want, output.String())
+			t.Errorf("no line contains %q in\n%s", want, output.String())
 		}
 	}
 }
@@ -94,17 +94,17 @@
 		return outcome, err
 	}
 	var output bytes.Buffer
-	if err := report.WriteText(&output, results(t, slow)); err != nil {
+	if err := report.WriteText(&output, runExperiment(t, slow)); err != nil {
 		t.Fatal(err)
 	}
 	if !hasLine(output.String(), []string{"against round-robin", "at most 0.7", "NOT MET"}) {
-		t.Errorf("the missed bar is not said in\n%s", output.String())
+		t.Errorf("missed bar not reported in\n%s", output.String())
 	}
 }
 
 func TestPageHoldsAllPlots(t *testing.T) {
-	made := results(t, simulate)
-	figures, err := report.Figures(made)
+	results := runExperiment(t, simulate)
+	figures, err := report.Figures(results)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	for _, figure := range figures {
 		titles[figure.Title] = true
 		if picture, err := png.Decode(bytes.NewReader(figure.PNG)); err != nil || picture.Bounds().Dx() < 600 {
-			t.Errorf("%s is no readable picture: %v", figure.Title, err)
+			t.Errorf("%s is not a readable PNG: %v", figure.Title, err)
 		}
 	}
 	for _, want := range []string{
@@ -121,22 +121,22 @@
 		"Idle share of the trainers by engines",
 	} {
 		if !titles[want] {
-			t.Errorf("no plot %q among %v", want, titles)
+			t.Errorf("no plot %q in %v", want, titles)
 		}
 	}
 	var page bytes.Buffer
-	if err := report.WriteHTML(&page, made); err != nil {
+	if err := report.WriteHTML(&page, results); err != nil {
 		t.Fatal(err)
 	}
 	if got := strings.Count(page.String(), "data:image/png;base64,"); got != len(figures) {
-		t.Errorf("the page holds %d plots of %d", got, len(figures))
+		t.Errorf("page has %d plots, want %d", got, len(figures))
 	}
 }
 
 func TestReportOfAnEmptyRun(t *testing.T) {
 	empty := func(sim.Options) (sim.Outcome, error) { return sim.Outcome{}, nil }
-	if err := report.WriteHTML(&bytes.Buffer{}, results(t, empty)); err != nil {
-		t.Errorf("a run without any value: %v", err)
+	if err := report.WriteHTML(&bytes.Buffer{}, runExperiment(t, empty)); err != nil {
+		t.Errorf("results without values: %v", err)
 	}
 }
 
@@ -157,12 +157,12 @@
 			t.Errorf("%d rows with all = %v, want %d", got, test.all, test.rows)
 		}
 		if !hasLine(output.String(), []string{"0 better, 1 worse, 1 within noise"}) {
-			t.Errorf("no counts in\n%s", output.String())
+			t.Errorf("no verdict counts in\n%s", output.String())
 		}
 	}
 }
 
-// hasLine says whether one line holds all parts in order.
+// hasLine reports whether one line contains all parts in order.
 func hasLine(text string, parts []string) bool {
 	for line := range strings.Lines(text) {
 		rest, holds := line, true
--- a/internal/lab/report/sweep_internal_test.go
+++ b/internal/lab/report/sweep_internal_test.go
@@ -13,9 +13,9 @@
 		values      []string
 		want        []string
 	}{
-		{"times", "12ms", []string{"1s", "600us"}, []string{"600us", "12ms (as given)", "1s"}},
+		{"durations", "12ms", []string{"1s", "600us"}, []string{"600us", "12ms (as given)", "1s"}},
 		{"numbers", "9", []string{"30", "3"}, []string{"3", "9 (as given)", "30"}},
-		{"given value repeated", "9", []string{"9", "3"}, []string{"3", "9 (as given)"}},
+		{"given value in the sweep", "9", []string{"9", "3"}, []string{"3", "9 (as given)"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/lab/report/table.go
+++ b/internal/lab/report/table.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Table is a titled table of texts.
+// Table is a table of text cells.
 type Table struct {
 	Title string
 	// Note explains the columns in one or two sentences.
@@ -20,7 +20,7 @@
 
 func (t *Table) add(cells ...string) { t.Rows = append(t.Rows, cells) }
 
-// Space between columns of text.
+// columnPadding is the number of spaces between columns of text.
 const columnPadding = 2
 
 // writeText writes the table in aligned columns.
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -12,10 +12,10 @@
 	"github.com/loomgrade/loomgrade/internal/lab/experiment"
 )
 
-// none stands for a figure or limit that does not exist.
-const none = "-"
+// noValue is shown for a figure or limit that does not exist.
+const noValue = "-"
 
-// WriteText writes all tables.
+// WriteText writes all tables as text.
 func WriteText(output io.Writer, results *experiment.Results) error {
 	if _, err := fmt.Fprintf(output, "%s\n\n", headline(results)); err != nil {
 		return eris.Wrap(err, "write report")
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// headline says in one line what ran.
+// headline describes the experiment in one line.
 func headline(results *experiment.Results) string {
 	settings := results.Settings
 	return fmt.Sprintf("%s: site %s, %s of virtual time, the first %s not counted, %d seeds, intervals of %g%%",
@@ -36,7 +36,7 @@
 		settings.Confidence*100)
 }
 
-// Tables gives all tables of a report, those without rows left out.
+// Tables returns the tables of a report that have rows.
 func Tables(results *experiment.Results) []Table {
 	base := results.Base()
 	all := []Table{
@@ -81,9 +81,9 @@
 	return table
 }
 
-// poolTable lists the idle share of every trainer, where there are several.
+// poolTable lists the idle share of each trainer if there are several.
 func poolTable(point experiment.Point) Table {
-	pools := parts(point, experiment.FigureIdleShare)
+	pools := figureParts(point, experiment.FigureIdleShare)
 	table := Table{Title: "Idle share by trainer", Header: append([]string{"variant"}, pools...)}
 	if len(pools) == 0 {
 		return table
@@ -137,7 +137,7 @@
 		Note:   "The limit is the way to a node and back and the median service time. The share of refused calls did not run.",
 		Header: []string{"class", "variant", "p50 ms", "limit", "x limit", "p99 ms", "x limit", "refused", "failed"},
 	}
-	for _, class := range parts(point, experiment.FigureLatencyP50) {
+	for _, class := range figureParts(point, experiment.FigureLatencyP50) {
 		for _, variant := range point.Variants {
 			middle, tail := experiment.FigureLatencyP50+"/"+class, experiment.FigureLatencyP99+"/"+class
 			table.add(
@@ -167,7 +167,7 @@
 	return table
 }
 
-// differenceFigures are those that differences to the reference are shown of.
+// differenceFigures are the figures compared with the reference.
 var differenceFigures = []string{
 	experiment.FigureIdleShare, experiment.FigureSamplesPerHour, experiment.FigureStalenessMean, experiment.FigureStaleSecondsP99,
 	experiment.FigureLongSampleP50,
@@ -202,7 +202,7 @@
 			table.add(
 				point.Name(),
 				fmt.Sprintf("%s of %s against %s", bar.Figure, bar.Variant, bar.Opponent),
-				number(bar.Measured), number(bar.Compared), optional(bar.Ratio), "at most "+number(bar.AtMost),
+				number(bar.Measured), number(bar.Compared), optionalNumber(bar.Ratio), "at most "+number(bar.AtMost),
 				throughput(bar), verdict(bar.Met),
 			)
 		}
@@ -212,7 +212,7 @@
 
 func throughput(bar experiment.BarResult) string {
 	if bar.ThroughputRatio == nil {
-		return none
+		return noValue
 	}
 	return fmt.Sprintf("%s of at least %s", number(*bar.ThroughputRatio), number(bar.Throughput))
 }
@@ -224,7 +224,7 @@
 	return "NOT MET"
 }
 
-// sweepTable shows what the swept settings change, the settings as given first.
+// sweepTable compares the swept settings, starting with the settings as given.
 func sweepTable(results *experiment.Results) Table {
 	table := Table{
 		Title:  "Sweeps: which conclusions depend on the setting",
@@ -236,7 +236,7 @@
 	}
 	for _, point := range results.Points {
 		for _, variant := range point.Variants {
-			if !swept(results, variant.Name) {
+			if !inSweeps(results, variant.Name) {
 				continue
 			}
 			table.add(
@@ -250,8 +250,8 @@
 	return table
 }
 
-// swept says whether a variant runs in any sweep.
-func swept(results *experiment.Results, name string) bool {
+// inSweeps reports whether a variant runs in any sweep.
+func inSweeps(results *experiment.Results, name string) bool {
 	for _, point := range results.Points[1:] {
 		if _, ran := point.VariantNamed(name); ran {
 			return true
@@ -260,9 +260,9 @@
 	return false
 }
 
-// parts lists the pools or classes of a figure, in the order of the first
-// variant's summary.
-func parts(point experiment.Point, figure string) []string {
+// figureParts returns the pools or classes of a figure, in the order of the first variant's
+// summary.
+func figureParts(point experiment.Point, figure string) []string {
 	var names []string
 	if len(point.Variants) == 0 {
 		return nil
@@ -279,7 +279,7 @@
 func estimate(variant experiment.VariantResult, figure string) string {
 	summary, known := variant.SummaryNamed(figure)
 	if !known {
-		return none
+		return noValue
 	}
 	return interval(summary.Estimate)
 }
@@ -287,34 +287,34 @@
 func mean(variant experiment.VariantResult, figure string) string {
 	summary, known := variant.SummaryNamed(figure)
 	if !known {
-		return none
+		return noValue
 	}
 	return number(summary.Mean)
 }
 
 func limit(variant experiment.VariantResult, figure string) string {
 	summary, _ := variant.SummaryNamed(figure)
-	return optional(summary.Limit)
+	return optionalNumber(summary.Limit)
 }
 
 func ratio(variant experiment.VariantResult, figure string) string {
 	summary, _ := variant.SummaryNamed(figure)
-	return optional(summary.Ratio)
+	return optionalNumber(summary.Ratio)
 }
 
 func difference(variant experiment.VariantResult, figure string) string {
 	summary, _ := variant.SummaryNamed(figure)
 	if summary.Difference == nil {
-		return none
+		return noValue
 	}
 	return fmt.Sprintf("%s %s", interval(*summary.Difference), comparison(variant, figure))
 }
 
-// comparison says whether the variant is better or worse than the reference.
+// comparison returns whether the variant is better or worse than the reference.
 func comparison(variant experiment.VariantResult, figure string) string {
 	summary, _ := variant.SummaryNamed(figure)
 	if summary.Difference == nil {
-		return none
+		return noValue
 	}
 	return string(experiment.Judge(*summary.Difference, summary.Better))
 }
@@ -326,18 +326,18 @@
 	return number(estimate.Mean) + " ±" + number(estimate.Half)
 }
 
-func optional(value *float64) string {
+func optionalNumber(value *float64) string {
 	if value == nil {
-		return none
+		return noValue
 	}
 	return number(*value)
 }
 
-// significantDigits are those that tables show.
+// significantDigits is the number of digits shown in tables.
 const significantDigits = 3
 
-// number writes a value with three significant digits, and whole numbers of more
-// digits whole.
+// number formats a value with three significant digits; values of 1000 and more are rounded
+// to integers.
 func number(value float64) string {
 	if math.Abs(value) >= 1000 {
 		return strconv.FormatFloat(math.Round(value), 'f', 0, 64)
