--- a/internal/lab/load/call.go
+++ b/internal/lab/load/call.go
@@ -23,23 +23,23 @@
 )
 
 const (
-	maxAnswer   = 64 << 20
-	maxEvent    = 1 << 20
-	streamEnd   = "[DONE]"
-	streamError = "event: error"
+	maxResponseBytes = 64 << 20
+	maxEventBytes    = 1 << 20
+	streamEnd        = "[DONE]"
+	streamError      = "event: error"
 )
 
-// errCut says that an answer ended early.
-var errCut = errors.New("answer ended before its end marker")
+// errTruncated is recorded for an answer that ended early.
+var errTruncated = errors.New("answer ended before its end marker")
 
-// call makes one call with its resends and records every attempt.
-func (g *generator) call(ctx context.Context, plan planned, arrived time.Time) {
+// call makes one call, including retries, and records every attempt.
+func (g *generator) call(ctx context.Context, plan plannedCall, arrived time.Time) {
 	for attempt := 0; ; attempt++ {
 		index, target := g.targets.pick()
 		seen := g.attempt(ctx, plan, target)
 		code := port.Code(seen.Detail)
-		if seen.Outcome == audit.OutcomeNotRun && (code == port.CodeDraining || code == codeUnreached) {
-			g.targets.avoid(index)
+		if seen.Outcome == audit.OutcomeNotRun && (code == port.CodeDraining || code == codeUnreachable) {
+			g.targets.backOff(index)
 		}
 		g.result.add(plan.class.Name, seen)
 		unknown := seen.Outcome == audit.OutcomeLost || seen.Outcome == audit.OutcomeMayHaveRun
@@ -50,16 +50,16 @@
 	}
 }
 
-// codeUnreached marks attempts whose connection was never made.
-const codeUnreached port.Code = "unreached"
+// codeUnreachable marks attempts that could not connect.
+const codeUnreachable port.Code = "unreached"
 
-// attempt sends a call once and says what its caller was told.
-func (g *generator) attempt(ctx context.Context, plan planned, target string) audit.Call {
+// attempt sends a call once and returns the outcome its caller received.
+func (g *generator) attempt(ctx context.Context, plan plannedCall, target string) audit.Call {
 	ctx, cancel := context.WithTimeout(ctx, plan.class.Timeout)
 	defer cancel()
 	seen := audit.Call{
 		Class: plan.class.Name, Target: strings.TrimPrefix(target, "http://"), Call: plan.key,
-		Unsafe: plan.class.Unsafe, StartedAt: now(), Outcome: audit.OutcomeNotRun,
+		Unsafe: plan.class.Unsafe, StartedAt: unixNow(), Outcome: audit.OutcomeNotRun,
 	}
 	if plan.class.Method == "" {
 		seen.Call = audit.PromptKey(plan.prompt())
@@ -67,45 +67,45 @@
 	request, err := plan.request(ctx, target)
 	if err != nil {
 		seen.Detail = err.Error()
-		return finished(seen)
+		return withEnd(seen)
 	}
 	response, err := g.config.Client.Do(request)
 	if err != nil {
 		seen.Outcome, seen.Detail = transportOutcome(err)
-		return finished(seen)
+		return withEnd(seen)
 	}
 	defer response.Body.Close()
-	body := io.LimitReader(response.Body, maxAnswer)
+	body := io.LimitReader(response.Body, maxResponseBytes)
 	switch {
 	case response.StatusCode/100 != 2:
-		readRefusal(&seen, response, body)
+		readError(&seen, response, body)
 	case plan.class.Method == "":
 		plan.readCompletion(&seen, body)
 	default:
 		plan.readAnswer(&seen, body)
 	}
-	return finished(seen)
+	return withEnd(seen)
 }
 
-// finished sets the end of an attempt.
-func finished(seen audit.Call) audit.Call {
-	seen.EndedAt = now()
+// withEnd sets the end time of an attempt.
+func withEnd(seen audit.Call) audit.Call {
+	seen.EndedAt = unixNow()
 	return seen
 }
 
-func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// transportOutcome tells a connection that was never made from one that broke.
+// transportOutcome distinguishes a failure to connect from a broken connection.
 func transportOutcome(err error) (audit.Outcome, string) {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return audit.OutcomeNotRun, string(codeUnreached)
+		return audit.OutcomeNotRun, string(codeUnreachable)
 	}
 	return audit.OutcomeLost, err.Error()
 }
 
-// prompt returns the prompt of a completion, which belongs to this call alone.
-func (p planned) prompt() string {
+// prompt returns the prompt of a completion, which is unique to the call.
+func (p plannedCall) prompt() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s asks. ", p.class.Name)
 	for text.Len() < p.class.PromptTokens*engine.BytesPerToken {
@@ -114,7 +114,7 @@
 	return text.String() + p.key
 }
 
-func (p planned) request(ctx context.Context, target string) (*http.Request, error) {
+func (p plannedCall) request(ctx context.Context, target string) (*http.Request, error) {
 	method, address, body := p.class.Method, "", bytes.Repeat([]byte{'x'}, p.class.BodyBytes)
 	if method == "" {
 		method, address = http.MethodPost, target+api.PathCompletions
@@ -148,10 +148,10 @@
 	return request, nil
 }
 
-// readRefusal takes in an error answer.
-func readRefusal(seen *audit.Call, response *http.Response, body io.Reader) {
+// readError records an error response.
+func readError(seen *audit.Call, response *http.Response, body io.Reader) {
 	var fault api.ErrorBody
-	_ = json.NewDecoder(body).Decode(&fault) // the header has the verdict
+	_ = json.NewDecoder(body).Decode(&fault) // the verdict is in the header
 	seen.Detail = fault.Error.Code
 	if seen.Detail == "" {
 		seen.Detail = "status " + strconv.Itoa(response.StatusCode)
@@ -170,8 +170,8 @@
 	}
 }
 
-// readAnswer takes in the answer of an application call.
-func (p planned) readAnswer(seen *audit.Call, body io.Reader) {
+// readAnswer records the answer of an application call.
+func (p plannedCall) readAnswer(seen *audit.Call, body io.Reader) {
 	content, err := io.ReadAll(body)
 	if err != nil {
 		seen.Outcome, seen.Detail = audit.OutcomeLost, err.Error()
@@ -187,26 +187,26 @@
 	seen.Detail = "back end " + answer.BackEnd
 }
 
-// readCompletion takes in a streamed completion.
-func (p planned) readCompletion(seen *audit.Call, body io.Reader) {
+// readCompletion records a streamed completion.
+func (p plannedCall) readCompletion(seen *audit.Call, body io.Reader) {
 	var text strings.Builder
 	finish, failed := "", false
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxEvent)
-	lines.Split(scanEndedLines)
+	lines.Buffer(nil, maxEventBytes)
+	lines.Split(scanCompleteLines)
 	for lines.Scan() {
 		failed = failed || lines.Text() == streamError
 		data, isData := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case !isData:
 		case failed:
-			seen.Outcome, seen.Detail = streamFault(data)
+			seen.Outcome, seen.Detail = parseStreamError(data)
 			return
 		case data == streamEnd:
-			p.judge(seen, text.String(), finish)
+			p.recordCompletion(seen, text.String(), finish)
 			return
 		default:
-			reason, err := takeChunk(seen, &text, data)
+			reason, err := appendChunk(seen, &text, data)
 			if err != nil {
 				seen.Outcome, seen.Detail = audit.OutcomeAnswered, err.Error()
 				return
@@ -214,20 +214,20 @@
 			finish = reason
 		}
 	}
-	seen.Outcome, seen.Detail = audit.OutcomeLost, errCut.Error()
+	seen.Outcome, seen.Detail = audit.OutcomeLost, errTruncated.Error()
 }
 
-// scanEndedLines gives lines as bufio.ScanLines does, but for a last one without its end:
-// that is what is left of an event whose stream was cut off.
-func scanEndedLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
+// scanCompleteLines is bufio.ScanLines without an unterminated last line, which is the
+// rest of an event whose stream was cut off.
+func scanCompleteLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if bytes.IndexByte(data, '\n') < 0 {
 		return 0, nil, nil
 	}
 	return bufio.ScanLines(data, atEOF)
 }
 
-// takeChunk adds a chunk's text and spans.
-func takeChunk(seen *audit.Call, text *strings.Builder, data string) (finish string, err error) {
+// appendChunk appends a chunk's text and spans.
+func appendChunk(seen *audit.Call, text *strings.Builder, data string) (finish string, err error) {
 	var chunk api.CompletionChunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 		return "", err
@@ -242,16 +242,16 @@
 	return finish, nil
 }
 
-// judge compares a whole completion with what was asked for.
-func (p planned) judge(seen *audit.Call, text, finish string) {
+// recordCompletion records a complete completion and whether it answers this call.
+func (p plannedCall) recordCompletion(seen *audit.Call, text, finish string) {
 	seen.Outcome, seen.Text, seen.Whole = audit.OutcomeAnswered, text, finish != ""
 	if engine.SameContent(text, engine.ContentKey(p.prompt(), p.seed)) {
 		seen.AnswerTo = seen.Call
 	}
 }
 
-// streamFault takes in an error that came inside a stream.
-func streamFault(data string) (audit.Outcome, string) {
+// parseStreamError returns the outcome of an error event in a stream.
+func parseStreamError(data string) (audit.Outcome, string) {
 	var fault api.ErrorBody
 	if err := json.Unmarshal([]byte(data), &fault); err != nil {
 		return audit.OutcomeLost, err.Error()
--- a/internal/lab/load/config.go
+++ b/internal/lab/load/config.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// Class is one kind of caller.
+// Class describes one kind of caller.
 type Class struct {
 	Name string
-	// Pool is the pool that is asked.
+	// Pool is the pool that is called.
 	Pool string
-	// Method and Path make an application call; the path is the back end's.
+	// Method and Path describe an application call; Path is relative to the back end.
 	// Without a method the call is a completion.
 	Method, Path string
 	// BodyBytes is the size of an application call's body.
 	BodyBytes int
-	// MaxTokens and PromptTokens size a completion.
+	// MaxTokens and PromptTokens are the sizes of a completion.
 	MaxTokens, PromptTokens int
-	// Unsafe calls must not run more than once.
+	// Unsafe calls must run at most once.
 	Unsafe bool
-	// Resends is how often a call of unknown outcome is sent again, with the
-	// same request key and to another target.
+	// Resends is the maximum number of retries of a call whose outcome is unknown, with
+	// the same request key and on the next target.
 	Resends  int
 	Priority int
-	// Rate makes an open loop: Poisson arrivals a second. Without it Workers
-	// make a closed loop, each pausing for Think on average between calls.
+	// Rate is the rate of Poisson arrivals per second (open loop). Without it, Workers
+	// call one after the other and pause for Think on average (closed loop).
 	Rate    float64
 	Workers int
 	Think   time.Duration
-	// Timeout bounds one attempt. Default 10 s.
+	// Timeout limits one attempt. Default 10 s.
 	Timeout time.Duration
 	// Token, if set, is sent as bearer token.
 	Token string
 }
 
-// Config describes a run.
+// Config describes a load.
 type Config struct {
-	// Targets are the base URLs of nodes. A target that refuses or cannot be
-	// reached is left alone for a while.
+	// Targets are the base URLs of nodes. A target that is draining or unreachable is in
+	// backoff for a while.
 	Targets []string
 	Classes []Class
 	Seed    uint64
-	// Duration ends the arrivals; calls in flight are finished.
+	// Duration ends the arrivals; calls in flight are completed.
 	Duration time.Duration
-	// MaxCalls bounds the calls of each class. Default 100,000.
+	// MaxCalls limits the calls of each class. Default 100,000.
 	MaxCalls int
-	// MaxInFlight bounds the calls of each open loop at a time; an arrival
-	// beyond it is counted and not sent. Default 256.
+	// MaxInFlight limits the concurrent calls of each open loop; arrivals beyond it are
+	// counted but not sent. Default 256.
 	MaxInFlight int
-	// AvoidFor is how long a target that refused is left alone. Default 2 s.
-	AvoidFor time.Duration
+	// TargetBackoff is how long a target stays in backoff. Default 2 s.
+	TargetBackoff time.Duration
 	// Client, if set, replaces the HTTP client.
 	Client *http.Client
 }
@@ -58,10 +58,10 @@
 	defaultTimeout     = 10 * time.Second
 	defaultMaxCalls    = 100_000
 	defaultMaxInFlight = 256
-	// idleTimeout is below the time that nodes announce (Keep-Alive), so that a
-	// call does not meet a connection that is just being closed.
-	idleTimeout     = time.Second
-	defaultAvoidFor = 2 * time.Second
+	// idleTimeout is below the keep-alive timeout of nodes, so that no call is sent on a
+	// connection that the node is closing.
+	idleTimeout          = time.Second
+	defaultTargetBackoff = 2 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -71,8 +71,8 @@
 	if c.MaxInFlight == 0 {
 		c.MaxInFlight = defaultMaxInFlight
 	}
-	if c.AvoidFor == 0 {
-		c.AvoidFor = defaultAvoidFor
+	if c.TargetBackoff == 0 {
+		c.TargetBackoff = defaultTargetBackoff
 	}
 	if c.Client == nil {
 		transport := &http.Transport{MaxIdleConnsPerHost: c.MaxInFlight, IdleConnTimeout: idleTimeout}
@@ -81,8 +81,8 @@
 	return c
 }
 
-// InkwellCallers are the callers of a comics reader: the reader app and the
-// indexers, both on the page service. Scale multiplies their number.
+// InkwellCallers returns the callers of a comics reader: the reader app and the indexers,
+// both on the page service. Scale multiplies their number.
 func InkwellCallers(scale float64) []Class {
 	return []Class{
 		{Name: "reader app", Pool: "page-api", Method: http.MethodGet, Path: "/pages/panel", Rate: 40 * scale, Priority: 5},
@@ -93,9 +93,8 @@
 	}
 }
 
-// MareaCallers are the callers of a buoy data service: pilots' clients and
-// stitching jobs, both on the application service. Scale multiplies their
-// number.
+// MareaCallers returns the callers of a buoy data service: pilots' clients and stitching
+// jobs, both on the application service. Scale multiplies their number.
 func MareaCallers(scale float64) []Class {
 	return []Class{
 		{Name: "pilot", Pool: "buoy-api", Method: http.MethodGet, Path: "/readings/latest", Rate: 30 * scale, Priority: 9},
@@ -106,5 +105,5 @@
 	}
 }
 
-// workers rounds a number of workers up to at least one.
+// workers rounds a number of workers to at least one.
 func workers(count float64) int { return max(int(count+0.5), 1) }
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,8 +1,7 @@
-// Package load plays the callers of loomgrade: reader apps, indexers, pilots
-// and stitching jobs. Every call asks for content of its own, so that the
-// audit can tell whose answer came back, and every attempt is recorded with
-// what its caller was told.
+// Package load simulates the callers of loomgrade: reader apps, indexers, pilots and
+// stitching jobs. Every call requests unique content, so that the audit can detect mixed-up
+// answers, and every attempt is recorded with its outcome.
 //
-// Load is bounded in time, in calls and in calls at a time, and its arrivals
-// follow from the seed alone.
+// A load is limited in time, total calls and concurrent calls. Arrivals depend only on the
+// seed.
 package load
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -16,11 +16,11 @@
 	calls   sync.WaitGroup
 }
 
-// Run plays the callers until Duration has passed or ctx ends, waits for the
-// calls in flight, and returns what the callers saw.
+// Run generates load until Duration has passed or ctx ends, waits for the calls in flight,
+// and returns the results.
 func Run(ctx context.Context, config Config) *Result {
 	config = config.withDefaults()
-	g := &generator{config: config, result: newResult(config.Classes), targets: newTargets(config.Targets, config.AvoidFor)}
+	g := &generator{config: config, result: newResult(config.Classes), targets: newTargets(config.Targets, config.TargetBackoff)}
 	arrivals, cancel := context.WithTimeout(ctx, config.Duration)
 	defer cancel()
 	for index := range config.Classes {
@@ -40,15 +40,15 @@
 	return g.result
 }
 
-// openLoop starts calls at Poisson arrivals. Latency counts from the arrival,
-// so that a slow start of a call is not hidden.
+// openLoop starts calls at Poisson arrivals. Latency is measured from the arrival, so that
+// it includes delays before the call starts.
 func (g *generator) openLoop(ctx, arrivals context.Context, class *Class, random *rand.Rand) {
 	slots := make(chan struct{}, g.config.MaxInFlight)
 	due := time.Now()
 	for number := 0; number < g.config.MaxCalls; number++ {
 		gap := random.ExpFloat64() / class.Rate
 		due = due.Add(time.Duration(gap * float64(time.Second)))
-		if !pauseUntil(arrivals, due) {
+		if !sleepUntil(arrivals, due) {
 			return
 		}
 		select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// closedLoop starts workers that call, think and call again.
+// closedLoop starts workers that pause and call in a loop.
 func (g *generator) closedLoop(ctx, arrivals context.Context, class *Class, random *rand.Rand) {
 	share := g.config.MaxCalls / max(class.Workers, 1)
 	for worker := range class.Workers {
@@ -74,7 +74,7 @@
 		g.calls.Go(func() {
 			for turn := range share {
 				think := time.Duration(own.ExpFloat64() * float64(class.Think))
-				if !pauseUntil(arrivals, time.Now().Add(think)) {
+				if !sleepUntil(arrivals, time.Now().Add(think)) {
 					return
 				}
 				g.call(ctx, g.plan(class, turn*class.Workers+worker, own.Uint64()), time.Now())
@@ -83,19 +83,19 @@
 	}
 }
 
-// planned is a call that is to be made.
-type planned struct {
+// plannedCall is a call to be made.
+type plannedCall struct {
 	class *Class
 	key   string // unique over the run
 	seed  uint64
 }
 
-func (g *generator) plan(class *Class, number int, seed uint64) planned {
-	return planned{class: class, key: fmt.Sprintf("%s-%d-%d", class.Name, g.config.Seed, number), seed: seed}
+func (g *generator) plan(class *Class, number int, seed uint64) plannedCall {
+	return plannedCall{class: class, key: fmt.Sprintf("%s-%d-%d", class.Name, g.config.Seed, number), seed: seed}
 }
 
-// pauseUntil waits for a time, or reports false when ctx ends before.
-func pauseUntil(ctx context.Context, at time.Time) bool {
+// sleepUntil waits until a time and reports false if ctx ends first.
+func sleepUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
 		return ctx.Err() == nil
@@ -110,21 +110,20 @@
 	}
 }
 
-// targets hands out the nodes in turn and leaves refusing ones alone.
+// targets selects nodes round-robin, skipping those in backoff.
 type targets struct {
-	mutex    sync.Mutex
-	urls     []string
-	avoided  []time.Time
-	avoidFor time.Duration
-	next     int
+	mutex        sync.Mutex
+	urls         []string
+	backoffUntil []time.Time
+	backoff      time.Duration
+	next         int
 }
 
 func newTargets(urls []string, avoidFor time.Duration) *targets {
-	return &targets{urls: urls, avoidFor: avoidFor, avoided: make([]time.Time, len(urls))}
+	return &targets{urls: urls, backoff: avoidFor, backoffUntil: make([]time.Time, len(urls))}
 }
 
-// pick returns the next target that is not being avoided; when all are, the
-// next one in turn.
+// pick returns the next target that is not in backoff, or the next one if all are.
 func (t *targets) pick() (index int, url string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -132,7 +131,7 @@
 	chosen := t.next % len(t.urls)
 	for offset := range t.urls {
 		candidate := (t.next + offset) % len(t.urls)
-		if now.After(t.avoided[candidate]) {
+		if now.After(t.backoffUntil[candidate]) {
 			chosen = candidate
 			break
 		}
@@ -141,9 +140,9 @@
 	return chosen, t.urls[chosen]
 }
 
-// avoid leaves a target alone for a while.
-func (t *targets) avoid(index int) {
+// backOff puts a target into backoff.
+func (t *targets) backOff(index int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.avoided[index] = time.Now().Add(t.avoidFor)
+	t.backoffUntil[index] = time.Now().Add(t.backoff)
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,8 +15,8 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// classes are one open loop, one closed loop and one of completions.
-func classes() []Class {
+// testClasses returns an open loop, a closed loop and a closed loop of completions.
+func testClasses() []Class {
 	return []Class{
 		{Name: "pilot", Pool: "app", Method: http.MethodGet, Path: "/readings", Rate: 2000},
 		{Name: "stitching", Pool: "app", Method: http.MethodPost, Path: "/stitch", BodyBytes: 64, Unsafe: true, Workers: 3},
@@ -24,7 +24,7 @@
 	}
 }
 
-func run(t *testing.T, url string, classes []Class) *Result {
+func runLoad(t *testing.T, url string, classes []Class) *Result {
 	t.Helper()
 	return Run(context.Background(), Config{
 		Targets: []string{url}, Classes: classes, Seed: 4, Duration: 20 * time.Second, MaxCalls: 12,
@@ -43,7 +43,7 @@
 
 func TestCallsAreAnsweredAndBounded(t *testing.T) {
 	app := startApplication(t)
-	result := run(t, app.URL(), classes()[:2])
+	result := runLoad(t, app.URL(), testClasses()[:2])
 	for _, class := range result.Classes() {
 		if class.Outcomes[audit.OutcomeAnswered]+class.Overflow != 12 || class.Attempts+class.Overflow != 12 || class.P50 <= 0 {
 			t.Errorf("%+v", class)
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	result := run(t, e.URL(), classes()[2:])
+	result := runLoad(t, e.URL(), testClasses()[2:])
 	if sum := result.Classes()[0]; sum.Outcomes[audit.OutcomeAnswered] != 12 {
 		t.Fatalf("%+v", sum)
 	}
@@ -76,9 +76,9 @@
 	if err := e.Inject(standin.Fault{Kind: standin.FaultMix, Count: 1}); err != nil {
 		t.Fatal(err)
 	}
-	mixed := run(t, e.URL(), []Class{{Name: "mixed", Pool: "lm", MaxTokens: 10, Workers: 1}})
+	mixed := runLoad(t, e.URL(), []Class{{Name: "mixed", Pool: "lm", MaxTokens: 10, Workers: 1}})
 	if found := audit.Check(mixed.Observations(), audit.Bounds{}); len(found) == 0 {
-		t.Fatal("another's answer went unnoticed")
+		t.Fatal("audit did not detect the answer of another call")
 	}
 }
 
@@ -109,15 +109,15 @@
 		want     audit.Outcome
 		attempts int
 	}{
-		{"refused", refusing(port.NotRun), Class{Method: http.MethodGet}, audit.OutcomeNotRun, 1},
+		{"not run", refusing(port.NotRun), Class{Method: http.MethodGet}, audit.OutcomeNotRun, 1},
 		{"ran", refusing(port.Ran), Class{Method: http.MethodGet}, audit.OutcomeRan, 1},
 		{"no verdict", refusing(port.VerdictUnset), Class{Method: http.MethodGet}, audit.OutcomeMayHaveRun, 1},
-		{"resent twice", refusing(port.MayHaveRun), Class{Method: http.MethodPost, Resends: 2}, audit.OutcomeMayHaveRun, 3},
+		{"two retries", refusing(port.MayHaveRun), Class{Method: http.MethodPost, Resends: 2}, audit.OutcomeMayHaveRun, 3},
 		{"cut", cut, Class{Method: http.MethodPost}, audit.OutcomeLost, 1},
 		{"stream without end", func(http.ResponseWriter, *http.Request) {}, Class{}, audit.OutcomeLost, 1},
 		{"stream cut within an event", cutInEvent, Class{}, audit.OutcomeLost, 1},
 		{"error in stream", failInStream, Class{}, audit.OutcomeRan, 1},
-		{"not an answer", func(http.ResponseWriter, *http.Request) {}, Class{Method: http.MethodGet}, audit.OutcomeAnswered, 1},
+		{"empty answer", func(http.ResponseWriter, *http.Request) {}, Class{Method: http.MethodGet}, audit.OutcomeAnswered, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -137,10 +137,10 @@
 
 func TestUnreachableTargetIsAvoided(t *testing.T) {
 	app := startApplication(t)
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	unreachable.Close()
 	result := Run(context.Background(), Config{
-		Targets: []string{gone.URL, app.URL()}, AvoidFor: time.Hour, Duration: time.Minute, MaxCalls: 20,
+		Targets: []string{unreachable.URL, app.URL()}, TargetBackoff: time.Hour, Duration: time.Minute, MaxCalls: 20,
 		Classes: []Class{{Name: "reader", Pool: "app", Method: http.MethodGet, Path: "/", Workers: 1}},
 	})
 	sum := result.Classes()[0]
@@ -149,8 +149,8 @@
 	}
 }
 
-// The HTTP client takes a request key as leave to repeat a request silently
-// when a kept connection breaks; the record of attempts would then be wrong.
+// The HTTP client retries a request with a request key by itself when a kept-alive
+// connection breaks. Such a retry would be missing in the record of attempts.
 func TestNoAttemptIsSentTwice(t *testing.T) {
 	for _, class := range []Class{
 		{Name: "stitching", Method: http.MethodPost, BodyBytes: 10, Unsafe: true, Resends: 1},
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -10,51 +10,50 @@
 	"github.com/loomgrade/loomgrade/internal/lab/audit"
 )
 
-// ClassResult sums up one class of callers.
+// ClassResult summarizes one class of callers.
 type ClassResult struct {
 	Class string `json:"class"`
-	// Outcomes counts calls by the outcome of their last attempt.
+	// Outcomes counts calls by the outcome of the last attempt.
 	Outcomes map[audit.Outcome]int `json:"outcomes"`
 	Attempts int                   `json:"attempts"`
-	// Overflow counts arrivals that found too many calls in flight and were
-	// not sent.
+	// Overflow counts arrivals that were not sent because too many calls were in flight.
 	Overflow int `json:"overflow"`
-	// P50, P99 and Max are latencies of answered calls.
+	// P50, P99 and Max are the latencies of answered calls.
 	P50 time.Duration `json:"p50_ns"`
 	P99 time.Duration `json:"p99_ns"`
 	Max time.Duration `json:"max_ns"`
 }
 
-// Result is what the callers of a run saw.
+// Result collects the calls of a load.
 type Result struct {
 	mutex   sync.Mutex
 	calls   []audit.Call
-	classes []*classCounts
+	classes []*classStats
 }
 
-type classCounts struct {
+type classStats struct {
 	result  ClassResult
 	latency *hdrhistogram.Histogram // in microseconds
 }
 
 const (
-	longestLatency   = int64(10 * time.Minute / time.Microsecond)
-	latencyPrecision = 3
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits    = 3
 )
 
 func newResult(classes []Class) *Result {
 	r := &Result{}
 	for _, class := range classes {
-		r.classes = append(r.classes, &classCounts{
+		r.classes = append(r.classes, &classStats{
 			result:  ClassResult{Class: class.Name, Outcomes: map[audit.Outcome]int{}},
-			latency: hdrhistogram.New(1, longestLatency, latencyPrecision),
+			latency: hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
 		})
 	}
 	return r
 }
 
-func (r *Result) class(name string) *classCounts {
-	index := slices.IndexFunc(r.classes, func(c *classCounts) bool { return c.result.Class == name })
+func (r *Result) class(name string) *classStats {
+	index := slices.IndexFunc(r.classes, func(c *classStats) bool { return c.result.Class == name })
 	return r.classes[index]
 }
 
@@ -66,15 +65,15 @@
 	r.class(class).result.Attempts++
 }
 
-// finish records the end of a call with all its attempts.
+// finish records the outcome of a call after its last attempt.
 func (r *Result) finish(class string, outcome audit.Outcome, latency time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	counts := r.class(class)
 	counts.result.Outcomes[outcome]++
 	if outcome == audit.OutcomeAnswered {
-		// The only error is a value beyond the range, which min excludes.
-		_ = counts.latency.RecordValue(min(latency.Microseconds(), longestLatency))
+		// The only error is a value out of range, which min excludes.
+		_ = counts.latency.RecordValue(min(latency.Microseconds(), maxLatencyMicros))
 	}
 }
 
@@ -91,7 +90,7 @@
 	return audit.Observations{Calls: slices.Clone(r.calls)}
 }
 
-// Classes returns the sums by class.
+// Classes returns a summary of each class.
 func (r *Result) Classes() []ClassResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
