--- a/internal/lab/load/call.go
+++ b/internal/lab/load/call.go
@@ -242,7 +242,7 @@
 	return finish, nil
 }
 
-// recordCompletion records a complete completion and whether it answers this call.
+// recordCompletion records a finished completion and whether it answers this call.
 func (p plannedCall) recordCompletion(seen *audit.Call, text, finish string) {
 	seen.Outcome, seen.Text, seen.Whole = audit.OutcomeAnswered, text, finish != ""
 	if engine.SameContent(text, engine.ContentKey(p.prompt(), p.seed)) {
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -31,7 +31,7 @@
 	blobs          map[string]kvBlob            // by handle
 	handles        []string                     // oldest first
 	cacheFeed      *engine.Feed
-	clearedThrough uint64 // last event before the cache was cleared
+	clearedThrough uint64 // events up to this one are void: the cache was cleared
 	loadReports    *engine.Lagged[port.LoadReport]
 	incarnation    context.Context // cancelled by a crash
 	endIncarnation context.CancelFunc
--- a/internal/lab/standin/recorder.go
+++ b/internal/lab/standin/recorder.go
@@ -37,7 +37,7 @@
 // unixNow returns the time since the Unix epoch, the origin of audit times.
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// add records observations that have ended.
+// add records observations of finished work.
 func (r *recorder) add(seen audit.Observations) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/standin/stream.go
+++ b/internal/lab/standin/stream.go
@@ -24,7 +24,7 @@
 type stream struct {
 	id             string
 	body           api.Completion
-	promptTokens   int // tokens
+	promptTokens   int
 	generation     *audit.Generation
 	pending        []engine.Event
 	aborted        bool
@@ -67,7 +67,7 @@
 	started       bool
 	text          strings.Builder
 	spans         []port.Span
-	tokensWritten int // tokens
+	tokensWritten int
 	cutAfter      int // abort the connection after so many tokens; 0 means never
 }
 
