--- a/internal/app/sitecontrol/calls.go
+++ b/internal/app/sitecontrol/calls.go
@@ -139,7 +139,7 @@
 
 // callOnce serves a request here if this member leads, else on the leader.
 func (c *Control) callOnce(ctx context.Context, request Request) (Answer, error) {
-	shown := c.member.Shown()
+	shown := c.member.PublishedState()
 	if shown == nil {
 		return Answer{NotLeader: true}, nil
 	}
--- a/internal/app/sitecontrol/clock_test.go
+++ b/internal/app/sitecontrol/clock_test.go
@@ -8,7 +8,7 @@
 )
 
 // The site's time includes a suspension of the leader's machine between two polls.
-func TestTheSitesTimeGoesOnInSuspension(t *testing.T) {
+func TestSiteTimeIncludesSuspension(t *testing.T) {
 	passed, wall := time.Hour, time.Unix(1_000_000, 0)
 	clock := newSiteClock(&Control{config: Config{Clock: func() time.Duration { return passed }}})
 	offset, ok := sitetime.Estimate([]sitetime.Reading{{Monotonic: passed, Wall: wall}}, 1)
--- a/internal/app/sitecontrol/cold_test.go
+++ b/internal/app/sitecontrol/cold_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-func TestWhatIsNewsOfAColdReplica(t *testing.T) {
+func TestColdPeriodChanged(t *testing.T) {
 	start := time.Now()
 	for name, row := range map[string]struct {
 		committed, reported uint32
@@ -33,7 +33,7 @@
 }
 
 // Disconnected processes still use the committed number, so that a decrease is committed late.
-func TestTheNumberOfSendersIsRaisedAtOnceAndLoweredLate(t *testing.T) {
+func TestSenderCountDecreaseIsDelayed(t *testing.T) {
 	start := time.Now()
 	counted := newSenders()
 	step := func(name string, own int, committed uint32, after time.Duration, want uint32, wantDue bool) {
--- a/internal/app/sitecontrol/control.go
+++ b/internal/app/sitecontrol/control.go
@@ -36,7 +36,7 @@
 	// Seeds are the addresses of control members.
 	Seeds []string
 	// Found lets the seeds bootstrap the group, on the first start of a site.
-	Found bool
+	Bootstrap bool
 	// Folder contains the log.
 	Folder     string
 	FileSystem wal.FileSystem
@@ -48,7 +48,7 @@
 	ToleratedLosses int
 	// PlacesPerShard is how many slots of engines one shard's leader serves; 0 selects
 	// DefaultSlotsPerShard.
-	PlacesPerShard int
+	SlotsPerShard int
 	// Zones maps each zone of the site to its region; empty if the settings name none.
 	Zones map[string]string
 	// HolderLease is how long replicas obey only the machine that last sent them an order.
@@ -67,9 +67,9 @@
 
 // Recorder records metrics of the leader.
 type Recorder interface {
-	HeartbeatTaken()
+	HeartbeatAccepted()
 	// HeartbeatRefused counts a rejected heartbeat by the invalid field.
-	HeartbeatRefused(field string)
+	HeartbeatRejected(field string)
 	// LoadEnded records a load of weights and its duration.
 	LoadEnded(outcome string, took time.Duration)
 }
@@ -77,8 +77,8 @@
 // noRecorder discards all metrics.
 type noRecorder struct{}
 
-func (noRecorder) HeartbeatTaken()                 {}
-func (noRecorder) HeartbeatRefused(string)         {}
+func (noRecorder) HeartbeatAccepted()              {}
+func (noRecorder) HeartbeatRejected(string)        {}
 func (noRecorder) LoadEnded(string, time.Duration) {}
 
 // Control is a member of the site's control group.
@@ -116,7 +116,7 @@
 		config.Recorder = noRecorder{}
 	}
 	config.Clock = config.Clock.OrSystem()
-	config.PlacesPerShard = cmp.Or(config.PlacesPerShard, DefaultSlotsPerShard)
+	config.SlotsPerShard = cmp.Or(config.SlotsPerShard, DefaultSlotsPerShard)
 	c := &Control{
 		config: config, pool: wire.NewPool(config.Wire), wakes: map[chan struct{}]struct{}{},
 		seeds: slices.Clone(config.Seeds), senders: newSenders(), levels: newLevels(),
@@ -160,7 +160,7 @@
 }
 
 // HandOver transfers leadership before a planned stop.
-func (c *Control) HandOver(ctx context.Context) { c.member.HandOver(ctx) }
+func (c *Control) TransferLeadership(ctx context.Context) { c.member.TransferLeadership(ctx) }
 
 // SetSeeds replaces the addresses of control members after a change of settings.
 func (c *Control) SetSeeds(seeds []string) {
@@ -175,7 +175,7 @@
 	c.mutex.Lock()
 	seeds := slices.Sorted(slices.Values(c.seeds))
 	c.mutex.Unlock()
-	if !c.config.Found {
+	if !c.config.Bootstrap {
 		return group.Origin{Contacts: seeds}, nil
 	}
 	var founders []groupmember.Record
@@ -198,8 +198,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		shown := c.member.Shown()
-		leads := shown != nil && shown.Settled
+		shown := c.member.PublishedState()
+		leads := shown != nil && shown.LeaderReady
 		c.heartbeats.tick(ctx, leads)
 		c.stores.tick(ctx, leads)
 		c.lease.updateTerm(leads)
@@ -223,7 +223,7 @@
 	if next.Configuration.Version != previous.Configuration.Version {
 		c.readTable(next.Configuration)
 	}
-	if step.Settled {
+	if step.LeaderReady {
 		c.logPublished(previous, next)
 	}
 	if len(previous.Suspects) > 0 || len(next.Suspects) > 0 {
@@ -271,12 +271,12 @@
 
 // IsVoter reports whether this member is a voter in contact with a quorum and caught up.
 func (c *Control) IsVoter() bool {
-	shown := c.member.Shown()
+	shown := c.member.PublishedState()
 	return shown != nil && shown.Confirmed && shown.Status.Membership.IsVoter(shown.Status.ID)
 }
 
 // Shown returns the latest published status of the member, or nil.
-func (c *Control) Shown() *group.Shown { return c.member.Shown() }
+func (c *Control) PublishedState() *group.PublishedState { return c.member.PublishedState() }
 
 // View returns the control state as applied on this member. It is immutable.
 func (c *Control) View() *sitestate.View { return c.view.Load() }
--- a/internal/app/sitecontrol/heartbeats.go
+++ b/internal/app/sitecontrol/heartbeats.go
@@ -53,7 +53,7 @@
 // nothing, and reports whether it did. Others are acknowledged once the leader has
 // committed them.
 func (h *heartbeats) acceptUnchanged(report sitestate.Replica) bool {
-	shown := h.control.member.Shown()
+	shown := h.control.member.PublishedState()
 	if shown == nil || !shown.Confirmed {
 		return false
 	}
@@ -61,7 +61,7 @@
 	if !known || !sameReport(registered, report) || registered.ColdMillis > 0 || report.ColdMillis > 0 {
 		return false
 	}
-	h.control.config.Recorder.HeartbeatTaken()
+	h.control.config.Recorder.HeartbeatAccepted()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.unreported[registered.ID] = true
@@ -72,7 +72,7 @@
 // quorum, and reports whether it did. The heartbeat is committed asynchronously: if that
 // fails, the next one repeats it. Departures are acknowledged only once committed.
 func (h *heartbeats) acceptReady(report sitestate.Replica) (bool, error) {
-	shown := h.control.member.Shown()
+	shown := h.control.member.PublishedState()
 	if report.State != sitestate.ReplicaReady || shown == nil || !shown.Confirmed {
 		return false, nil
 	}
@@ -80,7 +80,7 @@
 		return false, err
 	}
 	if shown.Leader.ID != shown.Status.ID {
-		h.control.config.Recorder.HeartbeatTaken()
+		h.control.config.Recorder.HeartbeatAccepted()
 		h.control.reports.enqueue(report)
 		return true, nil
 	}
@@ -133,7 +133,7 @@
 // accept serves a replica's heartbeat as the leader. Changes are committed before they are
 // acknowledged; other heartbeats are not logged.
 func (h *heartbeats) accept(ctx context.Context, report sitestate.Replica) (Answer, error) {
-	h.control.config.Recorder.HeartbeatTaken()
+	h.control.config.Recorder.HeartbeatAccepted()
 	registered, known, err := h.validate(report)
 	if err != nil {
 		return Answer{}, err
@@ -229,7 +229,7 @@
 // reportToLeader sends the leader the replicas that this member accepted heartbeats of. On
 // failure they are part of the next report.
 func (h *heartbeats) reportToLeader(ctx context.Context) {
-	shown := h.control.member.Shown()
+	shown := h.control.member.PublishedState()
 	if shown == nil {
 		return
 	}
--- a/internal/app/sitecontrol/heartbeats_test.go
+++ b/internal/app/sitecontrol/heartbeats_test.go
@@ -9,7 +9,7 @@
 )
 
 // The leader removes only replicas that neither it nor another member received heartbeats of.
-func TestOnlyReplicasThatNobodyHeardOfAreSilent(t *testing.T) {
+func TestTimedOutReplicas(t *testing.T) {
 	h := newHeartbeats(nil)
 	start := time.Now()
 	replicas := sitestate.SetOf(sitestate.Replica{ID: "reported"}, sitestate.Replica{ID: "accepted here"}, sitestate.Replica{ID: "by the leader"}, sitestate.Replica{ID: "lost"})
@@ -31,7 +31,7 @@
 }
 
 // A member reports each heartbeat once.
-func TestWhatIsToldIsForgottenOnceTold(t *testing.T) {
+func TestHeartbeatsAreReportedOnce(t *testing.T) {
 	h := newHeartbeats(nil)
 	h.unreported["b"], h.unreported["a"] = true, true
 	if reported := h.takeUnreported(); !slices.Equal(reported, []string{"a", "b"}) {
--- a/internal/app/sitecontrol/lease.go
+++ b/internal/app/sitecontrol/lease.go
@@ -47,7 +47,7 @@
 // lease, since another member may have led in between.
 func (l *lease) updateTerm(leads bool) {
 	term := uint64(0)
-	if shown := l.control.member.Shown(); leads && shown != nil {
+	if shown := l.control.member.PublishedState(); leads && shown != nil {
 		term = shown.Status.Term
 	}
 	if term != l.term {
@@ -120,14 +120,14 @@
 // a failed transfer of leadership it is gone until the next term, while the member leads.
 func (l *lease) confirm(ctx context.Context) (authority, error) {
 	requestedAt := l.control.config.Clock()
-	before := l.control.member.Shown()
+	before := l.control.member.PublishedState()
 	var holder sitestate.Holder
 	err := l.control.member.Read(ctx, func(machine groupmember.StateMachine) { holder = machine.(*sitestate.State).Holder() })
 	if err != nil {
 		return authority{}, err
 	}
-	after := l.control.member.Shown()
-	if before == nil || after == nil || !after.Settled || before.Status.Term != after.Status.Term || holder.Machine != l.control.config.Machine {
+	after := l.control.member.PublishedState()
+	if before == nil || after == nil || !after.LeaderReady || before.Status.Term != after.Status.Term || holder.Machine != l.control.config.Machine {
 		return authority{}, errNotHolder
 	}
 	return authority{term: after.Status.Term, until: requestedAt + l.control.config.HolderLease + authorityMargin, clock: l.control.config.Clock}, nil
--- a/internal/app/sitecontrol/lease_test.go
+++ b/internal/app/sitecontrol/lease_test.go
@@ -7,7 +7,7 @@
 
 // A holder that is suspended past its lease must not send a call when it resumes: another
 // machine may hold the lease by then.
-func TestAnAuthorityDoesNotOutliveASuspension(t *testing.T) {
+func TestAuthorityExpiresInSuspension(t *testing.T) {
 	passed := time.Hour
 	confirmed := authority{term: 3, until: passed + 3*time.Second, clock: func() time.Duration { return passed }}
 	if err := confirmed.check(); err != nil {
--- a/internal/app/sitecontrol/levels.go
+++ b/internal/app/sitecontrol/levels.go
@@ -38,7 +38,7 @@
 
 // common returns the highest level that all members support. A member without a recent
 // report may run an earlier build.
-func (l *levels) common(shown *group.Shown, now time.Time) sitestate.Level {
+func (l *levels) common(shown *group.PublishedState, now time.Time) sitestate.Level {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	common := sitestate.LevelNewest
@@ -57,7 +57,7 @@
 
 // raiseLevel raises the agreed level, as the leader, once all members support a higher one.
 func (c *Control) raiseLevel(ctx context.Context, now time.Time) {
-	shown := c.member.Shown()
+	shown := c.member.PublishedState()
 	if shown == nil || sitestate.Level(c.levels.agreed.Load()) >= sitestate.LevelNewest {
 		return
 	}
--- a/internal/app/sitecontrol/levels_test.go
+++ b/internal/app/sitecontrol/levels_test.go
@@ -11,9 +11,9 @@
 )
 
 // A member without a recent report, such as one of an earlier build, keeps the level down.
-func TestALevelIsThatOfAllMembers(t *testing.T) {
+func TestCommonLevel(t *testing.T) {
 	now := time.Now()
-	shown := &group.Shown{}
+	shown := &group.PublishedState{}
 	shown.Status.ID = 1
 	shown.Records = []groupmember.Record{{ID: 1}, {ID: 2}, {ID: 3}}
 	for name, row := range map[string]struct {
--- a/internal/app/sitecontrol/refused.go
+++ b/internal/app/sitecontrol/refused.go
@@ -33,8 +33,8 @@
 }
 
 // RefuseReport counts a rejected report and logs it, rate-limited.
-func (c *Control) RefuseReport(name string, fault *sitestate.ReportError) {
-	c.config.Recorder.HeartbeatRefused(string(fault.Field))
+func (c *Control) RejectReport(name string, fault *sitestate.ReportError) {
+	c.config.Recorder.HeartbeatRejected(string(fault.Field))
 	count, due := c.rejectedLog.due(time.Now())
 	if !due {
 		return
@@ -58,7 +58,7 @@
 	if fault == nil {
 		return nil
 	}
-	c.RefuseReport(report.InstanceName(), fault)
+	c.RejectReport(report.InstanceName(), fault)
 	return port.NewError(port.NotRun, port.CodeInvalid, "%v", fault)
 }
 
--- a/internal/app/sitecontrol/reports.go
+++ b/internal/app/sitecontrol/reports.go
@@ -153,7 +153,7 @@
 	for _, waiting := range batch {
 		request.Reports = append(request.Reports, waiting.report)
 	}
-	shown := r.control.member.Shown()
+	shown := r.control.member.PublishedState()
 	switch {
 	case shown == nil || shown.Leader.Address == "":
 		return ReportAnswers{}, nil
--- a/internal/app/sitecontrol/shards_test.go
+++ b/internal/app/sitecontrol/shards_test.go
@@ -41,7 +41,7 @@
 }
 
 // Each free slot gets one machine, preferably of the zone with the fewest in the group.
-func TestFreeMachinesAreInvitedWhereTheyAreNeeded(t *testing.T) {
+func TestInviteFillsFreeSlots(t *testing.T) {
 	s := storesOf("f0", "f1", "f2")
 	invitations := func() string {
 		return fmt.Sprint(s.inviteByName("f0"), s.inviteByName("f1"), s.inviteByName("f2"), s.inviteByName("s1-0"))
@@ -72,7 +72,7 @@
 }
 
 // The group still lists a member whose disk was replaced.
-func TestAMachineThatLostItsDiskGoesBackToItsGroup(t *testing.T) {
+func TestInviteMachineWithReplacedDisk(t *testing.T) {
 	s := storesOf("f0")
 	view := *s.control.view.Load()
 	view.Stores = slices.Clone(view.Stores)
@@ -88,7 +88,7 @@
 }
 
 // A group that did not report may depend on the machine.
-func TestAMachineIsEmptyOnceEveryGroupIsWholeWithoutIt(t *testing.T) {
+func TestMachineIsEmptiedOnceGroupsAreComplete(t *testing.T) {
 	s := storesOf("f0")
 	if !s.isEmptied("f0", 2) || s.isEmptied("s1-0", 2) {
 		t.Error("want a free machine emptied and a member not")
--- a/internal/app/sitecontrol/watch.go
+++ b/internal/app/sitecontrol/watch.go
@@ -73,7 +73,7 @@
 	defer c.removeWake(wake)
 	after, sentMembers, sent := request.After, 0, time.Time{}
 	for {
-		shown := c.member.Shown()
+		shown := c.member.PublishedState()
 		if shown == nil {
 			return port.NewError(port.NotRun, port.CodeUnavailable, "this member has not joined the group yet")
 		}
--- a/internal/app/sitecontrol/weights_test.go
+++ b/internal/app/sitecontrol/weights_test.go
@@ -14,7 +14,7 @@
 func (noDialect) Headers() dialect.Headers { return dialect.Headers{} }
 
 // A failed load is no longer pending and starts a backoff for its replica.
-func TestAFailedLoadGivesItsPlaceFreeAndRests(t *testing.T) {
+func TestFailedLoadStartsBackoff(t *testing.T) {
 	w := newWeightsManager(&Control{config: Config{Dialect: noDialect{}}})
 	w.loading["i"] = "a"
 	w.finishLoad("i", false)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestRestsDoubleUpToTheLongest(t *testing.T) {
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	now := time.Now()
 	current := backoff{}
 	for i, want := range []time.Duration{minBackoff, 2 * minBackoff, 4 * minBackoff, maxBackoff, maxBackoff} {
--- a/internal/app/sitecontrol/wholeview_test.go
+++ b/internal/app/sitecontrol/wholeview_test.go
@@ -21,7 +21,7 @@
 }
 
 // Watchers that start within a short time share one packed view.
-func TestAWholeStateIsMadeOnceForAll(t *testing.T) {
+func TestFullViewIsCached(t *testing.T) {
 	now := time.Now()
 	steps := []struct {
 		name     string
@@ -47,18 +47,18 @@
 		}
 		before = packed
 		var update sitestate.Update
-		if err := wire.UnmarshalPacked(packed, 1<<20, &update); err != nil || update.Position != step.want || len(update.Replicas) != 3 || !update.Full {
+		if err := wire.UnmarshalCompressed(packed, 1<<20, &update); err != nil || update.Position != step.want || len(update.Replicas) != 3 || !update.Full {
 			t.Errorf("%s: %+v, %v", step.name, update, err)
 		}
 	}
 }
 
 // Compares packing the state for each new watcher with sharing one, at 130 replicas.
-func BenchmarkWholeState(b *testing.B) {
+func BenchmarkFullView(b *testing.B) {
 	view := viewOf(10, 130)
 	b.Run("for each", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := wire.MarshalPacked(view.Update()); err != nil {
+			if _, err := wire.MarshalCompressed(view.Update()); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/app/sitestore/calls.go
+++ b/internal/app/sitestore/calls.go
@@ -43,7 +43,7 @@
 	if refusal.Leader.Address != "" {
 		return refusal.Leader.Address
 	}
-	shown := s.member.Shown()
+	shown := s.member.PublishedState()
 	if shown == nil || shown.Shard != shard || shown.Leader.Address == s.config.Address {
 		return ""
 	}
@@ -131,10 +131,10 @@
 // checkAdmission rejects a job that exceeds the memory limit, and any job while a quorum is
 // too small to survive the tolerated losses.
 func (s *Store) checkAdmission(bytes int) *port.Error {
-	if limit, used := s.config.MostJobBytes, int(s.JobBytes()); limit > 0 && used+bytes > limit {
+	if limit, used := s.config.MaxJobBytes, int(s.JobBytes()); limit > 0 && used+bytes > limit {
 		return port.NewError(port.NotRun, port.CodeQueueFull, "the shard's jobs use %d of %d bytes of memory, %d more do not fit", used, limit, bytes)
 	}
-	shown := s.member.Shown()
+	shown := s.member.PublishedState()
 	if shown == nil {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "this machine has not joined the store group yet")
 	}
--- a/internal/app/sitestore/demand_test.go
+++ b/internal/app/sitestore/demand_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPeaksAreRememberedForAWhile(t *testing.T) {
+func TestPeaksExpire(t *testing.T) {
 	start := time.Now()
 	meter := newDemandMeter(start)
 	meter.recordPeak(map[string]int{"m": 9}, start)
--- a/internal/app/sitestore/leadership.go
+++ b/internal/app/sitestore/leadership.go
@@ -76,16 +76,16 @@
 // not scheduled for a while loses contact with its quorum briefly; cancelling all runs would
 // restart them all. Patience is the election timeout, after which voters elect another
 // leader.
-func dutyOf(shown *group.Shown, l *leadership, now time.Time, timeout time.Duration) duty {
+func dutyOf(shown *group.PublishedState, l *leadership, now time.Time, timeout time.Duration) duty {
 	if shown == nil || shown.Status.Role != consensus.RoleLeader {
 		return dutyNone
 	}
 	same := l != nil && l.shard == sitestate.ShardNumber(shown.Shard) && l.term == shown.Status.Term
 	switch {
-	case shown.Settled && same:
+	case shown.LeaderReady && same:
 		l.quorumLostAt = time.Time{}
 		return dutyContinue
-	case shown.Settled:
+	case shown.LeaderReady:
 		return dutyStart
 	case !same:
 		return dutyNone
--- a/internal/app/sitestore/move_test.go
+++ b/internal/app/sitestore/move_test.go
@@ -13,7 +13,7 @@
 
 // Items move from a few slow replicas. When all replicas seem slow, this process lacks
 // processor time, and moves would add to its load.
-func TestALateProcessMovesNothing(t *testing.T) {
+func TestDelayedProcessMovesNothing(t *testing.T) {
 	const baseline, runsPerReplica, replicas = 40 * time.Millisecond, 2, 10
 	for name, row := range map[string]struct {
 		slow  int
--- a/internal/app/sitestore/register.go
+++ b/internal/app/sitestore/register.go
@@ -148,8 +148,8 @@
 
 // describeGroup adds the members of the group, if this machine leads it.
 func (s *Store) describeGroup(heartbeat *sitecontrol.StoreHeartbeat) {
-	shown := s.member.Shown()
-	if shown == nil || !shown.Settled || sitestate.ShardNumber(shown.Shard) != heartbeat.Store.Shard {
+	shown := s.member.PublishedState()
+	if shown == nil || !shown.LeaderReady || sitestate.ShardNumber(shown.Shard) != heartbeat.Store.Shard {
 		return
 	}
 	heartbeat.Members = []string{}
@@ -170,7 +170,7 @@
 	}
 }
 
-func caughtUp(shown *group.Shown, record groupmember.Record) bool {
+func caughtUp(shown *group.PublishedState, record groupmember.Record) bool {
 	for _, peer := range shown.Status.Progress {
 		if peer.ID == record.ID {
 			return peer.Active && peer.CaughtUp
--- a/internal/app/sitestore/register_test.go
+++ b/internal/app/sitestore/register_test.go
@@ -8,7 +8,7 @@
 )
 
 // The shard of a machine depends on its data folder, its membership and its invitation.
-func TestTheShardOfAMachineWithItsFolder(t *testing.T) {
+func TestMembershipShard(t *testing.T) {
 	self := groupmember.Record{Address: "a", Incarnation: "x"}
 	shards := []sitestate.Shard{
 		{Number: 1, Founders: []groupmember.Record{{Address: "a", Incarnation: "earlier"}, {Address: "b", Incarnation: "x"}}},
--- a/internal/app/sitestore/replicabook_test.go
+++ b/internal/app/sitestore/replicabook_test.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func TestCandidatesCountWhatRuns(t *testing.T) {
+func TestCandidatesCountRuns(t *testing.T) {
 	view, table := testView(sitestate.Replica{ID: "a", Slots: 2}, sitestate.Replica{ID: "b"})
 	tracker := newReplicaTracker(0)
 	item := &itemState{spec: jobstate.Item{Group: "g"}}
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestBlockedReplicasAreLeftOutForAWhile(t *testing.T) {
+func TestBlockedReplicasAreNoCandidates(t *testing.T) {
 	view, table := testView(sitestate.Replica{ID: "a", Slots: 2})
 	tracker := newReplicaTracker(0)
 	tracker.block("a", testTime.Add(time.Second))
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestASlowReplicaIsExpectedToBeAsItUsuallyIsOnceTheMeasurementAges(t *testing.T) {
+func TestExpectedPaceReturnsToBaseline(t *testing.T) {
 	view, table := testView(sitestate.Replica{ID: "slow", Slots: 2}, sitestate.Replica{ID: "fast", Slots: 2}, sitestate.Replica{ID: "new", Slots: 2})
 	tracker := newReplicaTracker(0)
 	for range 200 {
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestAPlaceIsKeptForAnItemThatMoves(t *testing.T) {
+func TestReservedSlotsAreNotFree(t *testing.T) {
 	view, table := testView(sitestate.Replica{ID: "a", Slots: 2})
 	tracker := newReplicaTracker(0)
 	tracker.reserve("a")
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestVersionsShownByAnswersCountAtOnce(t *testing.T) {
+func TestVersionsFromResponses(t *testing.T) {
 	view, table := testView(sitestate.Replica{ID: "a", Slots: 2, Models: []sitestate.ModelVersion{{Name: "m", Version: 3}}})
 	tracker := newReplicaTracker(0)
 	tracker.entry("a").versions["m"] = 4
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestDemandFollowsWhatIsDoneAndOpen(t *testing.T) {
+func TestDemandRates(t *testing.T) {
 	meter := newDemandMeter(testTime)
 	now := testTime
 	var rates map[string]float64
@@ -178,7 +178,7 @@
 
 // A replica that moved from another shard is not used for a while, as the runner of that shard
 // may not know of the move yet.
-func TestAReplicaOfAnotherShardIsLeftAlone(t *testing.T) {
+func TestReplicaOfAnotherShardIsNoCandidate(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 1, "b": 2}
 	sharded := func(model string) (*siteview.View, *routing.Table) {
 		view, table := testView(sitestate.Replica{ID: "x", Slots: 2, Model: model})
--- a/internal/app/sitestore/runner.go
+++ b/internal/app/sitestore/runner.go
@@ -86,7 +86,7 @@
 
 // tick updates the leadership, syncs jobs, starts items and commits text.
 func (r *runner) tick(ctx context.Context) {
-	shown := r.store.member.Shown()
+	shown := r.store.member.PublishedState()
 	switch dutyOf(shown, r.leadership, time.Now(), r.store.member.ElectionTimeout()) {
 	case dutyNone:
 		r.stop()
--- a/internal/app/sitestore/scoregate_test.go
+++ b/internal/app/sitestore/scoregate_test.go
@@ -13,7 +13,7 @@
 )
 
 // The limit holds with concurrent and cancelled calls, and all others run.
-func TestRewardCallsAreBoundedAtOnce(t *testing.T) {
+func TestScoreLimiterLimit(t *testing.T) {
 	const limit, calls = 3, 200
 	limiter := newScoreLimiter()
 	var running, highest, done atomic.Int64
@@ -50,7 +50,7 @@
 }
 
 // Calls run in FIFO order, independently for each service.
-func TestRewardCallsHaveTheirTurnInOrder(t *testing.T) {
+func TestScoreLimiterOrder(t *testing.T) {
 	limiter := newScoreLimiter()
 	ctx := context.Background()
 	if err := limiter.acquire(ctx, "s", 1); err != nil {
@@ -92,7 +92,7 @@
 	return len(l.services[service].waiting)
 }
 
-func TestRewardCallsTakeAPartOfTheirServicesPlaces(t *testing.T) {
+func TestMaxScoreCalls(t *testing.T) {
 	for name, row := range map[string]struct {
 		replicas []sitestate.Replica
 		shards   int
--- a/internal/app/sitestore/store.go
+++ b/internal/app/sitestore/store.go
@@ -58,7 +58,7 @@
 	KeepJobs time.Duration
 	// MostJobBytes limits the memory for jobs, as counted by jobstate.State.Bytes; further
 	// jobs are rejected. 0 means no limit.
-	MostJobBytes int
+	MaxJobBytes int
 }
 
 // Recorder records metrics of the items of jobs.
@@ -148,14 +148,14 @@
 }
 
 // HandOver transfers leadership before a planned stop.
-func (s *Store) HandOver(ctx context.Context) { s.member.HandOver(ctx) }
+func (s *Store) TransferLeadership(ctx context.Context) { s.member.TransferLeadership(ctx) }
 
 // changed signals changes of the state; it runs in the member's loop.
 func (s *Store) changed(step group.Step) {
 	state := step.Machine.(*jobstate.State)
 	s.jobBytes.Store(int64(state.Bytes()))
-	if step.Settled != s.leaderReady {
-		s.leaderReady = step.Settled
+	if step.LeaderReady != s.leaderReady {
+		s.leaderReady = step.LeaderReady
 		s.runner.wakeUp()
 	}
 	if serial := state.JobSerial(); serial != s.jobSerial.Load() {
@@ -189,8 +189,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		shown := s.member.Shown()
-		if shown == nil || !shown.Settled {
+		shown := s.member.PublishedState()
+		if shown == nil || !shown.LeaderReady {
 			clear(s.firstSeen)
 			continue
 		}
@@ -233,15 +233,15 @@
 
 // Leads reports whether this machine leads a shard's group, in contact with a quorum.
 func (s *Store) Leads() bool {
-	shown := s.member.Shown()
-	return shown != nil && shown.Settled
+	shown := s.member.PublishedState()
+	return shown != nil && shown.LeaderReady
 }
 
 // Shown returns the latest published status of the member, or nil.
-func (s *Store) Shown() *group.Shown { return s.member.Shown() }
+func (s *Store) PublishedState() *group.PublishedState { return s.member.PublishedState() }
 
 // JobBytes returns the approximate memory of this shard's jobs.
 func (s *Store) JobBytes() int64 { return s.jobBytes.Load() }
 
 // Open returns the number of items without a result.
-func (s *Store) Open() int64 { return s.open.Load() }
+func (s *Store) OpenItems() int64 { return s.open.Load() }
--- a/internal/app/sitestore/withhold_test.go
+++ b/internal/app/sitestore/withhold_test.go
@@ -69,7 +69,7 @@
 
 // After each trial that crashes a replica the wait is longer; after the last there is none. A
 // rejected trial does not count.
-func TestTrialsOfAnItemAreFew(t *testing.T) {
+func TestItemTrials(t *testing.T) {
 	r := newTestRunner()
 	item := &itemState{key: jobqueue.Key{Job: "j"}, earlierCrashes: 3}
 	r.items[item.key] = item
--- a/internal/app/siteview/cold_test.go
+++ b/internal/app/siteview/cold_test.go
@@ -8,7 +8,7 @@
 )
 
 // Cold periods count from the receipt of an update; a report of a warm replica doesn't end them.
-func TestColdReplicasCountFromWhenTheUpdateCame(t *testing.T) {
+func TestColdPeriodsCountFromReceipt(t *testing.T) {
 	start := time.Unix(1000, 0)
 	updates := func(id string, millis uint32) []sitestate.Update {
 		return []sitestate.Update{{Replicas: []sitestate.Replica{{ID: id, ColdMillis: millis}}}}
--- a/internal/app/siteview/siteview.go
+++ b/internal/app/siteview/siteview.go
@@ -35,7 +35,7 @@
 		return []sitestate.Update{a.Update}, nil
 	}
 	var packed sitestate.Update
-	if err := wire.UnmarshalPacked(a.Packed, maxPackedBytes, &packed); err != nil {
+	if err := wire.UnmarshalCompressed(a.Packed, maxPackedBytes, &packed); err != nil {
 		return nil, eris.Wrap(err, "cannot unpack the update")
 	}
 	return []sitestate.Update{packed, a.Update}, nil
--- a/internal/app/siteview/siteview_test.go
+++ b/internal/app/siteview/siteview_test.go
@@ -13,8 +13,8 @@
 )
 
 // The packed state is applied first, then the changes since.
-func TestAnswerBringsTheWholeStateAndWhatFollowed(t *testing.T) {
-	packed, err := wire.MarshalPacked(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
+func TestWatchAnswerUpdates(t *testing.T) {
+	packed, err := wire.MarshalCompressed(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 
 // After a suspension the view is stale although no time has passed on the system's monotonic
 // clock; a key may have been revoked meanwhile.
-func TestAViewIsNotConfirmedOnWakingUp(t *testing.T) {
+func TestViewIsNotConfirmedAfterSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	watcher := New(Config{
 		Changed: func(*View) {}, Clock: func() time.Duration { return boottime.Now() + suspended },
--- a/internal/lab/sim/fault/trainernode.go
+++ b/internal/lab/sim/fault/trainernode.go
@@ -96,7 +96,7 @@
 		control.propose(&n.process, command, callTimeout, take)
 		return
 	}
-	n.tellCoordinator(coordinator.PublicationBegun{Version: publish.Version}, func() {
+	n.tellCoordinator(coordinator.PublicationStarted{Version: publish.Version}, func() {
 		control.propose(&n.process, command, callTimeout, func(result port.Result, failure *port.Error) {
 			published := failure == nil && result.Error == nil
 			ended := coordinator.PublicationEnded{Version: publish.Version, Published: published}
