--- a/internal/lab/sim/fault/application.go
+++ b/internal/lab/sim/fault/application.go
@@ -9,10 +9,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// applicationWorkers is the number of calls that a back end runs at a time.
+// applicationWorkers is the number of calls that a back end runs concurrently.
 const applicationWorkers = 4
 
-// backEnd stands in for a replica of an application service.
+// backEnd simulates a replica of an application service.
 type backEnd struct {
 	process
 	world   *world
@@ -22,17 +22,17 @@
 	waiting []func()
 	slow    time.Duration
 	retired bool
-	// Faults that concern the next calls.
+	// Numbers of calls still to be mixed up, refused or failed by a fault.
 	mixNext, refuseNext, failNext int
 }
 
-// execution is one call that runs.
+// execution is a running call.
 type execution struct {
-	seen *audit.Execution
-	life int
+	record      *audit.Execution
+	incarnation int
 }
 
-// callAnswer is what a back end answers, with the request that it is for.
+// callAnswer is a back end's response with the request and call that it names.
 type callAnswer struct {
 	ID       port.RequestID
 	Call     string
@@ -46,19 +46,19 @@
 	}
 }
 
-// serve runs a call, or refuses it.
-func (b *backEnd) serve(s *stream, request port.ApplicationRequest, call string, take func(callAnswer), refused func(*port.Error)) {
+// serve runs, queues or refuses a call.
+func (b *backEnd) serve(s *stream, request port.ApplicationRequest, call string, handle func(callAnswer), refused func(*port.Error)) {
 	if b.refuseNext > 0 {
 		b.refuseNext--
 		s.answer(true, func() { refused(port.NewError(port.NotRun, port.CodeUnavailable, "the back end refuses")) })
 		return
 	}
-	life := b.life
-	gone := false
-	s.left = func() { gone = true }
+	incarnation := b.incarnation
+	disconnected := false
+	s.onDisconnect = func() { disconnected = true }
 	start := func() {
-		if b.life == life && !gone {
-			b.run(s, request, call, take)
+		if b.incarnation == incarnation && !disconnected {
+			b.run(s, request, call, handle)
 		}
 	}
 	if len(b.running) >= applicationWorkers {
@@ -68,17 +68,17 @@
 	start()
 }
 
-// run runs a call. It goes on when the asker leaves, as services do.
-func (b *backEnd) run(s *stream, request port.ApplicationRequest, call string, take func(callAnswer)) {
+// run runs a call to its end, even if the client disconnects.
+func (b *backEnd) run(s *stream, request port.ApplicationRequest, call string, handle func(callAnswer)) {
 	w := b.world
-	run := &execution{life: b.life, seen: &audit.Execution{
+	run := &execution{incarnation: b.incarnation, record: &audit.Execution{
 		BackEnd: b.address, RequestID: string(request.ID), From: string(s.client.zone), Call: call, StartedAt: w.queue.Now(),
 	}}
 	b.running = append(b.running, run)
-	w.seen.executions = append(w.seen.executions, run.seen)
+	w.observed.executions = append(w.observed.executions, run.record)
 	took := time.Duration(2+w.random.service.IntN(12))*time.Millisecond + b.slow
 	w.after(took, func() {
-		if b.life != run.life {
+		if b.incarnation != run.incarnation {
 			return
 		}
 		b.finish(run, audit.EndFinished)
@@ -92,12 +92,12 @@
 			b.mixNext--
 			answer.ID, answer.Call = "mixed-"+request.ID, "mixed-"+call
 		}
-		s.answer(true, func() { take(answer) })
+		s.answer(true, func() { handle(answer) })
 	})
 }
 
 func (b *backEnd) finish(run *execution, how audit.End) {
-	run.seen.End, run.seen.EndedAt = how, b.world.queue.Now()
+	run.record.End, run.record.EndedAt = how, b.world.queue.Now()
 	for index, other := range b.running {
 		if other == run {
 			b.running = append(b.running[:index], b.running[index+1:]...)
@@ -106,7 +106,7 @@
 	}
 }
 
-// next starts waiting calls while there are workers.
+// next starts queued calls while workers are free.
 func (b *backEnd) next() {
 	for len(b.waiting) > 0 && len(b.running) < applicationWorkers {
 		start := b.waiting[0]
@@ -115,17 +115,17 @@
 	}
 }
 
-// crash loses everything that runs, and comes back later.
-func (b *backEnd) crash(away time.Duration) {
+// crash aborts all calls and restarts the back end after the given time.
+func (b *backEnd) crash(downtime time.Duration) {
 	if !b.up {
 		return
 	}
 	for _, run := range b.running {
-		run.seen.End, run.seen.EndedAt = audit.EndCrashed, b.world.queue.Now()
+		run.record.End, run.record.EndedAt = audit.EndCrashed, b.world.queue.Now()
 	}
 	b.running, b.waiting = nil, nil
 	b.world.kill(&b.process)
-	b.world.after(away, func() { b.up = !b.retired })
+	b.world.after(downtime, func() { b.up = !b.retired })
 }
 
 func (b *backEnd) idle() bool { return len(b.running) == 0 && len(b.waiting) == 0 }
--- a/internal/lab/sim/fault/call.go
+++ b/internal/lab/sim/fault/call.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// pagesPool is the application pool, trainingPool that of the engines.
+// pagesPool is the application pool, trainingPool the pool of the engines.
 const (
 	pagesPool    port.PoolName = "pages"
 	trainingPool port.PoolName = "lm"
@@ -32,13 +32,13 @@
 	end      func()
 	ended    bool
 
-	ticket  *gate.Ticket
-	replica port.ReplicaID
-	out     *stream
-	started time.Duration
+	ticket    *gate.Ticket
+	replica   port.ReplicaID
+	upstream  *stream
+	startedAt time.Duration
 }
 
-// acceptCall takes an application call of a caller.
+// acceptCall serves an application call of a caller.
 func (n *node) acceptCall(s *stream, call string, safe bool, timeout time.Duration, reply func(callAnswer, *port.Error)) {
 	refuse := func(refusal *port.Error) { s.answer(true, func() { reply(callAnswer{}, refusal) }) }
 	route := n.snapshot.Pools[pagesPool]
@@ -55,10 +55,10 @@
 	j := &callJob{
 		node: n, caller: s, reply: reply, call: call, pool: &route.Pool, gate: route.Gate.(*nodeGate),
 		request:  port.ApplicationRequest{ID: n.requestID(), Pool: pagesPool, Safe: safe, Deadline: deadline},
-		deadline: deadline, end: n.begin(),
+		deadline: deadline, end: n.trackRequest(),
 		loop: attempt.New(attempt.Rules{Safe: safe || n.world.without(SafeguardVerdict), Deadline: deadline}),
 	}
-	s.left = j.abandon
+	s.onDisconnect = j.abandon
 	n.world.after(timeout, j.expire)
 	j.attempt()
 }
@@ -66,7 +66,7 @@
 func (j *callJob) attempt() {
 	n := j.node
 	j.loop.Begin()
-	j.out, j.replica = nil, ""
+	j.upstream, j.replica = nil, ""
 	j.ticket = &gate.Ticket{Owner: j, Request: gate.Request{
 		ID: j.request.ID, Deadline: j.deadline, Avoid: j.loop.LastFailedReplica(),
 		Pick: scheduling.Request{Pool: pagesPool, Zone: n.zone, Region: "region"},
@@ -74,8 +74,8 @@
 	j.gate.offer(j.ticket)
 }
 
-// settled implements settler.
-func (j *callJob) settled(ticket *gate.Ticket) {
+// ticketResolved implements ticketOwner.
+func (j *callJob) ticketResolved(ticket *gate.Ticket) {
 	switch {
 	case ticket != j.ticket || j.ended:
 		j.gate.cancel(ticket)
@@ -96,22 +96,22 @@
 		return
 	}
 	target := w.backEndAt(replica.Address)
-	j.replica, j.started = id, w.queue.Now()
+	j.replica, j.startedAt = id, w.queue.Now()
 	ticket := j.ticket
-	over := func(answer callAnswer, failure *port.Error) {
+	onEnd := func(answer callAnswer, failure *port.Error) {
 		if j.ticket == ticket && !j.ended {
-			j.over(answer, failure)
+			j.attemptEnded(answer, failure)
 		}
 	}
-	j.out = w.dial(&j.node.process, &target.process, func(s *stream) {
+	j.upstream = w.dial(&j.node.process, &target.process, func(s *stream) {
 		target.serve(s, j.request, j.call,
-			func(answer callAnswer) { over(answer, nil) },
-			func(refusal *port.Error) { over(callAnswer{}, refusal) })
-	}, func(failure *port.Error) { over(callAnswer{}, w.verdictOf(failure)) })
+			func(answer callAnswer) { onEnd(answer, nil) },
+			func(refusal *port.Error) { onEnd(callAnswer{}, refusal) })
+	}, func(failure *port.Error) { onEnd(callAnswer{}, w.verdictOf(failure)) })
 }
 
-// over takes the end of an attempt.
-func (j *callJob) over(answer callAnswer, failure *port.Error) {
+// attemptEnded handles the end of an attempt.
+func (j *callJob) attemptEnded(answer callAnswer, failure *port.Error) {
 	if failure == nil && answer.ID != j.request.ID && !j.node.world.without(SafeguardMatching) {
 		failure = port.NewError(port.MayHaveRun, port.CodeBackEnd, "answer is to another request: %s", answer.ID)
 	}
@@ -124,23 +124,23 @@
 	j.finish(answer, nil)
 }
 
-// release gives the place back and tells how the call ended.
+// release returns the slot to the gate and reports the outcome.
 func (j *callJob) release(failure *port.Error, abandoned bool, status int) {
 	n := j.node
-	elapsed := n.world.queue.Now() - j.started
-	judged := home.ClassifyCall(failure, abandoned, status, elapsed)
-	j.gate.release(j.ticket, judged.Outcome)
-	if judged.AffectsHealth {
-		n.state.HandleCallOutcome(n.world.clock(), outcomeOf(j.replica, judged))
+	elapsed := n.world.queue.Now() - j.startedAt
+	classification := home.ClassifyCall(failure, abandoned, status, elapsed)
+	j.gate.release(j.ticket, classification.Outcome)
+	if classification.AffectsHealth {
+		n.state.HandleCallOutcome(n.world.clock(), outcomeOf(j.replica, classification))
 		n.carryOut()
 	}
 }
 
-func outcomeOf(replica port.ReplicaID, judged home.Classification) nodestate.CallOutcome {
-	return nodestate.CallOutcome{Replica: replica, Failed: judged.Failed, LatencyMicros: judged.Latency.Microseconds()}
+func outcomeOf(replica port.ReplicaID, classification home.Classification) nodestate.CallOutcome {
+	return nodestate.CallOutcome{Replica: replica, Failed: classification.Failed, LatencyMicros: classification.Latency.Microseconds()}
 }
 
-// failed decides what follows from a failed attempt.
+// failed retries after a failed attempt or ends the call.
 func (j *callJob) failed(failure attempt.Failure) {
 	step := j.loop.Failed(failure, j.node.decide(j.pool))
 	if step.Kind == attempt.Final {
@@ -149,7 +149,7 @@
 	}
 	j.node.world.count.retries++
 	ticket := j.ticket
-	j.out, j.replica = nil, ""
+	j.upstream, j.replica = nil, ""
 	j.node.later(step.After, func() {
 		if !j.ended && j.ticket == ticket {
 			j.attempt()
@@ -164,9 +164,9 @@
 	}
 	late := port.NewError(port.NotRun, port.CodeDeadline, "the deadline passed")
 	switch {
-	case j.out != nil:
+	case j.upstream != nil:
 		late.Verdict = port.MayHaveRun
-		j.out.close()
+		j.upstream.close()
 		j.release(late, false, 0)
 	case j.ticket.State == gate.Waiting || j.ticket.State == gate.Granted:
 		j.gate.cancel(j.ticket)
@@ -175,14 +175,14 @@
 	j.finish(callAnswer{}, j.loop.GiveUp(step.Error))
 }
 
-// abandon ends the call when its caller is gone.
+// abandon ends the call when its caller disconnects.
 func (j *callJob) abandon() {
 	if j.ended {
 		return
 	}
-	if j.out != nil {
-		j.out.close()
-		j.release(port.NewError(port.MayHaveRun, port.CodeCancelled, "the caller left"), true, 0)
+	if j.upstream != nil {
+		j.upstream.close()
+		j.release(port.NewError(port.MayHaveRun, port.CodeCancelled, "the caller disconnected"), true, 0)
 	} else {
 		j.gate.cancel(j.ticket)
 	}
@@ -190,7 +190,7 @@
 	j.end()
 }
 
-// finish answers the caller.
+// finish sends the result to the caller.
 func (j *callJob) finish(answer callAnswer, failure *port.Error) {
 	j.ended = true
 	if failure == nil && answer.Response.Status >= http.StatusInternalServerError {
@@ -200,11 +200,11 @@
 	j.end()
 }
 
-// later runs work after a delay, if the process still lives.
+// later runs work after a delay unless the process has died.
 func (n *node) later(delay time.Duration, run func()) {
-	life := n.life
+	incarnation := n.incarnation
 	n.world.after(delay, func() {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			run()
 		}
 	})
--- a/internal/lab/sim/fault/callers.go
+++ b/internal/lab/sim/fault/callers.go
@@ -11,24 +11,24 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the callers.
+// Intervals and limits of the callers.
 const (
 	pageInterval       = 20 * time.Millisecond
 	completionInterval = 150 * time.Millisecond
 	pageTimeout        = 1500 * time.Millisecond
 	completionTimeout  = 20 * time.Second
 	completionTokens   = 60
-	// leaveShare of the callers leave before they are answered.
-	leaveShare = 0.02
+	// abandonShare is the share of callers that disconnect before the answer.
+	abandonShare = 0.02
 )
 
-// startCallers begins the calls, which go on until shortly before the end.
+// startCallers starts the calls, which end shortly before the run does.
 func (w *world) startCallers() {
 	w.nextCall(pageInterval, w.callPage)
 	w.nextCall(completionInterval, w.callCompletion)
 }
 
-// nextCall makes calls at random times.
+// nextCall repeats call at exponentially distributed intervals.
 func (w *world) nextCall(mean time.Duration, call func()) {
 	wait := time.Duration(w.random.callers.ExpFloat64() * float64(mean))
 	w.after(wait, func() {
@@ -39,31 +39,31 @@
 	})
 }
 
-// caller is one call and what its caller saw.
+// caller is one call with its audit record.
 type caller struct {
-	world *world
-	seen  audit.Call
-	ended bool
+	world  *world
+	record audit.Call
+	ended  bool
 }
 
 func (w *world) newCaller(class, call string, unsafe bool, target *node) *caller {
-	return &caller{world: w, seen: audit.Call{
+	return &caller{world: w, record: audit.Call{
 		Class: class, Target: target.name, Call: call, Unsafe: unsafe, StartedAt: w.queue.Now(),
 	}}
 }
 
-// end notes what the caller was told.
+// end records the outcome of the call.
 func (c *caller) end(outcome audit.Outcome, detail string) {
 	if c.ended {
-		c.world.fail("call %s ended twice", c.seen.Call)
+		c.world.fail("call %s ended twice", c.record.Call)
 		return
 	}
 	c.ended = true
-	c.seen.Outcome, c.seen.Detail, c.seen.EndedAt = outcome, detail, c.world.queue.Now()
-	c.world.seen.rest.Calls = append(c.world.seen.rest.Calls, c.seen)
+	c.record.Outcome, c.record.Detail, c.record.EndedAt = outcome, detail, c.world.queue.Now()
+	c.world.observed.rest.Calls = append(c.world.observed.rest.Calls, c.record)
 }
 
-// failed notes an error that loomgrade told.
+// failed records an error returned by the service.
 func (c *caller) failed(failure *port.Error) {
 	switch failure.Verdict {
 	case port.NotRun:
@@ -75,9 +75,8 @@
 	}
 }
 
-// lost notes that the connection to the node failed. Where it could not be made
-// nothing ran, and the caller knows.
-func (c *caller) lost(failure *port.Error) {
+// connectionFailed records a connection error. A failed dial is reported as not run.
+func (c *caller) connectionFailed(failure *port.Error) {
 	if failure.Verdict == port.NotRun {
 		c.end(audit.OutcomeNotRun, failure.Error())
 		return
@@ -85,8 +84,7 @@
 	c.end(audit.OutcomeLost, failure.Error())
 }
 
-// anyNode draws the node that a caller asks. Callers keep off nodes that say that
-// they stop, as load balancers do.
+// anyNode draws the node to call, avoiding draining nodes as a load balancer would.
 func (w *world) anyNode() *node {
 	for range len(w.nodes) {
 		if n := w.nodes[w.random.callers.IntN(len(w.nodes))]; !n.draining {
@@ -96,9 +94,9 @@
 	return w.nodes[0]
 }
 
-// leaves draws whether a caller leaves early, and lets it.
-func (c *caller) leaves(s *stream, within time.Duration) {
-	if c.world.random.callers.Float64() >= leaveShare {
+// maybeAbandon lets a random share of callers disconnect early.
+func (c *caller) maybeAbandon(s *stream, within time.Duration) {
+	if c.world.random.callers.Float64() >= abandonShare {
 		return
 	}
 	c.world.after(time.Duration(c.world.random.callers.Int64N(int64(within))), func() {
@@ -109,16 +107,16 @@
 	})
 }
 
-// callPage makes an application call; half are not safe to repeat.
+// callPage makes an application call; half are unsafe to retry.
 func (w *world) callPage() {
 	w.calls++
 	target := w.anyNode()
 	unsafe := w.random.callers.IntN(2) == 0
 	c := w.newCaller("pages", fmt.Sprintf("page-%d", w.calls), unsafe, target)
 	s := w.dial(&w.callers, &target.process, func(s *stream) {
-		target.acceptCall(s, c.seen.Call, !unsafe, pageTimeout, c.answered)
-	}, c.lost)
-	c.leaves(s, 20*time.Millisecond)
+		target.acceptCall(s, c.record.Call, !unsafe, pageTimeout, c.answered)
+	}, c.connectionFailed)
+	c.maybeAbandon(s, 20*time.Millisecond)
 }
 
 func (c *caller) answered(answer callAnswer, failure *port.Error) {
@@ -126,11 +124,11 @@
 		c.failed(failure)
 		return
 	}
-	c.seen.AnswerTo, c.seen.Whole = answer.Call, true
+	c.record.AnswerTo, c.record.Whole = answer.Call, true
 	c.end(audit.OutcomeAnswered, "")
 }
 
-// callCompletion asks for a completion; half are not safe to repeat.
+// callCompletion requests a completion; half are unsafe to retry.
 func (w *world) callCompletion() {
 	w.calls++
 	target := w.anyNode()
@@ -146,10 +144,10 @@
 	s := w.dial(&w.callers, &target.process, func(s *stream) {
 		target.acceptCompletion(s, request, sink{
 			chunk: func(chunk port.GenerateChunk) {
-				c.seen.Text += chunk.Text
+				c.record.Text += chunk.Text
 				tokens += chunk.Tokens
 				if chunk.Tokens > 0 {
-					c.seen.Spans = port.AppendTokens(c.seen.Spans, chunk.Version, chunk.Tokens)
+					c.record.Spans = port.AppendTokens(c.record.Spans, chunk.Version, chunk.Tokens)
 				}
 			},
 			ended: func(failure *port.Error) {
@@ -157,18 +155,18 @@
 					c.failed(failure)
 					return
 				}
-				c.seen.Whole = tokens == min(w.lengths.Of(key), completionTokens)
-				if engine.SameContent(c.seen.Text, key) {
-					c.seen.AnswerTo = c.seen.Call
+				c.record.Whole = tokens == min(w.lengths.Of(key), completionTokens)
+				if engine.SameContent(c.record.Text, key) {
+					c.record.AnswerTo = c.record.Call
 				}
 				c.end(audit.OutcomeAnswered, "")
 			},
 		})
-	}, c.lost)
-	c.leaves(s, 2*time.Second)
+	}, c.connectionFailed)
+	c.maybeAbandon(s, 2*time.Second)
 }
 
-// acceptCompletion takes a caller's request for a completion.
+// acceptCompletion serves a caller's completion request.
 func (n *node) acceptCompletion(s *stream, request port.GenerateRequest, to sink) {
 	route := n.snapshot.Pools[request.Pool]
 	switch {
@@ -183,7 +181,7 @@
 	}
 	n.requests++
 	request.ID = n.requestID()
-	end := n.begin()
+	end := n.trackRequest()
 	rules := attempt.Rules{
 		Safe: request.Safe || n.world.without(SafeguardVerdict), Resume: true,
 		MaxTokens: request.MaxTokens, Deadline: n.world.clock().Add(completionTimeout),
@@ -195,11 +193,11 @@
 			end()
 		},
 	})
-	s.left = g.cancel
+	s.onDisconnect = g.cancel
 	g.attempt()
 }
 
-// requestID gives the id of an accepted request, unique over lives of the node.
+// requestID returns an id that is unique across restarts of the node.
 func (n *node) requestID() port.RequestID {
-	return port.RequestID(fmt.Sprintf("r-%s-%d-%d", n.id, n.life, n.requests))
+	return port.RequestID(fmt.Sprintf("r-%s-%d-%d", n.id, n.incarnation, n.requests))
 }
--- a/internal/lab/sim/fault/control.go
+++ b/internal/lab/sim/fault/control.go
@@ -9,53 +9,52 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Times of the control log.
+// Timing of the control log.
 const (
-	replication   = 4 * time.Millisecond
-	houseInterval = time.Second
-	nodeSilence   = 10 * time.Second
-	watchInterval = 50 * time.Millisecond
-	confirmEvery  = 10 // watch intervals
+	replicationDelay    = 4 * time.Millisecond
+	nodeTimeoutInterval = time.Second
+	nodeTimeout         = 10 * time.Second
+	watchInterval       = 50 * time.Millisecond
+	confirmEvery        = 10 // watch intervals
 )
 
 // control is the replicated control state as its leader applies it. Members are
-// not modelled: the log has outages, in which it takes nothing, proposals that
-// are lost, and answers that are lost after the command took effect.
+// not modelled; the log has outages, lost proposals and lost answers.
 type control struct {
 	process
-	world   *world
-	state   *controlstate.State
-	index   uint64
-	reports map[port.NodeID]time.Duration
-	watcher controlmember.NodeTimeouts
+	world      *world
+	state      *controlstate.State
+	index      uint64
+	reportedAt map[port.NodeID]time.Duration
+	timeouts   controlmember.NodeTimeouts
 	// downUntil is the end of an outage; loseProposals and loseAnswers count the
-	// proposals that meet a fault.
+	// proposals and answers still to be lost.
 	downUntil                  time.Duration
 	firstEpoch                 port.Epoch
 	loseProposals, loseAnswers int
-	// viewLag delays the views that a member gives out.
+	// viewLag delays the views sent to nodes.
 	viewLag time.Duration
 }
 
 func (w *world) newControl() *control {
 	c := &control{
 		process: process{name: "control", zone: outside, up: true, internal: true}, world: w,
-		state: controlstate.New(), reports: make(map[port.NodeID]time.Duration),
+		state: controlstate.New(), reportedAt: make(map[port.NodeID]time.Duration),
 	}
-	w.queue.Every(houseInterval, houseInterval, c.keepHouse)
+	w.queue.Every(nodeTimeoutInterval, nodeTimeoutInterval, c.removeTimedOutNodes)
 	return c
 }
 
 func (c *control) available() bool { return c.world.queue.Now() >= c.downUntil }
 
-// apply puts a command through the log.
+// apply applies a command immediately.
 func (c *control) apply(command port.Command) port.Result {
 	c.index++
 	command.Time = c.world.clock().UnixMilli()
 	return c.state.Apply(c.index, 1, command)
 }
 
-// mustApply sets the site up.
+// mustApply applies a command of the site setup and returns its error.
 func (c *control) mustApply(command port.Command) error {
 	if result := c.apply(command); result.Error != nil {
 		return result.Error
@@ -67,31 +66,30 @@
 	return registry.FormatChangeID(c.world.clock(), []byte(note))
 }
 
-// propose puts a command of a process through the log. Answered is called once,
-// while the process lives: with the result, or with an error that says nothing
-// about whether the command took effect.
+// propose submits a command of a process to the log. Answered is called at most
+// once, while the process lives; an error leaves the outcome unknown.
 func (c *control) propose(from *process, command port.Command, timeout time.Duration, answered func(port.Result, *port.Error)) {
 	w := c.world
 	done := false
-	life := from.life
+	incarnation := from.incarnation
 	finish := func(result port.Result, failure *port.Error) {
-		if !done && from.up && from.life == life {
+		if !done && from.up && from.incarnation == incarnation {
 			done = true
 			answered(result, failure)
 		}
 	}
 	w.after(timeout, func() {
-		finish(port.Result{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "control gave no answer in time"))
+		finish(port.Result{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "control did not answer before the timeout"))
 	})
 	if c.loseProposals > 0 {
 		c.loseProposals--
 		return
 	}
-	w.tell(from, &c.process, func() {
+	w.sendMessage(from, &c.process, func() {
 		if !c.available() {
 			return
 		}
-		w.after(replication, func() {
+		w.after(replicationDelay, func() {
 			if !c.available() {
 				return
 			}
@@ -101,16 +99,16 @@
 				c.loseAnswers--
 				return
 			}
-			w.tell(&c.process, from, func() { finish(result, nil) })
+			w.sendMessage(&c.process, from, func() { finish(result, nil) })
 		})
 	})
 }
 
-// skippedPrompts are passed over where the safeguard is off.
+// skippedPrompts is the number of prompts skipped without SafeguardPrompts.
 const skippedPrompts = 300
 
-// skipPrompts lets a later coordinator pass over the prompts of the one before,
-// for tests of the audit.
+// skipPrompts makes a later coordinator skip prompts of its predecessor when
+// SafeguardPrompts is off.
 func (c *control) skipPrompts(command *port.Command, result *port.Result) {
 	if command.CommitBatch == nil || result.Ledger == nil || !c.world.without(SafeguardPrompts) {
 		return
@@ -126,9 +124,9 @@
 	}
 }
 
-// report takes a node's word that it lives.
+// report handles a node's heartbeat.
 func (c *control) report(report port.NodeReport) {
-	c.reports[report.Node.ID] = c.world.queue.Now()
+	c.reportedAt[report.Node.ID] = c.world.queue.Now()
 	if !c.available() {
 		return
 	}
@@ -140,42 +138,42 @@
 	c.apply(port.Command{RegisterNode: &port.RegisterNode{Node: report.Node}})
 }
 
-// keepHouse takes silent nodes out of the view.
-func (c *control) keepHouse() {
+// removeTimedOutNodes removes nodes without recent reports from the view.
+func (c *control) removeTimedOutNodes() {
 	if !c.available() {
-		c.watcher.Reset()
+		c.timeouts.Reset()
 		return
 	}
 	now := c.world.queue.Now()
-	ages := make(map[port.NodeID]time.Duration, len(c.reports))
-	for node, at := range c.reports {
+	ages := make(map[port.NodeID]time.Duration, len(c.reportedAt))
+	for node, at := range c.reportedAt {
 		ages[node] = now - at
 	}
-	for _, node := range c.watcher.TimedOut(c.state.View().Nodes, ages, c.world.clock(), nodeSilence) {
+	for _, node := range c.timeouts.TimedOut(c.state.View().Nodes, ages, c.world.clock(), nodeTimeout) {
 		c.apply(port.Command{RemoveNode: &port.RemoveNode{ID: node}})
 	}
 }
 
-// watch brings views to a node: each change, and now and then a confirmation.
+// watch sends a node every view change and a periodic confirmation.
 func (c *control) watch(n *node) {
-	life, position, turn := n.life, uint64(0), 0
-	var look func()
-	look = func() {
-		if n.life != life {
+	incarnation, position, checks := n.incarnation, uint64(0), 0
+	var check func()
+	check = func() {
+		if n.incarnation != incarnation {
 			return
 		}
-		turn++
+		checks++
 		view := c.state.View()
-		if c.available() && (view.Position != position || turn%confirmEvery == 0) {
+		if c.available() && (view.Position != position || checks%confirmEvery == 0) {
 			position = view.Position
 			update := port.ViewUpdate{
 				Position: view.Position, Term: view.Term, Revision: view.Revision, Full: view, Confirmed: true,
 			}
 			c.world.after(c.viewLag, func() {
-				c.world.tell(&c.process, &n.process, func() { n.viewUpdate(update) })
+				c.world.sendMessage(&c.process, &n.process, func() { n.viewUpdate(update) })
 			})
 		}
-		c.world.after(watchInterval, look)
+		c.world.after(watchInterval, check)
 	}
-	look()
+	check()
 }
--- a/internal/lab/sim/fault/depart.go
+++ b/internal/lab/sim/fault/depart.go
@@ -8,38 +8,38 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Times of a departure.
+// Timing of a departure.
 const (
-	listLag     = 2 * time.Second
-	leastStay   = 6 * time.Second
-	lookForIdle = 100 * time.Millisecond
+	maxListLag        = 2 * time.Second
+	minDeparture      = 6 * time.Second
+	idleCheckInterval = 100 * time.Millisecond
 )
 
-// depart lets a back end leave: the list shows it after its lag, the back end
-// goes on until it is idle, and another takes its place under a new address.
+// depart makes a back end leave: the machine list shows it after a lag, the back end
+// runs until it is idle, and a replacement with a new address is configured.
 func (w *world) depart(name, address string, zone port.ZoneName, idle func() bool, retire func()) (string, time.Duration) {
-	if w.departing[address] || w.cutZones[zone] {
-		return "", 0 // a zone that is cut off hears of nothing
+	if w.departing[address] || w.partitionedZones[zone] {
+		return "", 0 // a partitioned zone receives no machine list
 	}
 	w.departing[address] = true
-	w.machines.leave(address, w.drawn(0, listLag), func() {
-		shown := w.queue.Now()
-		var look func()
-		look = func() {
-			if w.queue.Now()-shown < leastStay || !idle() {
-				w.after(lookForIdle, look)
+	w.machines.leave(address, w.randomDuration(0, maxListLag), func() {
+		listedAt := w.queue.Now()
+		var check func()
+		check = func() {
+			if w.queue.Now()-listedAt < minDeparture || !idle() {
+				w.after(idleCheckInterval, check)
 				return
 			}
-			w.seen.rest.PlannedStops = append(w.seen.rest.PlannedStops, audit.PlannedStop{Process: address, From: shown, To: w.queue.Now()})
-			w.trace("%s has left", name)
+			w.observed.rest.PlannedStops = append(w.observed.rest.PlannedStops, audit.PlannedStop{Process: address, From: listedAt, To: w.queue.Now()})
+			w.trace("%s has stopped", name)
 			retire()
 		}
-		look()
+		check()
 	})
 	return name, 0
 }
 
-// retire ends an engine for good and configures another.
+// retire stops an engine for good and configures a replacement.
 func (e *modelEngine) retire() {
 	w := e.world
 	e.model.Crash(w.queue.Now())
@@ -49,7 +49,7 @@
 	w.replace(e.id, port.Edit{PutReplica: made.replica()})
 }
 
-// retire ends a back end for good and configures another.
+// retire stops a back end for good and configures a replacement.
 func (b *backEnd) retire() {
 	w := b.world
 	w.kill(&b.process)
@@ -58,7 +58,7 @@
 	w.replace(b.id, port.Edit{PutReplica: made.replica()})
 }
 
-// replace changes the configuration once control is available.
+// replace swaps a replica in the configuration once control is available.
 func (w *world) replace(old port.ReplicaID, added port.Edit) {
 	if !w.control.available() {
 		w.after(time.Second, func() { w.replace(old, added) })
@@ -69,7 +69,7 @@
 	}
 }
 
-// otherWeights are weights of an older version, on which a swap lands by mistake.
+// otherWeights draws older weights for a misdirected swap.
 func (w *world) otherWeights() engine.Weights {
 	newest := w.orderedVersion()
 	if newest <= firstVersion {
--- a/internal/lab/sim/fault/engine.go
+++ b/internal/lab/sim/fault/engine.go
@@ -10,23 +10,23 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the engines.
+// Timing and limits of the engines.
 const (
-	loadLag        = 200 * time.Millisecond
-	staleLoadLag   = 5 * time.Second
-	cacheLag       = 500 * time.Millisecond
-	cacheGapEvery  = 7
-	keptEvents     = 4096
-	eventsPage     = 512
-	loadInterval   = 200 * time.Millisecond
-	firstVersion   = 1
-	weightBytes    = 64 << 20
-	storeRate      = 512 << 20
-	engineWaiting  = 256
-	engineParallel = 8
+	loadLag             = 200 * time.Millisecond
+	maxPollDelay        = 5 * time.Second
+	cacheLag            = 500 * time.Millisecond
+	cacheGapEvery       = 7
+	maxCacheEvents      = 4096
+	maxEventsPerPoll    = 512
+	loadInterval        = 200 * time.Millisecond
+	firstVersion        = 1
+	weightBytes         = 64 << 20
+	storeBytesPerSecond = 512 << 20
+	engineMaxWaiting    = 256
+	engineMaxSequences  = 8
 )
 
-// modelEngine stands in for an engine, around the engine model.
+// modelEngine is a process around the engine model.
 type modelEngine struct {
 	process
 	world    *world
@@ -38,7 +38,7 @@
 	feed     *engine.Feed
 	cacheEnd uint64
 	wakes    uint64
-	// Faults that concern the next requests.
+	// Numbers of requests still to be affected by a fault.
 	mixNext, refuseNext, ignoreCancel int
 	lateUntil                         time.Duration
 	retired                           bool
@@ -48,15 +48,14 @@
 type engineRequest struct {
 	id       string
 	stream   *stream
-	take     func(engineChunk)
-	seen     *audit.Generation
+	onChunk  func(engineChunk)
+	record   *audit.Generation
 	key      uint64
 	position int
 	mixed    bool
 }
 
-// engineChunk is a piece of an answer as it stands on the wire: it names the
-// request that it answers.
+// engineChunk is a chunk of a response with the request id that it carries.
 type engineChunk struct {
 	ID    string
 	Chunk port.GenerateChunk
@@ -69,10 +68,10 @@
 		world:   w, id: port.ReplicaID(fmt.Sprintf("lm-%d", index)), address: fmt.Sprintf("10.1.0.%d:8000", index),
 		requests: make(map[string]*engineRequest),
 		loads:    engine.NewLagged[port.LoadReport](loadLag),
-		feed:     engine.NewFeed(cacheLag, cacheGapEvery, keptEvents),
+		feed:     engine.NewFeed(cacheLag, cacheGapEvery, maxCacheEvents),
 	}
 	e.model = engine.New(engine.Config{
-		StepBase: 10 * time.Millisecond, MaxSequences: engineParallel, MaxWaiting: engineWaiting,
+		StepBase: 10 * time.Millisecond, MaxSequences: engineMaxSequences, MaxWaiting: engineMaxWaiting,
 		KVBlocks: 2048, CacheEvents: true, WeightBytes: weightBytes, Store: w.store,
 		Weights: engine.Weights{Version: firstVersion},
 	})
@@ -80,13 +79,13 @@
 	return e
 }
 
-// report makes the load visible, with a lag.
+// report publishes the current load with a lag.
 func (e *modelEngine) report() {
 	e.advance()
 	e.loads.Put(e.world.queue.Now(), e.model.Load().Report())
 }
 
-// load answers the question for the load, as late as the fault wants.
+// load returns the latest visible load report.
 func (e *modelEngine) load() (port.LoadReport, bool) {
 	now := e.world.queue.Now()
 	report, visible := e.loads.Get(now)
@@ -96,7 +95,7 @@
 
 func (e *modelEngine) cacheEvents(after uint64) (events []port.CacheEvent, gap bool) {
 	first := max(e.feed.First(), e.cacheEnd+1)
-	for _, change := range e.feed.After(e.world.queue.Now(), after, eventsPage) {
+	for _, change := range e.feed.After(e.world.queue.Now(), after, maxEventsPerPoll) {
 		events = append(events, port.CacheEvent{
 			Sequence: change.Sequence, Block: change.Hash, Evicted: change.Kind == engine.CacheRemoved,
 		})
@@ -104,16 +103,16 @@
 	return events, first > after+1
 }
 
-// advance lets the model come to the present.
+// advance runs the model up to the current time.
 func (e *modelEngine) advance() {
 	for _, event := range e.model.Advance(e.world.queue.Now()) {
 		e.handle(event)
 	}
 }
 
-// touch wakes the engine up when the model does something next, after every call
-// of the model.
-func (e *modelEngine) touch() {
+// scheduleWakeUp schedules a wake-up at the model's next event. It must follow every
+// call of the model.
+func (e *modelEngine) scheduleWakeUp() {
 	e.wakes++
 	wake := e.wakes
 	at, found := e.model.Next()
@@ -123,7 +122,7 @@
 	e.world.after(at-e.world.queue.Now(), func() {
 		if wake == e.wakes {
 			e.advance()
-			e.touch()
+			e.scheduleWakeUp()
 		}
 	})
 }
@@ -133,7 +132,7 @@
 	switch event.Kind {
 	case engine.EventTokens:
 		if request != nil {
-			request.seen.Spans = port.AppendTokens(request.seen.Spans, event.Version, event.Count)
+			request.record.Spans = port.AppendTokens(request.record.Spans, event.Version, event.Count)
 			e.send(request, port.GenerateChunk{
 				Text:   engine.Text(request.key, request.position, event.Count, event.Version),
 				Tokens: event.Count, Version: event.Version,
@@ -162,27 +161,27 @@
 	return port.FinishStop
 }
 
-// send streams a piece to the asker.
+// send streams a chunk to the client.
 func (e *modelEngine) send(request *engineRequest, chunk port.GenerateChunk) {
-	piece := engineChunk{ID: request.id, Chunk: chunk}
+	message := engineChunk{ID: request.id, Chunk: chunk}
 	if request.mixed {
-		piece.ID = "mixed-" + request.id
-		piece.Chunk.Text = engine.Text(request.key+1, request.position, chunk.Tokens, chunk.Version)
+		message.ID = "mixed-" + request.id
+		message.Chunk.Text = engine.Text(request.key+1, request.position, chunk.Tokens, chunk.Version)
 	}
-	request.stream.answer(chunk.Finish != "", func() { request.take(piece) })
+	request.stream.answer(chunk.Finish != "", func() { request.onChunk(message) })
 }
 
-// end notes the end of a request's stay.
+// end records the end of a request.
 func (e *modelEngine) end(request *engineRequest, how audit.End) {
-	request.seen.End = how
-	request.seen.EndedAt = e.world.queue.Now()
+	request.record.End = how
+	request.record.EndedAt = e.world.queue.Now()
 	delete(e.requests, request.id)
 }
 
-// generate serves a request. Refused is called instead when it doesn't run.
-func (e *modelEngine) generate(s *stream, request port.GenerateRequest, take func(engineChunk), refused func(*port.Error)) {
+// generate serves a request. It calls refused instead if the request doesn't run.
+func (e *modelEngine) generate(s *stream, request port.GenerateRequest, handle func(engineChunk), refused func(*port.Error)) {
 	e.advance()
-	defer e.touch()
+	defer e.scheduleWakeUp()
 	key := engine.ContentKey(request.Prompt, request.Seed)
 	if refusal := e.refusal(&request, key); refusal != nil {
 		s.answer(true, func() { refused(refusal) })
@@ -190,8 +189,8 @@
 	}
 	remaining := e.world.lengths.Of(key) - request.ResumeTokens
 	limit := request.MaxTokens
-	run := &engineRequest{id: string(request.ID), stream: s, take: take, key: key, position: request.ResumeTokens}
-	run.seen = &audit.Generation{
+	run := &engineRequest{id: string(request.ID), stream: s, onChunk: handle, key: key, position: request.ResumeTokens}
+	run.record = &audit.Generation{
 		Engine: e.address, RequestID: run.id, From: string(s.client.zone), Call: audit.PromptKey(request.Prompt), Key: key,
 		First: request.ResumeTokens, Whole: request.ResumeTokens + min(max(remaining, 0), limit),
 		StartedAt: e.world.queue.Now(),
@@ -208,20 +207,20 @@
 		}
 		e.requests[run.id] = run
 	}
-	e.world.seen.generations = append(e.world.seen.generations, run.seen)
+	e.world.observed.generations = append(e.world.observed.generations, run.record)
 	if e.mixNext > 0 {
 		e.mixNext--
 		run.mixed = true
 	}
-	s.left = func() { e.cancel(run) }
+	s.onDisconnect = func() { e.cancel(run) }
 	if remaining <= 0 {
-		// The resumed text was whole already.
+		// The resumed text was already complete.
 		e.end(run, audit.EndFinished)
 		e.send(run, port.GenerateChunk{Finish: port.FinishStop})
 	}
 }
 
-// refusal gives why a request doesn't run here.
+// refusal returns the reason why a request can't run here, or nil.
 func (e *modelEngine) refusal(request *port.GenerateRequest, key uint64) *port.Error {
 	if e.refuseNext > 0 {
 		e.refuseNext--
@@ -248,8 +247,8 @@
 	return port.NewError(port.NotRun, code, "%v", err)
 }
 
-// cancel takes a request off the engine when its asker is gone, at once or, as a
-// fault, only after it went on for a while.
+// cancel stops a request whose client disconnected. Under a fault the engine ignores
+// the disconnect and the request continues.
 func (e *modelEngine) cancel(run *engineRequest) {
 	if e.requests[run.id] != run {
 		return
@@ -259,28 +258,28 @@
 		return
 	}
 	e.advance()
-	defer e.touch()
+	defer e.scheduleWakeUp()
 	if e.requests[run.id] == run {
 		e.model.Cancel(e.world.queue.Now(), run.id)
 		e.end(run, audit.EndCancelled)
 	}
 }
 
-// order serves a fenced order.
+// order executes a fenced order.
 func (e *modelEngine) order(body port.Order) (port.LoadReport, *port.Error) {
 	order, refusal := engine.OrderFrom(body)
 	if refusal != nil {
 		return port.LoadReport{}, refusal
 	}
 	e.advance()
-	defer e.touch()
+	defer e.scheduleWakeUp()
 	if err := e.model.Order(e.world.queue.Now(), order); err != nil {
 		return port.LoadReport{}, port.NewError(port.NotRun, orderCode(err), "%v", err)
 	}
 	return e.model.Load().Report(), nil
 }
 
-// orderCode tells a fenced order from others that are refused.
+// orderCode maps an order's error to its code.
 func orderCode(err error) port.Code {
 	if errors.Is(err, engine.ErrStaleFence) {
 		return port.CodeFenced
@@ -288,8 +287,8 @@
 	return port.CodeConflict
 }
 
-// crash loses everything that runs, and comes back later.
-func (e *modelEngine) crash(away time.Duration) {
+// crash aborts all requests and restarts the engine after the given time.
+func (e *modelEngine) crash(downtime time.Duration) {
 	if !e.up {
 		return
 	}
@@ -301,7 +300,7 @@
 	}
 	e.feed.Reset()
 	e.world.kill(&e.process)
-	e.world.after(away, e.restart)
+	e.world.after(downtime, e.restart)
 }
 
 func (e *modelEngine) restart() {
@@ -311,11 +310,10 @@
 	e.up = true
 	e.model.Restart(e.world.queue.Now())
 	_, e.cacheEnd = e.model.CacheSnapshot()
-	e.touch()
+	e.scheduleWakeUp()
 }
 
-// idle says whether nothing runs on the engine.
 func (e *modelEngine) idle() bool { return len(e.requests) == 0 }
 
-// isMixed says whether a piece answers another request.
-func isMixed(piece engineChunk, id port.RequestID) bool { return piece.ID != string(id) }
+// isMixed reports whether a chunk belongs to another request.
+func isMixed(message engineChunk, id port.RequestID) bool { return message.ID != string(id) }
--- a/internal/lab/sim/fault/fault_test.go
+++ b/internal/lab/sim/fault/fault_test.go
@@ -9,8 +9,9 @@
 	"github.com/loomgrade/loomgrade/internal/lab/audit"
 )
 
-// short gives a scenario with faults for a shorter time, and more of them.
-func short(t *testing.T, name string, faults ...Fault) Scenario {
+// shortScenario returns a scenario with a shorter fault phase, and with the given
+// faults, if any, at a higher rate.
+func shortScenario(t *testing.T, name string, faults ...Fault) Scenario {
 	t.Helper()
 	scenario, found := ScenarioNamed(name)
 	if !found {
@@ -33,20 +34,20 @@
 }
 
 func TestEqualSeedsGiveEqualReports(t *testing.T) {
-	options := Options{Scenario: short(t, "together"), Seed: 3}
+	options := Options{Scenario: shortScenario(t, "together"), Seed: 3}
 	first, second := runOne(t, options), runOne(t, options)
 	if !reflect.DeepEqual(first, second) {
 		t.Errorf("reports differ:\n%+v\n%+v", first, second)
 	}
 	if first.FaultCount() == 0 || first.Answered == 0 || first.Delivered == 0 {
-		t.Errorf("little happened: %+v", first)
+		t.Errorf("no faults, answers or deliveries: %+v", first)
 	}
 }
 
 func TestPromisesHold(t *testing.T) {
 	for _, name := range []string{"delivery", "stops", "together"} {
 		t.Run(name, func(t *testing.T) {
-			report := runOne(t, Options{Scenario: short(t, name), Seed: 1})
+			report := runOne(t, Options{Scenario: shortScenario(t, name), Seed: 1})
 			for _, violation := range report.Violations {
 				t.Error(violation)
 			}
@@ -57,7 +58,7 @@
 	}
 }
 
-// The audit finds the absence of each safeguard.
+// Switching off a safeguard makes the audit report the matching violation.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	cases := []struct {
 		without Safeguard
@@ -66,26 +67,26 @@
 	}{
 		{SafeguardVerdict, []Fault{FaultCutAfter, FaultBackEndCrash}, audit.RuleUnsafeOnce},
 		{SafeguardNotRun, []Fault{FaultCutAfter, FaultBackEndCrash}, audit.RuleNotRun},
-		{SafeguardMatching, []Fault{FaultBackEndMixes}, audit.RuleWholeAnswer},
-		{SafeguardWhole, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleWholeAnswer},
+		{SafeguardMatching, []Fault{FaultBackEndMixesIDs}, audit.RuleWholeAnswer},
+		{SafeguardComplete, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleWholeAnswer},
 		{SafeguardResume, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleVersionsTrue},
 		{SafeguardVersion, []Fault{FaultSwapMisdirected}, audit.RuleVersionsTrue},
 		{SafeguardStaleness, []Fault{FaultScorerLate, FaultPublishRace}, audit.RuleStaleness},
-		{SafeguardLeaving, []Fault{FaultBackEndLeaves}, audit.RuleDeparture},
+		{SafeguardDeparture, []Fault{FaultBackEndLeaves}, audit.RuleDeparture},
 		{SafeguardDrain, []Fault{FaultNodeStop}, audit.RulePlannedStop},
-		{SafeguardOnce, []Fault{FaultTrainerPrevious}, audit.RuleSampleOnce},
+		{SafeguardSingleDelivery, []Fault{FaultTrainerRequestsPrevious}, audit.RuleSampleOnce},
 		{SafeguardPrompts, []Fault{FaultCoordinatorStep}, audit.RuleSampleLost},
 	}
 	for _, testCase := range cases {
 		t.Run(string(testCase.without), func(t *testing.T) {
-			options := Options{Scenario: short(t, "all", testCase.faults...), Seed: 1}
-			if whole := runOne(t, options); len(whole.Violations) > 0 {
-				t.Fatalf("violations with the safeguard: %v", whole.Violations)
+			options := Options{Scenario: shortScenario(t, "all", testCase.faults...), Seed: 1}
+			if intact := runOne(t, options); len(intact.Violations) > 0 {
+				t.Fatalf("violations with the safeguard: %v", intact.Violations)
 			}
 			options.Without = testCase.without
-			broken := runOne(t, options)
-			if !slices.ContainsFunc(broken.Violations, func(found audit.Violation) bool { return found.Rule == testCase.want }) {
-				t.Errorf("rule %q did not fire; %d violations, failures %v", testCase.want, len(broken.Violations), broken.Failures)
+			weakened := runOne(t, options)
+			if !slices.ContainsFunc(weakened.Violations, func(found audit.Violation) bool { return found.Rule == testCase.want }) {
+				t.Errorf("rule %q did not fire; %d violations, failures %v", testCase.want, len(weakened.Violations), weakened.Failures)
 			}
 		})
 	}
--- a/internal/lab/sim/fault/generate.go
+++ b/internal/lab/sim/fault/generate.go
@@ -22,34 +22,33 @@
 	loop    *attempt.Loop
 	sink    sink
 	ended   bool
-	// deadline is when the caller gives up.
+	// deadline is when the caller's request expires.
 	deadline time.Time
 
-	// attempts numbers the attempts, so that news of an earlier one is told from
-	// that of the present one.
+	// attempts numbers the attempts; events of earlier ones are ignored.
 	attempts int
 	replica  port.ReplicaID
 	counted  *counter
-	// stop ends the present attempt; nil while there is none.
+	// stop cancels the current attempt; nil if there is none.
 	stop func()
 }
 
-// sink takes what becomes of a completion.
+// sink receives the events of a completion.
 type sink struct {
 	placed func(port.ReplicaID)
 	chunk  func(port.GenerateChunk)
-	// ended is called once; nil means that the completion is whole.
+	// ended is called once; nil means that the completion is complete.
 	ended func(*port.Error)
 }
 
-// generate begins a completion. Its pool must be configured.
+// generate creates a completion. Its pool must be configured.
 func (n *node) generate(request port.GenerateRequest, rules attempt.Rules, pool *port.Pool, to sink) *generation {
 	g := &generation{node: n, request: request, pool: pool, sink: to, deadline: rules.Deadline, loop: attempt.New(rules)}
 	n.later(rules.Deadline.Sub(n.world.clock()), g.expire)
 	return g
 }
 
-// attempt makes one attempt at the place that it chooses.
+// attempt starts the next attempt.
 func (g *generation) attempt() {
 	g.attempts++
 	g.loop.Begin()
@@ -59,45 +58,45 @@
 		g.failed(attempt.Failure{Error: refusal, Local: true})
 		return
 	}
-	call := homeCall{Request: g.continued(), Attempt: g.loop.Attempts(), Exclude: g.exclude, Avoid: g.avoid, Deadline: g.deadline}
+	call := homeCall{Request: g.nextRequest(), Attempt: g.loop.Attempts(), Exclude: g.exclude, Avoid: g.avoid, Deadline: g.deadline}
 	if call.Avoid == "" {
 		call.Avoid = g.loop.LastFailedReplica()
 	}
 	call.Request.Replica = replica
 	g.replica = replica
-	g.count(replica)
-	present := func() bool { return !g.ended && g.attempts == number }
+	g.countSent(replica)
+	current := func() bool { return !g.ended && g.attempts == number }
 	g.stop = g.node.serveOrDial(target, call, sink{
 		placed: func(id port.ReplicaID) {
-			if present() {
+			if current() {
 				g.placed(id)
 			}
 		},
 		chunk: func(chunk port.GenerateChunk) {
-			if present() {
+			if current() {
 				g.loop.AddChunk(chunk)
 				g.sink.chunk(chunk)
 			}
 		},
 		ended: func(failure *port.Error) {
-			if present() {
-				g.over(failure)
+			if current() {
+				g.attemptEnded(failure)
 			}
 		},
 	})
 }
 
-// continued gives the request of the next attempt.
-func (g *generation) continued() port.GenerateRequest {
+// nextRequest returns the request of the next attempt.
+func (g *generation) nextRequest() port.GenerateRequest {
 	if g.node.world.without(SafeguardResume) {
 		return g.request
 	}
 	return g.loop.Continue(g.request)
 }
 
-// count counts the attempt at a replica from when it is sent.
-func (g *generation) count(id port.ReplicaID) {
-	g.uncount()
+// countSent counts an attempt sent to a replica.
+func (g *generation) countSent(id port.ReplicaID) {
+	g.countFinished()
 	if id != "" {
 		g.counted = g.node.replicaCounter(id)
 		g.counted.sent++
@@ -106,40 +105,39 @@
 
 func (g *generation) placed(id port.ReplicaID) {
 	g.replica = id
-	g.count(id)
+	g.countSent(id)
 	if g.sink.placed != nil {
 		g.sink.placed(id)
 	}
 }
 
-func (g *generation) uncount() {
+func (g *generation) countFinished() {
 	if g.counted != nil {
 		g.counted.finished++
 		g.counted = nil
 	}
 }
 
-// choose picks the node that gets the attempt, and the replica if it is of the
-// own zone.
+// choose picks the node for the attempt, and the replica if it is in this zone.
 func (g *generation) choose() (*node, port.ReplicaID, *port.Error) {
 	n := g.node
 	route := n.snapshot.Pools[g.request.Pool]
 	if route == nil {
 		return nil, "", placement.NoReplica(nil)
 	}
-	target, replica, room, refusal := g.chooseLocal(route)
-	offers := make([]placement.ZoneCapacity, len(route.OtherZones))
+	target, replica, free, refusal := g.chooseLocal(route)
+	capacities := make([]placement.ZoneCapacity, len(route.OtherZones))
 	for index := range route.OtherZones {
-		offer := &route.OtherZones[index]
-		allowed := len(g.zones) == 0 || slices.Contains(g.zones, offer.Aggregate.Zone)
-		if allowed && len(offer.Nodes) > 0 {
-			offers[index] = placement.ZoneCapacity{Routable: offer.Aggregate.Routable, FreePerReplica: offer.FreePerReplica()}
+		otherZone := &route.OtherZones[index]
+		allowed := len(g.zones) == 0 || slices.Contains(g.zones, otherZone.Aggregate.Zone)
+		if allowed && len(otherZone.Nodes) > 0 {
+			capacities[index] = placement.ZoneCapacity{Routable: otherZone.Aggregate.Routable, FreePerReplica: otherZone.FreePerReplica()}
 		}
 	}
-	if position, better := n.chooser.Zone(offers, room, refusal != nil); better {
-		offer := &route.OtherZones[position]
-		offer.Counter.(*counter).sent++
-		address := offer.Nodes[n.chooser.Draw(len(offer.Nodes))]
+	if position, better := n.chooser.Zone(capacities, free, refusal != nil); better {
+		otherZone := &route.OtherZones[position]
+		otherZone.Counter.(*counter).sent++
+		address := otherZone.Nodes[n.chooser.Draw(len(otherZone.Nodes))]
 		return n.world.node(address.ID), "", nil
 	}
 	return target, replica, refusal
@@ -159,7 +157,7 @@
 	if g.avoid != "" {
 		tried = append(slices.Clip(tried), g.avoid)
 	}
-	chosen, room, refusal := n.chooser.Local(now, scheduling.Request{
+	chosen, free, refusal := n.chooser.Local(now, scheduling.Request{
 		Pool: g.request.Pool, Zone: n.zone, Region: "region", Priority: g.request.Priority,
 		PromptTokens: g.request.PromptTokens, MaxTokens: g.request.MaxTokens, MinVersion: g.request.MinVersion,
 		PrefixHashes: g.request.PrefixHashes, Exclude: g.exclude,
@@ -171,13 +169,13 @@
 	if home == nil {
 		return nil, "", 0, placement.NoReplica(nil)
 	}
-	return home, candidates[chosen].Replica, room, nil
+	return home, candidates[chosen].Replica, free, nil
 }
 
-// over takes the end of the present attempt.
-func (g *generation) over(failure *port.Error) {
+// attemptEnded handles the end of the current attempt.
+func (g *generation) attemptEnded(failure *port.Error) {
 	g.stop = nil
-	g.uncount()
+	g.countFinished()
 	if failure != nil {
 		g.failed(attempt.Failure{Replica: g.replica, Error: failure})
 		return
@@ -208,7 +206,7 @@
 
 func (g *generation) finish(failure *port.Error) {
 	g.ended = true
-	g.uncount()
+	g.countFinished()
 	g.sink.ended(failure)
 }
 
@@ -217,9 +215,9 @@
 	g.giveUp(port.NewError(port.MayHaveRun, port.CodeDeadline, "the deadline passed"))
 }
 
-// cancel ends the completion on its caller's word.
+// cancel ends the completion when its caller cancels it.
 func (g *generation) cancel() {
-	g.giveUp(port.NewError(port.MayHaveRun, port.CodeCancelled, "the caller gave up"))
+	g.giveUp(port.NewError(port.MayHaveRun, port.CodeCancelled, "the caller cancelled the request"))
 }
 
 func (g *generation) giveUp(cause *port.Error) {
--- a/internal/lab/sim/fault/homerun.go
+++ b/internal/lab/sim/fault/homerun.go
@@ -12,8 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// homeCall asks a node to generate on a replica that it is the home of, or,
-// without a replica, on one of its zone.
+// homeCall requests generation on a replica of which the called node is the home,
+// or, without a replica, on any replica of the node's zone.
 type homeCall struct {
 	Request  port.GenerateRequest
 	Attempt  int
@@ -22,8 +22,7 @@
 	Deadline time.Time
 }
 
-// serveOrDial serves a call here or at another node; the function that it gives
-// ends it.
+// serveOrDial serves a call here or at another node; stop cancels it.
 func (n *node) serveOrDial(target *node, call homeCall, to sink) (stop func()) {
 	if target == n {
 		return n.serveGenerate(call, to)
@@ -33,8 +32,8 @@
 			s.answer(true, func() { to.ended(port.NewError(port.NotRun, port.CodeDraining, "the node is stopping")) })
 			return
 		}
-		end := target.begin()
-		s.left = target.serveGenerate(call, sink{
+		end := target.trackRequest()
+		s.onDisconnect = target.serveGenerate(call, sink{
 			placed: func(id port.ReplicaID) { s.answer(false, func() { to.placed(id) }) },
 			chunk:  func(chunk port.GenerateChunk) { s.answer(false, func() { to.chunk(chunk) }) },
 			ended: func(failure *port.Error) {
@@ -46,22 +45,22 @@
 	return s.close
 }
 
-// homeRun is one attempt at the home of its replica.
+// homeRun is one attempt at the home node of its replica.
 type homeRun struct {
-	node    *node
-	gate    *nodeGate
-	call    homeCall
-	sink    sink
-	ticket  *gate.Ticket
-	out     *stream
-	id      port.RequestID
-	started time.Duration
-	tokens  int
-	ended   bool
+	node      *node
+	gate      *nodeGate
+	call      homeCall
+	sink      sink
+	ticket    *gate.Ticket
+	upstream  *stream
+	id        port.RequestID
+	startedAt time.Duration
+	tokens    int
+	ended     bool
 }
 
-// serveGenerate runs one attempt on a replica that this node is the home of. The
-// function that it gives ends it.
+// serveGenerate runs one attempt on a replica of which this node is the home; stop
+// cancels it.
 func (n *node) serveGenerate(call homeCall, to sink) (stop func()) {
 	route := n.snapshot.Pools[call.Request.Pool]
 	fail := func(refusal *port.Error) func() {
@@ -91,7 +90,7 @@
 	return run.stop
 }
 
-// relay chooses a replica of this zone for a request of another one.
+// relay chooses a replica of this zone for a request from another zone.
 func (n *node) relay(route *nodestate.PoolRoute, call homeCall, to sink) func() {
 	chosen := &generation{node: n, request: call.Request, exclude: call.Exclude, avoid: call.Avoid, loop: attempt.New(attempt.Rules{})}
 	target, replica, _, refusal := chosen.chooseLocal(route)
@@ -103,8 +102,8 @@
 	return n.serveOrDial(target, call, to)
 }
 
-// settled implements settler.
-func (r *homeRun) settled(ticket *gate.Ticket) {
+// ticketResolved implements ticketOwner.
+func (r *homeRun) ticketResolved(ticket *gate.Ticket) {
 	switch {
 	case r.ended:
 		r.gate.cancel(ticket)
@@ -115,7 +114,7 @@
 	}
 }
 
-// run streams the completion from the engine that was granted.
+// run streams the completion from the granted engine.
 func (r *homeRun) run() {
 	n, w := r.node, r.node.world
 	replica, configured := n.snapshot.Replicas[r.ticket.Replica]
@@ -130,42 +129,42 @@
 		request.ID = port.RequestID(fmt.Sprintf("%s.%d", request.ID, r.call.Attempt))
 	}
 	r.sink.placed(replica.ID)
-	r.id, r.started = request.ID, w.queue.Now()
+	r.id, r.startedAt = request.ID, w.queue.Now()
 	target := w.engineAt(replica.Address)
-	r.out = w.dial(&n.process, &target.process, func(s *stream) {
-		target.generate(s, request, r.take, func(refusal *port.Error) { r.over(refusal) })
+	r.upstream = w.dial(&n.process, &target.process, func(s *stream) {
+		target.generate(s, request, r.handleChunk, func(refusal *port.Error) { r.attemptEnded(refusal) })
 	}, func(failure *port.Error) {
-		if w.without(SafeguardWhole) && r.tokens > 0 {
+		if w.without(SafeguardComplete) && r.tokens > 0 {
 			r.sink.chunk(port.GenerateChunk{Finish: port.FinishStop})
 			failure = nil
 		}
-		r.over(w.verdictOf(failure))
+		r.attemptEnded(w.verdictOf(failure))
 	})
 }
 
-// take checks a piece of the engine's answer and hands it on.
-func (r *homeRun) take(piece engineChunk) {
+// handleChunk checks a chunk of the engine's response and forwards it.
+func (r *homeRun) handleChunk(message engineChunk) {
 	if r.ended {
 		return
 	}
 	w := r.node.world
-	if isMixed(piece, r.id) && !w.without(SafeguardMatching) {
-		r.out.close()
-		r.over(port.NewError(port.MayHaveRun, port.CodeBackEnd, "chunk belongs to request %q", piece.ID))
+	if isMixed(message, r.id) && !w.without(SafeguardMatching) {
+		r.upstream.close()
+		r.attemptEnded(port.NewError(port.MayHaveRun, port.CodeBackEnd, "chunk belongs to request %q", message.ID))
 		return
 	}
-	if w.without(SafeguardVersion) && piece.Chunk.Tokens > 0 {
-		piece.Chunk.Version = w.orderedVersion()
+	if w.without(SafeguardVersion) && message.Chunk.Tokens > 0 {
+		message.Chunk.Version = w.orderedVersion()
 	}
-	r.tokens += piece.Chunk.Tokens
-	r.sink.chunk(piece.Chunk)
-	if piece.Chunk.Finish != "" {
-		r.over(nil)
+	r.tokens += message.Chunk.Tokens
+	r.sink.chunk(message.Chunk)
+	if message.Chunk.Finish != "" {
+		r.attemptEnded(nil)
 	}
 }
 
-// over ends the run at the engine.
-func (r *homeRun) over(failure *port.Error) {
+// attemptEnded handles the end of the request at the engine.
+func (r *homeRun) attemptEnded(failure *port.Error) {
 	if r.ended {
 		return
 	}
@@ -175,10 +174,10 @@
 
 func (r *homeRun) release(failure *port.Error, abandoned bool) {
 	n := r.node
-	judged := home.ClassifyGeneration(failure, abandoned, r.tokens, n.world.queue.Now()-r.started)
-	r.gate.release(r.ticket, judged.Outcome)
-	if judged.AffectsHealth {
-		n.state.HandleOutcomes(n.world.clock(), []nodestate.CallOutcome{outcomeOf(r.ticket.Replica, judged)})
+	classification := home.ClassifyGeneration(failure, abandoned, r.tokens, n.world.queue.Now()-r.startedAt)
+	r.gate.release(r.ticket, classification.Outcome)
+	if classification.AffectsHealth {
+		n.state.HandleOutcomes(n.world.clock(), []nodestate.CallOutcome{outcomeOf(r.ticket.Replica, classification)})
 		n.carryOut()
 	}
 }
@@ -188,17 +187,17 @@
 	r.sink.ended(failure)
 }
 
-// stop ends the run because its asker is gone; nothing is told any more.
+// stop cancels the run when its client disconnects.
 func (r *homeRun) stop() {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	if r.out != nil {
-		r.out.close()
-		r.release(port.NewError(port.MayHaveRun, port.CodeCancelled, "the asker left"), true)
+	if r.upstream != nil {
+		r.upstream.close()
+		r.release(port.NewError(port.MayHaveRun, port.CodeCancelled, "the caller disconnected"), true)
 	} else {
 		r.gate.cancel(r.ticket)
 	}
-	r.sink.ended(port.NewError(port.MayHaveRun, port.CodeCancelled, "the asker left"))
+	r.sink.ended(port.NewError(port.MayHaveRun, port.CodeCancelled, "the caller disconnected"))
 }
--- a/internal/lab/sim/fault/inject.go
+++ b/internal/lab/sim/fault/inject.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// injectNext injects faults after a while, and again, until their time is over.
+// injectNext injects faults at random intervals until the fault phase ends.
 func (w *world) injectNext() {
 	wait := time.Duration(w.random.faults.ExpFloat64() * float64(w.options.Scenario.Every))
 	w.after(wait, func() {
@@ -22,103 +22,103 @@
 	})
 }
 
-// while turns something on for a time.
-func (w *world) while(length time.Duration, on, off func()) {
+// enableFor calls on now and off after length.
+func (w *world) enableFor(length time.Duration, on, off func()) {
 	on()
 	w.after(length, off)
 }
 
-// between draws a time.
-func (w *world) drawn(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.faults.Int64N(int64(most-least)))
+// randomDuration draws a duration in [minimum, maximum).
+func (w *world) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(w.random.faults.Int64N(int64(maximum-minimum)))
 }
 
-func draw[T any](w *world, from []T) T { return from[w.random.faults.IntN(len(from))] }
+func randomElement[T any](w *world, from []T) T { return from[w.random.faults.IntN(len(from))] }
 
-// disturbs notes for the audit when a failure can be blamed on a fault.
-func (w *world) disturbs(target string, kind Fault, length time.Duration) {
+// recordFault records for the audit when a fault can explain failures.
+func (w *world) recordFault(target string, kind Fault, length time.Duration) {
 	now := w.queue.Now()
-	w.seen.rest.Faults = append(w.seen.rest.Faults, audit.Fault{Target: target, Kind: string(kind), From: now, To: now + length})
+	w.observed.rest.Faults = append(w.observed.rest.Faults, audit.Fault{Target: target, Kind: string(kind), From: now, To: now + length})
 }
 
-// aftermath is how long the effects of a fault may go on after its end.
-const aftermath = 5 * time.Second
+// recoveryTime is how long a fault may have effects after its end.
+const recoveryTime = 5 * time.Second
 
-// inject brings one fault about.
+// inject injects one fault, if it applies now.
 func (w *world) inject(kind Fault) {
-	target, length := w.begin(kind)
+	target, length := w.startFault(kind)
 	if target == "" {
 		return
 	}
 	w.count.faults[kind]++
 	w.trace("FAULT %s at %s for %v", kind, target, length)
 	if kind != FaultNodeStop && kind != FaultEngineLeaves && kind != FaultBackEndLeaves {
-		w.disturbs(target, kind, length+aftermath)
+		w.recordFault(target, kind, length+recoveryTime)
 	}
 }
 
-// begin gives whom the fault concerns, empty if it can't be now, and for how
-// long.
-func (w *world) begin(kind Fault) (target string, length time.Duration) {
+// startFault starts a fault and returns its target and length; the target is empty
+// if the fault doesn't apply now.
+func (w *world) startFault(kind Fault) (target string, length time.Duration) {
 	switch kind {
-	case FaultEngineCrash, FaultEngineRefuses, FaultEngineMixes, FaultEngineGoesOn, FaultSwapFails, FaultSwapMisdirected, FaultLoadLate, FaultEngineLeaves:
-		return w.disturbEngine(kind, draw(w, w.engines))
-	case FaultBackEndCrash, FaultBackEndMixes, FaultBackEndRefuses, FaultBackEndFails, FaultBackEndSlow, FaultBackEndLeaves:
-		return w.disturbBackEnd(kind, draw(w, w.backEnds))
+	case FaultEngineCrash, FaultEngineRefuses, FaultEngineMixesIDs, FaultEngineIgnoresCancel, FaultSwapFails, FaultSwapMisdirected, FaultLoadReportsLate, FaultEngineLeaves:
+		return w.startEngineFault(kind, randomElement(w, w.engines))
+	case FaultBackEndCrash, FaultBackEndMixesIDs, FaultBackEndRefuses, FaultBackEndFails, FaultBackEndSlow, FaultBackEndLeaves:
+		return w.startBackEndFault(kind, randomElement(w, w.backEnds))
 	case FaultNodeKilled, FaultCoordinatorStep, FaultTwoCoordinators, FaultTwoHomes, FaultNodeStop:
-		return w.disturbNode(kind)
-	case FaultTrainerCrash, FaultTrainerTwice, FaultTrainerPrevious, FaultPublishRace:
-		return w.disturbTrainer(kind)
+		return w.startNodeFault(kind)
+	case FaultTrainerCrash, FaultTrainerRepeats, FaultTrainerRequestsPrevious, FaultPublishRace:
+		return w.startTrainerFault(kind)
 	default:
-		return w.disturbRest(kind)
+		return w.startSiteFault(kind)
 	}
 }
 
-func (w *world) disturbEngine(kind Fault, e *modelEngine) (string, time.Duration) {
+func (w *world) startEngineFault(kind Fault, e *modelEngine) (string, time.Duration) {
 	if !e.up {
 		return "", 0
 	}
 	switch kind {
 	case FaultEngineCrash:
-		away := w.drawn(500*time.Millisecond, 5*time.Second)
-		e.crash(away)
-		return e.name, away
+		downtime := w.randomDuration(500*time.Millisecond, 5*time.Second)
+		e.crash(downtime)
+		return e.name, downtime
 	case FaultEngineRefuses:
 		e.refuseNext += 1 + w.random.faults.IntN(4)
-	case FaultEngineMixes:
+	case FaultEngineMixesIDs:
 		e.mixNext += 1 + w.random.faults.IntN(3)
-	case FaultEngineGoesOn:
+	case FaultEngineIgnoresCancel:
 		e.ignoreCancel += 1 + w.random.faults.IntN(4)
 	case FaultSwapFails:
 		e.model.FailNextSwap()
 	case FaultSwapMisdirected:
 		e.model.MisdirectNextSwap(w.otherWeights())
-	case FaultLoadLate:
-		e.lateUntil = w.queue.Now() + w.drawn(2*time.Second, 10*time.Second)
+	case FaultLoadReportsLate:
+		e.lateUntil = w.queue.Now() + w.randomDuration(2*time.Second, 10*time.Second)
 	case FaultEngineLeaves:
 		return w.depart(e.name, e.address, e.zone, e.idle, e.retire)
 	}
 	return e.name, 10 * time.Second
 }
 
-func (w *world) disturbBackEnd(kind Fault, b *backEnd) (string, time.Duration) {
+func (w *world) startBackEndFault(kind Fault, b *backEnd) (string, time.Duration) {
 	if !b.up {
 		return "", 0
 	}
 	switch kind {
 	case FaultBackEndCrash:
-		away := w.drawn(500*time.Millisecond, 5*time.Second)
-		b.crash(away)
-		return b.name, away
-	case FaultBackEndMixes:
+		downtime := w.randomDuration(500*time.Millisecond, 5*time.Second)
+		b.crash(downtime)
+		return b.name, downtime
+	case FaultBackEndMixesIDs:
 		b.mixNext += 1 + w.random.faults.IntN(3)
 	case FaultBackEndRefuses:
 		b.refuseNext += 1 + w.random.faults.IntN(5)
 	case FaultBackEndFails:
 		b.failNext += 1 + w.random.faults.IntN(5)
 	case FaultBackEndSlow:
-		length := w.drawn(time.Second, 6*time.Second)
-		w.while(length, func() { b.slow = 300 * time.Millisecond }, func() { b.slow = 0 })
+		length := w.randomDuration(time.Second, 6*time.Second)
+		w.enableFor(length, func() { b.slow = 300 * time.Millisecond }, func() { b.slow = 0 })
 		return b.name, length
 	case FaultBackEndLeaves:
 		return w.depart(b.name, b.address, b.zone, b.idle, b.retire)
@@ -126,12 +126,12 @@
 	return b.name, time.Second
 }
 
-func (w *world) disturbNode(kind Fault) (string, time.Duration) {
-	n := draw(w, w.nodes)
+func (w *world) startNodeFault(kind Fault) (string, time.Duration) {
+	n := randomElement(w, w.nodes)
 	if kind == FaultCoordinatorStep || kind == FaultTwoCoordinators {
 		n = w.coordinatorNode()
 	}
-	if n == nil || !n.up || n.draining || w.apart[n.name] {
+	if n == nil || !n.up || n.draining || w.isolated[n.name] {
 		return "", 0
 	}
 	switch kind {
@@ -144,12 +144,12 @@
 		w.killAt = killAt{node: n, steps: 1 + w.random.faults.IntN(60)}
 		return n.name, 10 * time.Second
 	case FaultTwoCoordinators, FaultTwoHomes:
-		// The node goes on, and nobody hears of it.
-		length := w.drawn(3*time.Second, 15*time.Second)
-		w.while(length, func() {
-			w.apart[n.name] = true
-			w.breakCut()
-		}, func() { delete(w.apart, n.name) })
+		// The node keeps running, isolated from control and the other nodes.
+		length := w.randomDuration(3*time.Second, 15*time.Second)
+		w.enableFor(length, func() {
+			w.isolated[n.name] = true
+			w.breakPartitioned()
+		}, func() { delete(w.isolated, n.name) })
 		return n.name, length
 	default:
 		w.stopNode(n)
@@ -157,7 +157,7 @@
 	}
 }
 
-// coordinatorNode gives the node whose worker coordinates the pool.
+// coordinatorNode returns the node that runs the pool's coordinator.
 func (w *world) coordinatorNode() *node {
 	for _, n := range w.nodes {
 		if n.up && n.workers[trainingPool] != nil && n.workers[trainingPool].machine.Running() {
@@ -167,21 +167,21 @@
 	return nil
 }
 
-// killNode kills a node and brings it back later.
+// killNode kills a node and restarts it later.
 func (w *world) killNode(n *node) time.Duration {
-	away := w.drawn(time.Second, 10*time.Second)
-	n.die()
-	w.after(away, n.start)
-	return away
+	downtime := w.randomDuration(time.Second, 10*time.Second)
+	n.kill()
+	w.after(downtime, n.start)
+	return downtime
 }
 
-// killAt says at which step of a worker its node is killed.
+// killAt holds the node to kill and after how many worker actions.
 type killAt struct {
 	node  *node
 	steps int
 }
 
-// step counts the actions of workers, and kills the node whose turn it is.
+// step counts worker actions and kills the node that killAt selects.
 func (w *world) step(n *node, action poolworker.Action) {
 	w.trace("%s does %T", n.name, action)
 	if w.killAt.node != n || !n.up || w.queue.Now() >= w.faultsEnd() {
@@ -191,50 +191,50 @@
 	if w.killAt.steps <= 0 {
 		w.killAt = killAt{}
 		w.trace("%s is killed before %T", n.name, action)
-		w.disturbs(n.name, FaultCoordinatorStep, w.killNode(n)+aftermath)
+		w.recordFault(n.name, FaultCoordinatorStep, w.killNode(n)+recoveryTime)
 	}
 }
 
-// stopNode stops a node as planned and starts it again later.
+// stopNode drains and stops a node, and restarts it later.
 func (w *world) stopNode(n *node) {
 	from := w.queue.Now()
 	stopped := func() {
-		w.seen.rest.PlannedStops = append(w.seen.rest.PlannedStops, audit.PlannedStop{Process: n.name, From: from, To: w.queue.Now()})
-		w.after(w.drawn(time.Second, 5*time.Second), n.start)
+		w.observed.rest.PlannedStops = append(w.observed.rest.PlannedStops, audit.PlannedStop{Process: n.name, From: from, To: w.queue.Now()})
+		w.after(w.randomDuration(time.Second, 5*time.Second), n.start)
 	}
 	n.drain(stopped)
 	if w.without(SafeguardDrain) && n.up {
-		n.die()
+		n.kill()
 		stopped()
 	}
 }
 
-func (w *world) disturbTrainer(kind Fault) (string, time.Duration) {
+func (w *world) startTrainerFault(kind Fault) (string, time.Duration) {
 	t := w.trainer
 	switch kind {
 	case FaultTrainerCrash:
-		away := w.drawn(500*time.Millisecond, 5*time.Second)
-		t.crash(away)
-		return t.name, away
-	case FaultTrainerTwice:
-		t.twice++
-	case FaultTrainerPrevious:
-		t.previous++
+		downtime := w.randomDuration(500*time.Millisecond, 5*time.Second)
+		t.crash(downtime)
+		return t.name, downtime
+	case FaultTrainerRepeats:
+		t.repeatNext++
+	case FaultTrainerRequestsPrevious:
+		t.previousNext++
 	case FaultPublishRace:
-		t.early++
+		t.publishEarlyNext++
 	}
 	return t.name, time.Second
 }
 
-func (w *world) disturbRest(kind Fault) (string, time.Duration) {
-	length := w.drawn(time.Second, 8*time.Second)
+func (w *world) startSiteFault(kind Fault) (string, time.Duration) {
+	length := w.randomDuration(time.Second, 8*time.Second)
 	switch kind {
 	case FaultCutBefore:
-		w.while(length, func() { w.cutBefore = 0.1 }, func() { w.cutBefore = 0 })
+		w.enableFor(length, func() { w.cutBefore = 0.1 }, func() { w.cutBefore = 0 })
 	case FaultCutAfter:
-		w.while(length, func() { w.cutAfter = 0.1 }, func() { w.cutAfter = 0 })
-	case FaultZoneCut:
-		return w.cutZone(draw(w, w.nodes).zone, length)
+		w.enableFor(length, func() { w.cutAfter = 0.1 }, func() { w.cutAfter = 0 })
+	case FaultZonePartition:
+		return w.partitionZone(randomElement(w, w.nodes).zone, length)
 	case FaultControlOutage:
 		w.control.downUntil = w.queue.Now() + length
 	case FaultProposalLost:
@@ -242,36 +242,36 @@
 	case FaultAnswerLost:
 		w.control.loseAnswers += 1 + w.random.faults.IntN(3)
 	case FaultViewLate:
-		w.while(length, func() { w.control.viewLag = 2 * time.Second }, func() { w.control.viewLag = 0 })
+		w.enableFor(length, func() { w.control.viewLag = 2 * time.Second }, func() { w.control.viewLag = 0 })
 	case FaultScorerLate:
 		w.scorer.lateUntil = w.queue.Now() + length
 	case FaultScorerFails:
 		w.scorer.failNext += 1 + w.random.faults.IntN(8)
 	default:
-		w.fail("fault %q is not known", kind)
+		w.fail("unknown fault %q", kind)
 		return "", 0
 	}
 	return "site", length
 }
 
-func (w *world) cutZone(zone port.ZoneName, length time.Duration) (string, time.Duration) {
-	if len(w.cutZones) > 0 {
+func (w *world) partitionZone(zone port.ZoneName, length time.Duration) (string, time.Duration) {
+	if len(w.partitionedZones) > 0 {
 		return "", 0
 	}
-	w.while(length, func() {
-		w.cutZones[zone] = true
-		w.breakCut()
-	}, func() { delete(w.cutZones, zone) })
+	w.enableFor(length, func() {
+		w.partitionedZones[zone] = true
+		w.breakPartitioned()
+	}, func() { delete(w.partitionedZones, zone) })
 	return string(zone), length
 }
 
-// cutsRequest draws whether a connection is cut before its request arrives.
+// cutsRequest draws whether a connection breaks before its request arrives.
 func (w *world) cutsRequest() bool {
 	return w.cutBefore > 0 && w.random.network.Float64() < w.cutBefore
 }
 
-// cutsAnswer draws after how many messages of the answer a connection is cut; -1
-// means never.
+// cutsAnswer draws after how many response messages a connection breaks; -1 means
+// never.
 func (w *world) cutsAnswer() int {
 	if w.cutAfter > 0 && w.random.network.Float64() < w.cutAfter {
 		return w.random.network.IntN(4)
@@ -279,10 +279,10 @@
 	return -1
 }
 
-// lateness is how long the answer of an engine to a poll takes.
-func (w *world) lateness(e *modelEngine) time.Duration {
+// pollDelay draws the delay of an engine's response to a poll.
+func (w *world) pollDelay(e *modelEngine) time.Duration {
 	if w.queue.Now() < e.lateUntil {
-		return time.Duration(w.random.service.Int64N(int64(staleLoadLag)))
+		return time.Duration(w.random.service.Int64N(int64(maxPollDelay)))
 	}
 	return 0
 }
--- a/internal/lab/sim/fault/node.go
+++ b/internal/lab/sim/fault/node.go
@@ -14,7 +14,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the nodes, as their defaults.
+// Timing of the nodes; the values are the defaults of the production node.
 const (
 	nodeTick           = 50 * time.Millisecond
 	machineInterval    = time.Second
@@ -23,39 +23,39 @@
 	summaryInterval    = 200 * time.Millisecond
 	aggregateInterval  = time.Second
 	reportInterval     = time.Second
-	// rebuildCost is what a node takes to rebuild its snapshot; it paces them.
+	// rebuildCost is the reported cost of a snapshot rebuild, which limits their rate.
 	rebuildCost = time.Millisecond
-	// summaryBytes is what one replica takes in a summary.
+	// summaryBytes is the size of one replica in a summary.
 	summaryBytes = 60
 )
 
-// node is one node process with the decision code of the real one.
+// node is a node process with the production decision code.
 type node struct {
 	process
 	world *world
 	id    port.NodeID
-	// What follows is lost when the process dies.
-	state          *nodestate.State
-	snapshot       *nodestate.Snapshot
-	chooser        *placement.Chooser
-	random         *rand.Rand
-	budgets        map[port.PoolName]*retry.Budget
-	replicaCounts  map[port.ReplicaID]*counter
-	zoneCounts     map[nodestate.ZonePool]*counter
-	polled         map[port.ReplicaID]int
-	workers        map[port.PoolName]*worker
-	seeker         *poolworker.LeaseSelector
-	confirmedUntil time.Time
-	machinesAsked  time.Time
-	requests       uint64
-	polls          int
-	// inflight counts the requests that were accepted and not answered.
-	inflight int
-	draining bool
-	stopped  func()
+	// The rest is lost when the process dies.
+	state            *nodestate.State
+	snapshot         *nodestate.Snapshot
+	chooser          *placement.Chooser
+	random           *rand.Rand
+	budgets          map[port.PoolName]*retry.Budget
+	replicaCounts    map[port.ReplicaID]*counter
+	zoneCounts       map[nodestate.ZonePool]*counter
+	polled           map[port.ReplicaID]int
+	workers          map[port.PoolName]*worker
+	leaseSelector    *poolworker.LeaseSelector
+	confirmedUntil   time.Time
+	machinesPolledAt time.Time
+	requests         uint64
+	polls            int
+	// inflight counts accepted requests without a response.
+	inflight  int
+	draining  bool
+	onStopped func()
 }
 
-// counter counts what a node sent to a replica or a zone.
+// counter counts the attempts sent to a replica or zone.
 type counter struct{ sent, finished int64 }
 
 // Counts implements nodestate.Counter.
@@ -72,20 +72,20 @@
 	return n
 }
 
-// start brings the process up, knowing nothing.
+// start starts the process with empty state.
 func (n *node) start() {
 	w := n.world
 	n.up = true
-	n.draining, n.inflight, n.stopped = false, 0, nil
-	n.random = rand.New(rand.NewPCG(w.options.Seed, uint64(len(n.name))*1000+uint64(n.life)*17+hashOf(n.name)))
+	n.draining, n.inflight, n.onStopped = false, 0, nil
+	n.random = rand.New(rand.NewPCG(w.options.Seed, uint64(len(n.name))*1000+uint64(n.incarnation)*17+hashOf(n.name)))
 	n.chooser = placement.New(n.random)
 	n.budgets = make(map[port.PoolName]*retry.Budget)
 	n.replicaCounts = make(map[port.ReplicaID]*counter)
 	n.zoneCounts = make(map[nodestate.ZonePool]*counter)
 	n.polled = make(map[port.ReplicaID]int)
 	n.workers = make(map[port.PoolName]*worker)
-	n.seeker = poolworker.NewLeaseSelector(n.id)
-	n.confirmedUntil, n.machinesAsked = time.Time{}, time.Time{}
+	n.leaseSelector = poolworker.NewLeaseSelector(n.id)
+	n.confirmedUntil, n.machinesPolledAt = time.Time{}, time.Time{}
 	n.snapshot = nodestate.EmptySnapshot(n.zone)
 	n.state = nodestate.New(nodestate.Config{
 		Self: n.id, Zone: n.zone, Region: "region", PeerAddress: n.peerAddress(), HTTPAddress: n.peerAddress(),
@@ -101,17 +101,17 @@
 	n.every(nodeTick, n.tick)
 	n.every(nodestate.MachinePollCheckInterval(machineInterval), n.pollMachines)
 	n.every(workerTick, n.tickWorkers)
-	n.every(seekInterval, n.seek)
+	n.every(leaseInterval, n.acquireLeases)
 }
 
 func (n *node) peerAddress() string { return "10.0.0." + string(n.id[1:]) + ":7000" }
 
-// every runs work again and again while the process lives.
+// every runs work periodically while the process lives.
 func (n *node) every(interval time.Duration, run func()) {
-	life := n.life
+	incarnation := n.incarnation
 	var again func()
 	again = func() {
-		if n.life == life && n.up {
+		if n.incarnation == incarnation && n.up {
 			run()
 			n.world.after(interval, again)
 		}
@@ -138,14 +138,14 @@
 	n.carryOut()
 }
 
-// carryOut does what the state asks for.
+// carryOut executes the outputs of the state.
 func (n *node) carryOut() {
 	output := n.state.Flush()
 	for _, message := range output.Messages {
 		n.sendTo(message)
 	}
 	for _, decided := range output.Decisions {
-		n.world.decided(n, decided)
+		n.world.recordDecision(n, decided)
 	}
 	if output.Snapshot != nil {
 		n.snapshot = output.Snapshot
@@ -160,7 +160,7 @@
 	}
 	if output.Report != nil {
 		report := *output.Report
-		n.world.tell(&n.process, &n.world.control.process, func() { n.world.control.report(report) })
+		n.world.sendMessage(&n.process, &n.world.control.process, func() { n.world.control.report(report) })
 	}
 }
 
@@ -170,7 +170,7 @@
 	if target == nil {
 		return
 	}
-	n.world.tell(&n.process, &target.process, func() {
+	n.world.sendMessage(&n.process, &target.process, func() {
 		now := n.world.clock()
 		switch body := message.Body.(type) {
 		case membership.Message:
@@ -189,7 +189,7 @@
 	})
 }
 
-// viewUpdate takes a view of the control state.
+// viewUpdate applies a view of the control state.
 func (n *node) viewUpdate(update port.ViewUpdate) {
 	_, confirmed, err := n.state.ViewUpdate(n.world.clock(), update)
 	if err == nil && confirmed {
@@ -201,71 +201,71 @@
 
 func (n *node) confirmed() bool { return n.world.clock().Before(n.confirmedUntil) }
 
-// poll asks an engine for its load and cache events while this node is its home.
-func (n *node) poll(engaged nodestate.Poll, number int) {
-	life := n.life
-	target := n.world.engineAt(engaged.Replica.Address)
-	own := engaged.Gate.(*nodeGate)
+// poll polls an engine's load and cache events while this node is its home.
+func (n *node) poll(replicaPoll nodestate.Poll, number int) {
+	incarnation := n.incarnation
+	target := n.world.engineAt(replicaPoll.Replica.Address)
+	poolGate := replicaPoll.Gate.(*nodeGate)
 	var again func()
 	again = func() {
-		if n.life != life || !n.up || n.polled[engaged.Replica.ID] != number {
+		if n.incarnation != incarnation || !n.up || n.polled[replicaPoll.Replica.ID] != number {
 			return
 		}
-		n.pollOnce(target, own)
+		n.pollOnce(target, poolGate)
 		n.world.after(loadInterval, again)
 	}
 	again()
 }
 
-func (n *node) pollOnce(target *modelEngine, own *nodeGate) {
+func (n *node) pollOnce(target *modelEngine, poolGate *nodeGate) {
 	w := n.world
-	askedAt := w.clock()
-	life := n.life
+	sentAt := w.clock()
+	incarnation := n.incarnation
 	answered := false
 	w.after(callTimeout, func() {
-		if !answered && n.life == life {
-			n.reported(askedAt, target.id, port.LoadReport{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "no answer"))
+		if !answered && n.incarnation == incarnation {
+			n.handleLoadReport(sentAt, target.id, port.LoadReport{}, port.NewError(port.MayHaveRun, port.CodeUnavailable, "no answer"))
 		}
 	})
-	after := own.pure.LastCacheEvent(target.id)
-	w.tell(&n.process, &target.process, func() {
+	after := poolGate.gate.LastCacheEvent(target.id)
+	w.sendMessage(&n.process, &target.process, func() {
 		report, visible := target.load()
 		events, gap := target.cacheEvents(after)
-		w.after(w.lateness(target), func() {
-			w.tell(&target.process, &n.process, func() {
-				if n.life != life || !visible {
+		w.after(w.pollDelay(target), func() {
+			w.sendMessage(&target.process, &n.process, func() {
+				if n.incarnation != incarnation || !visible {
 					return
 				}
 				answered = true
-				own.pure.CacheEvents(target.id, events, gap)
-				n.reported(askedAt, target.id, report, nil)
+				poolGate.gate.CacheEvents(target.id, events, gap)
+				n.handleLoadReport(sentAt, target.id, report, nil)
 			})
 		})
 	})
 }
 
-func (n *node) reported(askedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
+func (n *node) handleLoadReport(sentAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
 	now := n.world.clock()
-	n.state.HandleLoadReport(now, askedAt, replica, report, failure)
+	n.state.HandleLoadReport(now, sentAt, replica, report, failure)
 	n.state.RebuildIfDue(now)
 	n.carryOut()
 }
 
-// pollMachines asks the machine list if this node has to, and tells the zone.
+// pollMachines polls the machine list if it is this node's turn.
 func (n *node) pollMachines() {
 	w := n.world
 	now := w.clock()
-	if !nodestate.ShouldPollMachines(now, machineInterval, n.snapshot.ZoneNodes, n.id, n.machinesAsked, n.state.MachinesReceivedAt()) {
+	if !nodestate.ShouldPollMachines(now, machineInterval, n.snapshot.ZoneNodes, n.id, n.machinesPolledAt, n.state.MachinesReceivedAt()) {
 		return
 	}
-	n.machinesAsked = now
-	w.tell(&n.process, &w.machines.process, func() {
+	n.machinesPolledAt = now
+	w.sendMessage(&n.process, &w.machines.process, func() {
 		leaving := home.FilterLeaving(w.machines.list())
-		w.tell(&w.machines.process, &n.process, func() { n.tellMachines(leaving) })
+		w.sendMessage(&w.machines.process, &n.process, func() { n.broadcastMachines(leaving) })
 	})
 }
 
-func (n *node) tellMachines(leaving []port.Machine) {
+func (n *node) broadcastMachines(leaving []port.Machine) {
 	now := n.world.clock()
 	message := nodestate.MachinesMessage{Node: n.id, Leaving: leaving}
 	n.state.HandleMachines(now, message)
@@ -278,7 +278,7 @@
 	}
 }
 
-// decide decides on a retry by the pool's policy and budget.
+// decide returns the retry decision function of a pool.
 func (n *node) decide(pool *port.Pool) func(retry.Attempt) retry.Decision {
 	return func(made retry.Attempt) retry.Decision {
 		return retry.FromConfiguration(pool.Retry).Decide(n.world.clock(), made, n.budget(pool), n.random)
@@ -294,17 +294,17 @@
 	return budget
 }
 
-// die ends the process at once.
-func (n *node) die() {
+// kill ends the process immediately.
+func (n *node) kill() {
 	if n.up {
 		n.world.kill(&n.process)
 	}
 }
 
-// drain stops the process as planned; done is called when it has stopped.
+// drain stops the process gracefully; done is called when it has stopped.
 func (n *node) drain(done func()) {
 	n.draining = true
-	n.stopped = done
+	n.onStopped = done
 	n.state.Drain(n.world.clock())
 	n.carryOut()
 	for _, pool := range n.workerPools() {
@@ -314,29 +314,29 @@
 	n.stopIfIdle()
 }
 
-// stopIfIdle ends a draining process once nothing is left.
+// stopIfIdle ends a draining process once no requests or workers remain.
 func (n *node) stopIfIdle() {
-	if n.stopped == nil || n.inflight > 0 || len(n.workers) > 0 {
+	if n.onStopped == nil || n.inflight > 0 || len(n.workers) > 0 {
 		return
 	}
-	done := n.stopped
-	n.stopped = nil
-	life := n.life
-	// What was answered last is still on its way.
+	done := n.onStopped
+	n.onStopped = nil
+	incarnation := n.incarnation
+	// Wait for the last responses to arrive.
 	n.world.after(latencyBetween+2*latencyJitter, func() {
-		if n.life == life && n.up {
-			n.die()
+		if n.incarnation == incarnation && n.up {
+			n.kill()
 			done()
 		}
 	})
 }
 
-// begin counts a request in; end must be called once it was answered.
-func (n *node) begin() (end func()) {
+// trackRequest counts a request as in flight until end is called.
+func (n *node) trackRequest() (end func()) {
 	n.inflight++
-	life := n.life
+	incarnation := n.incarnation
 	return func() {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			n.inflight--
 			n.stopIfIdle()
 		}
--- a/internal/lab/sim/fault/nodegate.go
+++ b/internal/lab/sim/fault/nodegate.go
@@ -9,26 +9,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// nodeGate puts the pure gate of a pool into virtual time.
+// nodeGate runs a pool's gate in virtual time.
 type nodeGate struct {
 	node *node
-	pure *gate.Gate
+	gate *gate.Gate
 }
 
-// settler is what waits for a ticket.
-type settler interface{ settled(ticket *gate.Ticket) }
+// ticketOwner is notified when its ticket is granted or refused.
+type ticketOwner interface{ ticketResolved(ticket *gate.Ticket) }
 
 func (n *node) newGate(pool *port.Pool) nodestate.Gate {
-	return &nodeGate{node: n, pure: gate.New(n.world.profile(pool.Kind), n.random)}
+	return &nodeGate{node: n, gate: gate.New(n.world.profile(pool.Kind), n.random)}
 }
 
-// settle hands tickets to who waits for them, after the present step.
-func (g *nodeGate) settle(settled []*gate.Ticket) {
-	life := g.node.life
-	for _, ticket := range slices.Clone(settled) {
+// notify notifies the owners of resolved tickets after the current step.
+func (g *nodeGate) notify(resolved []*gate.Ticket) {
+	incarnation := g.node.incarnation
+	for _, ticket := range slices.Clone(resolved) {
 		g.node.world.after(0, func() {
-			if g.node.life == life {
-				ticket.Owner.(settler).settled(ticket)
+			if g.node.incarnation == incarnation {
+				ticket.Owner.(ticketOwner).ticketResolved(ticket)
 			}
 		})
 	}
@@ -36,30 +36,30 @@
 
 // Configure implements nodestate.Gate.
 func (g *nodeGate) Configure(now time.Time, settings gate.Settings, replicas []gate.Replica) {
-	g.settle(g.pure.Configure(now, settings, replicas))
+	g.notify(g.gate.Configure(now, settings, replicas))
 }
 
 // Tick implements nodestate.Gate.
-func (g *nodeGate) Tick(now time.Time) { g.settle(g.pure.Tick(now)) }
+func (g *nodeGate) Tick(now time.Time) { g.notify(g.gate.Tick(now)) }
 
 // Loads implements nodestate.Gate.
-func (g *nodeGate) Loads() (map[port.ReplicaID]gate.Load, int) { return g.pure.Loads() }
+func (g *nodeGate) Loads() (map[port.ReplicaID]gate.Load, int) { return g.gate.Loads() }
 
 // ResetCache implements nodestate.Gate.
-func (g *nodeGate) ResetCache(replica port.ReplicaID) { g.pure.ResetCache(replica) }
+func (g *nodeGate) ResetCache(replica port.ReplicaID) { g.gate.ResetCache(replica) }
 
 func (g *nodeGate) offer(ticket *gate.Ticket) {
-	settled, _ := g.pure.Offer(g.node.world.clock(), ticket)
-	if ticket.State != gate.Waiting && !slices.Contains(settled, ticket) {
-		settled = append(slices.Clone(settled), ticket)
+	resolved, _ := g.gate.Offer(g.node.world.clock(), ticket)
+	if ticket.State != gate.Waiting && !slices.Contains(resolved, ticket) {
+		resolved = append(slices.Clone(resolved), ticket)
 	}
-	g.settle(settled)
+	g.notify(resolved)
 }
 
 func (g *nodeGate) cancel(ticket *gate.Ticket) {
-	g.settle(g.pure.Cancel(g.node.world.clock(), ticket))
+	g.notify(g.gate.Cancel(g.node.world.clock(), ticket))
 }
 
 func (g *nodeGate) release(ticket *gate.Ticket, outcome gate.Outcome) {
-	g.settle(g.pure.Release(g.node.world.clock(), ticket, outcome))
+	g.notify(g.gate.Release(g.node.world.clock(), ticket, outcome))
 }
--- a/internal/lab/sim/fault/options.go
+++ b/internal/lab/sim/fault/options.go
@@ -5,45 +5,43 @@
 	"time"
 )
 
-// Options are what one run takes.
+// Options are the inputs of one run.
 type Options struct {
 	Scenario Scenario
 	Seed     uint64
-	// Trace, if set, gets a line for each step that matters.
+	// Trace, if set, receives a line for each significant step.
 	Trace io.Writer
-	// Without switches a safeguard off, so that tests can show that the audit
-	// would find its absence.
+	// Without switches off a safeguard, so that tests can check that the audit
+	// detects it.
 	Without Safeguard
 }
 
-// Safeguard names what keeps a promise.
+// Safeguard names a mechanism that upholds a guarantee.
 type Safeguard string
 
-// The safeguards that a test can switch off.
+// The safeguards.
 const (
-	// SafeguardVerdict keeps an unsafe request that may have run from being sent
-	// again.
+	// SafeguardVerdict prevents retries of unsafe requests that may have run.
 	SafeguardVerdict Safeguard = "verdict"
-	// SafeguardNotRun keeps a lost connection from being told as not run.
+	// SafeguardNotRun prevents reporting a lost connection as not run.
 	SafeguardNotRun Safeguard = "not run"
-	// SafeguardMatching keeps an answer to another request out.
+	// SafeguardMatching rejects answers to other requests.
 	SafeguardMatching Safeguard = "matching"
-	// SafeguardWhole keeps a completion that was cut off from being taken for
-	// whole.
-	SafeguardWhole Safeguard = "whole"
-	// SafeguardResume continues a completion from what has left already.
+	// SafeguardComplete prevents reporting a cut-off completion as complete.
+	SafeguardComplete Safeguard = "whole"
+	// SafeguardResume resumes a completion from the tokens already sent.
 	SafeguardResume Safeguard = "resume"
-	// SafeguardVersion takes versions from what engines report, not from orders.
+	// SafeguardVersion takes versions from engine reports instead of orders.
 	SafeguardVersion Safeguard = "version"
-	// SafeguardStaleness bounds the age of samples in the log.
+	// SafeguardStaleness limits the age of committed samples.
 	SafeguardStaleness Safeguard = "staleness"
-	// SafeguardLeaving keeps requests off leaving back ends.
-	SafeguardLeaving Safeguard = "leaving"
-	// SafeguardDrain lets a planned stop wait for what is in flight.
+	// SafeguardDeparture routes no requests to leaving back ends.
+	SafeguardDeparture Safeguard = "leaving"
+	// SafeguardDrain makes a planned stop wait for requests in flight.
 	SafeguardDrain Safeguard = "drain"
-	// SafeguardOnce refuses a batch that was acknowledged.
-	SafeguardOnce Safeguard = "once"
-	// SafeguardPrompts starts the prompts of a lost coordinator again.
+	// SafeguardSingleDelivery refuses to deliver an acknowledged batch again.
+	SafeguardSingleDelivery Safeguard = "once"
+	// SafeguardPrompts restarts the prompts of a lost coordinator.
 	SafeguardPrompts Safeguard = "prompts"
 )
 
@@ -51,66 +49,66 @@
 type Scenario struct {
 	Name  string
 	Title string
-	// Faulty is how long faults are injected, in virtual time.
+	// Faulty is how long faults are injected.
 	Faulty time.Duration
-	// Every is the mean time between two injections, Together the number of
-	// faults that one brings.
+	// Every is the mean time between injections, Together the number of faults in
+	// one injection.
 	Every    time.Duration
 	Together int
 	Faults   []Fault
 }
 
-// settleTime is the calm time after the faults, in which work has to go on.
+// settleTime is the fault-free time at the end, in which work must make progress.
 const settleTime = 40 * time.Second
 
-// Fault names a kind of fault.
+// Fault is a kind of fault.
 type Fault string
 
 // The faults.
 const (
-	FaultEngineCrash     Fault = "engine crash"
-	FaultEngineRefuses   Fault = "engine refuses"
-	FaultEngineMixes     Fault = "engine mixes ids"
-	FaultEngineGoesOn    Fault = "engine answers after cancel"
-	FaultSwapFails       Fault = "swap fails halfway"
-	FaultSwapMisdirected Fault = "swap lands on another version"
-	FaultLoadLate        Fault = "load reports late"
-	FaultBackEndCrash    Fault = "back end crash"
-	FaultBackEndMixes    Fault = "back end mixes ids"
-	FaultBackEndRefuses  Fault = "back end refuses"
-	FaultBackEndFails    Fault = "back end answers with errors"
-	FaultBackEndSlow     Fault = "back end slow"
-	FaultCutBefore       Fault = "connections cut before the first byte"
-	FaultCutAfter        Fault = "connections cut after the first byte"
-	FaultNodeKilled      Fault = "node killed"
-	FaultCoordinatorStep Fault = "coordinator killed at a step"
-	FaultTwoCoordinators Fault = "two coordinators"
-	FaultTwoHomes        Fault = "two homes"
-	FaultZoneCut         Fault = "zone cut off"
-	FaultNodeStop        Fault = "planned stop of a node"
-	FaultControlOutage   Fault = "control outage"
-	FaultProposalLost    Fault = "proposal lost"
-	FaultAnswerLost      Fault = "answer of control lost"
-	FaultViewLate        Fault = "views late"
-	FaultTrainerCrash    Fault = "trainer crash"
-	FaultTrainerTwice    Fault = "trainer asks twice"
-	FaultTrainerPrevious Fault = "trainer asks for the batch before"
-	FaultPublishRace     Fault = "publication races a commit"
-	FaultScorerLate      Fault = "scorer late"
-	FaultScorerFails     Fault = "scorer fails"
-	FaultEngineLeaves    Fault = "engine leaves"
-	FaultBackEndLeaves   Fault = "back end leaves"
+	FaultEngineCrash             Fault = "engine crash"
+	FaultEngineRefuses           Fault = "engine refuses"
+	FaultEngineMixesIDs          Fault = "engine mixes ids"
+	FaultEngineIgnoresCancel     Fault = "engine answers after cancel"
+	FaultSwapFails               Fault = "swap fails halfway"
+	FaultSwapMisdirected         Fault = "swap lands on another version"
+	FaultLoadReportsLate         Fault = "load reports late"
+	FaultBackEndCrash            Fault = "back end crash"
+	FaultBackEndMixesIDs         Fault = "back end mixes ids"
+	FaultBackEndRefuses          Fault = "back end refuses"
+	FaultBackEndFails            Fault = "back end answers with errors"
+	FaultBackEndSlow             Fault = "back end slow"
+	FaultCutBefore               Fault = "connections cut before the first byte"
+	FaultCutAfter                Fault = "connections cut after the first byte"
+	FaultNodeKilled              Fault = "node killed"
+	FaultCoordinatorStep         Fault = "coordinator killed at a step"
+	FaultTwoCoordinators         Fault = "two coordinators"
+	FaultTwoHomes                Fault = "two homes"
+	FaultZonePartition           Fault = "zone cut off"
+	FaultNodeStop                Fault = "planned stop of a node"
+	FaultControlOutage           Fault = "control outage"
+	FaultProposalLost            Fault = "proposal lost"
+	FaultAnswerLost              Fault = "answer of control lost"
+	FaultViewLate                Fault = "views late"
+	FaultTrainerCrash            Fault = "trainer crash"
+	FaultTrainerRepeats          Fault = "trainer asks twice"
+	FaultTrainerRequestsPrevious Fault = "trainer asks for the batch before"
+	FaultPublishRace             Fault = "publication races a commit"
+	FaultScorerLate              Fault = "scorer late"
+	FaultScorerFails             Fault = "scorer fails"
+	FaultEngineLeaves            Fault = "engine leaves"
+	FaultBackEndLeaves           Fault = "back end leaves"
 )
 
-// Scenarios gives the table of all scenarios.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
-	engines := []Fault{FaultEngineCrash, FaultEngineRefuses, FaultEngineMixes, FaultEngineGoesOn, FaultLoadLate}
-	backEnds := []Fault{FaultBackEndCrash, FaultBackEndMixes, FaultBackEndRefuses, FaultBackEndFails, FaultBackEndSlow}
+	engines := []Fault{FaultEngineCrash, FaultEngineRefuses, FaultEngineMixesIDs, FaultEngineIgnoresCancel, FaultLoadReportsLate}
+	backEnds := []Fault{FaultBackEndCrash, FaultBackEndMixesIDs, FaultBackEndRefuses, FaultBackEndFails, FaultBackEndSlow}
 	cuts := []Fault{FaultCutBefore, FaultCutAfter}
-	nodes := []Fault{FaultNodeKilled, FaultTwoHomes, FaultZoneCut}
+	nodes := []Fault{FaultNodeKilled, FaultTwoHomes, FaultZonePartition}
 	coordinators := []Fault{FaultCoordinatorStep, FaultTwoCoordinators}
 	control := []Fault{FaultControlOutage, FaultProposalLost, FaultAnswerLost, FaultViewLate}
-	trainers := []Fault{FaultTrainerCrash, FaultTrainerTwice, FaultTrainerPrevious, FaultPublishRace, FaultScorerLate, FaultScorerFails}
+	trainers := []Fault{FaultTrainerCrash, FaultTrainerRepeats, FaultTrainerRequestsPrevious, FaultPublishRace, FaultScorerLate, FaultScorerFails}
 	weights := []Fault{FaultSwapFails, FaultSwapMisdirected, FaultEngineCrash}
 	departures := []Fault{FaultEngineLeaves, FaultBackEndLeaves}
 	stops := []Fault{FaultNodeStop, FaultEngineLeaves, FaultBackEndLeaves}
@@ -142,7 +140,7 @@
 	return joined
 }
 
-// ScenarioNamed finds a scenario.
+// ScenarioNamed returns the scenario with the given name.
 func ScenarioNamed(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios() {
 		if scenario.Name == name {
--- a/internal/lab/sim/fault/platform.go
+++ b/internal/lab/sim/fault/platform.go
@@ -9,8 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// machineList stands in for the list of machines. A departure shows some time
-// after it began.
+// machineList simulates the machine list, which shows departures with a lag.
 type machineList struct {
 	process
 	world   *world
@@ -19,48 +18,48 @@
 
 func (l *machineList) list() []port.Machine { return l.leaving }
 
-// leave lets the list show, after its lag, that a machine is leaving.
-func (l *machineList) leave(address string, lag time.Duration, shown func()) {
+// leave lists a machine as leaving after a lag.
+func (l *machineList) leave(address string, lag time.Duration, onListed func()) {
 	l.world.after(lag, func() {
 		l.leaving = append(l.leaving[:len(l.leaving):len(l.leaving)], port.Machine{Address: address, State: port.MachineLeaving})
-		l.signal(address)
-		shown()
+		l.recordDeparture(address)
+		onListed()
 	})
 }
 
-// departureGrace is how long a leaving back end may get new work.
+// departureGrace is how long a leaving back end may receive new work.
 const departureGrace = 3 * time.Second
 
-// signal notes for the audit when each zone could see the departure.
-func (l *machineList) signal(address string) {
+// recordDeparture records for the audit when each zone could see the departure.
+func (l *machineList) recordDeparture(address string) {
 	for index := range zones {
-		l.signalZone(address, l.world.zone(index))
+		l.recordZoneDeparture(address, l.world.zone(index))
 	}
 }
 
-// signalZone notes when a zone could see the departure: while it is cut off from
-// the list it hears of nothing, and its nodes may use the back end as soon as the
-// cut ends, so that the time counts from there.
-func (l *machineList) signalZone(address string, zone port.ZoneName) {
+// recordZoneDeparture records when a zone could see the departure. A partitioned zone
+// can't see it, and its nodes may use the back end when the partition ends, so the
+// time counts from then.
+func (l *machineList) recordZoneDeparture(address string, zone port.ZoneName) {
 	w := l.world
 	from := w.queue.Now()
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		switch {
-		case w.cutZones[zone]:
+		case w.partitionedZones[zone]:
 			from = w.queue.Now()
 		case w.queue.Now()-from >= departureGrace:
-			w.seen.rest.Departures = append(w.seen.rest.Departures, audit.Departure{
+			w.observed.rest.Departures = append(w.observed.rest.Departures, audit.Departure{
 				BackEnd: address, From: string(zone), SignalledAt: from,
 			})
 			return
 		}
-		w.after(lookForIdle, look)
+		w.after(idleCheckInterval, check)
 	}
-	look()
+	check()
 }
 
-// scorer stands in for the scoring service.
+// scorer simulates the scoring service.
 type scorer struct {
 	process
 	world     *world
@@ -86,7 +85,7 @@
 	})
 }
 
-// promptsFrom gives prompts, each with a text of its own.
+// promptsFrom returns count prompts with distinct texts.
 func (w *world) promptsFrom(from port.PromptIndex, count int) []port.Prompt {
 	prompts := make([]port.Prompt, 0, count)
 	for offset := range count {
--- a/internal/lab/sim/fault/run.go
+++ b/internal/lab/sim/fault/run.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Report is what one run gave.
+// Report is the result of one run.
 type Report struct {
 	Scenario  string        `json:"scenario"`
 	Seed      uint64        `json:"seed"`
@@ -22,16 +22,16 @@
 	Failed    int           `json:"failed"`
 	Delivered int           `json:"delivered"`
 	Retries   int           `json:"retries"`
-	// Violations are the promises that the audit found broken, Failures what
-	// kept the run from going on as it should.
+	// Violations are the guarantees that the audit found broken, Failures other
+	// problems, such as a lack of progress.
 	Violations []audit.Violation `json:"violations,omitempty"`
 	Failures   []string          `json:"failures,omitempty"`
 }
 
-// Broken counts everything that was found wrong.
+// Broken returns the number of violations and failures.
 func (r *Report) Broken() int { return len(r.Violations) + len(r.Failures) }
 
-// FaultCount counts the faults injected.
+// FaultCount returns the number of injected faults.
 func (r *Report) FaultCount() int {
 	total := 0
 	for _, count := range r.Faults {
@@ -49,18 +49,18 @@
 	if err := w.run(); err != nil {
 		return Report{}, fmt.Errorf("scenario %s, seed %d: %w", options.Scenario.Name, options.Seed, err)
 	}
-	seen := w.observations()
-	w.checkProgress(seen)
+	observed := w.observations()
+	w.checkProgress(observed)
 	report := Report{
 		Scenario: options.Scenario.Name, Seed: options.Seed, Steps: w.queue.Steps(), Faults: w.count.faults,
 		Delivered: w.count.delivered, Retries: w.count.retries, Failures: w.failures,
-		Violations: audit.Check(seen, audit.Bounds{
+		Violations: audit.Check(observed, audit.Bounds{
 			Staleness:    map[string]uint64{string(trainingPool): stalenessBound},
 			PromptWindow: promptWindow,
 			PromptsDone:  map[string]port.PromptIndex{string(trainingPool): w.promptsDone()},
 		}),
 	}
-	for _, call := range seen.Calls {
+	for _, call := range observed.Calls {
 		switch call.Outcome {
 		case audit.OutcomeAnswered:
 			report.Answered++
@@ -73,20 +73,20 @@
 	return report, nil
 }
 
-// observations gathers what the stand-ins saw.
+// observations collects what the simulated systems observed.
 func (w *world) observations() audit.Observations {
-	seen := w.seen.rest
-	for _, generation := range w.seen.generations {
-		seen.Generations = append(seen.Generations, *generation)
+	observed := w.observed.rest
+	for _, generation := range w.observed.generations {
+		observed.Generations = append(observed.Generations, *generation)
 	}
-	for _, execution := range w.seen.executions {
-		seen.Executions = append(seen.Executions, *execution)
+	for _, execution := range w.observed.executions {
+		observed.Executions = append(observed.Executions, *execution)
 	}
-	return seen
+	return observed
 }
 
-// promptsDone gives the lowest prompt that control doesn't hold for delivered: all
-// below must have reached the trainer. The last batch may still be on its way.
+// promptsDone returns the lowest prompt that control doesn't count as delivered. All
+// below must have reached the trainer, except those of a batch in flight.
 func (w *world) promptsDone() port.PromptIndex {
 	ledger := w.control.state.Ledger(trainingPool)
 	done := ledger.PromptsBelow
@@ -99,35 +99,35 @@
 	return done
 }
 
-// Work has to go on in the last part of the calm time.
+// Progress required at the end of the run.
 const (
-	lastCalls   = 8 * time.Second
-	lastBatches = 15 * time.Second
-	leastShare  = 0.95
+	callWindow       = 8 * time.Second
+	batchWindow      = 15 * time.Second
+	minAnsweredShare = 0.95
 )
 
-// checkProgress finds work that the faults stopped for good.
-func (w *world) checkProgress(seen audit.Observations) {
+// checkProgress reports work that didn't recover from the faults.
+func (w *world) checkProgress(observed audit.Observations) {
 	end := w.queue.Now()
-	if w.trainer.lastKept < end-lastBatches {
-		w.fail("the trainer got no batch since %v; %s", w.trainer.lastKept, w.trainer.progress())
+	if w.trainer.lastBatchAt < end-batchWindow {
+		w.fail("the trainer received no batch since %v; %s", w.trainer.lastBatchAt, w.trainer.progress())
 	}
 	calls, answered := 0, 0
-	for _, call := range seen.Calls {
-		if call.StartedAt >= end-completionTimeout-lastCalls {
+	for _, call := range observed.Calls {
+		if call.StartedAt >= end-completionTimeout-callWindow {
 			calls++
 			if call.Outcome == audit.OutcomeAnswered {
 				answered++
 			}
 		}
 	}
-	if float64(answered) < leastShare*float64(calls) {
-		w.fail("of %d calls after the faults only %d were answered", calls, answered)
+	if float64(answered) < minAnsweredShare*float64(calls) {
+		w.fail("%d calls after the faults, only %d answered", calls, answered)
 	}
 }
 
-// RunMany runs a scenario with seeds first to first+count-1, some in parallel,
-// and gives the reports by seed.
+// RunMany runs a scenario with seeds first to first+count-1, up to parallel at a
+// time, and returns the reports by seed.
 func RunMany(ctx context.Context, options Options, first uint64, count, parallel int) ([]Report, error) {
 	reports := make([]Report, count)
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/lab/sim/fault/site.go
+++ b/internal/lab/sim/fault/site.go
@@ -7,16 +7,16 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Settings of the sampling pool.
+// Settings of the training pool.
 const (
-	maxTokens      = 160
-	groupSize      = 2
-	batchSamples   = 8
-	stalenessBound = 2
-	looseBound     = 1000
+	maxTokens              = 160
+	groupSize              = 2
+	batchSamples           = 8
+	stalenessBound         = 2
+	disabledStalenessBound = 1000
 )
 
-// configure gives control the site's configuration and first weights.
+// configure applies the site's configuration and publishes the first weights.
 func (w *world) configure() error {
 	pages, training := w.pools()
 	list := "http://10.3.0.4:9000"
@@ -34,7 +34,7 @@
 	return w.control.mustApply(port.Command{PublishWeights: &publish})
 }
 
-// change changes the configuration, as an operator does.
+// change applies a configuration change.
 func (w *world) change(note string, edits []port.Edit) error {
 	return w.control.mustApply(port.Command{
 		ChangeID: w.control.changeID(note),
@@ -63,11 +63,11 @@
 	}
 	training = pages
 	training.Name, training.Kind = trainingPool, port.PoolGeneration
-	training.Admission.MaxInflight = engineParallel
+	training.Admission.MaxInflight = engineMaxSequences
 	training.Admission.DefaultDeadline = port.Duration(time.Minute)
 	bound := uint64(stalenessBound)
 	if w.without(SafeguardStaleness) {
-		bound = looseBound
+		bound = disabledStalenessBound
 	}
 	training.Sampling = &port.Sampling{
 		Policy: policy.Default, StalenessBound: bound, BatchSamples: batchSamples, GroupSize: groupSize,
--- a/internal/lab/sim/fault/summary.go
+++ b/internal/lab/sim/fault/summary.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Summary adds up the reports of one scenario.
+// Summary is the total of one scenario's reports.
 type Summary struct {
 	Scenario  Scenario
 	Seeds     int
@@ -19,11 +19,11 @@
 	Failed    int
 	Delivered int
 	Retries   int
-	// Violations counts what was found wrong.
+	// Violations counts violations and failures.
 	Violations int
 }
 
-// Summarize adds up reports.
+// Summarize adds up the reports of a scenario.
 func Summarize(scenario Scenario, reports []Report) Summary {
 	summary := Summary{Scenario: scenario, Seeds: len(reports), Faults: make(map[Fault]int)}
 	for index := range reports {
@@ -58,7 +58,7 @@
 	return table.Flush()
 }
 
-// WriteFaults writes how often each fault was injected, over all scenarios.
+// WriteFaults writes how often each fault was injected in all scenarios.
 func WriteFaults(to io.Writer, summaries []Summary) error {
 	total := make(map[Fault]int)
 	for index := range summaries {
--- a/internal/lab/sim/fault/trainer.go
+++ b/internal/lab/sim/fault/trainer.go
@@ -9,44 +9,44 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the trainer.
+// Timing of the trainer.
 const (
-	stepTime     = 400 * time.Millisecond
-	askWait      = 2 * time.Second
-	trainerPause = 100 * time.Millisecond
-	publishEvery = 2
-	trainerName  = "trainer"
-	answerWait   = 10 * time.Second
-	// publicationTimeout is that of the nodes.
+	stepTime      = 400 * time.Millisecond
+	batchWait     = 2 * time.Second
+	trainerPause  = 100 * time.Millisecond
+	publishEvery  = 2
+	trainerName   = "trainer"
+	answerTimeout = 10 * time.Second
+	// publicationTimeout is the publication timeout of the nodes.
 	publicationTimeout = 250 * time.Millisecond
 )
 
-// trainer asks for batches by number, trains on each and publishes versions.
+// trainer requests batches by number, trains on each and publishes versions.
 type trainer struct {
 	process
 	world *world
-	turn  int
+	calls int
 	// The checkpoint survives a crash.
 	next        port.BatchNumber
 	version     port.WeightVersion
 	unpublished int
-	// The rest doesn't.
+	// The epoch is lost in a crash.
 	epoch port.Epoch
-	// Faults that concern the next question or publication.
-	twice, previous, early int
-	// received and kept count the batches.
-	kept     int
-	lastKept time.Duration
+	// Numbers of requests or publications still to be affected by a fault.
+	repeatNext, previousNext, publishEarlyNext int
+	// batches counts the batches trained on.
+	batches     int
+	lastBatchAt time.Duration
 }
 
 func (w *world) newTrainer() *trainer {
 	return &trainer{process: process{name: trainerName, up: true}, world: w, next: 1, version: firstVersion}
 }
 
-// start begins a life from the checkpoint.
+// start registers the trainer and resumes from the checkpoint.
 func (t *trainer) start() {
 	t.epoch = 0
-	t.untilDone(func(done func(bool)) {
+	t.retryUntilDone(func(done func(bool)) {
 		t.world.registerAt(t, t.target(), func(consumer *port.Consumer, failure *port.Error) {
 			if failure == nil {
 				t.epoch = consumer.Epoch
@@ -56,28 +56,28 @@
 	}, t.receive)
 }
 
-// target gives the node to ask next.
+// target returns the next node in round-robin order.
 func (t *trainer) target() *node {
-	t.turn++
-	return t.world.nodes[t.turn%len(t.world.nodes)]
+	t.calls++
+	return t.world.nodes[t.calls%len(t.world.nodes)]
 }
 
-// untilDone repeats a call until it succeeds, while the trainer lives.
-func (t *trainer) untilDone(call func(done func(bool)), then func()) {
-	life := t.life
+// retryUntilDone repeats a call until it succeeds or the trainer dies.
+func (t *trainer) retryUntilDone(call func(done func(bool)), then func()) {
+	incarnation := t.incarnation
 	var again func()
 	again = func() {
 		answered := false
 		call(func(success bool) {
 			switch {
-			case answered || t.life != life:
+			case answered || t.incarnation != incarnation:
 			case success:
 				answered = true
 				then()
 			default:
 				answered = true
 				t.world.after(trainerPause, func() {
-					if t.life == life {
+					if t.incarnation == incarnation {
 						again()
 					}
 				})
@@ -87,27 +87,27 @@
 	again()
 }
 
-// receive asks for the next batch until it has come.
+// receive requests the next batch until it arrives.
 func (t *trainer) receive() {
 	number := t.next
-	t.untilDone(func(done func(bool)) {
-		if t.twice > 0 {
-			t.twice--
-			t.ask(number, func(batch *coordinator.Deliver, version port.WeightVersion, _ *port.Error) {
+	t.retryUntilDone(func(done func(bool)) {
+		if t.repeatNext > 0 {
+			t.repeatNext--
+			t.requestBatch(number, func(batch *coordinator.Deliver, version port.WeightVersion, _ *port.Error) {
 				if batch != nil {
-					t.note(batch, version, false)
+					t.recordDelivery(batch, version, false)
 				}
 			})
 		}
-		if t.previous > 0 && number > 1 {
-			t.previous--
-			t.askBack(number)
+		if t.previousNext > 0 && number > 1 {
+			t.previousNext--
+			t.requestPrevious(number)
 		}
-		t.ask(number, func(batch *coordinator.Deliver, version port.WeightVersion, failure *port.Error) {
+		t.requestBatch(number, func(batch *coordinator.Deliver, version port.WeightVersion, failure *port.Error) {
 			switch {
 			case batch != nil && t.next == number:
 				done(true)
-				t.learn(batch, version)
+				t.train(batch, version)
 			case failure != nil && failure.Code == port.CodeFenced:
 				t.register(func() { done(false) })
 			default:
@@ -117,19 +117,19 @@
 	}, func() {})
 }
 
-// askBack asks for the batch before, once the question for this one has been
-// answered: by then it is acknowledged, and getting it is a second delivery.
-func (t *trainer) askBack(number port.BatchNumber) {
-	life := t.life
+// requestPrevious requests the batch before number once batch number was received.
+// The previous batch is acknowledged by then, so receiving it is a second delivery.
+func (t *trainer) requestPrevious(number port.BatchNumber) {
+	incarnation := t.incarnation
 	t.world.after(stepTime, func() {
 		switch {
-		case t.life != life:
+		case t.incarnation != incarnation:
 		case t.next <= number:
-			t.askBack(number)
+			t.requestPrevious(number)
 		default:
-			t.ask(number-1, func(batch *coordinator.Deliver, version port.WeightVersion, _ *port.Error) {
+			t.requestBatch(number-1, func(batch *coordinator.Deliver, version port.WeightVersion, _ *port.Error) {
 				if batch != nil {
-					t.note(batch, version, true)
+					t.recordDelivery(batch, version, true)
 				}
 			})
 		}
@@ -145,29 +145,29 @@
 	})
 }
 
-// ask asks a node for a batch. The version is the trainer's newest when it asked:
-// bytes that have left can't be called back when it publishes meanwhile.
-func (t *trainer) ask(number port.BatchNumber, take func(*coordinator.Deliver, port.WeightVersion, *port.Error)) {
+// requestBatch requests a batch from a node. Handle gets the trainer's version at the
+// time of the request.
+func (t *trainer) requestBatch(number port.BatchNumber, handle func(*coordinator.Deliver, port.WeightVersion, *port.Error)) {
 	w, version, epoch := t.world, t.version, t.epoch
 	target := t.target()
-	life, once := t.life, false
+	incarnation, done := t.incarnation, false
 	answer := func(batch *coordinator.Deliver, failure *port.Error) {
-		if !once && t.life == life {
-			once = true
-			take(batch, version, failure)
+		if !done && t.incarnation == incarnation {
+			done = true
+			handle(batch, version, failure)
 		}
 	}
 	s := w.dial(&t.process, &target.process, func(s *stream) {
 		target.batch(s, number, epoch, answer)
 	}, func(failure *port.Error) { answer(nil, failure) })
-	w.after(answerWait, func() {
+	w.after(answerTimeout, func() {
 		s.close()
-		answer(nil, cutOff())
+		answer(nil, connectionLost())
 	})
 }
 
-// note records a delivery as the trainer saw it.
-func (t *trainer) note(batch *coordinator.Deliver, version port.WeightVersion, trained bool) int {
+// recordDelivery records a delivery for the audit and returns its index.
+func (t *trainer) recordDelivery(batch *coordinator.Deliver, version port.WeightVersion, trained bool) int {
 	delivery := audit.Delivery{
 		Trainer: trainerName, Pool: string(trainingPool), Batch: uint64(batch.Number), Attempt: batch.Attempt,
 		Version: version, Trained: trained, At: t.world.queue.Now(),
@@ -179,33 +179,33 @@
 			Text: sample.Text, Tokens: sample.Tokens, Spans: sample.Spans,
 		})
 	}
-	t.world.seen.rest.Deliveries = append(t.world.seen.rest.Deliveries, delivery)
-	t.world.trace("trainer got batch %d attempt %d", batch.Number, batch.Attempt)
+	t.world.observed.rest.Deliveries = append(t.world.observed.rest.Deliveries, delivery)
+	t.world.trace("trainer received batch %d attempt %d", batch.Number, batch.Attempt)
 	if len(batch.Samples) != batchSamples {
-		t.world.fail("batch %d has %d samples, not %d", batch.Number, len(batch.Samples), batchSamples)
+		t.world.fail("batch %d has %d samples, want %d", batch.Number, len(batch.Samples), batchSamples)
 	}
-	return len(t.world.seen.rest.Deliveries) - 1
+	return len(t.world.observed.rest.Deliveries) - 1
 }
 
-// learn trains on a batch; a crash meanwhile loses it.
-func (t *trainer) learn(batch *coordinator.Deliver, version port.WeightVersion) {
-	w, life := t.world, t.life
-	place := t.note(batch, version, false)
+// train trains on a batch; a crash during the step loses it.
+func (t *trainer) train(batch *coordinator.Deliver, version port.WeightVersion) {
+	w, incarnation := t.world, t.incarnation
+	index := t.recordDelivery(batch, version, false)
 	w.after(stepTime, func() {
-		if t.life != life {
+		if t.incarnation != incarnation {
 			return
 		}
-		w.seen.rest.Deliveries[place].Trained = true
+		w.observed.rest.Deliveries[index].Trained = true
 		w.count.delivered += len(batch.Samples)
 		t.next = batch.Number + 1
-		t.kept++
-		t.lastKept = w.queue.Now()
+		t.batches++
+		t.lastBatchAt = w.queue.Now()
 		t.trained()
 	})
 }
 
-// trained publishes when it is due, and asks for the next batch: after the
-// publication, or as a fault at the same time.
+// trained publishes a version when it is due, and requests the next batch after the
+// publication, or, as a fault, concurrently with it.
 func (t *trainer) trained() {
 	t.unpublished++
 	if t.unpublished < publishEvery {
@@ -215,8 +215,8 @@
 	t.unpublished = 0
 	version := t.version + 1
 	published := func() { t.version = max(t.version, version) }
-	if t.early > 0 {
-		t.early--
+	if t.publishEarlyNext > 0 {
+		t.publishEarlyNext--
 		t.publish(version, published)
 		t.receive()
 		return
@@ -227,11 +227,11 @@
 	})
 }
 
-// publish announces a version until loomgrade has it. A conflict means that an
-// earlier try was accepted and its answer lost.
+// publish publishes a version until it is accepted. A conflict means that an earlier
+// attempt was accepted and its answer lost.
 func (t *trainer) publish(version port.WeightVersion, then func()) {
 	w := t.world
-	t.untilDone(func(done func(bool)) {
+	t.retryUntilDone(func(done func(bool)) {
 		publish := port.PublishWeights{Pool: trainingPool, Version: version, Bytes: weightBytes, ConsumerEpoch: t.epoch}
 		w.proposeAt(t, t.target(), port.Command{PublishWeights: &publish}, func(result port.Result, failure *port.Error) {
 			known := failure == nil && result.Error != nil && result.Error.Code == port.CodeConflict
@@ -245,57 +245,57 @@
 	}, then)
 }
 
-// crash loses what is not in the checkpoint; a new life begins later.
-func (t *trainer) crash(away time.Duration) {
+// crash loses all state but the checkpoint and restarts the trainer later.
+func (t *trainer) crash(downtime time.Duration) {
 	if !t.up {
 		return
 	}
 	t.world.kill(&t.process)
-	t.world.after(away, func() {
+	t.world.after(downtime, func() {
 		t.up = true
 		t.start()
 	})
 }
 
-// proposeAt lets a node put a command of the trainer through the log.
-func (w *world) proposeAt(t *trainer, target *node, command port.Command, take func(port.Result, *port.Error)) {
-	life, once := t.life, false
+// proposeAt submits a command of the trainer through a node.
+func (w *world) proposeAt(t *trainer, target *node, command port.Command, handle func(port.Result, *port.Error)) {
+	incarnation, done := t.incarnation, false
 	answer := func(result port.Result, failure *port.Error) {
-		if !once && t.life == life {
-			once = true
-			take(result, failure)
+		if !done && t.incarnation == incarnation {
+			done = true
+			handle(result, failure)
 		}
 	}
 	s := w.dial(&t.process, &target.process, func(s *stream) {
 		if target.draining {
-			s.answer(true, func() { answer(port.Result{}, notReached(&target.process)) })
+			s.answer(true, func() { answer(port.Result{}, unreachable(&target.process)) })
 			return
 		}
-		end := target.begin()
+		end := target.trackRequest()
 		target.propose(command, func(result port.Result, failure *port.Error) {
 			s.answer(true, func() { answer(result, failure) })
 			end()
 		})
 	}, func(failure *port.Error) { answer(port.Result{}, failure) })
-	w.after(answerWait, func() {
+	w.after(answerTimeout, func() {
 		s.close()
-		answer(port.Result{}, cutOff())
+		answer(port.Result{}, connectionLost())
 	})
 }
 
-func (w *world) registerAt(t *trainer, target *node, take func(*port.Consumer, *port.Error)) {
+func (w *world) registerAt(t *trainer, target *node, handle func(*port.Consumer, *port.Error)) {
 	register := port.RegisterConsumer{Pool: trainingPool, Consumer: trainerName}
 	w.proposeAt(t, target, port.Command{RegisterConsumer: &register}, func(result port.Result, failure *port.Error) {
 		switch {
 		case failure != nil:
-			take(nil, failure)
+			handle(nil, failure)
 		case result.Error != nil:
-			take(nil, result.Error)
+			handle(nil, result.Error)
 		default:
-			take(result.Consumer, nil)
+			handle(result.Consumer, nil)
 		}
 	})
 }
 
-// progress says what the trainer reached, for reports.
+// progress describes the trainer's position for failure messages.
 func (t *trainer) progress() string { return fmt.Sprintf("batch %d, version %d", t.next, t.version) }
--- a/internal/lab/sim/fault/trainernode.go
+++ b/internal/lab/sim/fault/trainernode.go
@@ -5,22 +5,22 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// What a node does for a trainer: it hands its questions to the pool's coordinator and
-// its commands to the log.
+// Nodes forward a trainer's batch requests to the pool's coordinator and its commands
+// to the control log.
 
-// batch answers a trainer's question here or at the coordinator's node.
-func (n *node) batch(s *stream, number port.BatchNumber, epoch port.Epoch, take func(*coordinator.Deliver, *port.Error)) {
+// batch serves a trainer's batch request here or at the coordinator's node.
+func (n *node) batch(s *stream, number port.BatchNumber, epoch port.Epoch, handle func(*coordinator.Deliver, *port.Error)) {
 	if n.draining {
-		s.answer(true, func() { take(nil, port.NewError(port.NotRun, port.CodeDraining, "the node is stopping")) })
+		s.answer(true, func() { handle(nil, port.NewError(port.NotRun, port.CodeDraining, "the node is stopping")) })
 		return
 	}
-	end := n.begin()
+	end := n.trackRequest()
 	reply := func(batch *coordinator.Deliver, failure *port.Error) {
-		s.answer(true, func() { take(batch, failure) })
+		s.answer(true, func() { handle(batch, failure) })
 		end()
 	}
 	if n.workers[trainingPool] != nil {
-		s.left = n.ask(number, epoch, reply)
+		s.onDisconnect = n.requestBatch(number, epoch, reply)
 		return
 	}
 	holder := n.leaseHolder()
@@ -33,13 +33,13 @@
 			inner.answer(true, func() { reply(nil, notCoordinator()) })
 			return
 		}
-		innerEnd := holder.begin()
-		inner.left = holder.ask(number, epoch, func(batch *coordinator.Deliver, failure *port.Error) {
+		innerEnd := holder.trackRequest()
+		inner.onDisconnect = holder.requestBatch(number, epoch, func(batch *coordinator.Deliver, failure *port.Error) {
 			inner.answer(true, func() { reply(batch, failure) })
 			innerEnd()
 		})
 	}, func(failure *port.Error) { reply(nil, failure) })
-	s.left = func() {
+	s.onDisconnect = func() {
 		if !out.closed {
 			out.close()
 			end()
@@ -56,14 +56,14 @@
 	return nil
 }
 
-// ask puts a question to the coordinator that runs here; the function that it
-// gives says that the asker is gone.
-func (n *node) ask(number port.BatchNumber, epoch port.Epoch, reply func(*coordinator.Deliver, *port.Error)) (left func()) {
+// requestBatch passes a batch request to the local coordinator; the returned function
+// reports that the client disconnected.
+func (n *node) requestBatch(number port.BatchNumber, epoch port.Epoch, reply func(*coordinator.Deliver, *port.Error)) (onDisconnect func()) {
 	w := n.workers[trainingPool]
-	w.tokens++
-	token := w.tokens
-	w.questions[token] = func(batch *coordinator.Deliver, failure *port.Error) {
-		if batch == nil && n.world.without(SafeguardOnce) && n.world.delivered[number] != nil {
+	w.lastToken++
+	token := w.lastToken
+	w.batchRequests[token] = func(batch *coordinator.Deliver, failure *port.Error) {
+		if batch == nil && n.world.without(SafeguardSingleDelivery) && n.world.delivered[number] != nil {
 			batch, failure = n.world.delivered[number], nil
 		}
 		if batch != nil {
@@ -72,44 +72,44 @@
 		reply(batch, failure)
 	}
 	event := coordinator.BatchRequested{
-		Token: token, Number: number, ConsumerEpoch: epoch, Deadline: n.world.clock().Add(askWait),
+		Token: token, Number: number, ConsumerEpoch: epoch, Deadline: n.world.clock().Add(batchWait),
 	}
 	if !w.machine.Running() {
 		n.later(0, func() { w.answer(token, nil, notCoordinator()) })
 	} else {
-		w.tell(event)
+		w.handleEvent(event)
 	}
 	return func() {
-		if w.questions[token] != nil {
-			w.answer(token, nil, cutOff())
-			w.tell(coordinator.RequestAbandoned{Token: token})
+		if w.batchRequests[token] != nil {
+			w.answer(token, nil, connectionLost())
+			w.handleEvent(coordinator.RequestAbandoned{Token: token})
 		}
 	}
 }
 
-// propose puts a command of a trainer through the log. The pool's coordinator is told of a
-// publication before, and of its outcome.
-func (n *node) propose(command port.Command, take func(port.Result, *port.Error)) {
+// propose submits a trainer's command to the log. It notifies the pool's coordinator
+// before a publication and of its outcome.
+func (n *node) propose(command port.Command, handle func(port.Result, *port.Error)) {
 	control := n.world.control
 	publish := command.PublishWeights
 	if publish == nil {
-		control.propose(&n.process, command, callTimeout, take)
+		control.propose(&n.process, command, callTimeout, handle)
 		return
 	}
-	n.tellCoordinator(coordinator.PublicationBegun{Version: publish.Version}, func() {
+	n.notifyCoordinator(coordinator.PublicationBegun{Version: publish.Version}, func() {
 		control.propose(&n.process, command, callTimeout, func(result port.Result, failure *port.Error) {
 			published := failure == nil && result.Error == nil
 			ended := coordinator.PublicationEnded{Version: publish.Version, Published: published}
-			n.tellCoordinator(ended, func() { take(result, failure) })
+			n.notifyCoordinator(ended, func() { handle(result, failure) })
 		})
 	})
 }
 
-// tellCoordinator tells the pool's coordinator, here or at another node, and goes on once
-// it knows or does not answer in time.
-func (n *node) tellCoordinator(event coordinator.Event, then func()) {
+// notifyCoordinator sends an event to the pool's coordinator and continues after its
+// answer or a timeout.
+func (n *node) notifyCoordinator(event coordinator.Event, then func()) {
 	if w := n.workers[trainingPool]; w != nil {
-		w.tell(event)
+		w.handleEvent(event)
 		then()
 		return
 	}
@@ -118,21 +118,21 @@
 		then()
 		return
 	}
-	life, once := n.life, false
-	goOn := func() {
-		if !once && n.life == life {
-			once = true
+	incarnation, done := n.incarnation, false
+	proceed := func() {
+		if !done && n.incarnation == incarnation {
+			done = true
 			then()
 		}
 	}
 	s := n.world.dial(&n.process, &holder.process, func(inner *stream) {
 		if w := holder.workers[trainingPool]; w != nil {
-			w.tell(event)
+			w.handleEvent(event)
 		}
-		inner.answer(true, goOn)
-	}, func(*port.Error) { goOn() })
+		inner.answer(true, proceed)
+	}, func(*port.Error) { proceed() })
 	n.world.after(publicationTimeout, func() {
 		s.close()
-		goOn()
+		proceed()
 	})
 }
--- a/internal/lab/sim/fault/worker.go
+++ b/internal/lab/sim/fault/worker.go
@@ -15,10 +15,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the workers, as at the nodes.
+// Timing of the workers, as at the nodes.
 const (
 	workerTick       = 100 * time.Millisecond
-	seekInterval     = 200 * time.Millisecond
+	leaseInterval    = 200 * time.Millisecond
 	coordinatorLease = 6 * time.Second
 	sampleDeadline   = time.Hour
 	progressInterval = time.Second
@@ -26,15 +26,15 @@
 	blockBytes       = 64
 )
 
-// worker runs the worker of one pool at a node.
+// worker runs a pool's worker at a node.
 type worker struct {
-	node      *node
-	pool      port.PoolName
-	machine   *poolworker.Worker
-	attempts  map[attemptKey]*generation
-	questions map[uint64]func(*coordinator.Deliver, *port.Error)
-	tokens    uint64
-	gone      bool
+	node          *node
+	pool          port.PoolName
+	machine       *poolworker.Worker
+	attempts      map[attemptKey]*generation
+	batchRequests map[uint64]func(*coordinator.Deliver, *port.Error)
+	lastToken     uint64
+	closed        bool
 }
 
 type attemptKey struct {
@@ -42,16 +42,16 @@
 	attempt uint32
 }
 
-// seek starts workers for the leases that it is this node's turn to ask for.
-func (n *node) seek() {
+// acquireLeases starts workers for the leases that this node may acquire.
+func (n *node) acquireLeases() {
 	if !n.confirmed() || n.draining {
 		return
 	}
 	running := func(pool port.PoolName) bool { return n.workers[pool] != nil }
-	for _, pool := range n.seeker.Acquirable(n.world.clock(), n.snapshot.View, running) {
+	for _, pool := range n.leaseSelector.Acquirable(n.world.clock(), n.snapshot.View, running) {
 		w := &worker{
 			node: n, pool: pool, attempts: make(map[attemptKey]*generation),
-			questions: make(map[uint64]func(*coordinator.Deliver, *port.Error)),
+			batchRequests: make(map[uint64]func(*coordinator.Deliver, *port.Error)),
 		}
 		n.workers[pool] = w
 		machine, actions := poolworker.New(poolworker.Config{
@@ -71,8 +71,8 @@
 	}
 }
 
-// tell hands an event to the coordinator.
-func (w *worker) tell(event coordinator.Event) {
+// handleEvent passes an event to the coordinator.
+func (w *worker) handleEvent(event coordinator.Event) {
 	w.carryOut(w.machine.Coordinator(w.node.world.clock(), event))
 }
 
@@ -88,39 +88,39 @@
 				w.carryOut(w.machine.ProposalAnswered(w.node.world.clock(), action.Token, result, failure))
 			})
 		case poolworker.PollHomes:
-			w.askHomes(action)
+			w.pollHomes(action)
 		case poolworker.Order:
 			w.order(action)
 		case poolworker.CoordinatorAction:
 			w.coordinate(action)
 		case poolworker.Record:
-			w.node.world.decided(w.node, action.Decision)
+			w.node.world.recordDecision(w.node, action.Decision)
 		case poolworker.PolicyRejected:
-			w.node.world.fail("policy refused: %v", action.Err)
+			w.node.world.fail("policy rejected: %v", action.Err)
 		case poolworker.Ended:
 			w.ended()
 		}
 	}
 }
 
-// ended forgets the worker.
+// ended cancels the worker's requests and removes it.
 func (w *worker) ended() {
-	if w.gone {
+	if w.closed {
 		return
 	}
-	w.gone = true
+	w.closed = true
 	for _, key := range w.attemptKeys() {
 		if run := w.attempts[key]; run != nil {
 			run.cancel()
 		}
 	}
-	for _, token := range slices.Sorted(maps.Keys(w.questions)) {
+	for _, token := range slices.Sorted(maps.Keys(w.batchRequests)) {
 		w.answer(token, nil, notCoordinator())
 	}
 	n := w.node
 	n.later(0, func() {
 		delete(n.workers, w.pool)
-		n.seeker.WorkerEnded(n.world.clock(), w.pool)
+		n.leaseSelector.WorkerEnded(n.world.clock(), w.pool)
 		n.stopIfIdle()
 	})
 }
@@ -138,7 +138,7 @@
 	return port.NewError(port.NotRun, port.CodeUnavailable, "the pool has no coordinator at this moment")
 }
 
-// coordinate carries out an action of the coordinator.
+// coordinate executes an action of the coordinator.
 func (w *worker) coordinate(action poolworker.CoordinatorAction) {
 	switch action := action.Action.(type) {
 	case coordinator.FetchPrompts:
@@ -158,11 +158,11 @@
 	}
 }
 
-// answer answers a question once.
+// answer answers a batch request once.
 func (w *worker) answer(token uint64, batch *coordinator.Deliver, failure *port.Error) {
-	if question := w.questions[token]; question != nil {
-		delete(w.questions, token)
-		question(batch, failure)
+	if reply := w.batchRequests[token]; reply != nil {
+		delete(w.batchRequests, token)
+		reply(batch, failure)
 	}
 }
 
@@ -170,19 +170,19 @@
 	world, n := w.node.world, w.node
 	world.dial(&n.process, &world.prompts, func(s *stream) {
 		prompts := world.promptsFrom(action.From, action.Count)
-		s.answer(true, func() { w.tell(coordinator.PromptsArrived{From: action.From, Prompts: prompts}) })
-	}, func(failure *port.Error) { w.tell(coordinator.PromptsFailed{From: action.From, Err: failure}) })
+		s.answer(true, func() { w.handleEvent(coordinator.PromptsArrived{From: action.From, Prompts: prompts}) })
+	}, func(failure *port.Error) { w.handleEvent(coordinator.PromptsFailed{From: action.From, Err: failure}) })
 }
 
 func (w *worker) score(action coordinator.ScoreSample) {
 	world, n := w.node.world, w.node
-	failed := func(failure *port.Error) { w.tell(coordinator.ScoreFailed{ID: action.ID, Err: failure}) }
+	failed := func(failure *port.Error) { w.handleEvent(coordinator.ScoreFailed{ID: action.ID, Err: failure}) }
 	world.dial(&n.process, &world.scorer.process, func(s *stream) {
-		world.scorer.score(s, func() { w.tell(coordinator.Scored{ID: action.ID, Reward: 1}) }, failed)
+		world.scorer.score(s, func() { w.handleEvent(coordinator.Scored{ID: action.ID, Reward: 1}) }, failed)
 	}, failed)
 }
 
-// start starts one attempt at a sample through the node's usual path.
+// start starts one attempt at a sample through the node's request path.
 func (w *worker) start(action coordinator.StartSample) {
 	n := w.node
 	key := attemptKey{action.ID, action.Attempt}
@@ -190,7 +190,7 @@
 	pool := n.snapshot.Pools[w.pool]
 	if pool == nil || !n.confirmed() {
 		n.later(0, func() {
-			run.ended(port.NewError(port.NotRun, port.CodeUnconfirmed, "the configuration isn't confirmed"))
+			run.ended(port.NewError(port.NotRun, port.CodeUnconfirmed, "the configuration is not confirmed"))
 		})
 		return
 	}
@@ -209,15 +209,15 @@
 	g.attempt()
 }
 
-// sampleRun gathers what an attempt at a sample gives.
+// sampleRun accumulates the output of an attempt at a sample.
 type sampleRun struct {
-	worker  *worker
-	action  coordinator.StartSample
-	replica port.ReplicaID
-	text    []byte
-	tokens  int
-	spans   []port.Span
-	told    time.Duration
+	worker     *worker
+	action     coordinator.StartSample
+	replica    port.ReplicaID
+	text       []byte
+	tokens     int
+	spans      []port.Span
+	progressAt time.Duration
 }
 
 func (r *sampleRun) chunk(chunk port.GenerateChunk) {
@@ -226,9 +226,9 @@
 	if chunk.Tokens > 0 {
 		r.spans = port.AppendTokens(r.spans, chunk.Version, chunk.Tokens)
 	}
-	if now := r.worker.node.world.queue.Now(); now-r.told >= progressInterval {
-		r.told = now
-		r.worker.tell(coordinator.SampleProgress{
+	if now := r.worker.node.world.queue.Now(); now-r.progressAt >= progressInterval {
+		r.progressAt = now
+		r.worker.handleEvent(coordinator.SampleProgress{
 			ID: r.action.ID, Attempt: r.action.Attempt, Replica: r.replica, Tokens: r.tokens, Spans: slices.Clone(r.spans),
 		})
 	}
@@ -237,20 +237,20 @@
 func (r *sampleRun) ended(failure *port.Error) {
 	delete(r.worker.attempts, attemptKey{r.action.ID, r.action.Attempt})
 	if failure != nil {
-		r.worker.tell(coordinator.SampleFailed{
+		r.worker.handleEvent(coordinator.SampleFailed{
 			ID: r.action.ID, Attempt: r.action.Attempt, Replica: r.replica, Err: failure,
 			Text: string(r.text), Tokens: r.tokens, Spans: r.spans,
 		})
 		return
 	}
-	r.worker.tell(coordinator.SampleFinished{
+	r.worker.handleEvent(coordinator.SampleFinished{
 		ID: r.action.ID, Attempt: r.action.Attempt, Replica: r.replica,
 		Text: string(r.text), Tokens: r.tokens, Spans: r.spans,
 	})
 }
 
-// askHomes asks every home of the pool's replicas for their state.
-func (w *worker) askHomes(action poolworker.PollHomes) {
+// pollHomes polls the replica states of the pool from every home node.
+func (w *worker) pollHomes(action poolworker.PollHomes) {
 	n := w.node
 	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Excluded: action.Excluded}
 	known := make(map[port.ReplicaID]nodestate.ReplicaState)
@@ -264,27 +264,27 @@
 			homes[home.ID] = true
 		}
 	}
-	open := len(homes)
+	pending := len(homes)
 	answered := func(states []nodestate.ReplicaState) {
 		for _, state := range states {
 			if _, listed := known[state.Replica]; listed {
 				known[state.Replica] = state
 			}
 		}
-		open--
-		if open == 0 {
-			w.polled(known)
+		pending--
+		if pending == 0 {
+			w.homesPolled(known)
 		}
 	}
-	if open == 0 {
-		n.later(0, func() { w.polled(known) })
+	if pending == 0 {
+		n.later(0, func() { w.homesPolled(known) })
 	}
 	for _, id := range slices.Sorted(maps.Keys(homes)) {
-		w.askHome(n.world.node(id), call, answered)
+		w.pollHome(n.world.node(id), call, answered)
 	}
 }
 
-func (w *worker) polled(known map[port.ReplicaID]nodestate.ReplicaState) {
+func (w *worker) homesPolled(known map[port.ReplicaID]nodestate.ReplicaState) {
 	states := make([]nodestate.ReplicaState, 0, len(known))
 	for _, id := range slices.Sorted(maps.Keys(known)) {
 		states = append(states, known[id])
@@ -292,12 +292,12 @@
 	w.carryOut(w.machine.StatesPolled(w.node.world.clock(), states))
 }
 
-func (w *worker) askHome(target *node, call nodestate.PoolStateCall, answered func([]nodestate.ReplicaState)) {
+func (w *worker) pollHome(target *node, call nodestate.PoolStateCall, answered func([]nodestate.ReplicaState)) {
 	n := w.node
-	once := false
-	take := func(states []nodestate.ReplicaState) {
-		if !once {
-			once = true
+	done := false
+	handle := func(states []nodestate.ReplicaState) {
+		if !done {
+			done = true
 			answered(states)
 		}
 	}
@@ -309,26 +309,26 @@
 		return states
 	}
 	if target == n {
-		n.later(0, func() { take(serve()) })
+		n.later(0, func() { handle(serve()) })
 		return
 	}
 	s := n.world.dial(&n.process, &target.process, func(s *stream) {
 		states := serve()
-		s.answer(true, func() { take(states) })
-	}, func(*port.Error) { take(nil) })
+		s.answer(true, func() { handle(states) })
+	}, func(*port.Error) { handle(nil) })
 	n.later(callTimeout, func() {
 		s.close()
-		take(nil)
+		handle(nil)
 	})
 }
 
-// order passes an order on to the replica's home, and from there to the engine.
+// order sends an order to the engine through the replica's home node.
 func (w *worker) order(action poolworker.Order) {
 	n := w.node
-	once := false
-	take := func(report port.LoadReport, failure *port.Error) {
-		if !once {
-			once = true
+	done := false
+	handle := func(report port.LoadReport, failure *port.Error) {
+		if !done {
+			done = true
 			w.carryOut(w.machine.OrderAnswered(n.world.clock(), action.Rollout, rollout.OrderAnswered{
 				Replica: action.Send.Replica, Order: action.Send.Order, Report: report, Err: failure,
 			}))
@@ -337,39 +337,39 @@
 	home, found := n.snapshot.HomeOf(action.Send.Replica)
 	if !found || !n.confirmed() {
 		n.later(0, func() {
-			take(port.LoadReport{}, port.NewError(port.NotRun, port.CodeUnavailable, "no home or no confirmed configuration"))
+			handle(port.LoadReport{}, port.NewError(port.NotRun, port.CodeUnavailable, "no home or no confirmed configuration"))
 		})
 		return
 	}
 	target := n.world.node(home.ID)
-	n.later(orderTimeout, func() { take(port.LoadReport{}, cutOff()) })
+	n.later(orderTimeout, func() { handle(port.LoadReport{}, connectionLost()) })
 	if target == n {
-		n.serveOrder(action.Send, take)
+		n.serveOrder(action.Send, handle)
 		return
 	}
 	n.world.dial(&n.process, &target.process, func(s *stream) {
 		target.serveOrder(action.Send, func(report port.LoadReport, failure *port.Error) {
-			s.answer(true, func() { take(report, failure) })
+			s.answer(true, func() { handle(report, failure) })
 		})
-	}, func(failure *port.Error) { take(port.LoadReport{}, failure) })
+	}, func(failure *port.Error) { handle(port.LoadReport{}, failure) })
 }
 
-// serveOrder gives an order to an engine and takes its answer as a report.
-func (n *node) serveOrder(send rollout.SendOrder, take func(port.LoadReport, *port.Error)) {
+// serveOrder sends an order to an engine and handles its answer as a load report.
+func (n *node) serveOrder(send rollout.SendOrder, handle func(port.LoadReport, *port.Error)) {
 	replica, configured := n.snapshot.Replicas[send.Replica]
 	if !configured {
-		n.later(0, func() { take(port.LoadReport{}, port.NewError(port.NotRun, port.CodeNotFound, "no such replica")) })
+		n.later(0, func() { handle(port.LoadReport{}, port.NewError(port.NotRun, port.CodeNotFound, "no such replica")) })
 		return
 	}
-	askedAt := n.world.clock()
+	sentAt := n.world.clock()
 	target := n.world.engineAt(replica.Address)
 	n.world.dial(&n.process, &target.process, func(s *stream) {
 		report, failure := target.order(send.Order)
 		s.answer(true, func() {
 			if failure == nil {
-				n.reported(askedAt, send.Replica, report, nil)
+				n.handleLoadReport(sentAt, send.Replica, report, nil)
 			}
-			take(report, failure)
+			handle(report, failure)
 		})
-	}, func(failure *port.Error) { take(port.LoadReport{}, failure) })
+	}, func(failure *port.Error) { handle(port.LoadReport{}, failure) })
 }
--- a/internal/lab/sim/fault/world.go
+++ b/internal/lab/sim/fault/world.go
@@ -25,10 +25,10 @@
 	backEnds     = 6
 )
 
-// origin is the clock's time at virtual time 0. Any time after 1970 would do.
+// origin is the wall-clock time at virtual time 0.
 var origin = time.Unix(1_750_000_000, 0).UTC()
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	options   Options
 	queue     virtual.Queue
@@ -46,15 +46,15 @@
 	trainer   *trainer
 	processes []*process
 
-	cutZones map[port.ZoneName]bool
-	// departing holds the addresses of back ends that leave or left.
+	partitionedZones map[port.ZoneName]bool
+	// departing holds the addresses of back ends that are leaving or have left.
 	departing map[string]bool
-	// apart holds processes that reach neither control nor other nodes.
-	apart map[string]bool
-	// cutBefore and cutAfter are the shares of connections cut now.
+	// isolated holds processes that reach neither control nor other nodes.
+	isolated map[string]bool
+	// cutBefore and cutAfter are the shares of connections that break now.
 	cutBefore, cutAfter float64
 	killAt              killAt
-	seen                observed
+	observed            observed
 	count               counts
 	failures            []string
 	calls               int
@@ -63,17 +63,17 @@
 	backEndNumber       int
 }
 
-// randoms are independent sources, so that one use doesn't shift another.
+// randoms are independent random sources, so that draws of one don't affect another.
 type randoms struct{ network, service, faults, callers *rand.Rand }
 
-// observed is what the stand-ins saw; see audit.Observations.
+// observed holds the audit records; see audit.Observations.
 type observed struct {
 	generations []*audit.Generation
 	executions  []*audit.Execution
 	rest        audit.Observations
 }
 
-// counts tell how much happened.
+// counts are totals of the run.
 type counts struct {
 	faults      map[Fault]int
 	retries     int
@@ -86,9 +86,9 @@
 	source := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(options.Seed, stream)) }
 	w := &world{
 		options: options, random: randoms{source(1), source(2), source(3), source(4)},
-		lengths: engine.Lengths{Median: 40, Sigma: 0.7, Max: maxTokens}, store: engine.NewStore(storeRate),
-		delivered: make(map[port.BatchNumber]*coordinator.Deliver),
-		cutZones:  make(map[port.ZoneName]bool), apart: make(map[string]bool), departing: make(map[string]bool),
+		lengths: engine.Lengths{Median: 40, Sigma: 0.7, Max: maxTokens}, store: engine.NewStore(storeBytesPerSecond),
+		delivered:        make(map[port.BatchNumber]*coordinator.Deliver),
+		partitionedZones: make(map[port.ZoneName]bool), isolated: make(map[string]bool), departing: make(map[string]bool),
 		prompts: process{name: "prompts", up: true}, callers: process{name: "callers", up: true},
 	}
 	w.count.faults = make(map[Fault]int)
@@ -148,7 +148,7 @@
 // warmUp is the time before the first fault.
 const warmUp = 8 * time.Second
 
-// faultsEnd is when the last fault is injected.
+// faultsEnd returns the end of the fault phase.
 func (w *world) faultsEnd() time.Duration { return warmUp + w.options.Scenario.Faulty }
 
 func (w *world) clock() time.Time { return origin.Add(w.queue.Now()) }
@@ -186,13 +186,13 @@
 	return nil
 }
 
-// profile gives the scheduling profile of a kind of pool.
+// profile returns the scheduling profile of a kind of pool.
 func (w *world) profile(kind port.PoolKind) scheduling.Profile {
 	profile := scheduling.Generation()
 	if kind == port.PoolApplication {
 		profile = scheduling.Application()
 	}
-	if w.without(SafeguardLeaving) {
+	if w.without(SafeguardDeparture) {
 		profile.Filters = slices.DeleteFunc(profile.Filters, func(filter scheduling.Filter) bool {
 			return filter.Name() == scheduling.FilterLeaving
 		})
@@ -200,17 +200,17 @@
 	return profile
 }
 
-// verdictOf gives the failure of a connection as loomgrade tells it.
+// verdictOf returns the failure of a connection with the verdict that nodes report.
 func (w *world) verdictOf(failure *port.Error) *port.Error {
 	if failure != nil && w.without(SafeguardNotRun) {
-		lied := *failure
-		lied.Verdict = port.NotRun
-		return &lied
+		altered := *failure
+		altered.Verdict = port.NotRun
+		return &altered
 	}
 	return failure
 }
 
-// orderedVersion is the newest published version, what an order would say.
+// orderedVersion returns the newest published version.
 func (w *world) orderedVersion() port.WeightVersion {
 	for _, weights := range w.control.state.View().Weights {
 		if weights.Pool == trainingPool {
@@ -220,13 +220,13 @@
 	return firstVersion
 }
 
-// decided takes a decision record of loomgrade, which no check reads.
-func (w *world) decided(n *node, decided port.Decision) {
+// recordDecision counts and traces a decision record.
+func (w *world) recordDecision(n *node, decided port.Decision) {
 	w.count.decisions++
 	w.trace("%s decided %s %s %s: %s", n.name, decided.Kind, decided.Subject, decided.Replica, decided.Detail)
 }
 
-// fail notes that the run itself can't go on as it should.
+// fail records a failure of the run.
 func (w *world) fail(format string, arguments ...any) {
 	w.failures = append(w.failures, fmt.Sprintf(format, arguments...))
 }
