--- a/internal/lab/sim/accept.go
+++ b/internal/lab/sim/accept.go
@@ -10,64 +10,64 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// How often the homes tell their zone, and the zones each other, as the nodes do.
+// Intervals of the reports within a zone and between zones; the defaults of the nodes.
 const (
 	summaryInterval   = 200 * time.Millisecond
 	aggregateInterval = time.Second
 )
 
-// zoneState is what the nodes of a zone, and other zones, know of its replicas.
+// zoneState is what the nodes of a zone, and other zones, know about its replicas.
 type zoneState struct {
 	name  port.ZoneName
 	nodes []*homeNode
-	// replicas are told of at reported.
+	// replicas holds the candidates as of reported.
 	replicas []scheduling.Candidate
 	reported time.Time
-	// aggregate is what the other zones know.
+	// aggregate is the state visible to the other zones.
 	aggregate aggregate
 }
 
-// aggregate sums up a zone's engines for the other zones.
+// aggregate is a summary of a zone's engines for the other zones.
 type aggregate struct {
 	routable, free int
 	sequence       uint64
 }
 
-// acceptor is what a node keeps to choose places.
-type acceptor struct {
-	chooser  *placement.Chooser
-	counts   map[port.ReplicaID]*placement.Counts
-	marks    map[port.ReplicaID]placement.CountsAtReport
-	crossing map[port.ZoneName]*crossing
-	scratch  []scheduling.Candidate
+// chooserState is the state with which a node chooses replicas and zones.
+type chooserState struct {
+	chooser        *placement.Chooser
+	counts         map[port.ReplicaID]*placement.Counts
+	countsAtReport map[port.ReplicaID]placement.CountsAtReport
+	zoneCounts     map[port.ZoneName]*zoneCounts
+	scratch        []scheduling.Candidate
 }
 
-// crossing counts what a node sent to another zone.
-type crossing struct {
-	sent, mark int
-	sequence   uint64
+// zoneCounts counts the attempts that a node sent to another zone.
+type zoneCounts struct {
+	sent, sentAtReport int
+	sequence           uint64
 }
 
-func newAcceptor(w *world, id port.NodeID) acceptor {
-	return acceptor{
-		chooser:  placement.New(rand.New(rand.NewPCG(w.options.Seed, nameSeed("chooser "+string(id))))),
-		counts:   make(map[port.ReplicaID]*placement.Counts),
-		marks:    make(map[port.ReplicaID]placement.CountsAtReport),
-		crossing: make(map[port.ZoneName]*crossing),
+func newChooserState(w *world, id port.NodeID) chooserState {
+	return chooserState{
+		chooser:        placement.New(rand.New(rand.NewPCG(w.options.Seed, nameSeed("chooser "+string(id))))),
+		counts:         make(map[port.ReplicaID]*placement.Counts),
+		countsAtReport: make(map[port.ReplicaID]placement.CountsAtReport),
+		zoneCounts:     make(map[port.ZoneName]*zoneCounts),
 	}
 }
 
-// countsOf gives the node's counts of a replica.
-func (a *acceptor) countsOf(id port.ReplicaID) *placement.Counts {
-	known := a.counts[id]
+// countsOf returns the node's counts of a replica.
+func (s *chooserState) countsOf(id port.ReplicaID) *placement.Counts {
+	known := s.counts[id]
 	if known == nil {
 		known = &placement.Counts{}
-		a.counts[id] = known
+		s.counts[id] = known
 	}
 	return known
 }
 
-// buildZones lets the homes tell their zone and the zones each other.
+// buildZones creates the zones and schedules their reports.
 func (r *homeRouter) buildZones() {
 	for _, n := range r.nodes {
 		known := r.zones[n.zone]
@@ -75,13 +75,13 @@
 			known = &zoneState{name: n.zone}
 			r.zones[n.zone] = known
 			r.world.every(summaryInterval, 0, func() { r.summarize(known) })
-			r.world.every(aggregateInterval, 0, func() { known.sumUp() })
+			r.world.every(aggregateInterval, 0, func() { known.updateAggregate() })
 		}
 		known.nodes = append(known.nodes, n)
 	}
 }
 
-// summarize tells a zone of its replicas.
+// summarize updates the replica states that the zone's nodes know.
 func (r *homeRouter) summarize(zone *zoneState) {
 	zone.replicas = zone.replicas[:0]
 	zone.reported = r.world.clock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// sumUp tells the other zones.
-func (z *zoneState) sumUp() {
+// updateAggregate updates the summary for the other zones.
+func (z *zoneState) updateAggregate() {
 	z.aggregate = aggregate{sequence: z.aggregate.sequence + 1}
 	for index := range z.replicas {
 		replica := &z.replicas[index]
@@ -118,99 +118,99 @@
 	}
 }
 
-// accept chooses the place of an attempt as the node that accepted it.
-func (n *homeNode) accept(begun *attempt) {
-	begun.acceptor = n
-	home, preferred, room, refusal := n.local(begun)
-	if zone, better := n.otherZone(begun, room, refusal != nil); better {
-		target := zone.nodes[n.accepts.chooser.Draw(len(zone.nodes))]
-		begun.at = target.zone
-		n.world.after(n.world.between(n.zone, target.zone), func() { target.relay(begun) })
+// accept chooses the node and replica of an attempt as the node that accepted it.
+func (n *homeNode) accept(a *attempt) {
+	a.acceptedBy = n
+	home, preferred, free, refusal := n.local(a)
+	if zone, better := n.otherZone(a, free, refusal != nil); better {
+		target := zone.nodes[n.chooserState.chooser.Draw(len(zone.nodes))]
+		a.zone = target.zone
+		n.world.after(n.world.latency(n.zone, target.zone), func() { target.relay(a) })
 		return
 	}
-	n.send(begun, home, preferred, refusal)
+	n.send(a, home, preferred, refusal)
 }
 
-// relay chooses a replica of this zone for an attempt from another one.
-func (n *homeNode) relay(begun *attempt) {
-	home, preferred, _, refusal := n.local(begun)
-	n.send(begun, home, preferred, refusal)
+// relay chooses a replica of this zone for an attempt from another zone.
+func (n *homeNode) relay(a *attempt) {
+	home, preferred, _, refusal := n.local(a)
+	n.send(a, home, preferred, refusal)
 }
 
-// send brings an attempt to the home that was chosen.
-func (n *homeNode) send(begun *attempt, home *homeNode, preferred port.ReplicaID, refusal *port.Error) {
+// send sends an attempt to the chosen home node.
+func (n *homeNode) send(a *attempt, home *homeNode, preferred port.ReplicaID, refusal *port.Error) {
 	if refusal != nil {
-		begun.refused(refusal)
+		a.refused(refusal)
 		return
 	}
-	begun.at = home.zone
-	if begun.acceptor == n {
-		begun.count(preferred)
+	a.zone = home.zone
+	if a.acceptedBy == n {
+		a.countSent(preferred)
 	}
-	n.world.after(n.world.between(n.zone, home.zone), func() { home.offer(begun, preferred) })
+	n.world.after(n.world.latency(n.zone, home.zone), func() { home.offer(a, preferred) })
 }
 
-// local chooses a replica of the own zone.
-func (n *homeNode) local(begun *attempt) (home *homeNode, chosen port.ReplicaID, room float64, refusal *port.Error) {
-	zones := begun.start.Zones
+// local chooses a replica in the node's zone.
+func (n *homeNode) local(a *attempt) (home *homeNode, chosen port.ReplicaID, free float64, refusal *port.Error) {
+	zones := a.start.Zones
 	if len(zones) > 0 && !slices.Contains(zones, n.zone) {
 		return nil, "", 0, placement.NoReplica(nil)
 	}
 	zone := n.router.zones[n.zone]
-	a := &n.accepts
-	a.scratch = a.scratch[:0]
+	state := &n.chooserState
+	state.scratch = state.scratch[:0]
 	now := n.world.clock()
 	for index := range zone.replicas {
 		candidate := zone.replicas[index]
-		counts := *a.countsOf(candidate.Replica)
-		mark := a.marks[candidate.Replica].Update(zone.reported, counts)
-		a.marks[candidate.Replica] = mark
-		a.scratch = append(a.scratch, mark.Apply(now, zone.reported, candidate, counts))
+		counts := *state.countsOf(candidate.Replica)
+		atReport := state.countsAtReport[candidate.Replica].Update(zone.reported, counts)
+		state.countsAtReport[candidate.Replica] = atReport
+		state.scratch = append(state.scratch, atReport.Apply(now, zone.reported, candidate, counts))
 	}
 	var tried []port.ReplicaID
-	if begun.start.Avoid != "" {
-		tried = []port.ReplicaID{begun.start.Avoid}
+	if a.start.Avoid != "" {
+		tried = []port.ReplicaID{a.start.Avoid}
 	}
-	position, room, refusal := a.chooser.Local(now, n.pick(begun), tried, a.scratch)
+	position, free, refusal := state.chooser.Local(now, n.pick(a), tried, state.scratch)
 	if refusal != nil {
 		return nil, "", 0, refusal
 	}
-	chosen = a.scratch[position].Replica
-	return n.router.home[chosen], chosen, room, nil
+	chosen = state.scratch[position].Replica
+	return n.router.home[chosen], chosen, free, nil
 }
 
-// otherZone chooses another zone if one has clearly more room.
-func (n *homeNode) otherZone(begun *attempt, room float64, none bool) (*zoneState, bool) {
-	var offers []placement.ZoneCapacity
+// otherZone chooses another zone if one has clearly more free slots.
+func (n *homeNode) otherZone(a *attempt, free float64, none bool) (*zoneState, bool) {
+	var capacities []placement.ZoneCapacity
 	var zones []*zoneState
 	for _, name := range n.world.site.Zones {
 		zone := n.router.zones[name]
-		allowed := len(begun.start.Zones) == 0 || slices.Contains(begun.start.Zones, name)
+		allowed := len(a.start.Zones) == 0 || slices.Contains(a.start.Zones, name)
 		if name == n.zone || zone == nil || !allowed {
 			continue
 		}
-		offers = append(offers, placement.ZoneCapacity{Routable: zone.aggregate.routable, FreePerReplica: n.room(zone)})
+		capacities = append(capacities, placement.ZoneCapacity{Routable: zone.aggregate.routable, FreePerReplica: n.freePerReplica(zone)})
 		zones = append(zones, zone)
 	}
-	chosen, better := n.accepts.chooser.Zone(offers, room, none)
+	chosen, better := n.chooserState.chooser.Zone(capacities, free, none)
 	if !better {
 		return nil, false
 	}
-	n.accepts.crossing[zones[chosen].name].sent++
+	n.chooserState.zoneCounts[zones[chosen].name].sent++
 	return zones[chosen], true
 }
 
-// room gives the free places for each replica of another zone, less what this
-// node has sent there since it heard.
-func (n *homeNode) room(zone *zoneState) float64 {
-	known := n.accepts.crossing[zone.name]
+// freePerReplica returns the free slots per replica of another zone, less the attempts
+// that this node sent there since the last aggregate.
+func (n *homeNode) freePerReplica(zone *zoneState) float64 {
+	known := n.chooserState.zoneCounts[zone.name]
 	if known == nil {
-		known = &crossing{}
-		n.accepts.crossing[zone.name] = known
+		known = &zoneCounts{}
+		n.chooserState.zoneCounts[zone.name] = known
 	}
 	if known.sequence != zone.aggregate.sequence {
-		known.sequence, known.mark = zone.aggregate.sequence, known.sent
+		known.sequence, known.sentAtReport = zone.aggregate.sequence, known.sent
 	}
-	free := zone.aggregate.free - (known.sent - known.mark)
+	free := zone.aggregate.free - (known.sent - known.sentAtReport)
 	return float64(free) / float64(max(zone.aggregate.routable, 1))
 }
--- a/internal/lab/sim/application.go
+++ b/internal/lab/sim/application.go
@@ -11,14 +11,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// applicationWorkers is the number of calls that a back end serves at a time;
-// further ones wait at it in order.
+// applicationWorkers is the number of calls that a back end serves concurrently.
+// Further calls queue in FIFO order.
 const applicationWorkers = 8
 
-// applicationQueue bounds the calls that wait at a node.
-const applicationQueue = 512
+// maxQueuedCalls is the maximum number of calls that wait at a node.
+const maxQueuedCalls = 512
 
-// applicationPool is the application with the nodes before it.
+// applicationPool is the application's back ends and the nodes in front of them.
 type applicationPool struct {
 	world    *world
 	replicas []*backEnd
@@ -26,7 +26,7 @@
 	nodes    []*applicationNode
 }
 
-// backEnd is one replica of the application.
+// backEnd is a replica of the application.
 type backEnd struct {
 	id      port.ReplicaID
 	zone    port.ZoneName
@@ -34,8 +34,8 @@
 	queue   []func()
 }
 
-// applicationNode takes calls and sends them to the back ends directly, each by
-// its own counts. The baselines use a gate without limits and a plain profile.
+// applicationNode routes calls directly to the back ends, by its own counts. The
+// baselines use a gate without limits and a baseline profile.
 type applicationNode struct {
 	pool *applicationPool
 	zone port.ZoneName
@@ -55,11 +55,11 @@
 	return pool
 }
 
-// node makes a node with its gate over all back ends.
+// node returns a node with a gate over all back ends.
 func (p *applicationPool) node(index int) *applicationNode {
 	w := p.world
 	profile := scheduling.Application()
-	settings := gate.Settings{MinInflight: 1, MaxInflight: applicationWorkers * len(p.replicas), QueueLength: applicationQueue}
+	settings := gate.Settings{MinInflight: 1, MaxInflight: applicationWorkers * len(p.replicas), QueueLength: maxQueuedCalls}
 	if w.options.Variant.Routing != RoutingLoomgrade {
 		profile = profileOf(w.options.Variant.Routing)
 		settings.MinInflight, settings.MaxInflight = queueLength, queueLength
@@ -68,63 +68,63 @@
 		pool: p, zone: w.zoneOf(index),
 		gate: gate.New(profile, rand.New(rand.NewPCG(w.options.Seed, nameSeed(fmt.Sprint("application node ", index))))),
 	}
-	told := make([]gate.Replica, 0, len(p.replicas))
+	gateReplicas := make([]gate.Replica, 0, len(p.replicas))
 	for _, replica := range p.replicas {
-		told = append(told, gate.Replica{ID: replica.id, Zone: replica.zone, Region: w.region()})
+		gateReplicas = append(gateReplicas, gate.Replica{ID: replica.id, Zone: replica.zone, Region: w.region()})
 	}
-	made.gate.Configure(w.clock(), settings, told)
+	made.gate.Configure(w.clock(), settings, gateReplicas)
 	offset := time.Duration(index) * gateTick / time.Duration(len(w.site.Zones))
-	w.every(gateTick, offset, func() { made.settle(made.gate.Tick(w.clock())) })
+	w.every(gateTick, offset, func() { made.handleTickets(made.gate.Tick(w.clock())) })
 	return made
 }
 
-// accept puts a call before the node's gate.
-func (n *applicationNode) accept(begun *call) {
+// accept offers a call to the node's gate.
+func (n *applicationNode) accept(c *call) {
 	w := n.pool.world
-	class := begun.from.class
-	ticket := &gate.Ticket{Owner: begun, Request: gate.Request{
-		ID: begun.name, Deadline: w.clock().Add(begun.from.timeout()),
+	class := c.from.class
+	ticket := &gate.Ticket{Owner: c, Request: gate.Request{
+		ID: c.name, Deadline: w.clock().Add(c.from.timeout()),
 		Pick: scheduling.Request{
 			Pool: w.site.Application, Zone: n.zone, Region: w.region(), Priority: port.Priority(class.Priority),
 		},
 	}}
-	settled, _ := n.gate.Offer(w.clock(), ticket)
-	settled = slices.Clone(settled)
-	if ticket.State != gate.Waiting && !slices.Contains(settled, ticket) {
-		n.handOver(ticket)
+	resolved, _ := n.gate.Offer(w.clock(), ticket)
+	resolved = slices.Clone(resolved)
+	if ticket.State != gate.Waiting && !slices.Contains(resolved, ticket) {
+		n.dispatch(ticket)
 	}
-	n.settle(settled)
+	n.handleTickets(resolved)
 }
 
-func (n *applicationNode) settle(settled []*gate.Ticket) {
-	for _, ticket := range slices.Clone(settled) {
-		n.handOver(ticket)
+func (n *applicationNode) handleTickets(resolved []*gate.Ticket) {
+	for _, ticket := range slices.Clone(resolved) {
+		n.dispatch(ticket)
 	}
 }
 
-// handOver brings a settled ticket's call to its back end, or refuses it.
-func (n *applicationNode) handOver(ticket *gate.Ticket) {
-	begun := ticket.Owner.(*call)
+// dispatch sends the call of a granted ticket to its back end, or refuses it.
+func (n *applicationNode) dispatch(ticket *gate.Ticket) {
+	c := ticket.Owner.(*call)
 	if ticket.State == gate.Refused {
-		begun.answer(ticket.Refusal)
+		c.answer(ticket.Refusal)
 		return
 	}
 	w := n.pool.world
 	chosen := n.pool.byID[ticket.Replica]
-	way := w.between(n.zone, chosen.zone)
+	delay := w.latency(n.zone, chosen.zone)
 	sent := w.now
-	w.after(way, func() {
-		chosen.serve(w, begun.service, func() {
-			w.after(way, func() {
+	w.after(delay, func() {
+		chosen.serve(w, c.service, func() {
+			w.after(delay, func() {
 				took := w.now - sent
-				n.settle(n.gate.Release(w.clock(), ticket, gate.Outcome{Latency: took, Service: took}))
-				begun.answer(nil)
+				n.handleTickets(n.gate.Release(w.clock(), ticket, gate.Outcome{Latency: took, Service: took}))
+				c.answer(nil)
 			})
 		})
 	})
 }
 
-// serve runs a call for its time once a worker is free.
+// serve runs a call once a worker is free.
 func (b *backEnd) serve(w *world, service time.Duration, done func()) {
 	if b.running >= applicationWorkers {
 		b.queue = append(b.queue, func() { b.serve(w, service, done) })
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -12,48 +12,49 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// textMark stands for the text of an attempt; its length tells nothing.
-const textMark = "t"
+// placeholderText stands for the text of an attempt; its length has no meaning.
+const placeholderText = "t"
 
-// attempt is one try at a sample, from the coordinator's order to its outcome.
+// attempt is one attempt at a sample, from the coordinator's action to its outcome.
 type attempt struct {
 	pool   *samplePool
 	start  coordinator.StartSample
 	name   string
 	sample *sampleRecord
 
-	// replica is where it runs; nil before.
+	// replica is the replica that runs it; nil before that.
 	replica *replica
-	// at is the zone of the node or replica that has it.
-	at port.ZoneName
-	// placeHeld says that the router counts it; ticket is its place in the gate
-	// of home, nil with a baseline.
-	placeHeld bool
-	ticket    *gate.Ticket
-	home      *homeNode
-	// acceptor is the node that chose the place, counted its count of the replica.
-	acceptor *homeNode
-	counted  *placement.Counts
-	// began is when it reached the engine.
-	began  time.Duration
-	tokens int
-	spans  []port.Span
-	// cancelled is set once the coordinator gave it up.
+	// zone is the zone of the node or replica that currently has it.
+	zone port.ZoneName
+	// slotHeld reports whether the router counts it as in flight. The ticket is that
+	// of the home node's gate; nil with a baseline.
+	slotHeld bool
+	ticket   *gate.Ticket
+	home     *homeNode
+	// acceptedBy is the node that chose the replica; counted is its counts of the
+	// replica, nil while the attempt isn't counted.
+	acceptedBy *homeNode
+	counted    *placement.Counts
+	// startedAt is when it reached the engine.
+	startedAt time.Duration
+	tokens    int
+	spans     []port.Span
+	// cancelled is set once the coordinator cancelled it.
 	cancelled bool
 	ended     bool
-	// imported counts the tokens whose cache came from the replica before.
+	// imported is the number of context tokens imported from the previous replica.
 	imported int
 }
 
-// newAttempt makes the attempt that the coordinator ordered.
+// newAttempt returns the attempt that the coordinator requested.
 func newAttempt(pool *samplePool, start coordinator.StartSample) *attempt {
 	return &attempt{
-		pool: pool, start: start, sample: pool.recordOf(&start), at: pool.zone,
+		pool: pool, start: start, sample: pool.recordOf(&start), zone: pool.zone,
 		name: fmt.Sprintf("%s.%d", start.ID, start.Attempt),
 	}
 }
 
-// request gives what the engine is asked for.
+// request returns the request to the engine.
 func (a *attempt) request() engine.Request {
 	prompt := a.pool.prompt(a.start.Prompt.Index)
 	return engine.Request{
@@ -64,81 +65,83 @@
 	}
 }
 
-// priority is that of the coordinator, or none without priorities.
+// priority returns the coordinator's priority, or 0 without PartPriorities.
 func (a *attempt) priority() port.Priority {
-	if a.pool.world.options.Variant.with(PartPriorities) {
+	if a.pool.world.options.Variant.enabled(PartPriorities) {
 		return a.start.Priority
 	}
 	return 0
 }
 
-// count lets the accepting node count the attempt at its replica.
-func (a *attempt) count(at port.ReplicaID) {
-	a.countEnd()
-	a.counted = a.acceptor.accepts.countsOf(at)
+// countSent makes the accepting node count the attempt at a replica.
+func (a *attempt) countSent(at port.ReplicaID) {
+	a.countFinished()
+	a.counted = a.acceptedBy.chooserState.countsOf(at)
 	a.counted.Sent++
 }
 
-// countEnd lets the accepting node count the end of the attempt.
-func (a *attempt) countEnd() {
+// countFinished makes the accepting node count the end of the attempt.
+func (a *attempt) countFinished() {
 	if a.counted != nil {
 		a.counted.Finished++
 		a.counted = nil
 	}
 }
 
-// placed notes that the attempt reached its engine.
+// placed records the arrival at the engine.
 func (a *attempt) placed(at *replica) {
-	a.replica, a.at = at, at.zone
-	a.began = a.pool.world.now
-	a.sample.begin(a.began)
+	a.replica, a.zone = at, at.zone
+	a.startedAt = a.pool.world.now
+	a.sample.start(a.startedAt)
 }
 
-// finished takes the engine's end of the attempt.
+// finished handles the engine's completion.
 func (a *attempt) finished(completion *engine.Completion) {
 	a.checkSpans(completion)
-	a.sample.ran(a.spans)
-	a.leaveGate(home.ClassifyGeneration(nil, false, a.tokens, a.pool.world.now-a.began).Outcome)
-	a.pool.world.after(a.way(), func() {
-		a.conclude(coordinator.SampleFinished{
+	a.sample.addSpans(a.spans)
+	a.release(home.ClassifyGeneration(nil, false, a.tokens, a.pool.world.now-a.startedAt).Outcome)
+	a.pool.world.after(a.coordinatorLatency(), func() {
+		a.finish(coordinator.SampleFinished{
 			ID: a.start.ID, Attempt: a.start.Attempt, Replica: a.replica.id,
-			Text: textMark, Tokens: a.tokens, Spans: a.spans,
+			Text: placeholderText, Tokens: a.tokens, Spans: a.spans,
 		})
 	})
 }
 
-// checkSpans compares what was streamed with what the engine says in the end.
+// checkSpans compares the streamed spans with those of the completion.
 func (a *attempt) checkSpans(completion *engine.Completion) {
 	if !sameSpans(a.spans, completion.Spans) {
-		a.pool.world.books.violate("attempt %s: streamed spans %v, the engine says %v", a.name, a.spans, completion.Spans)
+		a.pool.world.auditRecords.addViolation("attempt %s: streamed spans %v, the engine reported %v", a.name, a.spans, completion.Spans)
 	}
 }
 
-// way is the latency from where the attempt is to the coordinator.
-func (a *attempt) way() time.Duration { return a.pool.world.between(a.at, a.pool.zone) }
+// coordinatorLatency returns the latency to the coordinator.
+func (a *attempt) coordinatorLatency() time.Duration {
+	return a.pool.world.latency(a.zone, a.pool.zone)
+}
 
-// refused ends an attempt that did not run.
+// refused fails an attempt that did not run.
 func (a *attempt) refused(refusal *port.Error) {
-	a.fail(a.way(), refusal)
+	a.fail(a.coordinatorLatency(), refusal)
 }
 
-// cancel stops the attempt on the coordinator's word.
+// cancel cancels the attempt for the coordinator.
 func (a *attempt) cancel(export bool) {
 	if a.cancelled || a.ended {
 		return
 	}
 	a.cancelled = true
-	a.pool.world.after(a.way(), func() { a.stop(export) })
+	a.pool.world.after(a.coordinatorLatency(), func() { a.stop(export) })
 }
 
-// stop takes the attempt out of the queue or off the engine.
+// stop removes the attempt from the queue or the engine.
 func (a *attempt) stop(export bool) {
 	if a.ended {
 		return
 	}
 	cancelled := port.NewError(port.MayHaveRun, port.CodeCancelled, "cancelled by the coordinator")
 	if a.replica == nil {
-		a.leaveGate(gate.Outcome{Abandoned: true})
+		a.release(gate.Outcome{Abandoned: true})
 		a.fail(0, cancelled)
 		return
 	}
@@ -148,12 +151,12 @@
 	if !a.replica.cancel(a) {
 		return
 	}
-	a.sample.ran(a.spans)
-	a.leaveGate(gate.Outcome{Abandoned: true})
-	a.fail(a.way(), cancelled)
+	a.sample.addSpans(a.spans)
+	a.release(gate.Outcome{Abandoned: true})
+	a.fail(a.coordinatorLatency(), cancelled)
 }
 
-// fail tells the coordinator that the attempt gave no whole text.
+// fail reports to the coordinator that the attempt produced no complete text.
 func (a *attempt) fail(after time.Duration, cause *port.Error) {
 	event := coordinator.SampleFailed{
 		ID: a.start.ID, Attempt: a.start.Attempt, Err: cause, Tokens: a.tokens, Spans: a.spans,
@@ -162,38 +165,38 @@
 		event.Replica = a.replica.id
 	}
 	if a.tokens > 0 {
-		event.Text = textMark
+		event.Text = placeholderText
 	}
-	a.pool.world.after(after, func() { a.conclude(event) })
+	a.pool.world.after(after, func() { a.finish(event) })
 }
 
-// conclude tells the coordinator how the attempt ended.
-func (a *attempt) conclude(event coordinator.Event) {
+// finish passes the final event to the coordinator, once.
+func (a *attempt) finish(event coordinator.Event) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	a.countEnd()
+	a.countFinished()
 	delete(a.pool.attempts, attemptKey{a.start.ID, a.start.Attempt})
 	a.pool.step(event)
 }
 
-// leaveGate gives the attempt's place back to the router.
-func (a *attempt) leaveGate(outcome gate.Outcome) {
-	if a.placeHeld {
-		a.placeHeld = false
-		a.pool.world.router.leave(a, outcome)
+// release returns the attempt's slot to the router.
+func (a *attempt) release(outcome gate.Outcome) {
+	if a.slotHeld {
+		a.slotHeld = false
+		a.pool.world.router.release(a, outcome)
 	}
 }
 
-// leaveExported ends an attempt whose cache has been sent out.
-func (a *attempt) leaveExported() {
-	a.leaveGate(gate.Outcome{Abandoned: true})
-	a.fail(a.way(), port.NewError(port.MayHaveRun, port.CodeCancelled, "moved by the coordinator"))
+// failExported ends an attempt whose cache was exported.
+func (a *attempt) failExported() {
+	a.release(gate.Outcome{Abandoned: true})
+	a.fail(a.coordinatorLatency(), port.NewError(port.MayHaveRun, port.CodeCancelled, "moved by the coordinator"))
 }
 
-// tellProgress tells the coordinator of the tokens so far.
-func (a *attempt) tellProgress() {
+// reportProgress sends the tokens so far to the coordinator.
+func (a *attempt) reportProgress() {
 	if a.tokens == 0 {
 		return
 	}
@@ -201,14 +204,13 @@
 		ID: a.start.ID, Attempt: a.start.Attempt, Replica: a.replica.id,
 		Tokens: a.tokens, Spans: a.spans,
 	}
-	a.pool.world.after(a.way(), func() {
+	a.pool.world.after(a.coordinatorLatency(), func() {
 		if !a.ended {
 			a.pool.step(event)
 		}
 	})
 }
 
-// sameSpans compares two lists of spans.
 func sameSpans(one, other []port.Span) bool {
 	if len(one) != len(other) {
 		return false
--- a/internal/lab/sim/audit_test.go
+++ b/internal/lab/sim/audit_test.go
@@ -8,11 +8,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// builtWorld is a world that has not run.
-func builtWorld(t *testing.T, site Site, variant Variant) *world {
+// newTestWorld returns a world that is built but not run.
+func newTestWorld(t *testing.T, site Site, variant Variant) *world {
 	t.Helper()
 	options := shortRun(site, variant, 5)
-	w := &world{options: options, site: &options.Site, byID: make(map[port.ReplicaID]*replica), books: newBooks()}
+	w := &world{options: options, site: &options.Site, byID: make(map[port.ReplicaID]*replica), auditRecords: newAuditRecords()}
 	if err := w.build(); err != nil {
 		t.Fatal(err)
 	}
@@ -21,58 +21,58 @@
 
 func TestAuditFindsBrokenPromises(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(sample *coordinator.DeliveredSample, pool *samplePool)
-		twice bool
-		found bool
+		name         string
+		corrupt      func(sample *coordinator.DeliveredSample, pool *samplePool)
+		deliverTwice bool
+		want         bool
 	}{
-		{name: "nothing wrong"},
-		{name: "delivered twice", twice: true, found: true},
-		{name: "a token too few", found: true, spoil: func(s *coordinator.DeliveredSample, _ *samplePool) { s.Tokens-- }},
-		{name: "another version than the engine's", found: true,
-			spoil: func(s *coordinator.DeliveredSample, _ *samplePool) {
+		{name: "valid batch"},
+		{name: "delivered twice", deliverTwice: true, want: true},
+		{name: "missing token", want: true, corrupt: func(s *coordinator.DeliveredSample, _ *samplePool) { s.Tokens-- }},
+		{name: "wrong version", want: true,
+			corrupt: func(s *coordinator.DeliveredSample, _ *samplePool) {
 				s.Spans = []port.Span{{Version: 9, Tokens: s.Tokens}}
 			}},
-		{name: "over the bound", found: true, spoil: func(s *coordinator.DeliveredSample, p *samplePool) {
+		{name: "too stale", want: true, corrupt: func(s *coordinator.DeliveredSample, p *samplePool) {
 			p.trainer.version = s.Spans[0].Version + port.WeightVersion(p.settings.Sampling.StalenessBound) + 1
 		}},
-		{name: "never generated", found: true, spoil: func(s *coordinator.DeliveredSample, _ *samplePool) { s.ID.Sequence++ }},
-		{name: "prompt delivered before", found: true,
-			spoil: func(s *coordinator.DeliveredSample, p *samplePool) { p.trainer.seen[s.Prompt.Index] = true }},
-		{name: "half a group", found: true,
-			spoil: func(_ *coordinator.DeliveredSample, p *samplePool) { p.settings.Sampling.GroupSize = 2 }},
+		{name: "never generated", want: true, corrupt: func(s *coordinator.DeliveredSample, _ *samplePool) { s.ID.Sequence++ }},
+		{name: "prompt delivered again", want: true,
+			corrupt: func(s *coordinator.DeliveredSample, p *samplePool) { p.trainer.deliveredPrompts[s.Prompt.Index] = true }},
+		{name: "incomplete group", want: true,
+			corrupt: func(_ *coordinator.DeliveredSample, p *samplePool) { p.settings.Sampling.GroupSize = 2 }},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			site := Inkwell()
 			site.Trainers[0].Sampling.BatchSamples, site.Trainers[0].Sampling.GroupSize = 1, 1
-			pool := builtWorld(t, site, Variant{Routing: RoutingLoomgrade}).pools[0]
+			pool := newTestWorld(t, site, Variant{Routing: RoutingLoomgrade}).pools[0]
 			id := port.SampleID{Pool: pool.settings.Pool, Epoch: 1, Sequence: 1}
 			record := pool.recordOf(&coordinator.StartSample{ID: id, Prompt: port.Prompt{Index: 4}})
 			spans := []port.Span{{Version: 3, Tokens: record.length}}
-			record.ran(spans)
+			record.addSpans(spans)
 			pool.trainer.version = 3
 			sample := coordinator.DeliveredSample{ID: id, Prompt: port.Prompt{Index: 4}, Tokens: record.length, Spans: spans}
-			if testCase.spoil != nil {
-				testCase.spoil(&sample, pool)
+			if testCase.corrupt != nil {
+				testCase.corrupt(&sample, pool)
 			}
 			batch := coordinator.Deliver{Number: 1, Samples: []coordinator.DeliveredSample{sample}}
 			pool.audit(batch, pool.trainer.version)
-			if testCase.twice {
+			if testCase.deliverTwice {
 				pool.audit(batch, pool.trainer.version)
 			}
-			if found := len(pool.world.books.violations) > 0; found != testCase.found {
-				t.Errorf("violations %v", pool.world.books.violations)
+			if found := len(pool.world.auditRecords.violations) > 0; found != testCase.want {
+				t.Errorf("violations %v", pool.world.auditRecords.violations)
 			}
 		})
 	}
 }
 
-// All variants of a seed draw the same lengths, prompts and arrivals.
+// For one seed, all variants draw the same lengths, prompts and arrivals.
 func TestVariantsDrawAlike(t *testing.T) {
-	first := builtWorld(t, Marea(), variants()[0])
+	first := newTestWorld(t, Marea(), variants()[0])
 	for _, variant := range variants()[1:] {
-		other := builtWorld(t, Marea(), variant)
+		other := newTestWorld(t, Marea(), variant)
 		for index, pool := range first.pools {
 			for prompt := range port.PromptIndex(20) {
 				length, key := pool.lengthOf(prompt, 3)
@@ -89,7 +89,7 @@
 	}
 	arrivals := make(map[int]uint64)
 	for index, variant := range variants()[:4] {
-		w := builtWorld(t, Marea(), variant)
+		w := newTestWorld(t, Marea(), variant)
 		w.runUntil(10 * time.Second)
 		arrivals[index] = w.callers[0].calls
 	}
@@ -110,9 +110,9 @@
 		"variant.routing": func(o *Options) { o.Variant.Routing = "sideways" },
 		"variant.without": func(o *Options) { o.Variant.Without = []Part{"everything"} },
 	}
-	for field, spoil := range cases {
+	for field, corrupt := range cases {
 		options := shortRun(Inkwell(), Variant{Routing: RoutingLoomgrade}, 1)
-		spoil(&options)
+		corrupt(&options)
 		_, err := Run(options)
 		if refusal := port.AsError(err); refusal == nil || refusal.Field != field {
 			t.Errorf("%s: error %v", field, err)
@@ -120,7 +120,7 @@
 	}
 }
 
-// The queue hands out by time, and equal times in the order of entry.
+// Entries are popped by time, and by insertion order for equal times.
 func TestEventQueueKeepsOrder(t *testing.T) {
 	var queue eventQueue
 	var got []int
--- a/internal/lab/sim/books.go
+++ b/internal/lab/sim/books.go
@@ -8,83 +8,83 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// maxViolations bounds the violations that an outcome lists.
+// maxViolations limits the violations in an outcome.
 const maxViolations = 50
 
-// books hold what the audit needs: what engines generated and what trainers got.
-type books struct {
+// auditRecords holds the audit's violations and the state that its checks need.
+type auditRecords struct {
 	violations []string
 	delivered  map[port.SampleID]bool
-	// exports holds the context tokens of moved samples until they go on.
+	// exports holds the context tokens of exported samples until they resume.
 	exports map[port.SampleID]int
 	// deliveredTokens counts the tokens of delivered samples.
 	deliveredTokens uint64
 }
 
-func newBooks() books {
-	return books{delivered: make(map[port.SampleID]bool), exports: make(map[port.SampleID]int)}
+func newAuditRecords() auditRecords {
+	return auditRecords{delivered: make(map[port.SampleID]bool), exports: make(map[port.SampleID]int)}
 }
 
-// violate notes a broken promise.
-func (b *books) violate(format string, arguments ...any) {
+// addViolation records a violation.
+func (b *auditRecords) addViolation(format string, arguments ...any) {
 	if len(b.violations) < maxViolations {
 		b.violations = append(b.violations, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// sampleRecord is what the simulator knows of a sample and no decision sees.
+// sampleRecord is the simulator's data on a sample, invisible to the code under test.
 type sampleRecord struct {
-	prompt port.PromptIndex
-	slot   int
-	length int
-	key    uint64
-	begun  bool
-	first  time.Duration
-	scored bool
-	// early counts the tokens made before the end of the warm-up.
-	early int
-	// truth counts the tokens that engines made of it, by version.
-	truth map[port.WeightVersion]int
+	prompt    port.PromptIndex
+	slot      int
+	length    int
+	key       uint64
+	started   bool
+	startedAt time.Duration
+	scored    bool
+	// warmupTokens is the number of tokens generated before the end of the warm-up.
+	warmupTokens int
+	// generated counts the tokens that engines generated, by version.
+	generated map[port.WeightVersion]int
 }
 
-// begin notes the first start at an engine.
-func (r *sampleRecord) begin(at time.Duration) {
-	if !r.begun {
-		r.begun, r.first = true, at
+// start records the first start at an engine.
+func (r *sampleRecord) start(at time.Duration) {
+	if !r.started {
+		r.started, r.startedAt = true, at
 	}
 }
 
-// ran notes what an attempt generated.
-func (r *sampleRecord) ran(spans []port.Span) {
+// addSpans records the tokens that an attempt generated.
+func (r *sampleRecord) addSpans(spans []port.Span) {
 	for _, span := range spans {
-		r.truth[span.Version] += span.Tokens
+		r.generated[span.Version] += span.Tokens
 	}
 }
 
-// made counts the tokens that engines made of the sample, those of running
-// attempts given apart; no more than it needs.
-func (r *sampleRecord) made(running int) int {
-	for _, tokens := range r.truth {
+// generatedTokens returns the generated tokens, including those of running attempts,
+// capped at the sample's length.
+func (r *sampleRecord) generatedTokens(running int) int {
+	for _, tokens := range r.generated {
 		running += tokens
 	}
 	return min(running, r.length)
 }
 
-// noteEarly notes what of each sample there is at the end of the warm-up.
-func (w *world) noteEarly() {
+// recordWarmupTokens records the tokens of each sample at the end of the warm-up.
+func (w *world) recordWarmupTokens() {
 	for _, replica := range w.replicas {
 		replica.advance()
-		replica.touch()
+		replica.scheduleWakeUp()
 	}
 	for _, pool := range w.pools {
 		running := pool.running()
 		for _, record := range pool.records {
-			record.early = record.made(running[record])
+			record.warmupTokens = record.generatedTokens(running[record])
 		}
 	}
 }
 
-// running counts the tokens of the attempts at engines.
+// running returns the tokens of the running attempts by sample.
 func (p *samplePool) running() map[*sampleRecord]int {
 	running := make(map[*sampleRecord]int)
 	for _, attempt := range p.attempts {
@@ -93,16 +93,16 @@
 	return running
 }
 
-// groupRecord gives the samples of one prompt their places.
+// groupRecord assigns slots to the samples of one prompt.
 type groupRecord struct {
-	// holders are the samples that hold the places now.
-	holders []port.SampleID
-	most    int
+	// holders are the samples that hold the slots.
+	holders    []port.SampleID
+	maxHolders int
 }
 
-// recordOf gives a sample's record, made at its first start. A sample that takes
-// the place of a dropped one has the same length: no variant gains by giving
-// long samples up. Samples beyond the group's size have places of their own.
+// recordOf returns a sample's record, which is created at its first start. A sample
+// that replaces a dropped one has the same length, so no variant gains by dropping long
+// samples. Samples beyond the group size have slots of their own.
 func (p *samplePool) recordOf(start *coordinator.StartSample) *sampleRecord {
 	if known := p.records[start.ID]; known != nil {
 		return known
@@ -112,18 +112,18 @@
 		group = &groupRecord{}
 		p.groups[start.Prompt.Index] = group
 	}
-	slot := group.place(p.records, start.ID)
+	slot := group.slotFor(p.records, start.ID)
 	length, key := p.lengthOf(start.Prompt.Index, slot)
 	record := &sampleRecord{
 		prompt: start.Prompt.Index, slot: slot, length: length, key: key,
-		truth: make(map[port.WeightVersion]int),
+		generated: make(map[port.WeightVersion]int),
 	}
 	p.records[start.ID] = record
 	return record
 }
 
-// place gives the lowest place whose holder was dropped, or a new one.
-func (g *groupRecord) place(records map[port.SampleID]*sampleRecord, id port.SampleID) int {
+// slotFor returns the lowest slot whose holder was dropped, or a new one.
+func (g *groupRecord) slotFor(records map[port.SampleID]*sampleRecord, id port.SampleID) int {
 	for slot, holder := range g.holders {
 		if _, live := records[holder]; !live {
 			g.holders[slot] = id
@@ -131,26 +131,26 @@
 		}
 	}
 	g.holders = append(g.holders, id)
-	g.most = max(g.most, len(g.holders))
+	g.maxHolders = max(g.maxHolders, len(g.holders))
 	return len(g.holders) - 1
 }
 
-// forget drops a sample that the coordinator gave up, by name.
-func (p *samplePool) forget(name string) {
+// dropSample drops the record of a sample that the coordinator dropped.
+func (p *samplePool) dropSample(name string) {
 	id, err := port.ParseSampleID(name)
 	if err != nil {
-		p.world.books.violate("decision about %q: %v", name, err)
+		p.world.auditRecords.addViolation("decision about %q: %v", name, err)
 		return
 	}
 	delete(p.records, id)
 }
 
-// audit checks a delivered batch, as the trainer that got it can.
+// audit checks a batch delivered to the trainer.
 func (p *samplePool) audit(batch coordinator.Deliver, version port.WeightVersion) {
 	sampling := &p.settings.Sampling
-	books := &p.world.books
+	auditRecords := &p.world.auditRecords
 	if len(batch.Samples) != sampling.BatchSamples {
-		books.violate("%s batch %d has %d samples, not %d", p.settings.Pool, batch.Number, len(batch.Samples), sampling.BatchSamples)
+		auditRecords.addViolation("%s batch %d has %d samples, want %d", p.settings.Pool, batch.Number, len(batch.Samples), sampling.BatchSamples)
 	}
 	groups := make(map[port.PromptIndex]int)
 	for index := range batch.Samples {
@@ -159,41 +159,41 @@
 	}
 	for prompt, count := range groups {
 		if count != sampling.GroupSize {
-			books.violate("%s batch %d: prompt %d has %d samples, not %d", p.settings.Pool, batch.Number, prompt, count, sampling.GroupSize)
+			auditRecords.addViolation("%s batch %d: prompt %d has %d samples, want %d", p.settings.Pool, batch.Number, prompt, count, sampling.GroupSize)
 		}
-		if p.trainer.seen[prompt] {
-			books.violate("%s batch %d: prompt %d was delivered before", p.settings.Pool, batch.Number, prompt)
+		if p.trainer.deliveredPrompts[prompt] {
+			auditRecords.addViolation("%s batch %d: prompt %d was delivered before", p.settings.Pool, batch.Number, prompt)
 		}
-		p.trainer.seen[prompt] = true
+		p.trainer.deliveredPrompts[prompt] = true
 	}
 }
 
 func (p *samplePool) auditSample(sample *coordinator.DeliveredSample, version port.WeightVersion) {
-	books := &p.world.books
-	if books.delivered[sample.ID] {
-		books.violate("sample %s was delivered twice", sample.ID)
+	auditRecords := &p.world.auditRecords
+	if auditRecords.delivered[sample.ID] {
+		auditRecords.addViolation("sample %s was delivered twice", sample.ID)
 	}
-	books.delivered[sample.ID] = true
-	books.deliveredTokens += uint64(sample.Tokens)
+	auditRecords.delivered[sample.ID] = true
+	auditRecords.deliveredTokens += uint64(sample.Tokens)
 	record := p.records[sample.ID]
 	if record == nil {
-		books.violate("sample %s was delivered and never generated", sample.ID)
+		auditRecords.addViolation("sample %s was delivered but never generated", sample.ID)
 		return
 	}
 	if sample.Tokens != record.length {
-		books.violate("sample %s has %d tokens, not %d", sample.ID, sample.Tokens, record.length)
+		auditRecords.addViolation("sample %s has %d tokens, want %d", sample.ID, sample.Tokens, record.length)
 	}
 	claimed := make(map[port.WeightVersion]int)
 	for _, span := range sample.Spans {
 		claimed[span.Version] += span.Tokens
 	}
 	for claimedVersion, tokens := range claimed {
-		if tokens > record.truth[claimedVersion] {
-			books.violate("sample %s claims %d tokens of version %d, engines made %d", sample.ID, tokens, claimedVersion, record.truth[claimedVersion])
+		if tokens > record.generated[claimedVersion] {
+			auditRecords.addViolation("sample %s claims %d tokens of version %d, engines generated %d", sample.ID, tokens, claimedVersion, record.generated[claimedVersion])
 		}
 	}
 	oldest := port.OldestVersion(sample.Spans)
 	if oldest+port.WeightVersion(p.settings.Sampling.StalenessBound) < version {
-		books.violate("sample %s is of version %d, over the bound at version %d", sample.ID, oldest, version)
+		auditRecords.addViolation("sample %s has version %d, beyond the staleness bound at version %d", sample.ID, oldest, version)
 	}
 }
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -10,21 +10,20 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// defaultTimeout is that of a class of callers that names none.
+// defaultTimeout is the timeout of a class of callers without one.
 const defaultTimeout = 10 * time.Second
 
-// callerClass is one kind of callers.
+// callerClass simulates a class of callers.
 type callerClass struct {
 	world *world
 	class *load.Class
 	seed  uint64
 	calls uint64
-	// What the callers saw after the warm-up.
+	// Outcomes after the warm-up.
 	answered, refused, failed int
 	latency                   *hdrhistogram.Histogram
 }
 
-// call is one call of a caller.
 type call struct {
 	from    *callerClass
 	name    port.RequestID
@@ -34,7 +33,7 @@
 	ended   bool
 }
 
-// buildCallers makes the application back ends and the callers.
+// buildCallers creates the application and the callers.
 func (w *world) buildCallers() {
 	if w.site.ApplicationReplicas < 1 {
 		return
@@ -57,8 +56,8 @@
 	}
 }
 
-// factor gives by how much the callers' rates are multiplied now.
-func (w *world) factor() float64 {
+// rateFactor returns the current multiplier of the callers' rates.
+func (w *world) rateFactor() float64 {
 	for _, burst := range w.site.Bursts {
 		if w.now >= burst.At && w.now < burst.At+burst.Length {
 			return burst.Factor
@@ -67,38 +66,36 @@
 	return 1
 }
 
-// nextArrival lets the next caller of an open loop come. The times hang on the
-// seed alone.
+// nextArrival schedules the next open-loop call. The times depend only on the seed.
 func (c *callerClass) nextArrival(number uint64) {
-	gap := exponential(draw(c.seed, gapPart, number)) / (c.class.Rate * c.world.factor())
+	gap := exponential(draw(c.seed, gapPart, number)) / (c.class.Rate * c.world.rateFactor())
 	c.world.after(time.Duration(gap*float64(time.Second)), func() {
-		c.begin(number, func() {})
+		c.startCall(number, func() {})
 		c.nextArrival(number + 1)
 	})
 }
 
-// think lets a caller of a closed loop pause and call again.
+// think schedules the next call of a closed-loop worker.
 func (c *callerClass) think(worker, turn uint64) {
-	pause := exponential(draw(c.seed, thinkPart, worker, turn)) * float64(c.class.Think) / c.world.factor()
+	pause := exponential(draw(c.seed, thinkPart, worker, turn)) * float64(c.class.Think) / c.world.rateFactor()
 	c.world.after(time.Duration(pause), func() {
-		c.begin(draw(worker, turn), func() { c.think(worker, turn+1) })
+		c.startCall(draw(worker, turn), func() { c.think(worker, turn+1) })
 	})
 }
 
-// begin makes a call to a node, chosen in turn.
-func (c *callerClass) begin(number uint64, done func()) {
+// startCall sends a call to a node, chosen in round-robin order.
+func (c *callerClass) startCall(number uint64, done func()) {
 	w := c.world
 	c.calls++
-	begun := &call{
+	newCall := &call{
 		from: c, arrived: w.now, done: done,
 		name:    port.RequestID(fmt.Sprintf("%s-%d", c.class.Name, c.calls)),
 		service: spread(w.site.ServiceTime, draw(c.seed, servicePart, number)),
 	}
 	node := w.backEnds.nodes[c.calls%uint64(len(w.backEnds.nodes))]
-	w.after(w.site.ClientLatency, func() { node.accept(begun) })
+	w.after(w.site.ClientLatency, func() { node.accept(newCall) })
 }
 
-// timeout gives how long a caller waits.
 func (c *callerClass) timeout() time.Duration {
 	if c.class.Timeout > 0 {
 		return c.class.Timeout
@@ -106,23 +103,23 @@
 	return defaultTimeout
 }
 
-// answer brings the outcome of a call to its caller.
+// answer delivers the outcome of a call to its caller.
 func (c *call) answer(refusal *port.Error) {
 	class := c.from
 	class.world.after(class.world.site.ClientLatency, func() {
 		if c.ended {
-			class.world.books.violate("call %s was answered twice", c.name)
+			class.world.auditRecords.addViolation("call %s was answered twice", c.name)
 			return
 		}
 		c.ended = true
-		class.note(c, refusal)
+		class.recordOutcome(c, refusal)
 		c.done()
 	})
 }
 
-// note enters the outcome of a call.
-func (c *callerClass) note(ended *call, refusal *port.Error) {
-	if !c.world.counted() {
+// recordOutcome counts the outcome of a call.
+func (c *callerClass) recordOutcome(ended *call, refusal *port.Error) {
+	if !c.world.afterWarmup() {
 		return
 	}
 	took := c.world.now - ended.arrived
@@ -133,7 +130,7 @@
 		c.failed++
 	default:
 		c.answered++
-		enter(c.latency, took.Microseconds())
+		recordValue(c.latency, took.Microseconds())
 	}
 }
 
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -12,15 +12,15 @@
 const (
 	// syncTime is how long a control member takes to sync its log.
 	syncTime = 2 * time.Millisecond
-	// leaseTerm is the length of the leases; they are renewed before they end.
+	// leaseTerm is the length of the leases.
 	leaseTerm = time.Hour
-	// controlTerm is the term of the one leader.
+	// controlTerm is the term of the only leader.
 	controlTerm = 1
 )
 
-// controlLog is the replicated control state as its leader applies it, in the
-// first zone. The time that replication takes is that of a round trip to a
-// quorum and one sync; elections and faults are not simulated.
+// controlLog is the replicated control state as its leader applies it, in the first
+// zone. Replication takes a round trip to a quorum and one sync; elections and faults
+// are not simulated.
 type controlLog struct {
 	world *world
 	state *controlstate.State
@@ -28,25 +28,25 @@
 	zone  port.ZoneName
 }
 
-// apply puts a command through the log at once.
+// apply applies a command immediately.
 func (c *controlLog) apply(command port.Command) port.Result {
 	c.index++
 	command.Time = c.world.clock().UnixMilli()
 	return c.state.Apply(c.index, controlTerm, command)
 }
 
-// propose puts a command through the log and hands the answer back to the zone
-// it came from, each in its time.
+// propose submits a command and returns its result to the zone that it came from,
+// with the latencies of both directions and of the replication.
 func (c *controlLog) propose(from port.ZoneName, command port.Command, answer func(port.Result)) {
-	way := c.world.between(from, c.zone)
+	delay := c.world.latency(from, c.zone)
 	replication := 2*c.world.site.ZoneLatency + syncTime
-	c.world.after(way+replication, func() {
+	c.world.after(delay+replication, func() {
 		result := c.apply(command)
-		c.world.after(way, func() { answer(result) })
+		c.world.after(delay, func() { answer(result) })
 	})
 }
 
-// weights gives a pool's published version as the log has it.
+// weights returns a pool's published weights.
 func (c *controlLog) weights(pool port.PoolName) port.PublishedWeights {
 	for _, weights := range c.state.View().Weights {
 		if weights.Pool == pool {
@@ -56,8 +56,7 @@
 	return port.PublishedWeights{Pool: pool}
 }
 
-// buildControl makes the log with the site's configuration, the first weights
-// and the leases.
+// buildControl creates the log with the site's configuration and first weights.
 func (w *world) buildControl() error {
 	w.control = &controlLog{world: w, state: controlstate.New(), zone: w.site.Zones[0]}
 	edits := w.poolEdits()
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// acquire takes the lease of a pool, once, and gives its epoch.
+// acquire acquires the lease of a pool, unless it is held, and returns its epoch.
 func (w *world) acquire(pool port.PoolName) (port.Epoch, error) {
 	if held, found := w.control.state.Lease(port.CoordinatorLease(pool)); found {
 		return held.Epoch, nil
@@ -94,8 +93,7 @@
 	return result.Lease.Epoch, nil
 }
 
-// poolEdits gives the site's pools: that of the engines, those of the trainers,
-// and that of the application.
+// poolEdits returns the edits that create the pools of the engines and the trainers.
 func (w *world) poolEdits() []port.Edit {
 	var edits []port.Edit
 	seen := make(map[port.PoolName]bool)
@@ -119,7 +117,7 @@
 	return edits
 }
 
-// pool gives the settings that the examples give every pool.
+// pool returns the common settings of a pool.
 func (w *world) pool(name port.PoolName, kind port.PoolKind) port.Pool {
 	return port.Pool{
 		Name: name, Kind: kind,
--- a/internal/lab/sim/doc.go
+++ b/internal/lab/sim/doc.go
@@ -1,4 +1,4 @@
-// Package sim runs a site in virtual time: the engine model, callers, trainers,
-// scorers and the weight store, with the decision code of the nodes between
-// them. Equal options give equal outcomes to the last digit.
+// Package sim simulates a site in virtual time: the engine model, callers, trainers,
+// scorers and the weight store, connected by the decision code of the nodes. Equal
+// options give equal outcomes.
 package sim
--- a/internal/lab/sim/home.go
+++ b/internal/lab/sim/home.go
@@ -13,26 +13,26 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// gateTick is how often a home lets time pass for its gate.
+// gateTick is the interval of a gate's ticks.
 const gateTick = 50 * time.Millisecond
 
-// sampleDeadline bounds one attempt, as at the nodes.
+// sampleDeadline is the deadline of one attempt, as at the nodes.
 const sampleDeadline = time.Hour
 
 // homeNode is a node that is the home of some engines.
 type homeNode struct {
-	world    *world
-	id       port.NodeID
-	zone     port.ZoneName
-	gate     *gate.Gate
-	replicas []*replica
-	told     []gate.Replica
-	router   *homeRouter
-	accepts  acceptor
+	world        *world
+	id           port.NodeID
+	zone         port.ZoneName
+	gate         *gate.Gate
+	replicas     []*replica
+	gateReplicas []gate.Replica
+	router       *homeRouter
+	chooserState chooserState
 }
 
-// homeRouter is loomgrade's way: the coordinator's node chooses a replica of its
-// zone or another zone, and the home's gate decides in the end.
+// homeRouter routes as loomgrade does: the coordinator's node chooses a replica or
+// another zone, and the gate at the replica's home node makes the final decision.
 type homeRouter struct {
 	world *world
 	nodes []*homeNode
@@ -49,13 +49,13 @@
 		random := rand.New(rand.NewPCG(w.options.Seed, nameSeed(string(id))))
 		made := &homeNode{
 			world: w, id: id, zone: w.zoneOf(index), router: r,
-			gate: gate.New(scheduling.Generation(), random), accepts: newAcceptor(w, id),
+			gate: gate.New(scheduling.Generation(), random), chooserState: newChooserState(w, id),
 		}
 		members[made.zone] = append(members[made.zone], id)
 		byID[id] = made
 		r.nodes = append(r.nodes, made)
 		offset := time.Duration(index) * gateTick / time.Duration(w.site.NodesPerZone*len(w.site.Zones))
-		w.every(gateTick, offset, func() { made.settle(made.gate.Tick(w.clock())) })
+		w.every(gateTick, offset, func() { made.handleTickets(made.gate.Tick(w.clock())) })
 	}
 	for _, replica := range w.replicas {
 		id, _ := membership.NewAssigner(members[replica.zone]).Home(replica.id)
@@ -67,111 +67,111 @@
 	return r
 }
 
-// polled tells the home's gate of a replica's report and cache events.
-func (r *homeRouter) polled(replica *replica) {
+// reportUpdated passes a replica's report and cache events to the home's gate.
+func (r *homeRouter) reportUpdated(replica *replica) {
 	home := r.home[replica.id]
-	if r.world.options.Variant.with(PartPrefixAffinity) {
+	if r.world.options.Variant.enabled(PartPrefixAffinity) {
 		events, gap := replica.cacheEvents(home.gate.LastCacheEvent(replica.id))
 		home.gate.CacheEvents(replica.id, events, gap)
 	}
 	home.configure()
 }
 
-// configure tells the gate of its replicas.
+// configure passes the current state of the replicas to the gate.
 func (n *homeNode) configure() {
-	n.told = n.told[:0]
+	n.gateReplicas = n.gateReplicas[:0]
 	for _, replica := range n.replicas {
-		n.told = append(n.told, gate.Replica{
+		n.gateReplicas = append(n.gateReplicas, gate.Replica{
 			ID: replica.id, Zone: replica.zone, Region: n.world.region(),
 			VersionUnknown: replica.reportedAt.IsZero() || n.world.routedOut(replica.id),
 			Report:         replica.report, ReportedAt: replica.reportedAt,
 		})
 	}
 	settings := gate.Settings{MinInflight: n.world.minInFlight(), MaxInflight: n.world.maxInFlight(), QueueLength: queueLength}
-	n.settle(n.gate.Configure(n.world.clock(), settings, n.told))
+	n.handleTickets(n.gate.Configure(n.world.clock(), settings, n.gateReplicas))
 }
 
-// region names the one region of a site.
+// region returns the only region of a site.
 func (w *world) region() port.RegionName { return port.RegionName(w.site.Name) }
 
-// route lets the coordinator's node choose a place.
-func (r *homeRouter) route(begun *attempt) { r.zones[begun.pool.zone].nodes[0].accept(begun) }
+// route passes an attempt to the coordinator's node, which chooses the replica.
+func (r *homeRouter) route(a *attempt) { r.zones[a.pool.zone].nodes[0].accept(a) }
 
-// offer puts an attempt before the home's gate, with the replica that the
-// choosing node prefers.
-func (n *homeNode) offer(begun *attempt, preferred port.ReplicaID) {
-	if begun.cancelled || begun.ended {
-		begun.refused(port.NewError(port.NotRun, port.CodeCancelled, "cancelled by the coordinator"))
+// offer offers an attempt to the gate with a preferred replica.
+func (n *homeNode) offer(a *attempt, preferred port.ReplicaID) {
+	if a.cancelled || a.ended {
+		a.refused(port.NewError(port.NotRun, port.CodeCancelled, "cancelled by the coordinator"))
 		return
 	}
-	begun.home = n
-	begun.placeHeld = true
-	begun.ticket = &gate.Ticket{Owner: begun, Request: n.request(begun, preferred)}
-	settled, _ := n.gate.Offer(n.world.clock(), begun.ticket)
-	settled = slices.Clone(settled)
-	if begun.ticket.State != gate.Waiting && !slices.Contains(settled, begun.ticket) {
-		n.handOver(begun.ticket)
+	a.home = n
+	a.slotHeld = true
+	a.ticket = &gate.Ticket{Owner: a, Request: n.request(a, preferred)}
+	resolved, _ := n.gate.Offer(n.world.clock(), a.ticket)
+	resolved = slices.Clone(resolved)
+	if a.ticket.State != gate.Waiting && !slices.Contains(resolved, a.ticket) {
+		n.dispatch(a.ticket)
 	}
-	n.settle(settled)
+	n.handleTickets(resolved)
 }
 
-// request gives what the gate decides on.
-func (n *homeNode) request(begun *attempt, preferred port.ReplicaID) gate.Request {
-	start := &begun.start
+// request returns the gate's request for an attempt.
+func (n *homeNode) request(a *attempt, preferred port.ReplicaID) gate.Request {
+	start := &a.start
 	request := gate.Request{
-		ID: port.RequestID(begun.name), Deadline: n.world.clock().Add(sampleDeadline),
-		Preferred: preferred, Avoid: start.Avoid, Pick: n.pick(begun),
+		ID: port.RequestID(a.name), Deadline: n.world.clock().Add(sampleDeadline),
+		Preferred: preferred, Avoid: start.Avoid, Pick: n.pick(a),
 	}
 	return request
 }
 
-// pick gives what the choice of a replica depends on.
-func (n *homeNode) pick(begun *attempt) scheduling.Request {
-	start := &begun.start
+// pick returns the scheduling request for an attempt.
+func (n *homeNode) pick(a *attempt) scheduling.Request {
+	start := &a.start
 	request := scheduling.Request{
-		Pool: begun.pool.settings.Pool, Zone: n.zone, Region: n.world.region(), Priority: begun.priority(),
+		Pool: a.pool.settings.Pool, Zone: n.zone, Region: n.world.region(), Priority: a.priority(),
 		PromptTokens: start.Prompt.Tokens + start.ResumeTokens, MaxTokens: start.MaxTokens,
-		MinVersion: start.MinVersion, Adapter: begun.pool.settings.Adapter, Exclude: start.Exclude,
+		MinVersion: start.MinVersion, Adapter: a.pool.settings.Adapter, Exclude: start.Exclude,
 	}
-	if n.world.options.Variant.with(PartPrefixAffinity) {
-		request.PrefixHashes = begun.pool.prompt(start.Prompt.Index).blocks
+	if n.world.options.Variant.enabled(PartPrefixAffinity) {
+		request.PrefixHashes = a.pool.prompt(start.Prompt.Index).blocks
 	}
 	return request
 }
 
-// settle hands on the tickets that a call of the gate settled.
-func (n *homeNode) settle(settled []*gate.Ticket) {
-	for _, ticket := range slices.Clone(settled) {
-		n.handOver(ticket)
+// handleTickets dispatches the tickets that the gate granted or refused.
+func (n *homeNode) handleTickets(resolved []*gate.Ticket) {
+	for _, ticket := range slices.Clone(resolved) {
+		n.dispatch(ticket)
 	}
 }
 
-// handOver brings a settled ticket's attempt to its engine, or ends it.
-func (n *homeNode) handOver(ticket *gate.Ticket) {
-	begun := ticket.Owner.(*attempt)
+// dispatch sends the attempt of a granted ticket to its engine, or fails it.
+func (n *homeNode) dispatch(ticket *gate.Ticket) {
+	a := ticket.Owner.(*attempt)
 	switch ticket.State {
 	case gate.Granted:
 		chosen := n.world.byID[ticket.Replica]
-		begun.count(chosen.id)
-		n.world.after(n.world.between(n.zone, chosen.zone), func() { n.world.deliver(begun, chosen) })
+		a.countSent(chosen.id)
+		n.world.after(n.world.latency(n.zone, chosen.zone), func() { n.world.deliver(a, chosen) })
 	case gate.Refused:
-		begun.placeHeld = false
-		begun.refused(ticket.Refusal)
+		a.slotHeld = false
+		a.refused(ticket.Refusal)
 	}
 }
 
-// leave gives an attempt's place back.
-func (r *homeRouter) leave(ended *attempt, outcome gate.Outcome) {
+// release returns an attempt's slot to the gate.
+func (r *homeRouter) release(ended *attempt, outcome gate.Outcome) {
 	n := ended.home
-	ended.countEnd()
+	ended.countFinished()
 	if ended.ticket.State == gate.Waiting {
-		n.settle(n.gate.Cancel(r.world.clock(), ended.ticket))
+		n.handleTickets(n.gate.Cancel(r.world.clock(), ended.ticket))
 		return
 	}
-	n.settle(n.gate.Release(r.world.clock(), ended.ticket, outcome))
+	n.handleTickets(n.gate.Release(r.world.clock(), ended.ticket, outcome))
 }
 
-// capacity asks the homes, as the pool's worker does.
+// capacity returns the replicas' states from the home nodes, as the pool's worker
+// polls them.
 func (r *homeRouter) capacity(pool *samplePool) []policy.Replica {
 	var usable []policy.Replica
 	for _, n := range r.nodes {
--- a/internal/lab/sim/limits.go
+++ b/internal/lab/sim/limits.go
@@ -8,41 +8,39 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// limits gives what perfect knowledge could have reached with the samples that
-// this run delivered. Both bounds hold for every way to run the site, whatever
-// it knows, since they use only what no way can avoid:
+// limits returns lower bounds for the idle share and the staleness of any way to run
+// the site, given the samples that this run delivered. They use only:
 //
-//   - An engine makes at most MaxSequences tokens in a step, so a token costs it
+//   - An engine generates at most MaxSequences tokens in a step, so a token costs it
 //     StepBase/MaxSequences + StepPerSequence, and each prompt's own tokens are
 //     computed at least once.
-//   - A sample of L tokens takes at least L steps of StepBase + StepPerSequence,
-//     then its score, the commit and the way to the trainer.
-//   - A sample delivered at version V has its first token of version V less the
-//     bound at the oldest, and no token of a version comes before the version was
-//     published, brought to an engine from the weight store and switched to.
+//   - A sample of L tokens takes at least L steps of StepBase + StepPerSequence, then
+//     its score, the commit and the delivery to the trainer.
+//   - The first token of a sample delivered at version V has version V - bound or
+//     newer, and no token of a version is generated before the version was published,
+//     fetched from the weight store and swapped in.
 //
-// IdleShare is the greater of two bounds on the mean over the trainers.
+// IdleShare is the maximum of two bounds on the trainers' mean idle share.
 //
-// The work bound: what the trainers get in the time counted was made in it, by
-// at most Engines × time of engine work, or was there when it began. Training as
-// much as this feeds, the trainers with the cheapest batches for their steps
-// first, is the most that the trainers can be busy.
+// Work bound: the samples delivered after the warm-up need engine work, which is at most
+// engines × time plus the work done during the warm-up. The bound gives this work to the
+// trainers with the cheapest batches per step time first, which maximizes their busy
+// time.
 //
-// The chain bound: each trainer alone with infinitely many engines. Step k
-// starts no sooner than step k-1 has ended and, where its samples must be newer
-// than what there was before the time counted, than the version at which they
-// may start was published, brought over and the longest sample of the batch was
-// made. What the run did before the time counted is taken as it was.
+// Chain bound: each trainer alone with infinitely many engines. A step starts after the
+// previous one and, if its samples need a version published after the warm-up, after
+// that version was published, swapped in and the longest sample of the batch was
+// generated. Deliveries during the warm-up are taken from the run.
 //
-// Staleness is the mean least age of the delivered samples, in versions, at the
-// times at which this run delivered them: a sample could be of version U only if
-// its tokens fit between the time when U could first be served and the delivery.
+// Staleness is the mean of the minimum ages of the delivered samples in versions: a
+// sample can have version U only if its tokens fit between the first time at which U
+// can be served and the sample's delivery.
 func (w *world) limits() Limits {
 	costs := w.stepCosts()
 	limits := Limits{IdleShare: max(w.workBound(costs), w.chainBound(costs))}
 	var ages, samples float64
 	for _, pool := range w.pools {
-		age, count := pool.leastAges(costs)
+		age, count := pool.minAges(costs)
 		ages += age
 		samples += count
 	}
@@ -52,14 +50,14 @@
 	return limits
 }
 
-// stepCosts are the least times of an engine's work.
+// stepCosts are minimum times of an engine's work.
 type stepCosts struct {
-	// token is the engine's time for a token in a full batch, prompt that for a
-	// prompt token, alone the time for a token of a sample that runs alone.
-	token, prompt, alone time.Duration
-	// commit is the least time between the end of a score and the trainer, ready
-	// that between a publication and the first token of the version.
-	commit, ready time.Duration
+	// token is the time per token in a full batch, promptToken per prompt token, and
+	// unbatchedToken per token of a sample that runs alone.
+	token, promptToken, unbatchedToken time.Duration
+	// commit is the time from the end of a score to the trainer, versionReady from a
+	// publication to the first token of the version.
+	commit, versionReady time.Duration
 }
 
 func (w *world) stepCosts() stepCosts {
@@ -70,101 +68,101 @@
 	}
 	transfer := float64(w.site.WeightBytes) / float64(w.site.StoreRate)
 	return stepCosts{
-		token:  config.StepBase/time.Duration(config.MaxSequences) + config.StepPerSequence,
-		prompt: config.StepPerPrefillToken,
-		alone:  config.StepBase + config.StepPerSequence,
-		commit: 2*w.site.ZoneLatency + syncTime + w.site.ClientLatency,
-		ready:  time.Duration(transfer*float64(time.Second)) + pause,
+		token:          config.StepBase/time.Duration(config.MaxSequences) + config.StepPerSequence,
+		promptToken:    config.StepPerPrefillToken,
+		unbatchedToken: config.StepBase + config.StepPerSequence,
+		commit:         2*w.site.ZoneLatency + syncTime + w.site.ClientLatency,
+		versionReady:   time.Duration(transfer*float64(time.Second)) + pause,
 	}
 }
 
-// work is the least engine time for a delivery.
-func (p *samplePool) work(costs stepCosts, batch *delivery) time.Duration {
+// minWork returns the minimum engine time for a delivery.
+func (p *samplePool) minWork(costs stepCosts, batch *delivery) time.Duration {
 	tokens := 0
 	for _, sample := range batch.samples {
 		tokens += sample.tokens
 	}
-	own := (p.settings.PromptTokens - p.settings.SharedPrefixTokens) * batch.prompts
-	return time.Duration(tokens)*costs.token + time.Duration(own)*costs.prompt
+	promptTokens := (p.settings.PromptTokens - p.settings.SharedPrefixTokens) * batch.prompts
+	return time.Duration(tokens)*costs.token + time.Duration(promptTokens)*costs.promptToken
 }
 
-// need is the least time from a sample's first token to its trainer.
-func (p *samplePool) need(costs stepCosts, sample *deliveredSample) time.Duration {
-	return time.Duration(sample.tokens)*costs.alone + p.scoreTime(sample.key) + costs.commit
+// minLatency returns the minimum time from a sample's first token to its trainer.
+func (p *samplePool) minLatency(costs stepCosts, sample *deliveredSample) time.Duration {
+	return time.Duration(sample.tokens)*costs.unbatchedToken + p.scoreTime(sample.key) + costs.commit
 }
 
-// longest is the greatest need of a delivery's samples.
-func (p *samplePool) longest(costs stepCosts, batch *delivery) time.Duration {
+// maxLatency returns the greatest minimum latency of a delivery's samples.
+func (p *samplePool) maxLatency(costs stepCosts, batch *delivery) time.Duration {
 	longest := time.Duration(0)
 	for index := range batch.samples {
-		longest = max(longest, p.need(costs, &batch.samples[index]))
+		longest = max(longest, p.minLatency(costs, &batch.samples[index]))
 	}
 	return longest
 }
 
-// feed is what the work bound needs of one trainer.
-type feed struct {
-	// step is the time of a step, work the engine time that it takes.
+// trainerWork is a trainer's share in the work bound.
+type trainerWork struct {
+	// step is the duration of a step, work the engine time for it, in seconds.
 	step, work float64
 }
 
-// workBound gives the least mean idle share that the engines' work allows.
+// workBound returns the minimum mean idle share given the engines' work.
 func (w *world) workBound(costs stepCosts) float64 {
 	counted := (w.options.Length - w.options.Warmup).Seconds()
 	available := float64(len(w.replicas)) * counted
-	var feeds []feed
+	var trainers []trainerWork
 	for _, pool := range w.pools {
-		work, ready, batches := pool.workCounted(costs)
+		work, warmup, batches := pool.countedWork(costs)
 		if batches == 0 {
 			continue
 		}
-		available += ready
-		feeds = append(feeds, feed{step: pool.settings.StepTime.Seconds(), work: work / float64(batches)})
+		available += warmup
+		trainers = append(trainers, trainerWork{step: pool.settings.StepTime.Seconds(), work: work / float64(batches)})
 	}
-	slices.SortFunc(feeds, func(a, b feed) int { return cmp.Compare(a.work/a.step, b.work/b.step) })
+	slices.SortFunc(trainers, func(a, b trainerWork) int { return cmp.Compare(a.work/a.step, b.work/b.step) })
 	busy := 0.0
-	for _, one := range feeds {
+	for _, one := range trainers {
 		share := min(max(available, 0)/(one.work*counted/one.step), 1)
 		available -= share * one.work * counted / one.step
 		busy += share
 	}
-	if len(feeds) == 0 {
+	if len(trainers) == 0 {
 		return 0
 	}
-	return max(1-busy/float64(len(feeds)), 0)
+	return max(1-busy/float64(len(trainers)), 0)
 }
 
-// workCounted gives the engine time of what was delivered after the warm-up, in
-// seconds, how much of it was done before, and the number of batches.
-func (p *samplePool) workCounted(costs stepCosts) (work, ready float64, batches int) {
+// countedWork returns the engine time of the deliveries after the warm-up and the part
+// of it done before, in seconds, and the number of batches.
+func (p *samplePool) countedWork(costs stepCosts) (work, warmup float64, batches int) {
 	for index := range p.trainer.deliveries {
 		batch := &p.trainer.deliveries[index]
 		if batch.at < p.world.options.Warmup {
 			continue
 		}
-		work += p.work(costs, batch).Seconds()
-		ready += p.ready(costs, batch).Seconds()
+		work += p.minWork(costs, batch).Seconds()
+		warmup += p.warmupWork(costs, batch).Seconds()
 		batches++
 	}
-	return work, ready, batches
+	return work, warmup, batches
 }
 
-// ready is the engine time for a delivery that was spent before the warm-up's
-// end: all prompts of it count whose samples had begun.
-func (p *samplePool) ready(costs stepCosts, batch *delivery) time.Duration {
+// warmupWork returns the engine time for a delivery that was spent during the warm-up.
+// It counts all prompts of the delivery if any of its samples had started.
+func (p *samplePool) warmupWork(costs stepCosts, batch *delivery) time.Duration {
 	tokens := 0
 	for _, sample := range batch.samples {
-		tokens += sample.early
+		tokens += sample.warmupTokens
 	}
 	if tokens == 0 {
 		return 0
 	}
-	own := (p.settings.PromptTokens - p.settings.SharedPrefixTokens) * batch.prompts
-	return time.Duration(tokens)*costs.token + time.Duration(own)*costs.prompt
+	promptTokens := (p.settings.PromptTokens - p.settings.SharedPrefixTokens) * batch.prompts
+	return time.Duration(tokens)*costs.token + time.Duration(promptTokens)*costs.promptToken
 }
 
-// chainBound gives the least mean idle share that the staleness bound and the
-// longest samples allow.
+// chainBound returns the minimum mean idle share given the staleness bound and the
+// longest samples.
 func (w *world) chainBound(costs stepCosts) float64 {
 	total := 0.0
 	for _, pool := range w.pools {
@@ -173,7 +171,7 @@
 	return total / float64(len(w.pools))
 }
 
-// chainIdle gives a trainer's least idle share with infinitely many engines.
+// chainIdle returns a trainer's minimum idle share with infinitely many engines.
 func (p *samplePool) chainIdle(costs stepCosts) float64 {
 	options := &p.world.options
 	published := make(map[port.WeightVersion]time.Duration)
@@ -185,33 +183,33 @@
 			end = batch.at + p.settings.StepTime
 			continue
 		}
-		asked := max(end, options.Warmup)
+		requested := max(end, options.Warmup)
 		if published[batch.version] == 0 && batch.version > firstVersion {
-			// Publishing takes as long as it took.
-			asked = end + p.publishing(index)
-			published[batch.version] = asked
+			// The time to publish is taken from the run.
+			requested = end + p.publishTime(index)
+			published[batch.version] = requested
 		}
-		start := max(asked, p.earliest(costs, batch, published))
-		if asked < options.Length {
-			idle += max(min(start, options.Length)-max(asked, options.Warmup), 0)
+		start := max(requested, p.earliestDelivery(costs, batch, published))
+		if requested < options.Length {
+			idle += max(min(start, options.Length)-max(requested, options.Warmup), 0)
 		}
 		end = start + p.settings.StepTime
 	}
 	return idle.Seconds() / (options.Length - options.Warmup).Seconds()
 }
 
-// publishing gives the time between the end of the step before a delivery and
-// the question for it.
-func (p *samplePool) publishing(index int) time.Duration {
+// publishTime returns the time between the end of the previous step and the request
+// for the delivery at index.
+func (p *samplePool) publishTime(index int) time.Duration {
 	if index == 0 {
 		return 0
 	}
 	deliveries := p.trainer.deliveries
-	return max(deliveries[index].asked-deliveries[index-1].at-p.settings.StepTime, 0)
+	return max(deliveries[index].requestedAt-deliveries[index-1].at-p.settings.StepTime, 0)
 }
 
-// earliest gives when a batch could be there, from when its samples may start.
-func (p *samplePool) earliest(costs stepCosts, batch *delivery, published map[port.WeightVersion]time.Duration) time.Duration {
+// earliestDelivery returns the earliest time at which a batch can be delivered.
+func (p *samplePool) earliestDelivery(costs stepCosts, batch *delivery, published map[port.WeightVersion]time.Duration) time.Duration {
 	bound := port.WeightVersion(p.settings.Sampling.StalenessBound)
 	if batch.version <= firstVersion+bound {
 		return 0
@@ -220,30 +218,29 @@
 	if !known {
 		return 0
 	}
-	return oldest + costs.ready + p.longest(costs, batch)
+	return oldest + costs.versionReady + p.maxLatency(costs, batch)
 }
 
-// leastAges sums up the least ages of the samples delivered after the warm-up.
-func (p *samplePool) leastAges(costs stepCosts) (sum, samples float64) {
+// minAges sums the minimum ages of the samples delivered after the warm-up.
+func (p *samplePool) minAges(costs stepCosts) (sum, samples float64) {
 	for index := range p.trainer.deliveries {
 		batch := &p.trainer.deliveries[index]
 		if batch.at < p.world.options.Warmup {
 			continue
 		}
 		for sample := range batch.samples {
-			sum += float64(p.leastAge(costs, batch, &batch.samples[sample]))
+			sum += float64(p.minAge(costs, batch, &batch.samples[sample]))
 			samples++
 		}
 	}
 	return sum, samples
 }
 
-// leastAge gives the age of the newest version that a sample's first token could
-// be of.
-func (p *samplePool) leastAge(costs stepCosts, batch *delivery, sample *deliveredSample) port.WeightVersion {
-	latestStart := batch.at - p.need(costs, sample)
+// minAge returns the age of the newest version that a sample's first token can have.
+func (p *samplePool) minAge(costs stepCosts, batch *delivery, sample *deliveredSample) port.WeightVersion {
+	latestStart := batch.at - p.minLatency(costs, sample)
 	for version := batch.version; version > firstVersion; version-- {
-		if latestStart >= p.trainer.published[version]+costs.ready {
+		if latestStart >= p.trainer.published[version]+costs.versionReady {
 			return batch.version - version
 		}
 	}
--- a/internal/lab/sim/policies.go
+++ b/internal/lab/sim/policies.go
@@ -6,15 +6,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/policy"
 )
 
-// plainPolicy is that of the baselines: a fixed number of samples in flight, as
-// many as the engines run at a time.
-const plainPolicy = `
+// baselinePolicy is the policy of the baselines: a fixed number of samples in flight,
+// equal to the engines' capacity.
+const baselinePolicy = `
 def plan(pool):
     return struct(target_in_flight = pool.capacity)
 `
 
-// withoutLongSamples follows a program and takes the rules for long samples out
-// of its plan.
+// withoutLongSamples is appended to a policy and removes the rules for long samples
+// from its plan.
 const withoutLongSamples = `
 def plan(pool):
     full = full_plan(pool)
@@ -26,7 +26,7 @@
     return fields
 `
 
-// policyOf gives the program of a trainer's pool under the variant.
+// policyOf returns the policy of a trainer's pool under the variant.
 func (w *world) policyOf(trainer *Trainer) string {
 	variant := &w.options.Variant
 	source := trainer.Sampling.Policy
@@ -34,24 +34,23 @@
 	case variant.Policy != "":
 		source = variant.Policy
 	case variant.Routing != RoutingLoomgrade:
-		return plainPolicy
+		return baselinePolicy
 	}
 	if source == "" {
 		source = policy.Default
 	}
-	if variant.Routing == RoutingLoomgrade && !variant.with(PartLongSamples) {
+	if variant.Routing == RoutingLoomgrade && !variant.enabled(PartLongSamples) {
 		return strings.Replace(source, "def plan(", "def full_plan(", 1) + withoutLongSamples
 	}
 	return source
 }
 
-// maxInFlight is the bound of a replica's adaptive limit: what an engine runs at
-// a time.
+// maxInFlight is the upper bound of a replica's adaptive limit: the engine's batch size.
 func (w *world) maxInFlight() int { return w.replicas[0].model.Config().MaxSequences }
 
-// minInFlight is the lower bound: without the adaptive limit it is the upper one.
+// minInFlight is the lower bound, which equals the upper one without PartAdmission.
 func (w *world) minInFlight() int {
-	if w.options.Variant.with(PartAdmission) {
+	if w.options.Variant.enabled(PartAdmission) {
 		return 1
 	}
 	return w.maxInFlight()
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -13,10 +13,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// firstVersion is the version that everything starts with.
+// firstVersion is the version of the initial weights.
 const firstVersion port.WeightVersion = 1
 
-// attemptKey names one attempt at a sample.
+// attemptKey identifies one attempt at a sample.
 type attemptKey struct {
 	id      port.SampleID
 	attempt uint32
@@ -35,49 +35,49 @@
 	records     map[port.SampleID]*sampleRecord
 	groups      map[port.PromptIndex]*groupRecord
 	prompts     map[port.PromptIndex]*promptContent
-	// told is the newest version in force, heard the one that the coordinator
-	// has been told of.
-	told  port.PublishedWeights
-	heard port.WeightVersion
-	// longTimes are the times of the long samples, longLength their least length.
+	// publishedWeights is the newest published version, knownVersion the one that the
+	// coordinator knows.
+	publishedWeights port.PublishedWeights
+	knownVersion     port.WeightVersion
+	// longTimes holds the times of long samples, longLength is their minimum length.
 	longTimes  *hdrhistogram.Histogram
 	longLength int
 }
 
-// promptContent is a prompt as an engine sees it.
+// promptContent is a prompt's size and block hashes.
 type promptContent struct {
 	tokens int
 	blocks []uint64
 }
 
-// buildPools makes the coordinators; they sit in the zones in turn.
+// buildPools creates the coordinators, spread over the zones.
 func (w *world) buildPools() error {
 	for index := range w.site.Trainers {
 		settings := &w.site.Trainers[index]
 		pool := &samplePool{
 			world: w, settings: settings, number: uint64(index), zone: w.zoneOf(index),
-			seed:     draw(w.options.Seed, nameSeed(string(settings.Pool))),
-			attempts: make(map[attemptKey]*attempt),
-			records:  make(map[port.SampleID]*sampleRecord),
-			groups:   make(map[port.PromptIndex]*groupRecord),
-			prompts:  make(map[port.PromptIndex]*promptContent),
-			heard:    firstVersion, longTimes: newHistogram(maxMillis),
+			seed:         draw(w.options.Seed, nameSeed(string(settings.Pool))),
+			attempts:     make(map[attemptKey]*attempt),
+			records:      make(map[port.SampleID]*sampleRecord),
+			groups:       make(map[port.PromptIndex]*groupRecord),
+			prompts:      make(map[port.PromptIndex]*promptContent),
+			knownVersion: firstVersion, longTimes: newHistogram(maxMillis),
 			longLength: quantile95(settings.Lengths),
 		}
 		pool.trainer = newTrainer(pool)
-		if err := pool.begin(); err != nil {
+		if err := pool.createCoordinator(); err != nil {
 			return err
 		}
 		w.pools = append(w.pools, pool)
 		offset := time.Duration(index) * tickInterval / time.Duration(len(w.site.Trainers))
 		w.every(tickInterval, offset, pool.tick)
-		w.every(stateInterval, offset, pool.tellCapacity)
+		w.every(stateInterval, offset, pool.reportCapacity)
 	}
 	return nil
 }
 
-// begin makes the coordinator under its lease.
-func (p *samplePool) begin() error {
+// createCoordinator creates the coordinator under its lease.
+func (p *samplePool) createCoordinator() error {
 	epoch, err := p.world.acquire(p.settings.Pool)
 	if err != nil {
 		return err
@@ -96,16 +96,16 @@
 	return err
 }
 
-// tick lets time pass and tells of new weights, as the node's worker does.
+// tick reports newly published weights and the time, as the node's worker does.
 func (p *samplePool) tick() {
-	if p.told.Version > p.heard {
-		p.heard = p.told.Version
-		p.step(coordinator.WeightsPublished{Weights: p.told})
+	if p.publishedWeights.Version > p.knownVersion {
+		p.knownVersion = p.publishedWeights.Version
+		p.step(coordinator.WeightsPublished{Weights: p.publishedWeights})
 	}
 	p.step(coordinator.Tick{})
 }
 
-// step hands an event to the coordinator and carries its actions out.
+// step passes an event to the coordinator and executes its actions.
 func (p *samplePool) step(event coordinator.Event) {
 	for _, action := range p.coordinator.Step(p.world.clock(), event) {
 		p.carryOut(action)
@@ -117,9 +117,9 @@
 	case coordinator.FetchPrompts:
 		p.fetch(action)
 	case coordinator.StartSample:
-		begun := newAttempt(p, action)
-		p.attempts[attemptKey{action.ID, action.Attempt}] = begun
-		p.world.start(begun)
+		a := newAttempt(p, action)
+		p.attempts[attemptKey{action.ID, action.Attempt}] = a
+		p.world.start(a)
 	case coordinator.CancelSample:
 		if running := p.attempts[attemptKey{action.ID, action.Attempt}]; running != nil {
 			running.cancel(action.Move && p.world.options.Variant.ImportKV)
@@ -129,7 +129,7 @@
 	case coordinator.Commit:
 		p.commit(action)
 	case coordinator.ReadLedger:
-		p.world.after(2*p.world.between(p.zone, p.world.control.zone), func() {
+		p.world.after(2*p.world.latency(p.zone, p.world.control.zone), func() {
 			p.step(coordinator.LedgerRead{State: p.world.control.state.Ledger(p.settings.Pool)})
 		})
 	case coordinator.Deliver:
@@ -137,26 +137,26 @@
 	case coordinator.Refuse:
 		p.trainer.refused(action)
 	case coordinator.Record:
-		p.noteDecision(&action.Decision)
+		p.handleDecision(&action.Decision)
 	}
 }
 
-// noteDecision follows which samples the coordinator gave up.
-func (p *samplePool) noteDecision(decided *port.Decision) {
+// handleDecision drops the records of samples that the coordinator dropped.
+func (p *samplePool) handleDecision(decided *port.Decision) {
 	switch decided.Kind {
 	case port.DecisionStale:
-		p.forget(decided.Subject)
-		if p.world.counted() {
-			p.trainer.tally.dropped++
+		p.dropSample(decided.Subject)
+		if p.world.afterWarmup() {
+			p.trainer.stats.dropped++
 		}
 	case port.DecisionVoided:
 		for _, name := range decided.Related {
-			p.forget(name)
+			p.dropSample(name)
 		}
 	}
 }
 
-// fetch asks the prompt source, which is at the trainer.
+// fetch requests prompts from the source, which is near the trainer.
 func (p *samplePool) fetch(action coordinator.FetchPrompts) {
 	p.world.after(2*p.world.site.ClientLatency, func() {
 		event := coordinator.PromptsArrived{From: action.From}
@@ -170,29 +170,28 @@
 	})
 }
 
-// score asks the scorer; the same sample takes the same time and gets the same
-// reward.
+// score requests a score. Time and reward depend only on the sample's key.
 func (p *samplePool) score(action coordinator.ScoreSample) {
 	record := p.records[action.ID]
 	p.world.after(p.scoreTime(record.key), func() {
-		p.noteScored(record)
+		p.recordScoreTime(record)
 		p.step(coordinator.Scored{ID: action.ID, Reward: fraction(mix(record.key, rewardPart))})
 	})
 }
 
-// noteScored enters the time of a long sample.
-func (p *samplePool) noteScored(record *sampleRecord) {
-	if record.scored || record.length < p.longLength || !p.world.counted() {
+// recordScoreTime records the time of a long sample.
+func (p *samplePool) recordScoreTime(record *sampleRecord) {
+	if record.scored || record.length < p.longLength || !p.world.afterWarmup() {
 		return
 	}
 	record.scored = true
-	enter(p.longTimes, (p.world.now - record.first).Milliseconds())
+	recordValue(p.longTimes, (p.world.now - record.startedAt).Milliseconds())
 }
 
 // normal95 is the 95th percentile of the standard normal distribution.
 const normal95 = 1.6448536269514722
 
-// quantile95 gives the 95th percentile of a distribution of lengths.
+// quantile95 returns the 95th percentile of a distribution of lengths.
 func quantile95(lengths engine.Lengths) int {
 	length := int(lengths.Median * math.Exp(lengths.Sigma*normal95))
 	if lengths.Max > 0 {
@@ -201,7 +200,7 @@
 	return length
 }
 
-// Numbers that keep the draws for one key apart.
+// Labels that separate the draws for one key.
 const (
 	rewardPart = iota + 1
 	scorePart
@@ -212,8 +211,7 @@
 	thinkPart
 )
 
-// scoreTime gives the time of a score: half of the median is fixed, the rest
-// exponential.
+// scoreTime returns the time of a score, with the round trip to the scorer.
 func (p *samplePool) scoreTime(key uint64) time.Duration {
 	return spread(p.world.site.ScoreTime, mix(key, scorePart)) + 2*p.world.site.ZoneLatency
 }
@@ -221,7 +219,7 @@
 // ln2 is the median of an exponential distribution of mean 1.
 const ln2 = 0.6931471805599453
 
-// spread draws a time around a median: half of it is fixed, the rest
+// spread draws a time with the given median: half of it is fixed, the rest is
 // exponential.
 func spread(median time.Duration, drawn uint64) time.Duration {
 	return median/2 + time.Duration(float64(median/2)*exponential(drawn)/ln2)
@@ -237,12 +235,12 @@
 	})
 }
 
-// tellCapacity tells the coordinator of the replicas, as their homes know them.
-func (p *samplePool) tellCapacity() {
+// reportCapacity sends the replicas' states to the coordinator.
+func (p *samplePool) reportCapacity() {
 	p.step(coordinator.CapacityChanged{Replicas: p.world.router.capacity(p)})
 }
 
-// prompt gives a prompt's content, made once.
+// prompt returns a prompt's content and caches it.
 func (p *samplePool) prompt(index port.PromptIndex) *promptContent {
 	known := p.prompts[index]
 	if known == nil {
@@ -252,8 +250,8 @@
 	return known
 }
 
-// makePrompt gives the block hashes of a prompt: those of the prefix that it
-// shares with other prompts, then its own.
+// makePrompt creates the block hashes of a prompt: first those of the shared prefix,
+// then its own.
 func (p *samplePool) makePrompt(index port.PromptIndex) *promptContent {
 	blockTokens := p.world.replicas[0].model.Config().BlockTokens
 	shared := p.settings.SharedPrefixTokens / blockTokens
@@ -269,46 +267,45 @@
 	return &promptContent{tokens: p.settings.PromptTokens, blocks: blocks}
 }
 
-// sharedShift keeps the hashes of own blocks apart from those of shared ones.
+// sharedShift separates the hashes of a prompt's own blocks from shared ones.
 const sharedShift = 32
 
-// lengthOf gives the length of a sample of a prompt, by its place in the group.
+// lengthOf returns the length and key of a sample by its slot in the group.
 func (p *samplePool) lengthOf(index port.PromptIndex, slot int) (length int, key uint64) {
 	key = draw(p.seed, samplePart, uint64(index), uint64(slot))
 	return min(p.settings.Lengths.Of(key), p.settings.Sampling.MaxTokens), key
 }
 
-// start sends an attempt on its way to a replica.
-func (w *world) start(begun *attempt) {
-	if moved := w.books.exports[begun.start.ID]; moved > 0 {
-		begun.imported = moved
-		delete(w.books.exports, begun.start.ID)
+// start routes an attempt to a replica.
+func (w *world) start(a *attempt) {
+	if moved := w.auditRecords.exports[a.start.ID]; moved > 0 {
+		a.imported = moved
+		delete(w.auditRecords.exports, a.start.ID)
 	}
-	w.router.route(begun)
+	w.router.route(a)
 }
 
-// export begins to move the cache of an attempt to where it goes on; false
-// means that there is none to move.
+// export starts to export the cache of an attempt; false means that there is none.
 func (w *world) export(moving *attempt) bool {
 	moving.replica.advance()
 	if moving.replica.byName[moving.name] != moving {
 		return false
 	}
 	err := moving.replica.model.Export(w.now, moving.name)
-	moving.replica.touch()
+	moving.replica.scheduleWakeUp()
 	return err == nil
 }
 
-// exported ends a move: the coordinator hears of it and starts the sample again.
+// exported ends the attempt of an exported sample, which the coordinator then restarts.
 func (w *world) exported(event engine.Event) {
 	for _, candidate := range w.replicas {
 		moved := candidate.byName[event.ID]
 		if moved == nil {
 			continue
 		}
-		candidate.drop(moved)
-		moved.sample.ran(moved.spans)
-		w.books.exports[moved.start.ID] = event.Count
-		moved.leaveExported()
+		candidate.remove(moved)
+		moved.sample.addSpans(moved.spans)
+		w.auditRecords.exports[moved.start.ID] = event.Count
+		moved.failExported()
 	}
 }
--- a/internal/lab/sim/queue.go
+++ b/internal/lab/sim/queue.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// eventQueue orders what is to happen by time, and equal times by the order in
-// which they were entered, so that a run never hangs on chance.
+// eventQueue is a priority queue ordered by time, then by insertion order, which makes
+// runs deterministic.
 type eventQueue struct {
 	heap  []scheduled
 	order uint64
 }
 
-// scheduled is one thing to happen.
+// scheduled is an entry of the queue.
 type scheduled struct {
 	at    time.Duration
 	order uint64
@@ -23,7 +23,7 @@
 	return s.order < other.order
 }
 
-// push enters something to happen.
+// push adds an entry.
 func (q *eventQueue) push(at time.Duration, run func()) {
 	q.order++
 	q.heap = append(q.heap, scheduled{at: at, order: q.order, run: run})
@@ -38,7 +38,7 @@
 	}
 }
 
-// pop takes out what happens next; false means that nothing does.
+// pop removes and returns the first entry; false means that the queue is empty.
 func (q *eventQueue) pop() (scheduled, bool) {
 	if len(q.heap) == 0 {
 		return scheduled{}, false
@@ -48,12 +48,12 @@
 	q.heap[0] = q.heap[last]
 	q.heap[last] = scheduled{}
 	q.heap = q.heap[:last]
-	q.sink(0)
+	q.siftDown(0)
 	return first, true
 }
 
-// sink moves an entry down to its place.
-func (q *eventQueue) sink(parent int) {
+// siftDown moves an entry down to its position in the heap.
+func (q *eventQueue) siftDown(parent int) {
 	for {
 		child := 2*parent + 1
 		if child >= len(q.heap) {
--- a/internal/lab/sim/rollout.go
+++ b/internal/lab/sim/rollout.go
@@ -7,31 +7,31 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// weightRollout brings one pool's versions onto the engines.
+// weightRollout rolls out one pool's versions to the engines.
 type weightRollout struct {
-	world   *world
-	pool    *samplePool
-	zone    port.ZoneName
-	machine *rollout.Rollout
-	heard   port.WeightVersion
-	// out holds the replicas that it keeps out of routing.
-	out map[port.ReplicaID]bool
+	world        *world
+	pool         *samplePool
+	zone         port.ZoneName
+	machine      *rollout.Rollout
+	knownVersion port.WeightVersion
+	// routedOut holds the replicas that the rollout excludes from routing.
+	routedOut map[port.ReplicaID]bool
 }
 
-// buildRollouts makes one rollout for each trainer, all under the lease of the
-// pool that owns the engines.
+// buildRollouts creates a rollout per trainer, all under the lease of the pool that
+// owns the engines.
 func (w *world) buildRollouts() error {
 	fence, err := w.acquire(w.site.EnginePool)
 	if err != nil {
 		return err
 	}
 	for index, pool := range w.pools {
-		made := &weightRollout{world: w, pool: pool, zone: w.site.Zones[0], heard: firstVersion, out: make(map[port.ReplicaID]bool)}
+		made := &weightRollout{world: w, pool: pool, zone: w.site.Zones[0], knownVersion: firstVersion, routedOut: make(map[port.ReplicaID]bool)}
 		config := rollout.Config{
 			Pool: pool.settings.Pool, Adapter: pool.settings.Adapter, Fence: fence, Node: "node-1",
 			WeightStore: "http://10.0.1.1:9000", Weights: w.control.weights(pool.settings.Pool), Seed: pool.seed,
 		}
-		if !w.options.Variant.with(PartStaging) {
+		if !w.options.Variant.enabled(PartStaging) {
 			config.Rolling = true
 			config.MaxStaging = len(w.replicas)
 		}
@@ -41,22 +41,22 @@
 		w.rollouts = append(w.rollouts, made)
 		offset := time.Duration(index) * tickInterval / time.Duration(len(w.pools))
 		w.every(tickInterval, offset, made.tick)
-		w.every(stateInterval, offset, made.tellStates)
+		w.every(stateInterval, offset, made.reportStates)
 	}
 	return nil
 }
 
-// tick lets time pass and takes new versions over.
+// tick reports newly published versions and the time to the rollout.
 func (r *weightRollout) tick() {
-	if r.pool.told.Version > r.heard {
-		r.heard = r.pool.told.Version
-		r.step(rollout.Published{Weights: r.pool.told})
+	if r.pool.publishedWeights.Version > r.knownVersion {
+		r.knownVersion = r.pool.publishedWeights.Version
+		r.step(rollout.Published{Weights: r.pool.publishedWeights})
 	}
 	r.step(rollout.Tick{})
 }
 
-// tellStates hands on what the homes know of the engines.
-func (r *weightRollout) tellStates() {
+// reportStates sends the engines' states, as their homes know them, to the rollout.
+func (r *weightRollout) reportStates() {
 	members := make([]rollout.Replica, 0, len(r.world.replicas))
 	for _, replica := range r.world.replicas {
 		members = append(members, rollout.Replica{ID: replica.id, Reachable: !replica.reportedAt.IsZero()})
@@ -78,34 +78,34 @@
 		case rollout.SendOrder:
 			r.send(action)
 		case rollout.RouteOut:
-			r.out[action.Replica] = true
+			r.routedOut[action.Replica] = true
 		case rollout.RouteIn:
-			delete(r.out, action.Replica)
+			delete(r.routedOut, action.Replica)
 		case rollout.FencedOff:
-			r.world.books.violate("rollout of %s was fenced off by %s", r.pool.settings.Pool, action.Replica)
+			r.world.auditRecords.addViolation("rollout of %s was fenced off by %s", r.pool.settings.Pool, action.Replica)
 		}
 	}
 }
 
-// send brings an order to its engine and the answer back.
+// send sends an order to its engine and returns the answer.
 func (r *weightRollout) send(action rollout.SendOrder) {
 	target := r.world.byID[action.Replica]
-	way := r.world.between(r.zone, target.zone)
-	r.world.after(way, func() {
+	delay := r.world.latency(r.zone, target.zone)
+	r.world.after(delay, func() {
 		report, failure := target.order(action.Order)
 		if failure == nil {
 			target.report, target.reportedAt = report, r.world.clock()
 		}
-		r.world.after(way, func() {
+		r.world.after(delay, func() {
 			r.step(rollout.OrderAnswered{Replica: action.Replica, Order: action.Order, Report: report, Err: failure})
 		})
 	})
 }
 
-// routedOut says whether a rollout keeps a replica out of routing.
+// routedOut reports whether a rollout excludes a replica from routing.
 func (w *world) routedOut(id port.ReplicaID) bool {
 	for _, rollout := range w.rollouts {
-		if rollout.out[id] {
+		if rollout.routedOut[id] {
 			return true
 		}
 	}
--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -10,34 +10,33 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// router brings attempts to replicas.
+// router routes attempts to replicas.
 type router interface {
-	// route sends an attempt on its way, or refuses it.
-	route(begun *attempt)
-	// leave takes back the place of an attempt that ended.
-	leave(ended *attempt, outcome gate.Outcome)
-	// polled tells of a replica's new load report.
-	polled(replica *replica)
-	// capacity gives the replicas that may serve a pool.
+	// route routes an attempt, or refuses it.
+	route(a *attempt)
+	// release frees the slot of an attempt that ended.
+	release(ended *attempt, outcome gate.Outcome)
+	// reportUpdated handles a new load report of a replica.
+	reportUpdated(replica *replica)
+	// capacity returns the replicas that may serve a pool.
 	capacity(pool *samplePool) []policy.Replica
-	// waiting counts the attempts that wait outside the engines.
+	// waiting returns the number of attempts queued outside the engines.
 	waiting() int
 }
 
-// buildRouter makes the router of the variant.
+// buildRouter creates the router of the variant.
 func (w *world) buildRouter() {
 	if w.options.Variant.Routing == RoutingLoomgrade {
 		w.router = newHomeRouter(w)
 		return
 	}
-	w.router = newPlainRouter(w)
+	w.router = newBaselineRouter(w)
 }
 
-// plainRouter is a baseline: it sends each attempt at once to a replica chosen
-// by a plain rule, and the engine's own queue, first come first served, holds
-// what does not run. It counts what is in flight exactly, for all pools at once,
-// which is more than a simple balancer would know.
-type plainRouter struct {
+// baselineRouter sends each attempt immediately to a replica chosen by a baseline
+// profile; the engines queue the rest in FIFO order. It knows the exact number in
+// flight over all pools, which is more than a simple load balancer would know.
+type baselineRouter struct {
 	world     *world
 	scheduler *scheduling.Scheduler
 	random    *rand.Rand
@@ -45,7 +44,7 @@
 	scratch   []scheduling.Candidate
 }
 
-// profileOf gives the scheduling profile of a plain rule.
+// profileOf returns the scheduling profile of a baseline.
 func profileOf(routing Routing) scheduling.Profile {
 	names := map[Routing]string{
 		RoutingRoundRobin:    scheduling.ProfileRoundRobin,
@@ -56,62 +55,62 @@
 	return profile
 }
 
-func newPlainRouter(w *world) *plainRouter {
-	return &plainRouter{
+func newBaselineRouter(w *world) *baselineRouter {
+	return &baselineRouter{
 		world: w, scheduler: scheduling.New(profileOf(w.options.Variant.Routing)),
 		random:   rand.New(rand.NewPCG(w.options.Seed, nameSeed("plain router"))),
 		inflight: make(map[port.ReplicaID]int),
 	}
 }
 
-func (r *plainRouter) route(begun *attempt) {
+func (r *baselineRouter) route(a *attempt) {
 	r.scratch = r.scratch[:0]
-	adapter := begun.pool.settings.Adapter
+	adapter := a.pool.settings.Adapter
 	for _, replica := range r.world.replicas {
 		version, _ := replica.report.Versions(adapter)
 		candidate := scheduling.Candidate{
 			Replica: replica.id, Zone: replica.zone, Version: version, Role: replica.report.Role,
-			VersionUnknown: version == 0, Inflight: r.inflight[replica.id], ReportAge: noReport,
+			VersionUnknown: version == 0, Inflight: r.inflight[replica.id], ReportAge: staleReportAge,
 		}
 		if adapter != "" {
 			candidate.Adapters = []string{adapter}
 		}
 		r.scratch = append(r.scratch, candidate)
 	}
-	request := scheduling.Request{Pool: begun.pool.settings.Pool, MinVersion: begun.start.MinVersion, Adapter: adapter}
+	request := scheduling.Request{Pool: a.pool.settings.Pool, MinVersion: a.start.MinVersion, Adapter: adapter}
 	result := r.scheduler.Pick(&request, r.scratch, r.random)
 	if result.Chosen < 0 {
-		begun.refused(port.NewError(port.NotRun, port.CodeNoBackEnd, "no replica can serve the request now"))
+		a.refused(port.NewError(port.NotRun, port.CodeNoBackEnd, "no replica can serve the request now"))
 		return
 	}
 	chosen := r.world.replicas[result.Chosen]
 	r.inflight[chosen.id]++
-	begun.placeHeld, begun.replica, begun.at = true, chosen, chosen.zone
-	r.world.after(begun.way(), func() { r.world.deliver(begun, chosen) })
+	a.slotHeld, a.replica, a.zone = true, chosen, chosen.zone
+	r.world.after(a.coordinatorLatency(), func() { r.world.deliver(a, chosen) })
 }
 
-// noReport keeps the baselines from looking at load reports.
-const noReport = time.Hour
+// staleReportAge makes baselines ignore load reports.
+const staleReportAge = time.Hour
 
-// deliver hands an attempt to its engine.
-func (w *world) deliver(begun *attempt, chosen *replica) {
-	if begun.cancelled || begun.ended {
-		begun.leaveGate(gate.Outcome{Abandoned: true})
-		begun.refused(port.NewError(port.NotRun, port.CodeCancelled, "cancelled by the coordinator"))
+// deliver submits an attempt to its engine.
+func (w *world) deliver(a *attempt, chosen *replica) {
+	if a.cancelled || a.ended {
+		a.release(gate.Outcome{Abandoned: true})
+		a.refused(port.NewError(port.NotRun, port.CodeCancelled, "cancelled by the coordinator"))
 		return
 	}
-	begun.placed(chosen)
-	if err := chosen.submit(begun); err != nil {
-		begun.leaveGate(gate.Outcome{Abandoned: true})
-		begun.refused(port.AsError(err))
+	a.placed(chosen)
+	if err := chosen.submit(a); err != nil {
+		a.release(gate.Outcome{Abandoned: true})
+		a.refused(port.AsError(err))
 	}
 }
 
-func (r *plainRouter) leave(ended *attempt, _ gate.Outcome) { r.inflight[ended.replica.id]-- }
+func (r *baselineRouter) release(ended *attempt, _ gate.Outcome) { r.inflight[ended.replica.id]-- }
 
-func (r *plainRouter) polled(*replica) {}
+func (r *baselineRouter) reportUpdated(*replica) {}
 
-func (r *plainRouter) capacity(pool *samplePool) []policy.Replica {
+func (r *baselineRouter) capacity(pool *samplePool) []policy.Replica {
 	var usable []policy.Replica
 	for _, replica := range r.world.replicas {
 		version, _ := replica.report.Versions(pool.settings.Adapter)
@@ -126,4 +125,4 @@
 	return usable
 }
 
-func (r *plainRouter) waiting() int { return 0 }
+func (r *baselineRouter) waiting() int { return 0 }
--- a/internal/lab/sim/site.go
+++ b/internal/lab/sim/site.go
@@ -8,8 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Engine step times of the sites. They were not given; these are the engine
-// model's defaults, written out so that an experiment can sweep them.
+// Engine step times of the sites, equal to the engine model's defaults.
 const (
 	stepBase            = 12 * time.Millisecond
 	stepPerSequence     = 150 * time.Microsecond
@@ -20,7 +19,7 @@
 	adapterLoadTime     = 200 * time.Millisecond
 )
 
-// engineOf gives the engine of the sites.
+// engineOf returns the engine configuration of the sites.
 func engineOf() engine.Config {
 	return engine.Config{
 		StepBase: stepBase, StepPerSequence: stepPerSequence, StepPerPrefillToken: stepPerPrefillToken,
@@ -29,9 +28,8 @@
 	}
 }
 
-// Inkwell is a comics reader: one trainer on 8 engines, the reader app and its
-// indexers on 3 page services, in three zones. Zones, latencies and replicas are
-// as given; sizes and times of samples, steps and weights are chosen.
+// Inkwell is a comics reader: one trainer on 8 engines, the reader app and its indexers
+// on 3 page services, in three zones.
 func Inkwell() Site {
 	return Site{
 		Name: "inkwell", Zones: []port.ZoneName{"dub-north", "dub-south", "kildare"}, NodesPerZone: 1,
@@ -49,10 +47,8 @@
 	}
 }
 
-// Marea is a buoy data service: three trainers share 9 engines by adapter, the
-// pilots and the stitching jobs use 4 buoy services, in three zones. Zones,
-// latencies and replicas are as given; sizes and times of samples, steps and
-// weights are chosen.
+// Marea is a buoy data service: three trainers share 9 engines by adapter, the pilots
+// and the stitching jobs use 4 buoy services, in three zones.
 func Marea() Site {
 	site := Site{
 		Name: "marea", Zones: []port.ZoneName{"hall-a", "hall-b", "hall-c"}, NodesPerZone: 1,
@@ -74,7 +70,7 @@
 	return site
 }
 
-// samplingOf gives a trainer's settings; the rest is alike at both sites.
+// samplingOf returns a trainer's sampling settings; the rest is the same at both sites.
 func samplingOf(batch, group, maxTokens int, bound uint64) port.Sampling {
 	return port.Sampling{
 		StalenessBound: bound, BatchSamples: batch, GroupSize: group, MaxTokens: maxTokens, BufferBatches: 2,
--- a/internal/lab/sim/tally.go
+++ b/internal/lab/sim/tally.go
@@ -20,41 +20,41 @@
 	return hdrhistogram.New(1, highest, histogramDigits)
 }
 
-// enter records a value; one beyond the range counts as the highest.
-func enter(histogram *hdrhistogram.Histogram, value int64) {
+// recordValue records a value; one beyond the range counts as the highest.
+func recordValue(histogram *hdrhistogram.Histogram, value int64) {
 	if err := histogram.RecordValue(value); err != nil {
 		_ = histogram.RecordValue(histogram.HighestTrackableValue())
 	}
 }
 
-// tally is what a trainer saw after the warm-up.
-type tally struct {
+// trainerStats are a trainer's counts after the warm-up.
+type trainerStats struct {
 	steps, samples, tokens, dropped int
 	idle                            time.Duration
 	staleness, staleMillis          *hdrhistogram.Histogram
 }
 
-func newTally() tally {
-	return tally{staleness: newHistogram(maxAgeVersions), staleMillis: newHistogram(maxMillis)}
+func newTrainerStats() trainerStats {
+	return trainerStats{staleness: newHistogram(maxAgeVersions), staleMillis: newHistogram(maxMillis)}
 }
 
-// waited adds the time waited for a batch that falls after the warm-up.
-func (t *tally) waited(w *world, from, until time.Duration) {
+// addIdle adds the part of an idle period that is after the warm-up.
+func (t *trainerStats) addIdle(w *world, from, until time.Duration) {
 	from = max(from, w.options.Warmup)
 	if until > from {
 		t.idle += until - from
 	}
 }
 
-func (t *tally) age(versions port.WeightVersion, stale time.Duration) {
-	enter(t.staleness, int64(versions))
-	enter(t.staleMillis, stale.Milliseconds())
+func (t *trainerStats) addStaleness(versions port.WeightVersion, stale time.Duration) {
+	recordValue(t.staleness, int64(versions))
+	recordValue(t.staleMillis, stale.Milliseconds())
 }
 
-// outcome gathers what the run gave.
+// outcome returns the outcome of the run.
 func (w *world) outcome() Outcome {
 	outcome := Outcome{
-		Series: w.series, Violations: w.books.violations,
+		Series: w.series, Violations: w.auditRecords.violations,
 		LongSampleTimes: newHistogram(maxMillis),
 	}
 	for _, pool := range w.pools {
@@ -71,40 +71,40 @@
 		computed += totals.Prefilled
 		outcome.TokensGenerated += totals.Generated
 		if totals.Generated != replica.tokens {
-			w.books.violate("replica %s generated %d tokens and told of %d", replica.id, totals.Generated, replica.tokens)
+			w.auditRecords.addViolation("replica %s generated %d tokens and reported %d", replica.id, totals.Generated, replica.tokens)
 		}
 	}
 	outcome.PrefixHitShare = float64(hits) / float64(max(hits+computed, 1))
 	outcome.TokensLost = w.tokensLost(outcome.TokensGenerated)
 	outcome.Limits = w.limits()
-	outcome.Violations = w.books.violations
+	outcome.Violations = w.auditRecords.violations
 	return outcome
 }
 
-// outcome gives what the pool's trainer saw.
+// outcome returns the outcome of the pool's trainer.
 func (p *samplePool) outcome() TrainerOutcome {
 	t := p.trainer
-	if t.asking {
-		t.tally.waited(p.world, t.askedAt, p.world.now)
+	if t.requesting {
+		t.stats.addIdle(p.world, t.requestedAt, p.world.now)
 	}
 	length := p.world.options.Length - p.world.options.Warmup
 	return TrainerOutcome{
-		Pool: p.settings.Pool, Steps: t.tally.steps, Samples: t.tally.samples, Tokens: t.tally.tokens,
-		IdleShare: float64(t.tally.idle) / float64(length),
-		Staleness: t.tally.staleness, StaleMillis: t.tally.staleMillis,
-		DroppedStale: t.tally.dropped, Version: t.version,
+		Pool: p.settings.Pool, Steps: t.stats.steps, Samples: t.stats.samples, Tokens: t.stats.tokens,
+		IdleShare: float64(t.stats.idle) / float64(length),
+		Staleness: t.stats.staleness, StaleMillis: t.stats.staleMillis,
+		DroppedStale: t.stats.dropped, Version: t.version,
 	}
 }
 
-// tokensLost gives the generated tokens that were neither delivered nor are in
-// work at the end. What is left of a prompt whose group was delivered is lost.
+// tokensLost returns the generated tokens that were not delivered and whose samples are
+// not pending. Samples of a prompt whose group was delivered are lost.
 func (w *world) tokensLost(generated uint64) uint64 {
-	kept := w.books.deliveredTokens
+	kept := w.auditRecords.deliveredTokens
 	for _, pool := range w.pools {
 		running := pool.running()
 		for id, record := range pool.records {
-			if !w.books.delivered[id] && !pool.trainer.seen[record.prompt] {
-				kept += uint64(record.made(running[record]))
+			if !w.auditRecords.delivered[id] && !pool.trainer.deliveredPrompts[record.prompt] {
+				kept += uint64(record.generatedTokens(running[record]))
 			}
 		}
 	}
--- a/internal/lab/sim/tally_test.go
+++ b/internal/lab/sim/tally_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// spareSamples starts two samples more than a group needs.
-const spareSamples = `
+// overProvisionPolicy starts two samples more than a group needs.
+const overProvisionPolicy = `
 def plan(pool):
     return struct(target_in_flight = pool.capacity, over_provision = 2)
 `
 
 func TestSparedSamplesAreLostAndMakeTheRestShorter(t *testing.T) {
-	// Weights that change seldom let nothing go stale.
+	// With rare publications no sample becomes stale.
 	site := Marea()
 	for index := range site.Trainers {
 		site.Trainers[index].PublishEvery = 6
@@ -30,12 +30,12 @@
 		}
 		return float64(outcome.TokensLost) / float64(outcome.TokensGenerated), float64(tokens) / float64(samples)
 	}
-	lost, mean := measure(plainPolicy)
-	spareLost, spareMean := measure(spareSamples)
-	if lost != 0 || spareLost <= 0 {
-		t.Errorf("share of tokens lost %v without and %v with spare samples, want 0 and more", lost, spareLost)
+	lost, mean := measure(baselinePolicy)
+	overProvisionedLost, overProvisionedMean := measure(overProvisionPolicy)
+	if lost != 0 || overProvisionedLost <= 0 {
+		t.Errorf("share of tokens lost %v without and %v with over-provisioning, want 0 and more", lost, overProvisionedLost)
 	}
-	if spareMean >= mean {
-		t.Errorf("mean tokens of a delivered sample %v without and %v with spare samples, want fewer", mean, spareMean)
+	if overProvisionedMean >= mean {
+		t.Errorf("mean tokens of a delivered sample %v without and %v with over-provisioning, want fewer", mean, overProvisionedMean)
 	}
 }
--- a/internal/lab/sim/trainer.go
+++ b/internal/lab/sim/trainer.go
@@ -7,54 +7,53 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the trainers' questions, as that of the stand-ins.
+// Timing of the trainers' requests.
 const (
-	askWait    = 2 * time.Second
+	batchWait  = 2 * time.Second
 	retryPause = 100 * time.Millisecond
 )
 
-// trainer asks for batches by number, trains on each and publishes versions.
+// trainer requests batches by number, trains on each and publishes versions.
 type trainer struct {
-	pool        *samplePool
-	epoch       port.Epoch
-	next        port.BatchNumber
-	token       uint64
-	version     port.WeightVersion
-	unpublished int
-	seen        map[port.PromptIndex]bool
-
-	asking  bool
-	askedAt time.Duration
-	// published is when each version came into force, by version.
+	pool             *samplePool
+	epoch            port.Epoch
+	next             port.BatchNumber
+	token            uint64
+	version          port.WeightVersion
+	unpublished      int
+	deliveredPrompts map[port.PromptIndex]bool
+
+	requesting  bool
+	requestedAt time.Duration
+	// published is when each version was published.
 	published  map[port.WeightVersion]time.Duration
 	deliveries []delivery
-	tally      tally
+	stats      trainerStats
 }
 
-// delivery is what the limits need of one delivered batch.
+// delivery is the data on a delivered batch for the limits.
 type delivery struct {
-	asked, at time.Duration
-	version   port.WeightVersion
-	samples   []deliveredSample
-	prompts   int
+	requestedAt, at time.Duration
+	version         port.WeightVersion
+	samples         []deliveredSample
+	prompts         int
 }
 
-// deliveredSample is one sample of a delivery.
 type deliveredSample struct {
 	tokens int
 	key    uint64
-	// early counts the tokens made before the end of the warm-up.
-	early int
+	// warmupTokens is the number of tokens generated before the end of the warm-up.
+	warmupTokens int
 }
 
 func newTrainer(pool *samplePool) *trainer {
 	return &trainer{
-		pool: pool, next: 1, version: firstVersion, seen: make(map[port.PromptIndex]bool),
-		published: map[port.WeightVersion]time.Duration{firstVersion: 0}, tally: newTally(),
+		pool: pool, next: 1, version: firstVersion, deliveredPrompts: make(map[port.PromptIndex]bool),
+		published: map[port.WeightVersion]time.Duration{firstVersion: 0}, stats: newTrainerStats(),
 	}
 }
 
-// start registers the trainer and asks for the first batch.
+// start registers the trainer and requests the first batch.
 func (t *trainer) start() {
 	w := t.pool.world
 	register := port.RegisterConsumer{Pool: t.pool.settings.Pool, Consumer: "trainer"}
@@ -62,88 +61,88 @@
 		w.control.propose(t.pool.zone, port.Command{RegisterConsumer: &register}, func(result port.Result) {
 			t.epoch = result.Consumer.Epoch
 			t.pool.step(coordinator.LedgerRead{State: w.control.state.Ledger(t.pool.settings.Pool)})
-			w.after(w.site.ClientLatency, t.begin)
+			w.after(w.site.ClientLatency, t.requestNext)
 		})
 	})
 }
 
-// begin asks for the next batch.
-func (t *trainer) begin() {
-	t.asking = true
-	t.askedAt = t.pool.world.now
-	t.ask()
+// requestNext requests the next batch and starts the idle time.
+func (t *trainer) requestNext() {
+	t.requesting = true
+	t.requestedAt = t.pool.world.now
+	t.requestBatch()
 }
 
-func (t *trainer) ask() {
+func (t *trainer) requestBatch() {
 	w := t.pool.world
 	t.token++
 	request := coordinator.BatchRequested{Token: t.token, Number: t.next, ConsumerEpoch: t.epoch}
 	w.after(w.site.ClientLatency, func() {
-		request.Deadline = w.clock().Add(askWait)
+		request.Deadline = w.clock().Add(batchWait)
 		t.pool.step(request)
 	})
 }
 
-// refused asks again after a while.
+// refused repeats the request after a pause.
 func (t *trainer) refused(refusal coordinator.Refuse) {
-	if refusal.Token != t.token || !t.asking {
+	if refusal.Token != t.token || !t.requesting {
 		return
 	}
 	w := t.pool.world
-	w.after(w.site.ClientLatency+retryPause, t.ask)
+	w.after(w.site.ClientLatency+retryPause, t.requestBatch)
 }
 
-// answered takes a batch in.
+// answered handles a delivered batch.
 func (t *trainer) answered(batch coordinator.Deliver) {
 	w := t.pool.world
 	w.after(w.site.ClientLatency, func() {
-		if t.asking && batch.Number == t.next {
-			t.learn(batch)
+		if t.requesting && batch.Number == t.next {
+			t.train(batch)
 		}
 	})
 }
 
-// learn trains on a batch.
-func (t *trainer) learn(batch coordinator.Deliver) {
+// train audits, records and trains on a batch.
+func (t *trainer) train(batch coordinator.Deliver) {
 	w := t.pool.world
-	t.asking = false
-	t.tally.waited(w, t.askedAt, w.now)
+	t.requesting = false
+	t.stats.addIdle(w, t.requestedAt, w.now)
 	t.pool.audit(batch, t.version)
-	t.keep(batch)
-	if w.counted() {
-		t.count(batch)
+	t.recordDelivery(batch)
+	if w.afterWarmup() {
+		t.countDelivery(batch)
 	}
 	t.next++
 	w.after(t.pool.settings.StepTime, t.trained)
 }
 
-// keep notes the delivery for the limits.
-func (t *trainer) keep(batch coordinator.Deliver) {
-	noted := delivery{asked: t.askedAt, at: t.pool.world.now, version: t.version}
+// recordDelivery records the delivery for the limits.
+func (t *trainer) recordDelivery(batch coordinator.Deliver) {
+	recorded := delivery{requestedAt: t.requestedAt, at: t.pool.world.now, version: t.version}
 	prompts := make(map[port.PromptIndex]struct{})
 	for index := range batch.Samples {
 		sample := &batch.Samples[index]
 		prompts[sample.Prompt.Index] = struct{}{}
 		if record := t.pool.records[sample.ID]; record != nil {
-			noted.samples = append(noted.samples, deliveredSample{tokens: record.length, key: record.key, early: record.early})
+			recorded.samples = append(recorded.samples, deliveredSample{tokens: record.length, key: record.key, warmupTokens: record.warmupTokens})
 		}
 	}
-	noted.prompts = len(prompts)
-	t.deliveries = append(t.deliveries, noted)
+	recorded.prompts = len(prompts)
+	t.deliveries = append(t.deliveries, recorded)
 }
 
-// count enters a delivery into the outcome.
-func (t *trainer) count(batch coordinator.Deliver) {
-	t.tally.steps++
-	t.tally.samples += len(batch.Samples)
+// countDelivery adds a delivery to the statistics.
+func (t *trainer) countDelivery(batch coordinator.Deliver) {
+	t.stats.steps++
+	t.stats.samples += len(batch.Samples)
 	for index := range batch.Samples {
-		t.tally.tokens += batch.Samples[index].Tokens
+		t.stats.tokens += batch.Samples[index].Tokens
 		oldest := port.OldestVersion(batch.Samples[index].Spans)
-		t.tally.age(t.version-min(oldest, t.version), t.staleFor(oldest))
+		t.stats.addStaleness(t.version-min(oldest, t.version), t.staleFor(oldest))
 	}
 }
 
-// staleFor gives how long ago a version was replaced; 0 if it is the current one.
+// staleFor returns how long ago a version was replaced; 0 if it is the current one.
 func (t *trainer) staleFor(version port.WeightVersion) time.Duration {
 	replaced, known := t.published[version+1]
 	if !known {
@@ -152,11 +151,11 @@
 	return t.pool.world.now - replaced
 }
 
-// trained ends a step; a version is published when it is due.
+// trained ends a step and publishes a version when it is due.
 func (t *trainer) trained() {
 	t.unpublished++
 	if t.unpublished < t.pool.settings.PublishEvery {
-		t.begin()
+		t.requestNext()
 		return
 	}
 	t.unpublished = 0
@@ -166,14 +165,14 @@
 	}
 	w.after(w.site.ClientLatency, func() {
 		w.control.propose(t.pool.zone, port.Command{PublishWeights: &publish}, func(port.Result) {
-			t.pool.told = w.control.weights(t.pool.settings.Pool)
-			w.after(w.site.ClientLatency, func() { t.publishedVersion(publish.Version) })
+			t.pool.publishedWeights = w.control.weights(t.pool.settings.Pool)
+			w.after(w.site.ClientLatency, func() { t.versionPublished(publish.Version) })
 		})
 	})
 }
 
-func (t *trainer) publishedVersion(version port.WeightVersion) {
+func (t *trainer) versionPublished(version port.WeightVersion) {
 	t.version = version
 	t.published[version] = t.pool.world.now
-	t.begin()
+	t.requestNext()
 }
--- a/internal/lab/sim/types.go
+++ b/internal/lab/sim/types.go
@@ -10,11 +10,10 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Site describes what a run simulates: the platform, its callers and trainers.
+// Site describes the simulated platform, its callers and trainers.
 type Site struct {
 	Name string
-	// Zones are those of the site; replicas and nodes are spread over them in
-	// turn.
+	// Zones are the zones over which replicas and nodes are spread.
 	Zones        []port.ZoneName
 	NodesPerZone int
 	// ZoneLatency is the one-way latency between zones, ClientLatency that
@@ -32,8 +31,8 @@
 	ServiceTime time.Duration
 	// ScoreTime is the median time that a scorer takes.
 	ScoreTime time.Duration
-	// WeightBytes is the size of one weight version, StoreRate what the weight
-	// store gives in a second, in bytes.
+	// WeightBytes is the size of one weight version, StoreRate the weight store's
+	// throughput in bytes per second.
 	WeightBytes, StoreRate uint64
 
 	Trainers []Trainer
@@ -45,33 +44,32 @@
 // Trainer consumes one pool's batches and publishes versions.
 type Trainer struct {
 	Pool port.PoolName
-	// Adapter is what the trainer publishes; empty means the base model.
+	// Adapter is the adapter that the trainer publishes; empty means the base model.
 	Adapter  string
 	Sampling port.Sampling
-	// StepTime is how long the trainer takes for a batch.
+	// StepTime is the duration of a training step.
 	StepTime time.Duration
 	// PublishEvery is the number of steps between two versions.
 	PublishEvery int
-	// Prompts and Lengths describe the samples; equal seeds give every variant
-	// the same ones.
+	// Prompts and Lengths describe the samples, which are the same for all variants of
+	// a seed.
 	PromptTokens       int
 	SharedPrefixTokens int
-	// SharedPrefixes is the number of different prefixes that prompts share; 0
-	// means one.
+	// SharedPrefixes is the number of distinct shared prefixes; 0 means one.
 	SharedPrefixes int
 	Lengths        engine.Lengths
 }
 
-// Burst multiplies the rate of all callers for a while.
+// Burst multiplies the rate of all callers for a time.
 type Burst struct {
 	At, Length time.Duration
 	Factor     float64
 }
 
-// Routing is a way to choose a replica.
+// Routing names how replicas are chosen.
 type Routing string
 
-// The ways to choose a replica. All but RoutingLoomgrade are the baselines.
+// The routings. All but RoutingLoomgrade are baselines.
 const (
 	RoutingRoundRobin    Routing = "round_robin"
 	RoutingRandom        Routing = "random"
@@ -79,22 +77,22 @@
 	RoutingLoomgrade     Routing = "loomgrade"
 )
 
-// Variant is one way to run the site.
+// Variant is a way to run the site.
 type Variant struct {
 	Name    string
 	Routing Routing
 	// Policy replaces the trainers' policy program; empty keeps it.
 	Policy string
-	// Without names the parts of loomgrade that are switched off.
+	// Without names the disabled parts of loomgrade.
 	Without []Part
-	// ImportKV lets a long sample that is moved take its cache along.
+	// ImportKV lets a moved long sample import its KV cache.
 	ImportKV bool
 }
 
-// Part is a part of loomgrade that a variant can switch off.
+// Part is a part of loomgrade that a variant can disable.
 type Part string
 
-// The parts that a variant can switch off.
+// The parts.
 const (
 	PartPrefixAffinity Part = "prefix_affinity"
 	PartLongSamples    Part = "long_samples"
@@ -103,56 +101,56 @@
 	PartAdmission      Part = "adaptive_admission"
 )
 
-// Options are what one run takes.
+// Options are the inputs of one run.
 type Options struct {
 	Site    Site
 	Variant Variant
 	Seed    uint64
-	// Length is the virtual time that the run takes; what happens before Warmup
-	// is not counted.
+	// Length is the virtual length of the run. What happens before Warmup is not
+	// counted.
 	Length, Warmup time.Duration
-	// Progress, if set, hears of the virtual time now and then.
+	// Progress, if set, is called periodically with the virtual time.
 	Progress func(at time.Duration)
 }
 
-// Outcome is what one run gave. Equal options give equal outcomes.
+// Outcome is the result of one run. Equal options give equal outcomes.
 type Outcome struct {
 	Trainers []TrainerOutcome
 	Callers  []CallerOutcome
 	Series   []Point
 	Limits   Limits
-	// LongSampleTimes are the times of samples beyond the 95th percentile of
-	// length, from their first start to their score, in milliseconds.
+	// LongSampleTimes holds the times of samples beyond the 95th percentile of length,
+	// from first start to score, in milliseconds.
 	LongSampleTimes *hdrhistogram.Histogram
-	// TokensGenerated counts all generated tokens, TokensLost those of samples
-	// that were never delivered.
+	// TokensGenerated counts all generated tokens, TokensLost those of samples that
+	// were never delivered.
 	TokensGenerated, TokensLost uint64
 	PrefixHitShare              float64
-	// Violations are what the audit found.
+	// Violations are the audit's findings.
 	Violations []string
 }
 
-// TrainerOutcome is what one trainer saw.
+// TrainerOutcome is the outcome of one trainer.
 type TrainerOutcome struct {
 	Pool    port.PoolName
 	Steps   int
 	Samples int
-	// Tokens counts those of the samples. A policy whose samples are shorter than
-	// those of another keeps the short ones and gives up the long ones.
+	// Tokens counts the tokens of the samples. It falls when a policy drops long
+	// samples.
 	Tokens    int
 	IdleShare float64
-	// Staleness counts delivered samples by age in versions, StaleSeconds by age
-	// in milliseconds since the sample's oldest version was replaced.
+	// Staleness counts delivered samples by age in versions, StaleMillis by time since
+	// the sample's oldest version was replaced, in milliseconds.
 	Staleness, StaleMillis *hdrhistogram.Histogram
 	DroppedStale           int
 	Version                port.WeightVersion
 }
 
-// CallerOutcome is what one class of callers saw.
+// CallerOutcome is the outcome of one class of callers.
 type CallerOutcome struct {
 	Name                      string
 	Answered, Refused, Failed int
-	// Latency is in microseconds, of answered calls.
+	// Latency is that of answered calls, in microseconds.
 	Latency *hdrhistogram.Histogram
 }
 
@@ -164,12 +162,12 @@
 	Version           port.WeightVersion
 }
 
-// Limits are what perfect knowledge could reach at best.
+// Limits are lower bounds for any way to run the site.
 type Limits struct {
-	// IdleShare is the least mean idle share of the trainers that total work
-	// over capacity and the longest sample allow.
+	// IdleShare bounds the trainers' mean idle share, given the engines' total work and
+	// the longest samples.
 	IdleShare float64
-	// Staleness is the least mean age, in versions, that the trainers' own
-	// rhythm allows.
+	// Staleness bounds the mean age of samples in versions, given the trainers'
+	// publications.
 	Staleness float64
 }
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -8,8 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Pacing of the simulated processes; the intervals are the defaults of the
-// nodes.
+// Timing of the simulated processes; the intervals are the defaults of the nodes.
 const (
 	loadInterval     = 200 * time.Millisecond
 	loadLag          = 200 * time.Millisecond
@@ -21,37 +20,36 @@
 	progressEvery    = 10 * time.Second
 )
 
-// origin is the clock's time at virtual time 0. Any time after 1970 would do.
+// origin is the wall-clock time at virtual time 0.
 var origin = time.Unix(1_750_000_000, 0).UTC()
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	options Options
 	site    *Site
 	now     time.Duration
 	queue   eventQueue
 
-	control  *controlLog
-	store    *engine.Store
-	replicas []*replica
-	byID     map[port.ReplicaID]*replica
-	pools    []*samplePool
-	router   router
-	backEnds *applicationPool
-	callers  []*callerClass
-	rollouts []*weightRollout
-	books    books
-	series   []Point
+	control      *controlLog
+	store        *engine.Store
+	replicas     []*replica
+	byID         map[port.ReplicaID]*replica
+	pools        []*samplePool
+	router       router
+	backEnds     *applicationPool
+	callers      []*callerClass
+	rollouts     []*weightRollout
+	auditRecords auditRecords
+	series       []Point
 }
 
-// Run simulates one run of a site. The error names an option that is not
-// allowed.
+// Run simulates one run of a site. It returns an error if an option is invalid.
 func Run(options Options) (Outcome, error) {
 	if err := options.validate(); err != nil {
 		return Outcome{}, err
 	}
 	w := &world{options: options, site: &options.Site, byID: make(map[port.ReplicaID]*replica)}
-	w.books = newBooks()
+	w.auditRecords = newAuditRecords()
 	if err := w.build(); err != nil {
 		return Outcome{}, err
 	}
@@ -59,7 +57,7 @@
 	return w.outcome(), nil
 }
 
-// validate checks what the run hangs on.
+// validate checks the options that the run depends on.
 func (o *Options) validate() error {
 	site := &o.Site
 	switch {
@@ -81,7 +79,7 @@
 	return o.Variant.validate()
 }
 
-// validate checks the names that a variant uses.
+// validate checks the routing and the parts.
 func (v *Variant) validate() error {
 	switch v.Routing {
 	case RoutingRoundRobin, RoutingRandom, RoutingLeastInFlight, RoutingLoomgrade:
@@ -99,8 +97,8 @@
 	return nil
 }
 
-// with says whether a part of loomgrade is switched on; the baselines have none.
-func (v *Variant) with(part Part) bool {
+// enabled reports whether a part of loomgrade is enabled; the baselines have none.
+func (v *Variant) enabled(part Part) bool {
 	if v.Routing != RoutingLoomgrade {
 		return false
 	}
@@ -112,7 +110,7 @@
 	return true
 }
 
-// build sets the site up.
+// build creates the site and schedules its periodic work.
 func (w *world) build() error {
 	w.store = engine.NewStore(int64(w.site.StoreRate))
 	w.buildReplicas()
@@ -127,22 +125,22 @@
 		return err
 	}
 	w.buildCallers()
-	w.every(seriesInterval, 0, w.notePoint)
-	w.every(progressEvery, 0, w.tellProgress)
-	w.after(w.options.Warmup, w.noteEarly)
+	w.every(seriesInterval, 0, w.recordPoint)
+	w.every(progressEvery, 0, w.reportProgress)
+	w.after(w.options.Warmup, w.recordWarmupTokens)
 	for _, pool := range w.pools {
 		pool.trainer.start()
 	}
 	return nil
 }
 
-// clock gives the time of the clocks, which all agree.
+// clock returns the wall-clock time, which is the same everywhere.
 func (w *world) clock() time.Time { return origin.Add(w.now) }
 
-// after lets something happen later.
+// after schedules work after a delay.
 func (w *world) after(delay time.Duration, run func()) { w.queue.push(w.now+max(delay, 0), run) }
 
-// every lets something happen again and again, first at offset.
+// every schedules periodic work, first at offset.
 func (w *world) every(interval, offset time.Duration, run func()) {
 	var again func()
 	again = func() {
@@ -152,7 +150,7 @@
 	w.after(offset, again)
 }
 
-// runUntil lets everything happen up to a time.
+// runUntil runs all work up to a time.
 func (w *world) runUntil(end time.Duration) {
 	for {
 		next, found := w.queue.pop()
@@ -168,28 +166,28 @@
 	}
 }
 
-// between gives the one-way latency between two zones.
-func (w *world) between(from, to port.ZoneName) time.Duration {
+// latency returns the one-way latency between two zones.
+func (w *world) latency(from, to port.ZoneName) time.Duration {
 	if from == to {
 		return 0
 	}
 	return w.site.ZoneLatency
 }
 
-// zoneOf spreads things over the zones in turn.
+// zoneOf returns the zone of the replica or node with an index.
 func (w *world) zoneOf(index int) port.ZoneName { return w.site.Zones[index%len(w.site.Zones)] }
 
-func (w *world) tellProgress() {
+func (w *world) reportProgress() {
 	if w.options.Progress != nil {
 		w.options.Progress(w.now)
 	}
 }
 
-// counted says whether the present time is after the warm-up.
-func (w *world) counted() bool { return w.now >= w.options.Warmup }
+// afterWarmup reports whether the warm-up is over.
+func (w *world) afterWarmup() bool { return w.now >= w.options.Warmup }
 
-// notePoint adds the state of the site to the series.
-func (w *world) notePoint() {
+// recordPoint appends the state of the site to the series.
+func (w *world) recordPoint() {
 	point := Point{At: w.now}
 	used, total := 0, 0
 	for _, replica := range w.replicas {
