--- a/internal/lab/virtual/queue.go
+++ b/internal/lab/virtual/queue.go
@@ -1,4 +1,4 @@
-// Package virtual keeps virtual time: a queue of what is to happen, run in order.
+// Package virtual provides virtual time: a queue of work that runs in time order.
 package virtual
 
 import (
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Queue orders work by time, and work of one time by the order in which it was
-// entered, so that a run never hangs on chance. The zero value is ready for use.
-// It is not safe for concurrent use.
+// Queue runs work ordered by time, then by insertion order, which makes runs
+// deterministic. The zero value is ready for use. It is not safe for concurrent use.
 type Queue struct {
 	now      time.Duration
 	sequence uint64
@@ -22,19 +21,19 @@
 	run      func()
 }
 
-// Now gives the present virtual time.
+// Now returns the current virtual time.
 func (q *Queue) Now() time.Duration { return q.now }
 
-// Steps counts the work that was run.
+// Steps returns the number of entries run.
 func (q *Queue) Steps() uint64 { return q.steps }
 
-// After enters work some time from now; a negative delay means now.
+// After schedules work after a delay; a negative delay means now.
 func (q *Queue) After(delay time.Duration, run func()) {
 	q.sequence++
 	heap.Push(&q.entries, entry{at: q.now + max(delay, 0), sequence: q.sequence, run: run})
 }
 
-// Every runs work again and again, first at offset.
+// Every schedules periodic work, first at offset.
 func (q *Queue) Every(interval, offset time.Duration, run func()) {
 	var again func()
 	again = func() {
@@ -44,7 +43,7 @@
 	q.After(offset, again)
 }
 
-// RunUntil runs everything up to a time.
+// RunUntil runs all work up to a time.
 func (q *Queue) RunUntil(end time.Duration) {
 	for len(q.entries) > 0 && q.entries[0].at <= end {
 		next := heap.Pop(&q.entries).(entry)
