--- a/cmd/loomgrade/cmd_site_control.go
+++ b/cmd/loomgrade/cmd_site_control.go
@@ -28,14 +28,14 @@
 	}
 	control := sitecontrol.New(sitecontrol.Config{
 		Machine: p.file.Machine, Address: p.file.PeerAddress(), HeartbeatAddress: p.file.ControlListen,
-		Seeds: p.file.SeedPeers(), Found: p.file.FirstStart, Folder: p.file.DataFolder, FileSystem: fileSystem(p.file.DataFolder), Wire: p.wire, Dialect: p.dialect,
+		Seeds: p.file.SeedPeers(), Bootstrap: p.file.FirstStart, Folder: p.file.DataFolder, FileSystem: fileSystem(p.file.DataFolder), Wire: p.wire, Dialect: p.dialect,
 		Logger: p.logger, Seed: p.seed, ToleratedLosses: p.file.ToleratedLosses, HolderLease: p.file.HolderLease(), Recorder: p.metrics,
 		Zones:    p.file.Zones,
 		Provider: cloud, UsageWindow: p.file.UsageWindow(), UsageDue: p.file.UsageDue(),
 	})
 	control.Register(p.server)
 	p.metrics.Observe(func() metrics.SiteReading {
-		view, shown := control.View(), control.Shown()
+		view, shown := control.View(), control.PublishedState()
 		reading := metrics.SiteReading{
 			Position: view.Position, Configuration: view.Configuration.Version,
 			Confirmed: shown != nil && shown.Confirmed, LinesDropped: p.lines.Dropped(),
@@ -44,7 +44,7 @@
 	})
 	operators := newService(p.file.ControlListen, platform.ControlHandler(control))
 	drain := func(ctx context.Context) {
-		control.HandOver(ctx)
+		control.TransferLeadership(ctx)
 		stopping, cancel := context.WithTimeout(ctx, controlShutdown)
 		defer cancel()
 		_ = operators.server.Shutdown(stopping)
--- a/cmd/loomgrade/cmd_site_front.go
+++ b/cmd/loomgrade/cmd_site_front.go
@@ -55,11 +55,11 @@
 	idle := httpserve.NewIdleConnections(keepAlive)
 	served := front.New(front.Config{
 		Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Idle: idle, Recorder: p.metrics,
-		Held: budget, Usage: counted, RevokeWithin: p.file.RevokeWithin(),
-		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, Place: sitecontrol.Placer(watcher), KeepsWithin: watcher.KeepsWithin}),
+		MemoryBudget: budget, Usage: counted, RevokeWithin: p.file.RevokeWithin(),
+		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, AssignShard: sitecontrol.Placer(watcher), StoredWithin: watcher.StoredWithin}),
 	})
 	p.metrics.Observe(func() metrics.SiteReading {
-		return ofView(metrics.SiteReading{InFlight: served.InFlight(), HeldBytes: budget.Held(), LinesDropped: p.lines.Dropped()}, watcher)
+		return ofView(metrics.SiteReading{InFlight: served.InFlight(), HeldBytes: budget.Used(), LinesDropped: p.lines.Dropped()}, watcher)
 	})
 	callers := newService(p.file.CallerListen, platform.FrontHandler(served))
 	callers.server.ConnState = idle.Observe
@@ -69,7 +69,7 @@
 		defer cancel()
 		served.Drain()
 		wait(stopping, drainNotice)
-		served.AwaitRested(stopping)
+		served.AwaitIdle(stopping)
 		served.Close()
 		_ = callers.server.Shutdown(stopping)
 		counted.Drain(stopping)
--- a/cmd/loomgrade/cmd_site_store.go
+++ b/cmd/loomgrade/cmd_site_store.go
@@ -31,13 +31,13 @@
 		Machine: p.file.Machine, Zone: p.file.Zone, Address: p.file.PeerAddress(), Folder: p.file.DataFolder, FileSystem: fileSystem(p.file.DataFolder),
 		Wire: p.wire, Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Seed: p.seed,
 		Cold: p.file.ColdLimits(), Recorder: p.metrics, ToleratedLosses: p.file.ToleratedLosses, KeepJobs: p.file.KeepJobs() + keepJobsMargin,
-		MostJobBytes: int(jobShare * p.file.MemoryMegabytes * megabyte),
+		MaxJobBytes: int(jobShare * p.file.MemoryMegabytes * megabyte),
 	})
 	store.Register(p.server)
 	p.metrics.Observe(func() metrics.SiteReading {
-		reading := metrics.SiteReading{InFlight: store.Open(), JobBytes: store.JobBytes(), LinesDropped: p.lines.Dropped()}
-		return ofGroup(ofView(reading, watcher), store.Shown())
+		reading := metrics.SiteReading{InFlight: store.OpenItems(), JobBytes: store.JobBytes(), LinesDropped: p.lines.Dropped()}
+		return ofGroup(ofView(reading, watcher), store.PublishedState())
 	})
-	drain := func(ctx context.Context) { store.HandOver(ctx) }
+	drain := func(ctx context.Context) { store.TransferLeadership(ctx) }
 	return p.serve(nil, watcher.SetSeeds, drain, watcher.Run, withholds.Run, store.Run)
 }
--- a/cmd/loomgrade/siteoperator.go
+++ b/cmd/loomgrade/siteoperator.go
@@ -41,7 +41,7 @@
 		Seeds: f.Peer, Wire: options, Decode: platform.Dialect{}.DecodeConfiguration,
 		Changed: client.take, Logger: &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
 	})
-	client.jobs = jobsapi.NewClient(jobsapi.Config{Wire: options, View: client.watcher.State, Place: sitecontrol.Placer(client.watcher)})
+	client.jobs = jobsapi.NewClient(jobsapi.Config{Wire: options, View: client.watcher.State, AssignShard: sitecontrol.Placer(client.watcher)})
 	go func() { _ = client.watcher.Run(ctx) }()
 	select {
 	case view := <-client.view:
--- a/cmd/loomgrade/siteprocess.go
+++ b/cmd/loomgrade/siteprocess.go
@@ -123,7 +123,7 @@
 func (p *siteProcess) newProxy(watcher *siteview.Watcher, withholds *guard.Guard, budget *held.Budget) *proxy.Proxy {
 	return proxy.New(proxy.Config{
 		Dialect: p.dialect, View: watcher.View, Logger: p.logger, Connections: connectionsToReplica, Guard: withholds,
-		Held: budget, Sender: p.file.Machine, Cold: p.file.ColdLimits(),
+		MemoryBudget: budget, Sender: p.file.Machine, Cold: p.file.ColdLimits(),
 	})
 }
 
@@ -278,9 +278,9 @@
 }
 
 // ofGroup adds what a member shows to a reading.
-func ofGroup(reading metrics.SiteReading, shown *group.Shown) metrics.SiteReading {
+func ofGroup(reading metrics.SiteReading, shown *group.PublishedState) metrics.SiteReading {
 	if shown != nil {
-		reading.Shard, reading.Leads = uint32(shown.Shard), shown.Settled
+		reading.Shard, reading.Leads = uint32(shown.Shard), shown.LeaderReady
 		reading.Term, reading.Applied = shown.Status.Term, shown.Applied
 	}
 	return reading
--- a/internal/adapter/boottime/boottime_test.go
+++ b/internal/adapter/boottime/boottime_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-func TestTheClockGoesOn(t *testing.T) {
+func TestClockAdvances(t *testing.T) {
 	before := Now()
 	time.Sleep(5 * time.Millisecond)
 	if passed := Now() - before; passed < 5*time.Millisecond {
@@ -22,7 +22,7 @@
 
 // Each jump of the clock is reported once, with its length; small differences, which may
 // be time between two readings, are not.
-func TestAWatchCountsSuspensions(t *testing.T) {
+func TestWatchReportsSuspensions(t *testing.T) {
 	testkit.Check(t, 32, func(r *rapid.T) {
 		ahead := time.Duration(0)
 		watch := NewWatch(func() time.Duration { return monotonic() + ahead })
@@ -32,7 +32,7 @@
 				slept = time.Duration(rapid.IntRange(100, 20_000).Draw(r, "milliseconds")) * time.Millisecond
 			}
 			ahead += slept
-			if got := watch.Look(); (got == 0) != (slept == 0) || (got-slept).Abs() > LeastSuspension {
+			if got := watch.Check(); (got == 0) != (slept == 0) || (got-slept).Abs() > MinSuspension {
 				r.Fatalf("reported %v, suspended for %v", got, slept)
 			}
 		}
--- a/internal/adapter/boottime/watch.go
+++ b/internal/adapter/boottime/watch.go
@@ -10,7 +10,7 @@
 	watchInterval = time.Second
 	// LeastSuspension is the minimum change of the difference between the clocks that
 	// counts as a suspension. Smaller ones may be time between the two readings.
-	LeastSuspension = 50 * time.Millisecond
+	MinSuspension = 50 * time.Millisecond
 )
 
 // Watch detects suspensions afterwards. Code that depends on elapsed time must check the
@@ -29,11 +29,11 @@
 }
 
 // Look returns how long the machine was suspended since the last call, 0 if it was not.
-func (w *Watch) Look() time.Duration {
+func (w *Watch) Check() time.Duration {
 	ahead := w.clock() - monotonic()
 	suspended := ahead - w.ahead
 	w.ahead = ahead
-	if suspended < LeastSuspension {
+	if suspended < MinSuspension {
 		return 0
 	}
 	return suspended
@@ -49,7 +49,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if suspended := w.Look(); suspended > 0 {
+		if suspended := w.Check(); suspended > 0 {
 			resumed(suspended)
 		}
 	}
--- a/internal/adapter/eventlog/eventlog_test.go
+++ b/internal/adapter/eventlog/eventlog_test.go
@@ -17,7 +17,7 @@
 )
 
 // Every declared event is described, with the same words on the page.
-func TestTheCatalogueIsThatOfThePage(t *testing.T) {
+func TestCatalogueMatchesPage(t *testing.T) {
 	described := map[string]string{}
 	for _, event := range eventlog.Catalogue {
 		described[event.Event] = event.Meaning
@@ -58,7 +58,7 @@
 }
 
 // A full pipe without a reader must not block the loggers.
-func TestAStuckOutputHoldsNobodyUp(t *testing.T) {
+func TestStalledOutputDoesNotBlock(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 // Important lines are written even if many ordinary lines are dropped.
-func TestImportantLinesAreNotLeftOut(t *testing.T) {
+func TestImportantLinesAreNotDropped(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/eventstream/eventstream_test.go
+++ b/internal/adapter/eventstream/eventstream_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/eventstream"
 )
 
-func TestReaderGivesWholeEvents(t *testing.T) {
+func TestReaderReturnsCompleteEvents(t *testing.T) {
 	for name, row := range map[string]struct {
 		text string
 		want []eventstream.Event
--- a/internal/adapter/httpapi/server.go
+++ b/internal/adapter/httpapi/server.go
@@ -102,7 +102,7 @@
 	case <-delay.C:
 	case <-ctx.Done():
 	}
-	s.idle.AwaitRested(ctx)
+	s.idle.AwaitIdle(ctx)
 	err := s.http.Shutdown(ctx)
 	s.Close()
 	if err != nil {
--- a/internal/adapter/httpcall/connection.go
+++ b/internal/adapter/httpcall/connection.go
@@ -70,7 +70,7 @@
 func (c *countedConnection) sealIfSuspended() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.suspended.Look() > 0 {
+	if c.suspended.Check() > 0 {
 		c.sealed = true
 	}
 }
--- a/internal/adapter/httpserve/idle.go
+++ b/internal/adapter/httpserve/idle.go
@@ -58,7 +58,7 @@
 
 // AwaitRested waits until no caller that heeds what it was told sends on an idle
 // connection any more, or the end of ctx.
-func (i *IdleConnections) AwaitRested(ctx context.Context) {
+func (i *IdleConnections) AwaitIdle(ctx context.Context) {
 	ticker := time.NewTicker(idlePoll)
 	defer ticker.Stop()
 	for !i.rested(time.Now()) {
--- a/internal/adapter/httpserve/idle_test.go
+++ b/internal/adapter/httpserve/idle_test.go
@@ -55,7 +55,7 @@
 	close(s.stopping)
 	stopped := make(chan struct{})
 	go func() {
-		s.idle.AwaitRested(ctx)
+		s.idle.AwaitIdle(ctx)
 		_ = s.http.Shutdown(ctx)
 		close(stopped)
 	}()
--- a/internal/adapter/metrics/page_test.go
+++ b/internal/adapter/metrics/page_test.go
@@ -43,8 +43,8 @@
 	site.ItemEnded("completed", time.Second)
 	site.PageServed("follower")
 	site.LoadEnded("done", time.Second)
-	site.HeartbeatTaken()
-	site.HeartbeatRefused("zone")
+	site.HeartbeatAccepted()
+	site.HeartbeatRejected("zone")
 	site.Observe(func() metrics.SiteReading { return metrics.SiteReading{Leads: true} })
 	return site
 }
--- a/internal/adapter/metrics/site.go
+++ b/internal/adapter/metrics/site.go
@@ -121,10 +121,10 @@
 }
 
 // HeartbeatTaken counts a heartbeat.
-func (s *Site) HeartbeatTaken() { s.beats.Inc() }
+func (s *Site) HeartbeatAccepted() { s.beats.Inc() }
 
 // HeartbeatRefused counts a heartbeat that was not taken. Field is one of a few fixed words.
-func (s *Site) HeartbeatRefused(field string) { s.refused.WithLabelValues(field).Inc() }
+func (s *Site) HeartbeatRejected(field string) { s.refused.WithLabelValues(field).Inc() }
 
 // Suspended counts a suspension of the machine.
 func (s *Site) Suspended(slept time.Duration) { s.slept.Add(slept.Seconds()) }
--- a/internal/adapter/provider/provider.go
+++ b/internal/adapter/provider/provider.go
@@ -54,8 +54,8 @@
 	headers := c.dialect.Headers()
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
-	header.Set(headers.Holder, by.Machine)
-	header.Set(headers.Fence, strconv.FormatUint(by.Fence, 10))
+	header.Set(headers.LeaseHolder, by.Machine)
+	header.Set(headers.FencingToken, strconv.FormatUint(by.Fence, 10))
 	names := httpcall.Names{ID: headers.RequestID}
 	request, err := names.NewRequest(ctx, call.Method, "http://"+c.address+call.Path, "", header, call.Body)
 	if err != nil {
--- a/internal/adapter/settings/check.go
+++ b/internal/adapter/settings/check.go
@@ -150,7 +150,7 @@
 }
 
 func (c *checker) durationRange(key string, duration Duration, low, high time.Duration) {
-	if err := duration.Outside(key, low, high); err != nil {
+	if err := duration.CheckRange(key, low, high); err != nil {
 		c.errors = append(c.errors, err)
 	}
 }
--- a/internal/adapter/settings/duration.go
+++ b/internal/adapter/settings/duration.go
@@ -13,11 +13,11 @@
 }
 
 // DurationOf returns the setting for a time.
-func DurationOf(value time.Duration) Duration { return Duration{value: value} }
+func NewDuration(value time.Duration) Duration { return Duration{value: value} }
 
 // Outside returns an error if the duration is malformed or not between low and
 // high.
-func (d Duration) Outside(key string, low, high time.Duration) *Error {
+func (d Duration) CheckRange(key string, low, high time.Duration) *Error {
 	allowed := fmt.Sprintf("%s to %s, with a unit", low, high)
 	switch {
 	case d.malformed != "":
--- a/internal/adapter/settings/page_test.go
+++ b/internal/adapter/settings/page_test.go
@@ -29,7 +29,7 @@
 	return keys
 }
 
-func TestKeysAreThoseOfThePage(t *testing.T) {
+func TestKeysAreDocumented(t *testing.T) {
 	var documented []string
 	for _, row := range testkit.PageRows(t, "docs/operators/settings.md", "Keys") {
 		documented = append(documented, testkit.Quoted(row[0])...)
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -82,7 +82,7 @@
 // is validated and not replaced.
 func (c *Control) UnmarshalYAML(decode func(any) error) error {
 	type plain Control
-	section := plain{Tick: DurationOf(defaultTick), SnapshotEntries: defaultSnapshotEntries}
+	section := plain{Tick: NewDuration(defaultTick), SnapshotEntries: defaultSnapshotEntries}
 	err := decode(&section)
 	*c = Control(section)
 	return err
@@ -91,7 +91,7 @@
 // UnmarshalYAML decodes a node section over its defaults.
 func (n *Node) UnmarshalYAML(decode func(any) error) error {
 	type plain Node
-	section := plain{ConfigurationLease: DurationOf(defaultConfigurationLease)}
+	section := plain{ConfigurationLease: NewDuration(defaultConfigurationLease)}
 	err := decode(&section)
 	*n = Node(section)
 	return err
--- a/internal/adapter/settings/settings_test.go
+++ b/internal/adapter/settings/settings_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestParseRefusesFaults(t *testing.T) {
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	cases := []struct {
 		name, content, old, replacement string
 		want                            []string
@@ -104,7 +104,7 @@
 }
 
 // TestParseNamesEveryFault parses a file with several errors.
-func TestParseNamesEveryFault(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	_, err := settings.Parse("demo.yaml", []byte("cluster: Demo\nnode:\n  id: ''\n  zone: x\n"))
 	if err == nil {
 		t.Fatal("the file was accepted")
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestDefaultsHoldForAbsentKeys(t *testing.T) {
+func TestDefaultsForMissingKeys(t *testing.T) {
 	control, err := settings.Parse("demo.yaml", []byte(strings.Replace(validControl, "  tick: 50ms\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/sitesettings/sitesettings_test.go
+++ b/internal/adapter/sitesettings/sitesettings_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestBadProviderSettingsNameTheirKey(t *testing.T) {
+func TestInvalidProviderSettingsNameKey(t *testing.T) {
 	for key, value := range map[string]any{
 		"provider_address": "nowhere", "revoke_ms": -1, "usage_window_s": 0, "usage_due_s": -3,
 	} {
--- a/internal/adapter/wal/diskfault/diskfault_test.go
+++ b/internal/adapter/wal/diskfault/diskfault_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAStalledDiskGoesOnOnceTheModeChanges(t *testing.T) {
+func TestStalledDiskResumesAfterModeChange(t *testing.T) {
 	d := newDisk(t)
 	d.set(t, diskfault.Stall)
 	written := make(chan error, 1)
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestAFileThatWasOpenedBeforeTheFaultIsStruckToo(t *testing.T) {
+func TestFaultAppliesToOpenFiles(t *testing.T) {
 	d := newDisk(t)
 	file, err := d.Create(filepath.Join(d.folder, "file"))
 	if err != nil {
--- a/internal/adapter/wal/log_test.go
+++ b/internal/adapter/wal/log_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReopenGivesBackWhatWasSynced(t *testing.T) {
+func TestReopenRestoresSyncedState(t *testing.T) {
 	files := faultfs.New(1)
 	log := mustCreate(t, files)
 	hard := consensus.HardState{Term: 3, VotedFor: 2, Commit: 4}
@@ -118,7 +118,7 @@
 
 // After a crash at any sync the folder opens with all synced entries and a prefix of
 // the rest.
-func TestCrashAnywhereKeepsWhatWasSynced(t *testing.T) {
+func TestCrashPreservesSyncedEntries(t *testing.T) {
 	torn := uint64(0)
 	for seed := range uint64(400) {
 		files := faultfs.New(seed)
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestOpenRefusesBadFolders(t *testing.T) {
+func TestOpenRejectsDamagedFolders(t *testing.T) {
 	cases := []struct {
 		name   string
 		damage func(t *testing.T, files *faultfs.FileSystem)
@@ -324,7 +324,7 @@
 // A snapshot written concurrently with the log takes effect once it is adopted and
 // preserves the entries appended since. It has no effect after a crash before that, or
 // after a later snapshot of the leader.
-func TestASnapshotWrittenBesideTheLog(t *testing.T) {
+func TestConcurrentSnapshotAdoption(t *testing.T) {
 	written := consensus.Snapshot{Index: 2, Term: 1, Membership: voters, Data: []byte("state")}
 	later := consensus.Snapshot{Index: 9, Term: 1, Membership: voters, Data: []byte("later")}
 	for name, row := range map[string]struct {
--- a/internal/adapter/wire/bounds_test.go
+++ b/internal/adapter/wire/bounds_test.go
@@ -85,7 +85,7 @@
 }
 
 // The server continues after temporary accept errors and reports a broken listener.
-func TestShortagesOfFilesPass(t *testing.T) {
+func TestTemporaryAcceptErrors(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/wire/callcontext_test.go
+++ b/internal/adapter/wire/callcontext_test.go
@@ -26,7 +26,7 @@
 
 // A finished call, with or without a deadline, must leave no child at the connection's
 // context, which lives until the connection closes.
-func TestEndedCallLeavesNothingAtTheConnection(t *testing.T) {
+func TestFinishedCallReleasesContext(t *testing.T) {
 	for _, deadline := range []time.Duration{0, time.Hour} {
 		connection := &countingContext{Context: context.Background(), done: make(chan struct{})}
 		ctx, cancel := callContext(connection, deadline)
--- a/internal/adapter/wire/contract_test.go
+++ b/internal/adapter/wire/contract_test.go
@@ -116,7 +116,7 @@
 func (p *scriptedPeer) waitClosed() { _, _ = io.Copy(io.Discard, p.reader) }
 
 // TestContractOfACall runs one call against each kind of peer fault.
-func TestContractOfACall(t *testing.T) {
+func TestCallPeerFaults(t *testing.T) {
 	cases := []struct {
 		name    string
 		script  func(*scriptedPeer)
--- a/internal/adapter/wire/pack.go
+++ b/internal/adapter/wire/pack.go
@@ -90,7 +90,7 @@
 
 // MarshalPacked encodes and compresses a message that is sent to many receivers as a
 // part of other messages.
-func MarshalPacked(message any) ([]byte, error) {
+func MarshalCompressed(message any) ([]byte, error) {
 	encoded, err := Marshal(message)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 }
 
 // UnmarshalPacked decodes the result of MarshalPacked, of at most maxSize encoded bytes.
-func UnmarshalPacked(compressed []byte, maxSize int, message any) error {
+func UnmarshalCompressed(compressed []byte, maxSize int, message any) error {
 	encoded, err := decompress(compressed, maxSize)
 	if err != nil {
 		return err
--- a/internal/adapter/wire/pack_test.go
+++ b/internal/adapter/wire/pack_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestACompressedFrameIsBoundedAndWhole(t *testing.T) {
+func TestCompressedFrameLimits(t *testing.T) {
 	const limit = 4 << 10
 	item, err := encodeFrame(&Frame{Kind: KindData, Body: make([]byte, 1<<20)}, DefaultMaxFrameSize)
 	if err != nil {
--- a/internal/adapter/wire/pool.go
+++ b/internal/adapter/wire/pool.go
@@ -27,7 +27,7 @@
 }
 
 // Keep closes and removes the clients of all unused addresses.
-func (p *Pool) Keep(used func(address string) bool) {
+func (p *Pool) RemoveUnused(used func(address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address, client := range p.clients {
@@ -39,4 +39,4 @@
 }
 
 // Close closes all clients.
-func (p *Pool) Close() { p.Keep(func(string) bool { return false }) }
+func (p *Pool) Close() { p.RemoveUnused(func(string) bool { return false }) }
--- a/internal/adapter/wire/pool_test.go
+++ b/internal/adapter/wire/pool_test.go
@@ -12,7 +12,7 @@
 	if pool.Client("127.0.0.1:1") != first || first == second {
 		t.Error("not one client for each address")
 	}
-	pool.Keep(func(address string) bool { return address == "127.0.0.1:2" })
+	pool.RemoveUnused(func(address string) bool { return address == "127.0.0.1:2" })
 	if pool.Client("127.0.0.1:2") != second || pool.Client("127.0.0.1:1") == first {
 		t.Error("removed the wrong client")
 	}
--- a/internal/adapter/wire/wire_test.go
+++ b/internal/adapter/wire/wire_test.go
@@ -15,7 +15,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func TestDeadlineCrossesTheHop(t *testing.T) {
+func TestDeadlineReachesHandler(t *testing.T) {
 	_, address := startServer(t, testOptions(), func(s *Server) {
 		s.Handle("wait", func(ctx context.Context, call *Call) error {
 			if _, ok := ctx.Deadline(); !ok {
@@ -34,7 +34,7 @@
 }
 
 // A stream with a full window must not block other calls.
-func TestSlowStreamHoldsUpNoOther(t *testing.T) {
+func TestSlowStreamDoesNotBlockOthers(t *testing.T) {
 	const count, size = 100, 1000
 	options := testOptions()
 	options.Window = 4000
@@ -205,7 +205,7 @@
 	<-stopped
 }
 
-func TestReconnectsAfterTheServerCameBack(t *testing.T) {
+func TestReconnectsAfterServerRestart(t *testing.T) {
 	register := func(s *Server) {
 		s.Handle("echo", func(_ context.Context, call *Call) error { return call.Send(echo{}) })
 	}
--- a/internal/app/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -58,7 +58,7 @@
 
 // TestResendGetsTheFirstAnswer resends a change under its id to another member,
 // after the leader was killed and after a snapshot.
-func TestResendGetsTheFirstAnswer(t *testing.T) {
+func TestResendReturnsFirstResult(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 20, 5 })
 	command := machineListChange(0, 1)
 	first := group.mustAccept(group.client(1), command)
@@ -85,7 +85,7 @@
 }
 
 // TestRacingEqualRevisions proposes concurrent changes with one expected revision.
-func TestRacingEqualRevisions(t *testing.T) {
+func TestConcurrentChangesOfOneRevision(t *testing.T) {
 	const proposers, rounds = 4, 5
 	group := startGroup(t, 3, nil)
 	clients := make([]*controlclient.Client, proposers)
@@ -199,7 +199,7 @@
 
 // TestWatchMovesFromAMemberWithoutQuorum checks that a watch leaves a member without
 // a quorum, and that such a member confirms no update.
-func TestWatchMovesFromAMemberWithoutQuorum(t *testing.T) {
+func TestWatchLeavesMemberWithoutQuorum(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	watch := startObserverWatch(group.client(1), controlstate.NewObserver())
 	last := group.change(group.client(2), 3)
@@ -237,7 +237,7 @@
 
 // TestLostDataFolderIsRefused checks that a voter without its folder cannot restart
 // under its old id, but can be replaced under a new one.
-func TestLostDataFolderIsRefused(t *testing.T) {
+func TestStartRejectsLostDataFolder(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
 	group.change(client, 3)
@@ -292,7 +292,7 @@
 
 // TestSecondMachineLostAfterARepair checks that no accepted change is lost when a
 // voter fails right after another one was replaced.
-func TestSecondMachineLostAfterARepair(t *testing.T) {
+func TestSecondMemberLostAfterReplacement(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	last := group.change(group.client(1), 10)
 	group.kill(3)
@@ -304,7 +304,7 @@
 }
 
 // TestBadFolderIsRefused starts members on invalid folders.
-func TestBadFolderIsRefused(t *testing.T) {
+func TestStartRejectsInvalidFolder(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	group.change(group.client(1), 3)
 	group.kill(3)
@@ -349,7 +349,7 @@
 
 // TestPlannedStopHandsOver checks that proposals continue at another member after a
 // graceful stop of the leader.
-func TestPlannedStopHandsOver(t *testing.T) {
+func TestStopTransfersLeadership(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	client := group.client(1)
 	last := group.change(client, 2)
@@ -366,7 +366,7 @@
 
 // TestSilentNodeLeavesTheView checks that a node without reports is removed from the
 // view, and registered again when it reports another address and draining.
-func TestSilentNodeLeavesTheView(t *testing.T) {
+func TestTimedOutNodeIsRemoved(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.NodeTimeout = 2 * time.Second })
 	client := group.client(1)
 	node := func(id port.NodeID, peer string) port.NodeAddress {
--- a/internal/app/control/distribution_bench_test.go
+++ b/internal/app/control/distribution_bench_test.go
@@ -17,7 +17,7 @@
 
 // BenchmarkInForce measures the time from sending a change until it is accepted, and
 // until the median and the last of the observers have it, each on its own connection.
-func BenchmarkInForce(b *testing.B) {
+func BenchmarkUpdateDistribution(b *testing.B) {
 	for _, observers := range []int{3, 60, 660} {
 		b.Run(fmt.Sprintf("observers=%d", observers), func(b *testing.B) {
 			group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
@@ -121,7 +121,7 @@
 
 // BenchmarkQuietWatch measures the cost of an idle watch: bytes in both directions
 // and CPU time of members and observers, per second and observer.
-func BenchmarkQuietWatch(b *testing.B) {
+func BenchmarkIdleWatch(b *testing.B) {
 	const observers = 660
 	group := startGroup(b, 3, func(config *Config) { config.Tick = DefaultTick })
 	fleet := startObservers(group, observers)
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -19,7 +19,7 @@
 // TestLeaderCutOffInSilence isolates the leader while the others continue. It must
 // accept no change, confirm no update and serve no linearizable read. After the
 // partition it catches up, and no observer may go back.
-func TestLeaderCutOffInSilence(t *testing.T) {
+func TestIsolatedLeader(t *testing.T) {
 	network := newTestNetwork()
 	group := startGroup(t, 3, func(config *Config) {
 		config.Wire.Dial = network.dialer(config.addressOf(config.ID))
@@ -65,7 +65,7 @@
 
 // TestDiskFaultsStopAMember checks that a member stops with an error when its disk
 // fails, while the others continue.
-func TestDiskFaultsStopAMember(t *testing.T) {
+func TestDiskErrorStopsMember(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(*faultfs.FileSystem)
@@ -105,7 +105,7 @@
 
 // TestPowerLossOfAllMembersKeepsWhatWasAccepted crashes all disks, which lose
 // unsynced data, between changes.
-func TestPowerLossOfAllMembersKeepsWhatWasAccepted(t *testing.T) {
+func TestPowerLossKeepsAcceptedChanges(t *testing.T) {
 	disks := map[uint64]*faultfs.FileSystem{}
 	group := startGroup(t, 3, func(config *Config) {
 		if disks[config.ID] == nil {
@@ -132,7 +132,7 @@
 
 // TestOnlyAMemberOfTheClusterIsHeard sends calls and messages with a wrong token or
 // cluster, and malformed messages.
-func TestOnlyAMemberOfTheClusterIsHeard(t *testing.T) {
+func TestRejectsOtherClusters(t *testing.T) {
 	group := startGroup(t, 1, nil)
 	for _, options := range []wire.Options{{ClusterID: "test", Token: "wrong"}, {ClusterID: "other", Token: "peer"}} {
 		client := wire.NewClient(group.members[0].Peer, options)
--- a/internal/app/control/process_folder_test.go
+++ b/internal/app/control/process_folder_test.go
@@ -123,7 +123,7 @@
 // TestProcessWithFullDiskStopsAndComesBack fills the disk of one process by a link
 // from its next segment to /dev/full. The process must report that and exit while
 // the others continue, and later restart with every accepted change.
-func TestProcessWithFullDiskStopsAndComesBack(t *testing.T) {
+func TestProcessRecoversFromFullDisk(t *testing.T) {
 	group, writing, client := startWithChanges(t, 5)
 	var sequence uint64
 	segments := group.segments(2)
--- a/internal/app/control/process_test.go
+++ b/internal/app/control/process_test.go
@@ -187,7 +187,7 @@
 // TestProcessesUnderKillAndSilence kills members at random with SIGKILL and suspends
 // others with SIGSTOP during writes. Each change must take effect once, and no
 // observer may go back.
-func TestProcessesUnderKillAndSilence(t *testing.T) {
+func TestProcessesKilledAndSuspended(t *testing.T) {
 	const rounds = 6
 	group := startProcesses(t)
 	for id := uint64(1); id <= 3; id++ {
--- a/internal/app/control/suspend_test.go
+++ b/internal/app/control/suspend_test.go
@@ -12,7 +12,7 @@
 // TestASuspendedLeaderReadsNothingOnItsOwn checks that a leader that was suspended
 // for longer than an election timeout, which its monotonic clock does not show,
 // serves no read without its followers.
-func TestASuspendedLeaderReadsNothingOnItsOwn(t *testing.T) {
+func TestSuspendedLeaderRejectsReads(t *testing.T) {
 	var suspended [4]atomic.Int64 // by member
 	group := startGroup(t, 3, func(config *Config) {
 		id := config.ID
--- a/internal/app/front/comeback_test.go
+++ b/internal/app/front/comeback_test.go
@@ -7,7 +7,7 @@
 
 // TestThoseRefusedTogetherReturnApart: half of the time earlier or later at most, and as
 // asked for on average.
-func TestThoseRefusedTogetherReturnApart(t *testing.T) {
+func TestJitterSpreadsRetries(t *testing.T) {
 	const back = 200 * time.Millisecond
 	for draw, want := range map[float64]time.Duration{0: 100 * time.Millisecond, 0.5: back, 0.75: 250 * time.Millisecond} {
 		if got := spread(back, draw); got != want {
--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -57,7 +57,7 @@
 	// is no bound.
 	RevokeWithin time.Duration
 	// Held bounds the bodies and pages that the front holds for callers; nil is no bound.
-	Held *held.Budget
+	MemoryBudget *held.Budget
 	// Usage counts requests that began to run, by tenant; nil counts nothing.
 	Usage *UsageReporter
 	// Recorder measures requests; nil measures nothing.
@@ -109,7 +109,7 @@
 
 // AwaitRested waits until no caller may send on a connection that it had open
 // before the drain began, or the end of ctx.
-func (f *Front) AwaitRested(ctx context.Context) { f.config.Idle.AwaitRested(ctx) }
+func (f *Front) AwaitIdle(ctx context.Context) { f.config.Idle.AwaitIdle(ctx) }
 
 // Close makes the front refuse every further request as not run. It comes right
 // before connections are closed: a request that is read while its connection
@@ -148,7 +148,7 @@
 	if !ok {
 		return
 	}
-	holding := f.config.Held.Open()
+	holding := f.config.MemoryBudget.Open()
 	defer holding.Close()
 	body, status := f.readBody(r, view.Table.Document().Limits, holding)
 	switch status {
@@ -253,8 +253,8 @@
 		},
 		Service: route.ServiceFor(f.splits.Add(1)), Route: route.Name, Caller: caller.name(),
 		Repeatable: route.Repeatable(), MaxAttempts: route.MaxAttempts, Aim: route.Aim,
-		Homes:  routing.AllowedRegionsOf(route, caller.tenant),
-		Stream: route.Kind == routing.KindStream,
+		AllowedRegions: routing.AllowedRegionsOf(route, caller.tenant),
+		Stream:         route.Kind == routing.KindStream,
 	}
 }
 
--- a/internal/app/front/jobs.go
+++ b/internal/app/front/jobs.go
@@ -99,6 +99,6 @@
 }
 
 // Refuse answers 503 with a time to come back.
-func (f *Front) Refuse(w http.ResponseWriter, r *http.Request, reason string) {
+func (f *Front) Reject(w http.ResponseWriter, r *http.Request, reason string) {
 	f.refuse(w, r, "", reason)
 }
--- a/internal/app/front/slowreader.go
+++ b/internal/app/front/slowreader.go
@@ -44,7 +44,7 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 	}
 	f.config.Logger.Warn().Str(eventlog.Field, eventlog.AnswerNotHeld).Str("replica", answer.Replica.ID).
-		Int64("held", f.config.Held.Held()).Msg("an answer is passed on as its caller reads it: there is no room to hold it")
+		Int64("held", f.config.MemoryBudget.Used()).Msg("an answer is passed on as its caller reads it: there is no room to hold it")
 	w.WriteHeader(answer.Status)
 	if err := passBytes(w, answer.Stream); err != nil {
 		panic(http.ErrAbortHandler)
@@ -53,8 +53,8 @@
 
 // Answer writes an answer of the front's own, or refuses if there is no room to hold it until
 // its caller has read it.
-func (f *Front) Answer(w http.ResponseWriter, r *http.Request, contentType string, body []byte) {
-	holding := f.config.Held.Open()
+func (f *Front) Respond(w http.ResponseWriter, r *http.Request, contentType string, body []byte) {
+	holding := f.config.MemoryBudget.Open()
 	defer holding.Close()
 	if !holding.Take(int64(len(body))) {
 		f.refuse(w, r, "", "there is no room to hold the answer")
--- a/internal/app/front/stream.go
+++ b/internal/app/front/stream.go
@@ -26,7 +26,7 @@
 		}
 		return
 	}
-	passed := eventPasser{out: w, control: http.NewResponseController(w), lastEvent: request.Header.Get(f.headers.LastEvent)}
+	passed := eventPasser{out: w, control: http.NewResponseController(w), lastEvent: request.Header.Get(f.headers.LastEventID)}
 	for attempt := 1; ; attempt++ {
 		err := passed.pass(answer.Stream)
 		if err == nil {
@@ -38,7 +38,7 @@
 		f.config.Logger.Info().Str(eventlog.Field, eventlog.StreamResumed).Str("id", request.ID).Str("route", route.Name).
 			Str("replica", answer.Replica.ID).Str("after_event", passed.lastEvent).Err(err).Msg("a stream broke off and goes on at another replica")
 		if passed.lastEvent != "" {
-			request.Header.Set(f.headers.LastEvent, passed.lastEvent)
+			request.Header.Set(f.headers.LastEventID, passed.lastEvent)
 		}
 		next, failure := f.config.Proxy.Do(ctx, request)
 		if failure != nil || next.Stream == nil {
--- a/internal/app/front/usage_test.go
+++ b/internal/app/front/usage_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestCountsAreHandedOnOnce: whatever calls fail, and also at a stop.
-func TestCountsAreHandedOnOnce(t *testing.T) {
+func TestUsageIsReportedExactlyOnce(t *testing.T) {
 	for _, failures := range []int{0, 1, 2, 3} {
 		control := &keeper{failures: failures}
 		reporter := NewUsageReporter("front", control.send, nil, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
@@ -64,7 +64,7 @@
 }
 
 // TestNobodyCountsWithoutAReporter: sites that report no usage have none.
-func TestNobodyCountsWithoutAReporter(t *testing.T) {
+func TestNilUsageReporter(t *testing.T) {
 	var reporter *UsageReporter
 	reporter.Note("ada", boottime.Now())
 	reporter.Drain(context.Background())
@@ -72,7 +72,7 @@
 
 // TestAgesOfRequestsCountSuspension: a request began ten seconds before its report is made,
 // which the front's machine spent suspended.
-func TestAgesOfRequestsCountSuspension(t *testing.T) {
+func TestRequestAgeIncludesSuspension(t *testing.T) {
 	var slept atomic.Int64
 	clock := func() time.Duration { return boottime.Now() + time.Duration(slept.Load()) }
 	reports := make(chan usage.Report, 1)
--- a/internal/app/group/calls.go
+++ b/internal/app/group/calls.go
@@ -135,7 +135,7 @@
 
 // HandOver asks another voter to lead, before a planned stop, and waits a
 // moment for it.
-func (m *Member) HandOver(ctx context.Context) {
+func (m *Member) TransferLeadership(ctx context.Context) {
 	l := m.current.Load()
 	if l == nil || !m.leads() {
 		return
@@ -160,9 +160,9 @@
 // TransferTo offers leadership to the voter at an address, if this member leads
 // and that one is in touch and caught up. It reports whether it was offered.
 func (m *Member) TransferTo(address string) bool {
-	shown := m.Shown()
+	shown := m.PublishedState()
 	l := m.current.Load()
-	if l == nil || shown == nil || !shown.Settled {
+	if l == nil || shown == nil || !shown.LeaderReady {
 		return false
 	}
 	for _, record := range shown.Records {
--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -132,7 +132,7 @@
 	Status  consensus.Status
 	// Settled is set on a leader in touch with a quorum whose state shows all
 	// that was committed under earlier leaders.
-	Settled bool
+	LeaderReady bool
 	// CaughtUp is set if all that was committed when the member last heard
 	// from the leader is applied.
 	CaughtUp bool
--- a/internal/app/group/fulldisk_test.go
+++ b/internal/app/group/fulldisk_test.go
@@ -12,7 +12,7 @@
 
 // TestAMemberGoesOnOnceItsDiskHasRoom: until then it takes no part, and what it is
 // asked is refused as not run; nothing that was acknowledged is lost.
-func TestAMemberGoesOnOnceItsDiskHasRoom(t *testing.T) {
+func TestMemberResumesAfterFullDisk(t *testing.T) {
 	all, machines := startGroup(t)
 	awaitVoters(t, all, "a", "b", "c")
 	machines["d"].stop() // or it would take the place
@@ -29,7 +29,7 @@
 	if _, err := leader.member.Propose(context.Background(), []byte("x")); err == nil {
 		t.Error("a command is acknowledged that the disk refused")
 	}
-	until(t, "the member takes no part", func() bool { return leader.member.Shown() == nil })
+	until(t, "the member takes no part", func() bool { return leader.member.PublishedState() == nil })
 	if _, err := leader.member.Propose(context.Background(), []byte("x")); err != group.ErrNotReady {
 		t.Errorf("asked meanwhile: %v", err)
 	}
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	until(t, "the member is back", func() bool {
-		shown := leader.member.Shown()
+		shown := leader.member.PublishedState()
 		return shown != nil && shown.Confirmed
 	})
 	if applied := leader.applied(); applied < 5 {
--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -295,7 +295,7 @@
 		l.peers.learn(records, true)
 	}
 	l.shown(Step{
-		Machine: l.machine, Status: l.member.Status(), Settled: l.member.LeaderReady(),
+		Machine: l.machine, Status: l.member.Status(), LeaderReady: l.member.LeaderReady(),
 		CaughtUp: l.member.CaughtUp(), Applied: l.member.Applied(), Records: l.told,
 	})
 }
--- a/internal/app/group/member.go
+++ b/internal/app/group/member.go
@@ -50,16 +50,16 @@
 	// goroutine owns it.
 	entered bool
 	current atomic.Pointer[loop]
-	shown   atomic.Pointer[Shown]
+	shown   atomic.Pointer[PublishedState]
 	// stored is the identity in the member's folder, nil while it has none.
 	stored atomic.Pointer[identity]
 }
 
 // Shown is what a member shows of itself to other goroutines. It is immutable.
-type Shown struct {
-	Shard   Shard
-	Status  consensus.Status
-	Settled bool
+type PublishedState struct {
+	Shard       Shard
+	Status      consensus.Status
+	LeaderReady bool
 	// Confirmed is set if the member was in touch with a quorum and caught up.
 	Confirmed bool
 	Applied   uint64
@@ -67,7 +67,7 @@
 	// Leader is the record of the known leader; its id is 0 if there is none.
 	Leader groupmember.Record
 	// At is when it was shown, by the configuration's clock.
-	At time.Duration
+	PublishedAt time.Duration
 }
 
 // New makes a member. Register and then Run follow.
@@ -283,9 +283,9 @@
 
 // show publishes a step of the loop.
 func (m *Member) show(shard Shard, step Step) {
-	shown := &Shown{
-		Shard: shard, Status: step.Status, Settled: step.Settled, Applied: step.Applied, Records: step.Records,
-		Confirmed: step.Status.QuorumActive && step.CaughtUp, At: m.config.Clock(),
+	shown := &PublishedState{
+		Shard: shard, Status: step.Status, LeaderReady: step.LeaderReady, Applied: step.Applied, Records: step.Records,
+		Confirmed: step.Status.QuorumActive && step.CaughtUp, PublishedAt: m.config.Clock(),
 	}
 	for _, record := range step.Records {
 		if record.ID == step.Status.Leader {
@@ -300,12 +300,12 @@
 // part. Confirmed and Settled are cleared if that is older than an election
 // timeout: a loop that hangs in a sync confirms nothing, nor does one on a machine that
 // wakes up.
-func (m *Member) Shown() *Shown {
+func (m *Member) PublishedState() *PublishedState {
 	shown := m.shown.Load()
-	if shown == nil || m.config.Clock()-shown.At < m.config.electionTimeout() {
+	if shown == nil || m.config.Clock()-shown.PublishedAt < m.config.electionTimeout() {
 		return shown
 	}
 	stale := *shown
-	stale.Confirmed, stale.Settled = false, false
+	stale.Confirmed, stale.LeaderReady = false, false
 	return &stale
 }
--- a/internal/app/group/peers.go
+++ b/internal/app/group/peers.go
@@ -36,7 +36,7 @@
 		used[record.Address] = true
 	}
 	if prune {
-		p.pool.Keep(func(address string) bool { return used[address] })
+		p.pool.RemoveUnused(func(address string) bool { return used[address] })
 	}
 }
 
--- a/internal/app/group/shard_test.go
+++ b/internal/app/group/shard_test.go
@@ -12,7 +12,7 @@
 
 // TestAMemberOfAnotherShardRefuses: commands, questions and machines that are meant for
 // another group of the same name.
-func TestAMemberOfAnotherShardRefuses(t *testing.T) {
+func TestMemberRejectsOtherShard(t *testing.T) {
 	_, machines := startGroup(t)
 	var leader *groupMachine
 	until(t, "a leader", func() bool {
@@ -53,17 +53,17 @@
 	}
 	lost.stop()
 	time.Sleep(time.Second) // twice the time after which a voter is replaced
-	if shown := stranger.member.Shown(); shown != nil {
+	if shown := stranger.member.PublishedState(); shown != nil {
 		t.Errorf("a machine that asked for another shard is member %d", shown.Status.ID)
 	}
-	if got := len(leader.member.Shown().Records); got != 3 {
+	if got := len(leader.member.PublishedState().Records); got != 3 {
 		t.Errorf("%d members", got)
 	}
 	stranger.stop()
 	stranger.origin.Shard = 0
 	stranger.start()
 	until(t, "it joins this shard's group", func() bool {
-		shown := stranger.member.Shown()
+		shown := stranger.member.PublishedState()
 		return shown != nil && shown.Status.Membership.IsVoter(shown.Status.ID)
 	})
 }
--- a/internal/app/group/snapshot_test.go
+++ b/internal/app/group/snapshot_test.go
@@ -47,7 +47,7 @@
 // the leader stays, and what was acknowledged is there after a restart. (Found in a
 // quiet day of a site with thousands of items: the leader encoded and wrote 24 MB in
 // its loop, sent no heartbeat meanwhile and lost its leadership.)
-func TestAMemberGoesOnWhileItsSnapshotIsWritten(t *testing.T) {
+func TestLeaderStaysDuringSnapshotWrite(t *testing.T) {
 	all, machines := startGroup(t)
 	awaitVoters(t, all, "a", "b", "c")
 	machines["d"].stop() // or it would take a place
@@ -76,21 +76,21 @@
 	for range 20 {
 		propose()
 	}
-	if shown := leader.member.Shown(); shown == nil || !shown.Settled {
+	if shown := leader.member.PublishedState(); shown == nil || !shown.LeaderReady {
 		t.Error("the leader lost its leadership")
 	}
 	release()
 	leader.stop()
 	leader.start()
 	until(t, "the member is back with all commands", func() bool {
-		shown := leader.member.Shown()
+		shown := leader.member.PublishedState()
 		return shown != nil && leader.applied() >= count
 	})
 }
 
 // TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt: its data is on the leader's
 // disk only, and a machine that joins after the log was compacted gets it.
-func TestASnapshotThatWasReleasedIsReadForWhoeverNeedsIt(t *testing.T) {
+func TestReleasedSnapshotIsReadFromDisk(t *testing.T) {
 	all, machines := startGroup(t)
 	awaitVoters(t, all, "a", "b", "c")
 	machines["d"].stop()
--- a/internal/app/group/standing.go
+++ b/internal/app/group/standing.go
@@ -49,7 +49,7 @@
 }
 
 // wasRemoved asks all other members that are known.
-func (m *Member) wasRemoved(ctx context.Context, stored identity, shown *Shown) bool {
+func (m *Member) wasRemoved(ctx context.Context, stored identity, shown *PublishedState) bool {
 	var contacts []string
 	for _, record := range shown.Records {
 		contacts = append(contacts, record.Address)
--- a/internal/app/group/standing_test.go
+++ b/internal/app/group/standing_test.go
@@ -140,7 +140,7 @@
 // leaderOf gives the machine among those named whose member leads.
 func leaderOf(machines map[string]*groupMachine, names ...string) *groupMachine {
 	for _, name := range names {
-		if shown := machines[name].member.Shown(); shown != nil && shown.Settled {
+		if shown := machines[name].member.PublishedState(); shown != nil && shown.LeaderReady {
 			return machines[name]
 		}
 	}
@@ -150,8 +150,8 @@
 // voters gives the names of the voters, as the leader among the machines sees them.
 func voters(machines []*groupMachine) []string {
 	for _, m := range machines {
-		shown := m.member.Shown()
-		if shown == nil || !shown.Settled {
+		shown := m.member.PublishedState()
+		if shown == nil || !shown.LeaderReady {
 			continue
 		}
 		var names []string
@@ -175,7 +175,7 @@
 // more, so it has to ask. (Found in a day of a site with four store machines: one
 // that had been cut off stood for election for the rest of the day, and the site had
 // no machine left for the next loss.)
-func TestAMemberThatWasRemovedWhileAwayTakesTheNextPlace(t *testing.T) {
+func TestRemovedMemberRejoins(t *testing.T) {
 	all, machines := startGroup(t)
 	awaitVoters(t, all, "a", "b", "c")
 
--- a/internal/app/group/suspend_test.go
+++ b/internal/app/group/suspend_test.go
@@ -12,7 +12,7 @@
 // election timeout may have a successor when it wakes up, and its steady clock does not show
 // that. It must not answer a read before a quorum has confirmed it, nor show that it is in
 // touch. Here the others cannot answer.
-func TestASuspendedLeaderAnswersNothingOnItsOwn(t *testing.T) {
+func TestSuspendedLeaderNeedsQuorum(t *testing.T) {
 	all, machines := startGroup(t)
 	awaitVoters(t, all, "a", "b", "c")
 	machines["d"].stop()
@@ -31,8 +31,8 @@
 		}
 	}
 	leader.suspend(10 * time.Second)
-	if shown := leader.member.Shown(); shown != nil && (shown.Settled || shown.Confirmed) {
-		t.Errorf("it shows settled %v, confirmed %v on waking up", shown.Settled, shown.Confirmed)
+	if shown := leader.member.PublishedState(); shown != nil && (shown.LeaderReady || shown.Confirmed) {
+		t.Errorf("it shows settled %v, confirmed %v on waking up", shown.LeaderReady, shown.Confirmed)
 	}
 	if err := read(300 * time.Millisecond); err == nil {
 		t.Error("it answered a read on its own")
@@ -41,19 +41,19 @@
 
 // TestALeaderThatWakesUpInTouchGoesOn: nothing else happened, so that it serves again as soon
 // as the others have answered, in the same term; also after a second suspension.
-func TestALeaderThatWakesUpInTouchGoesOn(t *testing.T) {
+func TestSuspendedLeaderResumesInSameTerm(t *testing.T) {
 	all, machines := startGroup(t)
 	awaitVoters(t, all, "a", "b", "c")
 	leader := leaderOf(machines, "a", "b", "c")
-	term := leader.member.Shown().Status.Term
+	term := leader.member.PublishedState().Status.Term
 	for range 2 {
 		leader.suspend(10 * time.Second)
 		until(t, "it is in touch again", func() bool {
-			shown := leader.member.Shown()
-			return shown != nil && shown.Settled
+			shown := leader.member.PublishedState()
+			return shown != nil && shown.LeaderReady
 		})
 	}
-	if now := leader.member.Shown().Status.Term; now != term {
+	if now := leader.member.PublishedState().Status.Term; now != term {
 		t.Errorf("term %d, was %d", now, term)
 	}
 }
--- a/internal/app/guard/guard_test.go
+++ b/internal/app/guard/guard_test.go
@@ -90,7 +90,7 @@
 
 // TestWhatOneProcessSawHoldsAtAnother: three replicas end under a request at one process, and
 // another one does not send it.
-func TestWhatOneProcessSawHoldsAtAnother(t *testing.T) {
+func TestCrashesAreSharedBetweenProcesses(t *testing.T) {
 	control := &group{}
 	first, second := newTestGuard(t, control, "a"), newTestGuard(t, control, "b")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -119,7 +119,7 @@
 }
 
 // TestTrialsAreOneSendEach: when a trial is due one of two processes gets it.
-func TestTrialsAreOneSendEach(t *testing.T) {
+func TestTrialIsGrantedToOneProcess(t *testing.T) {
 	control := &group{}
 	first, second := newTestGuard(t, control, "a"), newTestGuard(t, control, "b")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -157,7 +157,7 @@
 
 // TestATrialWhoseAnswerWasLostIsSent: the control group gave it, and the process heard nothing. It
 // is sent once when the view shows it.
-func TestATrialWhoseAnswerWasLostIsSent(t *testing.T) {
+func TestTrialWithLostGrantIsSentOnce(t *testing.T) {
 	control := &group{}
 	g := newTestGuard(t, control, "a")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -180,7 +180,7 @@
 // the cause took a replica each time, and one that is not was served, and refused as soon as
 // the view had the trial. It showed as two answers and then refusals, in the front's lines:
 // trial 1 was sent twice within 4 ms while the view had none given.
-func TestATrialIsOneSendThoughTheViewIsBehind(t *testing.T) {
+func TestTrialIsSentOnceWithStaleView(t *testing.T) {
 	control := &group{}
 	g := newTestGuard(t, control, "a")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -210,7 +210,7 @@
 
 // TestARequestThatIsWithheldAnewHasItsTrials: it was let go and withheld for other replicas,
 // between two views that the process got.
-func TestARequestThatIsWithheldAnewHasItsTrials(t *testing.T) {
+func TestTrialsRestartForNewWithholding(t *testing.T) {
 	control := &group{}
 	g := newTestGuard(t, control, "a")
 	for _, replica := range []string{"r1", "r2", "r3"} {
@@ -248,7 +248,7 @@
 
 // TestAReplicaThatAnswersHadNotEnded: only an answer to what was sent after the end was seen
 // tells that.
-func TestAReplicaThatAnswersHadNotEnded(t *testing.T) {
+func TestAnswerShowsReplicaIsAlive(t *testing.T) {
 	control := &group{}
 	g := newTestGuard(t, control, "a")
 	before := time.Now()
@@ -268,7 +268,7 @@
 }
 
 // TestWhatWasSeenWaitsForTheControlGroup also holds that it is bounded.
-func TestWhatWasSeenWaitsForTheControlGroup(t *testing.T) {
+func TestPendingEventsAreLimited(t *testing.T) {
 	control := &group{fails: true}
 	g := newTestGuard(t, control, "a")
 	for i := range 2 * maxPending {
@@ -286,7 +286,7 @@
 	}
 }
 
-func TestNoGuardWithholdsNothing(t *testing.T) {
+func TestNilGuard(t *testing.T) {
 	var g *Guard
 	g.Ended(asked.Fingerprint(), "r")
 	g.Served(asked.Fingerprint())
--- a/internal/app/held/held.go
+++ b/internal/app/held/held.go
@@ -21,7 +21,7 @@
 }
 
 // Held gives how many bytes are held.
-func (b *Budget) Held() int64 {
+func (b *Budget) Used() int64 {
 	if b == nil {
 		return 0
 	}
--- a/internal/app/held/held_test.go
+++ b/internal/app/held/held_test.go
@@ -12,27 +12,27 @@
 	"github.com/loomgrade/loomgrade/internal/app/held"
 )
 
-func TestABudgetBoundsAllTogether(t *testing.T) {
+func TestBudgetLimitsAllReservations(t *testing.T) {
 	budget := held.NewBudget(100)
 	first, second := budget.Open(), budget.Open()
 	if !first.Take(60) || second.Take(41) || !second.Take(40) || first.Take(1) {
-		t.Errorf("%d of 100 bytes are held", budget.Held())
+		t.Errorf("%d of 100 bytes are held", budget.Used())
 	}
 	first.Close()
 	first.Close()
 	if first.Take(1) {
 		t.Error("bytes are held for a request that has ended")
 	}
-	if got := budget.Held(); got != 40 {
+	if got := budget.Used(); got != 40 {
 		t.Errorf("%d bytes are held, want 40", got)
 	}
 	second.Close()
-	if got := budget.Held(); got != 0 {
+	if got := budget.Used(); got != 0 {
 		t.Errorf("%d bytes are held, want none", got)
 	}
 }
 
-func TestWithoutABudgetThereIsNoBound(t *testing.T) {
+func TestNoBudgetMeansNoLimit(t *testing.T) {
 	holding := held.NewBudget(0).Open()
 	defer holding.Close()
 	if !holding.Take(1<<40) || !(*held.Holding)(nil).Take(1) {
@@ -41,7 +41,7 @@
 }
 
 // TestRequestsThatEndWhileOthersTake: nothing stays held.
-func TestRequestsThatEndWhileOthersTake(t *testing.T) {
+func TestConcurrentReserveAndClose(t *testing.T) {
 	budget := held.NewBudget(1 << 20)
 	var group sync.WaitGroup
 	for range 50 {
@@ -56,12 +56,12 @@
 		group.Go(holding.Close)
 	}
 	group.Wait()
-	if got := budget.Held(); got != 0 {
+	if got := budget.Used(); got != 0 {
 		t.Errorf("%d bytes stay held", got)
 	}
 }
 
-func TestBodiesAreReadWholeAsFarAsThereIsRoom(t *testing.T) {
+func TestReadWithinBudget(t *testing.T) {
 	const kilo = 1 << 10
 	for name, row := range map[string]struct {
 		size  int
@@ -98,13 +98,13 @@
 			t.Errorf("%s: %d of %d bytes", name, len(read), row.size)
 		}
 		holding.Close()
-		if got := budget.Held(); got != 0 {
+		if got := budget.Used(); got != 0 {
 			t.Errorf("%s: %d bytes stay held", name, got)
 		}
 	}
 }
 
-func TestABodyThatEndsEarlyIsAnError(t *testing.T) {
+func TestReadTruncatedBody(t *testing.T) {
 	for _, size := range []int64{10, -1, 1 << 50} {
 		broken := io.MultiReader(strings.NewReader("four"), iotest.ErrReader(io.ErrUnexpectedEOF))
 		if _, _, _, err := held.Read(broken, size, nil); !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -37,10 +37,10 @@
 	View func() *sitestate.View
 	// Place gives the shard of a model whose jobs have none in the view yet, kept in one of
 	// the regions if any are given; the control group decides it.
-	Place func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
+	AssignShard func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
 	// KeepsWithin reports whether all machines that keep a shard's jobs stand in homes; nil
 	// knows of no regions.
-	KeepsWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
+	StoredWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
 }
 
 // Client asks the groups of the shards. It is safe for concurrent use.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if homes.Restricted() && (c.config.KeepsWithin == nil || !c.config.KeepsWithin(shard, homes)) {
+	if homes.Restricted() && (c.config.StoredWithin == nil || !c.config.StoredWithin(shard, homes)) {
 		return 0, port.NewError(port.NotRun, port.CodeUnavailable, "the jobs of the model are kept outside the regions where the job may be: %s", homes)
 	}
 	answer, err := c.call(ctx, Request{Shard: shard, Submit: submission})
@@ -91,7 +91,7 @@
 		}
 	}
 	// Nothing was sent to a shard yet, so the job has not run whatever failed.
-	shard, err := c.config.Place(ctx, model, homes.Regions())
+	shard, err := c.config.AssignShard(ctx, model, homes.Regions())
 	if err == nil && shard == 0 {
 		err = eris.New("no shard is known")
 	}
--- a/internal/app/jobsapi/client_test.go
+++ b/internal/app/jobsapi/client_test.go
@@ -86,7 +86,7 @@
 	}
 	return jobsapi.NewClient(jobsapi.Config{
 		Wire: options, View: func() *sitestate.View { return view },
-		Place: func(_ context.Context, model string, _ []string) (sitestate.ShardNumber, error) {
+		AssignShard: func(_ context.Context, model string, _ []string) (sitestate.ShardNumber, error) {
 			if model == "unplaceable" {
 				return 0, errors.New("no leader of the control group")
 			}
@@ -101,7 +101,7 @@
 	return ctx
 }
 
-func TestAJobGoesToTheShardOfItsModelAndIsFoundThere(t *testing.T) {
+func TestJobIsSentToShardOfItsModel(t *testing.T) {
 	client, shards := shardedClient(t, 3, 0, map[string]sitestate.ShardNumber{"a": 1})
 	for model, want := range map[string]int{"a": 0, "not placed yet": 1} {
 		if _, err := client.Submit(context.Background(), &jobstate.Submission{ID: "job of " + model, Model: model}, routing.AllowedRegions{}); err != nil {
@@ -126,7 +126,7 @@
 }
 
 // TestAJobIsDeniedOnlyIfEveryShardDeniesIt: one that does not answer may have it.
-func TestAJobIsDeniedOnlyIfEveryShardDeniesIt(t *testing.T) {
+func TestJobIsUnknownOnlyIfAllShardsAnswer(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 1}
 	for name, row := range map[string]struct {
 		up, down    int
--- a/internal/app/jobsapi/near_test.go
+++ b/internal/app/jobsapi/near_test.go
@@ -85,7 +85,7 @@
 
 // TestPagesAreReadInTheOwnZone: from a member that has what is asked for, else from the
 // leader.
-func TestPagesAreReadInTheOwnZone(t *testing.T) {
+func TestPagesAreReadFromZoneMember(t *testing.T) {
 	leader := &memberStandIn{name: "leader", zone: "b", results: 5}
 	near := &memberStandIn{name: "near", zone: "a", results: 3}
 	far := &memberStandIn{name: "far", zone: "c", results: 5}
@@ -101,7 +101,7 @@
 }
 
 // TestTheLeaderInTheOwnZoneIsAskedOnce: it is not asked a second time for what it has not.
-func TestTheLeaderInTheOwnZoneIsAskedOnce(t *testing.T) {
+func TestLeaderInZoneIsCalledOnce(t *testing.T) {
 	leader := &memberStandIn{name: "leader", zone: "a", results: 1}
 	client := groupClient(t, leader)
 	readFrom(t, client, 0)
@@ -115,7 +115,7 @@
 }
 
 // TestAMemberOfTheZoneThatFailedIsNotAskedFirst: readers do not wait for it again.
-func TestAMemberOfTheZoneThatFailedIsNotAskedFirst(t *testing.T) {
+func TestFailedZoneMemberIsInBackoff(t *testing.T) {
 	leader := &memberStandIn{name: "leader", zone: "b", results: 5}
 	near := &memberStandIn{name: "near", zone: "a", silent: true}
 	client := groupClient(t, leader, near)
--- a/internal/app/node/fault_test.go
+++ b/internal/app/node/fault_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestRequestKeyRunsOnceOverAllNodes(t *testing.T) {
+func TestRequestKeyRunsOnceAcrossNodes(t *testing.T) {
 	f, _, backEnds := applications(t, 2)
 	f.start("n2", "z1")
 	f.start("n3", "z2")
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestRequestKeyOutlivesAnyNode(t *testing.T) {
+func TestRequestKeySurvivesNodeLoss(t *testing.T) {
 	for _, closed := range []port.NodeID{"n1", "n2", "n3"} {
 		t.Run("without "+string(closed), func(t *testing.T) {
 			f, _, backEnds := applications(t, 1)
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestHomeLostAnotherTakesOver(t *testing.T) {
+func TestReplicasReassignedAfterHomeLoss(t *testing.T) {
 	f, engines := generations(t, 4, 3)
 	f.nodes["n1"].Close()
 	delete(f.nodes, "n1")
@@ -285,7 +285,7 @@
 	eventually(t, "confirmed service again", func() bool { return callPool("strict") == nil })
 }
 
-func TestDrainCutsNothingOff(t *testing.T) {
+func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	f, engines := generations(t, 2, 2)
 	var requests sync.WaitGroup
 	for _, n := range f.nodes {
@@ -331,7 +331,7 @@
 	}
 }
 
-func TestExplainOverNodesAndRestart(t *testing.T) {
+func TestExplainAcrossNodesAndRestart(t *testing.T) {
 	f, n, _ := applications(t, 1)
 	f.start("n2", "z1")
 	f.waitForNodes()
--- a/internal/app/node/gate/gate_test.go
+++ b/internal/app/node/gate/gate_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestWaitingEndsWithoutRunning(t *testing.T) {
+func TestQueuedRequestEndsWithoutRunning(t *testing.T) {
 	leaving := []gate.Replica{{ID: "a", Leaving: true}}
 	cases := []struct {
 		name string
--- a/internal/app/node/node_test.go
+++ b/internal/app/node/node_test.go
@@ -121,7 +121,7 @@
 
 // Close must wait for the control goroutine first, and then for the work that it
 // started. The race detector reports a violation.
-func TestANodeThatIsClosedStartsNoMoreWork(t *testing.T) {
+func TestCloseWaitsForControllerBeforeWork(t *testing.T) {
 	f := newFleet(t)
 	f.control.configure(t, port.Edit{PutPool: pool("app", port.PoolApplication)})
 	for range 40 {
--- a/internal/app/node/publications.go
+++ b/internal/app/node/publications.go
@@ -22,7 +22,7 @@
 	if e.call.Ended {
 		w.step(now, coordinator.PublicationEnded{Version: e.call.Version, Published: e.call.Published})
 	} else {
-		w.step(now, coordinator.PublicationBegun{Version: e.call.Version})
+		w.step(now, coordinator.PublicationStarted{Version: e.call.Version})
 	}
 	close(e.applied)
 }
--- a/internal/app/node/requestkeys/memory_test.go
+++ b/internal/app/node/requestkeys/memory_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func TestResendJoinsAndGetsTheOutcome(t *testing.T) {
+func TestRepeatedRequestJoinsAndReturnsOutcome(t *testing.T) {
 	store := requestkeys.New[string](time.Minute, 10)
 	attempt, first, err := store.Begin("key", 1, start)
 	if err != nil || !first {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestReviseAndDropConcernFinishedAttempts(t *testing.T) {
+func TestUpdateAndRemoveAffectOnlyFinishedAttempts(t *testing.T) {
 	store := requestkeys.New[string](time.Minute, 10)
 	attempt, _, _ := store.Begin("key", 1, start)
 	store.Update("key", 1, "too early")
--- a/internal/app/node/sampling_test.go
+++ b/internal/app/node/sampling_test.go
@@ -35,7 +35,7 @@
 	return f, started, sampled
 }
 
-func TestCoordinatorLostAnotherGoesOn(t *testing.T) {
+func TestCoordinatorFailover(t *testing.T) {
 	cases := []struct {
 		name string
 		stop func(f *fleet, id port.NodeID)
@@ -71,7 +71,7 @@
 
 // A trainer publishes at any node and continues once it is answered. From then on the
 // coordinator must not deliver by an older version, even if its view is outdated.
-func TestAPublicationIsKnownToTheCoordinatorFirst(t *testing.T) {
+func TestPublicationNotifiesCoordinatorFirst(t *testing.T) {
 	for _, at := range []string{"its own node", "another node"} {
 		t.Run(at, func(t *testing.T) {
 			f, _, _ := samplingFleet(t, 2, 2)
@@ -123,7 +123,7 @@
 	trainer.check(4 * sampled.Sampling.BatchSamples)
 }
 
-func TestNewTrainerFencesTheOldOneOff(t *testing.T) {
+func TestNewTrainerFencesOldTrainer(t *testing.T) {
 	f, _, _ := samplingFleet(t, 1, 2)
 	old := newTrainer(t, f, "lm")
 	old.publish(1)
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestFailedSwapIsSeenAndRepaired(t *testing.T) {
+func TestFailedSwapIsDetectedAndRepaired(t *testing.T) {
 	faults := []standin.Fault{
 		{Kind: standin.FaultSwapFails, Count: 1},
 		{Kind: standin.FaultSwapMisdirected, Count: 1, Version: 1},
--- a/internal/app/node/spool/spool_test.go
+++ b/internal/app/node/spool/spool_test.go
@@ -20,7 +20,7 @@
 	return opened, stored
 }
 
-func TestDecisionsSurviveARestartAndATornEnd(t *testing.T) {
+func TestDecisionsSurviveRestartAndIncompleteRecord(t *testing.T) {
 	folder := t.TempDir()
 	first, _ := open(t, folder, 1<<20)
 	for number := range 3 {
--- a/internal/app/proxy/candidates.go
+++ b/internal/app/proxy/candidates.go
@@ -24,7 +24,7 @@
 		return candidates{}
 	}
 	service := request.Service
-	all := within(view, view.ByService[service], request.Homes)
+	all := within(view, view.ByService[service], request.AllowedRegions)
 	limits := p.coldLimits(view, service)
 	if !limits.Bounded() {
 		return candidates{replicas: all}
--- a/internal/app/proxy/candidates_test.go
+++ b/internal/app/proxy/candidates_test.go
@@ -43,7 +43,7 @@
 
 // TestColdReplicasAreLeftToThoseWhoHaveAShare: the others send to warm ones, and refuse at
 // once, with the time to come back, if there are none.
-func TestColdReplicasAreLeftToThoseWhoHaveAShare(t *testing.T) {
+func TestColdReplicaSharesAcrossSenders(t *testing.T) {
 	const senders = 800
 	sent := 0
 	for i := range senders {
@@ -71,7 +71,7 @@
 }
 
 // TestAShareIsUsedUpAndComesBack: tries that are sent again count too.
-func TestAShareIsUsedUpAndComesBack(t *testing.T) {
+func TestColdShareRefills(t *testing.T) {
 	sender := coldSender("front", coldView(1, 1, 0))
 	count := 0
 	for {
@@ -90,7 +90,7 @@
 }
 
 // TestWarmReplicasHaveNoBound.
-func TestWarmReplicasHaveNoBound(t *testing.T) {
+func TestWarmReplicasAreUnlimited(t *testing.T) {
 	sender := coldSender("front", coldView(1000, 1))
 	for n := range 200 {
 		if _, found := sender.pick(&Request{Service: "s"}, map[string]bool{}); !found {
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -248,7 +248,7 @@
 		return false
 	}
 	left := e.expires - e.proxy.clock()
-	if deadline, _ := e.ctx.Deadline(); left > 0 && time.Until(deadline)-left > boottime.LeastSuspension {
+	if deadline, _ := e.ctx.Deadline(); left > 0 && time.Until(deadline)-left > boottime.MinSuspension {
 		ctx, cancel := context.WithTimeout(e.ctx, left)
 		whole := e.cancel
 		e.ctx, e.cancel = ctx, func() { cancel(); whole() }
@@ -326,7 +326,7 @@
 	}
 	answer := &Answer{Status: response.StatusCode, Header: response.Header, Replica: replica, holding: e.holding}
 	succeeded := response.StatusCode/100 == 2
-	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Seal) == "") {
+	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Signature) == "") {
 		_ = response.Body.Close()
 		return result{class: classBroken, reason: errors.New("a success without its id or seal")}
 	}
--- a/internal/app/proxy/exchange_test.go
+++ b/internal/app/proxy/exchange_test.go
@@ -28,12 +28,12 @@
 type terms struct{ dialect.Dialect }
 
 func (terms) Headers() dialect.Headers {
-	return dialect.Headers{RequestID: "Id", Deadline: "Deadline", ExpectInstance: "Instance", NotRun: "Not-Run", Seal: "Seal"}
+	return dialect.Headers{RequestID: "Id", Deadline: "Deadline", ExpectedInstance: "Instance", NotRun: "Not-Run", Signature: "Seal"}
 }
 
 // TestAReplicaThatEndsIsToldFromOtherFailures sends a request to a server that fails in
 // one way.
-func TestAReplicaThatEndsIsToldFromOtherFailures(t *testing.T) {
+func TestCrashIsDistinguishedFromOtherFailures(t *testing.T) {
 	for name, row := range map[string]struct {
 		serve func(connection net.Conn)
 		want  bool
@@ -93,7 +93,7 @@
 
 // TestARequestThatWaitedInSuspensionIsNotSentAgain: its first replica closes the connection
 // while the process is suspended for longer than the caller waits.
-func TestARequestThatWaitedInSuspensionIsNotSentAgain(t *testing.T) {
+func TestNoRetryAfterDeadlinePassedInSuspension(t *testing.T) {
 	var slept atomic.Int64
 	var sends atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -131,7 +131,7 @@
 
 // TestReplicasAreToldWhatASuspensionLeft: half of a caller's time passes in suspension during
 // the first send.
-func TestReplicasAreToldWhatASuspensionLeft(t *testing.T) {
+func TestSentDeadlineExcludesSuspension(t *testing.T) {
 	var slept atomic.Int64
 	// On a busy machine a second send may be under way before the first is answered.
 	var mutex sync.Mutex
@@ -150,7 +150,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(terms{}.Headers().RequestID, "1")
-		w.Header().Set(terms{}.Headers().Seal, "seal")
+		w.Header().Set(terms{}.Headers().Signature, "seal")
 	}))
 	defer server.Close()
 	sender := senderTo(server.Listener.Addr().String(), &slept)
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -56,7 +56,7 @@
 	// Connections bounds the connections to one replica.
 	Connections int
 	// Held bounds the answers that the process holds; nil is no bound.
-	Held *held.Budget
+	MemoryBudget *held.Budget
 	// Sender names the process among those that send to replicas, and Cold is what its cold
 	// replicas bear beyond their service's rate.
 	Sender string
@@ -72,7 +72,7 @@
 	return &Proxy{
 		client: replicacall.New(config.Dialect, config.Connections), headers: config.Dialect.Headers(), readLoad: config.Dialect.ReadLoad,
 		view: config.View, logger: config.Logger, guard: config.Guard, clock: config.Clock.OrSystem(), balancer: balance.New(),
-		held: config.Held, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
+		held: config.MemoryBudget, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
 	}
 }
 
@@ -89,7 +89,7 @@
 	// Aim is the time within which an answer is worth most; 0 is none.
 	Aim time.Duration
 	// Homes are the regions in which it may be served.
-	Homes routing.AllowedRegions
+	AllowedRegions routing.AllowedRegions
 	// Stream hands the answer over with its head, its body unread.
 	Stream bool
 }
@@ -195,8 +195,8 @@
 	if left := p.candidates(request, time.Now()).coldLeft; left > 0 {
 		return "the replicas of the service are cold, and this process has no share of what they bear", left
 	}
-	if request.Homes.Restricted() {
-		return "no replica of the service is known in the regions where the request may be served: " + request.Homes.String(), 0
+	if request.AllowedRegions.Restricted() {
+		return "no replica of the service is known in the regions where the request may be served: " + request.AllowedRegions.String(), 0
 	}
 	if view := p.view(); view != nil && len(view.Drained) > 0 {
 		return "no replica of the service is known outside the zones that are drained: " + strings.Join(view.Drained, ", "), 0
--- a/internal/app/replicacall/replicacall.go
+++ b/internal/app/replicacall/replicacall.go
@@ -80,7 +80,7 @@
 	if _, set := httpRequest.Header["User-Agent"]; !set {
 		httpRequest.Header.Set("User-Agent", "") // prevents net/http's default value
 	}
-	httpRequest.Header.Set(c.dialect.Headers().ExpectInstance, replica.InstanceName())
+	httpRequest.Header.Set(c.dialect.Headers().ExpectedInstance, replica.InstanceName())
 	return c.http.Send(httpRequest)
 }
 
--- a/internal/app/sitecontrol/calls.go
+++ b/internal/app/sitecontrol/calls.go
@@ -144,7 +144,7 @@
 
 // callOnce serves a request here if this member leads, else at the leader.
 func (c *Control) callOnce(ctx context.Context, request Request) (Answer, error) {
-	shown := c.member.Shown()
+	shown := c.member.PublishedState()
 	if shown == nil {
 		return Answer{NotLeader: true}, nil
 	}
--- a/internal/app/sitecontrol/clock.go
+++ b/internal/app/sitecontrol/clock.go
@@ -83,7 +83,7 @@
 }
 
 func (s *siteClock) read(ctx context.Context) (readings []sitetime.Reading, machines int) {
-	shown := s.control.member.Shown()
+	shown := s.control.member.PublishedState()
 	if shown == nil {
 		return nil, 0
 	}
--- a/internal/app/sitecontrol/clock_test.go
+++ b/internal/app/sitecontrol/clock_test.go
@@ -9,7 +9,7 @@
 
 // TestTheSitesTimeGoesOnInSuspension: the leader's machine is suspended for ten seconds between
 // two rounds of questions.
-func TestTheSitesTimeGoesOnInSuspension(t *testing.T) {
+func TestSiteTimeIncludesSuspension(t *testing.T) {
 	passed, wall := time.Hour, time.Unix(1_000_000, 0)
 	clock := newSiteClock(&Control{config: Config{Clock: func() time.Duration { return passed }}})
 	offset, sure := sitetime.Estimate([]sitetime.Reading{{Monotonic: passed, Wall: wall}}, 1)
--- a/internal/app/sitecontrol/cold_test.go
+++ b/internal/app/sitecontrol/cold_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-func TestWhatIsNewsOfAColdReplica(t *testing.T) {
+func TestColdPeriodChanged(t *testing.T) {
 	began := time.Now()
 	for name, row := range map[string]struct {
 		held, said uint32
@@ -34,7 +34,7 @@
 
 // TestTheNumberOfSendersIsRaisedAtOnceAndLoweredLate: those that are cut off go by the
 // number that they know.
-func TestTheNumberOfSendersIsRaisedAtOnceAndLoweredLate(t *testing.T) {
+func TestSenderCountDecreaseIsDelayed(t *testing.T) {
 	began := time.Now()
 	counted := newSenders()
 	step := func(name string, own int, committed uint32, after time.Duration, want uint32, wantDue bool) {
--- a/internal/app/sitecontrol/control.go
+++ b/internal/app/sitecontrol/control.go
@@ -37,7 +37,7 @@
 	// Seeds are addresses of control members.
 	Seeds []string
 	// Found lets the seeds found the group: the site starts for the first time.
-	Found bool
+	Bootstrap bool
 	// Folder holds the log.
 	Folder     string
 	FileSystem wal.FileSystem
@@ -49,7 +49,7 @@
 	ToleratedLosses int
 	// PlacesPerShard is how many places of engines one shard's leader serves; 0 takes
 	// DefaultPlacesPerShard.
-	PlacesPerShard int
+	SlotsPerShard int
 	// Zones gives the region of each zone of the site; empty where the settings name none.
 	Zones map[string]string
 	// HolderLease is how long replicas hold to the machine that ordered last.
@@ -68,9 +68,9 @@
 
 // Recorder measures what the leader does.
 type Recorder interface {
-	HeartbeatTaken()
+	HeartbeatAccepted()
 	// HeartbeatRefused counts one that names no replica to use, by the field at fault.
-	HeartbeatRefused(field string)
+	HeartbeatRejected(field string)
 	// LoadEnded counts an ordered load of weights.
 	LoadEnded(outcome string, took time.Duration)
 }
@@ -78,8 +78,8 @@
 // noRecorder measures nothing.
 type noRecorder struct{}
 
-func (noRecorder) HeartbeatTaken()                 {}
-func (noRecorder) HeartbeatRefused(string)         {}
+func (noRecorder) HeartbeatAccepted()              {}
+func (noRecorder) HeartbeatRejected(string)        {}
 func (noRecorder) LoadEnded(string, time.Duration) {}
 
 // Control is the control process.
@@ -117,7 +117,7 @@
 		config.Recorder = noRecorder{}
 	}
 	config.Clock = config.Clock.OrSystem()
-	config.PlacesPerShard = cmp.Or(config.PlacesPerShard, DefaultPlacesPerShard)
+	config.SlotsPerShard = cmp.Or(config.SlotsPerShard, DefaultPlacesPerShard)
 	c := &Control{
 		config: config, pool: wire.NewPool(config.Wire), wakes: map[chan struct{}]struct{}{},
 		seeds: slices.Clone(config.Seeds), senders: newSenders(), levels: newLevels(),
@@ -161,7 +161,7 @@
 }
 
 // HandOver gives leadership away before a planned stop.
-func (c *Control) HandOver(ctx context.Context) { c.member.HandOver(ctx) }
+func (c *Control) TransferLeadership(ctx context.Context) { c.member.TransferLeadership(ctx) }
 
 // SetSeeds replaces the addresses of known members after a change of settings.
 func (c *Control) SetSeeds(seeds []string) {
@@ -177,7 +177,7 @@
 	c.mutex.Lock()
 	seeds := slices.Sorted(slices.Values(c.seeds))
 	c.mutex.Unlock()
-	if !c.config.Found {
+	if !c.config.Bootstrap {
 		return group.Origin{Contacts: seeds}, nil
 	}
 	var founders []groupmember.Record
@@ -200,8 +200,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		shown := c.member.Shown()
-		leads := shown != nil && shown.Settled
+		shown := c.member.PublishedState()
+		leads := shown != nil && shown.LeaderReady
 		c.heartbeats.tend(ctx, leads)
 		c.stores.tend(ctx, leads)
 		c.lease.follow(leads)
@@ -225,7 +225,7 @@
 	if next.Configuration.Version != previous.Configuration.Version {
 		c.readTable(next.Configuration)
 	}
-	if step.Settled {
+	if step.LeaderReady {
 		c.logPublished(previous, next)
 	}
 	if len(previous.Suspects) > 0 || len(next.Suspects) > 0 {
@@ -274,12 +274,12 @@
 // IsVoter reports whether this member has a vote, in touch with a quorum and
 // caught up.
 func (c *Control) IsVoter() bool {
-	shown := c.member.Shown()
+	shown := c.member.PublishedState()
 	return shown != nil && shown.Confirmed && shown.Status.Membership.IsVoter(shown.Status.ID)
 }
 
 // Shown gives what the process's member last showed of itself, or nil.
-func (c *Control) Shown() *group.Shown { return c.member.Shown() }
+func (c *Control) PublishedState() *group.PublishedState { return c.member.PublishedState() }
 
 // View gives the control state as applied here. It is immutable.
 func (c *Control) View() *sitestate.View { return c.view.Load() }
--- a/internal/app/sitecontrol/heartbeats.go
+++ b/internal/app/sitecontrol/heartbeats.go
@@ -54,7 +54,7 @@
 // whether it did. It does not if the heartbeat tells anything new: that is
 // acknowledged only once the leader has committed it.
 func (h *heartbeats) takeHere(report sitestate.Replica) bool {
-	shown := h.control.member.Shown()
+	shown := h.control.member.PublishedState()
 	if shown == nil || !shown.Confirmed {
 		return false
 	}
@@ -62,7 +62,7 @@
 	if !known || !sameReport(held, report) || held.ColdMillis > 0 || report.ColdMillis > 0 {
 		return false
 	}
-	h.control.config.Recorder.HeartbeatTaken()
+	h.control.config.Recorder.HeartbeatAccepted()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.untold[held.ID] = true
@@ -74,7 +74,7 @@
 // that a replica is ready binds nobody, and one whose report did not get there reports again a
 // moment later. What binds, that it leaves, is acknowledged only once it is committed.
 func (h *heartbeats) takeOn(report sitestate.Replica) (bool, error) {
-	shown := h.control.member.Shown()
+	shown := h.control.member.PublishedState()
 	if report.State != sitestate.ReplicaReady || shown == nil || !shown.Confirmed {
 		return false, nil
 	}
@@ -82,7 +82,7 @@
 		return false, err
 	}
 	if shown.Leader.ID != shown.Status.ID {
-		h.control.config.Recorder.HeartbeatTaken()
+		h.control.config.Recorder.HeartbeatAccepted()
 		h.control.reports.join(report)
 		return true, nil
 	}
@@ -135,7 +135,7 @@
 // take serves a replica's heartbeat as the leader. Only what changes something
 // is put into the log; it is acknowledged once committed.
 func (h *heartbeats) take(ctx context.Context, report sitestate.Replica) (Answer, error) {
-	h.control.config.Recorder.HeartbeatTaken()
+	h.control.config.Recorder.HeartbeatAccepted()
 	held, known, err := h.checked(report)
 	if err != nil {
 		return Answer{}, err
@@ -232,7 +232,7 @@
 // tellLeader tells the leader which replicas were heard of here. What it does not
 // learn for want of one is told the next time.
 func (h *heartbeats) tellLeader(ctx context.Context) {
-	shown := h.control.member.Shown()
+	shown := h.control.member.PublishedState()
 	if shown == nil {
 		return
 	}
--- a/internal/app/sitecontrol/heartbeats_test.go
+++ b/internal/app/sitecontrol/heartbeats_test.go
@@ -10,7 +10,7 @@
 
 // TestOnlyReplicasThatNobodyHeardOfAreSilent: the leader takes out what neither it
 // nor a member that told it heard of.
-func TestOnlyReplicasThatNobodyHeardOfAreSilent(t *testing.T) {
+func TestTimedOutReplicas(t *testing.T) {
 	h := newHeartbeats(nil)
 	began := time.Now()
 	replicas := sitestate.SetOf(sitestate.Replica{ID: "told"}, sitestate.Replica{ID: "taken here"}, sitestate.Replica{ID: "by the leader"}, sitestate.Replica{ID: "nobody"})
@@ -32,7 +32,7 @@
 }
 
 // TestWhatIsToldIsForgottenOnceTold: a member tells each heartbeat once.
-func TestWhatIsToldIsForgottenOnceTold(t *testing.T) {
+func TestHeartbeatsAreReportedOnce(t *testing.T) {
 	h := newHeartbeats(nil)
 	h.untold["b"], h.untold["a"] = true, true
 	if told := h.takeUntold(); !slices.Equal(told, []string{"a", "b"}) {
--- a/internal/app/sitecontrol/lease.go
+++ b/internal/app/sitecontrol/lease.go
@@ -47,7 +47,7 @@
 // another member may have led for a moment between two.
 func (l *lease) follow(leads bool) {
 	term := uint64(0)
-	if shown := l.control.member.Shown(); leads && shown != nil {
+	if shown := l.control.member.PublishedState(); leads && shown != nil {
 		term = shown.Status.Term
 	}
 	if term != l.term {
@@ -123,14 +123,14 @@
 // failed it is gone until the next term, though the member leads on.
 func (l *lease) confirm(ctx context.Context) (authority, error) {
 	asked := l.control.config.Clock()
-	before := l.control.member.Shown()
+	before := l.control.member.PublishedState()
 	var holder sitestate.Holder
 	err := l.control.member.Read(ctx, func(machine groupmember.StateMachine) { holder = machine.(*sitestate.State).Holder() })
 	if err != nil {
 		return authority{}, err
 	}
-	after := l.control.member.Shown()
-	if before == nil || after == nil || !after.Settled || before.Status.Term != after.Status.Term || holder.Machine != l.control.config.Machine {
+	after := l.control.member.PublishedState()
+	if before == nil || after == nil || !after.LeaderReady || before.Status.Term != after.Status.Term || holder.Machine != l.control.config.Machine {
 		return authority{}, errNotHolder
 	}
 	return authority{term: after.Status.Term, until: asked + l.control.config.HolderLease + authorityMargin, clock: l.control.config.Clock}, nil
--- a/internal/app/sitecontrol/lease_test.go
+++ b/internal/app/sitecontrol/lease_test.go
@@ -8,7 +8,7 @@
 // TestAnAuthorityDoesNotOutliveASuspension: a holder is confirmed, suspended, and another one
 // takes over and orders. When the first wakes up it must not send what it was about to, whatever
 // its steady clock says.
-func TestAnAuthorityDoesNotOutliveASuspension(t *testing.T) {
+func TestAuthorityExpiresInSuspension(t *testing.T) {
 	passed := time.Hour
 	confirmed := authority{term: 3, until: passed + 3*time.Second, clock: func() time.Duration { return passed }}
 	if err := confirmed.check(); err != nil {
--- a/internal/app/sitecontrol/levels.go
+++ b/internal/app/sitecontrol/levels.go
@@ -38,7 +38,7 @@
 
 // common gives the level that all members of the group know. One that said nothing of late may
 // have been replaced by an earlier build.
-func (l *levels) common(shown *group.Shown, now time.Time) sitestate.Level {
+func (l *levels) common(shown *group.PublishedState, now time.Time) sitestate.Level {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	common := sitestate.LevelNewest
@@ -57,7 +57,7 @@
 
 // tendLevel raises the agreed level, as the leader, once all members know a higher one.
 func (c *Control) tendLevel(ctx context.Context, now time.Time) {
-	shown := c.member.Shown()
+	shown := c.member.PublishedState()
 	if shown == nil || sitestate.Level(c.levels.agreed.Load()) >= sitestate.LevelNewest {
 		return
 	}
--- a/internal/app/sitecontrol/levels_test.go
+++ b/internal/app/sitecontrol/levels_test.go
@@ -12,9 +12,9 @@
 
 // TestALevelIsThatOfAllMembers: one of an earlier build, which says nothing, keeps it down,
 // and so does one that has been silent.
-func TestALevelIsThatOfAllMembers(t *testing.T) {
+func TestCommonLevel(t *testing.T) {
 	now := time.Now()
-	shown := &group.Shown{}
+	shown := &group.PublishedState{}
 	shown.Status.ID = 1
 	shown.Records = []groupmember.Record{{ID: 1}, {ID: 2}, {ID: 3}}
 	for name, row := range map[string]struct {
--- a/internal/app/sitecontrol/loads.go
+++ b/internal/app/sitecontrol/loads.go
@@ -98,8 +98,8 @@
 		return 0, err
 	}
 	return w.replica.Order(attempt, target.Replica, dialect.Order{
-		Model: target.Model, Version: target.Version, Holder: w.control.config.Machine,
-		Fence: confirmed.term, ExpectedOrders: report.Orders,
+		Model: target.Model, Version: target.Version, LeaseHolder: w.control.config.Machine,
+		FencingToken: confirmed.term, ExpectedOrderCount: report.OrderCount,
 	})
 }
 
--- a/internal/app/sitecontrol/recent.go
+++ b/internal/app/sitecontrol/recent.go
@@ -44,7 +44,7 @@
 		return siteview.WatchAnswer{Update: u.update}
 	}
 	u.once.Do(func() {
-		packed, err := wire.MarshalPacked(u.update)
+		packed, err := wire.MarshalCompressed(u.update)
 		if err == nil {
 			u.packed = packed
 		}
--- a/internal/app/sitecontrol/refused.go
+++ b/internal/app/sitecontrol/refused.go
@@ -34,8 +34,8 @@
 }
 
 // RefuseReport counts a report that names no replica to use, and tells of it now and then.
-func (c *Control) RefuseReport(name string, fault *sitestate.ReportError) {
-	c.config.Recorder.HeartbeatRefused(string(fault.Field))
+func (c *Control) RejectReport(name string, fault *sitestate.ReportError) {
+	c.config.Recorder.HeartbeatRejected(string(fault.Field))
 	count, due := c.refused.due(time.Now())
 	if !due {
 		return
@@ -60,7 +60,7 @@
 	if fault == nil {
 		return nil
 	}
-	c.RefuseReport(report.InstanceName(), fault)
+	c.RejectReport(report.InstanceName(), fault)
 	return port.NewError(port.NotRun, port.CodeInvalid, "%v", fault)
 }
 
--- a/internal/app/sitecontrol/reports.go
+++ b/internal/app/sitecontrol/reports.go
@@ -154,7 +154,7 @@
 	for _, waiting := range batch {
 		asked.Reports = append(asked.Reports, waiting.report)
 	}
-	shown := r.control.member.Shown()
+	shown := r.control.member.PublishedState()
 	switch {
 	case shown == nil || shown.Leader.Address == "":
 		return ReportAnswers{}, nil
--- a/internal/app/sitecontrol/shards.go
+++ b/internal/app/sitecontrol/shards.go
@@ -42,7 +42,7 @@
 
 func (s *stores) limits() shardplan.Limits {
 	return shardplan.Limits{
-		Voters: s.voters(), Spares: s.control.config.ToleratedLosses + 1, SlotsPerShard: s.control.config.PlacesPerShard,
+		Voters: s.voters(), Spares: s.control.config.ToleratedLosses + 1, SlotsPerShard: s.control.config.SlotsPerShard,
 	}
 }
 
--- a/internal/app/sitecontrol/shards_test.go
+++ b/internal/app/sitecontrol/shards_test.go
@@ -42,7 +42,7 @@
 
 // TestFreeMachinesAreInvitedWhereTheyAreNeeded: one for each place, that of a zone which
 // has the fewest of the group before others.
-func TestFreeMachinesAreInvitedWhereTheyAreNeeded(t *testing.T) {
+func TestInviteFillsFreeSlots(t *testing.T) {
 	s := storesOf("f0", "f1", "f2")
 	invitations := func() string {
 		return fmt.Sprint(s.invitationOf("f0"), s.invitationOf("f1"), s.invitationOf("f2"), s.invitationOf("s1-0"))
@@ -73,7 +73,7 @@
 }
 
 // TestAMachineThatLostItsDiskGoesBackToItsGroup: the group counts on its address.
-func TestAMachineThatLostItsDiskGoesBackToItsGroup(t *testing.T) {
+func TestInviteMachineWithReplacedDisk(t *testing.T) {
 	s := storesOf("f0")
 	view := *s.control.view.Load()
 	view.Stores = slices.Clone(view.Stores)
@@ -90,7 +90,7 @@
 
 // TestAMachineIsEmptyOnceEveryGroupIsWholeWithoutIt: one that did not report may count
 // on it.
-func TestAMachineIsEmptyOnceEveryGroupIsWholeWithoutIt(t *testing.T) {
+func TestMachineIsEmptiedOnceGroupsAreComplete(t *testing.T) {
 	s := storesOf("f0")
 	if !s.holdsNothing("f0", 2) || s.holdsNothing("s1-0", 2) {
 		t.Error("a free machine holds nothing, a member does")
--- a/internal/app/sitecontrol/watch.go
+++ b/internal/app/sitecontrol/watch.go
@@ -76,7 +76,7 @@
 	defer c.removeWake(wake)
 	after, told, sent := request.After, 0, time.Time{}
 	for {
-		shown := c.member.Shown()
+		shown := c.member.PublishedState()
 		if shown == nil {
 			return port.NewError(port.NotRun, port.CodeUnavailable, "this member takes no part yet")
 		}
--- a/internal/app/sitecontrol/weights_test.go
+++ b/internal/app/sitecontrol/weights_test.go
@@ -15,7 +15,7 @@
 
 // TestAFailedLoadGivesItsPlaceFreeAndRests: a replica whose load failed counts as
 // loading no longer, and is left alone for longer each time.
-func TestAFailedLoadGivesItsPlaceFreeAndRests(t *testing.T) {
+func TestFailedLoadStartsBackoff(t *testing.T) {
 	w := newWeightsManager(&Control{config: Config{Dialect: noDialect{}}})
 	w.loading["i"] = "a"
 	w.ended("i", false)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRestsDoubleUpToTheLongest(t *testing.T) {
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	now := time.Now()
 	held := rest{}
 	for i, want := range []time.Duration{firstRest, 2 * firstRest, 4 * firstRest, longestRest, longestRest} {
--- a/internal/app/sitecontrol/wholeview.go
+++ b/internal/app/sitecontrol/wholeview.go
@@ -29,7 +29,7 @@
 	if w.packed != nil && now.Sub(w.madeAt) < wholeFor && w.position <= view.Position {
 		return w.packed, w.position, nil
 	}
-	packed, err = wire.MarshalPacked(view.Update())
+	packed, err = wire.MarshalCompressed(view.Update())
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/app/sitecontrol/wholeview_test.go
+++ b/internal/app/sitecontrol/wholeview_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestAWholeStateIsMadeOnceForAll: watchers that begin within a moment share one.
-func TestAWholeStateIsMadeOnceForAll(t *testing.T) {
+func TestFullViewIsCached(t *testing.T) {
 	now := time.Now()
 	steps := []struct {
 		name     string
@@ -47,7 +47,7 @@
 		}
 		before = packed
 		var update sitestate.Update
-		if err := wire.UnmarshalPacked(packed, 1<<20, &update); err != nil || update.Position != step.want || len(update.Replicas) != 3 || !update.Full {
+		if err := wire.UnmarshalCompressed(packed, 1<<20, &update); err != nil || update.Position != step.want || len(update.Replicas) != 3 || !update.Full {
 			t.Errorf("%s: %+v, %v", step.name, update, err)
 		}
 	}
@@ -55,11 +55,11 @@
 
 // BenchmarkWholeState compares a state that is encoded for each watcher that begins with
 // one that they share, at 130 replicas.
-func BenchmarkWholeState(b *testing.B) {
+func BenchmarkFullView(b *testing.B) {
 	view := viewOf(10, 130)
 	b.Run("for each", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := wire.MarshalPacked(view.Update()); err != nil {
+			if _, err := wire.MarshalCompressed(view.Update()); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/app/sitestore/calls.go
+++ b/internal/app/sitestore/calls.go
@@ -43,7 +43,7 @@
 	if refusal.Leader.Address != "" {
 		return refusal.Leader.Address
 	}
-	shown := s.member.Shown()
+	shown := s.member.PublishedState()
 	if shown == nil || shown.Shard != shard || shown.Leader.Address == s.config.Address {
 		return ""
 	}
@@ -131,10 +131,10 @@
 // mayAccept refuses while a quorum is too small to outlive the tolerated losses, and jobs
 // of so many bytes that the memory has no room for.
 func (s *Store) mayAccept(bytes int) *port.Error {
-	if most, held := s.config.MostJobBytes, int(s.JobBytes()); most > 0 && held+bytes > most {
+	if most, held := s.config.MaxJobBytes, int(s.JobBytes()); most > 0 && held+bytes > most {
 		return port.NewError(port.NotRun, port.CodeQueueFull, "the shard's jobs take %d of %d bytes of memory; %d more have no room", held, most, bytes)
 	}
-	shown := s.member.Shown()
+	shown := s.member.PublishedState()
 	if shown == nil {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "this machine takes no part in the store group yet")
 	}
--- a/internal/app/sitestore/calls_test.go
+++ b/internal/app/sitestore/calls_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestASiteWithTooFewStoresIsServedByAllThereAre(t *testing.T) {
+func TestUsesAllStores(t *testing.T) {
 	for _, row := range []struct {
 		name                   string
 		voters, active, wanted int
--- a/internal/app/sitestore/demand_test.go
+++ b/internal/app/sitestore/demand_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPeaksAreRememberedForAWhile(t *testing.T) {
+func TestPeaksExpire(t *testing.T) {
 	began := time.Now()
 	meter := newDemandMeter(began)
 	meter.notePeak(map[string]int{"m": 9}, began)
--- a/internal/app/sitestore/jobtimes_test.go
+++ b/internal/app/sitestore/jobtimes_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobstate"
 )
 
-func TestTheTimesOfAJob(t *testing.T) {
+func TestJobTimes(t *testing.T) {
 	times := newJobTimes(bookTime, 7)
 	at := func(ms int) time.Time { return bookTime.Add(time.Duration(ms) * time.Millisecond) }
 	var items []*work
--- a/internal/app/sitestore/leadership.go
+++ b/internal/app/sitestore/leadership.go
@@ -77,16 +77,16 @@
 // held up is out of touch until it is answered, some milliseconds later; to cut all runs
 // for that would have them all begin again at once. It waits no longer than patience: the
 // voters have had no leader for an election timeout then, and elect.
-func dutyOf(shown *group.Shown, l *leadership, now time.Time, patience time.Duration) duty {
+func dutyOf(shown *group.PublishedState, l *leadership, now time.Time, patience time.Duration) duty {
 	if shown == nil || shown.Status.Role != consensus.RoleLeader {
 		return dutyNone
 	}
 	same := l != nil && l.shard == sitestate.ShardNumber(shown.Shard) && l.term == shown.Status.Term
 	switch {
-	case shown.Settled && same:
+	case shown.LeaderReady && same:
 		l.unsettledAt = time.Time{}
 		return dutyGoOn
-	case shown.Settled:
+	case shown.LeaderReady:
 		return dutyBegin
 	case !same:
 		return dutyNone
--- a/internal/app/sitestore/leadership_test.go
+++ b/internal/app/sitestore/leadership_test.go
@@ -12,12 +12,12 @@
 // TestDuty: what a runner does by what its member shows, from step to step.
 func TestDuty(t *testing.T) {
 	const patience = 480 * time.Millisecond
-	shows := func(role consensus.Role, term uint64, settled bool) *group.Shown {
-		return &group.Shown{Shard: 2, Settled: settled, Status: consensus.Status{Role: role, Term: term}}
+	shows := func(role consensus.Role, term uint64, settled bool) *group.PublishedState {
+		return &group.PublishedState{Shard: 2, LeaderReady: settled, Status: consensus.Status{Role: role, Term: term}}
 	}
 	leads, outOfTouch := shows(consensus.RoleLeader, 5, true), shows(consensus.RoleLeader, 5, false)
 	for name, test := range map[string]struct {
-		shown *group.Shown
+		shown *group.PublishedState
 		had   *leadership
 		want  duty
 	}{
@@ -43,9 +43,9 @@
 
 // TestPatienceCountsAnew: a runner that was out of touch and is in touch again waits as
 // long as before.
-func TestPatienceCountsAnew(t *testing.T) {
+func TestDutyTimeoutRestarts(t *testing.T) {
 	const patience = time.Second
-	leader := &group.Shown{Status: consensus.Status{Role: consensus.RoleLeader}}
+	leader := &group.PublishedState{Status: consensus.Status{Role: consensus.RoleLeader}}
 	l := newLeadership(context.Background(), 0, 0)
 	defer l.cancel()
 	steps := []struct {
@@ -57,7 +57,7 @@
 		{false, time.Second, dutyHold}, {false, 1900 * time.Millisecond, dutyHold}, {false, 2 * time.Second, dutyNone},
 	}
 	for _, step := range steps {
-		leader.Settled = step.settled
+		leader.LeaderReady = step.settled
 		if got := dutyOf(leader, l, bookTime.Add(step.after), patience); got != step.want {
 			t.Errorf("after %v: %d, want %d", step.after, got, step.want)
 		}
--- a/internal/app/sitestore/move_test.go
+++ b/internal/app/sitestore/move_test.go
@@ -14,7 +14,7 @@
 // TestALateProcessMovesNothing: a fifth of the replicas is slow and its items move; when
 // all look slow it is the runner that has too little processor, and moves would cost it
 // more.
-func TestALateProcessMovesNothing(t *testing.T) {
+func TestDelayedProcessMovesNothing(t *testing.T) {
 	const usual, runsPerReplica, replicas = 40 * time.Millisecond, 2, 10
 	for name, row := range map[string]struct {
 		slow  int
--- a/internal/app/sitestore/pause_test.go
+++ b/internal/app/sitestore/pause_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestASingleLongPauseDoesNotCountForThePace(t *testing.T) {
+func TestPaceIgnoresSingleLongPause(t *testing.T) {
 	var meter pauseMeter
 	at := bookTime
 	meter.note(at)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestASilentRunIsAsSlowAsItIsSilent(t *testing.T) {
+func TestPaceOfStalledRun(t *testing.T) {
 	const usual = 40 * time.Millisecond
 	for name, row := range map[string]struct {
 		pace, at, now, want time.Duration
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWhatIsLeftOfATextIsLearnt(t *testing.T) {
+func TestRemainingLength(t *testing.T) {
 	learnt := lengths{}
 	item := func(expected, events int) *work {
 		w := &work{model: "m", events: events}
--- a/internal/app/sitestore/register.go
+++ b/internal/app/sitestore/register.go
@@ -150,8 +150,8 @@
 
 // describeGroup adds what the group's leader knows of its members.
 func (s *Store) describeGroup(heartbeat *sitecontrol.StoreHeartbeat) {
-	shown := s.member.Shown()
-	if shown == nil || !shown.Settled || sitestate.ShardNumber(shown.Shard) != heartbeat.Store.Shard {
+	shown := s.member.PublishedState()
+	if shown == nil || !shown.LeaderReady || sitestate.ShardNumber(shown.Shard) != heartbeat.Store.Shard {
 		return
 	}
 	heartbeat.Members = []string{}
@@ -172,7 +172,7 @@
 	}
 }
 
-func caughtUp(shown *group.Shown, record groupmember.Record) bool {
+func caughtUp(shown *group.PublishedState, record groupmember.Record) bool {
 	for _, peer := range shown.Status.Progress {
 		if peer.ID == record.ID {
 			return peer.Active && peer.CaughtUp
--- a/internal/app/sitestore/register_test.go
+++ b/internal/app/sitestore/register_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestTheShardOfAMachineWithItsFolder: which group it founds, joins or asks about itself.
-func TestTheShardOfAMachineWithItsFolder(t *testing.T) {
+func TestMembershipShard(t *testing.T) {
 	self := groupmember.Record{Address: "a", Incarnation: "x"}
 	shards := []sitestate.Shard{
 		{Number: 1, Founders: []groupmember.Record{{Address: "a", Incarnation: "earlier"}, {Address: "b", Incarnation: "x"}}},
--- a/internal/app/sitestore/replicabook_test.go
+++ b/internal/app/sitestore/replicabook_test.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func TestCandidatesCountWhatRuns(t *testing.T) {
+func TestCandidatesCountRuns(t *testing.T) {
 	view, table := bookView(sitestate.Replica{ID: "a", Slots: 2}, sitestate.Replica{ID: "b"})
 	book := newReplicaBook(0)
 	item := &work{item: jobstate.Item{Group: "g"}}
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestBlockedReplicasAreLeftOutForAWhile(t *testing.T) {
+func TestBlockedReplicasAreNoCandidates(t *testing.T) {
 	view, table := bookView(sitestate.Replica{ID: "a", Slots: 2})
 	book := newReplicaBook(0)
 	book.block("a", bookTime.Add(time.Second))
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestASlowReplicaIsExpectedToBeAsItUsuallyIsOnceTheMeasurementAges(t *testing.T) {
+func TestExpectedPaceReturnsToBaseline(t *testing.T) {
 	view, table := bookView(sitestate.Replica{ID: "slow", Slots: 2}, sitestate.Replica{ID: "fast", Slots: 2}, sitestate.Replica{ID: "new", Slots: 2})
 	book := newReplicaBook(0)
 	for range 200 {
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestAPlaceIsKeptForAnItemThatMoves(t *testing.T) {
+func TestReservedSlotsAreNotFree(t *testing.T) {
 	view, table := bookView(sitestate.Replica{ID: "a", Slots: 2})
 	book := newReplicaBook(0)
 	book.reserve("a")
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestVersionsShownByAnswersCountAtOnce(t *testing.T) {
+func TestVersionsFromResponses(t *testing.T) {
 	view, table := bookView(sitestate.Replica{ID: "a", Slots: 2, Models: []sitestate.ModelVersion{{Name: "m", Version: 3}}})
 	book := newReplicaBook(0)
 	book.entry("a").versions["m"] = 4
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestDemandFollowsWhatIsDoneAndOpen(t *testing.T) {
+func TestDemandRates(t *testing.T) {
 	meter := newDemandMeter(bookTime)
 	now := bookTime
 	var rates map[string]float64
@@ -179,7 +179,7 @@
 
 // TestAReplicaOfAnotherShardIsLeftAlone: also for a while after it has come over, as
 // the runner before may not know of it yet.
-func TestAReplicaOfAnotherShardIsLeftAlone(t *testing.T) {
+func TestReplicaOfAnotherShardIsNoCandidate(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 1, "b": 2}
 	sharded := func(model string) (*siteview.View, *routing.Table) {
 		view, table := bookView(sitestate.Replica{ID: "x", Slots: 2, Model: model})
--- a/internal/app/sitestore/run.go
+++ b/internal/app/sitestore/run.go
@@ -105,7 +105,7 @@
 		header.Set(headers.Tenant, item.tenant)
 	}
 	if last := item.begin(); last != "" {
-		header.Set(headers.LastEvent, last)
+		header.Set(headers.LastEventID, last)
 	}
 	response, err := r.replica.Send(ctx, replica, replicacall.Request{
 		Method: http.MethodPost, Target: item.item.Path, Host: item.host, ID: item.item.ID, Header: header, Body: item.item.Body, NoDeadline: true,
@@ -209,7 +209,7 @@
 		case failure != nil: // not answered; it is sent again
 			pause = max(pause, failure.RetryAfter)
 		case answer.Status/100 == 2:
-			return runScored, answer.Header.Get(r.store.config.Dialect.Headers().Seal), ""
+			return runScored, answer.Header.Get(r.store.config.Dialect.Headers().Signature), ""
 		case answer.Status == http.StatusInternalServerError:
 			failures++
 		}
@@ -243,7 +243,7 @@
 	answer, failure := r.store.config.Proxy.Do(ctx, proxy.Request{
 		Request: replicacall.Request{Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, ID: scorer.ID, Body: scorer.Body},
 		Service: service, Route: route.Name, Repeatable: true, MaxAttempts: 1,
-		Homes: routing.AllowedRegionsOf(route, nil),
+		AllowedRegions: routing.AllowedRegionsOf(route, nil),
 	})
 	return answer, max(1, route.MaxAttempts), failure
 }
--- a/internal/app/sitestore/runner.go
+++ b/internal/app/sitestore/runner.go
@@ -86,7 +86,7 @@
 
 // tend follows leadership, takes jobs over, starts items and keeps text.
 func (r *runner) tend(ctx context.Context) {
-	shown := r.store.member.Shown()
+	shown := r.store.member.PublishedState()
 	switch dutyOf(shown, r.leadership, time.Now(), r.store.member.ElectionTimeout()) {
 	case dutyNone:
 		r.stop()
--- a/internal/app/sitestore/scoregate_test.go
+++ b/internal/app/sitestore/scoregate_test.go
@@ -14,7 +14,7 @@
 
 // TestRewardCallsAreBoundedAtOnce: whatever comes and gives up, never more than allowed
 // run, and all that stay get their turn.
-func TestRewardCallsAreBoundedAtOnce(t *testing.T) {
+func TestScoreLimiterLimit(t *testing.T) {
 	const most, calls = 3, 200
 	gate := newScoreGate()
 	var running, highest, done atomic.Int64
@@ -51,7 +51,7 @@
 }
 
 // TestRewardCallsHaveTheirTurnInOrder: those that came first, at each service apart.
-func TestRewardCallsHaveTheirTurnInOrder(t *testing.T) {
+func TestScoreLimiterOrder(t *testing.T) {
 	gate := newScoreGate()
 	ctx := context.Background()
 	if err := gate.enter(ctx, "s", 1); err != nil {
@@ -93,7 +93,7 @@
 	return len(g.services[service].waiting)
 }
 
-func TestRewardCallsTakeAPartOfTheirServicesPlaces(t *testing.T) {
+func TestMaxScoreCalls(t *testing.T) {
 	for name, row := range map[string]struct {
 		replicas []sitestate.Replica
 		shards   int
--- a/internal/app/sitestore/store.go
+++ b/internal/app/sitestore/store.go
@@ -59,7 +59,7 @@
 	KeepJobs time.Duration
 	// MostJobBytes bounds the jobs that the member holds, as jobstate.State.Bytes counts
 	// them: beyond it a job is refused before it is kept. 0 is no bound.
-	MostJobBytes int
+	MaxJobBytes int
 }
 
 // Recorder measures the items of jobs.
@@ -149,14 +149,14 @@
 }
 
 // HandOver gives leadership away before a planned stop.
-func (s *Store) HandOver(ctx context.Context) { s.member.HandOver(ctx) }
+func (s *Store) TransferLeadership(ctx context.Context) { s.member.TransferLeadership(ctx) }
 
 // changed publishes that there is news, in the loop's goroutine.
 func (s *Store) changed(step group.Step) {
 	state := step.Machine.(*jobstate.State)
 	s.jobBytes.Store(int64(state.Bytes()))
-	if step.Settled != s.settled {
-		s.settled = step.Settled
+	if step.LeaderReady != s.settled {
+		s.settled = step.LeaderReady
 		s.runner.wakeUp()
 	}
 	if serial := state.JobSerial(); serial != s.jobSerial.Load() {
@@ -190,8 +190,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		shown := s.member.Shown()
-		if shown == nil || !shown.Settled {
+		shown := s.member.PublishedState()
+		if shown == nil || !shown.LeaderReady {
 			clear(s.seen)
 			continue
 		}
@@ -234,15 +234,15 @@
 
 // Leads reports whether this machine leads a shard's group, in touch with a quorum.
 func (s *Store) Leads() bool {
-	shown := s.member.Shown()
-	return shown != nil && shown.Settled
+	shown := s.member.PublishedState()
+	return shown != nil && shown.LeaderReady
 }
 
 // Shown gives what the process's member last showed of itself, or nil.
-func (s *Store) Shown() *group.Shown { return s.member.Shown() }
+func (s *Store) PublishedState() *group.PublishedState { return s.member.PublishedState() }
 
 // JobBytes gives about what the jobs of this machine's shard take in memory.
 func (s *Store) JobBytes() int64 { return s.jobBytes.Load() }
 
 // Open gives the number of items that are being done here.
-func (s *Store) Open() int64 { return s.open.Load() }
+func (s *Store) OpenItems() int64 { return s.open.Load() }
--- a/internal/app/sitestore/withhold_test.go
+++ b/internal/app/sitestore/withhold_test.go
@@ -69,7 +69,7 @@
 
 // TestTrialsOfAnItemAreFew: each trial that ends a replica too is followed by a longer wait,
 // the last one by none. A trial that no replica ran is not used up.
-func TestTrialsOfAnItemAreFew(t *testing.T) {
+func TestItemTrials(t *testing.T) {
 	r := quietRunner()
 	item := &work{key: jobqueue.Key{Job: "j"}, earlierEnds: 3}
 	r.works[item.key] = item
--- a/internal/app/siteview/cold_test.go
+++ b/internal/app/siteview/cold_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestColdReplicasCountFromWhenTheUpdateCame: a report that it is warm does not end it.
-func TestColdReplicasCountFromWhenTheUpdateCame(t *testing.T) {
+func TestColdPeriodsCountFromReceipt(t *testing.T) {
 	began := time.Unix(1000, 0)
 	told := func(id string, millis uint32) []sitestate.Update {
 		return []sitestate.Update{{Replicas: []sitestate.Replica{{ID: id, ColdMillis: millis}}}}
--- a/internal/app/siteview/regions.go
+++ b/internal/app/siteview/regions.go
@@ -10,7 +10,7 @@
 
 // KeepsWithin reports whether all machines that keep a shard's jobs stand in homes: those
 // of its group, and before they told so its founders.
-func (v *View) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
+func (v *View) StoredWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	if !homes.Restricted() {
 		return true
 	}
@@ -27,9 +27,9 @@
 }
 
 // KeepsWithin asks the present view.
-func (w *Watcher) KeepsWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
+func (w *Watcher) StoredWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
 	view := w.View()
-	return view != nil && view.KeepsWithin(shard, homes)
+	return view != nil && view.StoredWithin(shard, homes)
 }
 
 // founds reports whether a machine is a founder of a shard.
--- a/internal/app/siteview/siteview.go
+++ b/internal/app/siteview/siteview.go
@@ -35,7 +35,7 @@
 		return []sitestate.Update{a.Update}, nil
 	}
 	var whole sitestate.Update
-	if err := wire.UnmarshalPacked(a.Whole, maxWholeBytes, &whole); err != nil {
+	if err := wire.UnmarshalCompressed(a.Whole, maxWholeBytes, &whole); err != nil {
 		return nil, eris.Wrap(err, "the whole state")
 	}
 	return []sitestate.Update{whole, a.Update}, nil
--- a/internal/app/siteview/siteview_test.go
+++ b/internal/app/siteview/siteview_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestAnswerBringsTheWholeStateAndWhatFollowed: in that order, after a way over the wire.
-func TestAnswerBringsTheWholeStateAndWhatFollowed(t *testing.T) {
-	whole, err := wire.MarshalPacked(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
+func TestWatchAnswerUpdates(t *testing.T) {
+	whole, err := wire.MarshalCompressed(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 // TestAViewIsNotConfirmedOnWakingUp: a process that was suspended believes that its view was
 // confirmed just now, by its steady clock; a key may have been taken away or a route added
 // meanwhile.
-func TestAViewIsNotConfirmedOnWakingUp(t *testing.T) {
+func TestViewIsNotConfirmedAfterSuspension(t *testing.T) {
 	slept := time.Duration(0)
 	watcher := New(Config{
 		Changed: func(*View) {}, Clock: func() time.Duration { return boottime.Now() + slept },
--- a/internal/core/coordinator/coordinator.go
+++ b/internal/core/coordinator/coordinator.go
@@ -170,7 +170,7 @@
 		c.ledgerRead(event)
 	case WeightsPublished:
 		c.weightsPublished(event.Weights)
-	case PublicationBegun:
+	case PublicationStarted:
 		c.pendingPublication.begin(event.Version, c.now)
 	case PublicationEnded:
 		c.publicationEnded(event)
--- a/internal/core/coordinator/events.go
+++ b/internal/core/coordinator/events.go
@@ -107,7 +107,7 @@
 type WeightsPublished struct{ Weights port.PublishedWeights }
 
 // PublicationBegun reports that the publication of a version is being sent to the log.
-type PublicationBegun struct{ Version port.WeightVersion }
+type PublicationStarted struct{ Version port.WeightVersion }
 
 // PublicationEnded reports the outcome of a publication; Published is false if it failed
 // or its outcome is unknown.
@@ -136,23 +136,23 @@
 // commit is pending.
 type Drain struct{}
 
-func (Tick) event()             {}
-func (PromptsArrived) event()   {}
-func (PromptsFailed) event()    {}
-func (SampleProgress) event()   {}
-func (SampleFinished) event()   {}
-func (SampleFailed) event()     {}
-func (Scored) event()           {}
-func (ScoreFailed) event()      {}
-func (BatchRequested) event()   {}
-func (RequestAbandoned) event() {}
-func (CommitAnswered) event()   {}
-func (LedgerRead) event()       {}
-func (WeightsPublished) event() {}
-func (PublicationBegun) event() {}
-func (PublicationEnded) event() {}
-func (CapacityChanged) event()  {}
-func (SettingsChanged) event()  {}
-func (LeaseRenewed) event()     {}
-func (LeaseLost) event()        {}
-func (Drain) event()            {}
+func (Tick) event()               {}
+func (PromptsArrived) event()     {}
+func (PromptsFailed) event()      {}
+func (SampleProgress) event()     {}
+func (SampleFinished) event()     {}
+func (SampleFailed) event()       {}
+func (Scored) event()             {}
+func (ScoreFailed) event()        {}
+func (BatchRequested) event()     {}
+func (RequestAbandoned) event()   {}
+func (CommitAnswered) event()     {}
+func (LedgerRead) event()         {}
+func (WeightsPublished) event()   {}
+func (PublicationStarted) event() {}
+func (PublicationEnded) event()   {}
+func (CapacityChanged) event()    {}
+func (SettingsChanged) event()    {}
+func (LeaseRenewed) event()       {}
+func (LeaseLost) event()          {}
+func (Drain) event()              {}
--- a/internal/core/coordinator/fault_test.go
+++ b/internal/core/coordinator/fault_test.go
@@ -151,7 +151,7 @@
 			w.tick(time.Millisecond)
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			state := w.ledgerState()
-			w.step(w.current, coordinator.PublicationBegun{Version: w.published + 3})
+			w.step(w.current, coordinator.PublicationStarted{Version: w.published + 3})
 			w.published += 3
 			w.step(w.current, coordinator.LedgerRead{State: state})
 			if _, delivered := w.deliveries[token]; delivered {
@@ -163,7 +163,7 @@
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			w.next = 1
-			w.step(w.current, coordinator.PublicationBegun{Version: w.published + 3})
+			w.step(w.current, coordinator.PublicationStarted{Version: w.published + 3})
 			w.step(w.current, coordinator.PublicationEnded{Version: w.published + 3})
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.read()
@@ -171,7 +171,7 @@
 		},
 		"a publication without reported outcome expires": func(t *testing.T, w *world) {
 			w.train()
-			w.step(w.current, coordinator.PublicationBegun{Version: w.published + 3})
+			w.step(w.current, coordinator.PublicationStarted{Version: w.published + 3})
 			w.tick(pastRedeliveryGrace)
 			w.next = 1
 			token := w.requestBatch(1, w.trainer, time.Minute)
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -19,13 +19,13 @@
 	// Deadline is the caller's timeout in milliseconds.
 	Deadline string
 	// Seal is the signature of a replica's response.
-	Seal string
+	Signature string
 	// ExpectInstance makes every replica except the named one reject the request.
-	ExpectInstance string
+	ExpectedInstance string
 	// NotRun marks the rejection of a request that did not run.
 	NotRun string
 	// LastEvent is the id of the last event that the caller received.
-	LastEvent string
+	LastEventID string
 	// WeightVersion is the weight version that produced a response. Its name in
 	// lower case starts the event from which the version changed.
 	WeightVersion string
@@ -37,8 +37,8 @@
 	// Load is a replica's load, sent with a response; ReadLoad decodes it.
 	Load string
 	// Holder and Fence identify the caller of the provider and its term.
-	Holder string
-	Fence  string
+	LeaseHolder  string
+	FencingToken string
 }
 
 // Call is an HTTP request to a replica or to the provider.
@@ -53,11 +53,11 @@
 	Model   string
 	Version uint64
 	// Holder and Fence identify the sender and its term.
-	Holder string
-	Fence  uint64
+	LeaseHolder  string
+	FencingToken uint64
 	// ExpectedOrders is the number of orders that the replica has accepted; it
 	// rejects this one if the number differs.
-	ExpectedOrders uint64
+	ExpectedOrderCount uint64
 }
 
 // Report is a replica's status report.
@@ -66,9 +66,9 @@
 	// Loading is set while an order is in progress.
 	Loading bool
 	// Orders is the number of orders that the replica has accepted.
-	Orders  uint64
-	Running int
-	Waiting int
+	OrderCount uint64
+	Running    int
+	Waiting    int
 }
 
 // Dialect names and encodes the product's terms.
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -176,7 +176,7 @@
 }
 
 func (c *checker) duration(key string, value settings.Duration, low, high time.Duration) {
-	if fault := value.Outside(key, low, high); fault != nil {
+	if fault := value.CheckRange(key, low, high); fault != nil {
 		c.faults = append(c.faults, fault)
 	}
 }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -75,7 +75,7 @@
 		if parsed < minEngineTime || parsed > most {
 			return errOutside
 		}
-		*field(overrides) = settings.DurationOf(parsed)
+		*field(overrides) = settings.NewDuration(parsed)
 		return nil
 	}
 	return sweepSetting{
--- a/internal/lab/localsite/dialect.go
+++ b/internal/lab/localsite/dialect.go
@@ -39,9 +39,9 @@
 // Headers implements dialect.Dialect.
 func (labDialect) Headers() dialect.Headers {
 	return dialect.Headers{
-		RequestID: headerID, Deadline: headerDeadline, Seal: headerSeal, ExpectInstance: headerInstance,
-		NotRun: headerNotRun, LastEvent: headerEvent, WeightVersion: headerVersion,
-		Key: headerKey, Tenant: headerTenant, Holder: headerHolder, Fence: headerFence,
+		RequestID: headerID, Deadline: headerDeadline, Signature: headerSeal, ExpectedInstance: headerInstance,
+		NotRun: headerNotRun, LastEventID: headerEvent, WeightVersion: headerVersion,
+		Key: headerKey, Tenant: headerTenant, LeaseHolder: headerHolder, FencingToken: headerFence,
 	}
 }
 
--- a/internal/lab/localsite/replica.go
+++ b/internal/lab/localsite/replica.go
@@ -96,7 +96,7 @@
 func (r *replica) report(w http.ResponseWriter) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_ = json.NewEncoder(w).Encode(dialect.Report{Models: modelsAt(r.model, r.version), Loading: r.loading, Orders: r.orders, Running: r.running})
+	_ = json.NewEncoder(w).Encode(dialect.Report{Models: modelsAt(r.model, r.version), Loading: r.loading, OrderCount: r.orders, Running: r.running})
 }
 
 func (r *replica) takeOrder(w http.ResponseWriter, request *http.Request) {
@@ -107,7 +107,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.loading || order.ExpectedOrders != r.orders {
+	if r.loading || order.ExpectedOrderCount != r.orders {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
--- a/internal/lab/localsite/site.go
+++ b/internal/lab/localsite/site.go
@@ -93,7 +93,7 @@
 	}
 	s.watcher = s.newWatcher("driver", func(*siteview.View) {})
 	s.spawn(func() { _ = s.watcher.Run(ctx) })
-	s.jobs = jobsapi.NewClient(jobsapi.Config{Wire: wireOptions("driver"), View: s.watcher.State, Place: sitecontrol.Placer(s.watcher)})
+	s.jobs = jobsapi.NewClient(jobsapi.Config{Wire: wireOptions("driver"), View: s.watcher.State, AssignShard: sitecontrol.Placer(s.watcher)})
 	if err := s.startReplicas(seed); err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 func (s *Site) startControl(ctx context.Context, i int, listener net.Listener, seed uint64) {
 	name := fmt.Sprintf("control-%d", i)
 	member := sitecontrol.New(sitecontrol.Config{
-		Machine: name, Address: listener.Addr().String(), Seeds: s.seeds, Found: true, Folder: filepath.Join(s.folder, name),
+		Machine: name, Address: listener.Addr().String(), Seeds: s.seeds, Bootstrap: true, Folder: filepath.Join(s.folder, name),
 		Wire: wireOptions(name), Dialect: labDialect{}, Logger: s.logger, Seed: seed + uint64(i),
 		ToleratedLosses: 1, HolderLease: holderLease,
 	})
--- a/internal/lab/sim/fault/trainernode.go
+++ b/internal/lab/sim/fault/trainernode.go
@@ -96,7 +96,7 @@
 		control.propose(&n.process, command, callTimeout, handle)
 		return
 	}
-	n.notifyCoordinator(coordinator.PublicationBegun{Version: publish.Version}, func() {
+	n.notifyCoordinator(coordinator.PublicationStarted{Version: publish.Version}, func() {
 		control.propose(&n.process, command, callTimeout, func(result port.Result, failure *port.Error) {
 			published := failure == nil && result.Error == nil
 			ended := coordinator.PublicationEnded{Version: publish.Version, Published: published}
--- a/test/site/harness_test.go
+++ b/test/site/harness_test.go
@@ -226,9 +226,9 @@
 		cloud = provider.New(s.provider.Address(), platform.Dialect{})
 	}
 	p.control = sitecontrol.New(sitecontrol.Config{
-		Machine: p.name, Address: p.address, HeartbeatAddress: p.address, Seeds: s.seeds, Found: first, Folder: "/data/control", FileSystem: p.disk,
+		Machine: p.name, Address: p.address, HeartbeatAddress: p.address, Seeds: s.seeds, Bootstrap: first, Folder: "/data/control", FileSystem: p.disk,
 		Wire: wireOptions(p.name), Dialect: platform.Dialect{}, Logger: s.logger(p.name), Seed: uint64(len(p.name)) + uint64(p.name[len(p.name)-1]),
-		Zones: s.zones, ToleratedLosses: s.losses, PlacesPerShard: s.placesPerShard, HolderLease: s.holderLease,
+		Zones: s.zones, ToleratedLosses: s.losses, SlotsPerShard: s.placesPerShard, HolderLease: s.holderLease,
 		Provider: cloud, UsageWindow: usageWindow, UsageDue: usageDue, Clock: p.clock,
 	})
 	p.control.Register(p.server)
@@ -246,7 +246,7 @@
 	p.store = sitestore.New(sitestore.Config{
 		Machine: p.name, Zone: s.storeZone(p), Address: p.address, Folder: "/data/store", FileSystem: p.disk, Wire: wireOptions(p.name),
 		Dialect: platform.Dialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger(p.name), Seed: uint64(p.name[len(p.name)-1]),
-		ToleratedLosses: s.losses, KeepJobs: time.Minute, MostJobBytes: s.mostJobBytes, Clock: p.clock,
+		ToleratedLosses: s.losses, KeepJobs: time.Minute, MaxJobBytes: s.mostJobBytes, Clock: p.clock,
 	})
 	p.store.Register(p.server)
 	s.listen(p)
@@ -277,7 +277,7 @@
 	withholds := sitecontrol.NewGuard(name, watcher, s.logger(name))
 	sender = proxy.New(proxy.Config{
 		Dialect: platform.Dialect{}, View: watcher.View, Logger: s.logger(name), Connections: 8, Guard: withholds, Clock: p.clock,
-		Sender: name, Cold: coldLimits, Held: s.budget,
+		Sender: name, Cold: coldLimits, MemoryBudget: s.budget,
 	})
 	p.run(func() { _ = withholds.Run(ctx) })
 	return watcher, sender
@@ -299,10 +299,10 @@
 		p.run(func() { _ = counted.Run(ctx) })
 	}
 	p.front = front.New(front.Config{
-		Usage:   counted,
-		Held:    s.budget,
-		Dialect: platform.Dialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger(p.name), Idle: idle,
-		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: wireOptions(p.name), Zone: "z", View: watcher.State, Place: sitecontrol.Placer(watcher), KeepsWithin: watcher.KeepsWithin}),
+		Usage:        counted,
+		MemoryBudget: s.budget,
+		Dialect:      platform.Dialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger(p.name), Idle: idle,
+		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: wireOptions(p.name), Zone: "z", View: watcher.State, AssignShard: sitecontrol.Placer(watcher), StoredWithin: watcher.StoredWithin}),
 	})
 	p.http = httptest.NewUnstartedServer(platform.FrontHandler(p.front))
 	p.http.Listener = smallBuffers{p.http.Listener}
--- a/test/site/shards_test.go
+++ b/test/site/shards_test.go
@@ -39,7 +39,7 @@
 			if p.cancel == nil || !p.store.Leads() {
 				continue
 			}
-			if shown := p.store.Shown(); shown != nil && sitestate.ShardNumber(shown.Shard) == shard {
+			if shown := p.store.PublishedState(); shown != nil && sitestate.ShardNumber(shown.Shard) == shard {
 				leader = p
 				return true
 			}
@@ -132,7 +132,7 @@
 			if p.cancel == nil {
 				continue
 			}
-			shown := p.store.Shown()
+			shown := p.store.PublishedState()
 			if shown == nil || sitestate.ShardNumber(shown.Shard) != shard {
 				continue
 			}
--- a/test/site/site_test.go
+++ b/test/site/site_test.go
@@ -107,7 +107,7 @@
 func TestRequestsPassUntouched(t *testing.T) {
 	s, plainReplica, _ := serving(t)
 	status, body, header := s.call("/plain/a%2Fb//c?x=%20y&z", "attempt-1")
-	if status != http.StatusOK || body != "answer of i-plain to attempt-1" || header.Get(sitestandin.Headers.Seal) != sitestandin.SealOf("attempt-1") {
+	if status != http.StatusOK || body != "answer of i-plain to attempt-1" || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("attempt-1") {
 		t.Fatalf("%d %q %v", status, body, header)
 	}
 	seen := plainReplica.Arrivals()
@@ -155,11 +155,11 @@
 	until(s.t, "a control member leads and the others follow", func() bool {
 		leader, followers = nil, nil
 		for _, p := range s.controls {
-			shown := p.control.Shown()
+			shown := p.control.PublishedState()
 			switch {
 			case shown == nil || !shown.Confirmed:
 				return false
-			case shown.Settled:
+			case shown.LeaderReady:
 				leader = p
 			default:
 				followers = append(followers, p)
@@ -193,7 +193,7 @@
 	}
 	until(t, "the leader has committed it, without a further heartbeat", func() bool { return leader.control.View().Replicas.Has(report.ID) })
 	until(t, "the follower knows it", func() bool { return follower.View().Replicas.Has(report.ID) })
-	committed := leader.control.Shown().Applied
+	committed := leader.control.PublishedState().Applied
 	if _, err := beat(); err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 	if held, err := beat(); err != nil || held.State != sitestate.ReplicaDraining {
 		t.Errorf("a replica that drains is acknowledged before it is committed: %+v, %v", held, err)
 	}
-	if got := leader.control.Shown().Applied; got <= committed {
+	if got := leader.control.PublishedState().Applied; got <= committed {
 		t.Errorf("applied %d, then %d", committed, got)
 	}
 	fresh := report
@@ -213,7 +213,7 @@
 	leader.kill()
 	followers[1].kill()
 	until(t, "the last member knows that it is alone", func() bool {
-		shown := follower.Shown()
+		shown := follower.PublishedState()
 		return shown != nil && !shown.Confirmed
 	})
 	if _, err := beat(); err == nil {
@@ -428,9 +428,9 @@
 // crawl answers an item's request with long pauses between events.
 func crawl(w http.ResponseWriter, r *http.Request, events int) bool {
 	id := r.Header.Get(sitestandin.Headers.RequestID)
-	w.Header().Set(sitestandin.Headers.Seal, sitestandin.SealOf(id))
+	w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(id))
 	w.Header().Set(sitestandin.Headers.WeightVersion, "1")
-	last, _ := strconv.Atoi(r.Header.Get(sitestandin.Headers.LastEvent))
+	last, _ := strconv.Atoi(r.Header.Get(sitestandin.Headers.LastEventID))
 	for event := last + 1; event <= events; event++ {
 		pause := crawlPause
 		if event == last+1 {
@@ -453,7 +453,7 @@
 	s.add(second)
 	var broken atomic.Bool
 	first.Behave = func(w http.ResponseWriter, r *http.Request) bool {
-		if r.Header.Get(sitestandin.Headers.LastEvent) != "" || !broken.CompareAndSwap(false, true) {
+		if r.Header.Get(sitestandin.Headers.LastEventID) != "" || !broken.CompareAndSwap(false, true) {
 			return false
 		}
 		w.Header().Set(sitestandin.Headers.WeightVersion, "1")
@@ -551,7 +551,7 @@
 	const tries = 10
 	for range tries {
 		leader, followers := s.leaderAndFollowers()
-		shown := leader.control.Shown()
+		shown := leader.control.PublishedState()
 		best := shown.Status.Progress[0]
 		for _, peer := range shown.Status.Progress {
 			if peer.Match > best.Match {
@@ -565,8 +565,8 @@
 			}
 		}
 		lost.kill()
-		leader.control.HandOver(s.t.Context())
-		after := leader.control.Shown()
+		leader.control.TransferLeadership(s.t.Context())
+		after := leader.control.PublishedState()
 		s.startControl(lost, false)
 		if after != nil && after.Status.Term == shown.Status.Term && after.Status.Role == consensus.RoleLeader && !after.Status.LeaseValid {
 			return leader
--- a/test/site/slowreader_test.go
+++ b/test/site/slowreader_test.go
@@ -42,7 +42,7 @@
 	for i := range 8 {
 		replica := sitestandin.NewReplica(t, fmt.Sprint("i-", i), plain)
 		replica.Behave = func(w http.ResponseWriter, r *http.Request) bool {
-			w.Header().Set(sitestandin.Headers.Seal, sitestandin.SealOf(r.Header.Get(sitestandin.Headers.RequestID)))
+			w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(r.Header.Get(sitestandin.Headers.RequestID)))
 			w.Header().Set("Content-Length", strconv.Itoa(answerBytes))
 			_, _ = io.WriteString(w, content)
 			return true
@@ -72,7 +72,7 @@
 	group.Wait()
 	most, deadline := int64(0), time.Now().Add(2*time.Second)
 	for time.Now().Before(deadline) {
-		most = max(most, s.budget.Held())
+		most = max(most, s.budget.Used())
 		time.Sleep(5 * time.Millisecond)
 	}
 	if most > heldBytes {
@@ -106,7 +106,7 @@
 		})
 	}
 	group.Wait()
-	until(t, "nothing is held any more", func() bool { return s.budget.Held() == 0 })
+	until(t, "nothing is held any more", func() bool { return s.budget.Used() == 0 })
 }
 
 // slowDialer makes connections whose kernel takes little of what is not read.
--- a/test/site/stream_test.go
+++ b/test/site/stream_test.go
@@ -31,11 +31,11 @@
 	var broken, runs atomic.Int64
 	breakOnce := func(w http.ResponseWriter, r *http.Request) bool {
 		runs.Add(1)
-		if r.Header.Get(sitestandin.Headers.LastEvent) != "" || !broken.CompareAndSwap(0, 1) {
+		if r.Header.Get(sitestandin.Headers.LastEventID) != "" || !broken.CompareAndSwap(0, 1) {
 			return false
 		}
 		id := r.Header.Get(sitestandin.Headers.RequestID)
-		w.Header().Set(sitestandin.Headers.Seal, sitestandin.SealOf(id))
+		w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(id))
 		fmt.Fprintf(w, "id: 1\ndata: %s\n\nid: 2\nda", sitestandin.EventData(id, 1))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -46,7 +46,7 @@
 		s.add(engine)
 	}
 	status, body, header := s.call("/stream/x", "resumed")
-	if status != http.StatusOK || body != wholeStream("resumed", sitestandin.DefaultEvents) || header.Get(sitestandin.Headers.Seal) != sitestandin.SealOf("resumed") {
+	if status != http.StatusOK || body != wholeStream("resumed", sitestandin.DefaultEvents) || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("resumed") {
 		t.Errorf("resumable: %d %q", status, body)
 	}
 	if runs.Load() != 2 {
--- a/test/site/traps_test.go
+++ b/test/site/traps_test.go
@@ -50,7 +50,7 @@
 
 // answerTo is a whole answer of a replica.
 func answerTo(id, body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", sitestandin.Headers.RequestID, id, sitestandin.Headers.Seal, sitestandin.SealOf(id), len(body), body)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id), len(body), body)
 }
 
 // reset makes closing a connection send a reset.
@@ -89,7 +89,7 @@
 		},
 		"an answer without a length that is reset": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
-				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\nhalf", sitestandin.Headers.RequestID, id, sitestandin.Headers.Seal, sitestandin.SealOf(id))
+				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\nhalf", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id))
 				time.Sleep(20 * time.Millisecond)
 				reset(connection)
 				return false
@@ -134,7 +134,7 @@
 		},
 		"a failure of its own": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
-				fmt.Fprintf(connection, "HTTP/1.1 500 Internal Server Error\r\n%s: %s\r\n%s: %s\r\nContent-Length: 4\r\n\r\nfail", sitestandin.Headers.RequestID, id, sitestandin.Headers.Seal, sitestandin.SealOf(id))
+				fmt.Fprintf(connection, "HTTP/1.1 500 Internal Server Error\r\n%s: %s\r\n%s: %s\r\nContent-Length: 4\r\n\r\nfail", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id))
 				return true
 			},
 			once: http.StatusInternalServerError,
--- a/test/sitestandin/provider.go
+++ b/test/sitestandin/provider.go
@@ -47,8 +47,8 @@
 func (p *Provider) Address() string { return p.server.Listener.Addr().String() }
 
 func (p *Provider) serve(w http.ResponseWriter, r *http.Request) {
-	call := UsageCall{Holder: r.Header.Get(Headers.Holder), At: time.Now(), Status: http.StatusOK}
-	call.Fence, _ = strconv.ParseUint(r.Header.Get(Headers.Fence), 10, 64)
+	call := UsageCall{Holder: r.Header.Get(Headers.LeaseHolder), At: time.Now(), Status: http.StatusOK}
+	call.Fence, _ = strconv.ParseUint(r.Header.Get(Headers.FencingToken), 10, 64)
 	if r.Method != http.MethodPost || r.URL.Path != "/usage" || json.NewDecoder(r.Body).Decode(&call) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
--- a/test/sitestandin/replica.go
+++ b/test/sitestandin/replica.go
@@ -132,7 +132,7 @@
 func Answer(replica, id string) string { return fmt.Sprintf("answer of %s to %s", replica, id) }
 
 func (r *Replica) serve(w http.ResponseWriter, request *http.Request) {
-	if expected := request.Header.Get(Headers.ExpectInstance); expected != "" && expected != r.ID {
+	if expected := request.Header.Get(Headers.ExpectedInstance); expected != "" && expected != r.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -156,14 +156,14 @@
 	r.mutex.Lock()
 	r.arrivals = append(r.arrivals, Arrival{
 		ID: id, Target: request.RequestURI, Host: request.Host, Body: string(body), Replica: r.ID,
-		LastEvent: request.Header.Get(Headers.LastEvent), Header: request.Header, At: time.Now(),
+		LastEvent: request.Header.Get(Headers.LastEventID), Header: request.Header, At: time.Now(),
 	})
 	r.mutex.Unlock()
 	w.Header().Set(Headers.RequestID, id)
 	if r.Behave != nil && r.Behave(w, request) {
 		return
 	}
-	w.Header().Set(Headers.Seal, SealOf(id))
+	w.Header().Set(Headers.Signature, SealOf(id))
 	if len(r.Models) > 0 {
 		r.generate(w, request)
 		return
@@ -178,7 +178,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(Headers.WeightVersion, strconv.FormatUint(version, 10))
 	w.WriteHeader(http.StatusOK)
-	last, _ := strconv.Atoi(request.Header.Get(Headers.LastEvent))
+	last, _ := strconv.Atoi(request.Header.Get(Headers.LastEventID))
 	control := http.NewResponseController(w)
 	for event := last + 1; event <= r.Events; event++ {
 		select {
--- a/test/soak/traffic_test.go
+++ b/test/soak/traffic_test.go
@@ -106,7 +106,7 @@
 		status, body, header := tr.do(ctx, http.MethodPost, tr.front()+path, http.Header{
 			sitestandin.Headers.RequestID: {id}, sitestandin.Headers.Deadline: {"2000"},
 		}, []byte(id))
-		tr.book.answered(id, status, body, header.Get(sitestandin.Headers.Seal))
+		tr.book.answered(id, status, body, header.Get(sitestandin.Headers.Signature))
 		tr.book.count(fmt.Sprintf("%s %d", kind, status))
 		if kind == "once" {
 			tr.book.mutex.Lock()
