--- a/cmd/loomgrade/operator_test.go
+++ b/cmd/loomgrade/operator_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestEditedOutputOfConfigGetIsTakenBack also checks that config set conflicts on an old
+// TestConfigSetAcceptsEditedConfigGet also checks that config set conflicts on an old
 // revision and succeeds when repeated under the first change id.
-func TestEditedOutputOfConfigGetIsTakenBack(t *testing.T) {
+func TestConfigSetAcceptsEditedConfigGet(t *testing.T) {
 	shell := newOperatorShell(t)
 	shell.mustRun("config", "set", shell.file("configuration.yaml", testConfiguration))
 	edited := strings.Replace(shell.mustRun("config", "get", "--output", "json"), `"queue_length": 16`, `"queue_length": 32`, 1)
--- a/cmd/loomgrade/page_test.go
+++ b/cmd/loomgrade/page_test.go
@@ -14,9 +14,9 @@
 
 const commandLinePage = "docs/operators/command-line.md"
 
-// TestExitCodesAreThoseOfThePage also compares the exit code of every error code with the
+// TestExitCodesMatchPage also compares the exit code of every error code with the
 // page.
-func TestExitCodesAreThoseOfThePage(t *testing.T) {
+func TestExitCodesMatchPage(t *testing.T) {
 	documented := map[port.Code]int{}
 	var numbers []int
 	for _, row := range testkit.PageRows(t, commandLinePage, "Exit codes") {
@@ -25,7 +25,7 @@
 			t.Fatalf("exit code %q: %v", row[0], err)
 		}
 		numbers = append(numbers, number)
-		for _, code := range testkit.Quoted(row[2]) {
+		for _, code := range testkit.CodeSpans(row[2]) {
 			documented[port.Code(code)] = number
 		}
 	}
@@ -70,7 +70,7 @@
 	return commands
 }
 
-func TestCommandsAreThoseOfThePage(t *testing.T) {
+func TestCommandsMatchPage(t *testing.T) {
 	commands := commandsOf(t)
 	for _, row := range testkit.PageRows(t, commandLinePage, "Commands") {
 		name, _, _ := strings.Cut(strings.Trim(row[0], "`"), " UPPER")
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestEveryAnswerCanBeJSON excludes the commands that run a process and print no result.
-func TestEveryAnswerCanBeJSON(t *testing.T) {
+// TestResultCommandsSupportJSON excludes the commands that run a process and print no result.
+func TestResultCommandsSupportJSON(t *testing.T) {
 	processes := []string{"control", "node", "site front", "site control", "site store"}
 	for name, takesOutput := range commandsOf(t) {
 		if want := !slices.Contains(processes, name); takesOutput != want {
--- a/cmd/loomgrade/process_test.go
+++ b/cmd/loomgrade/process_test.go
@@ -91,9 +91,9 @@
 	t.Fatalf("timed out waiting for %s", what)
 }
 
-// TestSignalsOfAProcess sends signals to this process, which runs a member: SIGUSR1 writes
+// TestProcessSignals sends signals to this process, which runs a member: SIGUSR1 writes
 // out the log ring and the member continues; SIGTERM stops it without an error.
-func TestSignalsOfAProcess(t *testing.T) {
+func TestProcessSignals(t *testing.T) {
 	// The test's own handler keeps an early signal from ending the process.
 	early := make(chan os.Signal, 1)
 	signal.Notify(early, syscall.SIGUSR1, syscall.SIGTERM)
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestProcessesThatDoNotStart checks that a process that cannot start reports the reason,
+// TestProcessStartErrors checks that a process that cannot start reports the reason,
 // writes out the log ring if it has one, and prints nothing on stdout.
-func TestProcessesThatDoNotStart(t *testing.T) {
+func TestProcessStartErrors(t *testing.T) {
 	cases := []struct {
 		name     string
 		prepare  func(t *testing.T, files memberFiles)
--- a/cmd/loomgrade/status_test.go
+++ b/cmd/loomgrade/status_test.go
@@ -8,9 +8,9 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/operatorapi"
 )
 
-// TestStatusTellsOfOtherMembersOnlyWhatTheAskedOneKnows checks that a follower prints "-"
+// TestFollowerStatusOmitsProgressOfOthers checks that a follower prints "-"
 // instead of zeros for the progress of other members, which it does not know.
-func TestStatusTellsOfOtherMembersOnlyWhatTheAskedOneKnows(t *testing.T) {
+func TestFollowerStatusOmitsProgressOfOthers(t *testing.T) {
 	for queried, lines := range map[uint64][]string{
 		1: {"1 a voter true 9 true true 0s", "2 b voter false 8 true true 20ms"},
 		2: {"1 a voter true - - - -", "2 b voter false 8 true true 20ms"},
--- a/internal/adapter/contracttest/standins_test.go
+++ b/internal/adapter/contracttest/standins_test.go
@@ -24,8 +24,8 @@
 	return started
 }
 
-// TestStandInsKeepTheServersContract runs the table of the product's servers.
-func TestStandInsKeepTheServersContract(t *testing.T) {
+// TestStandInsMeetServerContract runs the table of the product's servers.
+func TestStandInsMeetServerContract(t *testing.T) {
 	target := startEngine(t, standin.EngineConfig{})
 	scorer, err := standin.StartScorer(context.Background(), standin.ScorerConfig{})
 	if err != nil {
@@ -46,7 +46,7 @@
 		t.Run(call.name, func(t *testing.T) {
 			contracttest.RunServer(t, contracttest.Endpoint{
 				Address: call.address, Method: http.MethodPost, Path: call.path, Body: call.body,
-				BodyLimit: standin.MaxBody, Ran: call.ran,
+				BodyLimit: standin.MaxBodyBytes, Ran: call.ran,
 			})
 		})
 	}
--- a/internal/adapter/contracttest/trainer_test.go
+++ b/internal/adapter/contracttest/trainer_test.go
@@ -79,9 +79,9 @@
 	return func(writer http.ResponseWriter, _ *http.Request) { httpserve.WriteError(writer, failure) }
 }
 
-// TestTrainerStandInKeepsTheContract checks that after each faulty response the trainer
+// TestTrainerStandInRetriesFaultyBatches checks that after each faulty response the trainer
 // requests the same batch again, trains on no other, and publishes each version once.
-func TestTrainerStandInKeepsTheContract(t *testing.T) {
+func TestTrainerStandInRetriesFaultyBatches(t *testing.T) {
 	encoded, err := json.Marshal(batchOf(2))
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 			defer server.Close()
 			trainer, err := standin.StartTrainer(context.Background(), standin.TrainerConfig{
 				Nodes: []string{server.URL}, Pool: "lm", StepTime: time.Millisecond, MaxSteps: trainerSteps,
-				Wait: 50 * time.Millisecond, Patience: 100 * time.Millisecond,
+				Wait: 50 * time.Millisecond, ResponseGrace: 100 * time.Millisecond,
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/adapter/contracttest/weightstore_test.go
+++ b/internal/adapter/contracttest/weightstore_test.go
@@ -40,9 +40,9 @@
 
 const weightBytes = 256 << 10
 
-// TestWeightStoreAndEngineKeepOneContract stages weights from a faulty store. Incomplete
+// TestEngineStagesFromFaultyWeightStore stages weights from a faulty store. Incomplete
 // weights must not be staged or activated; repeating the order must succeed.
-func TestWeightStoreAndEngineKeepOneContract(t *testing.T) {
+func TestEngineStagesFromFaultyWeightStore(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault *standin.Fault
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestWeightStoreServesWholeVersions compares the Content-Length with the bytes received.
-func TestWeightStoreServesWholeVersions(t *testing.T) {
+// TestWeightStoreServesCompleteVersions compares the Content-Length with the bytes received.
+func TestWeightStoreServesCompleteVersions(t *testing.T) {
 	store := startStore(t, 64<<20)
 	for _, version := range []int{1, 2} {
 		response, err := http.Get(fmt.Sprintf("%s/v1/weights/lm/%d", store.URL(), version))
--- a/internal/adapter/controlclient/client_test.go
+++ b/internal/adapter/controlclient/client_test.go
@@ -102,7 +102,7 @@
 	}
 	client, err := New(Config{
 		Addresses: addresses, Wire: wire.Options{ClusterID: "test"}, Node: "tester",
-		AttemptTimeout: 200 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond,
+		AttemptTimeout: 200 * time.Millisecond, WatchTimeout: 200 * time.Millisecond,
 		RetryBase: time.Millisecond, RetryMax: 5 * time.Millisecond,
 	})
 	if err != nil {
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestProposeResendsUnderOneChangeID checks that after a fault of the first member the
+// TestProposeRetriesWithSameChangeID checks that after a fault of the first member the
 // second one receives the same change id.
-func TestProposeResendsUnderOneChangeID(t *testing.T) {
+func TestProposeRetriesWithSameChangeID(t *testing.T) {
 	cases := map[string]func(context.Context, port.Command) (port.Result, error){
 		"no leader":                      nil,
 		"no answer":                      hang,
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestGivingUpBetweenAttemptsSaysNotRun cancels during the backoff, when no attempt is in
+// TestCancelBetweenAttemptsIsNotRun cancels during the backoff, when no attempt is in
 // flight.
-func TestGivingUpBetweenAttemptsSaysNotRun(t *testing.T) {
+func TestCancelBetweenAttemptsIsNotRun(t *testing.T) {
 	member := startFakeMember(t, behaviour{})
 	client, err := New(Config{
 		Addresses: []string{member.address}, Wire: wire.Options{ClusterID: "test"}, Node: "tester",
@@ -252,8 +252,8 @@
 	}
 }
 
-// TestWatchAsksAgainAfterAMisfit sends a delta that starts at another position.
-func TestWatchAsksAgainAfterAMisfit(t *testing.T) {
+// TestWatchRestartsAfterPositionMismatch sends a delta that starts at another position.
+func TestWatchRestartsAfterPositionMismatch(t *testing.T) {
 	first := startFakeMember(t, behaviour{updates: []port.ViewUpdate{update(5, 6, 1), update(9, 12, 1)}})
 	second := startFakeMember(t, behaviour{updates: []port.ViewUpdate{update(6, 7, 1)}})
 	if got := positions(receiveUpdates(t, newTestClient(t, first, second), 5, 2)); !slices.Equal(got, []uint64{6, 7}) {
@@ -264,8 +264,8 @@
 	}
 }
 
-// TestWatchMovesOn covers members that a watch must leave.
-func TestWatchMovesOn(t *testing.T) {
+// TestWatchFailsOver covers members that a watch must leave.
+func TestWatchFailsOver(t *testing.T) {
 	unconfirmed := update(0, 0, 0)
 	unconfirmed.Confirmed = false
 	cases := map[string]behaviour{
@@ -285,7 +285,7 @@
 	}
 }
 
-func TestReportGoesToTheNextMember(t *testing.T) {
+func TestReportFailsOver(t *testing.T) {
 	rejecting := startFakeMember(t, behaviour{report: port.NewError(port.NotRun, port.CodeUnavailable, "starting")})
 	accepting := startFakeMember(t, behaviour{})
 	client := newTestClient(t, rejecting, accepting)
--- a/internal/adapter/controlclient/watch.go
+++ b/internal/adapter/controlclient/watch.go
@@ -48,11 +48,11 @@
 }
 
 // follow reads one member's updates until the stream fails or sends no confirmed update
-// for SilenceTimeout.
+// for WatchTimeout.
 func (o *observer) follow(ctx context.Context, member *wire.Client) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	unconfirmedTimer := time.AfterFunc(o.client.config.SilenceTimeout, func() { cancel(context.DeadlineExceeded) })
+	unconfirmedTimer := time.AfterFunc(o.client.config.WatchTimeout, func() { cancel(context.DeadlineExceeded) })
 	defer unconfirmedTimer.Stop()
 	stream, err := member.Stream(ctx, MethodWatch, WatchRequest{After: o.position, Node: o.client.config.Node})
 	if err != nil {
@@ -68,7 +68,7 @@
 			return err
 		}
 		if update.Confirmed {
-			unconfirmedTimer.Reset(o.client.config.SilenceTimeout)
+			unconfirmedTimer.Reset(o.client.config.WatchTimeout)
 		}
 	}
 }
--- a/internal/adapter/engineclient/standin_test.go
+++ b/internal/adapter/engineclient/standin_test.go
@@ -26,7 +26,7 @@
 	return started
 }
 
-func TestGenerateAndStandInKeepOneContract(t *testing.T) {
+func TestGenerateWithStandIn(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
 		Start: startEngine,
 		Dial: func(address string) func(context.Context, int) error {
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// TestControlCallsAndStandInKeepOneContract runs control calls with all faults except
+// TestControlCallsWithStandIn runs control calls with all faults except
 // those of streams.
-func TestControlCallsAndStandInKeepOneContract(t *testing.T) {
+func TestControlCallsWithStandIn(t *testing.T) {
 	calls := map[string]func(ctx context.Context, client *engineclient.Client, number int) error{
 		"load": func(ctx context.Context, client *engineclient.Client, _ int) error {
 			report, err := client.Load(ctx)
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestFencesAtTheStandIn sends delayed, repeated and reordered orders.
-func TestFencesAtTheStandIn(t *testing.T) {
+// TestStandInFencing sends delayed, repeated and reordered orders.
+func TestStandInFencing(t *testing.T) {
 	client := newClient(t, startEngine(t).Addr())
 	steps := []struct {
 		name  string
--- a/internal/adapter/engineclient/stream_test.go
+++ b/internal/adapter/engineclient/stream_test.go
@@ -11,8 +11,8 @@
 
 const idR1 = `"id":"r1",`
 
-// TestStreamDeliversWholeOrFails covers incorrect streams in well-formed HTTP.
-func TestStreamDeliversWholeOrFails(t *testing.T) {
+// TestStreamIsCompleteOrFails covers incorrect streams in well-formed HTTP.
+func TestStreamIsCompleteOrFails(t *testing.T) {
 	const (
 		first = `{` + idR1 + `"choices":[{"text":"a"}],"spans":[{"version":4,"tokens":2}]}`
 		last  = `{` + idR1 + `"choices":[{"text":"b","finish_reason":"stop"}],"spans":[{"version":5,"tokens":1}],"usage":{"completion_tokens":3}}`
--- a/internal/adapter/httpapi/await.go
+++ b/internal/adapter/httpapi/await.go
@@ -43,8 +43,8 @@
 		if recovered == nil {
 			return
 		}
-		if s.config.Panicked != nil {
-			s.config.Panicked(recovered, debug.Stack())
+		if s.config.OnPanic != nil {
+			s.config.OnPanic(recovered, debug.Stack())
 		}
 		result.failure = port.NewError(port.MayHaveRun, port.CodeInternal, "internal error")
 	}()
--- a/internal/adapter/httpapi/backend.go
+++ b/internal/adapter/httpapi/backend.go
@@ -61,10 +61,10 @@
 	Metrics http.Handler
 	// Recorder may be nil.
 	Recorder Recorder
-	// Panicked receives panics of the Backend, which are answered with an internal
+	// OnPanic receives panics of the Backend, which are answered with an internal
 	// error; nil ignores them.
-	Panicked func(recovered any, stack []byte)
-	Limits   Limits
+	OnPanic func(recovered any, stack []byte)
+	Limits  Limits
 }
 
 // Limits limits what callers can use. Zero fields take their defaults.
--- a/internal/adapter/httpapi/bounds_test.go
+++ b/internal/adapter/httpapi/bounds_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestHealthAndReadinessAreApart checks that a node that is not ready is healthy.
-func TestHealthAndReadinessAreApart(t *testing.T) {
+// TestHealthAndReadinessAreIndependent checks that a node that is not ready is healthy.
+func TestHealthAndReadinessAreIndependent(t *testing.T) {
 	cases := []struct {
 		name          string
 		notReady      bool
--- a/internal/adapter/httpapi/httpapi_test.go
+++ b/internal/adapter/httpapi/httpapi_test.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestGivenUpGetsItsAnswer checks that the deadline ends a request while the backend
+// TestDeadlineEndsHungRequest checks that the deadline ends a request while the backend
 // hangs.
-func TestGivenUpGetsItsAnswer(t *testing.T) {
+func TestDeadlineEndsHungRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	backend := &fakeBackend{
@@ -242,7 +242,7 @@
 func TestPanicIsAnswered(t *testing.T) {
 	panics := make(chan any, 1)
 	backend := &fakeBackend{application: func(context.Context, port.ApplicationRequest) (port.ApplicationResponse, error) { panic("fault") }}
-	_, address := newServerWith(t, httpapi.Config{Backend: backend, Panicked: func(recovered any, _ []byte) { panics <- recovered }})
+	_, address := newServerWith(t, httpapi.Config{Backend: backend, OnPanic: func(recovered any, _ []byte) { panics <- recovered }})
 	expectRefusal(t, send(t, address, "GET", "/app/p/x", ""), 500, port.CodeInternal, port.MayHaveRun)
 	if recovered := <-panics; recovered != "fault" {
 		t.Errorf("Panicked received %v", recovered)
@@ -365,7 +365,7 @@
 	}
 }
 
-func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	backend := &fakeBackend{application: func(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error) {
 		entered <- struct{}{}
@@ -396,9 +396,9 @@
 	}
 }
 
-// TestShutdownLeavesIdleConnectionsOpenAsAnnounced sends on an idle connection during
+// TestShutdownHonorsAnnouncedKeepAlive sends on an idle connection during
 // the announced keep-alive of a stopping server.
-func TestShutdownLeavesIdleConnectionsOpenAsAnnounced(t *testing.T) {
+func TestShutdownHonorsAnnouncedKeepAlive(t *testing.T) {
 	server, address := newServer(t, &fakeBackend{application: echoApplication}, httpapi.Limits{KeepAlive: time.Hour})
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -429,7 +429,7 @@
 	}
 }
 
-func TestTrainersCalls(t *testing.T) {
+func TestTrainerEndpoints(t *testing.T) {
 	backend := &fakeBackend{
 		register: func(register port.RegisterConsumer) (port.Consumer, error) {
 			return port.Consumer{Name: register.Consumer, Epoch: 2, Next: max(1, register.RewindTo)}, nil
--- a/internal/adapter/httpcall/answer.go
+++ b/internal/adapter/httpcall/answer.go
@@ -41,9 +41,9 @@
 	return eris.Wrap(port.NewError(verdict, code, "%v", err).WithCause(err), action)
 }
 
-// BrokenOff reports whether a call's error means that the peer closed or reset the
+// IsConnectionClosed reports whether a call's error means that the peer closed or reset the
 // connection before the response was complete. A timeout does not count.
-func BrokenOff(err error) bool {
+func IsConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/adapter/httpcall/suspend_test.go
+++ b/internal/adapter/httpcall/suspend_test.go
@@ -15,9 +15,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestAConnectionFromBeforeASuspensionIsNotUsed checks that a request after a suspension
+// TestConnectionIsNotReusedAfterSuspension checks that a request after a suspension
 // uses a new connection: the server may have closed the old one.
-func TestAConnectionFromBeforeASuspensionIsNotUsed(t *testing.T) {
+func TestConnectionIsNotReusedAfterSuspension(t *testing.T) {
 	var suspended, connections atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
--- a/internal/adapter/httpserve/idle.go
+++ b/internal/adapter/httpserve/idle.go
@@ -56,7 +56,7 @@
 	header.Set("Keep-Alive", i.header)
 }
 
-// AwaitRested waits until the announced time of every idle connection has passed, or ctx
+// AwaitIdle waits until the announced time of every idle connection has passed, or ctx
 // ends.
 func (i *IdleConnections) AwaitIdle(ctx context.Context) {
 	ticker := time.NewTicker(idlePollInterval)
--- a/internal/adapter/httpserve/idle_test.go
+++ b/internal/adapter/httpserve/idle_test.go
@@ -90,9 +90,9 @@
 	return connection
 }
 
-// TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced sends on a connection that was idle
+// TestGracefulStopHonorsAnnouncedKeepAlive sends on a connection that was idle
 // when the server began to stop.
-func TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced(t *testing.T) {
+func TestGracefulStopHonorsAnnouncedKeepAlive(t *testing.T) {
 	server := startIdleServer(t, time.Hour)
 	connection := dialIdle(t, server.address)
 	if got := sendRequest(t, connection).Header.Get("Keep-Alive"); got != "timeout=3600" {
@@ -108,16 +108,16 @@
 	<-stopped
 }
 
-// TestAPlannedStopWaitsNoLongerThanAnnounced has a client that never sends again.
-func TestAPlannedStopWaitsNoLongerThanAnnounced(t *testing.T) {
+// TestGracefulStopEndsAfterKeepAlive has a client that never sends again.
+func TestGracefulStopEndsAfterKeepAlive(t *testing.T) {
 	server := startIdleServer(t, time.Second)
 	sendRequest(t, dialIdle(t, server.address))
 	<-server.idled
 	<-server.stop(t.Context())
 }
 
-// TestAPlannedStopEndsWithItsTime checks that the end of the context ends the stop.
-func TestAPlannedStopEndsWithItsTime(t *testing.T) {
+// TestGracefulStopEndsWithContext checks that the end of the context ends the stop.
+func TestGracefulStopEndsWithContext(t *testing.T) {
 	server := startIdleServer(t, time.Hour)
 	sendRequest(t, dialIdle(t, server.address))
 	<-server.idled
--- a/internal/adapter/metrics/node.go
+++ b/internal/adapter/metrics/node.go
@@ -130,8 +130,8 @@
 	countBytes(n.registry, "peer_bytes_total", "Bytes on connections that other nodes opened, by direction.", read)
 }
 
-// Forget removes the metrics of a pool that is no longer configured.
-func (n *Node) Forget(pool port.PoolName) {
+// RemovePool removes the metrics of a pool that is no longer configured.
+func (n *Node) RemovePool(pool port.PoolName) {
 	match := prometheus.Labels{labelPool: string(pool)}
 	for _, counted := range []*prometheus.CounterVec{n.requests, n.attempts, n.delivered, n.dropped} {
 		counted.DeletePartialMatch(match)
--- a/internal/adapter/metrics/site.go
+++ b/internal/adapter/metrics/site.go
@@ -118,10 +118,10 @@
 	s.loads.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// HeartbeatTaken counts an accepted heartbeat.
+// HeartbeatAccepted counts an accepted heartbeat.
 func (s *Site) HeartbeatAccepted() { s.heartbeats.Inc() }
 
-// HeartbeatRefused counts a rejected heartbeat; field is from a closed set.
+// HeartbeatRejected counts a rejected heartbeat; field is from a closed set.
 func (s *Site) HeartbeatRejected(field string) { s.heartbeatsRejected.WithLabelValues(field).Inc() }
 
 // Suspended counts a suspension of the machine.
--- a/internal/adapter/operatorapi/bounds_test.go
+++ b/internal/adapter/operatorapi/bounds_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestStoppedServerIsNotAFailure covers the graceful stop.
-func TestStoppedServerIsNotAFailure(t *testing.T) {
+// TestGracefulStopReturnsNoError covers the graceful stop.
+func TestGracefulStopReturnsNoError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/operatorapi/silent_test.go
+++ b/internal/adapter/operatorapi/silent_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// TestClientPassesASilentMember covers a member that accepts connections but never
+// TestClientSkipsUnresponsiveMember covers a member that accepts connections but never
 // answers.
-func TestClientPassesASilentMember(t *testing.T) {
+func TestClientSkipsUnresponsiveMember(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/provider/provider.go
+++ b/internal/adapter/provider/provider.go
@@ -36,7 +36,7 @@
 // New returns a client of the provider at host:port.
 func New(address string, providerDialect dialect.Dialect) *Client {
 	return &Client{address: address, dialect: providerDialect, http: httpcall.New(httpcall.Limits{
-		DialTimeout: dialTimeout, Connections: 1, IdleConnections: 1, IdleTimeout: idleTimeout, SilenceTimeout: ackTimeout,
+		DialTimeout: dialTimeout, Connections: 1, IdleConnections: 1, IdleTimeout: idleTimeout, AckTimeout: ackTimeout,
 		Names: httpcall.Names{ID: providerDialect.Headers().RequestID},
 	})}
 }
--- a/internal/adapter/services/contract_test.go
+++ b/internal/adapter/services/contract_test.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestRefusesWrongContent covers well-formed responses with wrong content.
-func TestRefusesWrongContent(t *testing.T) {
+// TestRejectsWrongContent covers well-formed responses with wrong content.
+func TestRejectsWrongContent(t *testing.T) {
 	score := func(client *httpcall.Client, base string) error {
 		_, err := services.NewScorer(client, base, 0).Score(context.Background(), sampleID(1), "p", "t")
 		return err
--- a/internal/lab/audit/check.go
+++ b/internal/lab/audit/check.go
@@ -14,12 +14,12 @@
 
 // The rules that Check applies.
 const (
-	RuleWholeAnswer       Rule = "whole answer to its own request"
+	RuleCompleteAnswer    Rule = "whole answer to its own request"
 	RuleUnsafeOnce        Rule = "unsafe request runs at most once"
 	RuleNotRun            Rule = "not run means not run"
 	RuleSampleOnce        Rule = "each sample once"
 	RuleSampleLost        Rule = "no batch or prompt is left out"
-	RuleVersionsTrue      Rule = "versions are true"
+	RuleVersionsMatch     Rule = "versions are true"
 	RuleStaleness         Rule = "no sample older than its bound"
 	RuleDeparture         Rule = "no new work on a leaving back end"
 	RulePlannedStop       Rule = "a planned stop cuts nothing off"
@@ -37,8 +37,8 @@
 // String returns the violation on one line.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Rule, v.Subject, v.Detail) }
 
-// Bounds are the configured limits of a run.
-type Bounds struct {
+// Limits are the configured limits of a run.
+type Limits struct {
 	// Staleness is the maximum age of a sample in versions, by pool. Other pools are
 	// not checked.
 	Staleness map[string]uint64
@@ -48,14 +48,14 @@
 	// PromptWindow is how far below a pool's highest delivered prompt a prompt may
 	// still be missing; 0 disables the check.
 	PromptWindow uint64
-	// PromptsDone is, by pool, the first prompt that loomgrade does not report as
+	// FirstUndelivered is, by pool, the first prompt that loomgrade does not report as
 	// delivered: all prompts below it must have reached the trainer, however long they
 	// took.
-	PromptsDone map[string]port.PromptIndex
+	FirstUndelivered map[string]port.PromptIndex
 }
 
 // Check returns all violations, sorted by rule, subject and detail.
-func Check(o Observations, bounds Bounds) []Violation {
+func Check(o Observations, bounds Limits) []Violation {
 	if bounds.DepartureGrace == 0 {
 		bounds.DepartureGrace = defaultDepartureGrace
 	}
@@ -92,7 +92,7 @@
 	}
 	for _, generation := range o.Generations {
 		index.generations[generation.Call] = append(index.generations[generation.Call], generation)
-		if generation.First == 0 {
+		if generation.FirstToken == 0 {
 			index.firstRuns[generation.Call]++
 		}
 	}
@@ -105,16 +105,16 @@
 func checkAnswers(o Observations, index runIndex) []Violation {
 	var found []Violation
 	report := func(call Call, format string, arguments ...any) {
-		found = append(found, Violation{RuleWholeAnswer, call.Call, fmt.Sprintf(format, arguments...)})
+		found = append(found, Violation{RuleCompleteAnswer, call.Key, fmt.Sprintf(format, arguments...)})
 	}
 	for _, call := range o.Calls {
 		switch {
 		case call.Outcome != OutcomeAnswered:
-		case call.AnswerTo != call.Call:
-			report(call, "caller of class %s got the answer to %q%s", call.Class, call.AnswerTo, call.details())
-		case !call.Whole:
+		case call.AnswerKey != call.Key:
+			report(call, "caller of class %s got the answer to %q%s", call.Class, call.AnswerKey, call.details())
+		case !call.Complete:
 			report(call, "caller of class %s got only part of the answer", call.Class)
-		case index.runs(call.Call) == 0:
+		case index.runs(call.Key) == 0:
 			report(call, "answered, but no back end ran it%s", call.details())
 		}
 	}
@@ -131,12 +131,12 @@
 	var found []Violation
 	seen := map[string]bool{}
 	for _, call := range o.Calls {
-		if !call.Unsafe || seen[call.Call] {
+		if !call.Unsafe || seen[call.Key] {
 			continue
 		}
-		seen[call.Call] = true
-		if runs := index.runs(call.Call); runs > 1 {
-			found = append(found, Violation{RuleUnsafeOnce, call.Call, fmt.Sprintf("ran %d times", runs)})
+		seen[call.Key] = true
+		if runs := index.runs(call.Key); runs > 1 {
+			found = append(found, Violation{RuleUnsafeOnce, call.Key, fmt.Sprintf("ran %d times", runs)})
 		}
 	}
 	return found
@@ -147,18 +147,18 @@
 	mayHaveRun := map[string]bool{}
 	for _, call := range o.Calls {
 		if call.Outcome != OutcomeNotRun {
-			mayHaveRun[call.Call] = true
+			mayHaveRun[call.Key] = true
 		}
 	}
 	var found []Violation
 	seen := map[string]bool{}
 	for _, call := range o.Calls {
-		if mayHaveRun[call.Call] || seen[call.Call] {
+		if mayHaveRun[call.Key] || seen[call.Key] {
 			continue
 		}
-		seen[call.Call] = true
-		if runs := index.runs(call.Call); runs > 0 {
-			found = append(found, Violation{RuleNotRun, call.Call, fmt.Sprintf("ran %d times", runs)})
+		seen[call.Key] = true
+		if runs := index.runs(call.Key); runs > 0 {
+			found = append(found, Violation{RuleNotRun, call.Key, fmt.Sprintf("ran %d times", runs)})
 		}
 	}
 	return found
@@ -171,7 +171,7 @@
 
 // checkDepartures returns work that started on a back end after the grace period of its
 // departure. The period starts when the sender's zone receives the departure.
-func checkDepartures(o Observations, bounds Bounds) []Violation {
+func checkDepartures(o Observations, bounds Limits) []Violation {
 	limit := map[route]time.Duration{}
 	for _, departure := range o.Departures {
 		key := route{departure.BackEnd, departure.From}
@@ -212,7 +212,7 @@
 			failed := call.Outcome == OutcomeLost || call.Outcome == OutcomeMayHaveRun
 			if failed && overlaps(call.StartedAt, call.EndedAt, stop.From, stop.To) &&
 				!overlapsFault(o.Faults, call.StartedAt, call.EndedAt) {
-				report(call.Call, fmt.Sprintf("failed during the stop, which took %v, %v after its start: %s%s",
+				report(call.Key, fmt.Sprintf("failed during the stop, which took %v, %v after its start: %s%s",
 					stop.To-stop.From, call.StartedAt-stop.From, call.Outcome, call.details()))
 			}
 		}
--- a/internal/lab/audit/observations.go
+++ b/internal/lab/audit/observations.go
@@ -33,10 +33,10 @@
 	Call string `json:"call"`
 	// Key is the content key of prompt and seed.
 	Key uint64 `json:"key"`
-	// First is the position of the first generated token.
-	First int `json:"first"`
-	// Whole is the length of the complete output, counted from position 0.
-	Whole int `json:"whole"`
+	// FirstToken is the position of the first generated token.
+	FirstToken int `json:"first"`
+	// TotalTokens is the length of the complete output, counted from position 0.
+	TotalTokens int `json:"whole"`
 	// Spans are the generated tokens, by the version that generated them.
 	Spans     []port.Span   `json:"spans"`
 	StartedAt time.Duration `json:"started_at"`
@@ -68,20 +68,20 @@
 	OutcomeMayHaveRun Outcome = "may_have_run" // error with this verdict, or without one
 	OutcomeRan        Outcome = "ran"          // error with this verdict
 	OutcomeLost       Outcome = "lost"         // the connection ended before the complete answer
-	OutcomeLeft       Outcome = "left"         // the caller gave up
+	OutcomeAbandoned  Outcome = "left"         // the caller gave up
 )
 
 // Call is one attempt of a caller. A retry is another Call with the same key.
 type Call struct {
 	Class   string  `json:"class"`  // kind of caller
 	Target  string  `json:"target"` // address of the called process
-	Call    string  `json:"call"`   // unique key of the requested content
+	Key     string  `json:"call"`   // unique key of the requested content
 	Unsafe  bool    `json:"unsafe"` // must run at most once
 	Outcome Outcome `json:"outcome"`
-	// AnswerTo is the key of the call that the answer's content belongs to; Whole
+	// AnswerKey is the key of the call that the answer's content belongs to; Complete
 	// reports whether the content was complete.
-	AnswerTo  string        `json:"answer_to,omitempty"`
-	Whole     bool          `json:"whole,omitempty"`
+	AnswerKey string        `json:"answer_to,omitempty"`
+	Complete  bool          `json:"whole,omitempty"`
 	Text      string        `json:"text,omitempty"` // of a completion
 	Spans     []port.Span   `json:"spans,omitempty"`
 	Detail    string        `json:"detail,omitempty"`
--- a/internal/lab/load/config.go
+++ b/internal/lab/load/config.go
@@ -19,15 +19,15 @@
 	MaxTokens, PromptTokens int
 	// Unsafe calls must run at most once.
 	Unsafe bool
-	// Resends is the maximum number of retries of a call whose outcome is unknown, with
+	// MaxRetries is the maximum number of retries of a call whose outcome is unknown, with
 	// the same request key and on the next target.
-	Resends  int
-	Priority int
+	MaxRetries int
+	Priority   int
 	// Rate is the rate of Poisson arrivals per second (open loop). Without it, Workers
-	// call one after the other and pause for Think on average (closed loop).
-	Rate    float64
-	Workers int
-	Think   time.Duration
+	// call one after the other and pause for ThinkTime on average (closed loop).
+	Rate      float64
+	Workers   int
+	ThinkTime time.Duration
 	// Timeout limits one attempt. Default 10 s.
 	Timeout time.Duration
 	// Token, if set, is sent as bearer token.
@@ -88,7 +88,7 @@
 		{Name: "reader app", Pool: "page-api", Method: http.MethodGet, Path: "/pages/panel", Rate: 40 * scale, Priority: 5},
 		{
 			Name: "indexer", Pool: "page-api", Method: http.MethodPost, Path: "/index", BodyBytes: 2048,
-			Unsafe: true, Resends: 2, Workers: workers(4 * scale), Think: 50 * time.Millisecond,
+			Unsafe: true, MaxRetries: 2, Workers: workers(4 * scale), ThinkTime: 50 * time.Millisecond,
 		},
 	}
 }
@@ -100,7 +100,7 @@
 		{Name: "pilot", Pool: "buoy-api", Method: http.MethodGet, Path: "/readings/latest", Rate: 30 * scale, Priority: 9},
 		{
 			Name: "stitching job", Pool: "buoy-api", Method: http.MethodPost, Path: "/records/stitch", BodyBytes: 4096,
-			Unsafe: true, Resends: 2, Workers: workers(6 * scale), Think: 50 * time.Millisecond,
+			Unsafe: true, MaxRetries: 2, Workers: workers(6 * scale), ThinkTime: 50 * time.Millisecond,
 		},
 	}
 }
--- a/internal/lab/sim/audit_test.go
+++ b/internal/lab/sim/audit_test.go
@@ -19,7 +19,7 @@
 	return w
 }
 
-func TestAuditFindsBrokenPromises(t *testing.T) {
+func TestAuditFindsViolations(t *testing.T) {
 	cases := []struct {
 		name         string
 		corrupt      func(sample *coordinator.DeliveredSample, pool *samplePool)
@@ -69,7 +69,7 @@
 }
 
 // For one seed, all variants draw the same lengths, prompts and arrivals.
-func TestVariantsDrawAlike(t *testing.T) {
+func TestVariantsDrawEqualWorkload(t *testing.T) {
 	first := newTestWorld(t, Marea(), variants()[0])
 	for _, variant := range variants()[1:] {
 		other := newTestWorld(t, Marea(), variant)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestOptionsThatAreNotAllowed(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	cases := map[string]func(*Options){
 		"length":          func(o *Options) { o.Length = 0 },
 		"warmup":          func(o *Options) { o.Warmup = o.Length },
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -77,7 +77,7 @@
 
 // think schedules the next call of a closed-loop worker.
 func (c *callerClass) think(worker, turn uint64) {
-	pause := exponential(draw(c.seed, thinkPart, worker, turn)) * float64(c.class.Think) / c.world.rateFactor()
+	pause := exponential(draw(c.seed, thinkPart, worker, turn)) * float64(c.class.ThinkTime) / c.world.rateFactor()
 	c.world.after(time.Duration(pause), func() {
 		c.startCall(draw(worker, turn), func() { c.think(worker, turn+1) })
 	})
--- a/internal/lab/sim/fault/callers.go
+++ b/internal/lab/sim/fault/callers.go
@@ -48,14 +48,14 @@
 
 func (w *world) newCaller(class, call string, unsafe bool, target *node) *caller {
 	return &caller{world: w, record: audit.Call{
-		Class: class, Target: target.name, Call: call, Unsafe: unsafe, StartedAt: w.queue.Now(),
+		Class: class, Target: target.name, Key: call, Unsafe: unsafe, StartedAt: w.queue.Now(),
 	}}
 }
 
 // end records the outcome of the call.
 func (c *caller) end(outcome audit.Outcome, detail string) {
 	if c.ended {
-		c.world.fail("call %s ended twice", c.record.Call)
+		c.world.fail("call %s ended twice", c.record.Key)
 		return
 	}
 	c.ended = true
@@ -102,7 +102,7 @@
 	c.world.after(time.Duration(c.world.random.callers.Int64N(int64(within))), func() {
 		if !c.ended && !s.closed {
 			s.close()
-			c.end(audit.OutcomeLeft, "")
+			c.end(audit.OutcomeAbandoned, "")
 		}
 	})
 }
@@ -114,7 +114,7 @@
 	unsafe := w.random.callers.IntN(2) == 0
 	c := w.newCaller("pages", fmt.Sprintf("page-%d", w.calls), unsafe, target)
 	s := w.dial(&w.callers, &target.process, func(s *stream) {
-		target.acceptCall(s, c.record.Call, !unsafe, pageTimeout, c.answered)
+		target.acceptCall(s, c.record.Key, !unsafe, pageTimeout, c.answered)
 	}, c.connectionFailed)
 	c.maybeAbandon(s, 20*time.Millisecond)
 }
@@ -124,7 +124,7 @@
 		c.failed(failure)
 		return
 	}
-	c.record.AnswerTo, c.record.Whole = answer.Call, true
+	c.record.AnswerKey, c.record.Complete = answer.Call, true
 	c.end(audit.OutcomeAnswered, "")
 }
 
@@ -155,9 +155,9 @@
 					c.failed(failure)
 					return
 				}
-				c.record.Whole = tokens == min(w.lengths.Of(key), completionTokens)
+				c.record.Complete = tokens == min(w.lengths.Of(key), completionTokens)
 				if engine.SameContent(c.record.Text, key) {
-					c.record.AnswerTo = c.record.Call
+					c.record.AnswerKey = c.record.Key
 				}
 				c.end(audit.OutcomeAnswered, "")
 			},
--- a/internal/lab/sim/fault/engine.go
+++ b/internal/lab/sim/fault/engine.go
@@ -192,7 +192,7 @@
 	run := &engineRequest{id: string(request.ID), stream: s, onChunk: handle, key: key, position: request.ResumeTokens}
 	run.record = &audit.Generation{
 		Engine: e.address, RequestID: run.id, From: string(s.client.zone), Call: audit.PromptKey(request.Prompt), Key: key,
-		First: request.ResumeTokens, Whole: request.ResumeTokens + min(max(remaining, 0), limit),
+		FirstToken: request.ResumeTokens, TotalTokens: request.ResumeTokens + min(max(remaining, 0), limit),
 		StartedAt: e.world.queue.Now(),
 	}
 	if remaining > 0 {
--- a/internal/lab/sim/fault/fault_test.go
+++ b/internal/lab/sim/fault/fault_test.go
@@ -13,7 +13,7 @@
 // faults, if any, at a higher rate.
 func shortScenario(t *testing.T, name string, faults ...Fault) Scenario {
 	t.Helper()
-	scenario, found := ScenarioNamed(name)
+	scenario, found := FindScenario(name)
 	if !found {
 		t.Fatalf("no scenario %q", name)
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestPromisesHold(t *testing.T) {
+func TestFaultsCauseNoViolations(t *testing.T) {
 	for _, name := range []string{"delivery", "stops", "together"} {
 		t.Run(name, func(t *testing.T) {
 			report := runOne(t, Options{Scenario: shortScenario(t, name), Seed: 1})
@@ -59,7 +59,7 @@
 }
 
 // Switching off a safeguard makes the audit report the matching violation.
-func TestEachSafeguardIsNeeded(t *testing.T) {
+func TestAuditDetectsMissingSafeguard(t *testing.T) {
 	cases := []struct {
 		without Safeguard
 		faults  []Fault
@@ -67,10 +67,10 @@
 	}{
 		{SafeguardVerdict, []Fault{FaultCutAfter, FaultBackEndCrash}, audit.RuleUnsafeOnce},
 		{SafeguardNotRun, []Fault{FaultCutAfter, FaultBackEndCrash}, audit.RuleNotRun},
-		{SafeguardMatching, []Fault{FaultBackEndMixesIDs}, audit.RuleWholeAnswer},
-		{SafeguardComplete, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleWholeAnswer},
-		{SafeguardResume, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleVersionsTrue},
-		{SafeguardVersion, []Fault{FaultSwapMisdirected}, audit.RuleVersionsTrue},
+		{SafeguardMatching, []Fault{FaultBackEndMixesIDs}, audit.RuleCompleteAnswer},
+		{SafeguardComplete, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleCompleteAnswer},
+		{SafeguardResume, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleVersionsMatch},
+		{SafeguardVersion, []Fault{FaultSwapMisdirected}, audit.RuleVersionsMatch},
 		{SafeguardStaleness, []Fault{FaultScorerLate, FaultPublishRace}, audit.RuleStaleness},
 		{SafeguardDeparture, []Fault{FaultBackEndLeaves}, audit.RuleDeparture},
 		{SafeguardDrain, []Fault{FaultNodeStop}, audit.RulePlannedStop},
--- a/internal/lab/sim/fault/options.go
+++ b/internal/lab/sim/fault/options.go
@@ -140,8 +140,8 @@
 	return joined
 }
 
-// ScenarioNamed returns the scenario with the given name.
-func ScenarioNamed(name string) (Scenario, bool) {
+// FindScenario returns the scenario with the given name.
+func FindScenario(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios() {
 		if scenario.Name == name {
 			return scenario, true
--- a/internal/lab/sim/fault/run.go
+++ b/internal/lab/sim/fault/run.go
@@ -28,8 +28,8 @@
 	Failures   []string          `json:"failures,omitempty"`
 }
 
-// Broken returns the number of violations and failures.
-func (r *Report) Broken() int { return len(r.Violations) + len(r.Failures) }
+// ProblemCount returns the number of violations and failures.
+func (r *Report) ProblemCount() int { return len(r.Violations) + len(r.Failures) }
 
 // FaultCount returns the number of injected faults.
 func (r *Report) FaultCount() int {
@@ -54,10 +54,10 @@
 	report := Report{
 		Scenario: options.Scenario.Name, Seed: options.Seed, Steps: w.queue.Steps(), Faults: w.count.faults,
 		Delivered: w.count.delivered, Retries: w.count.retries, Failures: w.failures,
-		Violations: audit.Check(observed, audit.Bounds{
-			Staleness:    map[string]uint64{string(trainingPool): stalenessBound},
-			PromptWindow: promptWindow,
-			PromptsDone:  map[string]port.PromptIndex{string(trainingPool): w.promptsDone()},
+		Violations: audit.Check(observed, audit.Limits{
+			Staleness:        map[string]uint64{string(trainingPool): stalenessBound},
+			PromptWindow:     promptWindow,
+			FirstUndelivered: map[string]port.PromptIndex{string(trainingPool): w.promptsDone()},
 		}),
 	}
 	for _, call := range observed.Calls {
--- a/internal/lab/standin/application.go
+++ b/internal/lab/standin/application.go
@@ -56,8 +56,8 @@
 	Size int `json:"size"`
 }
 
-// Whole reports whether the answer is the complete answer to a call.
-func (a ApplicationAnswer) Whole(call string) bool {
+// CompleteFor reports whether the answer is the complete answer to a call.
+func (a ApplicationAnswer) CompleteFor(call string) bool {
 	return a.Call == call && a.Size > 0 && a.Payload == payload(call, a.Size)
 }
 
@@ -117,7 +117,7 @@
 	if a.applyFaults(w, r) {
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, port.NewError(port.NotRun, port.CodeInvalid, "body: %v", err))
 		return
--- a/internal/lab/standin/completion.go
+++ b/internal/lab/standin/completion.go
@@ -60,7 +60,7 @@
 	total := body.ResumeTokens + min(request.OutputTokens, request.MaxTokens)
 	s := newStream(id, body, &audit.Generation{
 		Engine: e.address, RequestID: id, Call: audit.PromptKey(body.Prompt),
-		Key: key, First: body.ResumeTokens, Whole: total,
+		Key: key, FirstToken: body.ResumeTokens, TotalTokens: total,
 	})
 	if request.OutputTokens > 0 || request.PrefillOnly {
 		if err := e.model.Submit(e.now(), request); err != nil {
@@ -141,7 +141,7 @@
 func (e *Engine) answer(w http.ResponseWriter, ctx context.Context, s *stream, key uint64) {
 	writer := &answerWriter{http: w, id: s.id, body: s.body, key: key, position: s.body.ResumeTokens}
 	if fault, cut := e.faults.consume(FaultCut); cut {
-		writer.cutAfter = max(s.generation.Whole/2, 1)
+		writer.cutAfter = max(s.generation.TotalTokens/2, 1)
 		if fault.Factor > 0 {
 			writer.cutAfter = int(fault.Factor)
 		}
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -35,10 +35,10 @@
 	FaultSwapFails FaultKind = "swap_fails"
 	// FaultSwapMisdirected makes an engine's next activation load Version instead.
 	FaultSwapMisdirected FaultKind = "swap_misdirected"
-	// FaultAskTwice makes a trainer send Count batch requests twice, concurrently.
-	FaultAskTwice FaultKind = "ask_twice"
-	// FaultAskPrevious makes a trainer request an acknowledged batch again, Count times.
-	FaultAskPrevious FaultKind = "ask_previous"
+	// FaultDuplicateRequest makes a trainer send Count batch requests twice, concurrently.
+	FaultDuplicateRequest FaultKind = "ask_twice"
+	// FaultRepeatPrevious makes a trainer request an acknowledged batch again, Count times.
+	FaultRepeatPrevious FaultKind = "ask_previous"
 )
 
 // Fault is a request to inject a fault.
--- a/internal/lab/standin/machines.go
+++ b/internal/lab/standin/machines.go
@@ -14,8 +14,8 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// MachineGone is the state that removes a machine from the list.
-const MachineGone port.MachineState = "gone"
+// MachineRemoved is the state that removes a machine from the list.
+const MachineRemoved port.MachineState = "gone"
 
 // MachineList simulates the machine list, whose changes become visible after a lag.
 type MachineList struct {
@@ -71,7 +71,7 @@
 	defer m.mutex.Unlock()
 	before := m.machines[address].State
 	m.machines[address] = port.Machine{Address: address, State: state, Since: time.Now().UnixMilli()}
-	if state == MachineGone {
+	if state == MachineRemoved {
 		delete(m.machines, address)
 	}
 	m.visible.Put(unixNow(), m.sorted())
--- a/internal/lab/standin/trainer.go
+++ b/internal/lab/standin/trainer.go
@@ -57,13 +57,13 @@
 	MaxSteps int
 	// Wait is how long a node may block a batch request. Default 2 s.
 	Wait time.Duration
-	// Patience is how much longer than Wait a response may take before the trainer
+	// ResponseGrace is how much longer than Wait a response may take before the trainer
 	// retries. Default 10 s.
-	Patience time.Duration
-	Prompts  PromptConfig
-	// Kept are the deliveries recorded by earlier processes. The trainer uses them as
+	ResponseGrace time.Duration
+	Prompts       PromptConfig
+	// Checkpoint are the deliveries recorded by earlier processes. The trainer uses them as
 	// its checkpoint.
-	Kept []audit.Delivery
+	Checkpoint []audit.Delivery
 }
 
 // TrainerStats summarizes a trainer's run.
@@ -95,15 +95,15 @@
 	config.FirstVersion = cmp.Or(config.FirstVersion, 1)
 	config.WeightBytes = cmp.Or(config.WeightBytes, 4<<20)
 	config.Wait = cmp.Or(config.Wait, 2*time.Second)
-	config.Patience = cmp.Or(config.Patience, 10*time.Second)
+	config.ResponseGrace = cmp.Or(config.ResponseGrace, 10*time.Second)
 	config.Prompts.applyDefaults()
 	t := &Trainer{config: config, client: &http.Client{
-		Timeout: config.Wait + config.Patience, Transport: &http.Transport{IdleConnTimeout: trainerIdleTimeout},
+		Timeout: config.Wait + config.ResponseGrace, Transport: &http.Transport{IdleConnTimeout: trainerIdleTimeout},
 	}}
 	t.stats.Version = config.FirstVersion
-	t.restoreCheckpoint(config.Kept)
+	t.restoreCheckpoint(config.Checkpoint)
 	t.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultSlow, FaultRefuse,
-		FaultAskTwice, FaultAskPrevious)
+		FaultDuplicateRequest, FaultRepeatPrevious)
 	t.inject = t.injectFault
 	t.mux.HandleFunc("GET "+api.PathPrompts, func(w http.ResponseWriter, r *http.Request) {
 		if !t.applyFaults(w, r) {
--- a/internal/lab/standin/trainer_calls.go
+++ b/internal/lab/standin/trainer_calls.go
@@ -95,7 +95,7 @@
 		return
 	}
 	t.recorder.add(audit.Observations{Calls: []audit.Call{{
-		Class: "trainer", Target: strings.TrimPrefix(node, "http://"), Call: fmt.Sprintf("%s at %d", what, start),
+		Class: "trainer", Target: strings.TrimPrefix(node, "http://"), Key: fmt.Sprintf("%s at %d", what, start),
 		Outcome: audit.OutcomeLost, Detail: err.Error(), StartedAt: start, EndedAt: unixNow(),
 	}}})
 }
@@ -165,13 +165,13 @@
 
 // receiveBatch requests a batch until it is received completely.
 func (t *Trainer) receiveBatch(ctx context.Context, number uint64) (audit.Delivery, bool) {
-	if _, repeat := t.faults.consume(FaultAskPrevious); repeat && number > 2 {
+	if _, repeat := t.faults.consume(FaultRepeatPrevious); repeat && number > 2 {
 		// The previous batch is acknowledged only by the next request.
 		t.requestAcknowledged(ctx, number-2)
 	}
 	var received receivedBatch
 	ok := t.retry(ctx, func(node string) error {
-		if _, twice := t.faults.consume(FaultAskTwice); twice {
+		if _, twice := t.faults.consume(FaultDuplicateRequest); twice {
 			t.work.Go(func() { t.requestDuplicate(ctx, number) })
 		}
 		var err error
--- a/internal/testkit/page.go
+++ b/internal/testkit/page.go
@@ -80,8 +80,8 @@
 	return cells
 }
 
-// Quoted returns the texts between backquotes in a cell.
-func Quoted(cell string) []string {
+// CodeSpans returns the texts between backquotes in a cell.
+func CodeSpans(cell string) []string {
 	var quoted []string
 	for index, part := range strings.Split(cell, "`") {
 		if index%2 == 1 {
--- a/test/examples/examples_test.go
+++ b/test/examples/examples_test.go
@@ -203,7 +203,7 @@
 	}
 	defer response.Body.Close()
 	var answer standin.ApplicationAnswer
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || !answer.Whole("mine") {
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || !answer.CompleteFor("mine") {
 		t.Fatalf("application call: status %d, %v, %+v", response.StatusCode, err, answer)
 	}
 }
@@ -243,7 +243,7 @@
 func (s *site) checkAudit(t *testing.T) {
 	t.Helper()
 	var all audit.Observations
-	bounds := audit.Bounds{Staleness: map[string]uint64{}}
+	bounds := audit.Limits{Staleness: map[string]uint64{}}
 	for name, pool := range s.trainers {
 		bounds.Staleness[pool] = stalenessBound
 		all.Merge(s.readJournal(t, filepath.Join(s.folder, "run", s.name, name+".journal")))
