--- a/internal/app/group/calls.go
+++ b/internal/app/group/calls.go
@@ -51,7 +51,7 @@
 		return nil, &NotLeaderError{}
 	}
 	done := make(chan outcome, 1)
-	posted := func(l *loop) {
+	work := func(l *loop) {
 		if ctx.Err() != nil {
 			done <- outcome{err: eris.Wrap(&NotLeaderError{}, "context ended before the request started")}
 			return
@@ -61,7 +61,7 @@
 			done <- outcome{err: &NotLeaderError{Leader: leader}}
 			return
 		}
-		start(l, l.registerReply(func(reply groupmember.Reply) {
+		start(l, l.addPendingReply(func(reply groupmember.Reply) {
 			err := reply.Err
 			if err == nil && read != nil {
 				read(l.machine)
@@ -73,7 +73,7 @@
 		}))
 	}
 	select {
-	case l.requests <- posted:
+	case l.requests <- work:
 	case <-l.stopped:
 		return nil, ErrNotReady
 	case <-ctx.Done():
@@ -132,15 +132,15 @@
 	}
 }
 
-// TransferLeadership transfers leadership to another voter before a planned stop. It waits for the
-// transfer for an election timeout at most.
+// TransferLeadership transfers leadership to another voter before a planned stop. It waits
+// up to an election timeout for another member to lead.
 func (m *Member) TransferLeadership(ctx context.Context) {
 	l := m.current.Load()
 	if l == nil || !m.isLeader() {
 		return
 	}
 	select {
-	case l.requests <- func(l *loop) { l.transfer() }:
+	case l.requests <- func(l *loop) { l.startTransfer() }:
 	default:
 		return
 	}
@@ -159,16 +159,16 @@
 // TransferTo starts a transfer of leadership to the voter at an address, if this member
 // leads and the voter is active and caught up. It reports whether it did.
 func (m *Member) TransferTo(address string) bool {
-	shown := m.PublishedState()
+	published := m.PublishedState()
 	l := m.current.Load()
-	if l == nil || shown == nil || !shown.LeaderReady {
+	if l == nil || published == nil || !published.LeaderReady {
 		return false
 	}
-	for _, record := range shown.Records {
-		if record.Address != address || !shown.Status.Membership.IsVoter(record.ID) {
+	for _, record := range published.Records {
+		if record.Address != address || !published.Status.Membership.IsVoter(record.ID) {
 			continue
 		}
-		for _, peer := range shown.Status.Progress {
+		for _, peer := range published.Status.Progress {
 			if peer.ID == record.ID && peer.Active && peer.CaughtUp {
 				l.requests <- func(l *loop) { _ = l.member.TransferTo(record.ID) }
 				return true
@@ -179,6 +179,6 @@
 }
 
 func (m *Member) isLeader() bool {
-	shown := m.published.Load()
-	return shown != nil && shown.Status.Role == consensus.RoleLeader
+	published := m.published.Load()
+	return published != nil && published.Status.Role == consensus.RoleLeader
 }
--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -39,12 +39,12 @@
 // AnyShard matches the shard of any member.
 const AnyShard Shard = 1<<32 - 1
 
-// Origin describes how a member with an empty folder founds or joins the group.
+// Origin describes how a member with an empty folder bootstraps or joins the group.
 type Origin struct {
 	// Shard is the group among those of its name; 0 if there is only one.
 	Shard Shard
-	// Founders are the first members. A founder creates the group with the others; any
-	// other member joins.
+	// Founders are the initial members, which bootstrap the group; any other member
+	// joins.
 	Founders []groupmember.Record
 	// Contacts are addresses of members that may accept a join request.
 	Contacts []string
--- a/internal/app/group/fulldisk_test.go
+++ b/internal/app/group/fulldisk_test.go
@@ -37,8 +37,8 @@
 		t.Fatal(err)
 	}
 	waitUntil(t, "the member resumes", func() bool {
-		shown := leader.member.PublishedState()
-		return shown != nil && shown.Confirmed
+		published := leader.member.PublishedState()
+		return published != nil && published.Confirmed
 	})
 	if applied := leader.applied(); applied < 5 {
 		t.Errorf("%d commands applied, want at least the 5 acknowledged ones", applied)
--- a/internal/app/group/identity.go
+++ b/internal/app/group/identity.go
@@ -25,8 +25,8 @@
 type identity struct {
 	ID          consensus.MemberID `cbor:"1,keyasint"`
 	Incarnation string             `cbor:"2,keyasint"`
-	// Founding is set for a founder; Records are then the founders.
-	Founding bool `cbor:"3,keyasint"`
+	// Bootstrap is set for an initial member; Records are then the initial members.
+	Bootstrap bool `cbor:"3,keyasint"`
 	// Records are the members known when the folder was created.
 	Records []groupmember.Record `cbor:"4,keyasint"`
 	Shard   Shard                `cbor:"5,keyasint,omitempty"`
--- a/internal/app/group/join.go
+++ b/internal/app/group/join.go
@@ -114,7 +114,7 @@
 			return
 		}
 		record.ID = status.Membership.HighestID + 1
-		token := l.registerReply(func(reply groupmember.Reply) {
+		token := l.addPendingReply(func(reply groupmember.Reply) {
 			if reply.Err != nil {
 				failed <- reply.Err
 				return
--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -16,8 +16,8 @@
 const (
 	requestQueueSize = 4096
 	messageQueueSize = 4096
-	// membershipCheckTicks is the number of ticks between checks of the membership.
-	membershipCheckTicks = 5
+	// maintenanceTicks is the number of ticks between the runs of runMaintenance.
+	maintenanceTicks = 5
 )
 
 // errRemoved stops a loop whose member was removed from the group.
@@ -26,8 +26,8 @@
 // request is a function to run in the loop's goroutine.
 type request func(l *loop)
 
-// loop owns the core and the log of a member. Except for the channels, only the goroutine of
-// run accesses it.
+// loop owns the core and the log of a member. Only the goroutine of run accesses it, except
+// for the channels.
 type loop struct {
 	config   Config
 	shard    Shard
@@ -41,15 +41,15 @@
 	// publishStep receives the state after each step.
 	publishStep func(Step)
 
-	// started is by the configuration's clock: leases and promises expire while the
-	// machine is suspended too.
-	started time.Duration
-	ticks   int64
-	// lastMembershipCheck is the tick of the latest check of the membership.
-	lastMembershipCheck int64
-	lastToken           uint64
-	pendingReplies      map[uint64]func(groupmember.Reply)
-	changing            bool
+	// startedAt is by Config.Clock: leases and promises expire while the machine is
+	// suspended too.
+	startedAt time.Duration
+	ticks     int64
+	// lastMaintenance is the tick of the last run of runMaintenance.
+	lastMaintenance int64
+	lastToken       uint64
+	pendingReplies  map[uint64]func(groupmember.Reply)
+	changePending   bool // a membership change is proposed and has no reply yet
 	// saving is set while a snapshot is encoded and written in the background; saved
 	// receives the result.
 	saving bool
@@ -77,21 +77,21 @@
 		requests:       make(chan request, requestQueueSize),
 		messages:       make(chan consensus.Message, messageQueueSize),
 		stopped:        make(chan struct{}),
-		started:        config.Clock(),
+		startedAt:      config.Clock(),
 		pendingReplies: make(map[uint64]func(groupmember.Reply)),
 		saved:          make(chan savedSnapshot, 1),
 		read:           make(chan consensus.Snapshot, 1),
 	}, nil
 }
 
-// run runs the loop until ctx ends or the member must stop.
+// run processes events until ctx is done or the member must stop.
 func (l *loop) run(ctx context.Context) error {
 	defer close(l.stopped)
 	defer l.failPending()
 	defer l.waitForSnapshot()
 	ticker := time.NewTicker(l.config.Tick)
 	defer ticker.Stop()
-	if err := l.work(); err != nil {
+	if err := l.processReady(); err != nil {
 		return err
 	}
 	for {
@@ -101,13 +101,14 @@
 		if err := l.handleQueued(); err != nil {
 			return err
 		}
-		if err := l.work(); err != nil {
+		if err := l.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// wait blocks for the next event and handles it, after the ticks that passed meanwhile.
+// wait blocks for the first event of a batch and processes it, after the ticks that have
+// passed.
 func (l *loop) wait(ctx context.Context, tick <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -133,7 +134,7 @@
 	}
 }
 
-// handleQueued handles further queued events, so that one sync serves all of them.
+// handleQueued processes the queued events, so that one sync covers the batch.
 func (l *loop) handleQueued() error {
 	for range maxBatch - 1 {
 		select {
@@ -142,7 +143,7 @@
 				return err
 			}
 		case request := <-l.requests:
-			l.catchUpTicks() // a read must not use an expired lease
+			l.catchUpTicks() // a read must not be served under an expired lease
 			request(l)
 		default:
 			return nil
@@ -161,9 +162,10 @@
 	return nil
 }
 
-// catchUpTicks passes elapsed ticks to the core, all but the last one as missed.
+// catchUpTicks passes elapsed ticks to the core. All but the last one were missed: the loop
+// was blocked or the machine suspended.
 func (l *loop) catchUpTicks() {
-	due := int64((l.config.Clock() - l.started) / l.config.Tick)
+	due := int64((l.config.Clock() - l.startedAt) / l.config.Tick)
 	passed := due - l.ticks
 	if passed <= 0 {
 		return
@@ -171,9 +173,9 @@
 	l.ticks = due
 	l.recordMissedTicks(int(passed - 1))
 	l.member.Tick()
-	if due-l.lastMembershipCheck >= membershipCheckTicks {
-		l.lastMembershipCheck = due
-		l.checkMembership()
+	if due-l.lastMaintenance >= maintenanceTicks {
+		l.lastMaintenance = due
+		l.runMaintenance()
 	}
 }
 
@@ -189,8 +191,10 @@
 		Msg("the member was not scheduled for longer than an election timeout")
 }
 
-// checkMembership starts the next change towards the wanted membership, if one is due.
-func (l *loop) checkMembership() {
+// runMaintenance runs the periodic tasks: it keeps connections to the other voters open,
+// updates the snapshot data and, on the leader, proposes the next membership change that is
+// due.
+func (l *loop) runMaintenance() {
 	status := l.member.Status()
 	var others []consensus.MemberID
 	for _, id := range status.Membership.Voters {
@@ -204,7 +208,7 @@
 		return
 	}
 	l.member.ProposeDirectory()
-	if l.changing {
+	if l.changePending {
 		return
 	}
 	change, due := groupmember.Plan(status, l.member.Directory(), l.leaving(), l.config.Limits)
@@ -212,15 +216,15 @@
 		return
 	}
 	if change.Transfer {
-		l.transfer()
+		l.startTransfer()
 		return
 	}
-	l.changing = true
+	l.changePending = true
 	record, _ := l.member.Record(change.Member)
 	// At warning level, so that the line is not dropped under load.
 	l.config.Logger.Warn().Str(eventlog.Field, eventlog.MembershipChange).Str("group", l.config.Name).Uint8("kind", uint8(change.Kind)).
 		Uint64("member", uint64(change.Member)).Str("address", record.Address).Msg("membership change proposed")
-	token := l.registerReply(func(groupmember.Reply) { l.changing = false })
+	token := l.addPendingReply(func(groupmember.Reply) { l.changePending = false })
 	l.member.ChangeMembership(token, change.Kind, groupmember.Record{ID: change.Member})
 }
 
@@ -232,8 +236,8 @@
 	return l.config.Leaving()
 }
 
-// transfer transfers leadership to the active voter with the longest log.
-func (l *loop) transfer() {
+// startTransfer starts a leadership transfer to the active voter with the longest log.
+func (l *loop) startTransfer() {
 	var best consensus.PeerStatus
 	for _, peer := range l.member.Status().Progress {
 		if !peer.Learner && peer.Active && peer.Match > best.Match {
@@ -245,10 +249,10 @@
 	}
 }
 
-// work processes the core's Ready values, then publishes the state and delivers replies.
-func (l *loop) work() error {
+// processReady handles all Readys of the core, then publishes the state and replies.
+func (l *loop) processReady() error {
 	for l.member.HasReady() {
-		if err := l.processReady(l.member.Ready()); err != nil {
+		if err := l.persistAndSend(l.member.Ready()); err != nil {
 			return err
 		}
 	}
@@ -265,16 +269,16 @@
 	return nil
 }
 
-// processReady persists a Ready before sending the messages that depend on it. A failed
-// write or sync is fatal.
-func (l *loop) processReady(ready consensus.Ready) error {
+// persistAndSend persists a Ready before it sends the messages that depend on its writes. A
+// failed write or sync is fatal.
+func (l *loop) persistAndSend(ready consensus.Ready) error {
 	for _, message := range ready.Messages {
 		if ready.MayPrecedeSync(message) {
 			l.peers.send(message)
 		}
 	}
 	if err := l.log.Persist(ready); err != nil {
-		return eris.Wrap(err, "this member must not vote any more")
+		return eris.Wrap(err, "this member must no longer vote")
 	}
 	for _, message := range ready.Messages {
 		if !ready.MayPrecedeSync(message) {
@@ -284,8 +288,8 @@
 	return eris.Wrap(l.member.Advance(ready), "apply")
 }
 
-// publish publishes the state. Replies are delivered afterwards, so that their receivers see
-// the effect.
+// publish publishes the state. processReady calls it before the replies, so that callers see
+// the effect of their requests.
 func (l *loop) publish() {
 	records := l.member.Directory()
 	if !sameRecords(records, l.publishedRecords) {
@@ -310,7 +314,7 @@
 	return true
 }
 
-// deliverReplies passes replies to their callbacks.
+// deliverReplies passes the replies of the core to their callbacks.
 func (l *loop) deliverReplies() {
 	for _, reply := range l.member.TakeReplies() {
 		if handle, found := l.pendingReplies[reply.Token]; found {
@@ -320,9 +324,8 @@
 	}
 }
 
-// registerReply returns a token for a request. The reply is passed to handle, which must not
-// block.
-func (l *loop) registerReply(handle func(groupmember.Reply)) uint64 {
+// addPendingReply returns a token whose reply is passed to handle, which must not block.
+func (l *loop) addPendingReply(handle func(groupmember.Reply)) uint64 {
 	l.lastToken++
 	l.pendingReplies[l.lastToken] = handle
 	return l.lastToken
--- a/internal/app/group/member.go
+++ b/internal/app/group/member.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// joinRetryInterval is the pause between attempts to found or join the group, and
+	// joinRetryInterval is the pause between attempts to bootstrap or join the group, and
 	// slowJoinRetryInterval the pause after fastJoinRetries of them.
 	joinRetryInterval     = 200 * time.Millisecond
 	slowJoinRetryInterval = time.Second
@@ -26,8 +26,8 @@
 	diskFullRetryInterval = 500 * time.Millisecond
 )
 
-// ErrNotReady rejects a call to a member that has not started.
-var ErrNotReady = errors.New("group: the member takes no part yet")
+// ErrNotReady rejects a call to a member that is not running.
+var ErrNotReady = errors.New("group: the member is not running")
 
 // NotLeaderError rejects a call that only the leader serves. The call had no effect.
 type NotLeaderError struct {
@@ -64,7 +64,7 @@
 	Records   []groupmember.Record
 	// Leader is the record of the known leader; its id is 0 if there is none.
 	Leader groupmember.Record
-	// PublishedAt is when the state was published, by the configuration's clock.
+	// PublishedAt is when the state was published, by Config.Clock.
 	PublishedAt time.Duration
 }
 
@@ -76,13 +76,13 @@
 
 // Register registers the handlers of the group's methods.
 func (m *Member) Register(server *wire.Server) {
-	server.HandleMessage(m.config.Name+".consensus", m.handleMessage)
+	server.HandleMessage(m.config.Name+".consensus", m.enqueueMessage)
 	server.Handle(m.config.Name+".join", m.serveJoin)
 	server.Handle(m.config.Name+".standing", m.serveRemovalStatus)
 }
 
-// handleMessage queues a consensus message. It drops the message if the queue is full.
-func (m *Member) handleMessage(_ context.Context, call *wire.Call) {
+// enqueueMessage queues a consensus message, or drops it if the queue is full.
+func (m *Member) enqueueMessage(_ context.Context, call *wire.Call) {
 	l := m.current.Load()
 	var message consensus.Message
 	if l == nil || call.Decode(&message) != nil {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Run runs the member until ctx ends or its storage fails. After a full disk it restarts the
-// member once there is space.
+// Run runs the member until ctx is done or its storage fails. After a full disk it restarts
+// the member once there is space.
 func (m *Member) Run(ctx context.Context) error {
 	defer m.peers.close()
 	dir := folder{files: m.config.FileSystem, path: m.config.Folder}
@@ -159,18 +159,18 @@
 	return errors.Join(err, l.log.Close())
 }
 
-// open opens a member from its log, or founds or joins the group. It returns the member's loop
-// and identity.
+// open opens a member from its log, or bootstraps or joins the group. It returns the member's
+// loop and identity.
 func (m *Member) open(ctx context.Context, dir folder) (*loop, identity, error) {
 	stored, found, err := dir.load()
 	if err != nil {
 		return nil, identity{}, err
 	}
-	mayFound := !found && !m.hadID
+	mayBootstrap := !found && !m.hadID
 	m.hadID = true
 	if found {
 		m.stored.Store(&stored)
-		l, err := m.reopen(dir, stored)
+		l, err := m.openExisting(dir, stored)
 		if err == nil || !isUnusableLog(err) {
 			return l, stored, err
 		}
@@ -180,14 +180,14 @@
 	if err := dir.clear(); err != nil {
 		return nil, identity{}, err
 	}
-	return m.foundOrJoin(ctx, dir, mayFound)
+	return m.bootstrapOrJoin(ctx, dir, mayBootstrap)
 }
 
 func isUnusableLog(err error) bool {
 	return errors.Is(err, wal.ErrCorrupt) || errors.Is(err, wal.ErrForeign) || errors.Is(err, consensus.ErrInconsistent)
 }
 
-func (m *Member) reopen(dir folder, stored identity) (*loop, error) {
+func (m *Member) openExisting(dir folder, stored identity) (*loop, error) {
 	m.peers.setAddresses(stored.Records, false)
 	log, recovery, err := wal.Open(m.walOptions(dir, stored))
 	if errors.Is(err, wal.ErrMissing) {
@@ -208,19 +208,20 @@
 	}
 }
 
-// foundOrJoin brings a member with an empty folder into the group. The member may be a
-// founder only if it never had an id: without its log it could vote twice in a term.
-func (m *Member) foundOrJoin(ctx context.Context, dir folder, mayFound bool) (*loop, identity, error) {
+// bootstrapOrJoin brings a member with an empty folder into the group. The member may
+// bootstrap the group only if it never had an id: without its log it could vote twice in a
+// term.
+func (m *Member) bootstrapOrJoin(ctx context.Context, dir folder, mayBootstrap bool) (*loop, identity, error) {
 	incarnation := newIncarnation()
 	for tries := 1; ; tries++ {
-		stored, err := m.tryFoundOrJoin(ctx, incarnation, mayFound)
+		stored, err := m.tryBootstrapOrJoin(ctx, incarnation, mayBootstrap)
 		if err == nil {
 			stored.Incarnation = incarnation
 			if err := dir.save(stored); err != nil {
 				return nil, identity{}, err
 			}
 			m.config.Logger.Info().Str(eventlog.Field, eventlog.GroupEntered).Str("group", m.config.Name).Uint64("member", uint64(stored.ID)).
-				Uint32("shard", uint32(stored.Shard)).Bool("founder", stored.Founding).Msg("this member has a new id")
+				Uint32("shard", uint32(stored.Shard)).Bool("founder", stored.Bootstrap).Msg("this member has a new id")
 			m.stored.Store(&stored)
 			l, err := m.create(dir, stored)
 			return l, stored, err
@@ -237,14 +238,14 @@
 	}
 }
 
-func (m *Member) tryFoundOrJoin(ctx context.Context, incarnation string, mayFound bool) (identity, error) {
+func (m *Member) tryBootstrapOrJoin(ctx context.Context, incarnation string, mayBootstrap bool) (identity, error) {
 	origin, err := m.config.Origin(ctx, incarnation)
 	if err != nil {
 		return identity{}, err
 	}
 	for _, founder := range origin.Founders {
-		if mayFound && founder.Address == m.config.Self.Address && (founder.Incarnation == "" || founder.Incarnation == incarnation) {
-			return identity{ID: founder.ID, Shard: origin.Shard, Founding: true, Records: origin.Founders}, nil
+		if mayBootstrap && founder.Address == m.config.Self.Address && (founder.Incarnation == "" || founder.Incarnation == incarnation) {
+			return identity{ID: founder.ID, Shard: origin.Shard, Bootstrap: true, Records: origin.Founders}, nil
 		}
 	}
 	contacts := origin.Contacts
@@ -257,7 +258,7 @@
 // create creates the log of a member that has an id.
 func (m *Member) create(dir folder, stored identity) (*loop, error) {
 	initial := consensus.Membership{}
-	if stored.Founding {
+	if stored.Bootstrap {
 		for _, record := range stored.Records {
 			initial.Voters = append(initial.Voters, record.ID)
 		}
@@ -280,28 +281,28 @@
 
 // publish publishes the state after a step of the loop.
 func (m *Member) publish(shard Shard, step Step) {
-	shown := &PublishedState{
+	published := &PublishedState{
 		Shard: shard, Status: step.Status, LeaderReady: step.LeaderReady, Applied: step.Applied, Records: step.Records,
 		Confirmed: step.Status.QuorumActive && step.CaughtUp, PublishedAt: m.config.Clock(),
 	}
 	for _, record := range step.Records {
 		if record.ID == step.Status.Leader {
-			shown.Leader = record
+			published.Leader = record
 		}
 	}
-	m.published.Store(shown)
+	m.published.Store(published)
 	m.config.Changed(step)
 }
 
-// PublishedState returns the latest published state, or nil while the member is not running. If the
-// state is older than an election timeout, as during a long sync or after a suspension,
-// Confirmed and LeaderReady are cleared.
+// PublishedState returns the latest published state, or nil while the member is not running.
+// If the state is older than an election timeout, as during a long sync or after a
+// suspension, Confirmed and LeaderReady are cleared.
 func (m *Member) PublishedState() *PublishedState {
-	shown := m.published.Load()
-	if shown == nil || m.config.Clock()-shown.PublishedAt < m.config.electionTimeout() {
-		return shown
+	published := m.published.Load()
+	if published == nil || m.config.Clock()-published.PublishedAt < m.config.electionTimeout() {
+		return published
 	}
-	stale := *shown
+	stale := *published
 	stale.Confirmed, stale.LeaderReady = false, false
 	return &stale
 }
--- a/internal/app/group/peers.go
+++ b/internal/app/group/peers.go
@@ -9,12 +9,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// peers manages the connections to the other members.
+// peers holds the connections to the other members.
 type peers struct {
 	pool   *wire.Pool
 	method string
 	mutex  sync.Mutex
-	// addresses are the addresses of members by id.
+	// addresses of members, from the member's identity and from the log.
 	addresses map[consensus.MemberID]string
 }
 
@@ -22,7 +22,7 @@
 	return &peers{pool: wire.NewPool(options), method: method, addresses: make(map[consensus.MemberID]string)}
 }
 
-// setAddresses records addresses of members. With prune, it first drops all others and
+// setAddresses sets the addresses of members. With prune, it first drops all others and
 // closes their connections.
 func (p *peers) setAddresses(records []groupmember.Record, prune bool) {
 	p.mutex.Lock()
@@ -53,8 +53,8 @@
 	}
 }
 
-// connect opens connections to voters in advance, so that the first vote request is not
-// lost.
+// connect keeps connections to members open. Without a connection the first vote request
+// would be lost.
 func (p *peers) connect(ids []consensus.MemberID) {
 	for _, id := range ids {
 		if address := p.address(id); address != "" {
--- a/internal/app/group/shard_test.go
+++ b/internal/app/group/shard_test.go
@@ -53,8 +53,8 @@
 	}
 	lost.stop()
 	time.Sleep(time.Second) // twice the time after which a voter is replaced
-	if shown := stranger.member.PublishedState(); shown != nil {
-		t.Errorf("a machine that joins another shard is member %d", shown.Status.ID)
+	if published := stranger.member.PublishedState(); published != nil {
+		t.Errorf("a machine that joins another shard is member %d", published.Status.ID)
 	}
 	if got := len(leader.member.PublishedState().Records); got != 3 {
 		t.Errorf("%d members, want 3", got)
@@ -63,7 +63,7 @@
 	stranger.origin.Shard = 0
 	stranger.start()
 	waitUntil(t, "the machine joins this shard's group", func() bool {
-		shown := stranger.member.PublishedState()
-		return shown != nil && shown.Status.Membership.IsVoter(shown.Status.ID)
+		published := stranger.member.PublishedState()
+		return published != nil && published.Status.Membership.IsVoter(published.Status.ID)
 	})
 }
--- a/internal/app/group/snapshot.go
+++ b/internal/app/group/snapshot.go
@@ -81,8 +81,8 @@
 	return snapshot
 }
 
-// waitForSnapshot waits until no snapshot is written or read any more, since the folder may
-// be reopened after the loop.
+// waitForSnapshot waits for a pending write and read of a snapshot, since the folder may be
+// reopened after the loop.
 func (l *loop) waitForSnapshot() {
 	if l.saving {
 		<-l.saved
--- a/internal/app/group/snapshot_test.go
+++ b/internal/app/group/snapshot_test.go
@@ -74,15 +74,15 @@
 	for range 20 {
 		propose()
 	}
-	if shown := leader.member.PublishedState(); shown == nil || !shown.LeaderReady {
+	if published := leader.member.PublishedState(); published == nil || !published.LeaderReady {
 		t.Error("the leader lost its leadership")
 	}
 	release()
 	leader.stop()
 	leader.start()
 	waitUntil(t, "the member applies all commands after a restart", func() bool {
-		shown := leader.member.PublishedState()
-		return shown != nil && leader.applied() >= count
+		published := leader.member.PublishedState()
+		return published != nil && leader.applied() >= count
 	})
 }
 
--- a/internal/app/group/standing.go
+++ b/internal/app/group/standing.go
@@ -33,11 +33,11 @@
 		case <-ctx.Done():
 			return
 		}
-		shown := m.published.Load()
-		if shown == nil || shown.Status.QuorumActive {
+		published := m.published.Load()
+		if published == nil || published.Status.QuorumActive {
 			continue
 		}
-		if m.wasRemoved(ctx, stored, shown) {
+		if m.wasRemoved(ctx, stored, published) {
 			select {
 			case l.requests <- func(l *loop) { l.removed = true }:
 			case <-ctx.Done():
@@ -48,9 +48,9 @@
 }
 
 // wasRemoved reports whether any known member confirms the removal of this one.
-func (m *Member) wasRemoved(ctx context.Context, stored identity, shown *PublishedState) bool {
+func (m *Member) wasRemoved(ctx context.Context, stored identity, published *PublishedState) bool {
 	var contacts []string
-	for _, record := range shown.Records {
+	for _, record := range published.Records {
 		contacts = append(contacts, record.Address)
 	}
 	if origin, err := m.config.Origin(ctx, stored.Incarnation); err == nil {
@@ -62,7 +62,7 @@
 			continue
 		}
 		answer, err := m.requestRemovalStatus(ctx, address, removalRequest{ID: stored.ID, Shard: stored.Shard})
-		if err == nil && answer.Removed && answer.Term >= shown.Status.Term {
+		if err == nil && answer.Removed && answer.Term >= published.Status.Term {
 			return true
 		}
 	}
--- a/internal/app/group/standing_test.go
+++ b/internal/app/group/standing_test.go
@@ -46,7 +46,7 @@
 // and folder.
 type groupMachine struct {
 	t       *testing.T
-	founder groupmember.Record
+	record  groupmember.Record
 	folder  string
 	files   *blockingFiles
 	origin  group.Origin
@@ -83,10 +83,10 @@
 
 func (m *groupMachine) start() {
 	m.t.Helper()
-	options := wire.Options{ClusterID: "test", Name: m.founder.Name, DialTimeout: 200 * time.Millisecond, BackoffMax: 50 * time.Millisecond}
+	options := wire.Options{ClusterID: "test", Name: m.record.Name, DialTimeout: 200 * time.Millisecond, BackoffMax: 50 * time.Millisecond}
 	m.member = group.New(group.Config{
-		Name: "test", Folder: m.folder, FileSystem: m.files, SnapshotBytes: snapshotBytes, Wire: options, Seed: uint64(m.founder.Name[0]), Tick: 10 * time.Millisecond,
-		Self:    groupmember.Record{Address: m.founder.Address, Name: m.founder.Name},
+		Name: "test", Folder: m.folder, FileSystem: m.files, SnapshotBytes: snapshotBytes, Wire: options, Seed: uint64(m.record.Name[0]), Tick: 10 * time.Millisecond,
+		Self:    groupmember.Record{Address: m.record.Address, Name: m.record.Name},
 		Machine: m.newState, Clock: m.clock,
 		Origin:  func(context.Context, string) (group.Origin, error) { return m.origin, nil },
 		Changed: func(group.Step) {}, Logger: &log.Logger{Level: log.PanicLevel},
@@ -95,7 +95,7 @@
 	})
 	server := wire.NewServer(options)
 	m.member.Register(server)
-	listener, err := net.Listen("tcp", m.founder.Address)
+	listener, err := net.Listen("tcp", m.record.Address)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-// startGroup starts four machines, of which three found the group.
+// startGroup starts four machines, of which three bootstrap the group.
 func startGroup(t *testing.T) (all []*groupMachine, machines map[string]*groupMachine) {
 	t.Helper()
 	machines = map[string]*groupMachine{}
@@ -122,7 +122,7 @@
 		record := groupmember.Record{ID: consensus.MemberID(i + 1), Address: address, Name: name}
 		folder := t.TempDir()
 		files := &blockingFiles{FileSystem: diskfault.New(wal.OS{}, folder)}
-		machines[name] = &groupMachine{t: t, founder: record, folder: folder, files: files}
+		machines[name] = &groupMachine{t: t, record: record, folder: folder, files: files}
 		contacts = append(contacts, address)
 		if name != "d" {
 			founders = append(founders, record)
@@ -140,23 +140,23 @@
 // leaderOf returns the machine, among those named, whose member leads.
 func leaderOf(machines map[string]*groupMachine, names ...string) *groupMachine {
 	for _, name := range names {
-		if shown := machines[name].member.PublishedState(); shown != nil && shown.LeaderReady {
+		if published := machines[name].member.PublishedState(); published != nil && published.LeaderReady {
 			return machines[name]
 		}
 	}
 	return nil
 }
 
-// voters returns the names of the voters as seen by the leader.
+// voters returns the names of the voters in the leader's published state.
 func voters(machines []*groupMachine) []string {
 	for _, m := range machines {
-		shown := m.member.PublishedState()
-		if shown == nil || !shown.LeaderReady {
+		published := m.member.PublishedState()
+		if published == nil || !published.LeaderReady {
 			continue
 		}
 		var names []string
-		for _, record := range shown.Records {
-			if shown.Status.Membership.IsVoter(record.ID) {
+		for _, record := range published.Records {
+			if published.Status.Membership.IsVoter(record.ID) {
 				names = append(names, record.Name)
 			}
 		}
@@ -171,8 +171,8 @@
 	waitUntil(t, fmt.Sprint("voters are ", want), func() bool { return slices.Equal(voters(machines), want) })
 }
 
-// TestRemovedMemberRejoins checks that a member that was removed
-// while it was stopped detects this and replaces the next lost member.
+// TestRemovedMemberRejoins checks that a member that was removed while it was stopped
+// detects the removal and replaces the next lost member.
 func TestRemovedMemberRejoins(t *testing.T) {
 	all, machines := startGroup(t)
 	waitForVoters(t, all, "a", "b", "c")
--- a/internal/app/group/suspend_test.go
+++ b/internal/app/group/suspend_test.go
@@ -29,8 +29,8 @@
 		}
 	}
 	leader.suspend(10 * time.Second)
-	if shown := leader.member.PublishedState(); shown != nil && (shown.LeaderReady || shown.Confirmed) {
-		t.Errorf("settled %v, confirmed %v after the suspension", shown.LeaderReady, shown.Confirmed)
+	if published := leader.member.PublishedState(); published != nil && (published.LeaderReady || published.Confirmed) {
+		t.Errorf("leader ready %v, confirmed %v after the suspension", published.LeaderReady, published.Confirmed)
 	}
 	if err := read(300 * time.Millisecond); err == nil {
 		t.Error("a read succeeded without a quorum")
@@ -47,8 +47,8 @@
 	for range 2 {
 		leader.suspend(10 * time.Second)
 		waitUntil(t, "the leader is in contact with a quorum again", func() bool {
-			shown := leader.member.PublishedState()
-			return shown != nil && shown.LeaderReady
+			published := leader.member.PublishedState()
+			return published != nil && published.LeaderReady
 		})
 	}
 	if now := leader.member.PublishedState().Status.Term; now != term {
