--- a/internal/app/control/config.go
+++ b/internal/app/control/config.go
@@ -108,21 +108,21 @@
 	ErrDataLost = errors.New("control: the data folder is lost; remove this member from the group and add it as a new one under a higher id")
 )
 
-func withDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, standard T) {
 	var unset T
 	if *value == unset {
 		*value = standard
 	}
 }
 
-func (c Config) normalized() Config {
-	withDefault(&c.Tick, DefaultTick)
-	withDefault(&c.ElectionTicks, DefaultElectionTicks)
-	withDefault(&c.HeartbeatTicks, DefaultHeartbeatTicks)
-	withDefault(&c.SnapshotEntries, DefaultSnapshotEntries)
-	withDefault(&c.RetainEntries, DefaultRetainEntries)
-	withDefault(&c.NodeTimeout, DefaultNodeTimeout)
-	withDefault(&c.MaxBatch, DefaultMaxBatch)
+func (c Config) withDefaults() Config {
+	setDefault(&c.Tick, DefaultTick)
+	setDefault(&c.ElectionTicks, DefaultElectionTicks)
+	setDefault(&c.HeartbeatTicks, DefaultHeartbeatTicks)
+	setDefault(&c.SnapshotEntries, DefaultSnapshotEntries)
+	setDefault(&c.RetainEntries, DefaultRetainEntries)
+	setDefault(&c.NodeTimeout, DefaultNodeTimeout)
+	setDefault(&c.MaxBatch, DefaultMaxBatch)
 	c.Clock = c.Clock.OrSystem()
 	if c.FileSystem == nil {
 		c.FileSystem = wal.OS{}
@@ -130,7 +130,7 @@
 	if c.Logger == nil {
 		c.Logger = &log.Logger{Writer: log.IOWriter{Writer: io.Discard}}
 	}
-	withDefault(&c.Wire.BackoffMax, memberBackoffMax)
+	setDefault(&c.Wire.BackoffMax, memberBackoffMax)
 	c.Wire.ClusterID = c.Cluster
 	c.Wire.Token = c.PeerToken
 	c.Wire.Name = memberName(c.ID)
--- a/internal/app/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -46,7 +46,7 @@
 		<-member.Ready()
 	}
 	for id, member := range group.running {
-		group.eventually("every member to catch up", func() bool {
+		group.waitUntil("every member to catch up", func() bool {
 			view, err := member.View(group.context(), true)
 			return err == nil && view.Revision == last
 		})
@@ -132,41 +132,41 @@
 
 func startObserverWatch(client *controlclient.Client, observer *controlstate.Observer) *observerWatch {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &observerWatch{observer: observer, cancel: cancel, done: make(chan struct{})}
+	w := &observerWatch{observer: observer, cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(f.done)
-		_ = client.Watch(ctx, observer.Position(), f.apply)
+		defer close(w.done)
+		_ = client.Watch(ctx, observer.Position(), w.apply)
 	}()
-	return f
+	return w
 }
 
-func (f *observerWatch) apply(update port.ViewUpdate) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	before := f.observer.View()
+func (w *observerWatch) apply(update port.ViewUpdate) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	before := w.observer.View()
 	if update.Full != nil {
-		f.fullViews++
+		w.fullViews++
 	}
-	if _, err := f.observer.Apply(update); err != nil {
-		f.err = err
+	if _, err := w.observer.Apply(update); err != nil {
+		w.err = err
 	}
-	if after := f.observer.View(); after.Revision < before.Revision || after.Position < before.Position {
-		f.err = errors.New("the observer went back")
+	if after := w.observer.View(); after.Revision < before.Revision || after.Position < before.Position {
+		w.err = errors.New("the observer's revision or position decreased")
 	}
 }
 
-func (f *observerWatch) revision() port.Revision {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return f.observer.View().Revision
+func (w *observerWatch) revision() port.Revision {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.observer.View().Revision
 }
 
-func (f *observerWatch) stop(t *testing.T) {
+func (w *observerWatch) stop(t *testing.T) {
 	t.Helper()
-	f.cancel()
-	<-f.done
-	if f.err != nil {
-		t.Fatal(f.err)
+	w.cancel()
+	<-w.done
+	if w.err != nil {
+		t.Fatal(w.err)
 	}
 }
 
@@ -178,7 +178,7 @@
 	observer := controlstate.NewObserver()
 	watch := startObserverWatch(group.client(1), observer)
 	last := group.change(client, 5)
-	group.eventually("the first changes", func() bool { return watch.revision() == last })
+	group.waitUntil("the first changes", func() bool { return watch.revision() == last })
 	watch.stop(t)
 
 	last = group.change(client, 300)
@@ -188,9 +188,9 @@
 		group.leader()
 	}
 	resumed := startObserverWatch(group.client(2), observer)
-	group.eventually("the missed changes", func() bool { return resumed.revision() == last })
+	group.waitUntil("the missed changes", func() bool { return resumed.revision() == last })
 	last = group.change(client, 3)
-	group.eventually("the new changes", func() bool { return resumed.revision() == last })
+	group.waitUntil("the new changes", func() bool { return resumed.revision() == last })
 	resumed.stop(t)
 	if resumed.fullViews == 0 {
 		t.Fatal("the observer got no full view, though the members restarted after the compaction")
@@ -203,15 +203,15 @@
 	group := startGroup(t, 3, nil)
 	watch := startObserverWatch(group.client(1), controlstate.NewObserver())
 	last := group.change(group.client(2), 3)
-	group.eventually("the first changes", func() bool { return watch.revision() == last })
+	group.waitUntil("the first changes", func() bool { return watch.revision() == last })
 	group.kill(1)
 	last = group.change(group.client(2), 3)
-	group.eventually("changes after the watched member died", func() bool { return watch.revision() == last })
+	group.waitUntil("changes after the watched member died", func() bool { return watch.revision() == last })
 	watch.stop(t)
 
 	group.kill(2)
 	isolated := group.running[3]
-	group.eventually("the remaining member to lose its quorum", func() bool {
+	group.waitUntil("the remaining member to lose its quorum", func() bool {
 		status, err := isolated.Status(group.context())
 		return err == nil && !status.QuorumActive
 	})
@@ -273,7 +273,7 @@
 func (g *testGroup) changeMember(change operatorapi.MemberChange) {
 	g.t.Helper()
 	mayHaveRun := false
-	g.eventually("the group to accept "+string(change.Action), func() bool {
+	g.waitUntil("the group to accept "+string(change.Action), func() bool {
 		err := g.leader().ChangeMember(g.context(), change)
 		if err == nil {
 			return true
@@ -385,13 +385,13 @@
 	}
 	// Repeat both reports: a new leader does not have them, and on a slow machine
 	// one may time out before the check.
-	group.eventually("both nodes to be registered", func() bool {
+	group.waitUntil("both nodes to be registered", func() bool {
 		report(silent)
 		report(alive)
 		return viewHas(alive, silent)
 	})
-	group.eventually("the timed-out node to be removed", func() bool { report(alive); return viewHas(alive) })
+	group.waitUntil("the timed-out node to be removed", func() bool { report(alive); return viewHas(alive) })
 	silent.PeerAddress, silent.Draining = "127.0.0.1:1003", true
 	report(silent)
-	group.eventually("the node to be registered again", func() bool { return viewHas(alive, silent) })
+	group.waitUntil("the node to be registered again", func() bool { return viewHas(alive, silent) })
 }
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -18,7 +18,7 @@
 
 // TestIsolatedLeader isolates the leader while the others continue. It must
 // accept no change, confirm no update and serve no linearizable read. After the
-// partition it catches up, and no observer may go back.
+// partition it catches up, and no observer's revision decreases.
 func TestIsolatedLeader(t *testing.T) {
 	network := newTestNetwork()
 	group := startGroup(t, 3, func(config *Config) {
@@ -28,7 +28,7 @@
 	old := group.leader()
 	address := group.members[old.config.ID-1].Peer
 	watch := startObserverWatch(group.client(old.config.ID), controlstate.NewObserver())
-	group.eventually("the first changes", func() bool { return watch.revision() == last })
+	group.waitUntil("the first changes", func() bool { return watch.revision() == last })
 
 	network.setIsolated(address, true)
 	delete(group.running, old.config.ID)
@@ -46,11 +46,11 @@
 	if update, err := old.updateAfter(ctx, 0); err == nil && update.Confirmed {
 		t.Fatal("an isolated member confirmed its view")
 	}
-	group.eventually("the watch to move on", func() bool { return watch.revision() == last })
+	group.waitUntil("the watch to resume at another member", func() bool { return watch.revision() == last })
 
 	network.setIsolated(address, false)
 	group.running[old.config.ID] = old
-	group.eventually("the old leader to catch up", func() bool {
+	group.waitUntil("the old leader to catch up", func() bool {
 		view, err := old.View(group.context(), false)
 		return err == nil && view.Revision == last
 	})
@@ -59,7 +59,7 @@
 		t.Fatalf("the uncommitted change got %+v, %v", result, err)
 	}
 	last = group.change(others, 1)
-	group.eventually("the last change", func() bool { return watch.revision() == last })
+	group.waitUntil("the last change", func() bool { return watch.revision() == last })
 	watch.stop(t)
 }
 
--- a/internal/app/control/founding.go
+++ b/internal/app/control/founding.go
@@ -59,13 +59,13 @@
 }
 
 func openBootstrapper(config Config) (*bootstrapper, error) {
-	f := &bootstrapper{config: config, record: bootstrapRecord{Cluster: config.Cluster, Member: config.ID}}
+	b := &bootstrapper{config: config, record: bootstrapRecord{Cluster: config.Cluster, Member: config.ID}}
 	if err := config.FileSystem.MkdirAll(config.DataFolder); err != nil {
 		return nil, eris.Wrap(err, "make data folder")
 	}
-	data, err := config.FileSystem.ReadFile(f.path())
+	data, err := config.FileSystem.ReadFile(b.path())
 	if errors.Is(err, fs.ErrNotExist) {
-		return f, nil
+		return b, nil
 	}
 	if err != nil {
 		return nil, eris.Wrap(err, "read bootstrap record")
@@ -77,42 +77,42 @@
 	if record.Cluster != config.Cluster || record.Member != config.ID {
 		return nil, eris.Wrapf(wal.ErrForeign, "bootstrap record of member %d of cluster %q", record.Member, record.Cluster)
 	}
-	f.record = record
-	return f, nil
+	b.record = record
+	return b, nil
 }
 
-func (f *bootstrapper) path() string { return filepath.Join(f.config.DataFolder, bootstrapFile) }
+func (b *bootstrapper) path() string { return filepath.Join(b.config.DataFolder, bootstrapFile) }
 
-// recordNew durably records that the requester is new and returns that this member is
+// recordNew durably records that the requester is new and reports that this member is
 // new as well.
-func (f *bootstrapper) recordNew(requester uint64) (bootstrapAnswer, error) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if slices.Contains(f.record.New, requester) {
+func (b *bootstrapper) recordNew(requester uint64) (bootstrapAnswer, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if slices.Contains(b.record.New, requester) {
 		return bootstrapAnswer{}, nil
 	}
-	record := f.record
+	record := b.record
 	record.New = append(slices.Clone(record.New), requester)
-	if err := f.save(record); err != nil {
+	if err := b.save(record); err != nil {
 		return bootstrapAnswer{}, err
 	}
-	f.record = record
+	b.record = record
 	return bootstrapAnswer{}, nil
 }
 
-func (f *bootstrapper) isRecordedNew(member uint64) bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return slices.Contains(f.record.New, member)
+func (b *bootstrapper) isRecordedNew(member uint64) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return slices.Contains(b.record.New, member)
 }
 
-func (f *bootstrapper) save(record bootstrapRecord) error {
+func (b *bootstrapper) save(record bootstrapRecord) error {
 	data, err := wire.Marshal(record)
 	if err != nil {
 		return err
 	}
-	files := f.config.FileSystem
-	temporary := f.path() + ".tmp"
+	files := b.config.FileSystem
+	temporary := b.path() + ".tmp"
 	file, err := files.Create(temporary)
 	if err != nil {
 		return eris.Wrap(err, "create bootstrap record")
@@ -126,14 +126,14 @@
 	if err := file.Close(); err != nil {
 		return eris.Wrap(err, "close bootstrap record")
 	}
-	if err := files.Rename(temporary, f.path()); err != nil {
+	if err := files.Rename(temporary, b.path()); err != nil {
 		return eris.Wrap(err, "rename bootstrap record")
 	}
-	return eris.Wrap(files.SyncDir(f.config.DataFolder), "sync data folder")
+	return eris.Wrap(files.SyncDir(b.config.DataFolder), "sync data folder")
 }
 
-// removeBootstrapRecord durably removes the bootstrap record of a member that has a log.
-// Otherwise a member that loses its log later would take the group for new.
+// removeBootstrapRecord durably removes the bootstrap record of a member that has a
+// log. Otherwise a member that loses its log later would take the group for new.
 func removeBootstrapRecord(config Config) error {
 	files := config.FileSystem
 	err := files.Remove(filepath.Join(config.DataFolder, bootstrapFile))
@@ -146,16 +146,16 @@
 	return eris.Wrap(files.SyncDir(config.DataFolder), "sync data folder")
 }
 
-// awaitInitialMembers blocks until every other initial member has answered and the
-// group may be bootstrapped. It returns ErrDataLost if this member's log is lost.
-func (f *bootstrapper) awaitInitialMembers(ctx context.Context, request func(context.Context, Address) (bootstrapAnswer, error)) error {
-	pending := f.config.others()
+// awaitInitialMembers blocks until every other initial member has answered and this
+// member may bootstrap the group. It returns ErrDataLost if this member's log is lost.
+func (b *bootstrapper) awaitInitialMembers(ctx context.Context, request func(context.Context, Address) (bootstrapAnswer, error)) error {
+	pending := b.config.others()
 	ticker := time.NewTicker(bootstrapInterval)
 	defer ticker.Stop()
 	for {
 		var remaining []Address
 		for _, member := range pending {
-			answered, err := f.requestOne(ctx, member, request)
+			answered, err := b.requestOne(ctx, member, request)
 			if err != nil {
 				return err
 			}
@@ -167,7 +167,7 @@
 			return nil
 		}
 		pending = remaining
-		f.config.Logger.Info().Str("waiting_for", fmt.Sprint(pending)).Msg("waiting for all initial members to bootstrap the group")
+		b.config.Logger.Info().Str("waiting_for", fmt.Sprint(pending)).Msg("waiting for all initial members to bootstrap the group")
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -176,33 +176,33 @@
 	}
 }
 
-func (f *bootstrapper) requestOne(ctx context.Context, member Address, request func(context.Context, Address) (bootstrapAnswer, error)) (bool, error) {
+func (b *bootstrapper) requestOne(ctx context.Context, member Address, request func(context.Context, Address) (bootstrapAnswer, error)) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	answer, err := request(ctx, member)
 	if err != nil {
 		return false, nil
 	}
-	if answer.Bootstrapped && !f.isRecordedNew(member.ID) {
-		return false, eris.Wrapf(ErrDataLost, "%s has no log, but member %d reports a running group", f.config.DataFolder, member.ID)
+	if answer.Bootstrapped && !b.isRecordedNew(member.ID) {
+		return false, eris.Wrapf(ErrDataLost, "%s has no log, but member %d reports a running group", b.config.DataFolder, member.ID)
 	}
 	return true, nil
 }
 
 // awaitGroup blocks until one member of the group has answered. It returns
 // ErrDataLost if the group lists this member as a voter.
-func (f *bootstrapper) awaitGroup(ctx context.Context, request func(context.Context, Address) (bootstrapAnswer, error)) error {
+func (b *bootstrapper) awaitGroup(ctx context.Context, request func(context.Context, Address) (bootstrapAnswer, error)) error {
 	ticker := time.NewTicker(bootstrapInterval)
 	defer ticker.Stop()
 	for {
-		for _, member := range f.config.others() {
+		for _, member := range b.config.others() {
 			attempt, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 			answer, err := request(attempt, member)
 			cancel()
 			switch {
 			case err != nil || !answer.Bootstrapped:
 			case answer.Voter:
-				return eris.Wrapf(ErrDataLost, "%s has no log, but member %d lists member %d as a voter", f.config.DataFolder, member.ID, f.config.ID)
+				return eris.Wrapf(ErrDataLost, "%s has no log, but member %d lists member %d as a voter", b.config.DataFolder, member.ID, b.config.ID)
 			default:
 				return nil
 			}
--- a/internal/app/control/group_test.go
+++ b/internal/app/control/group_test.go
@@ -109,7 +109,7 @@
 func (g *testGroup) leader() *Member {
 	g.t.Helper()
 	var leader *Member
-	g.eventually("a leader", func() bool {
+	g.waitUntil("a leader", func() bool {
 		for _, member := range g.running {
 			l := member.current.Load()
 			if l == nil {
@@ -125,7 +125,7 @@
 	return leader
 }
 
-func (g *testGroup) eventually(what string, condition func() bool) {
+func (g *testGroup) waitUntil(what string, condition func() bool) {
 	g.t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for !condition() {
--- a/internal/app/control/housekeeping.go
+++ b/internal/app/control/housekeeping.go
@@ -21,7 +21,7 @@
 func (m *Member) runMaintenance(ctx context.Context) error {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
-	var watcher controlmember.NodeTimeouts
+	var timeouts controlmember.NodeTimeouts
 	for {
 		select {
 		case <-ticker.C:
@@ -31,10 +31,10 @@
 		m.updateAddresses(ctx)
 		published := m.loop().published.Load()
 		if published.status.Role != consensus.RoleLeader || !published.status.QuorumActive {
-			watcher.Reset()
+			timeouts.Reset()
 			continue
 		}
-		m.removeTimedOut(ctx, &watcher, published.view)
+		m.removeTimedOut(ctx, &timeouts, published.view)
 	}
 }
 
@@ -71,13 +71,13 @@
 
 // removeTimedOut proposes the removal of timed-out nodes. The next report of a node
 // registers it again.
-func (m *Member) removeTimedOut(ctx context.Context, watcher *controlmember.NodeTimeouts, view *port.View) {
+func (m *Member) removeTimedOut(ctx context.Context, timeouts *controlmember.NodeTimeouts, view *port.View) {
 	reports := m.gatherReports(ctx)
 	ages := make(map[port.NodeID]time.Duration, len(reports.Nodes))
 	for _, report := range reports.Nodes {
 		ages[report.Report.Node.ID] = time.Duration(report.AgeMillis) * time.Millisecond
 	}
-	for _, id := range watcher.TimedOut(view.Nodes, ages, time.Now(), m.config.NodeTimeout) {
+	for _, id := range timeouts.TimedOut(view.Nodes, ages, time.Now(), m.config.NodeTimeout) {
 		attempt, cancel := context.WithTimeout(ctx, controlclient.DefaultAttemptTimeout)
 		_, err := m.propose(attempt, port.Command{RemoveNode: &port.RemoveNode{ID: id}}, true)
 		cancel()
--- a/internal/app/control/loop.go
+++ b/internal/app/control/loop.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	requestQueue = 4096
-	messageQueue = 4096
+	requestQueueSize = 4096
+	messageQueueSize = 4096
 )
 
 // loopStatus is the immutable status that the loop publishes after each step.
 type loopStatus struct {
-	view     *port.View
-	status   consensus.Status
-	caughtUp bool
-	at       time.Duration // by Config.Clock
-	syncs    uint64
-	applied  uint64
+	view        *port.View
+	status      consensus.Status
+	caughtUp    bool
+	publishedAt time.Duration // by Config.Clock
+	syncs       uint64
+	applied     uint64
 }
 
 // confirmed reports whether, less than maxAge before now, the member was caught up
 // and in contact with a quorum. It is false while the loop hangs in a sync, and
 // after the machine was suspended.
 func (s *loopStatus) confirmed(now, maxAge time.Duration) bool {
-	return s.status.QuorumActive && s.caughtUp && now-s.at < maxAge
+	return s.status.QuorumActive && s.caughtUp && now-s.publishedAt < maxAge
 }
 
-// request is a function that the loop's goroutine runs.
+// request is a function to run in the loop's goroutine.
 type request func(l *loop)
 
 // loop owns the core and the log of a member. Only the goroutine of run accesses
@@ -48,7 +48,7 @@
 	messages  chan consensus.Message
 	stopped   chan struct{}
 	published atomic.Pointer[loopStatus]
-	// send passes a message to the network without blocking.
+	// send sends a message without blocking.
 	send func(consensus.Message)
 	// changed is called when the position of the view has changed.
 	changed func()
@@ -66,7 +66,7 @@
 	done  chan<- struct{}
 }
 
-// newLoop creates the core on an open log.
+// newLoop returns a loop on an open log.
 func newLoop(config Config, log *wal.Log, restored consensus.Restored) (*loop, error) {
 	member, err := controlmember.New(controlmember.Config{
 		Consensus:       config.consensus(),
@@ -80,8 +80,8 @@
 		config:         config,
 		member:         member,
 		log:            log,
-		requests:       make(chan request, requestQueue),
-		messages:       make(chan consensus.Message, messageQueue),
+		requests:       make(chan request, requestQueueSize),
+		messages:       make(chan consensus.Message, messageQueueSize),
 		stopped:        make(chan struct{}),
 		startedAt:      config.Clock(),
 		pendingReplies: make(map[uint64]chan<- controlmember.Reply),
@@ -100,7 +100,7 @@
 		if err := l.wait(ctx, ticker.C); err != nil {
 			return err
 		}
-		if err := l.drainQueues(); err != nil {
+		if err := l.handleQueued(); err != nil {
 			return err
 		}
 		if err := l.processReady(); err != nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// drainQueues processes the queued events, so that one sync covers the batch.
-func (l *loop) drainQueues() error {
+// handleQueued processes the queued events, so that one sync covers the batch.
+func (l *loop) handleQueued() error {
 	for range l.config.MaxBatch - 1 {
 		select {
 		case message := <-l.messages:
@@ -183,7 +183,7 @@
 	}
 	// Publish before replying, so that callers see the effect of their requests.
 	l.publish()
-	l.sendReplies()
+	l.deliverReplies()
 	return nil
 }
 
@@ -217,8 +217,9 @@
 	return eris.Wrap(l.member.Compact(snapshot), "compact")
 }
 
-// sendReplies sends the replies of the core and completes the reads that are applied.
-func (l *loop) sendReplies() {
+// deliverReplies passes the replies of the core to their channels and completes the
+// reads whose index is applied.
+func (l *loop) deliverReplies() {
 	for _, reply := range l.member.TakeReplies() {
 		if replyTo, found := l.pendingReplies[reply.Token]; found {
 			delete(l.pendingReplies, reply.Token)
@@ -257,12 +258,12 @@
 	previous := l.published.Load()
 	state := l.member.State()
 	current := &loopStatus{
-		view:     state.View(),
-		status:   l.member.Status(),
-		caughtUp: l.member.CaughtUp(),
-		at:       l.config.Clock(),
-		syncs:    l.log.Syncs(),
-		applied:  state.Applied(),
+		view:        state.View(),
+		status:      l.member.Status(),
+		caughtUp:    l.member.CaughtUp(),
+		publishedAt: l.config.Clock(),
+		syncs:       l.log.Syncs(),
+		applied:     state.Applied(),
 	}
 	l.published.Store(current)
 	if previous != nil && previous.view.Position != current.view.Position {
--- a/internal/app/control/member.go
+++ b/internal/app/control/member.go
@@ -63,7 +63,7 @@
 // or foreign folder itself; Wait returns ErrDataLost, which depends on the answers
 // of the other members.
 func Start(config Config) (*Member, error) {
-	config = config.normalized()
+	config = config.withDefaults()
 	if err := config.check(); err != nil {
 		return nil, err
 	}
@@ -166,10 +166,10 @@
 	}
 }
 
-// runLoop bootstraps a member without a log, then runs its loop.
+// runLoop bootstraps or joins the group if the member has no log, then runs its loop.
 func (m *Member) runLoop(ctx context.Context, l *loop) error {
 	if l == nil {
-		created, err := m.bootstrap(ctx)
+		created, err := m.bootstrapOrJoin(ctx)
 		if err != nil {
 			return err
 		}
@@ -188,8 +188,8 @@
 	return errors.Join(err, l.log.Close())
 }
 
-// bootstrap creates the log of a new member once the other members permit it.
-func (m *Member) bootstrap(ctx context.Context) (*loop, error) {
+// bootstrapOrJoin creates the log of a new member once the other members permit it.
+func (m *Member) bootstrapOrJoin(ctx context.Context) (*loop, error) {
 	initial := consensus.Membership{}
 	if m.config.Join {
 		if err := m.bootstrapper.awaitGroup(ctx, m.requestBootstrap); err != nil {
--- a/internal/app/control/operator.go
+++ b/internal/app/control/operator.go
@@ -95,7 +95,7 @@
 		Role:          status.Role.String(),
 		Leader:        uint64(status.Leader),
 		Term:          status.Term,
-		QuorumActive:  status.QuorumActive && m.config.Clock()-published.at < m.config.electionTimeout(),
+		QuorumActive:  status.QuorumActive && m.config.Clock()-published.publishedAt < m.config.electionTimeout(),
 		SilentMillis:  m.ticksToMillis(status.TicksSinceContact),
 		Commit:        status.Commit,
 		Applied:       published.applied,
--- a/internal/app/control/peers.go
+++ b/internal/app/control/peers.go
@@ -33,7 +33,7 @@
 	return p
 }
 
-// setAddress sets the address of a member that joined through the log.
+// setAddress sets the address of a member.
 func (p *peers) setAddress(id consensus.MemberID, address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -78,8 +78,7 @@
 	}
 }
 
-// send passes a consensus message to the network. A lost message is sent again by
-// the core.
+// send sends a consensus message. The message may be lost; the core retries.
 func (p *peers) send(message consensus.Message) {
 	if client := p.client(message.To); client != nil {
 		_ = client.Send(context.Background(), peerapi.MethodConsensus, message)
--- a/internal/app/control/process_test.go
+++ b/internal/app/control/process_test.go
@@ -186,7 +186,7 @@
 
 // TestProcessesKilledAndSuspended kills members at random with SIGKILL and suspends
 // others with SIGSTOP during writes. Each change must take effect once, and no
-// observer may go back.
+// observer's revision may decrease.
 func TestProcessesKilledAndSuspended(t *testing.T) {
 	const rounds = 6
 	group := startProcesses(t)
--- a/internal/app/control/protocol.go
+++ b/internal/app/control/protocol.go
@@ -8,7 +8,7 @@
 	methodReadIndex = "member.read_index"
 	// methodChangeMember forwards an operatorapi.MemberChange to the leader.
 	methodChangeMember = "member.change_member"
-	// methodBootstrap asks a member whether the group has been bootstrapped.
+	// methodBootstrap requests whether the group has been bootstrapped.
 	methodBootstrap = "member.founding"
 )
 
