--- a/internal/core/controlmember/member.go
+++ b/internal/core/controlmember/member.go
@@ -62,7 +62,7 @@
 }
 
 // New returns a member with the state that its storage restored and its present wall
-// clock. It fails if that state is invalid; the member must then not take part.
+// clock. It fails if that state is invalid; the member must then not start.
 func New(config Config, restored consensus.Restored, wall time.Time) (*Member, error) {
 	if config.TickInterval <= 0 {
 		return nil, fmt.Errorf("%w: tick interval %v", consensus.ErrConfig, config.TickInterval)
@@ -114,8 +114,8 @@
 	return err
 }
 
-// Propose proposes a command, stamped with the leader's time. The result is a Reply; it
-// has verdict NotRun, at once, if the command did not enter the log.
+// Propose proposes a command, stamped with the leader's time. The result is a Reply; if
+// the command does not enter the log, the Reply is queued immediately, with verdict NotRun.
 func (m *Member) Propose(token uint64, command port.Command) {
 	command.Time, command.TimeJump = m.clock.now(), m.clock.jumpMillis()
 	if m.config.NoTimeJump {
@@ -184,14 +184,14 @@
 // leader, or through the leader, which steps down when it loses the quorum.
 func (m *Member) QuorumContact() bool { return m.status.QuorumActive }
 
-// CaughtUp reports whether the member has applied everything that the leader's last
-// message showed as committed.
+// CaughtUp reports whether the member has applied everything that was committed at the
+// leader's last message.
 func (m *Member) CaughtUp() bool {
 	return m.state.Applied() >= max(m.status.Commit, m.status.Required)
 }
 
-// Update returns what an observer at position after lacks. Confirmed is set only while
-// the member is in contact with a quorum and caught up.
+// Update returns the changes after position after, for an observer. Confirmed is set only
+// while the member is in contact with a quorum and caught up.
 func (m *Member) Update(after uint64) port.ViewUpdate {
 	update := m.state.Update(after)
 	update.Confirmed = m.QuorumContact() && m.CaughtUp()
--- a/internal/core/controlmember/ready.go
+++ b/internal/core/controlmember/ready.go
@@ -14,12 +14,12 @@
 // HasReady reports whether Ready has work.
 func (m *Member) HasReady() bool { return m.node.HasReady() }
 
-// Ready returns the pending work: first make HardState, Snapshot and Entries durable, with
-// a sync if MustSync is set, then send Messages, then call Advance.
+// Ready returns pending work: first make HardState, Snapshot and Entries durable, with a
+// sync if MustSync is set, then send Messages, then pass it to Advance.
 func (m *Member) Ready() consensus.Ready { return m.node.Ready() }
 
-// Advance applies the committed entries of a Ready that was carried out. After an error
-// this member's state is invalid, and it must stop.
+// Advance confirms that the caller has processed ready, and applies its committed entries.
+// After an error this member's state is invalid, and it must stop.
 func (m *Member) Advance(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := m.install(*ready.Snapshot); err != nil {
@@ -29,14 +29,14 @@
 	for _, entry := range ready.Committed {
 		m.apply(entry)
 	}
-	m.confirmReads(ready.ReadStates)
+	m.queueReads(ready.ReadStates)
 	m.node.Advance(ready)
 	m.updateStatus()
 	m.serveReads()
 	return nil
 }
 
-// install replaces the state by a snapshot from the leader.
+// install replaces the state with a snapshot from the leader.
 func (m *Member) install(snapshot consensus.Snapshot) error {
 	if err := m.state.Restore(snapshot.Data); err != nil {
 		return err
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// apply applies one committed entry and replies to a proposer on this member.
+// apply applies one committed entry and replies to its proposal, if this member made it.
 func (m *Member) apply(entry consensus.Entry) {
 	result := port.Result{Index: entry.Index}
 	switch entry.Kind {
@@ -69,7 +69,7 @@
 	}
 	delete(m.pending, entry.Index)
 	if proposed.term != entry.Term {
-		m.fail(proposed.token, port.NewError(port.NotRun, port.CodeUnavailable, "another leader's entry took the place in the log"))
+		m.fail(proposed.token, port.NewError(port.NotRun, port.CodeUnavailable, "proposal was replaced by another leader's entry"))
 		return
 	}
 	m.replies = append(m.replies, Reply{Token: proposed.token, Result: result})
@@ -101,9 +101,9 @@
 	}
 }
 
-// confirmReads queues the reads whose leadership was confirmed until their index is applied,
-// and fails those that lost their leader.
-func (m *Member) confirmReads(states []consensus.ReadState) {
+// queueReads queues confirmed reads until their index is applied, and fails those that
+// lost their leader.
+func (m *Member) queueReads(states []consensus.ReadState) {
 	for _, state := range states {
 		token, found := m.reads[state.RequestID]
 		if !found {
--- a/internal/core/controlmember/silence.go
+++ b/internal/core/controlmember/silence.go
@@ -13,16 +13,16 @@
 }
 
 // Reset clears the reports. The caller calls it while the member is not the leader.
-func (w *NodeTimeouts) Reset() { w.lastReport = nil }
+func (t *NodeTimeouts) Reset() { t.lastReport = nil }
 
 // TimedOut returns the registered nodes without a report for the timeout. ages holds the
 // times since the nodes' last reports. For a new leader or a newly registered node, the
 // timeout starts now.
-func (w *NodeTimeouts) TimedOut(nodes []port.NodeAddress, ages map[port.NodeID]time.Duration, now time.Time, timeout time.Duration) []port.NodeID {
+func (t *NodeTimeouts) TimedOut(nodes []port.NodeAddress, ages map[port.NodeID]time.Duration, now time.Time, timeout time.Duration) []port.NodeID {
 	reports := make(map[port.NodeID]time.Time, len(nodes))
-	var silent []port.NodeID
+	var timedOut []port.NodeID
 	for _, node := range nodes {
-		last, known := w.lastReport[node.ID]
+		last, known := t.lastReport[node.ID]
 		if !known {
 			last = now
 		}
@@ -31,9 +31,9 @@
 		}
 		reports[node.ID] = last
 		if now.Sub(last) >= timeout {
-			silent = append(silent, node.ID)
+			timedOut = append(timedOut, node.ID)
 		}
 	}
-	w.lastReport = reports
-	return silent
+	t.lastReport = reports
+	return timedOut
 }
