--- a/internal/core/groupmember/member.go
+++ b/internal/core/groupmember/member.go
@@ -20,19 +20,19 @@
 )
 
 var (
-	// ErrLeadershipLost answers a proposal with an unknown outcome: another leader
-	// may still commit it.
+	// ErrLeadershipLost fails a proposal with an unknown outcome: another leader may
+	// still commit it.
 	ErrLeadershipLost = errors.New("groupmember: leadership was lost before the answer")
-	// ErrProposalReplaced answers a proposal that has no effect.
+	// ErrProposalReplaced fails a proposal that has no effect.
 	ErrProposalReplaced = errors.New("groupmember: proposal was replaced by another leader's entry")
 )
 
 // StateMachine is the replicated state. Its methods are not called concurrently.
 type StateMachine interface {
-	// Apply applies the command at a position of the log. The result is returned to
+	// Apply applies the command at an index of the log. The result is returned to
 	// the proposer.
 	Apply(index uint64, command []byte) any
-	// Snapshot captures the whole current state. Later calls of Apply do not change
+	// Snapshot captures the current state. Later calls of Apply do not change
 	// the capture.
 	Snapshot() Encoder
 	// Restore replaces the state with the encoded one in data.
@@ -56,8 +56,8 @@
 	Consensus       consensus.Config
 	SnapshotEntries uint64
 	SnapshotBytes   int
-	// Founders are the records of the members that founded the group. Only they have
-	// them; their leader adds them to the log for members that join.
+	// Founders are the records of the initial members, which bootstrap the group. Only
+	// they have them; their leader adds them to the log for members that join.
 	Founders []Record
 }
 
@@ -88,16 +88,16 @@
 	node      *consensus.Node
 	machine   StateMachine
 	directory directory
-	// directoryLogged is set once the founders' directory is in the log.
+	// directoryLogged is set once the initial members' directory is in the log.
 	directoryLogged bool
 	status          consensus.Status
 	applied         uint64
 	pending         map[uint64]proposal // by log index
 	reads           map[uint64]uint64   // token by request id
-	waitingReads    []waitingRead
+	confirmedReads  []confirmedRead
 	replies         []Reply
 
-	// membershipKnown is set once the members at the applied position are known. A
+	// membershipKnown is set once the members at the applied index are known. A
 	// member that joins reads the log from before it was added.
 	membershipKnown bool
 
@@ -116,7 +116,7 @@
 	term  uint64
 }
 
-type waitingRead struct {
+type confirmedRead struct {
 	token uint64
 	index uint64
 }
@@ -169,14 +169,14 @@
 // errTruncatedSnapshot reports snapshot data without a complete header.
 var errTruncatedSnapshot = errors.New("groupmember: snapshot data is truncated")
 
-// Tick advances the member's clock by one tick.
+// Tick records that one tick interval has passed.
 func (m *Member) Tick() {
 	m.node.Tick()
 	m.updateStatus()
 }
 
-// TickMissed advances the clock by ticks during which the owner did not run the member.
-// Tick follows.
+// TickMissed records ticks during which the caller did not run the member. The caller
+// calls Tick next.
 func (m *Member) TickMissed(ticks int) {
 	m.node.TickMissed(ticks)
 	m.updateStatus()
@@ -190,7 +190,7 @@
 	return err
 }
 
-// Propose appends a command to the log. The answer is a Reply.
+// Propose proposes a command. The result is a Reply.
 func (m *Member) Propose(token uint64, command []byte) {
 	data, err := cbor.Marshal(envelope{Command: command})
 	if err != nil {
@@ -202,7 +202,7 @@
 }
 
 // ChangeMembership adds, promotes or removes a member. Record describes a member to be
-// added.
+// added. The result is a Reply.
 func (m *Member) ChangeMembership(token uint64, kind consensus.MembershipChangeKind, record Record) {
 	change := consensus.MembershipChange{Kind: kind, Member: record.ID}
 	if kind == consensus.AddLearner {
@@ -225,9 +225,9 @@
 	m.pending[index] = proposal{token: token, term: term}
 }
 
-// Read requests a consistent read: once the Reply is returned, this member's state
-// includes every command committed before the call, until the next Advance. Only a
-// leader can serve it.
+// Read requests a linearizable read. When the state includes every command committed
+// before the call, a Reply is returned; the caller may read the state until the next
+// Advance. Only the leader can serve it.
 func (m *Member) Read(token uint64) {
 	m.lastRead++
 	if err := m.node.ReadIndex(m.lastRead); err != nil {
@@ -237,10 +237,10 @@
 	m.reads[m.lastRead] = token
 }
 
-// TransferTo transfers leadership to another voter.
+// TransferTo transfers leadership to another voter before a planned stop.
 func (m *Member) TransferTo(id consensus.MemberID) error { return m.node.TransferLeadership(id) }
 
-// TakeReplies returns and clears the pending replies.
+// TakeReplies returns the pending replies and clears them.
 func (m *Member) TakeReplies() []Reply {
 	replies := m.replies
 	m.replies = nil
@@ -262,23 +262,24 @@
 	return record, found
 }
 
-// IsLeader reports whether this member leads.
+// IsLeader reports whether this member is the leader.
 func (m *Member) IsLeader() bool { return m.status.Role == consensus.RoleLeader }
 
-// LeaderReady reports whether this member leads, has contact to a quorum, and has applied an
-// entry of its own term, so that its state includes all that earlier leaders committed.
+// LeaderReady reports whether this member is the leader, is in contact with a quorum, and has
+// applied an entry of its own term, so that its state includes all that earlier leaders
+// committed.
 func (m *Member) LeaderReady() bool {
 	start, leads := m.node.TermStart()
 	return leads && m.status.QuorumActive && m.applied >= start
 }
 
-// CaughtUp reports whether the member has applied everything that was committed at its
-// last contact with the leader.
+// CaughtUp reports whether the member has applied everything that was committed at the
+// leader's last message.
 func (m *Member) CaughtUp() bool {
 	return m.applied >= max(m.status.Commit, m.status.Required)
 }
 
-// updateStatus reads the consensus status and fails the proposals if leadership was lost.
+// updateStatus updates the consensus status and fails the proposals if leadership was lost.
 func (m *Member) updateStatus() {
 	led := m.IsLeader()
 	m.status = m.node.Status()
--- a/internal/core/groupmember/plan.go
+++ b/internal/core/groupmember/plan.go
@@ -35,9 +35,9 @@
 	Transfer bool
 }
 
-// Plan returns the next change for the group of a settled leader, if one is due. Leaving
-// holds the names of machines that are being drained. The next change is planned once
-// this one is committed.
+// Plan returns the next change for the group of a leader that is ready, if one is due.
+// Leaving holds the names of machines that are being drained. The next change is planned
+// once this one is committed.
 func Plan(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) (Change, bool) {
 	group := newGroupView(status, records, leaving, limits)
 	for _, rule := range []func() (Change, bool){
@@ -46,7 +46,7 @@
 		group.removeLeaving,
 		group.removeReplaced,
 		group.removeSurplus,
-		group.removeSilentLearner,
+		group.removeTimedOutLearner,
 	} {
 		if change, due := rule(); due {
 			return change, true
@@ -212,8 +212,8 @@
 	return Change{Kind: consensus.RemoveMember, Member: surplus.record.ID}, found
 }
 
-// removeSilentLearner removes a learner that had no contact for RemoveLearnerTicks.
-func (g *groupView) removeSilentLearner() (Change, bool) {
-	silent, found := g.find(func(m member) bool { return !m.voter && !m.self && m.ticksSinceContact >= g.limits.RemoveLearnerTicks })
-	return Change{Kind: consensus.RemoveMember, Member: silent.record.ID}, found
+// removeTimedOutLearner removes a learner that had no contact for RemoveLearnerTicks.
+func (g *groupView) removeTimedOutLearner() (Change, bool) {
+	timedOut, found := g.find(func(m member) bool { return !m.voter && !m.self && m.ticksSinceContact >= g.limits.RemoveLearnerTicks })
+	return Change{Kind: consensus.RemoveMember, Member: timedOut.record.ID}, found
 }
--- a/internal/core/groupmember/ready.go
+++ b/internal/core/groupmember/ready.go
@@ -13,15 +13,15 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// HasReady reports whether there is work for Ready to return.
+// HasReady reports whether Ready has work.
 func (m *Member) HasReady() bool { return m.node.HasReady() }
 
 // Ready returns pending work: first make HardState, Snapshot and Entries durable, with a
 // sync if MustSync is set, then send Messages, then pass it to Advance.
 func (m *Member) Ready() consensus.Ready { return m.node.Ready() }
 
-// Advance confirms that the owner has processed ready, and applies its committed entries.
-// After an error this member's state is unusable, and it must stop.
+// Advance confirms that the caller has processed ready, and applies its committed entries.
+// After an error this member's state is invalid, and it must stop.
 func (m *Member) Advance(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := m.install(*ready.Snapshot); err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// apply applies one committed entry and answers its proposal, if this member made it.
+// apply applies one committed entry and replies to its proposal, if this member made it.
 func (m *Member) apply(entry consensus.Entry) {
 	m.applied = entry.Index
 	m.bytesSinceSnapshot += len(entry.Data)
@@ -68,16 +68,16 @@
 		m.applyMembership(entry)
 	case consensus.EntryEmpty:
 	}
-	waiting, found := m.pending[entry.Index]
+	proposed, found := m.pending[entry.Index]
 	if !found {
 		return
 	}
 	delete(m.pending, entry.Index)
-	if waiting.term != entry.Term {
-		m.fail(waiting.token, ErrProposalReplaced)
+	if proposed.term != entry.Term {
+		m.fail(proposed.token, ErrProposalReplaced)
 		return
 	}
-	m.replies = append(m.replies, Reply{Token: waiting.token, Result: result})
+	m.replies = append(m.replies, Reply{Token: proposed.token, Result: result})
 }
 
 // applyNormal applies a command or the directory. Every member skips undecodable data
@@ -114,8 +114,8 @@
 	}
 }
 
-// ProposeDirectory adds the founders' records to the log for members that join. The leader
-// calls it; it does nothing if they are in the log already.
+// ProposeDirectory adds the initial members' records to the log for members that join. The
+// leader calls it; it does nothing if they are in the log already.
 func (m *Member) ProposeDirectory() {
 	if m.directoryLogged || !m.LeaderReady() {
 		return
@@ -130,7 +130,8 @@
 	}
 }
 
-// queueReads queues confirmed reads until their position is applied.
+// queueReads queues confirmed reads until their index is applied, and fails those that
+// lost their leader.
 func (m *Member) queueReads(states []consensus.ReadState) {
 	for _, state := range states {
 		token, found := m.reads[state.RequestID]
@@ -142,13 +143,13 @@
 			m.fail(token, consensus.ErrNotLeader)
 			continue
 		}
-		m.waitingReads = append(m.waitingReads, waitingRead{token: token, index: state.Index})
+		m.confirmedReads = append(m.confirmedReads, confirmedRead{token: token, index: state.Index})
 	}
 }
 
-// serveReads answers the queued reads whose position is applied.
+// serveReads replies to the reads whose index is applied.
 func (m *Member) serveReads() {
-	m.waitingReads = slices.DeleteFunc(m.waitingReads, func(read waitingRead) bool {
+	m.confirmedReads = slices.DeleteFunc(m.confirmedReads, func(read confirmedRead) bool {
 		if m.applied < read.index {
 			return false
 		}
@@ -174,14 +175,14 @@
 	return entries >= enoughEntries || m.bytesSinceSnapshot >= enoughBytes
 }
 
-// Capture is the applied state at one position of the log, before it is encoded.
+// Capture is the applied state at one index of the log, before it is encoded.
 type Capture struct {
 	snapshot consensus.Snapshot
 	header   snapshotHeader
 	state    Encoder
 }
 
-// CaptureSnapshot captures the applied state. The owner encodes it, makes it durable and
+// CaptureSnapshot captures the applied state. The caller encodes it, makes it durable and
 // passes it to Compact; the member continues to run.
 func (m *Member) CaptureSnapshot() (Capture, error) {
 	snapshot, err := m.node.BuildSnapshot(m.applied, nil)
@@ -210,8 +211,8 @@
 	return c.snapshot, nil
 }
 
-// Compact truncates the log up to a durable snapshot. It fails with
-// consensus.ErrCompacted if the leader has sent a later one.
+// Compact drops the log up to a durable snapshot. It fails with consensus.ErrCompacted if
+// the leader has sent a later one.
 func (m *Member) Compact(snapshot consensus.Snapshot) error {
 	if err := m.node.Compact(snapshot); err != nil {
 		return err
@@ -220,7 +221,7 @@
 	return nil
 }
 
-// ReleaseSnapshot discards the data of the newest snapshot, which the owner has made
+// ReleaseSnapshot discards the data of the newest snapshot, which the caller has made
 // durable.
 func (m *Member) ReleaseSnapshot() { m.node.ReleaseSnapshot() }
 
--- a/internal/core/groupmember/room.go
+++ b/internal/core/groupmember/room.go
@@ -2,9 +2,9 @@
 
 import "github.com/loomgrade/loomgrade/internal/core/consensus"
 
-// AcceptsLearner reports whether a settled leader's group accepts a machine as a learner. The
-// number of slots is limited, as the leader sends each new member the whole state. A
-// machine with the address of a member is always accepted.
+// AcceptsLearner reports whether the group of a leader that is ready accepts a machine as a
+// learner. The number of slots is limited, as the leader sends each new member the full
+// state. A machine with the address of a member is always accepted.
 func AcceptsLearner(status consensus.Status, records []Record, leaving map[string]bool, address string, limits Limits) bool {
 	if limits.Learners == UnlimitedLearners {
 		return true
@@ -16,8 +16,8 @@
 	return group.freeSlots() > 0
 }
 
-// FreeSlots returns how many more machines a settled leader's group accepts, or 0 if their
-// number is not limited.
+// FreeSlots returns how many more machines the group of a leader that is ready accepts, or 0
+// if their number is not limited.
 func FreeSlots(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) int {
 	if limits.Learners == UnlimitedLearners {
 		return 0
--- a/internal/core/groupmember/simulation_test.go
+++ b/internal/core/groupmember/simulation_test.go
@@ -99,12 +99,12 @@
 	isolatedUntil int
 	// pausedUntil ends a pause, during which the machine does not run and its incoming
 	// messages wait. missedTicks counts its member's ticks during the pause.
-	pausedUntil int
-	missedTicks int
-	leaving     bool
-	removed     bool
-	changing    bool
-	wiped       int
+	pausedUntil   int
+	missedTicks   int
+	leaving       bool
+	removed       bool
+	changePending bool
+	wiped         int
 	// pendingSnapshot is a snapshot whose write finishes at snapshotDoneAt.
 	pendingSnapshot *groupmember.Capture
 	snapshotDoneAt  int
@@ -123,8 +123,8 @@
 	inFlight   []delivery
 	loss       float64
 	lastNumber uint64
-	// waiting holds the unacknowledged numbers by member and token.
-	waiting             map[consensus.MemberID]map[uint64]uint64
+	// pending holds the unacknowledged numbers by member and token.
+	pending             map[consensus.MemberID]map[uint64]uint64
 	acknowledgedNumbers []uint64
 	limits              groupmember.Limits
 	lastWipe            int
@@ -139,7 +139,7 @@
 	releaseData bool
 	provided    int
 	// chunkBytes is the snapshot chunk size, 0 the default. snapshotsWhileSending counts
-	// the snapshots that a leader began while it was sending one.
+	// the snapshots that a leader started while it was sending one.
 	chunkBytes            int
 	snapshotsWhileSending int
 	// batchBytes is the MaxBatchBytes setting; 0 is the default.
@@ -148,7 +148,7 @@
 
 func newWorld(t *testing.T, seed uint64, count, voters int) *world {
 	w := &world{
-		t: t, random: rand.New(rand.NewPCG(seed, 7)), waiting: map[consensus.MemberID]map[uint64]uint64{}, lastWipe: -1000, snapshotEntries: 40,
+		t: t, random: rand.New(rand.NewPCG(seed, 7)), pending: map[consensus.MemberID]map[uint64]uint64{}, lastWipe: -1000, snapshotEntries: 40,
 		limits: groupmember.Limits{Voters: voters, MinVoters: 3, Learners: groupmember.UnlimitedLearners, ReplaceTicks: replaceTicks, FreeSlotTicks: vacantTicks, RemoveLearnerTicks: forgetTicks},
 	}
 	var founders []groupmember.Record
@@ -182,10 +182,10 @@
 func (w *world) stop(m *machine, ticks int) {
 	m.member = nil
 	m.pausedUntil, m.missedTicks = 0, 0
-	m.changing = false
+	m.changePending = false
 	m.pendingSnapshot = nil
 	m.downUntil = max(m.downUntil, w.now+ticks)
-	delete(w.waiting, m.id)
+	delete(w.pending, m.id)
 }
 
 func (w *world) wipe(m *machine) {
@@ -214,7 +214,7 @@
 // join makes a machine without an id a learner, or returns the id that it already has.
 func (w *world) join(m *machine) {
 	leader := w.leader()
-	if leader == nil || leader.changing || leader.isolatedUntil > w.now || m.isolatedUntil > w.now || m.leaving {
+	if leader == nil || leader.changePending || leader.isolatedUntil > w.now || m.isolatedUntil > w.now || m.leaving {
 		return
 	}
 	status := leader.member.Status()
@@ -228,7 +228,7 @@
 	if !groupmember.AcceptsLearner(status, leader.member.Directory(), w.leaving(), m.name, w.limits) {
 		return
 	}
-	leader.changing = true
+	leader.changePending = true
 	leader.member.ChangeMembership(0, consensus.AddLearner, groupmember.Record{
 		ID: status.Membership.HighestID + 1, Address: m.name, Name: m.name, Incarnation: incarnation,
 	})
@@ -261,7 +261,7 @@
 	}
 }
 
-// save captures a snapshot once the member wants one, and compacts the log once the
+// save captures a snapshot once one is due, and compacts the log once the
 // snapshot is written, unless the leader has sent a later one.
 func (w *world) save(m *machine) {
 	if m.pendingSnapshot == nil && m.member.SnapshotDue() {
@@ -307,11 +307,11 @@
 
 func (w *world) handleReply(m *machine, reply groupmember.Reply) {
 	if reply.Token == 0 {
-		m.changing = false
+		m.changePending = false
 		return
 	}
-	number := w.waiting[m.id][reply.Token]
-	delete(w.waiting[m.id], reply.Token)
+	number := w.pending[m.id][reply.Token]
+	delete(w.pending[m.id], reply.Token)
 	if reply.Err == nil && number != 0 {
 		w.acknowledgedNumbers = append(w.acknowledgedNumbers, number)
 	}
@@ -319,16 +319,16 @@
 
 func (w *world) propose(m *machine) {
 	w.lastNumber++
-	if w.waiting[m.id] == nil {
-		w.waiting[m.id] = map[uint64]uint64{}
+	if w.pending[m.id] == nil {
+		w.pending[m.id] = map[uint64]uint64{}
 	}
-	w.waiting[m.id][w.lastNumber] = w.lastNumber
+	w.pending[m.id][w.lastNumber] = w.lastNumber
 	m.member.Propose(w.lastNumber, binary.BigEndian.AppendUint64(nil, w.lastNumber))
 }
 
 func (w *world) plan(m *machine) {
 	m.member.ProposeDirectory()
-	if m.changing {
+	if m.changePending {
 		return
 	}
 	change, due := groupmember.Plan(m.member.Status(), m.member.Directory(), w.leaving(), w.limits)
@@ -344,7 +344,7 @@
 		}
 		return
 	}
-	m.changing = true
+	m.changePending = true
 	m.member.ChangeMembership(0, change.Kind, groupmember.Record{ID: change.Member})
 }
 
--- a/internal/core/groupmember/wiped_test.go
+++ b/internal/core/groupmember/wiped_test.go
@@ -89,17 +89,17 @@
 		}
 		w.wipeFollowers()
 		w.snapshotsWhileSending = 0
-		sending, most := 0, uint64(0)
+		sending, maxEntries := 0, uint64(0)
 		for range recoverVotersTicks {
 			w.tick()
 			if leader = w.leader(); leader != nil && leader.member.SendingSnapshot() {
 				sending++
-				most = max(most, leader.member.Applied()-leader.member.Status().SnapshotIndex)
+				maxEntries = max(maxEntries, leader.member.Applied()-leader.member.Status().SnapshotIndex)
 			}
 		}
 		saved += w.snapshotsWhileSending
-		if most > 2*w.snapshotEntries+20 {
-			t.Errorf("seed %d: %d entries without a snapshot, sending for %d ticks", seed, most, sending)
+		if maxEntries > 2*w.snapshotEntries+20 {
+			t.Errorf("seed %d: %d entries without a snapshot, sending for %d ticks", seed, maxEntries, sending)
 		}
 		total += sending
 		w.heal(20)
