--- a/cmd/loomgrade/operator_test.go
+++ b/cmd/loomgrade/operator_test.go
@@ -127,7 +127,7 @@
 
 // TestEditedOutputOfConfigGetIsTakenBack also checks the conflict on a resend
 // from an old revision, and the resend under the first change id.
-func TestEditedOutputOfConfigGetIsTakenBack(t *testing.T) {
+func TestConfigSetAcceptsEditedConfigGet(t *testing.T) {
 	shell := newOperatorShell(t)
 	shell.must("config", "set", shell.file("configuration.yaml", testConfiguration))
 	edited := strings.Replace(shell.must("config", "get", "--output", "json"), `"queue_length": 16`, `"queue_length": 32`, 1)
--- a/cmd/loomgrade/page_test.go
+++ b/cmd/loomgrade/page_test.go
@@ -16,7 +16,7 @@
 
 // TestExitCodesAreThoseOfThePage also holds every code of an error against the
 // exit code that the page gives it.
-func TestExitCodesAreThoseOfThePage(t *testing.T) {
+func TestExitCodesMatchPage(t *testing.T) {
 	documented := map[port.Code]int{}
 	var numbers []int
 	for _, row := range testkit.PageRows(t, commandLinePage, "Exit codes") {
@@ -25,7 +25,7 @@
 			t.Fatalf("exit code %q: %v", row[0], err)
 		}
 		numbers = append(numbers, number)
-		for _, code := range testkit.Quoted(row[2]) {
+		for _, code := range testkit.CodeSpans(row[2]) {
 			documented[port.Code(code)] = number
 		}
 	}
@@ -71,7 +71,7 @@
 	return commands
 }
 
-func TestCommandsAreThoseOfThePage(t *testing.T) {
+func TestCommandsMatchPage(t *testing.T) {
 	commands := commandsOf(t)
 	for _, row := range testkit.PageRows(t, commandLinePage, "Commands") {
 		name, _, _ := strings.Cut(strings.Trim(row[0], "`"), " UPPER")
@@ -92,7 +92,7 @@
 
 // TestEveryAnswerCanBeJSON leaves out the commands that give no answer: they run
 // a process.
-func TestEveryAnswerCanBeJSON(t *testing.T) {
+func TestResultCommandsSupportJSON(t *testing.T) {
 	processes := []string{"control", "node", "site front", "site control", "site store"}
 	for name, takesOutput := range commandsOf(t) {
 		if want := !slices.Contains(processes, name); takesOutput != want {
--- a/cmd/loomgrade/policy_test.go
+++ b/cmd/loomgrade/policy_test.go
@@ -94,7 +94,7 @@
 
 // TestCommandsWithoutAFleetAnswerInJSON also checks that nothing else stands on
 // the standard output.
-func TestCommandsWithoutAFleetAnswerInJSON(t *testing.T) {
+func TestOfflineCommandsPrintJSON(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"version"},
 		{"settings", "check", "../../examples/dev/control-1.yaml", "../../examples/dev/node-zone-a.yaml"},
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestSettingsCheckNamesEachFault(t *testing.T) {
+func TestSettingsCheckReportsEveryError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	content := "cluster: demo\nnode:\n  id: node-a\n  zone: Dub North\n  http_listen: localhost:1\n  peer_listen: 127.0.0.1:1\n  control_members: [127.0.0.1:7101]\n"
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
--- a/cmd/loomgrade/process_test.go
+++ b/cmd/loomgrade/process_test.go
@@ -94,7 +94,7 @@
 // TestSignalsOfAProcess sends signals to this process, which runs a member: a
 // SIGUSR1 writes the ring out and the member goes on; a SIGTERM stops it as
 // planned, which is no error and writes nothing.
-func TestSignalsOfAProcess(t *testing.T) {
+func TestProcessSignals(t *testing.T) {
 	// The test's own handler keeps a signal that comes early from ending the
 	// process.
 	early := make(chan os.Signal, 1)
@@ -129,7 +129,7 @@
 
 // TestProcessesThatDoNotStart lists what a process refuses. It says why in one
 // line, writes the ring out where it has one, and nothing of it runs.
-func TestProcessesThatDoNotStart(t *testing.T) {
+func TestProcessStartErrors(t *testing.T) {
 	cases := []struct {
 		name    string
 		prepare func(t *testing.T, files memberFiles)
--- a/cmd/loomgrade/status_test.go
+++ b/cmd/loomgrade/status_test.go
@@ -10,7 +10,7 @@
 
 // A follower does not know how far the others are; its zeros must not look as if
 // they were.
-func TestStatusTellsOfOtherMembersOnlyWhatTheAskedOneKnows(t *testing.T) {
+func TestFollowerStatusOmitsProgressOfOthers(t *testing.T) {
 	for asked, lines := range map[uint64][]string{
 		1: {"1 a voter true 9 true true 0s", "2 b voter false 8 true true 20ms"},
 		2: {"1 a voter true - - - -", "2 b voter false 8 true true 20ms"},
--- a/cmd/loomlab/cmd_audit.go
+++ b/cmd/loomlab/cmd_audit.go
@@ -78,7 +78,7 @@
 	if c.Scenario == "" {
 		return fault.Scenarios(), nil
 	}
-	scenario, found := fault.ScenarioNamed(c.Scenario)
+	scenario, found := fault.FindScenario(c.Scenario)
 	if !found {
 		names := make([]string, 0, len(fault.Scenarios()))
 		for _, scenario := range fault.Scenarios() {
@@ -99,7 +99,7 @@
 		return eris.Wrap(err, "run scenario")
 	}
 	printBroken(&report)
-	if report.Broken() > 0 {
+	if report.ProblemCount() > 0 {
 		return errBroken
 	}
 	return nil
--- a/cmd/loomlab/cmd_run_test.go
+++ b/cmd/loomlab/cmd_run_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestRunRefusesWhatIsNotAllowed(t *testing.T) {
+func TestRunRejectsInvalidInput(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "experiment.yaml")
 	for _, test := range []struct {
 		name, content string
--- a/cmd/loomlab/cmd_standin.go
+++ b/cmd/loomlab/cmd_standin.go
@@ -55,7 +55,7 @@
 			return err
 		}
 		defer file.Close()
-		common.Lines = file
+		common.Journal = file
 	}
 	stop, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
@@ -176,8 +176,8 @@
 	}
 	return c.serve(func(ctx context.Context, common standin.Common) (running, error) {
 		return standin.StartTrainer(ctx, standin.TrainerConfig{
-			Kept:   kept,
-			Common: common, Nodes: c.Nodes, Pool: c.Pool, Name: c.Name, Token: token,
+			Checkpoint: kept,
+			Common:     common, Nodes: c.Nodes, Pool: c.Pool, Name: c.Name, Token: token,
 			StepTime: c.StepTime, PublishEvery: c.PublishEvery, FirstVersion: c.FirstVersion,
 			MaxSteps: c.MaxSteps, Prompts: standin.PromptConfig{Seed: c.Seed},
 		})
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		var names []string
-		for _, quoted := range testkit.Quoted(paragraph) {
+		for _, quoted := range testkit.CodeSpans(paragraph) {
 			if strings.HasPrefix(quoted, "Test") {
 				names = append(names, quoted)
 				continue
--- a/internal/adapter/appclient/contract_test.go
+++ b/internal/adapter/appclient/contract_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestHeadersOfOneConnectionStayOnIt(t *testing.T) {
+func TestConnectionHeadersAreNotForwarded(t *testing.T) {
 	server, requests := recordingServer(t, func(writer http.ResponseWriter) {
 		header := writer.Header()
 		header.Set("Connection", "X-Hop")
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestRefusesPathsThatNameAHost(t *testing.T) {
+func TestRejectsInvalidPaths(t *testing.T) {
 	for _, path := range []string{"", "x", "http://other/x", "*"} {
 		_, err := newClient(t, "127.0.0.1:1").Call(t.Context(), port.ApplicationRequest{Method: http.MethodGet, Path: path})
 		if known := port.AsError(err); known == nil || known.Code != port.CodeInvalid || known.Verdict != port.NotRun {
--- a/internal/adapter/appclient/standin_test.go
+++ b/internal/adapter/appclient/standin_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func TestCallAndStandInKeepOneContract(t *testing.T) {
+func TestCallWithStandIn(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			contracttest.RunPairing(t, contracttest.Pairing{
@@ -36,7 +36,7 @@
 							return err
 						}
 						var answer standin.ApplicationAnswer
-						if err := json.Unmarshal(response.Body, &answer); err != nil || !answer.Whole(name) {
+						if err := json.Unmarshal(response.Body, &answer); err != nil || !answer.CompleteFor(name) {
 							return fmt.Errorf("answer %s: %w", response.Body, err)
 						}
 						return nil
--- a/internal/adapter/contracttest/standins_test.go
+++ b/internal/adapter/contracttest/standins_test.go
@@ -26,7 +26,7 @@
 
 // TestStandInsKeepTheServersContract runs the table that the servers of the
 // product run.
-func TestStandInsKeepTheServersContract(t *testing.T) {
+func TestStandInsMeetServerContract(t *testing.T) {
 	target := startEngine(t, standin.EngineConfig{})
 	scorer, err := standin.StartScorer(context.Background(), standin.ScorerConfig{})
 	if err != nil {
@@ -47,7 +47,7 @@
 		t.Run(call.name, func(t *testing.T) {
 			contracttest.RunServer(t, contracttest.Endpoint{
 				Address: call.address, Method: http.MethodPost, Path: call.path, Body: call.body,
-				BodyLimit: standin.MaxBody, Ran: call.ran,
+				BodyLimit: standin.MaxBodyBytes, Ran: call.ran,
 			})
 		})
 	}
--- a/internal/adapter/contracttest/trainer_test.go
+++ b/internal/adapter/contracttest/trainer_test.go
@@ -82,7 +82,7 @@
 // TestTrainerStandInKeepsTheContract lets a trainer meet each fault of an answer:
 // it asks for the same number again, never trains on what is not that batch, and
 // publishes each version once.
-func TestTrainerStandInKeepsTheContract(t *testing.T) {
+func TestTrainerStandInRetriesFaultyBatches(t *testing.T) {
 	whole, err := json.Marshal(batchOf(2))
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 			defer server.Close()
 			trainer, err := standin.StartTrainer(context.Background(), standin.TrainerConfig{
 				Nodes: []string{server.URL}, Pool: "lm", StepTime: time.Millisecond, MaxSteps: trainerSteps,
-				Wait: 50 * time.Millisecond, Patience: 100 * time.Millisecond,
+				Wait: 50 * time.Millisecond, ResponseGrace: 100 * time.Millisecond,
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/adapter/contracttest/weightstore_test.go
+++ b/internal/adapter/contracttest/weightstore_test.go
@@ -44,7 +44,7 @@
 // TestWeightStoreAndEngineKeepOneContract orders an engine to stage weights from
 // a store with a fault. Weights that did not come whole are never staged and
 // cannot be activated; the same order sent again mends it.
-func TestWeightStoreAndEngineKeepOneContract(t *testing.T) {
+func TestEngineStagesFromFaultyWeightStore(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault *standin.Fault
@@ -121,7 +121,7 @@
 }
 
 // TestWeightStoreServesWholeVersions compares the length told with the bytes.
-func TestWeightStoreServesWholeVersions(t *testing.T) {
+func TestWeightStoreServesCompleteVersions(t *testing.T) {
 	store := startStore(t, 64<<20)
 	for _, version := range []int{1, 2} {
 		response, err := http.Get(fmt.Sprintf("%s/v1/weights/lm/%d", store.URL(), version))
--- a/internal/adapter/controlclient/client.go
+++ b/internal/adapter/controlclient/client.go
@@ -19,7 +19,7 @@
 const (
 	DefaultProposeTimeout = 10 * time.Second
 	DefaultAttemptTimeout = 3 * time.Second
-	DefaultSilenceTimeout = 3 * time.Second
+	DefaultWatchTimeout   = 3 * time.Second
 	DefaultRetryBase      = 20 * time.Millisecond
 	DefaultRetryMax       = time.Second
 
@@ -44,7 +44,7 @@
 	AttemptTimeout time.Duration
 	// SilenceTimeout is how long a watch may hear nothing, or nothing that is
 	// confirmed, before it moves to the next member.
-	SilenceTimeout time.Duration
+	WatchTimeout time.Duration
 	// RetryBase and RetryMax bound the full-jitter delay between attempts.
 	RetryBase time.Duration
 	RetryMax  time.Duration
@@ -53,7 +53,7 @@
 func (c Config) normalized() Config {
 	c.ProposeTimeout = cmp.Or(c.ProposeTimeout, DefaultProposeTimeout)
 	c.AttemptTimeout = cmp.Or(c.AttemptTimeout, DefaultAttemptTimeout)
-	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, DefaultSilenceTimeout)
+	c.WatchTimeout = cmp.Or(c.WatchTimeout, DefaultWatchTimeout)
 	c.RetryBase = cmp.Or(c.RetryBase, DefaultRetryBase)
 	c.RetryMax = cmp.Or(c.RetryMax, DefaultRetryMax)
 	return c
--- a/internal/adapter/controlclient/client_test.go
+++ b/internal/adapter/controlclient/client_test.go
@@ -102,7 +102,7 @@
 	}
 	client, err := New(Config{
 		Addresses: addresses, Wire: wire.Options{ClusterID: "test"}, Node: "tester",
-		AttemptTimeout: 200 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond,
+		AttemptTimeout: 200 * time.Millisecond, WatchTimeout: 200 * time.Millisecond,
 		RetryBase: time.Millisecond, RetryMax: 5 * time.Millisecond,
 	})
 	if err != nil {
@@ -127,7 +127,7 @@
 
 // TestProposeResendsUnderOneChangeID lists faults of the first member after
 // which the second one must see the same change id.
-func TestProposeResendsUnderOneChangeID(t *testing.T) {
+func TestProposeRetriesWithSameChangeID(t *testing.T) {
 	cases := map[string]func(context.Context, port.Command) (port.Result, error){
 		"no leader":                      nil,
 		"no answer":                      hang,
@@ -179,7 +179,7 @@
 // TestGivingUpBetweenAttemptsSaysNotRun: the context ends while the client waits
 // before its next attempt. The pause is so long that no attempt can be under way
 // then: one that is may have run, and the client says so.
-func TestGivingUpBetweenAttemptsSaysNotRun(t *testing.T) {
+func TestCancelBetweenAttemptsIsNotRun(t *testing.T) {
 	member := startFake(t, behaviour{})
 	client, err := New(Config{
 		Addresses: []string{member.address}, Wire: wire.Options{ClusterID: "test"}, Node: "tester",
@@ -256,7 +256,7 @@
 }
 
 // TestWatchAsksAgainAfterAMisfit sends a delta from another position.
-func TestWatchAsksAgainAfterAMisfit(t *testing.T) {
+func TestWatchRestartsAfterPositionMismatch(t *testing.T) {
 	first := startFake(t, behaviour{updates: []port.ViewUpdate{update(5, 6, 1), update(9, 12, 1)}})
 	second := startFake(t, behaviour{updates: []port.ViewUpdate{update(6, 7, 1)}})
 	if got := positions(received(t, clientOf(t, first, second), 5, 2)); !slices.Equal(got, []uint64{6, 7}) {
@@ -268,7 +268,7 @@
 }
 
 // TestWatchMovesOn lists members that a watch must leave.
-func TestWatchMovesOn(t *testing.T) {
+func TestWatchFailsOver(t *testing.T) {
 	unconfirmed := update(0, 0, 0)
 	unconfirmed.Confirmed = false
 	cases := map[string]behaviour{
@@ -288,7 +288,7 @@
 	}
 }
 
-func TestReportGoesToTheNextMember(t *testing.T) {
+func TestReportFailsOver(t *testing.T) {
 	refusing := startFake(t, behaviour{report: port.NewError(port.NotRun, port.CodeUnavailable, "starting")})
 	taking := startFake(t, behaviour{})
 	client := clientOf(t, refusing, taking)
--- a/internal/adapter/controlclient/watch.go
+++ b/internal/adapter/controlclient/watch.go
@@ -53,7 +53,7 @@
 func (o *observer) follow(ctx context.Context, member *wire.Client) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(o.client.config.SilenceTimeout, func() { cancel(context.DeadlineExceeded) })
+	silence := time.AfterFunc(o.client.config.WatchTimeout, func() { cancel(context.DeadlineExceeded) })
 	defer silence.Stop()
 	stream, err := member.Stream(ctx, MethodWatch, WatchRequest{After: o.position, Node: o.client.config.Node})
 	if err != nil {
@@ -69,7 +69,7 @@
 			return err
 		}
 		if update.Confirmed {
-			silence.Reset(o.client.config.SilenceTimeout)
+			silence.Reset(o.client.config.WatchTimeout)
 		}
 	}
 }
--- a/internal/adapter/engineclient/standin_test.go
+++ b/internal/adapter/engineclient/standin_test.go
@@ -26,7 +26,7 @@
 	return started
 }
 
-func TestGenerateAndStandInKeepOneContract(t *testing.T) {
+func TestGenerateWithStandIn(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
 		Start: startEngine,
 		Dial: func(address string) func(context.Context, int) error {
@@ -54,7 +54,7 @@
 }
 
 // TestControlCallsAndStandInKeepOneContract leaves out the faults of streams.
-func TestControlCallsAndStandInKeepOneContract(t *testing.T) {
+func TestControlCallsWithStandIn(t *testing.T) {
 	calls := map[string]func(ctx context.Context, client *engineclient.Client, number int) error{
 		"load": func(ctx context.Context, client *engineclient.Client, _ int) error {
 			report, err := client.Load(ctx)
@@ -107,7 +107,7 @@
 }
 
 // TestFencesAtTheStandIn sends orders late, twice and out of order.
-func TestFencesAtTheStandIn(t *testing.T) {
+func TestStandInFencing(t *testing.T) {
 	client := newClient(t, startEngine(t).Addr())
 	steps := []struct {
 		name  string
--- a/internal/adapter/engineclient/stream_test.go
+++ b/internal/adapter/engineclient/stream_test.go
@@ -13,7 +13,7 @@
 
 // TestStreamDeliversWholeOrFails covers streams that are well-formed HTTP and
 // wrong.
-func TestStreamDeliversWholeOrFails(t *testing.T) {
+func TestStreamIsCompleteOrFails(t *testing.T) {
 	const (
 		first = `{` + idR1 + `"choices":[{"text":"a"}],"spans":[{"version":4,"tokens":2}]}`
 		last  = `{` + idR1 + `"choices":[{"text":"b","finish_reason":"stop"}],"spans":[{"version":5,"tokens":1}],"usage":{"completion_tokens":3}}`
--- a/internal/adapter/httpapi/await.go
+++ b/internal/adapter/httpapi/await.go
@@ -44,8 +44,8 @@
 		if recovered == nil {
 			return
 		}
-		if s.config.Panicked != nil {
-			s.config.Panicked(recovered, debug.Stack())
+		if s.config.OnPanic != nil {
+			s.config.OnPanic(recovered, debug.Stack())
 		}
 		result.failure = port.NewError(port.MayHaveRun, port.CodeInternal, "internal fault")
 	}()
--- a/internal/adapter/httpapi/backend.go
+++ b/internal/adapter/httpapi/backend.go
@@ -63,8 +63,8 @@
 	Recorder Recorder
 	// Panicked is told of a panic of the Backend, which is answered as an
 	// internal error; nil ignores it.
-	Panicked func(recovered any, stack []byte)
-	Limits   Limits
+	OnPanic func(recovered any, stack []byte)
+	Limits  Limits
 }
 
 // Limits bound what callers can use. The zero value of a field means its
--- a/internal/adapter/httpapi/bounds_test.go
+++ b/internal/adapter/httpapi/bounds_test.go
@@ -75,7 +75,7 @@
 }
 
 // TestHealthAndReadinessAreApart: a node that is not ready is healthy.
-func TestHealthAndReadinessAreApart(t *testing.T) {
+func TestHealthAndReadinessAreIndependent(t *testing.T) {
 	cases := []struct {
 		name          string
 		notReady      bool
--- a/internal/adapter/httpapi/completion_test.go
+++ b/internal/adapter/httpapi/completion_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestWholeCompletion(t *testing.T) {
+func TestBufferedCompletion(t *testing.T) {
 	_, address := newServer(t, &fakeBackend{generate: generateThree}, httpapi.Limits{})
 	got := send(t, address, "POST", "/v1/completions", `{"model":"lm","prompt":"p"}`)
 	want := `{"id":"r-n1-1","object":"text_completion","model":"lm","choices":[{"index":0,"text":"one two three","finish_reason":"stop"}],` +
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestWholeCompletionIsBounded(t *testing.T) {
+func TestBufferedCompletionIsBounded(t *testing.T) {
 	_, address := newServer(t, &fakeBackend{generate: generateThree}, httpapi.Limits{TextBytes: 8})
 	got := send(t, address, "POST", "/v1/completions", `{"model":"lm"}`)
 	expectRefusal(t, got, 413, port.CodeTooLarge, port.MayHaveRun)
@@ -64,7 +64,7 @@
 
 // TestCompletionNeverLooksWholeWhenItIsNot covers ends of a completion without
 // its last chunk.
-func TestCompletionNeverLooksWholeWhenItIsNot(t *testing.T) {
+func TestIncompleteCompletionReportsError(t *testing.T) {
 	broke := port.NewError(port.MayHaveRun, port.CodeBackEnd, "cut")
 	cases := []struct {
 		name   string
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsItsCompletion(t *testing.T) {
+func TestCallerDisconnectCancelsCompletion(t *testing.T) {
 	ended := make(chan error, 1)
 	backend := &fakeBackend{generate: func(ctx context.Context, _ port.GenerateRequest, receive func(port.GenerateChunk) error) error {
 		err := receive(port.GenerateChunk{Text: "a", Tokens: 1})
@@ -137,7 +137,7 @@
 
 // TestNodeKeepsTheEnginesContract checks a node's own completions with the
 // client that checks engines: the events are numbered, counted and ended.
-func TestNodeKeepsTheEnginesContract(t *testing.T) {
+func TestNodeMeetsEngineContract(t *testing.T) {
 	_, address := newServer(t, &fakeBackend{generate: generateThree}, httpapi.Limits{})
 	streams, control := httpcall.New(httpcall.Limits{}), httpcall.New(httpcall.Limits{})
 	client := engineclient.New(streams, control, address, engineclient.Limits{})
@@ -155,7 +155,7 @@
 
 // TestErrorsReachCallersThroughTheContract runs a refusal through the client
 // side's reading of errors.
-func TestErrorsReachCallersThroughTheContract(t *testing.T) {
+func TestErrorsRoundTripThroughClient(t *testing.T) {
 	refusal := &port.Error{Verdict: port.NotRun, Code: port.CodeNoBackEnd, Message: "none", Field: "f", Value: "v", Allowed: "a", RetryAfter: 1500e6}
 	backend := &fakeBackend{generate: func(context.Context, port.GenerateRequest, func(port.GenerateChunk) error) error { return refusal }}
 	_, address := newServer(t, backend, httpapi.Limits{})
--- a/internal/adapter/httpapi/httpapi_test.go
+++ b/internal/adapter/httpapi/httpapi_test.go
@@ -220,7 +220,7 @@
 
 // TestGivenUpGetsItsAnswer lets the backend hang: the deadline alone ends the
 // request.
-func TestGivenUpGetsItsAnswer(t *testing.T) {
+func TestDeadlineEndsHungRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	backend := &fakeBackend{
@@ -243,7 +243,7 @@
 func TestPanicIsAnswered(t *testing.T) {
 	told := make(chan any, 1)
 	backend := &fakeBackend{application: func(context.Context, port.ApplicationRequest) (port.ApplicationResponse, error) { panic("fault") }}
-	_, address := newServerWith(t, httpapi.Config{Backend: backend, Panicked: func(recovered any, _ []byte) { told <- recovered }})
+	_, address := newServerWith(t, httpapi.Config{Backend: backend, OnPanic: func(recovered any, _ []byte) { told <- recovered }})
 	expectRefusal(t, send(t, address, "GET", "/app/p/x", ""), 500, port.CodeInternal, port.MayHaveRun)
 	if recovered := <-told; recovered != "fault" {
 		t.Errorf("told of %v", recovered)
@@ -366,7 +366,7 @@
 	}
 }
 
-func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	backend := &fakeBackend{application: func(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, error) {
 		entered <- struct{}{}
@@ -399,7 +399,7 @@
 
 // TestShutdownLeavesIdleConnectionsOpenAsAnnounced sends on a connection that was
 // idle when the stop began and that its caller may still use.
-func TestShutdownLeavesIdleConnectionsOpenAsAnnounced(t *testing.T) {
+func TestShutdownHonorsAnnouncedKeepAlive(t *testing.T) {
 	server, address := newServer(t, &fakeBackend{application: echoApplication}, httpapi.Limits{KeepAlive: time.Hour})
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -431,7 +431,7 @@
 	}
 }
 
-func TestTrainersCalls(t *testing.T) {
+func TestTrainerEndpoints(t *testing.T) {
 	backend := &fakeBackend{
 		register: func(register port.RegisterConsumer) (port.Consumer, error) {
 			return port.Consumer{Name: register.Consumer, Epoch: 2, Next: max(1, register.RewindTo)}, nil
--- a/internal/adapter/httpcall/answer.go
+++ b/internal/adapter/httpcall/answer.go
@@ -43,7 +43,7 @@
 
 // BrokenOff reports whether an error of a call says that the other side closed or reset the
 // connection before the answer was whole. One that fell silent says nothing of the other side.
-func BrokenOff(err error) bool {
+func IsConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/adapter/httpcall/client.go
+++ b/internal/adapter/httpcall/client.go
@@ -36,7 +36,7 @@
 	Timeout time.Duration
 	// SilenceTimeout ends a connection whose sent bytes are not acknowledged
 	// for so long (TCP_USER_TIMEOUT); default 10s.
-	SilenceTimeout time.Duration
+	AckTimeout time.Duration
 	// Names are the headers that a call's id and deadline travel in; default
 	// HeaderRequestID and HeaderDeadline of package api.
 	Names Names
@@ -62,7 +62,7 @@
 	defaultIdleTimeout     = 30 * time.Second
 	defaultHeaderBytes     = 32 << 10
 	defaultTimeout         = 30 * time.Second
-	defaultSilenceTimeout  = 10 * time.Second
+	defaultAckTimeout      = 10 * time.Second
 )
 
 func (l Limits) withDefaults() Limits {
@@ -72,7 +72,7 @@
 	l.IdleTimeout = cmp.Or(l.IdleTimeout, defaultIdleTimeout)
 	l.HeaderBytes = cmp.Or(l.HeaderBytes, defaultHeaderBytes)
 	l.Timeout = cmp.Or(l.Timeout, defaultTimeout)
-	l.SilenceTimeout = cmp.Or(l.SilenceTimeout, defaultSilenceTimeout)
+	l.AckTimeout = cmp.Or(l.AckTimeout, defaultAckTimeout)
 	l.Names = cmp.Or(l.Names, defaultNames)
 	l.Clock = l.Clock.OrSystem()
 	return l
@@ -90,7 +90,7 @@
 // New makes a Client.
 func New(limits Limits) *Client {
 	limits = limits.withDefaults()
-	dialer := &net.Dialer{Timeout: limits.DialTimeout, Control: tcpsocket.UserTimeout(limits.SilenceTimeout)}
+	dialer := &net.Dialer{Timeout: limits.DialTimeout, Control: tcpsocket.UserTimeout(limits.AckTimeout)}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
--- a/internal/adapter/httpcall/suspend_test.go
+++ b/internal/adapter/httpcall/suspend_test.go
@@ -17,7 +17,7 @@
 
 // TestAConnectionFromBeforeASuspensionIsNotUsed: the server has closed it long ago, and its
 // closing may not have arrived yet. A request on it may have run, as far as its sender knows.
-func TestAConnectionFromBeforeASuspensionIsNotUsed(t *testing.T) {
+func TestConnectionIsNotReusedAfterSuspension(t *testing.T) {
 	var slept, connections atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
--- a/internal/adapter/httpserve/httpserve_test.go
+++ b/internal/adapter/httpserve/httpserve_test.go
@@ -15,14 +15,14 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-func TestStatusesAreThoseOfThePage(t *testing.T) {
+func TestStatusesMatchDocumentation(t *testing.T) {
 	documented := map[port.Code]int{}
 	for _, row := range testkit.PageRows(t, "docs/PROTOCOLS.md", "Errors") {
 		status, err := strconv.Atoi(row[0])
 		if err != nil {
 			t.Fatalf("status %q: %v", row[0], err)
 		}
-		for _, code := range testkit.Quoted(row[1]) {
+		for _, code := range testkit.CodeSpans(row[1]) {
 			documented[port.Code(code)] = status
 		}
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestErrorsSurviveTheWay(t *testing.T) {
+func TestErrorsRoundTrip(t *testing.T) {
 	cases := []struct {
 		name          string
 		failure, want port.Error
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestAnswersThatCannotBeEncodedAreErrors(t *testing.T) {
+func TestUnencodableResponseIsError(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	httpserve.WriteJSON(recorder, http.StatusOK, func() {})
 	if recorder.Code != http.StatusInternalServerError || recorder.Header().Get(api.HeaderVerdict) != port.MayHaveRun.String() {
@@ -80,7 +80,7 @@
 
 // TestBoundedListenerClosesWhileItWaits closes a listener whose Accept waits for
 // a slot.
-func TestBoundedListenerClosesWhileItWaits(t *testing.T) {
+func TestBoundedListenerCloseUnblocksAccept(t *testing.T) {
 	below, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/httpserve/idle_test.go
+++ b/internal/adapter/httpserve/idle_test.go
@@ -92,7 +92,7 @@
 
 // TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced sends on a connection that
 // was idle when the stop began.
-func TestAnIdleConnectionOutlivesAPlannedStopAsAnnounced(t *testing.T) {
+func TestGracefulStopHonorsAnnouncedKeepAlive(t *testing.T) {
 	server := startIdleServer(t, time.Hour)
 	connection := dialIdle(t, server.address)
 	if got := exchange(t, connection).Header.Get("Keep-Alive"); got != "timeout=3600" {
@@ -110,7 +110,7 @@
 }
 
 // TestAPlannedStopWaitsNoLongerThanAnnounced has a caller that never sends again.
-func TestAPlannedStopWaitsNoLongerThanAnnounced(t *testing.T) {
+func TestGracefulStopEndsAfterKeepAlive(t *testing.T) {
 	server := startIdleServer(t, time.Second)
 	exchange(t, dialIdle(t, server.address))
 	<-server.rested
@@ -118,7 +118,7 @@
 }
 
 // TestAPlannedStopEndsWithItsTime has one, but the stop's time ends first.
-func TestAPlannedStopEndsWithItsTime(t *testing.T) {
+func TestGracefulStopEndsWithContext(t *testing.T) {
 	server := startIdleServer(t, time.Hour)
 	exchange(t, dialIdle(t, server.address))
 	<-server.rested
--- a/internal/adapter/metrics/metrics_test.go
+++ b/internal/adapter/metrics/metrics_test.go
@@ -61,7 +61,7 @@
 	)
 	done()
 	expectLines(t, scrape(t, node.Handler()), `loomgrade_inflight_requests{pool="lm"} 0`)
-	node.Forget("lm")
+	node.RemovePool("lm")
 	if text := scrape(t, node.Handler()); strings.Contains(text, `pool="lm"`) {
 		t.Error("a forgotten pool still shows")
 	}
--- a/internal/adapter/metrics/node.go
+++ b/internal/adapter/metrics/node.go
@@ -131,7 +131,7 @@
 }
 
 // Forget drops the measures of a pool that is no longer configured.
-func (n *Node) Forget(pool port.PoolName) {
+func (n *Node) RemovePool(pool port.PoolName) {
 	match := prometheus.Labels{labelPool: string(pool)}
 	for _, counted := range []*prometheus.CounterVec{n.requests, n.attempts, n.delivered, n.dropped} {
 		counted.DeletePartialMatch(match)
--- a/internal/adapter/metrics/page_test.go
+++ b/internal/adapter/metrics/page_test.go
@@ -93,13 +93,13 @@
 	t.Helper()
 	found := map[string]bool{}
 	for _, row := range testkit.PageRows(t, "docs/operators/metrics-and-logs.md", heading) {
-		name, kind, labels := testkit.Quoted(row[0])[0], row[1], strings.ReplaceAll(row[2], ", ", ",")
+		name, kind, labels := testkit.CodeSpans(row[0])[0], row[1], strings.ReplaceAll(row[2], ", ", ",")
 		found[name+" "+kind+" "+labels] = true
 	}
 	return found
 }
 
-func TestMeasuresAreThoseOfThePage(t *testing.T) {
+func TestMetricsMatchDocumentation(t *testing.T) {
 	for heading, handler := range map[string]http.Handler{
 		"Nodes": usedNode().Handler(), "Control members": usedControl().Handler(),
 		"Processes of a site": usedSite().Handler(),
--- a/internal/adapter/operatorapi/bounds_test.go
+++ b/internal/adapter/operatorapi/bounds_test.go
@@ -111,7 +111,7 @@
 }
 
 // TestStoppedServerIsNotAFailure covers the planned stop.
-func TestStoppedServerIsNotAFailure(t *testing.T) {
+func TestGracefulStopReturnsNoError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/operatorapi/operatorapi_test.go
+++ b/internal/adapter/operatorapi/operatorapi_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestAnEmptyTokenOpensNothing(t *testing.T) {
+func TestEmptyTokenRejectsCalls(t *testing.T) {
 	server := NewServer(ServerConfig{Backend: seeded(t)})
 	call := httptest.NewRequest("GET", PathConfig, nil)
 	call.Header.Set("Authorization", "Bearer ")
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestRefusedCheckKeepsAChangeOut(t *testing.T) {
+func TestFailedCheckRejectsChange(t *testing.T) {
 	backend := seeded(t)
 	check := func(port.Configuration) error { return port.InvalidField("policy", "", "a program that compiles") }
 	server := NewServer(ServerConfig{Backend: backend, Token: testToken, CheckConfiguration: check})
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestConfigStatusTellsWhereARevisionIsInForce(t *testing.T) {
+func TestConfigStatusStates(t *testing.T) {
 	view := &port.View{Revision: 5, Nodes: []port.NodeAddress{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}}}
 	report := func(id port.NodeID, revision port.Revision, age int64) NodeReport {
 		return NodeReport{Report: port.NodeReport{Node: port.NodeAddress{ID: id}, Revision: revision}, AgeMillis: age, RevisionSince: 77}
@@ -266,7 +266,7 @@
 
 // TestClientMovesOnUnderOneChangeID lets the first member accept the change and
 // cut the answer off: the second must see the same body.
-func TestClientMovesOnUnderOneChangeID(t *testing.T) {
+func TestClientRetriesWithSameChangeID(t *testing.T) {
 	backend := seeded(t)
 	server := NewServer(ServerConfig{Backend: backend, Token: testToken})
 	cut := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, call *http.Request) {
--- a/internal/adapter/operatorapi/silent_test.go
+++ b/internal/adapter/operatorapi/silent_test.go
@@ -13,7 +13,7 @@
 
 // A member that is cut off in silence takes connections, as its kernel does, and
 // answers nothing.
-func TestClientPassesASilentMember(t *testing.T) {
+func TestClientSkipsUnresponsiveMember(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/provider/provider.go
+++ b/internal/adapter/provider/provider.go
@@ -36,7 +36,7 @@
 // New makes a client of the provider at host:port.
 func New(address string, terms dialect.Dialect) *Client {
 	return &Client{address: address, dialect: terms, http: httpcall.New(httpcall.Limits{
-		DialTimeout: dialTimeout, Connections: 1, IdleConnections: 1, IdleTimeout: idleTimeout, SilenceTimeout: silence,
+		DialTimeout: dialTimeout, Connections: 1, IdleConnections: 1, IdleTimeout: idleTimeout, AckTimeout: silence,
 		Names: httpcall.Names{ID: terms.Headers().RequestID},
 	})}
 }
--- a/internal/adapter/services/contract_test.go
+++ b/internal/adapter/services/contract_test.go
@@ -88,7 +88,7 @@
 }
 
 // TestRefusesWrongContent covers answers that are well-formed and wrong.
-func TestRefusesWrongContent(t *testing.T) {
+func TestRejectsWrongContent(t *testing.T) {
 	score := func(client *httpcall.Client, base string) error {
 		_, err := services.NewScorer(client, base, 0).Score(context.Background(), sampleID(1), "p", "t")
 		return err
--- a/internal/adapter/services/standin_test.go
+++ b/internal/adapter/services/standin_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestScorerAndStandInKeepOneContract(t *testing.T) {
+func TestScorerWithStandIn(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
 		Start: starting(func(ctx context.Context) (*standin.Scorer, error) {
 			return standin.StartScorer(ctx, standin.ScorerConfig{})
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestMachineListAndStandInKeepOneContract(t *testing.T) {
+func TestMachineListWithStandIn(t *testing.T) {
 	const listed = "127.0.0.1:80"
 	contracttest.RunPairing(t, contracttest.Pairing{
 		Start: starting(func(ctx context.Context) (*standin.MachineList, error) {
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestPromptSourceAndStandInKeepOneContract(t *testing.T) {
+func TestPromptSourceWithStandIn(t *testing.T) {
 	contracttest.RunPairing(t, contracttest.Pairing{
 		Start: starting(func(ctx context.Context) (*standin.Trainer, error) {
 			return standin.StartTrainer(ctx, standin.TrainerConfig{})
--- a/internal/adapter/settings/page_test.go
+++ b/internal/adapter/settings/page_test.go
@@ -32,7 +32,7 @@
 func TestKeysAreDocumented(t *testing.T) {
 	var documented []string
 	for _, row := range testkit.PageRows(t, "docs/operators/settings.md", "Keys") {
-		documented = append(documented, testkit.Quoted(row[0])...)
+		documented = append(documented, testkit.CodeSpans(row[0])...)
 	}
 	keys := keysOf(reflect.TypeFor[settings.File](), "")
 	slices.Sort(keys)
--- a/internal/app/control/process_test.go
+++ b/internal/app/control/process_test.go
@@ -136,7 +136,7 @@
 	}
 	client, err := controlclient.New(controlclient.Config{
 		Addresses: addresses, Node: "tester", Wire: wire.Options{ClusterID: "test"},
-		AttemptTimeout: time.Second, SilenceTimeout: 2 * time.Second,
+		AttemptTimeout: time.Second, WatchTimeout: 2 * time.Second,
 	})
 	if err != nil {
 		g.t.Fatal(err)
--- a/internal/app/node/controller.go
+++ b/internal/app/node/controller.go
@@ -138,7 +138,7 @@
 		n.recorder.record(d)
 	}
 	for _, pool := range output.RemovedPools {
-		n.metrics.Forget(pool)
+		n.metrics.RemovePool(pool)
 	}
 	if output.Report != nil {
 		n.report(*output.Report)
--- a/internal/app/node/web.go
+++ b/internal/app/node/web.go
@@ -23,7 +23,7 @@
 		OperatorToken: n.config.OperatorToken,
 		Metrics:       n.metrics.Handler(),
 		Recorder:      n.metrics,
-		Panicked: func(recovered any, stack []byte) {
+		OnPanic: func(recovered any, stack []byte) {
 			n.config.Logger.Error().Any("panic", recovered).Bytes("stack", stack).Msg("a request panicked")
 		},
 		Limits: n.config.HTTPLimits,
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -156,7 +156,7 @@
 		e.lastErr = res.reason
 	case classMayHaveRun:
 		e.lastErr = res.reason
-		if httpcall.BrokenOff(res.reason) {
+		if httpcall.IsConnectionClosed(res.reason) {
 			e.recordCrash(res.replica)
 		}
 	}
--- a/internal/app/proxy/exchange_test.go
+++ b/internal/app/proxy/exchange_test.go
@@ -72,7 +72,7 @@
 			sender := New(Config{Dialect: testDialect{}, Connections: 1})
 			run := &exchange{proxy: sender, ctx: ctx}
 			res := run.send(sitestate.Replica{ID: "r", Address: listener.Addr().String()}, replicacall.Request{Method: http.MethodPost, Target: "/x", Host: "h", ID: "1"})
-			if got := res.class == classMayHaveRun && httpcall.BrokenOff(res.reason); got != row.want {
+			if got := res.class == classMayHaveRun && httpcall.IsConnectionClosed(res.reason); got != row.want {
 				t.Errorf("broke off %v, want %v: class %d, %v", got, row.want, res.class, res.reason)
 			}
 		})
--- a/internal/app/proxy/suspect.go
+++ b/internal/app/proxy/suspect.go
@@ -60,7 +60,7 @@
 		if b.framed {
 			b.run.recordServed()
 		}
-	case b.run.ctx.Err() == nil && httpcall.BrokenOff(err):
+	case b.run.ctx.Err() == nil && httpcall.IsConnectionClosed(err):
 		b.run.recordCrash(b.replica)
 	}
 	return count, err
--- a/internal/app/replicacall/replicacall.go
+++ b/internal/app/replicacall/replicacall.go
@@ -39,7 +39,7 @@
 	names := httpcall.Names{ID: headers.RequestID, Deadline: headers.Deadline}
 	return &Client{dialect: d, names: names, http: httpcall.New(httpcall.Limits{
 		DialTimeout: dialTimeout, Connections: connections, IdleConnections: connections,
-		IdleTimeout: idleTimeout, SilenceTimeout: silenceTimeout, Names: names,
+		IdleTimeout: idleTimeout, AckTimeout: silenceTimeout, Names: names,
 	})}
 }
 
--- a/internal/app/sitestore/run.go
+++ b/internal/app/sitestore/run.go
@@ -114,7 +114,7 @@
 		if port.AsError(err).Verdict == port.NotRun {
 			return runEvent{kind: runBroken, reason: "not sent: " + err.Error()}
 		}
-		return runEvent{kind: runBroken, reason: err.Error(), crashed: httpcall.BrokenOff(err)}
+		return runEvent{kind: runBroken, reason: err.Error(), crashed: httpcall.IsConnectionClosed(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if event, final := r.classifyResponse(response); final {
@@ -172,7 +172,7 @@
 			return runEvent{kind: runComplete, version: version, pause: pauses.mean()}
 		}
 		if err != nil {
-			return runEvent{kind: runBroken, reason: err.Error(), version: version, pause: pauses.mean(), crashed: httpcall.BrokenOff(err)}
+			return runEvent{kind: runBroken, reason: err.Error(), version: version, pause: pauses.mean(), crashed: httpcall.IsConnectionClosed(err)}
 		}
 		stall.Reset(stallTimeout)
 		if event.Version != 0 {
--- a/internal/core/policy/page_test.go
+++ b/internal/core/policy/page_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	var names []string
 	for _, row := range testkit.PageRows(t, page, heading) {
-		names = append(names, testkit.Quoted(row[0])...)
+		names = append(names, testkit.CodeSpans(row[0])...)
 	}
 	slices.Sort(names)
 	return names
--- a/internal/lab/audit/check.go
+++ b/internal/lab/audit/check.go
@@ -14,17 +14,17 @@
 
 // The rules that Check applies.
 const (
-	RuleWholeAnswer   Rule = "whole answer to its own request"
-	RuleUnsafeOnce    Rule = "unsafe request runs at most once"
-	RuleNotRun        Rule = "not run means not run"
-	RuleSampleOnce    Rule = "each sample once"
-	RuleSampleLost    Rule = "no batch or prompt is left out"
-	RuleVersionsTrue  Rule = "versions are true"
-	RuleStaleness     Rule = "no sample older than its bound"
-	RuleDeparture     Rule = "no new work on a leaving back end"
-	RulePlannedStop   Rule = "a planned stop cuts nothing off"
-	defaultDeparture       = 3 * time.Second
-	recordedTextLimit      = 24
+	RuleCompleteAnswer Rule = "whole answer to its own request"
+	RuleUnsafeOnce     Rule = "unsafe request runs at most once"
+	RuleNotRun         Rule = "not run means not run"
+	RuleSampleOnce     Rule = "each sample once"
+	RuleSampleLost     Rule = "no batch or prompt is left out"
+	RuleVersionsMatch  Rule = "versions are true"
+	RuleStaleness      Rule = "no sample older than its bound"
+	RuleDeparture      Rule = "no new work on a leaving back end"
+	RulePlannedStop    Rule = "a planned stop cuts nothing off"
+	defaultDeparture        = 3 * time.Second
+	recordedTextLimit       = 24
 )
 
 // Violation is one broken promise.
@@ -38,7 +38,7 @@
 func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Rule, v.Subject, v.Detail) }
 
 // Bounds are the configured limits of a run.
-type Bounds struct {
+type Limits struct {
 	// Staleness is the largest age of a sample in versions, by pool. Pools
 	// that are not listed are not checked.
 	Staleness map[string]uint64
@@ -51,11 +51,11 @@
 	// PromptsDone is, by pool, the lowest prompt that loomgrade does not hold for
 	// delivered: all below must have reached the trainer. Unlike a window it
 	// holds however long a prompt takes.
-	PromptsDone map[string]port.PromptIndex
+	FirstUndelivered map[string]port.PromptIndex
 }
 
 // Check returns every violation, ordered by rule and subject.
-func Check(o Observations, bounds Bounds) []Violation {
+func Check(o Observations, bounds Limits) []Violation {
 	if bounds.DepartureGrace == 0 {
 		bounds.DepartureGrace = defaultDeparture
 	}
@@ -92,7 +92,7 @@
 	}
 	for _, generation := range o.Generations {
 		index.generations[generation.Call] = append(index.generations[generation.Call], generation)
-		if generation.First == 0 {
+		if generation.FirstToken == 0 {
 			index.starts[generation.Call]++
 		}
 	}
@@ -105,16 +105,16 @@
 func checkWholeAnswers(o Observations, index runIndex) []Violation {
 	var found []Violation
 	report := func(call Call, format string, arguments ...any) {
-		found = append(found, Violation{RuleWholeAnswer, call.Call, fmt.Sprintf(format, arguments...)})
+		found = append(found, Violation{RuleCompleteAnswer, call.Key, fmt.Sprintf(format, arguments...)})
 	}
 	for _, call := range o.Calls {
 		switch {
 		case call.Outcome != OutcomeAnswered:
-		case call.AnswerTo != call.Call:
-			report(call, "caller of class %s got the answer to %q%s", call.Class, call.AnswerTo, call.course())
-		case !call.Whole:
+		case call.AnswerKey != call.Key:
+			report(call, "caller of class %s got the answer to %q%s", call.Class, call.AnswerKey, call.course())
+		case !call.Complete:
 			report(call, "caller of class %s got only part of the answer", call.Class)
-		case index.runs(call.Call) == 0:
+		case index.runs(call.Key) == 0:
 			report(call, "answered, but no back end ran it%s", call.course())
 		}
 	}
@@ -131,12 +131,12 @@
 	var found []Violation
 	seen := map[string]bool{}
 	for _, call := range o.Calls {
-		if !call.Unsafe || seen[call.Call] {
+		if !call.Unsafe || seen[call.Key] {
 			continue
 		}
-		seen[call.Call] = true
-		if runs := index.runs(call.Call); runs > 1 {
-			found = append(found, Violation{RuleUnsafeOnce, call.Call, fmt.Sprintf("ran %d times", runs)})
+		seen[call.Key] = true
+		if runs := index.runs(call.Key); runs > 1 {
+			found = append(found, Violation{RuleUnsafeOnce, call.Key, fmt.Sprintf("ran %d times", runs)})
 		}
 	}
 	return found
@@ -148,18 +148,18 @@
 	explained := map[string]bool{}
 	for _, call := range o.Calls {
 		if call.Outcome != OutcomeNotRun {
-			explained[call.Call] = true
+			explained[call.Key] = true
 		}
 	}
 	var found []Violation
 	seen := map[string]bool{}
 	for _, call := range o.Calls {
-		if explained[call.Call] || seen[call.Call] {
+		if explained[call.Key] || seen[call.Key] {
 			continue
 		}
-		seen[call.Call] = true
-		if runs := index.runs(call.Call); runs > 0 {
-			found = append(found, Violation{RuleNotRun, call.Call, fmt.Sprintf("ran %d times", runs)})
+		seen[call.Key] = true
+		if runs := index.runs(call.Key); runs > 0 {
+			found = append(found, Violation{RuleNotRun, call.Key, fmt.Sprintf("ran %d times", runs)})
 		}
 	}
 	return found
@@ -172,7 +172,7 @@
 
 // checkDepartures finds work that began on a back end later than the grace after
 // its departure was signalled to the zone of the sender.
-func checkDepartures(o Observations, bounds Bounds) []Violation {
+func checkDepartures(o Observations, bounds Limits) []Violation {
 	limit := map[route]time.Duration{}
 	for _, departure := range o.Departures {
 		way := route{departure.BackEnd, departure.From}
@@ -213,7 +213,7 @@
 			failed := call.Outcome == OutcomeLost || call.Outcome == OutcomeMayHaveRun
 			if failed && overlaps(call.StartedAt, call.EndedAt, stop.From, stop.To) &&
 				!disturbed(o.Faults, call.StartedAt, call.EndedAt) {
-				report(call.Call, fmt.Sprintf("failed during the stop, which took %v, %v after its beginning: %s%s",
+				report(call.Key, fmt.Sprintf("failed during the stop, which took %v, %v after its beginning: %s%s",
 					stop.To-stop.From, call.StartedAt-stop.From, call.Outcome, call.course()))
 			}
 		}
--- a/internal/lab/audit/check_test.go
+++ b/internal/lab/audit/check_test.go
@@ -24,7 +24,7 @@
 	text := engine.Text(key, 0, 4, 4) + engine.Text(key, 4, 2, 5)
 	sample := Sample{ID: id, Prompt: port.PromptIndex(seed), Call: PromptKey(prompt), Text: text, Tokens: 6, Spans: spans}
 	generation := Generation{
-		Engine: address, RequestID: id, Call: sample.Call, Key: key, Whole: 6,
+		Engine: address, RequestID: id, Call: sample.Call, Key: key, TotalTokens: 6,
 		Spans: slices.Clone(spans), StartedAt: second, EndedAt: 2 * second, End: EndFinished,
 	}
 	return sample, generation
@@ -43,11 +43,11 @@
 			{BackEnd: "app", Call: "unknown", StartedAt: 2 * second, EndedAt: 2 * second, End: EndFinished},
 		},
 		Calls: []Call{
-			{Call: "read", Outcome: OutcomeAnswered, AnswerTo: "read", Whole: true, StartedAt: second, EndedAt: 2 * second},
-			{Call: "write", Unsafe: true, Outcome: OutcomeAnswered, AnswerTo: "write", Whole: true, StartedAt: second, EndedAt: 2 * second},
-			{Call: "refused", Unsafe: true, Outcome: OutcomeNotRun, StartedAt: second, EndedAt: second},
-			{Call: "unknown", Unsafe: true, Outcome: OutcomeMayHaveRun, StartedAt: second, EndedAt: 2 * second},
-			{Call: "unknown", Unsafe: true, Outcome: OutcomeNotRun, StartedAt: 2 * second, EndedAt: 2 * second},
+			{Key: "read", Outcome: OutcomeAnswered, AnswerKey: "read", Complete: true, StartedAt: second, EndedAt: 2 * second},
+			{Key: "write", Unsafe: true, Outcome: OutcomeAnswered, AnswerKey: "write", Complete: true, StartedAt: second, EndedAt: 2 * second},
+			{Key: "refused", Unsafe: true, Outcome: OutcomeNotRun, StartedAt: second, EndedAt: second},
+			{Key: "unknown", Unsafe: true, Outcome: OutcomeMayHaveRun, StartedAt: second, EndedAt: 2 * second},
+			{Key: "unknown", Unsafe: true, Outcome: OutcomeNotRun, StartedAt: 2 * second, EndedAt: 2 * second},
 		},
 		Deliveries: []Delivery{
 			{Pool: pool, Batch: 1, Version: 5, Samples: []Sample{first}},
@@ -59,11 +59,11 @@
 	}
 }
 
-func testBounds() Bounds {
-	return Bounds{Staleness: map[string]uint64{pool: 2}, PromptWindow: 1, PromptsDone: map[string]port.PromptIndex{pool: 2}}
+func testBounds() Limits {
+	return Limits{Staleness: map[string]uint64{pool: 2}, PromptWindow: 1, FirstUndelivered: map[string]port.PromptIndex{pool: 2}}
 }
 
-func TestGoodHistoryIsClean(t *testing.T) {
+func TestValidHistoryHasNoViolations(t *testing.T) {
 	if found := Check(goodHistory(), testBounds()); len(found) > 0 {
 		t.Fatalf("violations in a good history: %v", found)
 	}
@@ -75,16 +75,16 @@
 		spoil func(*Observations)
 		want  Rule
 	}{
-		{"answer to another", func(o *Observations) { o.Calls[0].AnswerTo = "write" }, RuleWholeAnswer},
-		{"answer cut short", func(o *Observations) { o.Calls[0].Whole = false }, RuleWholeAnswer},
-		{"answer from nowhere", func(o *Observations) { o.Executions = o.Executions[:2] }, RuleWholeAnswer},
+		{"answer to another", func(o *Observations) { o.Calls[0].AnswerKey = "write" }, RuleCompleteAnswer},
+		{"answer cut short", func(o *Observations) { o.Calls[0].Complete = false }, RuleCompleteAnswer},
+		{"answer from nowhere", func(o *Observations) { o.Executions = o.Executions[:2] }, RuleCompleteAnswer},
 		{"unsafe ran twice", func(o *Observations) { o.Executions[1].Call = "write" }, RuleUnsafeOnce},
 		{"unsafe completion ran twice", func(o *Observations) {
-			o.Calls[1].Call, o.Calls[1].AnswerTo = o.Generations[0].Call, o.Generations[0].Call
+			o.Calls[1].Key, o.Calls[1].AnswerKey = o.Generations[0].Call, o.Generations[0].Call
 			o.Generations = append(o.Generations, o.Generations[0])
 		}, RuleUnsafeOnce},
 		{"refused yet ran", func(o *Observations) { o.Executions[0].Call = "refused" }, RuleNotRun},
-		{"refused yet generated", func(o *Observations) { o.Calls[2].Call = o.Generations[0].Call }, RuleNotRun},
+		{"refused yet generated", func(o *Observations) { o.Calls[2].Key = o.Generations[0].Call }, RuleNotRun},
 		{"same id twice", func(o *Observations) { o.Deliveries[2].Samples = o.Deliveries[1].Samples }, RuleSampleOnce},
 		{"same content twice", func(o *Observations) {
 			again := o.Deliveries[1].Samples[0]
@@ -103,23 +103,23 @@
 		}, RuleSampleLost},
 		{"claims another version", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Spans = []port.Span{{Version: 5, Tokens: 6}}
-		}, RuleVersionsTrue},
+		}, RuleVersionsMatch},
 		{"engine used another version", func(o *Observations) {
 			o.Generations[1].Spans = []port.Span{{Version: 4, Tokens: 6}}
-		}, RuleVersionsTrue},
-		{"spans do not cover the tokens", func(o *Observations) { o.Deliveries[2].Samples[0].Tokens = 7 }, RuleVersionsTrue},
+		}, RuleVersionsMatch},
+		{"spans do not cover the tokens", func(o *Observations) { o.Deliveries[2].Samples[0].Tokens = 7 }, RuleVersionsMatch},
 		{"text of another prompt", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Text = o.Deliveries[1].Samples[0].Text
-		}, RuleVersionsTrue},
-		{"sample cut short", func(o *Observations) { o.Generations[1].Whole = 9 }, RuleVersionsTrue},
+		}, RuleVersionsMatch},
+		{"sample cut short", func(o *Observations) { o.Generations[1].TotalTokens = 9 }, RuleVersionsMatch},
 		{"sample without spans", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Spans, o.Deliveries[2].Samples[0].Tokens = nil, 0
-		}, RuleVersionsTrue},
+		}, RuleVersionsMatch},
 		{"caller told another version", func(o *Observations) {
 			s := o.Deliveries[1].Samples[0]
-			o.Calls[0].Call, o.Calls[0].AnswerTo, o.Calls[0].Text = s.Call, s.Call, s.Text
+			o.Calls[0].Key, o.Calls[0].AnswerKey, o.Calls[0].Text = s.Call, s.Call, s.Text
 			o.Calls[0].Spans = []port.Span{{Version: 4, Tokens: 6}}
-		}, RuleVersionsTrue},
+		}, RuleVersionsMatch},
 		{"too old", func(o *Observations) { o.Deliveries[2].Version = 7 }, RuleStaleness},
 		{"unknown version", func(o *Observations) { o.Deliveries[2].Samples[0].Spans[1].Version = 0 }, RuleStaleness},
 		{"new work while leaving", func(o *Observations) { o.Generations[1].StartedAt = 6 * second }, RuleDeparture},
@@ -153,10 +153,10 @@
 	}
 }
 
-func TestResumedSampleIsTrue(t *testing.T) {
+func TestResumedSampleIsValid(t *testing.T) {
 	o := goodHistory()
 	resumed := o.Generations[0]
-	resumed.First, resumed.Spans = 4, resumed.Spans[1:]
+	resumed.FirstToken, resumed.Spans = 4, resumed.Spans[1:]
 	o.Generations[0].Spans, o.Generations[0].End = o.Generations[0].Spans[:1], EndCancelled
 	o.Generations = append(o.Generations, resumed)
 	if found := Check(o, testBounds()); len(found) > 0 {
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestDepartureConcernsOnlyTheZoneThatWasTold(t *testing.T) {
+func TestDepartureAppliesToItsZone(t *testing.T) {
 	o := goodHistory()
 	o.Departures[0].From = "a"
 	o.Generations[1].From, o.Generations[1].StartedAt = "b", 6*second
--- a/internal/lab/audit/journal_test.go
+++ b/internal/lab/audit/journal_test.go
@@ -53,7 +53,7 @@
 func TestTokensOfUnfinishedWorkCount(t *testing.T) {
 	o := goodHistory()
 	resumed := o.Generations[0]
-	resumed.First, resumed.Spans = 4, resumed.Spans[1:]
+	resumed.FirstToken, resumed.Spans = 4, resumed.Spans[1:]
 	o.Generations[0].Spans, o.Generations[0].End, o.Generations[0].EndedAt = o.Generations[0].Spans[:1], "", time.Duration(0)
 	o.Generations = append(o.Generations, resumed)
 	if found := Check(o, testBounds()); len(found) > 0 {
--- a/internal/lab/audit/observations.go
+++ b/internal/lab/audit/observations.go
@@ -35,9 +35,9 @@
 	// Key is the content key of prompt and seed.
 	Key uint64 `json:"key"`
 	// First is the position of the first token generated in this stay.
-	First int `json:"first"`
+	FirstToken int `json:"first"`
 	// Whole is the length of the complete output from position 0.
-	Whole int `json:"whole"`
+	TotalTokens int `json:"whole"`
 	// Spans are the tokens produced, with the versions that truly did.
 	Spans     []port.Span   `json:"spans"`
 	StartedAt time.Duration `json:"started_at"`
@@ -69,7 +69,7 @@
 	OutcomeMayHaveRun Outcome = "may_have_run" // failed with this verdict, or without one
 	OutcomeRan        Outcome = "ran"          // failed with this verdict
 	OutcomeLost       Outcome = "lost"         // the connection ended without a whole answer
-	OutcomeLeft       Outcome = "left"         // the caller itself gave up
+	OutcomeAbandoned  Outcome = "left"         // the caller itself gave up
 )
 
 // Call is one attempt of a caller. A resend is a further Call with the same
@@ -77,13 +77,13 @@
 type Call struct {
 	Class   string  `json:"class"`  // kind of caller
 	Target  string  `json:"target"` // address that was asked
-	Call    string  `json:"call"`   // unique key of the content asked for
+	Key     string  `json:"call"`   // unique key of the content asked for
 	Unsafe  bool    `json:"unsafe"` // must run at most once
 	Outcome Outcome `json:"outcome"`
 	// AnswerTo is the key that the answer's content belongs to, and Whole says
 	// that all of the content was there.
-	AnswerTo  string        `json:"answer_to,omitempty"`
-	Whole     bool          `json:"whole,omitempty"`
+	AnswerKey string        `json:"answer_to,omitempty"`
+	Complete  bool          `json:"whole,omitempty"`
 	Text      string        `json:"text,omitempty"` // of a completion
 	Spans     []port.Span   `json:"spans,omitempty"`
 	Detail    string        `json:"detail,omitempty"`
--- a/internal/lab/audit/samples.go
+++ b/internal/lab/audit/samples.go
@@ -58,7 +58,7 @@
 
 // checkNothingLost finds gaps in the batches that a pool's trainer kept, and
 // prompts that were passed over.
-func checkNothingLost(o Observations, bounds Bounds) []Violation {
+func checkNothingLost(o Observations, bounds Limits) []Violation {
 	batches, prompts := map[string]map[uint64]int{}, map[string]map[port.PromptIndex]bool{}
 	for _, delivery := range trained(o) {
 		if batches[delivery.Pool] == nil {
@@ -86,7 +86,7 @@
 		}
 		found = append(found, promptsPassedOver(pool, prompts[pool], bounds.PromptWindow)...)
 	}
-	for pool, done := range bounds.PromptsDone {
+	for pool, done := range bounds.FirstUndelivered {
 		found = append(found, missingPrompts(pool, prompts[pool], 0, done)...)
 	}
 	return found
@@ -125,7 +125,7 @@
 	var found []Violation
 	report := func(subject, detail string) {
 		if detail != "" {
-			found = append(found, Violation{RuleVersionsTrue, subject, detail})
+			found = append(found, Violation{RuleVersionsMatch, subject, detail})
 		}
 	}
 	for _, delivery := range o.Deliveries {
@@ -139,7 +139,7 @@
 	}
 	for _, call := range o.Calls {
 		if call.Outcome == OutcomeAnswered && call.Text != "" {
-			report(call.Call, textFault(call.Text, call.Spans, index.generations[call.Call]))
+			report(call.Key, textFault(call.Text, call.Spans, index.generations[call.Key]))
 		}
 	}
 	return found
@@ -171,8 +171,8 @@
 	if len(matching) == 0 {
 		return fmt.Sprintf("no engine produced the text %q", text[:min(len(text), recordedTextLimit)])
 	}
-	if !slices.ContainsFunc(matching, func(g Generation) bool { return g.Whole == len(versions) }) {
-		return fmt.Sprintf("%d tokens of an output of %d", len(versions), matching[0].Whole)
+	if !slices.ContainsFunc(matching, func(g Generation) bool { return g.TotalTokens == len(versions) }) {
+		return fmt.Sprintf("%d tokens of an output of %d", len(versions), matching[0].TotalTokens)
 	}
 	for position, version := range versions {
 		produced := func(g Generation) bool { return g.versionAt(position) == version && g.covers(position) }
@@ -185,12 +185,12 @@
 
 // covers reports whether the generation produced the token at a position.
 func (g Generation) covers(position int) bool {
-	return position >= g.First && position < g.First+tokenCount(g.Spans)
+	return position >= g.FirstToken && position < g.FirstToken+tokenCount(g.Spans)
 }
 
 // versionAt returns the version of the token at a position, or 0.
 func (g Generation) versionAt(position int) port.WeightVersion {
-	position -= g.First
+	position -= g.FirstToken
 	for _, span := range g.Spans {
 		if position < span.Tokens {
 			return span.Version
@@ -202,7 +202,7 @@
 
 // checkStaleness compares every delivered sample with the trainer's version
 // on receipt.
-func checkStaleness(o Observations, bounds Bounds) []Violation {
+func checkStaleness(o Observations, bounds Limits) []Violation {
 	var found []Violation
 	for _, delivery := range o.Deliveries {
 		bound, bounded := bounds.Staleness[delivery.Pool]
--- a/internal/lab/load/call.go
+++ b/internal/lab/load/call.go
@@ -43,7 +43,7 @@
 		}
 		g.result.add(plan.class.Name, seen)
 		unknown := seen.Outcome == audit.OutcomeLost || seen.Outcome == audit.OutcomeMayHaveRun
-		if !unknown || attempt >= plan.class.Resends || ctx.Err() != nil {
+		if !unknown || attempt >= plan.class.MaxRetries || ctx.Err() != nil {
 			g.result.finish(plan.class.Name, seen.Outcome, time.Since(arrived))
 			return
 		}
@@ -58,11 +58,11 @@
 	ctx, cancel := context.WithTimeout(ctx, plan.class.Timeout)
 	defer cancel()
 	seen := audit.Call{
-		Class: plan.class.Name, Target: strings.TrimPrefix(target, "http://"), Call: plan.key,
+		Class: plan.class.Name, Target: strings.TrimPrefix(target, "http://"), Key: plan.key,
 		Unsafe: plan.class.Unsafe, StartedAt: now(), Outcome: audit.OutcomeNotRun,
 	}
 	if plan.class.Method == "" {
-		seen.Call = audit.PromptKey(plan.prompt())
+		seen.Key = audit.PromptKey(plan.prompt())
 	}
 	request, err := plan.request(ctx, target)
 	if err != nil {
@@ -139,7 +139,7 @@
 	request.Header.Set(api.HeaderSafe, strconv.FormatBool(!p.class.Unsafe))
 	request.Header.Set(api.HeaderPriority, strconv.Itoa(p.class.Priority))
 	request.Header.Set(api.HeaderDeadline, strconv.FormatInt(p.class.Timeout.Milliseconds(), 10))
-	if p.class.Resends > 0 {
+	if p.class.MaxRetries > 0 {
 		request.Header.Set(api.HeaderRequestKey, p.key)
 	}
 	if p.class.Token != "" {
@@ -183,7 +183,7 @@
 		seen.Detail = err.Error()
 		return
 	}
-	seen.AnswerTo, seen.Whole = answer.Call, answer.Whole(p.key)
+	seen.AnswerKey, seen.Complete = answer.Call, answer.CompleteFor(p.key)
 	seen.Detail = "back end " + answer.BackEnd
 }
 
@@ -244,9 +244,9 @@
 
 // judge compares a whole completion with what was asked for.
 func (p planned) judge(seen *audit.Call, text, finish string) {
-	seen.Outcome, seen.Text, seen.Whole = audit.OutcomeAnswered, text, finish != ""
+	seen.Outcome, seen.Text, seen.Complete = audit.OutcomeAnswered, text, finish != ""
 	if engine.SameContent(text, engine.ContentKey(p.prompt(), p.seed)) {
-		seen.AnswerTo = seen.Call
+		seen.AnswerKey = seen.Key
 	}
 }
 
--- a/internal/lab/load/config.go
+++ b/internal/lab/load/config.go
@@ -21,13 +21,13 @@
 	Unsafe bool
 	// Resends is how often a call of unknown outcome is sent again, with the
 	// same request key and to another target.
-	Resends  int
-	Priority int
+	MaxRetries int
+	Priority   int
 	// Rate makes an open loop: Poisson arrivals a second. Without it Workers
 	// make a closed loop, each pausing for Think on average between calls.
-	Rate    float64
-	Workers int
-	Think   time.Duration
+	Rate      float64
+	Workers   int
+	ThinkTime time.Duration
 	// Timeout bounds one attempt. Default 10 s.
 	Timeout time.Duration
 	// Token, if set, is sent as bearer token.
@@ -88,7 +88,7 @@
 		{Name: "reader app", Pool: "page-api", Method: http.MethodGet, Path: "/pages/panel", Rate: 40 * scale, Priority: 5},
 		{
 			Name: "indexer", Pool: "page-api", Method: http.MethodPost, Path: "/index", BodyBytes: 2048,
-			Unsafe: true, Resends: 2, Workers: workers(4 * scale), Think: 50 * time.Millisecond,
+			Unsafe: true, MaxRetries: 2, Workers: workers(4 * scale), ThinkTime: 50 * time.Millisecond,
 		},
 	}
 }
@@ -101,7 +101,7 @@
 		{Name: "pilot", Pool: "buoy-api", Method: http.MethodGet, Path: "/readings/latest", Rate: 30 * scale, Priority: 9},
 		{
 			Name: "stitching job", Pool: "buoy-api", Method: http.MethodPost, Path: "/records/stitch", BodyBytes: 4096,
-			Unsafe: true, Resends: 2, Workers: workers(6 * scale), Think: 50 * time.Millisecond,
+			Unsafe: true, MaxRetries: 2, Workers: workers(6 * scale), ThinkTime: 50 * time.Millisecond,
 		},
 	}
 }
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -73,7 +73,7 @@
 		own := rand.New(rand.NewPCG(random.Uint64(), uint64(worker)))
 		g.calls.Go(func() {
 			for turn := range share {
-				think := time.Duration(own.ExpFloat64() * float64(class.Think))
+				think := time.Duration(own.ExpFloat64() * float64(class.ThinkTime))
 				if !pauseUntil(arrivals, time.Now().Add(think)) {
 					return
 				}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -51,12 +51,12 @@
 	}
 	seen := app.Observations()
 	seen.Merge(result.Observations())
-	if found := audit.Check(seen, audit.Bounds{}); len(found) > 0 {
+	if found := audit.Check(seen, audit.Limits{}); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
 
-func TestCompletionsAreJudgedByContent(t *testing.T) {
+func TestCompletionsAreCheckedByContent(t *testing.T) {
 	e, err := standin.StartEngine(context.Background(), standin.EngineConfig{
 		TimeScale: 20, ChunkInterval: time.Millisecond, Lengths: engine.Lengths{Median: 30},
 	})
@@ -70,14 +70,14 @@
 	}
 	seen := e.Observations()
 	seen.Merge(result.Observations())
-	if found := audit.Check(seen, audit.Bounds{}); len(found) > 0 {
+	if found := audit.Check(seen, audit.Limits{}); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 	if err := e.Inject(standin.Fault{Kind: standin.FaultMix, Count: 1}); err != nil {
 		t.Fatal(err)
 	}
 	mixed := run(t, e.URL(), []Class{{Name: "mixed", Pool: "lm", MaxTokens: 10, Workers: 1}})
-	if found := audit.Check(mixed.Observations(), audit.Bounds{}); len(found) == 0 {
+	if found := audit.Check(mixed.Observations(), audit.Limits{}); len(found) == 0 {
 		t.Fatal("another's answer went unnoticed")
 	}
 }
@@ -112,7 +112,7 @@
 		{"refused", refusing(port.NotRun), Class{Method: http.MethodGet}, audit.OutcomeNotRun, 1},
 		{"ran", refusing(port.Ran), Class{Method: http.MethodGet}, audit.OutcomeRan, 1},
 		{"no verdict", refusing(port.VerdictUnset), Class{Method: http.MethodGet}, audit.OutcomeMayHaveRun, 1},
-		{"resent twice", refusing(port.MayHaveRun), Class{Method: http.MethodPost, Resends: 2}, audit.OutcomeMayHaveRun, 3},
+		{"resent twice", refusing(port.MayHaveRun), Class{Method: http.MethodPost, MaxRetries: 2}, audit.OutcomeMayHaveRun, 3},
 		{"cut", cut, Class{Method: http.MethodPost}, audit.OutcomeLost, 1},
 		{"stream without end", func(http.ResponseWriter, *http.Request) {}, Class{}, audit.OutcomeLost, 1},
 		{"stream cut within an event", cutInEvent, Class{}, audit.OutcomeLost, 1},
@@ -153,8 +153,8 @@
 // when a kept connection breaks; the record of attempts would then be wrong.
 func TestNoAttemptIsSentTwice(t *testing.T) {
 	for _, class := range []Class{
-		{Name: "stitching", Method: http.MethodPost, BodyBytes: 10, Unsafe: true, Resends: 1},
-		{Name: "reader", Method: http.MethodGet, Resends: 1},
+		{Name: "stitching", Method: http.MethodPost, BodyBytes: 10, Unsafe: true, MaxRetries: 1},
+		{Name: "reader", Method: http.MethodGet, MaxRetries: 1},
 	} {
 		t.Run(class.Name, func(t *testing.T) {
 			var hits atomic.Int64
--- a/internal/lab/localfleet/fault_test.go
+++ b/internal/lab/localfleet/fault_test.go
@@ -131,8 +131,8 @@
 		// when the head of that answer came. A question beside an answered one gets no copy now,
 		// and the coordinator is told of a publication before the log is.
 		{"trainer asks twice and for what it acknowledged", func(r *faultRun) {
-			r.must(r.Trainers()[0].Inject(standin.Fault{Kind: standin.FaultAskTwice, Count: 2}))
-			r.must(r.Trainers()[0].Inject(standin.Fault{Kind: standin.FaultAskPrevious, Count: 2}))
+			r.must(r.Trainers()[0].Inject(standin.Fault{Kind: standin.FaultDuplicateRequest, Count: 2}))
+			r.must(r.Trainers()[0].Inject(standin.Fault{Kind: standin.FaultRepeatPrevious, Count: 2}))
 		}},
 		{"scorer down", func(r *faultRun) {
 			r.must(r.Scorer().Inject(standin.Fault{Kind: standin.FaultCrash, DurationMs: second}))
--- a/internal/lab/localfleet/fleet.go
+++ b/internal/lab/localfleet/fleet.go
@@ -171,7 +171,7 @@
 		seen.Merge(observations)
 	}
 	seen.Merge(audit.Observations{PlannedStops: f.stops})
-	bounds := audit.Bounds{Staleness: make(map[string]uint64)}
+	bounds := audit.Limits{Staleness: make(map[string]uint64)}
 	for _, trainer := range f.plan.Trainers {
 		bounds.Staleness[string(trainer.Pool)] = trainer.Sampling.StalenessBound
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestMissedBarsAreSaid(t *testing.T) {
+func TestMissedBarsAreReported(t *testing.T) {
 	slow := func(options sim.Options) (sim.Outcome, error) {
 		outcome, err := simulate(options)
 		outcome.Trainers[0].IdleShare = 0.4
--- a/internal/lab/sim/audit_test.go
+++ b/internal/lab/sim/audit_test.go
@@ -19,7 +19,7 @@
 	return w
 }
 
-func TestAuditFindsBrokenPromises(t *testing.T) {
+func TestAuditFindsViolations(t *testing.T) {
 	cases := []struct {
 		name  string
 		spoil func(sample *coordinator.DeliveredSample, pool *samplePool)
@@ -69,7 +69,7 @@
 }
 
 // All variants of a seed draw the same lengths, prompts and arrivals.
-func TestVariantsDrawAlike(t *testing.T) {
+func TestVariantsDrawEqualWorkload(t *testing.T) {
 	first := builtWorld(t, Marea(), variants()[0])
 	for _, variant := range variants()[1:] {
 		other := builtWorld(t, Marea(), variant)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestOptionsThatAreNotAllowed(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	cases := map[string]func(*Options){
 		"length":          func(o *Options) { o.Length = 0 },
 		"warmup":          func(o *Options) { o.Warmup = o.Length },
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -79,7 +79,7 @@
 
 // think lets a caller of a closed loop pause and call again.
 func (c *callerClass) think(worker, turn uint64) {
-	pause := exponential(draw(c.seed, thinkPart, worker, turn)) * float64(c.class.Think) / c.world.factor()
+	pause := exponential(draw(c.seed, thinkPart, worker, turn)) * float64(c.class.ThinkTime) / c.world.factor()
 	c.world.after(time.Duration(pause), func() {
 		c.begin(draw(worker, turn), func() { c.think(worker, turn+1) })
 	})
--- a/internal/lab/sim/fault/callers.go
+++ b/internal/lab/sim/fault/callers.go
@@ -48,14 +48,14 @@
 
 func (w *world) newCaller(class, call string, unsafe bool, target *node) *caller {
 	return &caller{world: w, seen: audit.Call{
-		Class: class, Target: target.name, Call: call, Unsafe: unsafe, StartedAt: w.queue.Now(),
+		Class: class, Target: target.name, Key: call, Unsafe: unsafe, StartedAt: w.queue.Now(),
 	}}
 }
 
 // end notes what the caller was told.
 func (c *caller) end(outcome audit.Outcome, detail string) {
 	if c.ended {
-		c.world.fail("call %s ended twice", c.seen.Call)
+		c.world.fail("call %s ended twice", c.seen.Key)
 		return
 	}
 	c.ended = true
@@ -104,7 +104,7 @@
 	c.world.after(time.Duration(c.world.random.callers.Int64N(int64(within))), func() {
 		if !c.ended && !s.closed {
 			s.close()
-			c.end(audit.OutcomeLeft, "")
+			c.end(audit.OutcomeAbandoned, "")
 		}
 	})
 }
@@ -116,7 +116,7 @@
 	unsafe := w.random.callers.IntN(2) == 0
 	c := w.newCaller("pages", fmt.Sprintf("page-%d", w.calls), unsafe, target)
 	s := w.dial(&w.callers, &target.process, func(s *stream) {
-		target.acceptCall(s, c.seen.Call, !unsafe, pageTimeout, c.answered)
+		target.acceptCall(s, c.seen.Key, !unsafe, pageTimeout, c.answered)
 	}, c.lost)
 	c.leaves(s, 20*time.Millisecond)
 }
@@ -126,7 +126,7 @@
 		c.failed(failure)
 		return
 	}
-	c.seen.AnswerTo, c.seen.Whole = answer.Call, true
+	c.seen.AnswerKey, c.seen.Complete = answer.Call, true
 	c.end(audit.OutcomeAnswered, "")
 }
 
@@ -157,9 +157,9 @@
 					c.failed(failure)
 					return
 				}
-				c.seen.Whole = tokens == min(w.lengths.Of(key), completionTokens)
+				c.seen.Complete = tokens == min(w.lengths.Of(key), completionTokens)
 				if engine.SameContent(c.seen.Text, key) {
-					c.seen.AnswerTo = c.seen.Call
+					c.seen.AnswerKey = c.seen.Key
 				}
 				c.end(audit.OutcomeAnswered, "")
 			},
--- a/internal/lab/sim/fault/engine.go
+++ b/internal/lab/sim/fault/engine.go
@@ -193,7 +193,7 @@
 	run := &engineRequest{id: string(request.ID), stream: s, take: take, key: key, position: request.ResumeTokens}
 	run.seen = &audit.Generation{
 		Engine: e.address, RequestID: run.id, From: string(s.client.zone), Call: audit.PromptKey(request.Prompt), Key: key,
-		First: request.ResumeTokens, Whole: request.ResumeTokens + min(max(remaining, 0), limit),
+		FirstToken: request.ResumeTokens, TotalTokens: request.ResumeTokens + min(max(remaining, 0), limit),
 		StartedAt: e.world.queue.Now(),
 	}
 	if remaining > 0 {
--- a/internal/lab/sim/fault/fault_test.go
+++ b/internal/lab/sim/fault/fault_test.go
@@ -12,7 +12,7 @@
 // short gives a scenario with faults for a shorter time, and more of them.
 func short(t *testing.T, name string, faults ...Fault) Scenario {
 	t.Helper()
-	scenario, found := ScenarioNamed(name)
+	scenario, found := FindScenario(name)
 	if !found {
 		t.Fatalf("no scenario %q", name)
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestPromisesHold(t *testing.T) {
+func TestFaultsCauseNoViolations(t *testing.T) {
 	for _, name := range []string{"delivery", "stops", "together"} {
 		t.Run(name, func(t *testing.T) {
 			report := runOne(t, Options{Scenario: short(t, name), Seed: 1})
@@ -58,7 +58,7 @@
 }
 
 // The audit finds the absence of each safeguard.
-func TestEachSafeguardIsNeeded(t *testing.T) {
+func TestAuditDetectsMissingSafeguard(t *testing.T) {
 	cases := []struct {
 		without Safeguard
 		faults  []Fault
@@ -66,10 +66,10 @@
 	}{
 		{SafeguardVerdict, []Fault{FaultCutAfter, FaultBackEndCrash}, audit.RuleUnsafeOnce},
 		{SafeguardNotRun, []Fault{FaultCutAfter, FaultBackEndCrash}, audit.RuleNotRun},
-		{SafeguardMatching, []Fault{FaultBackEndMixes}, audit.RuleWholeAnswer},
-		{SafeguardWhole, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleWholeAnswer},
-		{SafeguardResume, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleVersionsTrue},
-		{SafeguardVersion, []Fault{FaultSwapMisdirected}, audit.RuleVersionsTrue},
+		{SafeguardMatching, []Fault{FaultBackEndMixes}, audit.RuleCompleteAnswer},
+		{SafeguardWhole, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleCompleteAnswer},
+		{SafeguardResume, []Fault{FaultEngineCrash, FaultCutAfter}, audit.RuleVersionsMatch},
+		{SafeguardVersion, []Fault{FaultSwapMisdirected}, audit.RuleVersionsMatch},
 		{SafeguardStaleness, []Fault{FaultScorerLate, FaultPublishRace}, audit.RuleStaleness},
 		{SafeguardLeaving, []Fault{FaultBackEndLeaves}, audit.RuleDeparture},
 		{SafeguardDrain, []Fault{FaultNodeStop}, audit.RulePlannedStop},
--- a/internal/lab/sim/fault/options.go
+++ b/internal/lab/sim/fault/options.go
@@ -143,7 +143,7 @@
 }
 
 // ScenarioNamed finds a scenario.
-func ScenarioNamed(name string) (Scenario, bool) {
+func FindScenario(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios() {
 		if scenario.Name == name {
 			return scenario, true
--- a/internal/lab/sim/fault/run.go
+++ b/internal/lab/sim/fault/run.go
@@ -29,7 +29,7 @@
 }
 
 // Broken counts everything that was found wrong.
-func (r *Report) Broken() int { return len(r.Violations) + len(r.Failures) }
+func (r *Report) ProblemCount() int { return len(r.Violations) + len(r.Failures) }
 
 // FaultCount counts the faults injected.
 func (r *Report) FaultCount() int {
@@ -54,10 +54,10 @@
 	report := Report{
 		Scenario: options.Scenario.Name, Seed: options.Seed, Steps: w.queue.Steps(), Faults: w.count.faults,
 		Delivered: w.count.delivered, Retries: w.count.retries, Failures: w.failures,
-		Violations: audit.Check(seen, audit.Bounds{
-			Staleness:    map[string]uint64{string(trainingPool): stalenessBound},
-			PromptWindow: promptWindow,
-			PromptsDone:  map[string]port.PromptIndex{string(trainingPool): w.promptsDone()},
+		Violations: audit.Check(seen, audit.Limits{
+			Staleness:        map[string]uint64{string(trainingPool): stalenessBound},
+			PromptWindow:     promptWindow,
+			FirstUndelivered: map[string]port.PromptIndex{string(trainingPool): w.promptsDone()},
 		}),
 	}
 	for _, call := range seen.Calls {
--- a/internal/lab/sim/fault/summary.go
+++ b/internal/lab/sim/fault/summary.go
@@ -34,7 +34,7 @@
 		summary.Failed += report.Failed
 		summary.Delivered += report.Delivered
 		summary.Retries += report.Retries
-		summary.Violations += report.Broken()
+		summary.Violations += report.ProblemCount()
 		for kind, count := range report.Faults {
 			summary.Faults[kind] += count
 		}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestPromisesHoldAndLimitsAreNeverBeaten(t *testing.T) {
+func TestRunsHaveNoViolationsAndRespectLimits(t *testing.T) {
 	for _, site := range []Site{Inkwell(), Marea(), hurried()} {
 		for _, variant := range variants() {
 			t.Run(site.Name+", "+variant.Name, func(t *testing.T) {
--- a/internal/lab/sim/tally_test.go
+++ b/internal/lab/sim/tally_test.go
@@ -11,7 +11,7 @@
     return struct(target_in_flight = pool.capacity, over_provision = 2)
 `
 
-func TestSparedSamplesAreLostAndMakeTheRestShorter(t *testing.T) {
+func TestOverProvisionLosesTokensAndShortensSamples(t *testing.T) {
 	// Weights that change seldom let nothing go stale.
 	site := Marea()
 	for index := range site.Trainers {
--- a/internal/lab/standin/application.go
+++ b/internal/lab/standin/application.go
@@ -58,7 +58,7 @@
 }
 
 // Whole reports whether the answer holds all of the content of a call.
-func (a ApplicationAnswer) Whole(call string) bool {
+func (a ApplicationAnswer) CompleteFor(call string) bool {
 	return a.Call == call && a.Size > 0 && a.Payload == payload(call, a.Size)
 }
 
@@ -118,7 +118,7 @@
 	if a.disturbed(w, r) {
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, port.NewError(port.NotRun, port.CodeInvalid, "body: %v", err))
 		return
--- a/internal/lab/standin/completion.go
+++ b/internal/lab/standin/completion.go
@@ -60,7 +60,7 @@
 	whole := body.ResumeTokens + min(request.OutputTokens, request.MaxTokens)
 	s := newStream(id, body, &audit.Generation{
 		Engine: e.address, RequestID: id, Call: audit.PromptKey(body.Prompt),
-		Key: key, First: body.ResumeTokens, Whole: whole,
+		Key: key, FirstToken: body.ResumeTokens, TotalTokens: whole,
 	})
 	if request.OutputTokens > 0 || request.PrefillOnly {
 		if err := e.model.Submit(e.now(), request); err != nil {
@@ -140,7 +140,7 @@
 func (e *Engine) answer(w http.ResponseWriter, ctx context.Context, s *stream, key uint64) {
 	writer := &answerWriter{http: w, id: s.id, body: s.body, key: key, position: s.body.ResumeTokens}
 	if fault, cut := e.faults.take(FaultCut); cut {
-		writer.cutAfter = max(s.seen.Whole/2, 1)
+		writer.cutAfter = max(s.seen.TotalTokens/2, 1)
 		if fault.Factor > 0 {
 			writer.cutAfter = int(fault.Factor)
 		}
--- a/internal/lab/standin/engine_test.go
+++ b/internal/lab/standin/engine_test.go
@@ -13,7 +13,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-func TestCompletionIsWholeAndRecorded(t *testing.T) {
+func TestCompletionIsCompleteAndRecorded(t *testing.T) {
 	e := testEngine(t, nil)
 	got := complete(t, e, "r1", api.Completion{Prompt: "tell the swell", Seed: 7})
 	key := engine.ContentKey("tell the swell", 7)
@@ -24,7 +24,7 @@
 		t.Fatalf("spans %v", got.spans)
 	}
 	seen := generationOf(t, e, "r1")
-	if seen.End != audit.EndFinished || seen.Key != key || seen.Whole != 40 || seen.Spans[0].Tokens != 40 {
+	if seen.End != audit.EndFinished || seen.Key != key || seen.TotalTokens != 40 || seen.Spans[0].Tokens != 40 {
 		t.Fatalf("recorded %+v", seen)
 	}
 }
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestFaultsOfAnswers(t *testing.T) {
+func TestEngineResponseFaults(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault Fault
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestCrashLosesStreamsAndComesBack(t *testing.T) {
+func TestCrashAbortsStreamsAndRestarts(t *testing.T) {
 	e := testEngine(t, func(c *EngineConfig) { c.Lengths.Median, c.TimeScale = 20_000, 1 })
 	ended := make(chan completed, 1)
 	go func() { ended <- complete(t, e, "r1", api.Completion{Prompt: "p", MaxTokens: 20_000}) }()
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -37,10 +37,10 @@
 	// FaultSwapMisdirected makes an engine's next activation end on Version.
 	FaultSwapMisdirected FaultKind = "swap_misdirected"
 	// FaultAskTwice makes a trainer ask for Count batches twice at once.
-	FaultAskTwice FaultKind = "ask_twice"
+	FaultDuplicateRequest FaultKind = "ask_twice"
 	// FaultAskPrevious makes a trainer ask for an acknowledged batch again,
 	// Count times.
-	FaultAskPrevious FaultKind = "ask_previous"
+	FaultRepeatPrevious FaultKind = "ask_previous"
 )
 
 // Fault is one order to a fault switch.
--- a/internal/lab/standin/journal_test.go
+++ b/internal/lab/standin/journal_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/audit"
 )
 
-func TestTrainerGoesOnFromItsJournal(t *testing.T) {
+func TestTrainerResumesFromJournal(t *testing.T) {
 	node := &fakeNode{published: map[uint64]string{}}
 	front := httptest.NewServer(node)
 	defer front.Close()
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		trainer := started[*Trainer](t)(StartTrainer(t.Context(), TrainerConfig{
-			Common: Common{Lines: &journal}, Kept: seen.Deliveries,
+			Common: Common{Journal: &journal}, Checkpoint: seen.Deliveries,
 			Nodes: []string{front.URL}, Pool: "p", StepTime: time.Millisecond, MaxSteps: steps, PublishEvery: 2,
 		}))
 		eventually(t, "the steps", func() bool { return trainer.Stats().Steps == steps })
@@ -43,7 +43,7 @@
 
 func TestEngineJournalHoldsWorkInProgress(t *testing.T) {
 	var journal bytes.Buffer
-	e := testEngine(t, func(config *EngineConfig) { config.Lines = &journal; config.TimeScale = 1 })
+	e := testEngine(t, func(config *EngineConfig) { config.Journal = &journal; config.TimeScale = 1 })
 	go func() {
 		_, _, _ = send(t, "POST", e.URL()+"/v1/completions", "r1", map[string]any{"prompt": "p", "stream": true})
 	}()
--- a/internal/lab/standin/machines.go
+++ b/internal/lab/standin/machines.go
@@ -15,7 +15,7 @@
 )
 
 // MachineGone removes a machine from the list when it is set as its state.
-const MachineGone port.MachineState = "gone"
+const MachineRemoved port.MachineState = "gone"
 
 // MachineList stands in for the list of machines, which shows changes late.
 type MachineList struct {
@@ -71,7 +71,7 @@
 	defer m.mutex.Unlock()
 	before := m.machines[address].State
 	m.machines[address] = port.Machine{Address: address, State: state, Since: time.Now().UnixMilli()}
-	if state == MachineGone {
+	if state == MachineRemoved {
 		delete(m.machines, address)
 	}
 	m.shown.Put(since(), m.sorted())
--- a/internal/lab/standin/others_test.go
+++ b/internal/lab/standin/others_test.go
@@ -17,7 +17,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-func TestApplicationAnswersBelongToTheirCall(t *testing.T) {
+func TestApplicationFaults(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault *Fault
@@ -33,7 +33,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var lines bytes.Buffer
 			a := started[*Application](t)(StartApplication(t.Context(), ApplicationConfig{
-				Common: Common{Lines: &lines}, ServiceTime: time.Millisecond,
+				Common: Common{Journal: &lines}, ServiceTime: time.Millisecond,
 			}))
 			if c.fault != nil {
 				if err := a.Inject(*c.fault); err != nil {
@@ -45,7 +45,7 @@
 			if err == nil {
 				err = json.Unmarshal(data, &answer)
 			}
-			if whole := err == nil && answer.Whole("c1"); whole != c.whole {
+			if whole := err == nil && answer.CompleteFor("c1"); whole != c.whole {
 				t.Fatalf("whole is %v: %v %+v", whole, err, answer)
 			}
 			a.Close()
@@ -170,9 +170,9 @@
 	if calls := trainer.Observations().Calls; len(calls) != 1 || calls[0].Outcome != audit.OutcomeLost {
 		t.Errorf("one answer was cut off, recorded are %+v", calls)
 	}
-	if found := audit.Check(trainer.Observations(), audit.Bounds{}); len(found) > 0 {
+	if found := audit.Check(trainer.Observations(), audit.Limits{}); len(found) > 0 {
 		for _, violation := range found {
-			if violation.Rule != audit.RuleVersionsTrue { // the samples have no text
+			if violation.Rule != audit.RuleVersionsMatch { // the samples have no text
 				t.Fatal(violation)
 			}
 		}
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -24,7 +24,7 @@
 )
 
 // MaxBody bounds the body of every request to a stand-in, in bytes.
-const MaxBody = 8 << 20
+const MaxBodyBytes = 8 << 20
 
 const (
 	readHeaderTimeout = 10 * time.Second
@@ -37,7 +37,7 @@
 	// Listen is an address of the loopback interface; default 127.0.0.1:0.
 	Listen string
 	// Lines, if set, receives each observation as a line of JSON.
-	Lines io.Writer
+	Journal io.Writer
 }
 
 // server is the HTTP side of a stand-in: it listens, can crash and come back
@@ -60,7 +60,7 @@
 }
 
 func newServer(ctx context.Context, common Common, faults ...FaultKind) *server {
-	s := &server{faults: newFaultSet(faults...), recorder: newRecorder(common.Lines), mux: http.NewServeMux()}
+	s := &server{faults: newFaultSet(faults...), recorder: newRecorder(common.Journal), mux: http.NewServeMux()}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	s.mux.HandleFunc("POST "+PathFault, s.handleFault)
 	s.mux.HandleFunc("GET "+PathObservations, s.handleObservations)
@@ -210,7 +210,7 @@
 func cutConnection() { panic(http.ErrAbortHandler) }
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	err := decoder.Decode(into)
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/lab/standin/trainer.go
+++ b/internal/lab/standin/trainer.go
@@ -59,11 +59,11 @@
 	Wait time.Duration
 	// Patience is how long over Wait an answer may take before the trainer asks
 	// again. Default 10 s.
-	Patience time.Duration
-	Prompts  PromptConfig
+	ResponseGrace time.Duration
+	Prompts       PromptConfig
 	// Kept are the deliveries that earlier lives recorded. They are the
 	// checkpoint that a trainer of a new process goes on from.
-	Kept []audit.Delivery
+	Checkpoint []audit.Delivery
 }
 
 // TrainerStats sums up a trainer's time.
@@ -96,15 +96,15 @@
 	config.FirstVersion = cmp.Or(config.FirstVersion, 1)
 	config.WeightBytes = cmp.Or(config.WeightBytes, 4<<20)
 	config.Wait = cmp.Or(config.Wait, 2*time.Second)
-	config.Patience = cmp.Or(config.Patience, 10*time.Second)
+	config.ResponseGrace = cmp.Or(config.ResponseGrace, 10*time.Second)
 	config.Prompts.applyDefaults()
 	t := &Trainer{config: config, client: &http.Client{
-		Timeout: config.Wait + config.Patience, Transport: &http.Transport{IdleConnTimeout: trainerIdleTimeout},
+		Timeout: config.Wait + config.ResponseGrace, Transport: &http.Transport{IdleConnTimeout: trainerIdleTimeout},
 	}}
 	t.stats.Version = config.FirstVersion
-	t.restore(config.Kept)
+	t.restore(config.Checkpoint)
 	t.server = newServer(ctx, config.Common, FaultCrash, FaultHang, FaultSlow, FaultRefuse,
-		FaultAskTwice, FaultAskPrevious)
+		FaultDuplicateRequest, FaultRepeatPrevious)
 	t.inject = t.injectFault
 	t.mux.HandleFunc("GET "+api.PathPrompts, func(w http.ResponseWriter, r *http.Request) {
 		if !t.disturbed(w, r) {
--- a/internal/lab/standin/trainer_calls.go
+++ b/internal/lab/standin/trainer_calls.go
@@ -96,7 +96,7 @@
 		return
 	}
 	t.recorder.add(audit.Observations{Calls: []audit.Call{{
-		Class: "trainer", Target: strings.TrimPrefix(node, "http://"), Call: fmt.Sprintf("%s at %d", what, began),
+		Class: "trainer", Target: strings.TrimPrefix(node, "http://"), Key: fmt.Sprintf("%s at %d", what, began),
 		Outcome: audit.OutcomeLost, Detail: err.Error(), StartedAt: began, EndedAt: since(),
 	}}})
 }
@@ -166,13 +166,13 @@
 
 // receive asks for a batch until it has come whole.
 func (t *Trainer) receive(life context.Context, number uint64) (audit.Delivery, bool) {
-	if _, again := t.faults.take(FaultAskPrevious); again && number > 2 {
+	if _, again := t.faults.take(FaultRepeatPrevious); again && number > 2 {
 		// The batch before is acknowledged only by the question to come.
 		t.askAgain(life, number-2)
 	}
 	var received receivedBatch
 	ok := t.untilDone(life, func(node string) error {
-		if _, twice := t.faults.take(FaultAskTwice); twice {
+		if _, twice := t.faults.take(FaultDuplicateRequest); twice {
 			t.work.Go(func() { t.askAtOnce(life, number) })
 		}
 		var err error
--- a/internal/testkit/page.go
+++ b/internal/testkit/page.go
@@ -82,7 +82,7 @@
 }
 
 // Quoted gives the texts between backquotes of a cell.
-func Quoted(cell string) []string {
+func CodeSpans(cell string) []string {
 	var quoted []string
 	for index, part := range strings.Split(cell, "`") {
 		if index%2 == 1 {
--- a/test/examples/examples_test.go
+++ b/test/examples/examples_test.go
@@ -204,7 +204,7 @@
 	}
 	defer response.Body.Close()
 	var answer standin.ApplicationAnswer
-	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || !answer.Whole("mine") {
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || !answer.CompleteFor("mine") {
 		t.Fatalf("status %d, %v, %+v", response.StatusCode, err, answer)
 	}
 }
@@ -244,7 +244,7 @@
 func (s *site) check(t *testing.T) {
 	t.Helper()
 	var all audit.Observations
-	bounds := audit.Bounds{Staleness: map[string]uint64{}}
+	bounds := audit.Limits{Staleness: map[string]uint64{}}
 	for name, pool := range s.trainers {
 		bounds.Staleness[pool] = staleness
 		all.Merge(s.journal(t, filepath.Join(s.folder, "run", s.name, name+".journal")))
--- a/test/system/audit_test.go
+++ b/test/system/audit_test.go
@@ -67,9 +67,9 @@
 // check audits the run so far and shows what is on record about violations.
 func (s *site) check(t *testing.T) {
 	t.Helper()
-	bounds := audit.Bounds{
-		Staleness:   map[string]uint64{samplingPool: staleness},
-		PromptsDone: map[string]port.PromptIndex{samplingPool: s.untilDone(t)},
+	bounds := audit.Limits{
+		Staleness:        map[string]uint64{samplingPool: staleness},
+		FirstUndelivered: map[string]port.PromptIndex{samplingPool: s.untilDone(t)},
 	}
 	seen := s.observations(t)
 	for _, violation := range audit.Check(seen, bounds) {
@@ -82,7 +82,7 @@
 func logEvidence(t *testing.T, seen audit.Observations, subject string) {
 	t.Helper()
 	for _, call := range seen.Calls {
-		if call.Call == subject {
+		if call.Key == subject {
 			t.Logf("call %+v", call)
 		}
 	}
--- a/test/system/callers_test.go
+++ b/test/system/callers_test.go
@@ -60,7 +60,7 @@
 		{Name: "reader", Pool: pagesPool, Method: http.MethodGet, Path: "/pages/panel", Rate: 20, Priority: 5, Timeout: timeout},
 		{
 			Name: "indexer", Pool: pagesPool, Method: http.MethodPost, Path: "/index", BodyBytes: 512,
-			Unsafe: true, Resends: 2, Rate: 40, Timeout: timeout,
+			Unsafe: true, MaxRetries: 2, Rate: 40, Timeout: timeout,
 		},
 		{
 			Name: "completion", Pool: samplingPool, MaxTokens: 200, PromptTokens: 40,
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	var answer standin.ApplicationAnswer
-	if err := json.Unmarshal(content, &answer); err != nil || !answer.Whole(call) {
+	if err := json.Unmarshal(content, &answer); err != nil || !answer.CompleteFor(call) {
 		t.Fatalf("status %d, %v: %s", response.StatusCode, err, content)
 	}
 	return response.Header.Get(api.HeaderRequestID)
