--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -66,8 +66,8 @@
 	// Origin is called repeatedly while the folder is empty, with the incarnation chosen
 	// for the folder.
 	Origin func(ctx context.Context, incarnation string) (Origin, error)
-	// Changed is called in the loop's goroutine after every step. It must not block.
-	Changed func(step Step)
+	// OnStep is called in the loop's goroutine after every step. It must not block.
+	OnStep func(step Step)
 	// Leaving returns the machines to drain. It is called in the loop's goroutine; nil
 	// means none.
 	Leaving func() map[string]bool
--- a/internal/app/group/member.go
+++ b/internal/app/group/member.go
@@ -291,7 +291,7 @@
 		}
 	}
 	m.published.Store(published)
-	m.config.Changed(step)
+	m.config.OnStep(step)
 }
 
 // PublishedState returns the latest published state, or nil while the member is not running.
--- a/internal/app/group/standing_test.go
+++ b/internal/app/group/standing_test.go
@@ -88,8 +88,8 @@
 		Name: "test", Folder: m.folder, FileSystem: m.files, SnapshotBytes: snapshotBytes, Wire: options, Seed: uint64(m.record.Name[0]), Tick: 10 * time.Millisecond,
 		Self:    groupmember.Record{Address: m.record.Address, Name: m.record.Name},
 		Machine: m.newState, Clock: m.clock,
-		Origin:  func(context.Context, string) (group.Origin, error) { return m.origin, nil },
-		Changed: func(group.Step) {}, Logger: &log.Logger{Level: log.PanicLevel},
+		Origin: func(context.Context, string) (group.Origin, error) { return m.origin, nil },
+		OnStep: func(group.Step) {}, Logger: &log.Logger{Level: log.PanicLevel},
 		Limits:       groupmember.Limits{Voters: 3, MinVoters: 3},
 		ReplaceAfter: 400 * time.Millisecond, FreeSlotAfter: 200 * time.Millisecond, RemovalCheckInterval: 50 * time.Millisecond,
 	})
--- a/internal/app/sitecontrol/control.go
+++ b/internal/app/sitecontrol/control.go
@@ -126,7 +126,7 @@
 		Name: "control", Folder: config.Folder, FileSystem: config.FileSystem,
 		Self: groupmember.Record{Address: config.Address, Name: config.Machine, Service: config.HeartbeatAddress},
 		Wire: config.Wire, Machine: func() groupmember.StateMachine { return sitestate.New() },
-		Origin: c.origin, Changed: c.changed, Logger: config.Logger, Clock: config.Clock, Seed: config.Seed,
+		Origin: c.origin, OnStep: c.changed, Logger: config.Logger, Clock: config.Clock, Seed: config.Seed,
 		Limits: groupmember.Limits{Voters: wantedVoters, MinVoters: 2*config.ToleratedLosses + 1, Learners: groupmember.UnlimitedLearners},
 	})
 	c.heartbeats = newHeartbeats(c)
--- a/internal/app/sitestore/store.go
+++ b/internal/app/sitestore/store.go
@@ -120,7 +120,7 @@
 		Name: "jobs", Folder: config.Folder, FileSystem: config.FileSystem,
 		Self: groupmember.Record{Address: config.Address, Name: config.Machine},
 		Wire: config.Wire, Machine: func() groupmember.StateMachine { return jobstate.New() },
-		Origin: s.origin, Changed: s.changed, Leaving: s.leaving, Logger: config.Logger, Clock: config.Clock, Seed: config.Seed,
+		Origin: s.origin, OnStep: s.changed, Leaving: s.leaving, Logger: config.Logger, Clock: config.Clock, Seed: config.Seed,
 		Limits: groupmember.Limits{Voters: s.wantedVoters(), MinVoters: s.wantedVoters(), Learners: spareMembers},
 	})
 	s.runner = newRunner(s, replicacall.New(config.Dialect, maxReplicaConnections))
--- a/internal/core/controlmember/member.go
+++ b/internal/core/controlmember/member.go
@@ -180,9 +180,9 @@
 // Leader returns the leader that this member knows, or None.
 func (m *Member) Leader() consensus.MemberID { return m.status.Leader }
 
-// QuorumContact reports whether the member is in contact with a quorum: directly as the
+// QuorumActive reports whether the member is in contact with a quorum: directly as the
 // leader, or through the leader, which steps down when it loses the quorum.
-func (m *Member) QuorumContact() bool { return m.status.QuorumActive }
+func (m *Member) QuorumActive() bool { return m.status.QuorumActive }
 
 // CaughtUp reports whether the member has applied everything that was committed at the
 // leader's last message.
@@ -194,7 +194,7 @@
 // while the member is in contact with a quorum and caught up.
 func (m *Member) Update(after uint64) port.ViewUpdate {
 	update := m.state.Update(after)
-	update.Confirmed = m.QuorumContact() && m.CaughtUp()
+	update.Confirmed = m.QuorumActive() && m.CaughtUp()
 	return update
 }
 
--- a/internal/core/groupmember/room_test.go
+++ b/internal/core/groupmember/room_test.go
@@ -9,7 +9,7 @@
 
 // The leader accepts only as many joining machines as the group has slots: too many at
 // once overload it. Unreachable members use no slot, so that their replacements can join.
-func TestHasRoom(t *testing.T) {
+func TestAcceptsLearner(t *testing.T) {
 	const unreachableTicks = 40
 	for name, row := range map[string]struct {
 		voters, learners                       int
--- a/internal/lab/chaos/admin.go
+++ b/internal/lab/chaos/admin.go
@@ -26,7 +26,7 @@
 func (a *admin) look() {
 	a.schedule()
 	leader := a.world.leader()
-	if leader == nil || !leader.member.QuorumContact() {
+	if leader == nil || !leader.member.QuorumActive() {
 		return
 	}
 	membership := leader.member.Status().Membership
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -277,7 +277,7 @@
 	if i.active > 0 || world.settling || leader == nil || leader == target || !target.running() {
 		return
 	}
-	if !leader.member.QuorumContact() || world.network.base.Loss > 0 {
+	if !leader.member.QuorumActive() || world.network.base.Loss > 0 {
 		return
 	}
 	count, term := i.count, leader.member.Status().Term
--- a/internal/lab/chaos/machine.go
+++ b/internal/lab/chaos/machine.go
@@ -335,7 +335,7 @@
 	watch := m.watchers[number]
 	update := m.member.Update(watch.position)
 	if m.world.options.Weakness == WeaknessConfirmBehind {
-		update.Confirmed = m.member.QuorumContact() && m.member.State().Applied() >= m.member.Status().Commit
+		update.Confirmed = m.member.QuorumActive() && m.member.State().Applied() >= m.member.Status().Commit
 	}
 	m.world.audit.checkConfirmed(m, update)
 	watch.position = max(update.Position, watch.position)
