--- a/internal/lab/localfleet/bench_test.go
+++ b/internal/lab/localfleet/bench_test.go
@@ -13,14 +13,12 @@
 	"github.com/loomgrade/loomgrade/internal/lab/localfleet"
 )
 
-// measuredSpan is how long a fleet is measured.
-const measuredSpan = 5 * time.Second
+// measurePeriod is the duration of one measurement.
+const measurePeriod = 5 * time.Second
 
-// BenchmarkNode measures what a node of the dev site spends: bytes of the internal
-// protocol both ways, and CPU time of the whole process, which also holds the
-// control members and the stand-ins. An idle fleet shows the cost of control, a
-// sampling one also carries the samples. Profile with -cpuprofile and focus on
-// internal/app/node.
+// BenchmarkNode measures the cost per node of the dev site: bytes of the internal
+// protocol in both directions, and CPU time of the whole process, which includes the
+// control members and the stand-ins. The idle fleet has no trainer.
 func BenchmarkNode(b *testing.B) {
 	idle, sampling := localfleet.DevPlan(), localfleet.DevPlan()
 	idle.Trainers, idle.Callers, sampling.Callers = nil, nil, nil
@@ -29,7 +27,7 @@
 }
 
 func measureNodes(b *testing.B, plan localfleet.Plan) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	fleet, err := localfleet.Start(ctx, plan, localfleet.Options{})
 	if err != nil {
@@ -39,8 +37,8 @@
 	time.Sleep(time.Second)
 	for b.Loop() {
 		bytes, cpu := internalBytes(b, fleet), cpuTime(b)
-		time.Sleep(measuredSpan)
-		nodeSeconds := float64(fleet.Nodes()) * measuredSpan.Seconds()
+		time.Sleep(measurePeriod)
+		nodeSeconds := float64(fleet.Nodes()) * measurePeriod.Seconds()
 		b.ReportMetric((internalBytes(b, fleet)-bytes)/nodeSeconds, "B/s/node")
 		b.ReportMetric((cpuTime(b)-cpu).Seconds()*1000/nodeSeconds, "cpu-ms/s/node")
 	}
@@ -51,11 +49,11 @@
 	b.Helper()
 	sum := 0.0
 	for index := range fleet.Nodes() {
-		answer, err := http.Get(fleet.NodeURL(index) + "/metrics")
+		response, err := http.Get(fleet.NodeURL(index) + "/metrics")
 		if err != nil {
 			b.Fatal(err)
 		}
-		lines := bufio.NewScanner(answer.Body)
+		lines := bufio.NewScanner(response.Body)
 		for lines.Scan() {
 			name, value, found := strings.Cut(lines.Text(), " ")
 			if !found || !strings.HasPrefix(name, "loomgrade_") || !strings.Contains(name, "bytes_total") {
@@ -67,7 +65,7 @@
 			}
 			sum += counted
 		}
-		answer.Body.Close()
+		response.Body.Close()
 	}
 	return sum
 }
--- a/internal/lab/localfleet/doc.go
+++ b/internal/lab/localfleet/doc.go
@@ -1,9 +1,8 @@
-// Package localfleet runs a whole fleet in one process over loopback TCP:
-// control members with data folders, nodes, and the stand-ins of every system
-// around them. The processes' own code runs unchanged; only the process border
-// is missing.
+// Package localfleet runs a whole fleet in one process over loopback TCP: control
+// members with data folders, nodes, and stand-ins for every external system. It runs
+// the same code as the real processes.
 //
-// A Fleet starts from a Plan, which names the site's zones, replicas and
-// trainers. Members, nodes and stand-ins can be killed, restarted and drained
-// while it runs, and Audit judges the run by what the stand-ins saw.
+// A Fleet is started from a Plan, which lists the site's zones, replicas and trainers.
+// Members, nodes and stand-ins can be killed, restarted and drained while it runs.
+// Audit checks what the stand-ins and callers observed.
 package localfleet
--- a/internal/lab/localfleet/fleet.go
+++ b/internal/lab/localfleet/fleet.go
@@ -18,27 +18,27 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// operatorToken is what the fleet's operators present.
+// operatorToken authenticates operators to the control members.
 const operatorToken = "operator-of-a-local-fleet"
 
-// firstVersion is the weight version that the engines start from.
+// firstVersion is the weight version that the engines start with.
 const firstVersion port.WeightVersion = 1
 
-// settleTime bounds each step of starting a fleet.
-const settleTime = 30 * time.Second
+// startTimeout limits how long a fleet may take to start.
+const startTimeout = 30 * time.Second
 
-// Options say how a fleet is run.
+// Options configures how a fleet is run.
 type Options struct {
-	// Folder keeps the data folders of the control members; empty takes a
-	// temporary one that Close removes.
+	// Folder holds the data folders of the control members. If empty, Start creates a
+	// temporary folder that Close removes.
 	Folder string
 	// Logger may be nil.
 	Logger *log.Logger
-	// Intervals pace the nodes; zero fields take the nodes' defaults.
+	// Intervals sets the intervals of the nodes; zero fields use the nodes' defaults.
 	Intervals node.Intervals
 }
 
-// Fleet is a running fleet. Its methods are for one goroutine.
+// Fleet is a running fleet. It is not safe for concurrent use.
 type Fleet struct {
 	plan    Plan
 	options Options
@@ -49,13 +49,12 @@
 	nodes    []*nodeSlot
 	standIns *standIns
 	operator *controlclient.Client
-	// stops and outages are the disturbances that the driver caused, for the
-	// audit.
+	// stops lists the graceful stops of nodes, for the audit.
 	stops []audit.PlannedStop
 }
 
-// Start starts a fleet and waits until its configuration is accepted and every
-// node serves callers.
+// Start starts a fleet and blocks until its configuration is accepted and every node is
+// ready.
 func Start(ctx context.Context, plan Plan, options Options) (*Fleet, error) {
 	fleet := &Fleet{plan: plan, options: options}
 	background, cancel := context.WithCancel(context.Background())
@@ -67,12 +66,12 @@
 }
 
 func (f *Fleet) start(ctx, background context.Context) error {
-	settle, cancel := context.WithTimeout(ctx, settleTime)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := f.makeFolder(); err != nil {
 		return err
 	}
-	if err := f.startMembers(settle); err != nil {
+	if err := f.startMembers(startCtx); err != nil {
 		return err
 	}
 	if err := f.listenNodes(); err != nil {
@@ -83,7 +82,7 @@
 		return err
 	}
 	f.standIns = standIns
-	if err := f.configure(settle); err != nil {
+	if err := f.configure(startCtx); err != nil {
 		return err
 	}
 	for _, slot := range f.nodes {
@@ -91,7 +90,7 @@
 			return err
 		}
 	}
-	return f.untilReady(settle)
+	return f.waitReady(startCtx)
 }
 
 func (f *Fleet) makeFolder() error {
@@ -104,13 +103,13 @@
 	return eris.Wrap(err, "data folder")
 }
 
-// wireOptions are those of the fleet's own processes.
+// wireOptions returns the wire options of a process of the fleet.
 func (f *Fleet) wireOptions(name string) wire.Options {
 	return wire.Options{ClusterID: f.plan.Cluster, Name: name}
 }
 
-// controlClient makes a client of the control members, beginning with the one
-// at a position, so that nodes of different zones use different members.
+// controlClient returns a client that tries the member at index nearest first, so that
+// different nodes use different members.
 func (f *Fleet) controlClient(name string, nearest int) (*controlclient.Client, error) {
 	addresses := make([]string, 0, len(f.members))
 	for offset := range f.members {
@@ -123,7 +122,7 @@
 	})
 }
 
-// configure proposes the site's configuration and publishes the first weights.
+// configure proposes the site's configuration and publishes the first weight version.
 func (f *Fleet) configure(ctx context.Context) error {
 	operator, err := f.controlClient("operator", 0)
 	if err != nil {
@@ -152,7 +151,7 @@
 	return nil
 }
 
-// Propose puts a command through the control log as an operator would.
+// Propose proposes a command to the control log as an operator.
 func (f *Fleet) Propose(ctx context.Context, command port.Command) error {
 	result, err := f.operator.Propose(ctx, command)
 	if err != nil {
@@ -164,27 +163,27 @@
 	return nil
 }
 
-// Audit judges what the stand-ins and the given callers saw.
+// Audit checks the observations of the stand-ins and of the given callers.
 func (f *Fleet) Audit(callers ...audit.Observations) []audit.Violation {
 	seen := f.standIns.observations()
 	for _, observations := range callers {
 		seen.Merge(observations)
 	}
 	seen.Merge(audit.Observations{PlannedStops: f.stops})
-	bounds := audit.Limits{Staleness: make(map[string]uint64)}
+	limits := audit.Limits{Staleness: make(map[string]uint64)}
 	for _, trainer := range f.plan.Trainers {
-		bounds.Staleness[string(trainer.Pool)] = trainer.Sampling.StalenessBound
+		limits.Staleness[string(trainer.Pool)] = trainer.Sampling.StalenessBound
 	}
-	return audit.Check(seen, bounds)
+	return audit.Check(seen, limits)
 }
 
-// Plan gives the site that the fleet was started for.
+// Plan returns the plan that the fleet was started from.
 func (f *Fleet) Plan() Plan { return f.plan }
 
-// OperatorToken gives the token that the control members ask operators for.
+// OperatorToken returns the token that the control members require of operators.
 func (f *Fleet) OperatorToken() string { return operatorToken }
 
-// Close stops everything at once and removes a temporary folder.
+// Close stops all processes without draining them and removes a temporary folder.
 func (f *Fleet) Close() error {
 	if f.standIns != nil {
 		f.standIns.closeTrainers()
@@ -209,8 +208,8 @@
 	return errors.Join(failures...)
 }
 
-// until polls a condition until it holds or ctx ends.
-func until(ctx context.Context, what string, holds func() bool) error {
+// waitUntil polls a condition until it holds or ctx is done.
+func waitUntil(ctx context.Context, what string, holds func() bool) error {
 	const pollInterval = 10 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/lab/localfleet/fleet_test.go
+++ b/internal/lab/localfleet/fleet_test.go
@@ -8,12 +8,12 @@
 	"github.com/loomgrade/loomgrade/internal/lab/localfleet"
 )
 
-// patience bounds waiting for something that happens in a second or two.
-const patience = time.Minute
+// testTimeout limits each test run.
+const testTimeout = time.Minute
 
 func startFleet(t *testing.T, plan localfleet.Plan) (*localfleet.Fleet, context.Context) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	fleet, err := localfleet.Start(ctx, plan, localfleet.Options{})
 	if err != nil {
@@ -27,8 +27,8 @@
 	return fleet, ctx
 }
 
-// untilSteps waits until every trainer has done a number of further steps.
-func untilSteps(t *testing.T, ctx context.Context, fleet *localfleet.Fleet, steps int) {
+// waitSteps waits until every trainer has completed steps more steps.
+func waitSteps(t *testing.T, ctx context.Context, fleet *localfleet.Fleet, steps int) {
 	t.Helper()
 	for _, trainer := range fleet.Trainers() {
 		wanted := trainer.Stats().Steps + steps
@@ -47,7 +47,7 @@
 	for _, plan := range plans {
 		t.Run(plan.Cluster, func(t *testing.T) {
 			fleet, ctx := startFleet(t, plan)
-			untilSteps(t, ctx, fleet, 3)
+			waitSteps(t, ctx, fleet, 3)
 			for _, violation := range fleet.Audit() {
 				t.Error(violation)
 			}
--- a/internal/lab/localfleet/members.go
+++ b/internal/lab/localfleet/members.go
@@ -11,8 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/policy"
 )
 
-// memberSlot is the place of one control member; the member in it may be
-// killed and started again.
+// memberSlot is a control member's id and addresses, and the running member, nil while
+// it is killed.
 type memberSlot struct {
 	id              uint64
 	peerAddress     string
@@ -99,14 +99,14 @@
 	return err
 }
 
-// KillMember stops a control member as a crash would; its data folder stays.
+// KillMember stops a control member as a crash would. Its data folder is kept.
 func (f *Fleet) KillMember(index int) error { return f.members[index].kill() }
 
-// RestartMember starts a killed control member on its data folder.
+// RestartMember starts a killed control member from its data folder.
 func (f *Fleet) RestartMember(index int) error {
 	slot := f.members[index]
 	return slot.start(f.memberConfig(slot))
 }
 
-// OperatorAddress gives IP:port of a control member's operator interface.
+// OperatorAddress returns the IP:port of a control member's operator interface.
 func (f *Fleet) OperatorAddress(index int) string { return f.members[index].operatorAddress }
--- a/internal/lab/localfleet/nodes.go
+++ b/internal/lab/localfleet/nodes.go
@@ -13,15 +13,15 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// nodeSlot is the place of one node; the node in it may be killed, drained and
-// started again.
+// nodeSlot is a node's identity and addresses, and the running node, nil while it is
+// stopped.
 type nodeSlot struct {
 	index       int
 	id          port.NodeID
 	zone        port.ZoneName
 	httpAddress string
 	peerAddress string
-	// listeners are those opened before the first start.
+	// listeners are opened before the first start and used by it.
 	listeners *[2]net.Listener
 	client    *controlclient.Client
 	node      *node.Node
@@ -90,13 +90,13 @@
 	s.node, s.client = nil, nil
 }
 
-// Nodes gives the number of node slots.
+// Nodes returns the number of nodes, including stopped ones.
 func (f *Fleet) Nodes() int { return len(f.nodes) }
 
-// NodeURL gives the base URL of a node.
+// NodeURL returns the base URL of a node.
 func (f *Fleet) NodeURL(index int) string { return "http://" + f.nodes[index].httpAddress }
 
-// NodeURLs gives the base URLs of all nodes.
+// NodeURLs returns the base URLs of all nodes.
 func (f *Fleet) NodeURLs() []string {
 	urls := make([]string, len(f.nodes))
 	for index := range f.nodes {
@@ -108,10 +108,10 @@
 // KillNode stops a node as a crash would.
 func (f *Fleet) KillNode(index int) { f.nodes[index].close() }
 
-// RestartNode starts a node again at its addresses.
+// RestartNode starts a stopped node at its previous addresses.
 func (f *Fleet) RestartNode(index int) error { return f.startNode(f.nodes[index]) }
 
-// DrainNode stops a node as planned and notes the stop for the audit.
+// DrainNode stops a node gracefully and records the stop for the audit.
 func (f *Fleet) DrainNode(ctx context.Context, index int) error {
 	slot := f.nodes[index]
 	from := now()
@@ -126,9 +126,9 @@
 	return err
 }
 
-// untilReady waits until every running node serves callers.
-func (f *Fleet) untilReady(ctx context.Context) error {
-	return until(ctx, "every node is ready", func() bool {
+// waitReady waits until every running node reports ready.
+func (f *Fleet) waitReady(ctx context.Context) error {
+	return waitUntil(ctx, "every node is ready", func() bool {
 		for index, slot := range f.nodes {
 			if slot.node != nil && !f.ready(ctx, index) {
 				return false
--- a/internal/lab/localfleet/plan.go
+++ b/internal/lab/localfleet/plan.go
@@ -12,21 +12,21 @@
 
 // Plan describes a site.
 type Plan struct {
-	// Cluster names the fleet.
+	// Cluster is the cluster id of the fleet.
 	Cluster string
 	Zones   []port.ZoneName
-	// ControlMembers is the number of control members, an odd one.
+	// ControlMembers is the number of control members. It must be odd.
 	ControlMembers int
 	// NodesPerZone is the number of nodes in each zone.
 	NodesPerZone int
 	Engines      EnginePlan
-	// Trainers feed from the engines: one of the engines' own pool, or several
-	// whose pools share the engines by adapter.
+	// Trainers is one trainer of the engines' own pool, or several whose pools share
+	// the engines by adapter.
 	Trainers    []TrainerPlan
 	Application ApplicationPlan
-	// Callers are the kinds of callers of the site.
+	// Callers lists the classes of callers.
 	Callers []load.Class
-	// Seed drives every random choice of stand-ins and load.
+	// Seed seeds the control members, the nodes and the prompts.
 	Seed uint64
 }
 
@@ -34,9 +34,9 @@
 type EnginePlan struct {
 	Pool     port.PoolName
 	Replicas int
-	// TimeScale makes the engine model faster than real time.
+	// TimeScale is the factor by which the engine model runs faster than real time.
 	TimeScale float64
-	// Lengths are the output lengths of samples.
+	// Lengths is the distribution of sample lengths.
 	Lengths engine.Lengths
 }
 
@@ -44,10 +44,10 @@
 type TrainerPlan struct {
 	// Pool is the engines' own pool, or one that shares its replicas.
 	Pool port.PoolName
-	// Adapter is what the trainer publishes; empty means the base model.
+	// Adapter is the adapter that the trainer publishes; empty means the base model.
 	Adapter  string
 	Sampling port.Sampling
-	// StepTime is how long the trainer takes for a batch.
+	// StepTime is the duration of a training step.
 	StepTime time.Duration
 }
 
@@ -58,8 +58,8 @@
 	ServiceTime time.Duration
 }
 
-// DevPlan is the embedded site of `loomgrade dev`: three zones, one node each,
-// four engines, three application servers and one trainer.
+// DevPlan returns the site of `loomgrade dev`: three zones with one node each, four
+// engines, three application servers and one trainer.
 func DevPlan() Plan {
 	return Plan{
 		Cluster:        "dev",
@@ -74,7 +74,7 @@
 			{Pool: "captions", Sampling: devSampling(), StepTime: 400 * time.Millisecond},
 		},
 		Application: ApplicationPlan{Pool: "pages", Replicas: 3, ServiceTime: 4 * time.Millisecond},
-		Callers:     append(on("pages", load.InkwellCallers(1)), completionCallers("captions")...),
+		Callers:     append(withPool("pages", load.InkwellCallers(1)), completionCallers("captions")...),
 		Seed:        1,
 	}
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// standardAdmission bounds a pool's requests.
+// standardAdmission returns the admission settings of a pool.
 func standardAdmission(maxInflight int, deadline time.Duration) port.Admission {
 	return port.Admission{
 		MinInflight:     1,
@@ -118,10 +118,10 @@
 	}
 }
 
-// zoneOf spreads replicas over the zones in turn.
+// zoneOf assigns replicas to zones in round-robin order.
 func (p *Plan) zoneOf(index int) port.ZoneName { return p.Zones[index%len(p.Zones)] }
 
-// replicas lists a pool's replicas for the addresses of its stand-ins.
+// replicas returns a pool's replicas, one for each address.
 func (p *Plan) replicas(pool port.PoolName, addresses []string) []port.Replica {
 	replicas := make([]port.Replica, len(addresses))
 	for index, address := range addresses {
@@ -136,7 +136,7 @@
 	return replicas
 }
 
-// InkwellPlan is the site of a comics reader: three zones, 8 engines, 3 page
+// InkwellPlan returns the site of a comics reader: three zones, 8 engines, 3 page
 // servers, one trainer.
 func InkwellPlan() Plan {
 	return Plan{
@@ -157,8 +157,8 @@
 	}
 }
 
-// MareaPlan is the site of a buoy data service: three halls, 9 engines that
-// three trainers share, 4 application servers.
+// MareaPlan returns the site of a buoy data service: three halls, 9 engines shared by
+// three trainers, 4 application servers.
 func MareaPlan() Plan {
 	plan := Plan{
 		Cluster:        "marea",
@@ -181,16 +181,16 @@
 	return plan
 }
 
-// on moves callers to a pool.
-func on(pool string, callers []load.Class) []load.Class {
+// withPool sets the pool of the callers.
+func withPool(pool string, callers []load.Class) []load.Class {
 	for index := range callers {
 		callers[index].Pool = pool
 	}
 	return callers
 }
 
-// completionCallers are a few callers who ask a generation pool directly, ahead
-// of the trainer's samples.
+// completionCallers returns callers that send requests to a generation pool directly,
+// at a higher priority than the trainer's samples.
 func completionCallers(pool string) []load.Class {
 	return []load.Class{{
 		Name: "completion", Pool: pool, Rate: 2, MaxTokens: 64, PromptTokens: 96,
--- a/internal/lab/localfleet/roles.go
+++ b/internal/lab/localfleet/roles.go
@@ -6,11 +6,11 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Leader gives the index of the control member that leads, waiting for one until
-// ctx ends.
+// Leader returns the index of the control member that is the leader. It waits for one
+// until ctx is done.
 func (f *Fleet) Leader(ctx context.Context) (int, error) {
 	leader := -1
-	err := until(ctx, "a control member leads", func() bool {
+	err := waitUntil(ctx, "a control member leads", func() bool {
 		for index, slot := range f.members {
 			if slot.member == nil {
 				continue
@@ -26,19 +26,19 @@
 	return leader, err
 }
 
-// Coordinator gives the index of the node that holds a pool's coordinator lease,
-// waiting for one until ctx ends.
+// Coordinator returns the index of the node that holds a pool's coordinator lease. It
+// waits for one until ctx is done.
 func (f *Fleet) Coordinator(ctx context.Context, pool port.PoolName) (int, error) {
 	holder := -1
-	err := until(ctx, "a node coordinates "+string(pool), func() bool {
+	err := waitUntil(ctx, "a node coordinates "+string(pool), func() bool {
 		holder = f.nodeIndex(f.leaseHolder(ctx, port.CoordinatorLease(pool)))
 		return holder >= 0
 	})
 	return holder, err
 }
 
-// leaseHolder gives who holds a lease by the word of some running member; empty
-// if nobody does.
+// leaseHolder returns the holder of a lease according to the first running member that
+// responds, or "" if there is none.
 func (f *Fleet) leaseHolder(ctx context.Context, name string) port.NodeID {
 	for _, slot := range f.members {
 		if slot.member == nil {
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// nodeIndex gives the place of a running node, -1 if there is none of the id.
+// nodeIndex returns the index of a running node, or -1 if no running node has the id.
 func (f *Fleet) nodeIndex(id port.NodeID) int {
 	for index, slot := range f.nodes {
 		if slot.id == id && slot.node != nil {
--- a/internal/lab/localfleet/standins.go
+++ b/internal/lab/localfleet/standins.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Shape of the stand-ins that a Plan does not name.
+// Settings of the stand-ins that a Plan does not include.
 const (
 	weightBytes          = 1 << 20
 	weightRate           = 16 << 20 // bytes per second, shared by all engines
@@ -25,7 +25,7 @@
 	completionPriority   = 5
 )
 
-// standIns are the running stand-ins of a fleet.
+// standIns holds the running stand-ins of a fleet.
 type standIns struct {
 	engines      []*standin.Engine
 	applications []*standin.Application
@@ -151,7 +151,7 @@
 	return all
 }
 
-// closeTrainers ends the trainers first, so that they ask no closing node.
+// closeTrainers stops the trainers before the nodes, so that none calls a closing node.
 func (s *standIns) closeTrainers() {
 	for _, started := range s.trainers {
 		started.Close()
@@ -177,7 +177,7 @@
 	}
 }
 
-// configuration gives the document that the site's operator would set.
+// configuration returns the configuration of the site.
 func (p *Plan) configuration(all *standIns) port.Configuration {
 	configuration := port.Configuration{
 		Pools: []port.Pool{
@@ -212,21 +212,20 @@
 	}
 }
 
-// Engine, Application, Trainer and Machines give the stand-ins, to switch
-// faults on and to read what they saw.
+// Engine returns the stand-in of one engine.
 func (f *Fleet) Engine(index int) *standin.Engine { return f.standIns.engines[index] }
 
-// Application gives one application server.
+// Application returns the stand-in of one application server.
 func (f *Fleet) Application(index int) *standin.Application { return f.standIns.applications[index] }
 
-// Trainers gives the trainers in the order of the plan.
+// Trainers returns the trainers in the order of the plan.
 func (f *Fleet) Trainers() []*standin.Trainer { return f.standIns.trainers }
 
-// Scorer gives the scoring service.
+// Scorer returns the scoring service.
 func (f *Fleet) Scorer() *standin.Scorer { return f.standIns.scorer }
 
-// Weights gives the weight store.
+// Weights returns the weight store.
 func (f *Fleet) Weights() *standin.WeightStore { return f.standIns.weights }
 
-// Machines gives the machine list.
+// Machines returns the machine list.
 func (f *Fleet) Machines() *standin.MachineList { return f.standIns.machines }
--- a/internal/lab/localfleet/summary.go
+++ b/internal/lab/localfleet/summary.go
@@ -8,25 +8,25 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TrainerSummary sums up one trainer's run.
+// TrainerSummary holds the figures of one trainer's run.
 type TrainerSummary struct {
 	Pool    string `json:"pool"`
 	Steps   int    `json:"steps"`
 	Samples int    `json:"samples"`
-	// IdleShare is the part of the trainer's time spent waiting for batches,
-	// the first one left out.
+	// IdleShare is the share of its time that the trainer waited for batches, not
+	// counting the first batch.
 	IdleShare float64 `json:"idle_share"`
-	// Staleness in weight versions, over the delivered samples.
+	// Staleness of the delivered samples, in weight versions.
 	StalenessP50 port.WeightVersion `json:"staleness_p50"`
 	StalenessP99 port.WeightVersion `json:"staleness_p99"`
 	StalenessMax port.WeightVersion `json:"staleness_max"`
-	// Version is the newest that the trainer published.
+	// Version is the newest version that the trainer published.
 	Version port.WeightVersion `json:"version"`
-	// LastError is the last failure that the trainer was told of.
+	// LastError is the last error that the trainer received.
 	LastError string `json:"last_error,omitempty"`
 }
 
-// Summary sums up every trainer's run, in the order of the plan.
+// Summary returns the summaries of all trainers, in the order of the plan.
 func (f *Fleet) Summary() []TrainerSummary {
 	summaries := make([]TrainerSummary, len(f.plan.Trainers))
 	for index, trainer := range f.Trainers() {
@@ -47,7 +47,7 @@
 	return summaries
 }
 
-// stalenessOf lists the ages of all delivered samples, in ascending order.
+// stalenessOf returns the staleness of all delivered samples in ascending order.
 func stalenessOf(deliveries []audit.Delivery) []port.WeightVersion {
 	var ages []port.WeightVersion
 	for _, delivery := range deliveries {
@@ -60,7 +60,7 @@
 	return ages
 }
 
-// quantile gives the value below which a share of the sorted values lies.
+// quantile returns the value below which a share of the sorted values lies.
 func quantile(sorted []port.WeightVersion, share float64) port.WeightVersion {
 	if len(sorted) == 0 {
 		return 0
@@ -69,5 +69,5 @@
 	return sorted[min(position, len(sorted)-1)]
 }
 
-// now gives the time as the stand-ins' observations do.
+// now returns the time on the clock of the stand-ins' observations.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
