--- a/internal/lab/localsite/audit.go
+++ b/internal/lab/localsite/audit.go
@@ -8,20 +8,20 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobstate"
 )
 
-// cancelTime is how long after the acknowledgement of a job's end its items may
-// still reach a replica.
-const cancelTime = time.Second
+// cancelGrace is how long after the acknowledged end of a job its items may still start
+// on a replica.
+const cancelGrace = time.Second
 
-// Violation is a broken promise about a job.
+// Violation describes a broken guarantee of a job or an item.
 type Violation struct {
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
 
-// String gives the violation in one line.
+// String returns the violation as one line.
 func (v Violation) String() string { return v.Subject + ": " + v.Detail }
 
-// audit judges jobs by what their client read and what replicas ran.
+// audit checks what the clients read and what the replicas ran.
 func audit(records []*jobRecord, runs []run) []Violation {
 	var found []Violation
 	owners := map[string]*jobRecord{}
@@ -36,7 +36,7 @@
 		switch {
 		case owner == nil:
 			found = append(found, Violation{ran.ID, "ran, though nobody handed it in"})
-		case !owner.endedAt.IsZero() && ran.At.After(owner.endedAt.Add(cancelTime)):
+		case !owner.endedAt.IsZero() && ran.At.After(owner.endedAt.Add(cancelGrace)):
 			found = append(found, Violation{ran.ID, fmt.Sprintf("ran %v after the end of its job", ran.At.Sub(owner.endedAt))})
 		}
 	}
@@ -71,10 +71,10 @@
 		return nil
 	}
 	var found []Violation
-	if result.Text != wholeText(result.ID) {
+	if result.Text != completeText(result.ID) {
 		found = append(found, Violation{result.ID, fmt.Sprintf("text %q is not whole", result.Text)})
 	}
-	if result.Score != sealOf(scorerID(result.ID)) {
+	if result.Score != signatureOf(scorerID(result.ID)) {
 		found = append(found, Violation{result.ID, fmt.Sprintf("score %q is not that of its call", result.Score)})
 	}
 	if len(result.Versions) == 0 {
@@ -88,8 +88,8 @@
 	return found
 }
 
-// wholeText is the text of an item.
-func wholeText(item string) string {
+// completeText returns the complete text of an item.
+func completeText(item string) string {
 	var events []string
 	for event := 1; event <= textEvents; event++ {
 		events = append(events, eventData(item, event))
--- a/internal/lab/localsite/dialect.go
+++ b/internal/lab/localsite/dialect.go
@@ -14,24 +14,24 @@
 
 // Headers and paths between the site and the stand-ins.
 const (
-	headerID       = "Lab-Request-Id"
-	headerDeadline = "Lab-Deadline-Ms"
-	headerSeal     = "Lab-Seal"
-	headerInstance = "Lab-Instance"
-	headerNotRun   = "Lab-Not-Run"
-	headerEvent    = "Last-Event-Id"
-	headerVersion  = "Lab-Weight-Version"
-	headerKey      = "Lab-Key"
-	headerTenant   = "Lab-Tenant"
-	headerHolder   = "Lab-Holder"
-	headerFence    = "Lab-Fence"
+	headerID        = "Lab-Request-Id"
+	headerDeadline  = "Lab-Deadline-Ms"
+	headerSignature = "Lab-Seal"
+	headerInstance  = "Lab-Instance"
+	headerNotRun    = "Lab-Not-Run"
+	headerEvent     = "Last-Event-Id"
+	headerVersion   = "Lab-Weight-Version"
+	headerKey       = "Lab-Key"
+	headerTenant    = "Lab-Tenant"
+	headerHolder    = "Lab-Holder"
+	headerFence     = "Lab-Fence"
 
 	pathOrder  = "/lab/order"
 	pathReport = "/lab/report"
 	pathUsage  = "/lab/usage"
 )
 
-// labDialect encodes the product's own types as JSON, as they are.
+// labDialect encodes the types of the code under test as JSON.
 type labDialect struct{}
 
 var _ dialect.Dialect = labDialect{}
@@ -39,7 +39,7 @@
 // Headers implements dialect.Dialect.
 func (labDialect) Headers() dialect.Headers {
 	return dialect.Headers{
-		RequestID: headerID, Deadline: headerDeadline, Signature: headerSeal, ExpectedInstance: headerInstance,
+		RequestID: headerID, Deadline: headerDeadline, Signature: headerSignature, ExpectedInstance: headerInstance,
 		NotRun: headerNotRun, LastEventID: headerEvent, WeightVersion: headerVersion,
 		Key: headerKey, Tenant: headerTenant, LeaseHolder: headerHolder, FencingToken: headerFence,
 	}
@@ -58,7 +58,7 @@
 	return submission, err
 }
 
-// ReadLoad implements dialect.Dialect. The stand-ins say nothing of their load.
+// ReadLoad implements dialect.Dialect. The stand-ins don't report their load.
 func (labDialect) ReadLoad(string) (balance.Load, bool) { return balance.Load{}, false }
 
 // OrderCall implements dialect.Dialect.
@@ -85,7 +85,7 @@
 	return report, err
 }
 
-// modelsAt lists one model at a version.
+// modelsAt returns a list of one model at a version.
 func modelsAt(model string, version uint64) []sitestate.ModelVersion {
 	return []sitestate.ModelVersion{{Name: model, Version: version}}
 }
--- a/internal/lab/localsite/doc.go
+++ b/internal/lab/localsite/doc.go
@@ -1,9 +1,9 @@
-// Package localsite runs a small site in one process over loopback TCP: control
-// members, store machines and a front with their real parts, stand-ins of
-// replicas, and a trainer that hands in jobs, reads their results and publishes
-// weights. What the trainer and the replicas saw is audited: a job that was
-// accepted is kept, each item is listed once and stays, its text is whole and of
-// the versions that it names, and nothing of an ended job runs.
+// Package localsite runs a small site in one process over loopback TCP: the real
+// control members, store machines and proxies, stand-ins for the replicas, and a trainer
+// that submits jobs, reads their results and publishes weights. The audit checks what
+// the trainer and the replicas observed: accepted jobs are not lost, each item is listed
+// once and does not change, its text is complete and produced by the versions that it
+// lists, and no item runs after its job has ended.
 //
-// Callers, replicas and operators speak a dialect of the lab's own.
+// All requests use a dialect of this package.
 package localsite
--- a/internal/lab/localsite/replica.go
+++ b/internal/lab/localsite/replica.go
@@ -16,38 +16,39 @@
 )
 
 const (
-	// textEvents is the length of every text, eventPause the time between two
-	// events, loadTime that of a load of weights.
+	// textEvents is the number of events of every text, eventPause the time between
+	// two events, loadTime the time to load weights.
 	textEvents = 12
 	eventPause = 8 * time.Millisecond
 	loadTime   = 60 * time.Millisecond
-	// breakShare of the runs end midway, failShare with a 500.
-	breakShare = 0.04
-	failShare  = 0.02
-	slots      = 4
-	scoreTime  = 2 * time.Millisecond
+	// cutOffShare is the share of runs whose response is cut off, failShare the share of
+	// runs that fail with status 500.
+	cutOffShare = 0.04
+	failShare   = 0.02
+	slots       = 4
+	scoreTime   = 2 * time.Millisecond
 )
 
-// run is a request that a replica began to work on.
+// run is a request that a replica started to process.
 type run struct {
 	ID string
 	At time.Time
 }
 
-// replica is a stand-in of an engine, or of a scorer if it has no model.
+// replica is a stand-in for an engine, or for a scorer if model is empty.
 type replica struct {
 	id, service, model string
 	server             *http.Server
 	listener           net.Listener
 
-	mutex    sync.Mutex
-	random   *rand.Rand
-	running  int
-	version  uint64
-	loading  bool
-	orders   uint64
-	sequence uint64
-	runs     []run
+	mutex      sync.Mutex
+	random     *rand.Rand
+	running    int
+	version    uint64
+	loading    bool
+	orderCount uint64
+	sequence   uint64
+	runs       []run
 }
 
 func startReplica(id, service, model string, seed uint64) (*replica, error) {
@@ -63,7 +64,7 @@
 
 func (r *replica) close() { _ = r.server.Close() }
 
-// heartbeat gives the replica's next report of itself.
+// heartbeat returns the replica's next heartbeat.
 func (r *replica) heartbeat() sitestate.Replica {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -77,7 +78,7 @@
 	return report
 }
 
-// ServeHTTP answers an order, a question for a report, or a request.
+// ServeHTTP handles orders, report requests and generation or scoring requests.
 func (r *replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get(headerInstance); expected != "" && expected != r.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -87,7 +88,7 @@
 	case pathReport:
 		r.report(w)
 	case pathOrder:
-		r.takeOrder(w, request)
+		r.acceptOrder(w, request)
 	default:
 		r.serve(w, request)
 	}
@@ -96,10 +97,10 @@
 func (r *replica) report(w http.ResponseWriter) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_ = json.NewEncoder(w).Encode(dialect.Report{Models: modelsAt(r.model, r.version), Loading: r.loading, OrderCount: r.orders, Running: r.running})
+	_ = json.NewEncoder(w).Encode(dialect.Report{Models: modelsAt(r.model, r.version), Loading: r.loading, OrderCount: r.orderCount, Running: r.running})
 }
 
-func (r *replica) takeOrder(w http.ResponseWriter, request *http.Request) {
+func (r *replica) acceptOrder(w http.ResponseWriter, request *http.Request) {
 	var order dialect.Order
 	if json.NewDecoder(request.Body).Decode(&order) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -107,11 +108,11 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.loading || order.ExpectedOrderCount != r.orders {
+	if r.loading || order.ExpectedOrderCount != r.orderCount {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	r.orders++
+	r.orderCount++
 	r.loading = true
 	time.AfterFunc(loadTime, func() {
 		r.mutex.Lock()
@@ -121,30 +122,30 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// serve runs a request if there is room.
+// serve runs a request if a slot is free.
 func (r *replica) serve(w http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get(headerID)
 	w.Header().Set(headerID, id)
-	draw, entered := r.enter(id)
-	if !entered {
+	draw, acquired := r.acquireSlot(id)
+	if !acquired {
 		w.Header().Set(headerNotRun, "full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer r.leave()
-	w.Header().Set(headerSeal, sealOf(id))
+	defer r.releaseSlot()
+	w.Header().Set(headerSignature, signatureOf(id))
 	switch {
 	case draw < failShare:
 		w.WriteHeader(http.StatusInternalServerError)
 	case r.model == "":
 		time.Sleep(scoreTime)
 	default:
-		r.generate(w, request, id, draw < failShare+breakShare)
+		r.generate(w, request, id, draw < failShare+cutOffShare)
 	}
 }
 
-// enter takes a slot, unless all are taken or weights are loading.
-func (r *replica) enter(id string) (draw float64, entered bool) {
+// acquireSlot acquires a slot. It fails if no slot is free or weights are loading.
+func (r *replica) acquireSlot(id string) (draw float64, acquired bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.loading || r.running == slots {
@@ -155,14 +156,14 @@
 	return r.random.Float64(), true
 }
 
-func (r *replica) leave() {
+func (r *replica) releaseSlot() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.running--
 }
 
-// generate streams the text of an item, from the event after the last one that
-// the caller has.
+// generate streams the text of an item, starting after the last event that the caller
+// has received.
 func (r *replica) generate(w http.ResponseWriter, request *http.Request, id string, breaks bool) {
 	last, _ := strconv.Atoi(request.Header.Get(headerEvent))
 	r.mutex.Lock()
@@ -172,7 +173,7 @@
 	w.Header().Set(headerVersion, strconv.FormatUint(version, 10))
 	control := http.NewResponseController(w)
 	for event := last + 1; event <= textEvents; event++ {
-		if !pause(request.Context(), eventPause) {
+		if !sleep(request.Context(), eventPause) {
 			return
 		}
 		if breaks && event > (last+textEvents)/2 {
@@ -192,22 +193,22 @@
 	}
 }
 
-// headerVersionLine begins an event from which on another version made the text.
+// headerVersionLine precedes the first event that another weight version generated.
 const headerVersionLine = "lab-weight-version"
 
-// seen gives the requests that ran here.
-func (r *replica) seen() []run {
+// recordedRuns returns the requests that the replica ran.
+func (r *replica) recordedRuns() []run {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]run(nil), r.runs...)
 }
 
-func sealOf(id string) string { return "seal of " + id }
+func signatureOf(id string) string { return "seal of " + id }
 
 func eventData(item string, event int) string { return fmt.Sprintf("%s/%d", item, event) }
 
-// pause waits, and reports whether the context did not end before.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits for duration. It reports false if ctx is done first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
 		return true
--- a/internal/lab/localsite/site.go
+++ b/internal/lab/localsite/site.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	controls = 3
-	stores   = 3
-	engines  = 3
-	scorers  = 2
+	controlCount = 3
+	storeCount   = 3
+	engineCount  = 3
+	scorerCount  = 2
 
 	zone          = "zone-a"
 	host          = "jobs.dev"
@@ -36,17 +36,17 @@
 	jobPrefix     = "/rollouts/"
 	scorePrefix   = "/scores/"
 
-	holderLease    = 500 * time.Millisecond
-	keepJobs       = 2 * time.Minute
-	callTimeout    = 2 * time.Second
-	heartbeatEvery = 300 * time.Millisecond
-	connections    = 16
-	routeTimeout   = 5 * time.Second
-	keepItems      = time.Minute
-	itemAttempts   = 4
+	holderLease       = 500 * time.Millisecond
+	keepJobs          = 2 * time.Minute
+	callTimeout       = 2 * time.Second
+	heartbeatInterval = 300 * time.Millisecond
+	connections       = 16
+	routeTimeout      = 5 * time.Second
+	keepItems         = time.Minute
+	itemAttempts      = 4
 )
 
-// Site is a running site. Close ends it.
+// Site is a running site. Close stops it.
 type Site struct {
 	folder  string
 	logger  *log.Logger
@@ -61,7 +61,7 @@
 	jobs    *jobsapi.Client
 }
 
-// Start starts a site with the given seed for its stand-ins. Its state lies in a
+// Start starts a site. seed seeds its members and stand-ins. Its state is stored in a
 // temporary folder that Close removes.
 func Start(ctx context.Context, seed uint64, logger *log.Logger) (*Site, error) {
 	folder, err := os.MkdirTemp("", "loomgrade-site-")
@@ -77,19 +77,19 @@
 }
 
 func (s *Site) start(ctx context.Context, seed uint64) error {
-	listeners, err := listen(controls + stores)
+	listeners, err := listen(controlCount + storeCount)
 	if err != nil {
 		return err
 	}
-	for _, listener := range listeners[:controls] {
+	for _, listener := range listeners[:controlCount] {
 		s.seeds = append(s.seeds, listener.Addr().String())
 	}
 	for i, listener := range listeners {
-		if i < controls {
+		if i < controlCount {
 			s.startControl(ctx, i, listener, seed)
 			continue
 		}
-		s.startStore(ctx, i-controls, listener, seed)
+		s.startStore(ctx, i-controlCount, listener, seed)
 	}
 	s.watcher = s.newWatcher("driver", func(*siteview.View) {})
 	s.spawn(func() { _ = s.watcher.Run(ctx) })
@@ -98,7 +98,7 @@
 		return err
 	}
 	for _, r := range s.replicas() {
-		s.spawn(func() { s.beat(ctx, r) })
+		s.spawn(func() { s.sendHeartbeats(ctx, r) })
 	}
 	return s.configure(ctx)
 }
@@ -121,7 +121,7 @@
 
 func (s *Site) spawn(task func()) { s.tasks.Go(task) }
 
-// serve gives a process's server on its listener.
+// serve starts the server of a process on its listener.
 func (s *Site) serve(name string, listener net.Listener, register func(*wire.Server)) {
 	server := wire.NewServer(wireOptions(name))
 	register(server)
@@ -144,16 +144,16 @@
 	name := fmt.Sprintf("store-%d", i)
 	var sender *proxy.Proxy
 	watcher := s.newWatcher(name, func(view *siteview.View) { sender.Observe(view) })
-	watched := sitecontrol.NewGuard(name, watcher, s.logger)
-	sender = proxy.New(proxy.Config{Dialect: labDialect{}, View: watcher.View, Logger: s.logger, Connections: connections, Guard: watched})
+	guard := sitecontrol.NewGuard(name, watcher, s.logger)
+	sender = proxy.New(proxy.Config{Dialect: labDialect{}, View: watcher.View, Logger: s.logger, Connections: connections, Guard: guard})
 	member := sitestore.New(sitestore.Config{
 		Machine: name, Zone: zone, Address: listener.Addr().String(), Folder: filepath.Join(s.folder, name), Wire: wireOptions(name),
-		Dialect: labDialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger, Seed: seed + uint64(controls+i),
+		Dialect: labDialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger, Seed: seed + uint64(controlCount+i),
 		ToleratedLosses: 1, KeepJobs: keepJobs,
 	})
 	s.serve(name, listener, member.Register)
 	s.spawn(func() { _ = watcher.Run(ctx) })
-	s.spawn(func() { _ = watched.Run(ctx) })
+	s.spawn(func() { _ = guard.Run(ctx) })
 	s.spawn(func() { _ = member.Run(ctx) })
 }
 
@@ -164,9 +164,9 @@
 }
 
 func (s *Site) startReplicas(seed uint64) error {
-	for i := range engines + scorers {
+	for i := range engineCount + scorerCount {
 		model, service, list := Model, engineService, &s.engines
-		if i >= engines {
+		if i >= engineCount {
 			model, service, list = "", scoreService, &s.scorers
 		}
 		r, err := startReplica(fmt.Sprintf("%s-%d", service, i), service, model, seed+uint64(i))
@@ -182,26 +182,26 @@
 	return append(append([]*replica(nil), s.engines...), s.scorers...)
 }
 
-// beat sends a replica's heartbeats.
-func (s *Site) beat(ctx context.Context, r *replica) {
+// sendHeartbeats sends a replica's heartbeats until ctx is done.
+func (s *Site) sendHeartbeats(ctx context.Context, r *replica) {
 	for {
 		report := r.heartbeat()
-		_ = s.control(ctx, sitecontrol.Request{Replica: &report})
-		if !pause(ctx, heartbeatEvery) {
+		_ = s.callControl(ctx, sitecontrol.Request{Replica: &report})
+		if !sleep(ctx, heartbeatInterval) {
 			return
 		}
 	}
 }
 
-// control makes a call to the control group.
-func (s *Site) control(ctx context.Context, request sitecontrol.Request) error {
+// callControl sends a request to the control group.
+func (s *Site) callControl(ctx context.Context, request sitecontrol.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer sitecontrol.Answer
 	return s.watcher.Call(ctx, sitecontrol.MethodCall, request, &answer)
 }
 
-// configure puts the routes in force, trying until the site has started.
+// configure sets the configuration. It retries until the control group accepts it.
 func (s *Site) configure(ctx context.Context) error {
 	document := routing.Document{
 		Version: 1,
@@ -222,15 +222,15 @@
 		return err
 	}
 	command := sitestate.Command{Configuration: &sitestate.Configuration{Version: document.Version, Raw: raw}}
-	for s.control(ctx, sitecontrol.Request{Command: &command}) != nil {
-		if !pause(ctx, heartbeatEvery) {
+	for s.callControl(ctx, sitecontrol.Request{Command: &command}) != nil {
+		if !sleep(ctx, heartbeatInterval) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// Close ends the site and removes its state.
+// Close stops the site and removes its state.
 func (s *Site) Close() error {
 	s.cancel()
 	for _, server := range s.servers {
--- a/internal/lab/localsite/trainer.go
+++ b/internal/lab/localsite/trainer.go
@@ -13,58 +13,59 @@
 )
 
 const (
-	// Model is what the trainer trains.
+	// Model is the name of the trained model.
 	Model = "captions"
 
-	groups     = 4
-	groupItems = 3
-	// wanted is how many whole groups the trainer waits for.
-	wanted    = 3
-	readPause = 30 * time.Millisecond
-	trainTime = 100 * time.Millisecond
-	pageBytes = 1 << 20
-	// firstVersion is what replicas start with.
+	groupCount = 4
+	groupSize  = 3
+	// desiredGroups is the number of complete groups that the trainer waits for.
+	desiredGroups = 3
+	readPause     = 30 * time.Millisecond
+	trainTime     = 100 * time.Millisecond
+	pageBytes     = 1 << 20
+	// firstVersion is the weight version that replicas start with.
 	firstVersion = 1
 )
 
-// jobRecord is a job as its client saw it.
+// jobRecord holds a job and what its client observed.
 type jobRecord struct {
 	submission jobstate.Submission
 	results    []jobstate.ResultView
-	// endedAt is when its end was acknowledged.
+	// endedAt is when the end of the job was acknowledged, zero before.
 	endedAt time.Time
-	// faults are what the client saw go wrong.
+	// faults lists the violations that the client detected.
 	faults []string
 }
 
-// Summary is what a trainer did.
+// Summary holds the figures of a trainer's run.
 type Summary struct {
-	// Jobs were accepted and ended, Results read, Errored of them given up.
+	// Jobs counts the completed jobs, Results the results read, and Errored those of
+	// them that failed.
 	Jobs    int `json:"jobs"`
 	Results int `json:"results"`
 	Errored int `json:"errored"`
 	// Version is the newest published weight version.
 	Version uint64 `json:"version"`
-	// Slowest is the longest time from handing in a job to its wanted groups, in
-	// milliseconds.
+	// SlowestMs is the longest time from submitting a job until its end was
+	// acknowledged, in milliseconds.
 	SlowestMs int64 `json:"slowest_ms"`
 }
 
-// Train hands in one job after the other until the context ends, and gives what
-// it did with what the audit found.
+// Train runs one job after another until ctx is done. It returns a summary and the
+// violations found by the audit.
 func (s *Site) Train(ctx context.Context) (Summary, []Violation) {
 	summary := Summary{Version: firstVersion}
 	var records []*jobRecord
 	for step := uint64(0); ctx.Err() == nil; step++ {
 		record := &jobRecord{submission: newJob(step, max(firstVersion, summary.Version-1))}
 		records = append(records, record)
-		began := time.Now()
-		if !s.submit(ctx, record) || !s.readWanted(ctx, record) || !s.end(ctx, record) {
+		started := time.Now()
+		if !s.submit(ctx, record) || !s.readDesired(ctx, record) || !s.end(ctx, record) {
 			break
 		}
 		summary.Jobs++
-		summary.SlowestMs = max(summary.SlowestMs, record.endedAt.Sub(began).Milliseconds())
-		if !pause(ctx, trainTime) || !s.publish(ctx, summary.Version+1) {
+		summary.SlowestMs = max(summary.SlowestMs, record.endedAt.Sub(started).Milliseconds())
+		if !sleep(ctx, trainTime) || !s.publish(ctx, summary.Version+1) {
 			break
 		}
 		summary.Version++
@@ -83,19 +84,19 @@
 func (s *Site) runs() []run {
 	var all []run
 	for _, r := range s.replicas() {
-		all = append(all, r.seen()...)
+		all = append(all, r.recordedRuns()...)
 	}
 	return all
 }
 
-// newJob makes a job of several groups.
+// newJob returns a job of several groups.
 func newJob(step, minVersion uint64) jobstate.Submission {
 	job := jobstate.Submission{
 		ID: fmt.Sprintf("job-%d", step), Host: host, Path: jobPrefix + "submit", Model: Model,
-		MinVersion: minVersion, Desired: wanted, Step: step,
+		MinVersion: minVersion, Desired: desiredGroups, Step: step,
 	}
-	for group := range groups {
-		for i := range groupItems {
+	for group := range groupCount {
+		for i := range groupSize {
 			id := fmt.Sprintf("item-%d-%d-%d", step, group, i)
 			job.Items = append(job.Items, jobstate.Item{
 				ID: id, Path: jobPrefix + id, Group: fmt.Sprintf("group-%d-%d", step, group), Body: []byte("prompt"),
@@ -108,8 +109,8 @@
 
 func scorerID(item string) string { return "score-" + item }
 
-// until repeats a call until it succeeds; false means that the context ended.
-func until(ctx context.Context, call func(context.Context) error) bool {
+// retry repeats a call until it succeeds. It reports false if ctx is done first.
+func retry(ctx context.Context, call func(context.Context) error) bool {
 	for {
 		attempt, cancel := context.WithTimeout(ctx, callTimeout)
 		err := call(attempt)
@@ -117,43 +118,43 @@
 		if err == nil {
 			return true
 		}
-		if !pause(ctx, readPause) {
+		if !sleep(ctx, readPause) {
 			return false
 		}
 	}
 }
 
 func (s *Site) submit(ctx context.Context, record *jobRecord) bool {
-	return until(ctx, func(ctx context.Context) error {
+	return retry(ctx, func(ctx context.Context) error {
 		_, err := s.jobs.Submit(ctx, &record.submission, routing.AllowedRegions{})
 		return err
 	})
 }
 
-// readWanted reads results until the wanted groups are whole.
-func (s *Site) readWanted(ctx context.Context, record *jobRecord) bool {
-	for !record.enough() {
+// readDesired reads results until the desired number of groups is complete.
+func (s *Site) readDesired(ctx context.Context, record *jobRecord) bool {
+	for !record.desiredComplete() {
 		var page jobstate.Page
-		read := until(ctx, func(ctx context.Context) error {
+		read := retry(ctx, func(ctx context.Context) error {
 			read, found, err := s.jobs.Page(ctx, jobsapi.PageRequest{
 				Job: record.submission.ID, WaitMillis: readPause.Milliseconds(), MaxBytes: pageBytes,
 			})
 			if err == nil && !found {
-				record.fault("an accepted job is not known")
+				record.addFault("an accepted job is not known")
 			}
 			page = read
 			return err
 		})
-		if !read || !pause(ctx, readPause) {
+		if !read || !sleep(ctx, readPause) {
 			return false
 		}
-		record.take(page)
+		record.apply(page)
 	}
 	return true
 }
 
 func (s *Site) end(ctx context.Context, record *jobRecord) bool {
-	ended := until(ctx, func(ctx context.Context) error {
+	ended := retry(ctx, func(ctx context.Context) error {
 		_, err := s.jobs.End(ctx, jobsapi.EndRequest{Job: record.submission.ID})
 		return err
 	})
@@ -165,18 +166,19 @@
 
 func (s *Site) publish(ctx context.Context, version uint64) bool {
 	command := sitestate.Command{Weights: &sitestate.Weights{Model: Model, Version: version}}
-	return until(ctx, func(ctx context.Context) error { return s.control(ctx, sitecontrol.Request{Command: &command}) })
+	return retry(ctx, func(ctx context.Context) error { return s.callControl(ctx, sitecontrol.Request{Command: &command}) })
 }
 
-func (r *jobRecord) fault(format string, arguments ...any) {
+func (r *jobRecord) addFault(format string, arguments ...any) {
 	r.faults = append(r.faults, fmt.Sprintf(format, arguments...))
 }
 
-// take compares a page from the first position on with what was read before.
-func (r *jobRecord) take(page jobstate.Page) {
-	for i, held := range r.results {
-		if i >= len(page.Results) || !sameResult(held, page.Results[i]) {
-			r.fault("position %d held %+v and changed", i, held)
+// apply replaces the results with those of a page that begins at the first position. It
+// records a fault if a result that was read before is missing or has changed.
+func (r *jobRecord) apply(page jobstate.Page) {
+	for i, previous := range r.results {
+		if i >= len(page.Results) || !sameResult(previous, page.Results[i]) {
+			r.addFault("position %d held %+v and changed", i, previous)
 			return
 		}
 	}
@@ -187,18 +189,19 @@
 	return a.ID == b.ID && a.Errored == b.Errored && a.Text == b.Text && a.Score == b.Score && fmt.Sprint(a.Versions) == fmt.Sprint(b.Versions)
 }
 
-// enough reports whether the wanted groups are whole: every item listed.
-func (r *jobRecord) enough() bool {
+// desiredComplete reports whether the desired number of groups is complete, that is, all
+// their items are listed.
+func (r *jobRecord) desiredComplete() bool {
 	groupOf, listed := map[string]string{}, map[string]int{}
 	for _, item := range r.submission.Items {
 		groupOf[item.ID] = item.Group
 	}
-	whole := 0
+	complete := 0
 	for _, result := range r.results {
 		group := groupOf[result.ID]
-		if listed[group]++; listed[group] == groupItems {
-			whole++
+		if listed[group]++; listed[group] == groupSize {
+			complete++
 		}
 	}
-	return whole >= r.submission.Desired
+	return complete >= r.submission.Desired
 }
