--- a/internal/lab/engine/bench_test.go
+++ b/internal/lab/engine/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep measures one internal event of a loaded engine: a merged run
-// of decode steps, its accounting and the next plan.
+// BenchmarkStep measures one internal event of a loaded engine: a merged run of decode
+// steps, their accounting and the next plan.
 func BenchmarkStep(b *testing.B) {
 	for _, batch := range []int{8, 32, 128} {
 		b.Run(fmt.Sprint("batch=", batch), func(b *testing.B) {
--- a/internal/lab/engine/config.go
+++ b/internal/lab/engine/config.go
@@ -7,12 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config describes one engine. The zero value of a field stands for the
-// default named in its comment.
-//
-// The step times of the engines that are modelled are not known. The defaults
-// are chosen to resemble a small model on one accelerator and are meant to be
-// swept in experiments, not to be believed.
+// Config configures an engine. A field that is zero gets the default that its comment
+// states. The defaults resemble a small model on one accelerator.
 type Config struct {
 	// StepBase is the fixed time of one step. Default 12 ms.
 	StepBase time.Duration
@@ -22,19 +18,19 @@
 	// StepPerPrefillToken is added for each prompt token that is computed in
 	// the step. Default 25 µs.
 	StepPerPrefillToken time.Duration
-	// MaxSequences bounds the batch. Default 32.
+	// MaxSequences limits the batch. Default 32.
 	MaxSequences int
-	// MaxWaiting bounds the waiting queue; a request beyond it is refused
-	// with ErrQueueFull. Default 1024.
+	// MaxWaiting limits the waiting queue. If it is full, Submit returns ErrQueueFull.
+	// Default 1024.
 	MaxWaiting int
-	// PrefillTokensPerStep bounds the prompt tokens of one step. Default 2048.
+	// PrefillTokensPerStep limits the prompt tokens of one step. Default 2048.
 	PrefillTokensPerStep int
 	// BlockTokens is the size of a KV block in tokens. Default 16.
 	BlockTokens int
 	// KVBlocks is the size of the KV memory in blocks. Default 8192.
 	KVBlocks int
-	// CacheGenerated keeps the blocks of generated tokens in the prefix cache
-	// when a sequence ends, so that it can be resumed here cheaply.
+	// CacheGenerated keeps the blocks of generated tokens in the prefix cache when a
+	// sequence ends, so that it can be resumed without recomputing them.
 	CacheGenerated bool
 	// CacheEvents makes the model report changes of its prefix cache.
 	CacheEvents bool
@@ -45,24 +41,24 @@
 	KVBytesPerSecond int64
 	// WeightBytes is the size of one weight version. Default 2 GiB.
 	WeightBytes int64
-	// Store carries staged weights. When it is nil the driver carries them
-	// and reports the end with CompleteStaging.
+	// Store transfers staged weights. If it is nil, the driver transfers them and calls
+	// CompleteStaging.
 	Store *Store
-	// StagedSlots bounds the weights kept staged. Default 2.
+	// StagedSlots limits the number of staged weights. Default 2.
 	StagedSlots int
-	// SwapPause is how long activation stops all steps. Default 400 ms.
+	// SwapPause is how long an activation stops all steps. Default 400 ms.
 	SwapPause time.Duration
 	// AdapterLoadTime is how long loading an adapter takes. Default 200 ms.
 	AdapterLoadTime time.Duration
-	// Weights are the weights served after a start.
+	// Weights is the set of weights served after a start.
 	Weights Weights
-	// Adapters are the adapters loaded after a start, with their versions.
+	// Adapters maps the adapters loaded after a start to their versions.
 	Adapters map[string]port.WeightVersion
 	// Role is the role after a start.
 	Role Role
 
-	// maxRunSteps bounds the decode steps merged into one event; tests set it
-	// to 1 to compare merged runs with single steps.
+	// maxRunSteps limits the decode steps merged into one event; tests set it to 1 to
+	// compare merged runs with single steps.
 	maxRunSteps int
 }
 
@@ -84,7 +80,7 @@
 	unlimitedRunSteps           = 1 << 30
 )
 
-// withDefaults fills in every field left at zero.
+// withDefaults returns the configuration with defaults for all zero fields.
 func (c Config) withDefaults() Config {
 	c.StepBase = cmp.Or(c.StepBase, defaultStepBase)
 	c.StepPerSequence = cmp.Or(c.StepPerSequence, defaultStepPerSequence)
--- a/internal/lab/engine/feed.go
+++ b/internal/lab/engine/feed.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Feed publishes cache events late and with gaps, as real engines do.
+// Feed delivers cache events with a delay and with gaps, as real engines do.
 type Feed struct {
-	lag      time.Duration
-	dropEach uint64 // every n-th event is lost; 0 loses none
-	capacity int
-	entries  []feedEntry
+	lag       time.Duration
+	dropEvery uint64 // every dropEvery-th event is dropped; 0 drops none
+	capacity  int
+	entries   []feedEntry
 }
 
 type feedEntry struct {
@@ -18,15 +18,15 @@
 	change CacheEvent
 }
 
-// NewFeed returns a feed that shows events after lag, loses every dropEach-th
-// one (0 for none) and keeps the newest capacity events.
-func NewFeed(lag time.Duration, dropEach uint64, capacity int) *Feed {
-	return &Feed{lag: lag, dropEach: dropEach, capacity: max(capacity, 1)}
+// NewFeed returns a feed that delays events by lag, drops every dropEvery-th one (0 for
+// none) and keeps the latest capacity events.
+func NewFeed(lag time.Duration, dropEvery uint64, capacity int) *Feed {
+	return &Feed{lag: lag, dropEvery: dropEvery, capacity: max(capacity, 1)}
 }
 
-// Append adds an event that happened at this time.
+// Append adds an event that occurred at time at.
 func (f *Feed) Append(at time.Duration, change CacheEvent) {
-	if f.dropEach > 0 && change.Sequence%f.dropEach == 0 {
+	if f.dropEvery > 0 && change.Sequence%f.dropEvery == 0 {
 		return
 	}
 	if len(f.entries) >= 2*f.capacity {
@@ -36,10 +36,10 @@
 	f.entries = append(f.entries, feedEntry{at, change})
 }
 
-// Reset forgets all events, as a restart of the engine does.
+// Reset removes all events. It is called when the engine restarts.
 func (f *Feed) Reset() { f.entries = f.entries[:0] }
 
-// First returns the lowest sequence number that is kept, or 0 when none is.
+// First returns the lowest stored sequence number, or 0 if there are no events.
 func (f *Feed) First() uint64 {
 	if len(f.entries) == 0 {
 		return 0
@@ -47,8 +47,8 @@
 	return f.entries[0].change.Sequence
 }
 
-// After returns up to limit events with a sequence number above after that
-// are visible at time now. A reader sees a gap as a jump in the numbers.
+// After returns up to limit events with a sequence number above after that are visible
+// at time now. Dropped events are missing from the sequence numbers.
 func (f *Feed) After(now time.Duration, after uint64, limit int) []CacheEvent {
 	first := sort.Search(len(f.entries), func(i int) bool { return f.entries[i].change.Sequence > after })
 	var visible []CacheEvent
@@ -61,7 +61,7 @@
 	return visible
 }
 
-// Lagged shows values as they were some time ago.
+// Lagged delays values by a fixed lag.
 type Lagged[T any] struct {
 	lag     time.Duration
 	entries []laggedEntry[T]
@@ -72,17 +72,17 @@
 	value T
 }
 
-// NewLagged returns a holder that shows values after lag.
+// NewLagged returns a Lagged that delays values by lag.
 func NewLagged[T any](lag time.Duration) *Lagged[T] { return &Lagged[T]{lag: lag} }
 
-// Put records the value at this time. Times must not decrease.
+// Put records the value at time at. Times must not decrease.
 func (l *Lagged[T]) Put(at time.Duration, value T) {
 	l.entries = append(l.entries, laggedEntry[T]{at, value})
 	l.trim(at)
 }
 
-// Get returns the newest value that is visible at time now; ok is false when
-// there is none yet.
+// Get returns the newest value that is visible at time now; ok is false if there is none
+// yet.
 func (l *Lagged[T]) Get(now time.Duration) (value T, ok bool) {
 	l.trim(now)
 	if len(l.entries) == 0 || l.entries[0].at+l.lag > now {
@@ -91,7 +91,7 @@
 	return l.entries[0].value, true
 }
 
-// trim drops the values that a newer visible one hides.
+// trim removes values that are superseded by a newer visible one.
 func (l *Lagged[T]) trim(now time.Duration) {
 	drop := 0
 	for drop+1 < len(l.entries) && l.entries[drop+1].at+l.lag <= now {
--- a/internal/lab/engine/hash.go
+++ b/internal/lab/engine/hash.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/prefix"
 )
 
-// BytesPerToken is the length of text that the model counts as one token.
+// BytesPerToken is the length of a token.
 const BytesPerToken = 4
 
 // CountTokens returns the number of tokens of a text.
@@ -16,8 +16,8 @@
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// HashBlocks returns the chained hashes of the full blocks of a text, by the
-// function that the protocol lays down for cache events.
+// HashBlocks returns the chained hashes of the full blocks of a text, as the protocol
+// defines them for cache events.
 func HashBlocks(text string, blockTokens int) []uint64 {
 	return prefix.HashBlocks(text, blockTokens*BytesPerToken)
 }
--- a/internal/lab/engine/load.go
+++ b/internal/lab/engine/load.go
@@ -7,13 +7,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Load is what an engine reports about itself.
+// Load is the state that an engine reports.
 type Load struct {
 	At          time.Duration
 	Up          bool
 	Incarnation uint64
 	Running     int
-	Waiting     int // importing requests included
+	Waiting     int // includes importing requests
 	KVUsed      int // blocks referenced by sequences
 	KVTotal     int // blocks
 	Weights     Weights
@@ -26,7 +26,7 @@
 	Totals      Totals
 }
 
-// Load reports the engine's state as of the last call.
+// Load returns the engine's state as of the last call.
 func (m *Model) Load() Load {
 	load := Load{
 		At: m.clock, Up: m.up, Incarnation: m.incarnation,
@@ -48,16 +48,16 @@
 // InFlight returns the number of requests on the engine.
 func (m *Model) InFlight() int { return len(m.sequences) }
 
-// CacheSnapshot returns the hashes of all reusable blocks in ascending order
-// and the number of the last cache event that they include.
+// CacheSnapshot returns the hashes of all reusable blocks in ascending order and the
+// sequence number of the last cache event that they include.
 func (m *Model) CacheSnapshot() (hashes []uint64, sequence uint64) {
 	hashes = m.memory.hashes()
 	slices.Sort(hashes)
 	return hashes, m.cacheCounter
 }
 
-// Crash stops the engine at once and returns the ids of the requests that
-// are lost, in ascending order. Nothing of its state survives.
+// Crash stops the engine and returns the ids of the lost requests in ascending order. All
+// state is lost.
 func (m *Model) Crash(now time.Duration) []string {
 	m.interrupt(now)
 	lost := make([]string, 0, len(m.sequences))
@@ -74,8 +74,8 @@
 	return lost
 }
 
-// Restart brings a crashed engine up with the weights and role of its
-// configuration, under the next incarnation.
+// Restart starts a crashed engine with the weights and role of its configuration, as the
+// next incarnation.
 func (m *Model) Restart(now time.Duration) {
 	if m.up {
 		return
@@ -84,18 +84,18 @@
 	m.start()
 }
 
-// SetSlowdown multiplies the time of all steps that start from now on.
+// SetSlowdown multiplies the duration of all steps that start from now on.
 func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.interrupt(now)
 	m.slowdown = factor
 }
 
-// FailNextSwap makes the next activation fail partway: the engine then serves
-// an unknown version and says so.
+// FailNextSwap makes the next activation fail partway: the engine then serves and
+// reports UnknownVersion.
 func (m *Model) FailNextSwap() { m.swapFault = swapFails }
 
-// MisdirectNextSwap makes the next activation end on other weights than
-// ordered. The engine reports what it truly serves.
+// MisdirectNextSwap makes the next activation put other weights into service than
+// ordered. The engine reports the weights that it serves.
 func (m *Model) MisdirectNextSwap(weights Weights) {
-	m.swapFault, m.swapLandsOn = swapLandsElsewhere, weights
+	m.swapFault, m.misdirectedTo = swapMisdirected, weights
 }
--- a/internal/lab/engine/memory.go
+++ b/internal/lab/engine/memory.go
@@ -9,12 +9,12 @@
 	next     *block
 }
 
-// memory accounts for the KV blocks of an engine. Blocks are either private
-// to a sequence (only counted) or shared (refcounted and found by hash). A
-// shared block without references stays cached until its space is needed.
+// memory tracks the KV blocks of an engine. Blocks are either private to a sequence
+// (only counted) or shared (reference-counted and found by hash). A shared block without
+// references stays cached until it is evicted.
 type memory struct {
 	total  int
-	used   int // private and shared blocks, cached ones included
+	used   int // private and shared blocks, including cached ones
 	cached int // shared blocks without references
 	byHash map[uint64]*block
 	lru    block // list head; lru.next is the least recently used
@@ -28,19 +28,19 @@
 	return m
 }
 
-// available returns how many blocks can be taken, by eviction if need be.
+// available returns the number of blocks that can be allocated, including by eviction.
 func (m *memory) available() int { return m.total - m.used + m.cached }
 
-// take claims count private blocks. The caller has checked available.
-func (m *memory) take(count int) {
+// allocate allocates count private blocks, which must be available.
+func (m *memory) allocate(count int) {
 	for m.total-m.used < count {
 		m.evict()
 	}
 	m.used += count
 }
 
-// give returns count private blocks.
-func (m *memory) give(count int) { m.used -= count }
+// deallocate frees count private blocks.
+func (m *memory) deallocate(count int) { m.used -= count }
 
 func (m *memory) evict() {
 	victim := m.lru.next
@@ -64,7 +64,7 @@
 	m.cached++
 }
 
-// find returns the shared block with this hash and references it.
+// find returns the shared block with this hash and adds a reference, or nil.
 func (m *memory) find(hash uint64) *block {
 	b := m.byHash[hash]
 	if b == nil {
@@ -77,12 +77,12 @@
 	return b
 }
 
-// share turns one private block into the shared block of this hash and
-// returns it referenced. When the hash is already known the private block is
-// given back and the known one is used.
+// share turns a private block into the shared block with this hash and returns it with a
+// reference. If the hash is already known, it frees the private block and returns the
+// known one.
 func (m *memory) share(hash uint64) *block {
 	if known := m.find(hash); known != nil {
-		m.give(1)
+		m.deallocate(1)
 		return known
 	}
 	b := m.newBlock()
@@ -101,8 +101,8 @@
 	return new(block)
 }
 
-// drop releases one reference to a shared block.
-func (m *memory) drop(b *block) {
+// unref removes one reference to a shared block.
+func (m *memory) unref(b *block) {
 	b.refs--
 	if b.refs > 0 {
 		return
@@ -115,8 +115,8 @@
 	m.link(b)
 }
 
-// clear makes every shared block unreachable. Sequences keep those they
-// reference; the others are freed.
+// clear makes every shared block unreachable. Blocks that sequences reference stay
+// allocated; the others are freed.
 func (m *memory) clear() {
 	for b := m.lru.next; b != &m.lru; b = m.lru.next {
 		m.unlink(b)
@@ -131,7 +131,7 @@
 	m.report(CacheCleared, 0)
 }
 
-// hashes returns the hashes of all shared blocks in no particular order.
+// hashes returns the hashes of all shared blocks, unsorted.
 func (m *memory) hashes() []uint64 {
 	list := make([]uint64, 0, len(m.byHash))
 	for hash := range m.byHash {
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -9,14 +9,14 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// run is a stretch of equal steps over an unchanged batch.
+// run is a series of equal steps over an unchanged batch.
 type run struct {
-	active  bool
-	start   time.Duration
-	step    time.Duration // length of one step
-	steps   int
-	settled int // steps whose tokens are accounted for
-	batch   []*sequence
+	active    bool
+	start     time.Duration
+	step      time.Duration // length of one step
+	steps     int
+	completed int // steps whose tokens have been generated
+	batch     []*sequence
 }
 
 func (r *run) end() time.Duration { return r.start + time.Duration(r.steps)*r.step }
@@ -38,28 +38,27 @@
 	slowdown  float64
 	kvLink    *Store
 
-	weights      Weights
-	staged       []Weights // oldest first
-	staging      []Weights
-	adapters     map[string]port.WeightVersion
-	role         Role
-	fence        uint64
-	pending      []Weights // activations that wait for the end of a step
-	pausedUntil  time.Duration
-	swapping     bool
-	swapTarget   Weights
-	swapFault    swapFault
-	swapLandsOn  Weights
-	timers       []timer
-	cacheCounter uint64
+	weights       Weights
+	staged        []Weights // oldest first
+	staging       []Weights
+	adapters      map[string]port.WeightVersion
+	role          Role
+	fence         uint64
+	pending       []Weights // activations that wait for the end of the current step
+	pausedUntil   time.Duration
+	swapping      bool
+	swapTarget    Weights
+	swapFault     swapFault
+	misdirectedTo Weights
+	timers        []timer
+	cacheCounter  uint64
 
 	events []Event
 	spare  []Event
 	totals Totals
 }
 
-// Totals counts what an engine has done since it was created, across
-// restarts.
+// Totals counts what an engine has done since it was created, including before restarts.
 type Totals struct {
 	Steps         uint64
 	Generated     uint64 // tokens
@@ -78,7 +77,7 @@
 	return m
 }
 
-// incarnationShift places the incarnation above the numbers of cache events.
+// incarnationShift places the incarnation above the sequence numbers of cache events.
 const incarnationShift = 32
 
 // Config returns the configuration with defaults filled in.
@@ -98,8 +97,7 @@
 	maps.Copy(m.adapters, m.config.Adapters)
 }
 
-// Submit hands a request to the engine. A request that is refused with an
-// error did not run.
+// Submit submits a request. If it returns an error, the request does not run.
 func (m *Model) Submit(now time.Duration, request Request) error {
 	m.interrupt(now)
 	if err := m.admissible(&request); err != nil {
@@ -119,7 +117,7 @@
 	return nil
 }
 
-// admissible checks a request against the engine's present state.
+// admissible checks a request against the engine's current state.
 func (m *Model) admissible(request *Request) error {
 	context := request.PromptTokens + request.ResumedTokens
 	switch {
@@ -150,8 +148,8 @@
 	m.dirty = true
 }
 
-// Cancel ends a request at once and reports whether it was there. Tokens of
-// the step in progress are lost.
+// Cancel ends a request immediately and reports whether it existed. The token of the
+// current step is lost.
 func (m *Model) Cancel(now time.Duration, id string) bool {
 	m.interrupt(now)
 	s := m.sequences[id]
@@ -162,16 +160,16 @@
 	return true
 }
 
-// remove takes a sequence out of wherever it is and frees its memory.
+// remove removes a sequence and frees its memory.
 func (m *Model) remove(s *sequence) {
 	m.detach(s)
 	m.release(s)
-	s.state = stateGone
+	s.state = stateRemoved
 	delete(m.sequences, s.request.ID)
 	m.dirty = true
 }
 
-// detach takes a sequence out of the queue or the batch.
+// detach removes a sequence from the queue or the batch.
 func (m *Model) detach(s *sequence) {
 	switch s.state {
 	case stateWaiting:
@@ -182,8 +180,8 @@
 	}
 }
 
-// Next returns the time of the next internal event; ok is false when nothing
-// will happen without a call from outside.
+// Next returns the time of the next internal event; ok is false if there is none unless
+// the driver makes another call.
 func (m *Model) Next() (at time.Duration, ok bool) {
 	if !m.up {
 		return 0, false
@@ -207,8 +205,8 @@
 	return at, ok
 }
 
-// Advance lets time pass and returns what has happened since the last call,
-// in order of time. The result is valid until the next call.
+// Advance advances the time and returns the events since the last call, in order of
+// time. The result is valid until the next call.
 func (m *Model) Advance(now time.Duration) []Event {
 	for {
 		at, ok := m.Next()
@@ -217,17 +215,17 @@
 		}
 		m.process(max(at, m.clock))
 	}
-	m.settle(now)
+	m.completeSteps(now)
 	m.clock = max(m.clock, now)
 	result := m.events
 	m.events, m.spare = m.spare[:0], m.events
 	return result
 }
 
-// process handles every internal event due at this time.
+// process handles all internal events that are due.
 func (m *Model) process(at time.Duration) {
 	m.clock = at
-	m.settle(at)
+	m.completeSteps(at)
 	m.fireTimers(at)
 	if m.run.active {
 		return
@@ -236,16 +234,15 @@
 		m.finishSwap(at)
 	}
 	if len(m.pending) > 0 && !m.swapping {
-		m.beginSwap(at)
+		m.startSwap(at)
 	}
 	if !m.swapping && m.dirty {
 		m.plan(at)
 	}
 }
 
-// interrupt brings the model to time now for a call from outside and ends the
-// present run with the step in progress, so that the change takes effect at
-// the next step.
+// interrupt advances the model to time now for a call by the driver and ends the current
+// run with the current step, so that the change takes effect at the next step.
 func (m *Model) interrupt(now time.Duration) {
 	for {
 		at, ok := m.Next()
@@ -255,39 +252,39 @@
 		m.process(max(at, m.clock))
 	}
 	m.clock = max(m.clock, now)
-	m.settle(m.clock)
+	m.completeSteps(m.clock)
 	if !m.run.active {
 		return
 	}
-	boundary := m.run.start + time.Duration(m.run.settled)*m.run.step
-	if m.run.settled > 0 && boundary == m.clock {
+	boundary := m.run.start + time.Duration(m.run.completed)*m.run.step
+	if m.run.completed > 0 && boundary == m.clock {
 		m.endRun()
 		return
 	}
-	m.run.steps = m.run.settled + 1
+	m.run.steps = m.run.completed + 1
 }
 
-// settle accounts for the steps that have ended by now.
-func (m *Model) settle(now time.Duration) {
+// completeSteps generates the tokens of the steps that have ended by now.
+func (m *Model) completeSteps(now time.Duration) {
 	r := &m.run
 	if !r.active {
 		return
 	}
 	done := min(int((now-r.start)/r.step), r.steps)
-	if fresh := done - r.settled; fresh > 0 {
+	if fresh := done - r.completed; fresh > 0 {
 		m.generate(fresh)
-		r.settled = done
+		r.completed = done
 	}
 	if done == r.steps {
 		m.endRun()
 	}
 }
 
-// generate produces tokens for the batch in the next count steps of the run.
+// generate generates the tokens of the batch for the next count steps of the run.
 func (m *Model) generate(count int) {
 	r := &m.run
-	first := r.start + time.Duration(r.settled+1)*r.step
-	last := r.start + time.Duration(r.settled+count)*r.step
+	first := r.start + time.Duration(r.completed+1)*r.step
+	last := r.start + time.Duration(r.completed+count)*r.step
 	m.totals.Steps += uint64(count)
 	m.totals.Busy += time.Duration(count) * r.step
 	for _, s := range r.batch {
@@ -308,11 +305,10 @@
 	}
 }
 
-// endRun closes the run and finishes the sequences that have reached their
-// end.
+// endRun ends the run and finishes the sequences that are complete.
 func (m *Model) endRun() {
 	r := &m.run
-	at := r.start + time.Duration(r.settled)*r.step
+	at := r.start + time.Duration(r.completed)*r.step
 	r.active = false
 	m.dirty = true
 	for _, s := range r.batch {
@@ -320,7 +316,7 @@
 			continue
 		}
 		if s.request.PrefillOnly {
-			m.hold(s, at)
+			m.awaitExport(s, at)
 			continue
 		}
 		if s.remaining() <= 0 {
@@ -339,10 +335,10 @@
 	m.emit(Event{At: at, Kind: EventFinished, ID: s.request.ID, Completion: s.completion(reason)})
 }
 
-// hold keeps a prefilled sequence in memory until it is exported.
-func (m *Model) hold(s *sequence, at time.Duration) {
+// awaitExport keeps a prefilled sequence in memory until it is exported.
+func (m *Model) awaitExport(s *sequence, at time.Duration) {
 	m.detach(s)
-	s.state = stateHeld
+	s.state = stateAwaitingExport
 	m.totals.Finished++
 	m.emit(Event{At: at, Kind: EventFinished, ID: s.request.ID, Completion: s.completion(FinishPrefilled)})
 }
@@ -361,7 +357,7 @@
 	return m.weights.Version
 }
 
-// cacheChanged numbers and emits a change of the prefix cache.
+// cacheChanged assigns a sequence number to a change of the prefix cache and emits it.
 func (m *Model) cacheChanged(kind CacheEventKind, hash uint64) {
 	m.cacheCounter++
 	if !m.config.CacheEvents {
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// smallConfig has little memory, so that preemption and eviction happen.
+// smallConfig has little memory, so that preemption and eviction occur.
 func smallConfig() Config {
 	return Config{
 		KVBlocks: 40, BlockTokens: 8, MaxSequences: 4, PrefillTokensPerStep: 64,
@@ -21,7 +21,7 @@
 	}
 }
 
-// script is a seeded list of calls from outside, at times of their own.
+// script is a random list of calls to a model, with their times.
 type script struct {
 	requests []Request
 	at       []time.Duration
@@ -33,7 +33,7 @@
 	s := script{cancels: map[int]time.Duration{}}
 	now := time.Duration(0)
 	for i := range rapid.IntRange(1, 25).Draw(t, "requests") {
-		// Odd nanoseconds keep calls off the boundaries of steps.
+		// Odd nanoseconds keep calls off step boundaries.
 		now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap"))*time.Millisecond + 1
 		prompt := rapid.IntRange(1, 120).Draw(t, "prompt")
 		request := Request{
@@ -53,9 +53,9 @@
 	return s
 }
 
-// play runs a script and returns every event but those that only split
-// stretches of tokens. After each event check is called.
-func play(s script, config Config, tick time.Duration, check func(*Model)) []Event {
+// runScript runs a script and returns all events. It calls check after each call. A tick over
+// 0 limits how far time advances per call.
+func runScript(s script, config Config, tick time.Duration, check func(*Model)) []Event {
 	type call struct {
 		at time.Duration
 		do func(*Model, time.Duration)
@@ -75,9 +75,9 @@
 	}})
 	slices.SortStableFunc(calls, func(a, b call) int { return int(a.at - b.at) })
 	m := New(config)
-	var seen []Event
+	var events []Event
 	collect := func(now time.Duration) {
-		seen = append(seen, m.Advance(now)...)
+		events = append(events, m.Advance(now)...)
 		check(m)
 	}
 	for len(calls) > 0 || m.InFlight() > 0 {
@@ -93,12 +93,12 @@
 		}
 		collect(at)
 	}
-	return seen
+	return events
 }
 
-func ignore(*Model) {}
+func noCheck(*Model) {}
 
-// outcomes lists how sequences ended, token events left out.
+// outcomes lists completions, preemptions, activations and cache changes.
 func outcomes(events []Event) []string {
 	var list []string
 	for _, e := range events {
@@ -115,15 +115,14 @@
 func TestSameScriptSameResult(t *testing.T) {
 	testkit.Check(t, 11, func(t *rapid.T) {
 		s := drawScript(t)
-		first := outcomes(play(s, smallConfig(), 0, ignore))
-		if second := outcomes(play(s, smallConfig(), 0, ignore)); !slices.Equal(first, second) {
-			t.Fatalf("two plays differ:\n%v\n%v", first, second)
+		first := outcomes(runScript(s, smallConfig(), 0, noCheck))
+		if second := outcomes(runScript(s, smallConfig(), 0, noCheck)); !slices.Equal(first, second) {
+			t.Fatalf("two runs differ:\n%v\n%v", first, second)
 		}
 	})
 }
 
-// Cache events carry the clock of the call that settles them, so they are
-// left out where the granularity of calls differs.
+// withoutCache removes cache events: their time depends on the granularity of calls.
 func withoutCache(list []Event) []Event {
 	return slices.DeleteFunc(list, func(e Event) bool { return e.Kind == EventCache })
 }
@@ -131,13 +130,13 @@
 func TestMergedStepsEqualSingleSteps(t *testing.T) {
 	testkit.Check(t, 12, func(t *rapid.T) {
 		s := drawScript(t)
-		merged := outcomes(withoutCache(play(s, smallConfig(), 0, ignore)))
+		merged := outcomes(withoutCache(runScript(s, smallConfig(), 0, noCheck)))
 		single := smallConfig()
 		single.maxRunSteps = 1
-		if got := outcomes(withoutCache(play(s, single, 0, ignore))); !slices.Equal(merged, got) {
+		if got := outcomes(withoutCache(runScript(s, single, 0, noCheck))); !slices.Equal(merged, got) {
 			t.Fatalf("single steps differ:\n%v\n%v", merged, got)
 		}
-		if got := outcomes(withoutCache(play(s, smallConfig(), 5*time.Millisecond, ignore))); !slices.Equal(merged, got) {
+		if got := outcomes(withoutCache(runScript(s, smallConfig(), 5*time.Millisecond, noCheck))); !slices.Equal(merged, got) {
 			t.Fatalf("fine-grained advance differs:\n%v\n%v", merged, got)
 		}
 	})
@@ -146,7 +145,7 @@
 func TestWorkIsConserved(t *testing.T) {
 	testkit.Check(t, 13, func(t *rapid.T) {
 		s := drawScript(t)
-		events := play(s, smallConfig(), 0, ignore)
+		events := runScript(s, smallConfig(), 0, noCheck)
 		tokens, finished := map[string]int{}, map[string]*Completion{}
 		for _, e := range events {
 			switch e.Kind {
@@ -178,7 +177,7 @@
 	})
 }
 
-// checkMemory recounts the blocks and compares with the books.
+// checkMemory recounts the blocks and compares the result with the model's counters.
 func checkMemory(t *rapid.T, m *Model) {
 	private, references := 0, map[*block]int{}
 	for _, s := range m.sequences {
@@ -194,7 +193,7 @@
 	}
 	counted := private + len(references) + m.memory.cached
 	if counted != m.memory.used || m.memory.used > m.memory.total {
-		t.Fatalf("counted %d blocks, books say %d of %d", counted, m.memory.used, m.memory.total)
+		t.Fatalf("counted %d blocks, recorded %d of %d", counted, m.memory.used, m.memory.total)
 	}
 	for _, s := range m.running {
 		if s.blocks() < m.blocksFor(s.context) {
@@ -209,19 +208,19 @@
 func TestMemoryIsNeverOver(t *testing.T) {
 	preemptions := uint64(0)
 	testkit.Check(t, 14, func(t *rapid.T) {
-		play(drawScript(t), smallConfig(), 0, func(m *Model) {
+		runScript(drawScript(t), smallConfig(), 0, func(m *Model) {
 			checkMemory(t, m)
 			preemptions = max(preemptions, m.totals.Preemptions)
 		})
 	})
 	if preemptions == 0 {
-		t.Fatal("no script preempted anything; the check is vacuous")
+		t.Fatal("no script preempted a sequence; the test is vacuous")
 	}
 }
 
 func TestWaitingIsInOrderOfPriority(t *testing.T) {
 	testkit.Check(t, 15, func(t *rapid.T) {
-		play(drawScript(t), smallConfig(), 0, func(m *Model) {
+		runScript(drawScript(t), smallConfig(), 0, func(m *Model) {
 			idle := !m.run.active && !m.dirty && !m.swapping && len(m.pending) == 0
 			if idle && len(m.waiting) > 0 && len(m.running) == 0 {
 				t.Fatal("engine idles while a request waits")
@@ -261,7 +260,7 @@
 		{"too large", Config{KVBlocks: 2, BlockTokens: 4}, valid, ErrTooLarge},
 		{"queue full", Config{MaxWaiting: 1}, valid, ErrQueueFull},
 		{"decode without import", Config{Role: RoleDecode}, valid, ErrRole},
-		{"prefill asked to decode", Config{Role: RolePrefill}, valid, ErrRole},
+		{"decode on a prefill engine", Config{Role: RolePrefill}, valid, ErrRole},
 		{"adapter missing", Config{}, with(func(r *Request) { r.Adapter = "x" }), ErrAdapterNotLoaded},
 	}
 	for _, c := range cases {
--- a/internal/lab/engine/orders.go
+++ b/internal/lab/engine/orders.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// OrderKind says what an Order asks for.
+// OrderKind is the kind of an Order.
 type OrderKind uint8
 
 // Kinds of orders.
@@ -21,17 +21,17 @@
 // Order is a fenced instruction to an engine.
 type Order struct {
 	Kind OrderKind
-	// Fence is the epoch of whoever gives the order. An order with a fence
-	// below the highest seen is refused.
+	// Fence is the fencing token of the sender. An order with a fence below the highest
+	// seen is rejected.
 	Fence uint64
-	// Incarnation, if not 0, is the engine incarnation that the order is
-	// meant for.
+	// Incarnation, if not 0, is the engine incarnation that the order is for. Any other
+	// incarnation rejects it.
 	Incarnation uint64
 	Weights     Weights
 	Role        Role
 }
 
-// Errors of Order. An order that was refused had no effect.
+// Errors of Order. A rejected order has no effect.
 var (
 	ErrStaleFence       = errors.New("fence is older than the highest seen")
 	ErrWrongIncarnation = errors.New("order is for another incarnation")
@@ -40,13 +40,13 @@
 	ErrAdapterInUse     = errors.New("adapter is used by requests in flight")
 )
 
-// swapFault is what the next activation does wrong.
+// swapFault is the fault to apply to the next activation.
 type swapFault uint8
 
 const (
-	swapFine swapFault = iota
+	swapSucceeds swapFault = iota
 	swapFails
-	swapLandsElsewhere
+	swapMisdirected
 )
 
 // timer is a future internal event.
@@ -65,8 +65,8 @@
 	timerTransfer
 )
 
-// Order carries out or refuses a fenced order. Staging, activation and
-// adapter loads end later, with an event.
+// Order applies or rejects an order. Staging, activation and adapter loads end later,
+// with an event.
 func (m *Model) Order(now time.Duration, order Order) error {
 	m.interrupt(now)
 	switch {
@@ -96,6 +96,7 @@
 	}
 }
 
+// stage starts to transfer weights unless they are staged or being staged.
 // stage begins to fetch weights unless they are there or on the way.
 func (m *Model) stage(now time.Duration, weights Weights) {
 	if slices.Contains(m.staged, weights) || slices.Contains(m.staging, weights) {
@@ -108,9 +109,9 @@
 	}
 }
 
-// CompleteStaging reports that a transfer that the driver carries has ended.
-// It returns ErrNotStaged when the engine has not asked for these weights,
-// as after a restart.
+// CompleteStaging reports the end of a transfer by the driver; complete is false if it
+// failed. It returns ErrNotStaged if the engine is not staging these weights, for example
+// after a restart.
 func (m *Model) CompleteStaging(now time.Duration, weights Weights, complete bool) error {
 	m.interrupt(now)
 	if !slices.Contains(m.staging, weights) {
@@ -133,9 +134,9 @@
 	m.emit(Event{At: at, Kind: EventStaged, Weights: weights})
 }
 
-// activate asks for a switch at the end of the step in progress.
+// activate schedules a swap for the end of the current step.
 func (m *Model) activate(weights Weights) error {
-	if m.destination(weights.Adapter) == weights {
+	if m.targetWeights(weights.Adapter) == weights {
 		return nil
 	}
 	if !slices.Contains(m.staged, weights) {
@@ -149,9 +150,9 @@
 	return nil
 }
 
-// destination returns the weights that the orders so far lead to, for the
-// base model or an adapter.
-func (m *Model) destination(adapter string) Weights {
+// targetWeights returns the weights of the base model or an adapter after all pending
+// swaps.
+func (m *Model) targetWeights(adapter string) Weights {
 	for _, weights := range m.pending {
 		if weights.Adapter == adapter {
 			return weights
@@ -166,8 +167,8 @@
 	return Weights{Adapter: adapter, Version: m.adapters[adapter]}
 }
 
-// beginSwap stops all steps for the swap pause.
-func (m *Model) beginSwap(at time.Duration) {
+// startSwap stops all steps for the duration of the swap.
+func (m *Model) startSwap(at time.Duration) {
 	m.swapTarget = m.pending[0]
 	m.pending = slices.Delete(m.pending, 0, 1)
 	m.swapping = true
@@ -188,9 +189,8 @@
 	m.adapters[weights.Adapter] = weights.Version
 }
 
-// dropCache empties the prefix cache, whose KV state belongs to the weights
-// that are being replaced. Sequences in flight keep their state but stop
-// sharing it.
+// dropCache clears the prefix cache, whose KV state belongs to the replaced weights.
+// Sequences in flight keep their state but no longer share it.
 func (m *Model) dropCache() {
 	m.memory.clear()
 	for _, s := range m.sequences {
@@ -198,11 +198,10 @@
 	}
 }
 
-// finishSwap puts the ordered weights into service, or does what the armed
-// fault says.
+// finishSwap puts the ordered weights into service, unless a fault is set.
 func (m *Model) finishSwap(at time.Duration) {
 	ordered, fault := m.swapTarget, m.swapFault
-	m.swapping, m.swapFault = false, swapFine
+	m.swapping, m.swapFault = false, swapSucceeds
 	m.dirty = true
 	if fault == swapFails {
 		broken := ordered
@@ -211,8 +210,8 @@
 		m.emit(Event{At: at, Kind: EventSwapFailed, Weights: ordered})
 		return
 	}
-	if fault == swapLandsElsewhere {
-		ordered = m.swapLandsOn
+	if fault == swapMisdirected {
+		ordered = m.misdirectedTo
 	}
 	m.serve(ordered)
 	m.emit(Event{At: at, Kind: EventActivated, Weights: ordered})
--- a/internal/lab/engine/orders_test.go
+++ b/internal/lab/engine/orders_test.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	first  = Weights{Model: "m", Version: 1}
-	second = Weights{Model: "m", Version: 2}
-	other  = Weights{Model: "n", Version: 1}
+	firstWeights  = Weights{Model: "m", Version: 1}
+	secondWeights = Weights{Model: "m", Version: 2}
+	otherModel    = Weights{Model: "n", Version: 1}
 )
 
 func finishedEvent(events []Event) *Completion {
@@ -43,7 +43,7 @@
 	}{
 		{"clean", func(*Model) {}, 2, EventActivated},
 		{"fails partway", (*Model).FailNextSwap, UnknownVersion, EventSwapFailed},
-		{"lands elsewhere", func(m *Model) { m.MisdirectNextSwap(first) }, 1, EventActivated},
+		{"misdirected", func(m *Model) { m.MisdirectNextSwap(firstWeights) }, 1, EventActivated},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,16 +52,16 @@
 			if err := m.Submit(0, Request{ID: "a", PromptTokens: 10, OutputTokens: 400}); err != nil {
 				t.Fatal(err)
 			}
-			if err := m.Order(0, Order{Kind: OrderStage, Weights: second}); err != nil {
+			if err := m.Order(0, Order{Kind: OrderStage, Weights: secondWeights}); err != nil {
 				t.Fatal(err)
 			}
-			if err := m.Order(0, Order{Kind: OrderActivate, Weights: second}); !errors.Is(err, ErrNotStaged) {
+			if err := m.Order(0, Order{Kind: OrderActivate, Weights: secondWeights}); !errors.Is(err, ErrNotStaged) {
 				t.Fatalf("activation before staging: %v", err)
 			}
 			if got := kinds(m.Advance(time.Second)); !slices.Equal(got, []EventKind{EventStaged}) {
 				t.Fatalf("staging events %v", got)
 			}
-			if err := m.Order(2*time.Second, Order{Kind: OrderActivate, Weights: second}); err != nil {
+			if err := m.Order(2*time.Second, Order{Kind: OrderActivate, Weights: secondWeights}); err != nil {
 				t.Fatal(err)
 			}
 			events := m.Advance(time.Minute)
@@ -80,17 +80,17 @@
 }
 
 func TestReloadAfterFailedSwap(t *testing.T) {
-	m := New(Config{Weights: first})
+	m := New(Config{Weights: firstWeights})
 	m.FailNextSwap()
 	for range 2 {
-		_ = m.Order(m.clock, Order{Kind: OrderStage, Weights: second})
-		_ = m.CompleteStaging(m.clock, second, true)
-		if err := m.Order(m.clock, Order{Kind: OrderActivate, Weights: second}); err != nil {
+		_ = m.Order(m.clock, Order{Kind: OrderStage, Weights: secondWeights})
+		_ = m.CompleteStaging(m.clock, secondWeights, true)
+		if err := m.Order(m.clock, Order{Kind: OrderActivate, Weights: secondWeights}); err != nil {
 			t.Fatal(err)
 		}
 		m.Advance(m.clock + time.Second)
 	}
-	if got := m.Load().Weights; got != second {
+	if got := m.Load().Weights; got != secondWeights {
 		t.Fatalf("serves %v after the second activation", got)
 	}
 }
@@ -116,21 +116,21 @@
 }
 
 func TestOtherModelOnlyWhenIdle(t *testing.T) {
-	m := New(Config{Weights: first})
-	_ = m.Order(0, Order{Kind: OrderStage, Weights: other})
-	_ = m.CompleteStaging(0, other, true)
+	m := New(Config{Weights: firstWeights})
+	_ = m.Order(0, Order{Kind: OrderStage, Weights: otherModel})
+	_ = m.CompleteStaging(0, otherModel, true)
 	_ = m.Submit(0, Request{ID: "a", PromptTokens: 1, OutputTokens: 1})
-	if err := m.Order(0, Order{Kind: OrderActivate, Weights: other}); !errors.Is(err, ErrModelInUse) {
+	if err := m.Order(0, Order{Kind: OrderActivate, Weights: otherModel}); !errors.Is(err, ErrModelInUse) {
 		t.Fatalf("got %v", err)
 	}
 	m.Advance(time.Second)
-	if err := m.Order(time.Second, Order{Kind: OrderActivate, Weights: other}); err != nil {
+	if err := m.Order(time.Second, Order{Kind: OrderActivate, Weights: otherModel}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestCrashLosesEverything(t *testing.T) {
-	m := New(Config{Weights: first})
+	m := New(Config{Weights: firstWeights})
 	for _, id := range []string{"b", "a"} {
 		_ = m.Submit(0, Request{ID: id, PromptTokens: 64, PromptBlocks: []uint64{1, 2, 3, 4}, OutputTokens: 9})
 	}
@@ -151,7 +151,7 @@
 }
 
 func TestMoveByExportAndImport(t *testing.T) {
-	source, target := New(Config{Weights: first}), New(Config{Weights: second, Role: RoleDecode})
+	source, target := New(Config{Weights: firstWeights}), New(Config{Weights: secondWeights, Role: RoleDecode})
 	_ = source.Submit(0, Request{ID: "a", PromptTokens: 100, OutputTokens: 50})
 	source.Advance(300 * time.Millisecond)
 	if err := source.Export(300*time.Millisecond, "a"); err != nil {
@@ -187,7 +187,7 @@
 		t.Fatalf("completion %+v", done)
 	}
 	if m.Load().KVUsed == 0 {
-		t.Fatal("KV state was not held")
+		t.Fatal("KV state was freed")
 	}
 	if err := m.Export(time.Second, "a"); err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 }
 
 func TestPrefixIsReusedUntilSwap(t *testing.T) {
-	m := New(Config{Weights: first, BlockTokens: 8, CacheGenerated: true, CacheEvents: true})
+	m := New(Config{Weights: firstWeights, BlockTokens: 8, CacheGenerated: true, CacheEvents: true})
 	text := "the same forty-eight characters of a shared prompt, and then some more of them"
 	request := Request{PromptTokens: CountTokens(text), PromptBlocks: HashBlocks(text, 8), OutputTokens: 20, ContentKey: 3}
 	hits := func(id string) int {
@@ -215,9 +215,9 @@
 	if got, want := hits("c"), (request.PromptTokens+20)/8*8; got != want {
 		t.Fatalf("resume found %d cached tokens, want %d", got, want)
 	}
-	_ = m.Order(m.clock, Order{Kind: OrderStage, Weights: second})
-	_ = m.CompleteStaging(m.clock, second, true)
-	_ = m.Order(m.clock, Order{Kind: OrderActivate, Weights: second})
+	_ = m.Order(m.clock, Order{Kind: OrderStage, Weights: secondWeights})
+	_ = m.CompleteStaging(m.clock, secondWeights, true)
+	_ = m.Order(m.clock, Order{Kind: OrderActivate, Weights: secondWeights})
 	m.Advance(m.clock + time.Second)
 	if got := hits("d"); got != 0 {
 		t.Fatalf("found %d tokens of the old weights", got)
@@ -257,7 +257,7 @@
 }
 
 func TestAdapterSwapKeepsBase(t *testing.T) {
-	m := New(Config{Weights: first})
+	m := New(Config{Weights: firstWeights})
 	bulletins := Weights{Adapter: "bulletins", Version: 3}
 	request := Request{ID: "a", Adapter: "bulletins", PromptTokens: 4, OutputTokens: 100}
 	if err := m.Submit(0, request); !errors.Is(err, ErrAdapterNotLoaded) {
@@ -276,28 +276,28 @@
 		t.Fatal(err)
 	}
 	spans := finishedEvent(m.Advance(time.Minute)).Spans
-	if len(spans) != 2 || spans[0].Version != 3 || spans[1].Version != 4 || m.Load().Weights != first {
+	if len(spans) != 2 || spans[0].Version != 3 || spans[1].Version != 4 || m.Load().Weights != firstWeights {
 		t.Fatalf("spans %v, base %v", spans, m.Load().Weights)
 	}
 }
 
-// prepared returns a model on which second is staged.
-func prepared(t *testing.T, config Config) *Model {
+// newWithStaged returns a model on which the second weights are staged.
+func newWithStaged(t *testing.T, config Config) *Model {
 	t.Helper()
 	m := New(config)
-	_ = m.Order(0, Order{Kind: OrderStage, Weights: second})
-	if err := m.CompleteStaging(0, second, true); err != nil {
+	_ = m.Order(0, Order{Kind: OrderStage, Weights: secondWeights})
+	if err := m.CompleteStaging(0, secondWeights, true); err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
 func TestStateOfMixedWeightsIsNotReused(t *testing.T) {
-	m := prepared(t, Config{Weights: first, BlockTokens: 64, CacheGenerated: true})
+	m := newWithStaged(t, Config{Weights: firstWeights, BlockTokens: 64, CacheGenerated: true})
 	request := Request{ID: "a", PromptTokens: 3, OutputTokens: 200}
 	_ = m.Submit(0, request)
 	m.Advance(50 * time.Millisecond)
-	_ = m.Order(50*time.Millisecond, Order{Kind: OrderActivate, Weights: second})
+	_ = m.Order(50*time.Millisecond, Order{Kind: OrderActivate, Weights: secondWeights})
 	m.Advance(time.Minute)
 	request.ID, request.ResumedTokens = "b", 150
 	_ = m.Submit(time.Minute, request)
--- a/internal/lab/engine/plan.go
+++ b/internal/lab/engine/plan.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// watermarkDivisor sets the share of KV memory that admission leaves free for
-// growth of the running sequences: one part in this many.
+// watermarkDivisor is the reciprocal of the share of KV memory that admission reserves
+// for the growth of running sequences.
 const watermarkDivisor = 100
 
-// plan chooses the batch that starts at this time and how many equal steps
-// can run before anything can change.
+// plan selects the next batch and the number of equal steps that it can run before
+// anything can change.
 func (m *Model) plan(at time.Duration) {
 	m.dirty = false
 	m.preemptForGrowth(at)
@@ -28,7 +28,7 @@
 	if len(m.running) == 0 {
 		return
 	}
-	r.active, r.start, r.settled = true, at, 0
+	r.active, r.start, r.completed = true, at, 0
 	r.step = m.stepTime(len(r.batch), prefillTokens)
 	r.steps = 1
 	if prefillTokens == 0 {
@@ -43,9 +43,9 @@
 	return max(time.Duration(float64(step)*m.slowdown), 1)
 }
 
-// mergeableSteps returns for how many steps the batch stays as it is: until
-// the first sequence ends or memory runs out. A waiting request that does not
-// fit now will not fit earlier, as memory only fills up meanwhile.
+// mergeableSteps returns the number of steps for which the batch does not change: until
+// the first sequence ends or memory runs out. A waiting request that does not fit now
+// will not fit during the run either, since memory use only grows.
 func (m *Model) mergeableSteps() int {
 	steps := m.config.maxRunSteps
 	for _, s := range m.run.batch {
@@ -58,8 +58,8 @@
 	return max(tooMany-1, 1)
 }
 
-// growth returns the blocks that the running sequences lack for so many more
-// tokens each.
+// growth returns the number of blocks that the running sequences need in addition for
+// steps more tokens each.
 func (m *Model) growth(steps int) int {
 	total := 0
 	for _, s := range m.running {
@@ -70,8 +70,8 @@
 	return total
 }
 
-// preemptForGrowth frees memory until every decoding sequence can take its
-// next token. The lowest in priority, and of these the latest, go first.
+// preemptForGrowth preempts sequences until every decoding sequence has memory for its
+// next token. It preempts the lowest priority first, and the latest arrival within it.
 func (m *Model) preemptForGrowth(at time.Duration) {
 	for len(m.running) > 0 && m.growth(1) > m.memory.available() {
 		victim := m.running[0]
@@ -84,7 +84,7 @@
 	}
 }
 
-// preempt takes a sequence's memory away and puts it back into the queue.
+// preempt frees a sequence's memory and puts it back into the queue.
 func (m *Model) preempt(s *sequence, at time.Duration) {
 	m.detach(s)
 	m.release(s)
@@ -95,8 +95,8 @@
 	m.emit(Event{At: at, Kind: EventPreempted, ID: s.request.ID})
 }
 
-// continuePrefill schedules prompt tokens of sequences that were admitted in
-// earlier steps and returns how many.
+// continuePrefill schedules prompt tokens of sequences that were admitted in earlier
+// steps and returns their number.
 func (m *Model) continuePrefill() int {
 	scheduled := 0
 	for _, s := range m.running {
@@ -107,9 +107,8 @@
 	return scheduled
 }
 
-// schedulePrefill computes up to budget context tokens of a sequence in the
-// step being planned. Full blocks become shareable at once, also within the
-// same step.
+// schedulePrefill schedules up to budget context tokens of a sequence in the step being
+// planned. Full blocks become shareable immediately, also within the same step.
 func (m *Model) schedulePrefill(s *sequence, budget int) int {
 	tokens := min(s.context-s.computed, budget)
 	s.computed += tokens
@@ -131,14 +130,14 @@
 	}
 }
 
-// admit moves waiting sequences into the batch in order of priority, as long
-// as slots, memory and the budget of prompt tokens allow, and returns the
+// admit moves waiting sequences into the batch in order of priority, as long as the
+// batch size, memory and the budget of prompt tokens allow it. It returns the number of
 // prompt tokens scheduled.
 func (m *Model) admit(budget int) int {
 	scheduled := 0
 	for len(m.waiting) > 0 && len(m.running) < m.config.MaxSequences && scheduled < budget {
 		s := m.waiting[0]
-		if !m.place(s) {
+		if !m.reserveMemory(s) {
 			break
 		}
 		heap.Pop(&m.waiting)
@@ -149,9 +148,9 @@
 	return scheduled
 }
 
-// place reserves memory for a waiting sequence and reuses cached blocks; it
-// reports whether the sequence fits.
-func (m *Model) place(s *sequence) bool {
+// reserveMemory reserves memory for a waiting sequence and reuses cached blocks. It reports
+// whether the sequence fits.
+func (m *Model) reserveMemory(s *sequence) bool {
 	m.reuseCached(s)
 	needed := m.blocksFor(s.context+1) - len(s.shared)
 	reserve := 0
@@ -162,12 +161,12 @@
 		m.dropShared(s)
 		return false
 	}
-	m.memory.take(needed)
+	m.memory.allocate(needed)
 	s.private = needed
 	s.unshareable = false
 	s.computed = max(len(s.shared)*m.config.BlockTokens, s.imported)
 	if s.imported < s.context {
-		// At least the last token is computed to continue from it.
+		// The last token is always computed, since decoding continues from it.
 		s.computed = min(s.computed, s.context-1)
 	}
 	if !s.admitted {
@@ -179,7 +178,7 @@
 	return true
 }
 
-// reuseCached references the longest cached prefix of the context.
+// reuseCached acquires the blocks of the longest cached prefix of the context.
 func (m *Model) reuseCached(s *sequence) {
 	previous := uint64(0)
 	for i := range s.context / m.config.BlockTokens {
@@ -192,32 +191,32 @@
 	}
 }
 
-// grow takes the blocks that a sequence's new tokens need. The plan has made
-// sure that they are there.
+// grow allocates the blocks for a sequence's new tokens. The plan has ensured that they
+// are available.
 func (m *Model) grow(s *sequence) {
 	if missing := m.blocksFor(s.context) - s.blocks(); missing > 0 {
-		m.memory.take(missing)
+		m.memory.allocate(missing)
 		s.private += missing
 	}
 }
 
-// release frees a sequence's memory. Generated blocks go into the prefix
-// cache when the configuration says so.
+// release frees a sequence's memory. If CacheGenerated is set, its blocks stay in the
+// prefix cache.
 func (m *Model) release(s *sequence) {
 	if m.config.CacheGenerated && s.blocks() > 0 && s.prefilled() {
 		m.shareBlocks(s, s.context/m.config.BlockTokens)
 	}
-	m.memory.give(s.private)
+	m.memory.deallocate(s.private)
 	s.private = 0
 	m.dropShared(s)
 	s.computed = 0
 }
 
-// dropShared releases shared blocks from the end, so that the front of a
-// prefix stays cached longest.
+// dropShared releases shared blocks from the end, so that the start of a prefix stays
+// cached longest.
 func (m *Model) dropShared(s *sequence) {
 	for i := len(s.shared) - 1; i >= 0; i-- {
-		m.memory.drop(s.shared[i])
+		m.memory.unref(s.shared[i])
 	}
 	s.shared = s.shared[:0]
 }
--- a/internal/lab/engine/sequence.go
+++ b/internal/lab/engine/sequence.go
@@ -7,16 +7,16 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// sequenceState says where a sequence is.
+// sequenceState is the stage of a sequence.
 type sequenceState uint8
 
 const (
-	stateImporting sequenceState = iota // its KV state is being received
-	stateWaiting                        // in the waiting queue
-	stateRunning                        // in the batch
-	stateHeld                           // prefilled, waiting for export
-	stateExporting                      // its KV state is being sent
-	stateGone                           // ended or cancelled
+	stateImporting      sequenceState = iota // its KV state is being received
+	stateWaiting                             // in the waiting queue
+	stateRunning                             // in the batch
+	stateAwaitingExport                      // prefilled, waiting for export
+	stateExporting                           // its KV state is being sent
+	stateRemoved                             // ended or cancelled
 )
 
 // sequence is a request inside the engine.
@@ -26,10 +26,10 @@
 	state       sequenceState
 	heapIndex   int
 	shared      []*block // leading blocks, found by hash
-	private     int      // further blocks
+	private     int      // number of further blocks
 	context     int      // prompt, resumed and generated tokens
-	computed    int      // context tokens whose KV state is held
-	imported    int      // context tokens received and not yet placed
+	computed    int      // context tokens whose KV state is in memory
+	imported    int      // context tokens whose KV state was imported before admission
 	generated   int      // tokens generated here
 	spans       []port.Span
 	submittedAt time.Duration
@@ -37,12 +37,12 @@
 	cachedHits  int
 	preemptions int
 	admitted    bool
-	unshareable bool // some KV state is of weights since replaced
+	unshareable bool // some KV state was computed with replaced weights
 }
 
 func (s *sequence) blocks() int { return len(s.shared) + s.private }
 
-// remaining returns the tokens still to generate.
+// remaining returns the number of tokens still to generate.
 func (s *sequence) remaining() int {
 	if s.request.PrefillOnly {
 		return 0
@@ -60,8 +60,8 @@
 	return s.arrival < other.arrival
 }
 
-// blockHash returns the hash of the i-th full block of the context; previous
-// is the hash of the block before it.
+// blockHash returns the hash of the i-th full block of the context; previous is the hash
+// of the preceding block.
 func (s *sequence) blockHash(i int, previous uint64) uint64 {
 	if i < len(s.request.PromptBlocks) {
 		return s.request.PromptBlocks[i]
@@ -69,7 +69,7 @@
 	return chainHash(previous, s.request.ContentKey+uint64(i))
 }
 
-// lastSharedHash returns the hash of the last shared block.
+// lastSharedHash returns the hash of the last shared block, or 0.
 func (s *sequence) lastSharedHash() uint64 {
 	if len(s.shared) == 0 {
 		return 0
@@ -89,7 +89,7 @@
 	s.spans = append(s.spans, port.Span{Version: version, Tokens: count})
 }
 
-// completion describes the sequence so far.
+// completion returns the completion of the sequence so far.
 func (s *sequence) completion(reason FinishReason) *Completion {
 	return &Completion{
 		Reason:       reason,
--- a/internal/lab/engine/store.go
+++ b/internal/lab/engine/store.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// Store models a weight store or link with a limited rate. Transfers are
-// served one after another at the full rate, so that the total never exceeds
-// it. It is not safe for concurrent use.
+// Store models a weight store or link with a limited rate. Transfers run one after
+// another at the full rate. It is not safe for concurrent use.
 type Store struct {
 	bytesPerSecond int64
 	busyUntil      time.Duration
 }
 
-// NewStore returns a store that hands out bytesPerSecond in total.
+// NewStore returns a store that transfers bytesPerSecond in total.
 func NewStore(bytesPerSecond int64) *Store {
 	return &Store{bytesPerSecond: max(bytesPerSecond, 1)}
 }
 
-// Reserve books a transfer asked for at time now and returns when it ends.
+// Reserve adds a transfer requested at time now and returns when it ends.
 func (s *Store) Reserve(now time.Duration, bytes int64) time.Duration {
 	start := max(now, s.busyUntil)
 	seconds := float64(bytes) / float64(s.bytesPerSecond)
--- a/internal/lab/engine/text.go
+++ b/internal/lab/engine/text.go
@@ -10,18 +10,18 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// digits writes the numbers inside generated tokens.
+// digits are the digits used in generated tokens.
 const digits = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 
-// ContentKey identifies the text that a prompt and a seed lead to.
+// ContentKey identifies the text generated for a prompt and a seed.
 func ContentKey(prompt string, seed uint64) uint64 {
 	return chainHash(xxhash.Sum64String(prompt), seed)
 }
 
-// TokenText returns the token at a position of a generated text. Every token
-// is BytesPerToken long: one digit tells the version that produced it, two
-// tell the content key and the position, and a space ends it. An audit can
-// therefore read from a text which versions truly produced it.
+// TokenText returns the token at a position of a generated text. Every token is
+// BytesPerToken long: one digit for the version that generated it, two derived from the
+// content key and the position, and a space. An audit can therefore read from a text
+// which versions generated it.
 func TokenText(key uint64, position int, version port.WeightVersion) string {
 	content := chainHash(key, uint64(position)) % uint64(len(digits)*len(digits))
 	return string([]byte{
@@ -32,8 +32,8 @@
 	})
 }
 
-// VersionDigit returns the digit that stands for a version in generated text:
-// '?' for the unknown version, else one that repeats after 61 versions.
+// VersionDigit returns the digit of a version in generated text: '?' for the unknown
+// version, otherwise one that repeats after 61 versions.
 func VersionDigit(version port.WeightVersion) byte {
 	if version == UnknownVersion {
 		return '?'
@@ -41,7 +41,7 @@
 	return digits[version%port.WeightVersion(len(digits)-1)]
 }
 
-// Text returns count tokens of a generated text from a position on.
+// Text returns count tokens of a generated text, starting at a position.
 func Text(key uint64, position, count int, version port.WeightVersion) string {
 	var text strings.Builder
 	text.Grow(count * BytesPerToken)
@@ -51,8 +51,8 @@
 	return text.String()
 }
 
-// SameContent reports whether a text holds the tokens of a content key from
-// position 0 on, whatever versions produced them.
+// SameContent reports whether a text consists of the tokens of a content key from
+// position 0 on, regardless of the versions that generated them.
 func SameContent(text string, key uint64) bool {
 	if len(text)%BytesPerToken != 0 {
 		return false
@@ -66,16 +66,16 @@
 	return true
 }
 
-// Lengths is a log-normal distribution of output lengths in tokens: most
-// outputs are short and a few are very long.
+// Lengths is a log-normal distribution of output lengths in tokens: most are short and
+// a few very long.
 type Lengths struct {
 	Median float64
-	// Sigma is the standard deviation of the logarithm; 0 makes all equal.
+	// Sigma is the standard deviation of the logarithm; if it is 0, all lengths are equal.
 	Sigma float64
 	Max   int
 }
 
-// Of returns the length that belongs to a content key, at least 1.
+// Of returns the length for a content key, at least 1.
 func (l Lengths) Of(key uint64) int {
 	normal := rand.New(rand.NewPCG(key, 0)).NormFloat64()
 	length := int(l.Median * math.Exp(l.Sigma*normal))
--- a/internal/lab/engine/text_test.go
+++ b/internal/lab/engine/text_test.go
@@ -17,10 +17,10 @@
 		key  uint64
 		want bool
 	}{
-		{"own", text, key, true},
+		{"same key", text, key, true},
 		{"other seed", text, ContentKey("a prompt", 2), false},
 		{"shifted", text[BytesPerToken:], key, false},
-		{"cut inside a token", text[:7], key, false},
+		{"truncated token", text[:7], key, false},
 	}
 	for _, c := range cases {
 		if got := SameContent(c.text, c.key); got != c.want {
--- a/internal/lab/engine/transfer.go
+++ b/internal/lab/engine/transfer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Export stops a request and sends its KV state out. EventExported follows
-// when the transfer has ended; the memory is free from then on. It returns
-// ErrUnknownRequest for a request that is not there or holds no KV state.
+// Export stops a request and starts to transfer its KV state. EventExported follows when
+// the transfer has ended, and the memory is freed. Export returns ErrUnknownRequest if
+// the request doesn't exist or has no KV state.
 func (m *Model) Export(now time.Duration, id string) error {
 	m.interrupt(now)
 	s := m.sequences[id]
-	if s == nil || (s.state != stateRunning && s.state != stateHeld) {
+	if s == nil || (s.state != stateRunning && s.state != stateAwaitingExport) {
 		return ErrUnknownRequest
 	}
 	m.detach(s)
@@ -18,14 +18,14 @@
 	return nil
 }
 
-// transfer books the KV link for so many tokens of a sequence.
+// transfer reserves the KV link for a number of tokens of a sequence.
 func (m *Model) transfer(now time.Duration, s *sequence, tokens int) {
 	ready := m.kvLink.Reserve(now, int64(tokens)*m.config.KVBytesPerToken)
 	m.timers = append(m.timers, timer{at: ready, kind: timerTransfer, sequence: s})
 }
 
-// finishTransfer ends an import or an export. The sequence may have been
-// cancelled meanwhile.
+// finishTransfer ends an import or an export. The sequence may have been cancelled in the
+// meantime.
 func (m *Model) finishTransfer(at time.Duration, s *sequence) {
 	switch s.state {
 	case stateImporting:
@@ -41,12 +41,12 @@
 	}
 }
 
-// shortenRun ends the present run with the step in progress.
+// shortenRun ends the current run with the current step.
 func (m *Model) shortenRun(at time.Duration) {
 	if m.run.active {
-		m.settle(at)
+		m.completeSteps(at)
 	}
 	if m.run.active {
-		m.run.steps = m.run.settled + 1
+		m.run.steps = m.run.completed + 1
 	}
 }
--- a/internal/lab/engine/translate.go
+++ b/internal/lab/engine/translate.go
@@ -6,8 +6,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Report gives the load in the form that engines answer in. Of several versions
-// of a name that are staged or loaded the newest shows.
+// Report returns the load in the form of the engine protocol. If several versions of the
+// same weights are staged or loading, it reports the newest.
 func (l Load) Report() port.LoadReport {
 	report := port.LoadReport{
 		Running: l.Running, Waiting: l.Waiting, KVUsed: l.KVUsed, KVTotal: l.KVTotal,
@@ -33,24 +33,24 @@
 	return report
 }
 
-// versions are the places of a report for what is staged and what is loaded.
+// versions points to the fields of a report for staged versions and those being staged.
 type versions struct{ staged, staging *port.WeightVersion }
 
-// versionsOf finds the places for the base model or an adapter, which is added
-// if the report lacks it.
+// versionsOf returns the fields for the base model or an adapter. It adds the adapter if
+// the report doesn't contain it.
 func versionsOf(report *port.LoadReport, adapter string) versions {
 	if adapter == "" {
 		return versions{&report.Staged, &report.Staging}
 	}
-	place := slices.IndexFunc(report.Adapters, func(known port.AdapterVersion) bool { return known.Name == adapter })
-	if place < 0 {
-		place = len(report.Adapters)
+	index := slices.IndexFunc(report.Adapters, func(known port.AdapterVersion) bool { return known.Name == adapter })
+	if index < 0 {
+		index = len(report.Adapters)
 		report.Adapters = append(report.Adapters, port.AdapterVersion{Name: adapter})
 	}
-	return versions{&report.Adapters[place].Staged, &report.Adapters[place].Staging}
+	return versions{&report.Adapters[index].Staged, &report.Adapters[index].Staging}
 }
 
-// OrderFrom translates an order from the form that engines are sent.
+// OrderFrom converts an order from the form of the engine protocol.
 func OrderFrom(body port.Order) (Order, *port.Error) {
 	order := Order{
 		Fence:   uint64(body.Fence),
