--- a/internal/lab/experiment/bars.go
+++ b/internal/lab/experiment/bars.go
@@ -1,24 +1,24 @@
 package experiment
 
-// BarResult is a bar with what was measured.
+// BarResult is a bar with the values that were compared.
 type BarResult struct {
 	Bar
-	// Measured is the variant's mean, Compared that of the opponent, whose name
-	// is Opponent.
+	// Measured is the variant's mean, Compared that of the opponent, and Opponent the
+	// opponent's name.
 	Measured float64 `json:"measured"`
 	Compared float64 `json:"compared"`
 	Opponent string  `json:"opponent"`
-	// Ratio is Measured over Compared; nil where Compared is 0.
+	// Ratio is Measured divided by Compared; nil if Compared is 0.
 	Ratio *float64 `json:"ratio,omitempty"`
-	// ThroughputRatio is the variant's samples an hour over the baseline's; nil
-	// where the bar does not ask for it.
+	// ThroughputRatio is the variant's samples per hour divided by the baseline's; nil
+	// if the bar has no throughput condition.
 	ThroughputRatio *float64 `json:"throughput_ratio,omitempty"`
 	Met             bool     `json:"met"`
 }
 
-// judge compares a bar with a point's results. It is not judged where its variant
-// or opponent did not run, or lacks the figure.
-func (s *Settings) judge(bar Bar, point Point) (BarResult, bool) {
+// evaluateBar evaluates a bar on a point's results. It returns false if the variant or the
+// opponent did not run or lacks the figure.
+func (s *Settings) evaluateBar(bar Bar, point Point) (BarResult, bool) {
 	variant, ran := point.VariantNamed(bar.Variant)
 	summary, known := variant.SummaryNamed(bar.Figure)
 	if !ran || !known {
@@ -30,7 +30,7 @@
 			return BarResult{}, false
 		}
 		result.Compared = *summary.Limit
-		result.decide()
+		result.evaluate()
 		return result, true
 	}
 	best, found := s.bestBaseline(point, bar.Figure)
@@ -43,12 +43,12 @@
 		ratio := throughputRatio(variant, best)
 		result.ThroughputRatio = &ratio
 	}
-	result.decide()
+	result.evaluate()
 	return result, true
 }
 
-// decide fills in the ratio and the verdict. Against 0 only 0 meets a bar.
-func (r *BarResult) decide() {
+// evaluate sets Ratio and Met. If Compared is 0, only 0 meets the bar.
+func (r *BarResult) evaluate() {
 	if r.Compared > 0 {
 		ratio := r.Measured / r.Compared
 		r.Ratio = &ratio
@@ -59,7 +59,7 @@
 	}
 }
 
-// bestBaseline is the baseline with the lowest mean of a figure.
+// bestBaseline returns the baseline with the lowest mean of a figure.
 func (s *Settings) bestBaseline(point Point, figure string) (VariantResult, bool) {
 	var best VariantResult
 	var lowest Summary
@@ -77,8 +77,8 @@
 	return best, found
 }
 
-// throughputRatio is the samples an hour of one variant over those of another; 0
-// where the other has none.
+// throughputRatio returns the samples per hour of one variant divided by those of another,
+// or 0 if the other has none.
 func throughputRatio(variant, other VariantResult) float64 {
 	summary, _ := variant.SummaryNamed(FigureSamplesPerHour)
 	otherSummary, _ := other.SummaryNamed(FigureSamplesPerHour)
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// Bounds of settings.
+// Limits of settings.
 const (
 	minLength       = time.Second
 	maxLength       = 30 * 24 * time.Hour
@@ -26,16 +26,16 @@
 	maxPublishEvery = 1_000_000
 )
 
-// MaxSeeds is the largest number of seeds.
+// MaxSeeds is the maximum number of seeds.
 const MaxSeeds = 1000
 
-// namePattern holds for the names of experiments and variants, which also name
-// folders.
+// namePattern matches valid names of experiments and variants, which are also used as
+// folder names.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 const nameAllowed = "1 to 63 lower-case letters, digits and inner hyphens"
 
-// routings and parts are the allowed values, in the order of messages.
+// routings and parts list the allowed values, in the order of messages.
 var (
 	routings = []sim.Routing{sim.RoutingRoundRobin, sim.RoutingRandom, sim.RoutingLeastInFlight, sim.RoutingLoomgrade}
 	parts    = []sim.Part{
@@ -43,18 +43,18 @@
 	}
 )
 
-// checker gathers the faults of one file.
-type checker struct{ faults []*settings.Error }
+// checker collects the errors of one file.
+type checker struct{ errors []*settings.Error }
 
 func (s *Settings) check() []*settings.Error {
 	var c checker
 	c.name("name", s.Name)
 	if _, known := siteNamed(s.Site); !known {
-		c.fault("site", s.Site, siteInkwell+" or "+siteMarea)
+		c.addError("site", s.Site, siteInkwell+" or "+siteMarea)
 	}
 	c.duration("length", s.Length, minLength, maxLength)
 	c.duration("warm_up", s.WarmUp, 0, max(s.Length.Value()/2, 0))
-	c.whole("seeds", s.Seeds, 1, MaxSeeds)
+	c.integer("seeds", s.Seeds, 1, MaxSeeds)
 	c.number("confidence", s.Confidence, minConfidence, maxConfidence)
 	c.overrides(s.Overrides)
 	c.variants(s.Variants)
@@ -65,60 +65,60 @@
 	for index, bar := range s.Bars {
 		c.bar(fmt.Sprintf("bars[%d]", index), s, bar)
 	}
-	c.combined(s.Site, s.Overrides)
-	return c.faults
+	c.mergedSite(s.Site, s.Overrides)
+	return c.errors
 }
 
 func (c *checker) variants(variants []Variant) {
 	if len(variants) == 0 {
-		c.fault("variants", "", "at least one variant")
+		c.addError("variants", "", "at least one variant")
 	}
 	seen := map[string]bool{}
 	for index, variant := range variants {
 		key := fmt.Sprintf("variants[%d]", index)
 		c.name(key+".name", variant.Name)
 		if seen[variant.Name] {
-			c.fault(key+".name", variant.Name, "a name that no other variant has")
+			c.addError(key+".name", variant.Name, "a name that no other variant has")
 		}
 		seen[variant.Name] = true
 		if !slices.Contains(routings, variant.Routing) {
-			c.fault(key+".routing", string(variant.Routing), list(routings))
+			c.addError(key+".routing", string(variant.Routing), list(routings))
 		}
 		c.without(key+".without", variant)
 		if variant.ImportKV && variant.Baseline() {
-			c.fault(key+".import_kv", "true", "false, unless routing is "+string(sim.RoutingLoomgrade))
+			c.addError(key+".import_kv", "true", "false, unless routing is "+string(sim.RoutingLoomgrade))
 		}
 	}
 }
 
-// without allows one switch at a time, and only for loomgrade.
+// without allows at most one disabled part, and only for loomgrade's routing.
 func (c *checker) without(key string, variant Variant) {
 	if len(variant.Without) == 0 {
 		return
 	}
 	value := list(variant.Without)
 	if variant.Baseline() {
-		c.fault(key, value, "nothing, unless routing is "+string(sim.RoutingLoomgrade))
+		c.addError(key, value, "nothing, unless routing is "+string(sim.RoutingLoomgrade))
 	}
 	if len(variant.Without) > 1 {
-		c.fault(key, value, "one part, so that a difference has one cause")
+		c.addError(key, value, "one part, so that a difference has one cause")
 	}
 	if !slices.Contains(parts, variant.Without[0]) {
-		c.fault(key, value, list(parts))
+		c.addError(key, value, list(parts))
 	}
 }
 
-// reference has to be a variant, and one that switches a part off differs from it
-// in nothing else.
+// reference checks that the reference is a variant and that a variant with a disabled part
+// uses the same policy.
 func (c *checker) reference(s *Settings) {
 	reference, known := s.variant(s.Reference)
 	if !known {
-		c.fault("reference", s.Reference, "the name of a variant")
+		c.addError("reference", s.Reference, "the name of a variant")
 		return
 	}
 	for index, variant := range s.Variants {
 		if len(variant.Without) > 0 && variant.Policy != reference.Policy {
-			c.fault(fmt.Sprintf("variants[%d].policy", index), variant.Policy,
+			c.addError(fmt.Sprintf("variants[%d].policy", index), variant.Policy,
 				fmt.Sprintf("%q as in %s, so that the part switched off is the only difference", reference.Policy, reference.Name))
 		}
 	}
@@ -127,80 +127,80 @@
 func (c *checker) sweep(key string, s *Settings, sweep Sweep) {
 	setting, known := sweepable[sweep.Setting]
 	if !known {
-		c.fault(key+".setting", sweep.Setting, strings.Join(sweepableNames(), ", "))
+		c.addError(key+".setting", sweep.Setting, strings.Join(sweepableNames(), ", "))
 	}
 	if len(sweep.Values) == 0 || len(sweep.Values) > maxSweepValues {
-		c.fault(key+".values", strconv.Itoa(len(sweep.Values))+" values", fmt.Sprintf("1 to %d values", maxSweepValues))
+		c.addError(key+".values", strconv.Itoa(len(sweep.Values))+" values", fmt.Sprintf("1 to %d values", maxSweepValues))
 	}
 	for index, value := range sweep.Values {
 		if known && setting.set(&Overrides{}, value) != nil {
-			c.fault(fmt.Sprintf("%s.values[%d]", key, index), value, setting.allowed)
+			c.addError(fmt.Sprintf("%s.values[%d]", key, index), value, setting.allowed)
 		}
 	}
 	for index, name := range sweep.Variants {
 		if _, known := s.variant(name); !known {
-			c.fault(fmt.Sprintf("%s.variants[%d]", key, index), name, "the name of a variant")
+			c.addError(fmt.Sprintf("%s.variants[%d]", key, index), name, "the name of a variant")
 		}
 	}
-	c.whole(key+".seeds", sweep.Seeds, 0, MaxSeeds)
+	c.integer(key+".seeds", sweep.Seeds, 0, MaxSeeds)
 }
 
 func (c *checker) bar(key string, s *Settings, bar Bar) {
 	if !slices.Contains(barFigures, bar.Figure) {
-		c.fault(key+".figure", bar.Figure, strings.Join(barFigures, ", "))
+		c.addError(key+".figure", bar.Figure, strings.Join(barFigures, ", "))
 	}
 	if _, known := s.variant(bar.Variant); !known {
-		c.fault(key+".variant", bar.Variant, "the name of a variant")
+		c.addError(key+".variant", bar.Variant, "the name of a variant")
 	}
 	switch bar.Against {
 	case AgainstLimit:
 	case AgainstBestBaseline:
 		if !slices.ContainsFunc(s.Variants, Variant.Baseline) {
-			c.fault(key+".against", string(bar.Against), "limit, since no variant is a baseline")
+			c.addError(key+".against", string(bar.Against), "limit, since no variant is a baseline")
 		}
 	default:
-		c.fault(key+".against", string(bar.Against), string(AgainstBestBaseline)+" or "+string(AgainstLimit))
+		c.addError(key+".against", string(bar.Against), string(AgainstBestBaseline)+" or "+string(AgainstLimit))
 	}
 	c.number(key+".at_most", bar.AtMost, 0, maxFactor)
 	c.number(key+".throughput", bar.Throughput, 0, maxFactor)
 }
 
-func (c *checker) fault(key, value, allowed string) {
-	c.faults = append(c.faults, &settings.Error{Key: key, Value: value, Allowed: allowed})
+func (c *checker) addError(key, value, allowed string) {
+	c.errors = append(c.errors, &settings.Error{Key: key, Value: value, Allowed: allowed})
 }
 
 func (c *checker) name(key, value string) {
 	if !namePattern.MatchString(value) {
-		c.fault(key, value, nameAllowed)
+		c.addError(key, value, nameAllowed)
 	}
 }
 
 func (c *checker) duration(key string, value settings.Duration, low, high time.Duration) {
-	if fault := value.CheckRange(key, low, high); fault != nil {
-		c.faults = append(c.faults, fault)
+	if err := value.CheckRange(key, low, high); err != nil {
+		c.errors = append(c.errors, err)
 	}
 }
 
-// optional checks a duration that may be left out.
-func (c *checker) optional(key string, value settings.Duration, low, high time.Duration) {
+// optionalDuration checks a duration if it is set.
+func (c *checker) optionalDuration(key string, value settings.Duration, low, high time.Duration) {
 	if !value.IsZero() {
 		c.duration(key, value, low, high)
 	}
 }
 
-func (c *checker) whole(key string, value, low, high int) {
+func (c *checker) integer(key string, value, low, high int) {
 	if value < low || value > high {
-		c.fault(key, strconv.Itoa(value), fmt.Sprintf("%d to %d", low, high))
+		c.addError(key, strconv.Itoa(value), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
 func (c *checker) number(key string, value, low, high float64) {
 	if !(value >= low && value <= high) {
-		c.fault(key, strconv.FormatFloat(value, 'g', -1, 64), fmt.Sprintf("%g to %g", low, high))
+		c.addError(key, strconv.FormatFloat(value, 'g', -1, 64), fmt.Sprintf("%g to %g", low, high))
 	}
 }
 
-// list joins named values for a message.
+// list joins values for a message.
 func list[T ~string](values []T) string {
 	texts := make([]string, 0, len(values))
 	for _, value := range values {
--- a/internal/lab/experiment/checkoverrides.go
+++ b/internal/lab/experiment/checkoverrides.go
@@ -7,17 +7,17 @@
 )
 
 func (c *checker) overrides(o Overrides) {
-	c.whole("overrides.engines", o.Engines, 0, maxEngines)
-	c.optional("overrides.trainer_step", o.TrainerStep, minTrainerStep, maxTrainerStep)
-	c.whole("overrides.publish_every", o.PublishEvery, 0, maxPublishEvery)
-	c.whole("overrides.batch_samples", o.BatchSamples, 0, maxSamples)
-	c.whole("overrides.group_size", o.GroupSize, 0, maxSamples)
-	c.whole("overrides.buffer_batches", o.BufferBatches, 0, maxSamples)
-	c.whole("overrides.prompt_tokens", o.PromptTokens, 0, maxTokens)
+	c.integer("overrides.engines", o.Engines, 0, maxEngines)
+	c.optionalDuration("overrides.trainer_step", o.TrainerStep, minTrainerStep, maxTrainerStep)
+	c.integer("overrides.publish_every", o.PublishEvery, 0, maxPublishEvery)
+	c.integer("overrides.batch_samples", o.BatchSamples, 0, maxSamples)
+	c.integer("overrides.group_size", o.GroupSize, 0, maxSamples)
+	c.integer("overrides.buffer_batches", o.BufferBatches, 0, maxSamples)
+	c.integer("overrides.prompt_tokens", o.PromptTokens, 0, maxTokens)
 	if o.SharedPrefix != nil {
-		c.whole("overrides.shared_prefix_tokens", *o.SharedPrefix, 0, maxTokens)
+		c.integer("overrides.shared_prefix_tokens", *o.SharedPrefix, 0, maxTokens)
 	}
-	c.whole("overrides.shared_prefixes", o.SharedPrefixes, 0, maxTokens)
+	c.integer("overrides.shared_prefixes", o.SharedPrefixes, 0, maxTokens)
 	c.number("overrides.caller_scale", o.CallerScale, 0, maxFactor)
 	c.engine(o.Engine)
 	c.lengths(o.Lengths)
@@ -25,12 +25,12 @@
 }
 
 func (c *checker) engine(e Engine) {
-	c.optional("overrides.engine.step_base", e.StepBase, minEngineTime, maxEngineTime)
-	c.optional("overrides.engine.step_per_sequence", e.StepPerSequence, minEngineTime, maxEngineTime)
-	c.optional("overrides.engine.step_per_prefill_token", e.StepPerPrefillToken, minEngineTime, maxEngineTime)
-	c.optional("overrides.engine.swap_pause", e.SwapPause, minEngineTime, maxTrainerStep)
-	c.whole("overrides.engine.max_sequences", e.MaxSequences, 0, maxSamples)
-	c.whole("overrides.engine.kv_blocks", e.KVBlocks, 0, maxTokens)
+	c.optionalDuration("overrides.engine.step_base", e.StepBase, minEngineTime, maxEngineTime)
+	c.optionalDuration("overrides.engine.step_per_sequence", e.StepPerSequence, minEngineTime, maxEngineTime)
+	c.optionalDuration("overrides.engine.step_per_prefill_token", e.StepPerPrefillToken, minEngineTime, maxEngineTime)
+	c.optionalDuration("overrides.engine.swap_pause", e.SwapPause, minEngineTime, maxTrainerStep)
+	c.integer("overrides.engine.max_sequences", e.MaxSequences, 0, maxSamples)
+	c.integer("overrides.engine.kv_blocks", e.KVBlocks, 0, maxTokens)
 }
 
 func (c *checker) lengths(l Lengths) {
@@ -39,7 +39,7 @@
 		const maxSigma = 5
 		c.number("overrides.lengths.sigma", *l.Sigma, 0, maxSigma)
 	}
-	c.whole("overrides.lengths.max", l.Max, 0, maxTokens)
+	c.integer("overrides.lengths.max", l.Max, 0, maxTokens)
 }
 
 func (c *checker) bursts(bursts *[]Burst) {
@@ -54,15 +54,15 @@
 	}
 }
 
-// combined checks what holds between overrides and the rest of the site. It
-// says nothing while there are other faults.
-func (c *checker) combined(siteName string, o Overrides) {
+// mergedSite checks the site with the overrides applied. It reports nothing if other
+// errors were found.
+func (c *checker) mergedSite(siteName string, o Overrides) {
 	site, known := siteNamed(siteName)
-	if !known || len(c.faults) > 0 {
+	if !known || len(c.errors) > 0 {
 		return
 	}
 	for _, trainer := range o.apply(site).Trainers {
-		if c.trainer(trainer); len(c.faults) > 0 {
+		if c.trainer(trainer); len(c.errors) > 0 {
 			return
 		}
 	}
@@ -71,11 +71,11 @@
 func (c *checker) trainer(trainer sim.Trainer) {
 	sampling := trainer.Sampling
 	if sampling.BatchSamples%sampling.GroupSize != 0 {
-		c.fault("overrides.batch_samples", fmt.Sprint(sampling.BatchSamples),
+		c.addError("overrides.batch_samples", fmt.Sprint(sampling.BatchSamples),
 			fmt.Sprintf("a multiple of group_size, which is %d", sampling.GroupSize))
 	}
 	if trainer.SharedPrefixTokens > trainer.PromptTokens {
-		c.fault("overrides.shared_prefix_tokens", fmt.Sprint(trainer.SharedPrefixTokens),
+		c.addError("overrides.shared_prefix_tokens", fmt.Sprint(trainer.SharedPrefixTokens),
 			fmt.Sprintf("at most prompt_tokens, which is %d", trainer.PromptTokens))
 	}
 }
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -2,37 +2,36 @@
 
 import "math"
 
-// Verdict says how a figure changed between two results.
+// Verdict is the classification of a difference.
 type Verdict string
 
-// The verdicts.
+// Values of Verdict.
 const (
 	VerdictBetter      Verdict = "better"
 	VerdictWorse       Verdict = "worse"
 	VerdictWithinNoise Verdict = "within noise"
 )
 
-// Change is how one figure of one variant differs between two results.
+// Change is the difference of one figure of one variant between two results.
 type Change struct {
 	Point, Variant, Figure, Unit string
 	// Before and After are the means of the first and second results.
 	Before, After float64
-	// Difference is After less Before with its interval.
+	// Difference is After minus Before with its interval.
 	Difference Estimate
-	// Paired says that the interval comes from runs with equal seeds.
+	// Paired reports whether the interval was computed from runs with equal seeds.
 	Paired  bool
 	Verdict Verdict
 }
 
-// Compare judges every figure that two results share, by point and variant, and
-// leaves out those of which neither more nor less is better. The
-// interval is that of the paired differences where both have at least two seeds
-// in common, and Welch's otherwise. A figure is better or worse only when the
-// whole interval lies on one side of 0.
+// Compare compares all figures that two results share, by point and variant, except those
+// with NeitherIsBetter. It uses paired differences if the results share at least two
+// seeds, and Welch's interval otherwise. A figure is better or worse only if the whole
+// interval is on one side of 0.
 func Compare(before, after *Results, confidence float64) []Change {
 	var changes []Change
 	for _, point := range before.Points {
-		other, found := pointLike(after, point)
+		other, found := matchingPoint(after, point)
 		if !found {
 			continue
 		}
@@ -56,7 +55,7 @@
 	return changes
 }
 
-func pointLike(results *Results, wanted Point) (Point, bool) {
+func matchingPoint(results *Results, wanted Point) (Point, bool) {
 	for _, point := range results.Points {
 		if point.Setting == wanted.Setting && point.Value == wanted.Value {
 			return point, true
@@ -90,8 +89,7 @@
 	return change, true
 }
 
-// Judge says what a difference, with its interval, means for a figure, of which
-// less or more is better. Without an interval nothing is judged.
+// Judge classifies a difference. It is within noise unless its interval excludes 0.
 func Judge(difference Estimate, better Direction) Verdict {
 	if !difference.ExcludesZero() || math.IsNaN(difference.Mean) {
 		return VerdictWithinNoise
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -7,7 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// shifted adds to the idle share, by seed, and multiplies the samples.
+// shifted returns a fake simulator that adds shift to the idle share, by seed, and sets
+// the number of samples.
 func shifted(shift map[uint64]float64, samples int) experiment.Simulator {
 	return func(options sim.Options) (sim.Outcome, error) {
 		outcome, err := fakeSimulate(options)
@@ -32,10 +33,10 @@
 		{"more idle, fewer samples", map[uint64]float64{1: 0.05, 2: 0.06, 3: 0.04}, 850, experiment.VerdictWorse, experiment.VerdictWorse},
 		{"seeds disagree", map[uint64]float64{1: 0.05, 2: -0.06, 3: 0.04}, 900, experiment.VerdictWithinNoise, experiment.VerdictWithinNoise},
 	}
-	before := runFake(t, goodFile, fakeSimulate, 4)
+	before := runFake(t, validFile, fakeSimulate, 4)
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			after := runFake(t, goodFile, shifted(test.shift, test.samples), 4)
+			after := runFake(t, validFile, shifted(test.shift, test.samples), 4)
 			for figure, want := range map[string]experiment.Verdict{
 				experiment.FigureIdleShare: test.idle, experiment.FigureSamplesPerHour: test.rate,
 			} {
@@ -49,8 +50,8 @@
 }
 
 func TestCompareWithoutCommonSeeds(t *testing.T) {
-	before := runFake(t, goodFile, fakeSimulate, 4)
-	after := runFake(t, goodFile, shifted(map[uint64]float64{1: 0.5, 2: 0.5, 3: 0.5}, 900), 4)
+	before := runFake(t, validFile, fakeSimulate, 4)
+	after := runFake(t, validFile, shifted(map[uint64]float64{1: 0.5, 2: 0.5, 3: 0.5}, 900), 4)
 	for point := range after.Points {
 		for variant := range after.Points[point].Variants {
 			runs := after.Points[point].Variants[variant].Runs
@@ -66,11 +67,11 @@
 }
 
 func TestFiguresThatExplainOthersAreNotCompared(t *testing.T) {
-	results := runFake(t, goodFile, fakeSimulate, 4)
+	results := runFake(t, validFile, fakeSimulate, 4)
 	variant, _ := results.Base().VariantNamed("loomgrade")
-	// The seeds give 101, 102 and 103 tokens a sample.
+	// The seeds give 101, 102 and 103 tokens per sample.
 	if summary, known := variant.SummaryNamed(experiment.FigureTokensPerSample); !known || !near(summary.Mean, 102) {
-		t.Errorf("tokens a sample: %+v, want 102", summary)
+		t.Errorf("tokens per sample: %+v, want 102", summary)
 	}
 	for _, change := range experiment.Compare(results, results, 0.95) {
 		if change.Figure == experiment.FigureTokensPerSample {
@@ -80,8 +81,8 @@
 }
 
 func TestOneSeedJudgesNothing(t *testing.T) {
-	before := runFake(t, goodFile, fakeSimulate, 4)
-	after := runFake(t, goodFile, shifted(map[uint64]float64{1: 0.5, 2: 0.5, 3: 0.5}, 900), 4)
+	before := runFake(t, validFile, fakeSimulate, 4)
+	after := runFake(t, validFile, shifted(map[uint64]float64{1: 0.5, 2: 0.5, 3: 0.5}, 900), 4)
 	for _, results := range []*experiment.Results{before, after} {
 		for variant := range results.Points[0].Variants {
 			results.Points[0].Variants[variant].Runs = results.Points[0].Variants[variant].Runs[:1]
@@ -93,7 +94,7 @@
 	}
 }
 
-// changeOf finds a figure of loomgrade under the settings as given.
+// changeOf returns the change of a figure of loomgrade at the base point.
 func changeOf(t *testing.T, changes []experiment.Change, figure string) experiment.Change {
 	t.Helper()
 	for _, change := range changes {
--- a/internal/lab/experiment/distribution.go
+++ b/internal/lab/experiment/distribution.go
@@ -5,36 +5,36 @@
 	"github.com/rotisserie/eris"
 )
 
-// Distribution is what results keep of a histogram.
+// Distribution summarizes a histogram.
 type Distribution struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
-	// Quantiles rise from the least to the largest value.
+	// Quantiles are in ascending order.
 	Quantiles []Quantile `json:"quantiles,omitempty"`
-	// Counts are the numbers of each value, where values are whole and few.
+	// Counts lists the count of each value, for distributions of small integers.
 	Counts []ValueCount `json:"counts,omitempty"`
 }
 
-// ValueCount is how often a value was recorded.
+// ValueCount is the number of times that a value was recorded.
 type ValueCount struct {
 	Value int64 `json:"value"`
 	Count int64 `json:"count"`
 }
 
-// Quantile is the value that a share of all values does not exceed.
+// Quantile is the value that a share of all values doesn't exceed.
 type Quantile struct {
 	Share float64 `json:"share"`
 	Value float64 `json:"value"`
 }
 
-// mergedShares are the quantiles kept of merged histograms: hundredths for the
-// plots, and the upper tail. runShares are those kept of one run.
+// mergedShares are the quantiles stored for merged histograms: hundredths for the plots,
+// and the upper tail. runShares are those stored for one run.
 var (
 	mergedShares = append(evenShares(100), 0.995, 0.999, 0.9999, 1)
 	runShares    = append(evenShares(10), 0.95, 0.99, 0.999, 1)
 )
 
-// evenShares gives 0 and the multiples of 1/parts below 1.
+// evenShares returns 0 and the multiples of 1/parts below 1.
 func evenShares(parts int) []float64 {
 	shares := make([]float64, 0, parts)
 	for part := range parts {
@@ -43,7 +43,7 @@
 	return shares
 }
 
-// At gives the value at a share that results keep; false without values.
+// At returns the lowest stored quantile of at least a share; false if there is none.
 func (d Distribution) At(share float64) (float64, bool) {
 	for _, quantile := range d.Quantiles {
 		if quantile.Share >= share {
@@ -53,7 +53,7 @@
 	return 0, false
 }
 
-// distributionOf reads a histogram, which may be nil, and divides its values.
+// distributionOf summarizes a histogram, which may be nil, with its values divided.
 func distributionOf(histogram *hdrhistogram.Histogram, divisor float64, shares []float64) Distribution {
 	if histogram == nil || histogram.TotalCount() == 0 {
 		return Distribution{}
@@ -67,8 +67,8 @@
 	return distribution
 }
 
-// countsOf lists the values of a histogram with their counts. It is meant for
-// small whole values, which histograms keep exactly.
+// countsOf returns the values of a histogram with their counts. It is only exact for small
+// integers.
 func countsOf(histogram *hdrhistogram.Histogram) []ValueCount {
 	var counts []ValueCount
 	for _, bar := range histogram.Distribution() {
@@ -79,8 +79,8 @@
 	return counts
 }
 
-// mergeHistograms adds histograms up; nil ones are passed over. The result is nil
-// when there are none.
+// mergeHistograms merges histograms, ignoring nil ones. The result is nil if there are
+// none.
 func mergeHistograms(histograms []*hdrhistogram.Histogram) (*hdrhistogram.Histogram, error) {
 	var merged *hdrhistogram.Histogram
 	for _, histogram := range histograms {
@@ -98,7 +98,7 @@
 	return merged, nil
 }
 
-// distributionsOf merges the histograms of each name and keeps the given
+// distributionsOf merges the histograms of each name and summarizes them with the given
 // quantiles.
 func distributionsOf(list []namedHistogram, shares []float64) ([]NamedDistribution, error) {
 	var distributions []NamedDistribution
--- a/internal/lab/experiment/figures.go
+++ b/internal/lab/experiment/figures.go
@@ -9,19 +9,19 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// Direction says which values of a figure are better.
+// Direction is the direction in which a figure improves.
 type Direction string
 
-// The directions.
+// Values of Direction.
 const (
 	LowerIsBetter  Direction = "lower"
 	HigherIsBetter Direction = "higher"
-	// NeitherIsBetter is that of figures that explain others.
+	// NeitherIsBetter is used for figures that only explain others.
 	NeitherIsBetter Direction = "neither"
 )
 
-// The names of figures. Those of one pool or class of callers end in a slash and
-// its name.
+// Names of figures. The name of a figure of one pool or caller class ends in a slash and
+// the pool or class.
 const (
 	FigureIdleShare        = "idle_share"
 	FigureSamplesPerHour   = "samples_per_hour"
@@ -43,20 +43,19 @@
 	FigureViolations       = "violations"
 )
 
-// barFigures are those that bars can judge.
+// barFigures are the figures that bars can use.
 var barFigures = []string{
 	FigureIdleShare, FigureStalenessMean, FigureStalenessP99, FigureStaleSecondsMean, FigureStaleSecondsP99,
 	FigureLongSampleP50, FigureLongSampleP99, FigureDroppedShare, FigureTokensLostShare,
 }
 
-// Figure is one measured number beside its physical limit.
+// Figure is one measured value with its physical limit.
 type Figure struct {
 	Name   string    `json:"name"`
 	Unit   string    `json:"unit"`
 	Better Direction `json:"better"`
 	Value  float64   `json:"value"`
-	// Limit is what perfect knowledge could reach at best; nil where none is
-	// known.
+	// Limit is the best value that is physically possible; nil if unknown.
 	Limit *float64 `json:"limit,omitempty"`
 }
 
@@ -72,20 +71,19 @@
 	unitTokens       = "tokens"
 )
 
-// Divisors of recorded values: milliseconds to seconds, microseconds to
-// milliseconds.
+// Divisors that convert recorded values to the units of figures.
 const (
 	millisPerSecond = 1000
 	microsPerMilli  = 1000
 )
 
-// Quantiles that figures use.
+// Quantiles used by figures.
 const (
 	median       = 0.5
 	percentile99 = 0.99
 )
 
-// figureList gathers the figures of one run.
+// figureList collects the figures of one run.
 type figureList struct{ figures []Figure }
 
 func (l *figureList) add(name, unit string, better Direction, value float64) *Figure {
@@ -97,7 +95,7 @@
 	l.add(name, unit, better, value).Limit = &limit
 }
 
-// quantile adds a quantile of a distribution, if it holds any value.
+// quantile adds a quantile of a distribution, unless it is empty.
 func (l *figureList) quantile(name, unit string, distribution Distribution, share float64) *Figure {
 	value, known := distribution.At(share)
 	if !known {
@@ -106,7 +104,7 @@
 	return l.add(name, unit, LowerIsBetter, value)
 }
 
-// figuresOf computes the figures of one run.
+// figuresOf returns the figures of one run.
 func figuresOf(options sim.Options, outcome sim.Outcome, distributions []NamedDistribution) []Figure {
 	var list figureList
 	list.trainers(options, outcome)
@@ -136,7 +134,7 @@
 	}
 	hours := (options.Length - options.Warmup).Hours()
 	rate := float64(samples) / hours
-	l.addLimited(FigureSamplesPerHour, unitSamples, HigherIsBetter, rate, mostSamplesPerHour(options.Site, outcome.Limits.IdleShare))
+	l.addLimited(FigureSamplesPerHour, unitSamples, HigherIsBetter, rate, maxSamplesPerHour(options.Site, outcome.Limits.IdleShare))
 	l.add(FigureTokensPerHour, unitTokensHour, HigherIsBetter, float64(tokens)/hours)
 	if samples > 0 {
 		l.add(FigureTokensPerSample, unitTokens, NeitherIsBetter, float64(tokens)/float64(samples))
@@ -151,31 +149,31 @@
 	if staleness.Count > 0 {
 		l.addLimited(FigureStalenessMean, unitVersions, LowerIsBetter, staleness.Mean, outcome.Limits.Staleness)
 	}
-	leastStale := leastStalenessP99(site, outcome.Limits.Staleness)
-	l.quantile(FigureStalenessP99, unitVersions, staleness, percentile99).Limit = &leastStale
+	minStaleness := minStalenessP99(site, outcome.Limits.Staleness)
+	l.quantile(FigureStalenessP99, unitVersions, staleness, percentile99).Limit = &minStaleness
 	seconds := distributionNamed(distributions, DistributionStaleSeconds)
 	if seconds.Count > 0 {
 		l.add(FigureStaleSecondsMean, unitSeconds, LowerIsBetter, seconds.Mean)
 	}
 	l.quantile(FigureStaleSecondsP99, unitSeconds, seconds, percentile99)
 	long := distributionNamed(distributions, DistributionLongSamples)
-	leastMedian, leastP99 := leastLongSampleTime(site, median), leastLongSampleTime(site, percentile99)
-	l.quantile(FigureLongSampleP50, unitSeconds, long, median).Limit = &leastMedian
-	l.quantile(FigureLongSampleP99, unitSeconds, long, percentile99).Limit = &leastP99
+	minMedian, minP99 := minLongSampleTime(site, median), minLongSampleTime(site, percentile99)
+	l.quantile(FigureLongSampleP50, unitSeconds, long, median).Limit = &minMedian
+	l.quantile(FigureLongSampleP99, unitSeconds, long, percentile99).Limit = &minP99
 	if outcome.TokensGenerated > 0 {
 		lost := float64(outcome.TokensLost) / float64(outcome.TokensGenerated)
 		l.addLimited(FigureTokensLostShare, unitShare, LowerIsBetter, lost, 0)
 	}
-	l.addLimited(FigurePrefixHitShare, unitShare, HigherIsBetter, outcome.PrefixHitShare, mostPrefixHits(site))
+	l.addLimited(FigurePrefixHitShare, unitShare, HigherIsBetter, outcome.PrefixHitShare, maxPrefixHitShare(site))
 }
 
 func (l *figureList) callers(site sim.Site, outcome sim.Outcome, distributions []NamedDistribution) {
-	least := float64(leastCallTime(site)) / float64(time.Millisecond)
+	minMillis := float64(minCallTime(site)) / float64(time.Millisecond)
 	for _, caller := range outcome.Callers {
 		suffix := "/" + caller.Name
 		latency := distributionNamed(distributions, DistributionLatency+suffix)
-		l.quantile(FigureLatencyP50+suffix, unitMilliseconds, latency, median).Limit = &least
-		l.quantile(FigureLatencyP99+suffix, unitMilliseconds, latency, percentile99).Limit = &least
+		l.quantile(FigureLatencyP50+suffix, unitMilliseconds, latency, median).Limit = &minMillis
+		l.quantile(FigureLatencyP99+suffix, unitMilliseconds, latency, percentile99).Limit = &minMillis
 		calls := float64(caller.Answered + caller.Refused + caller.Failed)
 		if calls == 0 {
 			continue
@@ -185,7 +183,7 @@
 	}
 }
 
-// figureNamed finds a figure by name.
+// figureNamed returns the figure with a name.
 func figureNamed(figures []Figure, name string) (Figure, bool) {
 	for _, figure := range figures {
 		if figure.Name == name {
@@ -195,8 +193,8 @@
 	return Figure{}, false
 }
 
-// SplitName gives a figure's name without its pool or class of callers, and that
-// pool or class.
+// SplitName splits the name of a figure into the base name and the pool or caller class,
+// which may be empty.
 func SplitName(name string) (base, of string) {
 	base, of, _ = strings.Cut(name, "/")
 	return base, of
--- a/internal/lab/experiment/helpers_test.go
+++ b/internal/lab/experiment/helpers_test.go
@@ -12,8 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// goodFile is an experiment file that is allowed.
-const goodFile = `name: demo
+// validFile is a valid experiment file.
+const validFile = `name: demo
 site: marea
 overrides:
   engines: 4
@@ -54,12 +54,11 @@
     throughput: 0.98
 `
 
-// fakeIdle is the idle share that the fake simulator gives each variant before
-// noise.
+// fakeIdle is the idle share of each variant in the fake simulator, without noise.
 var fakeIdle = map[string]float64{"round-robin": 0.4, "random": 0.5, "without-staging": 0.3, "loomgrade": 0.2}
 
-// fakeSimulate stands in for the simulator: the seed alone decides the noise, so
-// that it is equal for all variants.
+// fakeSimulate is a fake simulator. Its noise depends only on the seed, so it is equal
+// for all variants.
 func fakeSimulate(options sim.Options) (sim.Outcome, error) {
 	source := rand.New(rand.NewPCG(options.Seed, 0))
 	noise := 0.1 * source.Float64()
@@ -85,11 +84,11 @@
 	return outcome, nil
 }
 
-func histogram(source *rand.Rand, most int64) *hdrhistogram.Histogram {
+func histogram(source *rand.Rand, limit int64) *hdrhistogram.Histogram {
 	const values = 100
 	recorded := hdrhistogram.New(1, 3_600_000, 3)
 	for range values {
-		_ = recorded.RecordValue(source.Int64N(most))
+		_ = recorded.RecordValue(source.Int64N(limit))
 	}
 	return recorded
 }
@@ -98,7 +97,7 @@
 	t.Helper()
 	settings, err := experiment.Parse("demo.yaml", []byte(content))
 	if err != nil {
-		t.Fatalf("a good file was refused: %v", err)
+		t.Fatalf("a valid file was rejected: %v", err)
 	}
 	return settings
 }
--- a/internal/lab/experiment/limits.go
+++ b/internal/lab/experiment/limits.go
@@ -9,12 +9,12 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// longSampleShare is the share of samples that are shorter than the long ones.
-const longSampleShare = 0.95
+// longSampleQuantile is the quantile of the length above which a sample is long.
+const longSampleQuantile = 0.95
 
-// mostSamplesPerHour is what the trainers take when they idle no more than the
-// limit.
-func mostSamplesPerHour(site sim.Site, idleShare float64) float64 {
+// maxSamplesPerHour returns the samples per hour of trainers that idle for idleShare of
+// their time.
+func maxSamplesPerHour(site sim.Site, idleShare float64) float64 {
 	total := 0.0
 	for _, trainer := range site.Trainers {
 		steps := float64(time.Hour) / float64(trainer.StepTime)
@@ -23,30 +23,30 @@
 	return total * (1 - idleShare)
 }
 
-// leastLongSampleTime is the time, in seconds, that a quantile of the long
-// samples takes on an engine that runs nothing else and has their prompts in its
-// cache: one step a token, then the score. It follows from the distribution of
-// lengths, so a quantile of few samples may lie a little below it.
-func leastLongSampleTime(site sim.Site, share float64) float64 {
-	least := math.Inf(1)
-	tail := longSampleShare + (1-longSampleShare)*share
+// minLongSampleTime returns the time, in seconds, for a quantile of the long samples on
+// an engine without other load and with their prompts cached: one step per token, then
+// the scoring. It is computed from the length distribution, so a quantile of few samples
+// may be slightly lower.
+func minLongSampleTime(site sim.Site, share float64) float64 {
+	minTokens := math.Inf(1)
+	tail := longSampleQuantile + (1-longSampleQuantile)*share
 	normal := distuv.UnitNormal.Quantile(tail)
 	for _, trainer := range site.Trainers {
 		lengths := trainer.Lengths
 		tokens := lengths.Median * math.Exp(lengths.Sigma*normal)
 		tokens = min(tokens, float64(lengths.Max), float64(trainer.Sampling.MaxTokens))
-		least = min(least, tokens)
+		minTokens = min(minTokens, tokens)
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(minTokens, 1) {
 		return 0
 	}
 	step := site.Engine.StepBase + site.Engine.StepPerSequence
-	return least*step.Seconds() + site.ScoreTime.Seconds()
+	return minTokens*step.Seconds() + site.ScoreTime.Seconds()
 }
 
-// mostPrefixHits is the share of prompt tokens found in a cache when each
-// group's own part of the prompt is computed once and the shared part never.
-func mostPrefixHits(site sim.Site) float64 {
+// maxPrefixHitShare returns the share of prompt tokens found in a cache if each group's own
+// part of the prompt is computed once and the shared prefix never.
+func maxPrefixHitShare(site sim.Site) float64 {
 	computed, total := 0.0, 0.0
 	for _, trainer := range site.Trainers {
 		samplesPerSecond := float64(trainer.Sampling.BatchSamples) / trainer.StepTime.Seconds()
@@ -60,20 +60,20 @@
 	return 1 - computed/total
 }
 
-// leastCallTime is the time of a call that waits nowhere: to a node and back,
-// and the median service time.
-func leastCallTime(site sim.Site) time.Duration {
+// minCallTime returns the time of a call that is never queued: the round trip to a node
+// plus the median service time.
+func minCallTime(site sim.Site) time.Duration {
 	return 2*site.ClientLatency + site.ServiceTime
 }
 
-// leastStalenessP99 is the least 99th percentile of whole ages between 0 and the
-// staleness bound whose mean is at least the limit: with a percentile k the mean
-// is at most 0.99·k + 0.01·bound.
-func leastStalenessP99(site sim.Site, leastMean float64) float64 {
+// minStalenessP99 returns the lowest possible 99th percentile k of integer staleness
+// values from 0 to the bound with a mean of at least minMean: the mean is at most
+// 0.99·k + 0.01·bound.
+func minStalenessP99(site sim.Site, minMean float64) float64 {
 	bound := uint64(0)
 	for _, trainer := range site.Trainers {
 		bound = max(bound, trainer.Sampling.StalenessBound)
 	}
-	least := (leastMean - (1-percentile99)*float64(bound)) / percentile99
-	return max(math.Ceil(least), 0)
+	p99 := (minMean - (1-percentile99)*float64(bound)) / percentile99
+	return max(math.Ceil(p99), 0)
 }
--- a/internal/lab/experiment/limits_test.go
+++ b/internal/lab/experiment/limits_test.go
@@ -9,15 +9,15 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// The limits are worked out by hand for the good file, with an idle limit of 0.1
-// and a staleness limit of 1: the normal quantiles of 0.975 and 0.9995 are 1.960
-// and 3.291, a step of one sequence takes 10.15 ms.
+// The expected limits are computed by hand for the valid file, with an idle limit of 0.1
+// and a staleness limit of 1: the normal quantiles of 0.975 and 0.9995 are 1.960 and
+// 3.291, and a step of one sequence takes 10.15 ms.
 func TestLimitsOfFigures(t *testing.T) {
 	site := sim.Marea()
 	sampling := site.Trainers[0].Sampling
 	samplesPerHour := 0.9 * 3 * 360 * float64(sampling.BatchSamples)
 	score := site.ScoreTime.Seconds()
-	// Calls wait nowhere: 3 ms to a node, 3 ms back.
+	// A call that is never queued takes 3 ms to a node and 3 ms back.
 	call := 6 + float64(site.ServiceTime)/float64(time.Millisecond)
 	want := map[string]float64{
 		experiment.FigureIdleShare:               0.1,
@@ -33,7 +33,7 @@
 		experiment.FigureTokensLostShare:         0,
 		experiment.FigureRefusedShare + "/pilot": 0,
 	}
-	base := runFake(t, goodFile, fakeSimulate, 4).Base()
+	base := runFake(t, validFile, fakeSimulate, 4).Base()
 	variant, _ := base.VariantNamed("loomgrade")
 	for figure, limit := range want {
 		summary, known := variant.SummaryNamed(figure)
--- a/internal/lab/experiment/overrides.go
+++ b/internal/lab/experiment/overrides.go
@@ -8,12 +8,12 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// Overrides change parts of a site. What is left out stays as it is.
+// Overrides changes parts of a site. Fields that are not set change nothing.
 type Overrides struct {
 	Engines int    `yaml:"engines,omitempty" json:"engines,omitempty"`
 	Engine  Engine `yaml:"engine,omitempty" json:"engine,omitzero"`
-	// TrainerStep is how long every trainer takes for a batch, PublishEvery the
-	// number of steps between two versions.
+	// TrainerStep is the duration of a step of every trainer, PublishEvery the number of
+	// steps between two versions.
 	TrainerStep    settings.Duration `yaml:"trainer_step,omitempty" json:"trainer_step,omitzero"`
 	PublishEvery   int               `yaml:"publish_every,omitempty" json:"publish_every,omitempty"`
 	StalenessBound *uint64           `yaml:"staleness_bound,omitempty" json:"staleness_bound,omitempty"`
@@ -25,13 +25,13 @@
 	// SharedPrefixes is the number of different prefixes that prompts share.
 	SharedPrefixes int     `yaml:"shared_prefixes,omitempty" json:"shared_prefixes,omitempty"`
 	Lengths        Lengths `yaml:"lengths,omitempty" json:"lengths,omitzero"`
-	// WeightBytes is the size of a weight version, StoreRate what the weight
-	// store gives in a second, in bytes.
+	// WeightBytes is the size of a weight version, StoreRate the rate of the weight
+	// store in bytes per second.
 	WeightBytes uint64 `yaml:"weight_bytes,omitempty" json:"weight_bytes,omitempty"`
 	StoreRate   uint64 `yaml:"store_rate,omitempty" json:"store_rate,omitempty"`
-	// CallerScale multiplies the rates and numbers of all callers.
+	// CallerScale multiplies the rates and worker counts of all callers.
 	CallerScale float64 `yaml:"caller_scale,omitempty" json:"caller_scale,omitempty"`
-	// Bursts replace those of the site; an empty list takes them away.
+	// Bursts replaces the bursts of the site; an empty list removes them.
 	Bursts *[]Burst `yaml:"bursts,omitempty" json:"bursts,omitempty"`
 }
 
@@ -52,18 +52,18 @@
 	Max    int      `yaml:"max,omitempty" json:"max,omitempty"`
 }
 
-// Burst multiplies the rates of all callers for a while.
+// Burst multiplies the rates of all callers for a time.
 type Burst struct {
 	At     settings.Duration `yaml:"at" json:"at"`
 	Length settings.Duration `yaml:"length" json:"length"`
 	Factor float64           `yaml:"factor" json:"factor"`
 }
 
-// apply gives the site with the overrides. The given site stays as it is.
+// apply returns a copy of the site with the overrides.
 func (o Overrides) apply(site sim.Site) sim.Site {
-	replace(&site.Engines, o.Engines)
-	replace(&site.WeightBytes, o.WeightBytes)
-	replace(&site.StoreRate, o.StoreRate)
+	replaceIfNonZero(&site.Engines, o.Engines)
+	replaceIfNonZero(&site.WeightBytes, o.WeightBytes)
+	replaceIfNonZero(&site.StoreRate, o.StoreRate)
 	o.Engine.apply(&site.Engine)
 	trainers := make([]sim.Trainer, 0, len(site.Trainers))
 	for _, trainer := range site.Trainers {
@@ -83,51 +83,51 @@
 }
 
 func (o Overrides) applyTrainer(trainer sim.Trainer) sim.Trainer {
-	replace(&trainer.StepTime, o.TrainerStep.Value())
-	replace(&trainer.PublishEvery, o.PublishEvery)
-	replace(&trainer.PromptTokens, o.PromptTokens)
-	replacePointed(&trainer.SharedPrefixTokens, o.SharedPrefix)
-	replace(&trainer.SharedPrefixes, o.SharedPrefixes)
-	replacePointed(&trainer.Sampling.StalenessBound, o.StalenessBound)
-	replace(&trainer.Sampling.BatchSamples, o.BatchSamples)
-	replace(&trainer.Sampling.GroupSize, o.GroupSize)
-	replace(&trainer.Sampling.BufferBatches, o.BufferBatches)
+	replaceIfNonZero(&trainer.StepTime, o.TrainerStep.Value())
+	replaceIfNonZero(&trainer.PublishEvery, o.PublishEvery)
+	replaceIfNonZero(&trainer.PromptTokens, o.PromptTokens)
+	replaceIfSet(&trainer.SharedPrefixTokens, o.SharedPrefix)
+	replaceIfNonZero(&trainer.SharedPrefixes, o.SharedPrefixes)
+	replaceIfSet(&trainer.Sampling.StalenessBound, o.StalenessBound)
+	replaceIfNonZero(&trainer.Sampling.BatchSamples, o.BatchSamples)
+	replaceIfNonZero(&trainer.Sampling.GroupSize, o.GroupSize)
+	replaceIfNonZero(&trainer.Sampling.BufferBatches, o.BufferBatches)
 	o.Lengths.apply(&trainer.Lengths)
 	trainer.Sampling.MaxTokens = max(trainer.Sampling.MaxTokens, trainer.Lengths.Max)
 	return trainer
 }
 
 func (l Lengths) apply(lengths *engine.Lengths) {
-	replace(&lengths.Median, l.Median)
-	replacePointed(&lengths.Sigma, l.Sigma)
-	replace(&lengths.Max, l.Max)
+	replaceIfNonZero(&lengths.Median, l.Median)
+	replaceIfSet(&lengths.Sigma, l.Sigma)
+	replaceIfNonZero(&lengths.Max, l.Max)
 }
 
 func (e Engine) apply(config *engine.Config) {
-	replace(&config.StepBase, e.StepBase.Value())
-	replace(&config.StepPerSequence, e.StepPerSequence.Value())
-	replace(&config.StepPerPrefillToken, e.StepPerPrefillToken.Value())
-	replace(&config.SwapPause, e.SwapPause.Value())
-	replace(&config.MaxSequences, e.MaxSequences)
-	replace(&config.KVBlocks, e.KVBlocks)
+	replaceIfNonZero(&config.StepBase, e.StepBase.Value())
+	replaceIfNonZero(&config.StepPerSequence, e.StepPerSequence.Value())
+	replaceIfNonZero(&config.StepPerPrefillToken, e.StepPerPrefillToken.Value())
+	replaceIfNonZero(&config.SwapPause, e.SwapPause.Value())
+	replaceIfNonZero(&config.MaxSequences, e.MaxSequences)
+	replaceIfNonZero(&config.KVBlocks, e.KVBlocks)
 }
 
-// replace puts a value that is not zero in place of another.
-func replace[T comparable](field *T, value T) {
+// replaceIfNonZero sets a field to value unless value is zero.
+func replaceIfNonZero[T comparable](field *T, value T) {
 	var zero T
 	if value != zero {
 		*field = value
 	}
 }
 
-// replacePointed puts a value that is given, zero or not, in place of another.
-func replacePointed[T any](field *T, value *T) {
+// replaceIfSet sets a field to *value unless value is nil.
+func replaceIfSet[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// Bounds of times that overrides may set.
+// Limits of durations that overrides may set.
 const (
 	minEngineTime  = time.Microsecond
 	maxEngineTime  = 10 * time.Second
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -10,35 +10,35 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// ResultsFile is the name of the results inside an output folder.
+// ResultsFile is the name of the results file in an output folder.
 const ResultsFile = "results.json"
 
-// resultsFormat numbers the layout of Results.
+// resultsFormat is the version of the layout of Results.
 const resultsFormat = 1
 
-// Results are everything that an experiment gave. They hold no wall clock: equal
-// settings and an equal build give equal bytes.
+// Results holds the results of an experiment. They contain no wall clock time: equal
+// settings and an equal build give identical bytes.
 type Results struct {
 	Format int `json:"format"`
-	// Version is that of the program.
+	// Version is the version of the program.
 	Version  string   `json:"version"`
 	Settings Settings `json:"settings"`
-	// Given holds the value that each sweep's setting has without the sweep.
+	// Given lists, for each sweep, the value of its setting without the sweep.
 	Given []string `json:"given,omitempty"`
-	// Points holds the settings as given first, then those of the sweeps.
+	// Points lists the point without swept values first, then those of the sweeps.
 	Points []Point `json:"points"`
 }
 
-// Point is one setting of the site, under which variants ran.
+// Point holds the results for one value of a swept setting.
 type Point struct {
-	// Setting and Value are the swept override; empty for the settings as given.
+	// Setting and Value are the swept override, empty for the point without one.
 	Setting  string          `json:"setting,omitempty"`
 	Value    string          `json:"value,omitempty"`
 	Variants []VariantResult `json:"variants"`
 	Bars     []BarResult     `json:"bars,omitempty"`
 }
 
-// Name tells the point apart from the others.
+// Name returns the name of the point, unique within the results.
 func (p Point) Name() string {
 	if p.Setting == "" {
 		return "as given"
@@ -46,42 +46,42 @@
 	return p.Setting + " = " + p.Value
 }
 
-// VariantResult is what one variant gave over all seeds.
+// VariantResult holds the results of one variant over all seeds.
 type VariantResult struct {
 	Name string `json:"name"`
-	// Summary has one entry for each figure that every run has.
+	// Summary has one entry for each figure that all runs have.
 	Summary []Summary `json:"summary"`
 	// Distributions are merged over all seeds.
 	Distributions []NamedDistribution `json:"distributions,omitempty"`
 	Runs          []RunResult         `json:"runs"`
 }
 
-// Summary is a figure over all seeds of a variant.
+// Summary summarizes a figure over all seeds of a variant.
 type Summary struct {
 	Name   string    `json:"name"`
 	Unit   string    `json:"unit"`
 	Better Direction `json:"better"`
 	Estimate
-	// Limit is the mean of the runs' limits, Ratio the mean of the figure over
-	// it; nil where there is no limit, or none over 0.
+	// Limit is the mean of the runs' limits, Ratio the mean of the figure divided by
+	// it. Both are nil without a limit; Ratio is also nil if the limit is 0.
 	Limit *float64 `json:"limit,omitempty"`
 	Ratio *float64 `json:"ratio_to_limit,omitempty"`
-	// Difference is this variant less the reference, paired by seed; nil for the
+	// Difference is this variant minus the reference, paired by seed; nil for the
 	// reference itself.
 	Difference *Estimate `json:"difference_to_reference,omitempty"`
 }
 
-// RunResult is one run of one variant.
+// RunResult holds the results of one run.
 type RunResult struct {
 	Seed          uint64              `json:"seed"`
 	Figures       []Figure            `json:"figures"`
 	Distributions []NamedDistribution `json:"distributions,omitempty"`
 	Violations    []string            `json:"violations,omitempty"`
-	// Series is the course of the first seed's run; other seeds leave it out.
+	// Series is the time series of the run with the first seed; other runs have none.
 	Series []SeriesPoint `json:"series,omitempty"`
 }
 
-// SeriesPoint is the state of the site at one time.
+// SeriesPoint is the state of the site at a point in time.
 type SeriesPoint struct {
 	Seconds     float64 `json:"seconds"`
 	Waiting     int     `json:"waiting"`
@@ -97,8 +97,8 @@
 	Distribution
 }
 
-// The names of distributions. That of a class of callers ends in a slash and its
-// name.
+// Names of distributions. The name of a caller class's distribution ends in a slash and
+// the class.
 const (
 	DistributionStaleness    = "staleness"
 	DistributionStaleSeconds = "stale_seconds"
@@ -106,7 +106,7 @@
 	DistributionLatency      = "latency"
 )
 
-// distributionNamed finds a distribution by name, or gives an empty one.
+// distributionNamed returns the distribution with a name, or an empty one.
 func distributionNamed(distributions []NamedDistribution, name string) Distribution {
 	for _, distribution := range distributions {
 		if distribution.Name == name {
@@ -116,7 +116,7 @@
 	return Distribution{}
 }
 
-// SummaryNamed finds a figure's summary by name.
+// SummaryNamed returns the summary of the figure with a name.
 func (v VariantResult) SummaryNamed(name string) (Summary, bool) {
 	for _, summary := range v.Summary {
 		if summary.Name == name {
@@ -126,12 +126,12 @@
 	return Summary{}, false
 }
 
-// DistributionNamed finds a merged distribution by name, or gives an empty one.
+// DistributionNamed returns the merged distribution with a name, or an empty one.
 func (v VariantResult) DistributionNamed(name string) Distribution {
 	return distributionNamed(v.Distributions, name)
 }
 
-// VariantNamed finds a variant's result by name.
+// VariantNamed returns the result of the variant with a name.
 func (p Point) VariantNamed(name string) (VariantResult, bool) {
 	for _, variant := range p.Variants {
 		if variant.Name == name {
@@ -141,10 +141,10 @@
 	return VariantResult{}, false
 }
 
-// Base is the point with the settings as given.
+// Base returns the point without swept values.
 func (r *Results) Base() Point { return r.Points[0] }
 
-// Violations counts what the audits of all runs found.
+// Violations returns the number of violations in all runs.
 func (r *Results) Violations() int {
 	count := 0
 	for _, point := range r.Points {
@@ -157,7 +157,7 @@
 	return count
 }
 
-// Encode gives the bytes of the results file.
+// Encode returns the content of the results file.
 func (r *Results) Encode() ([]byte, error) {
 	content, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -166,7 +166,7 @@
 	return append(content, '\n'), nil
 }
 
-// ReadResults reads a results file, or that of an output folder.
+// ReadResults reads a results file, or the one in an output folder.
 func ReadResults(path string) (*Results, error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, ResultsFile)
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -12,17 +12,16 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// Simulator runs one variant with one seed; sim.Run is the real one.
+// Simulator runs one variant with one seed. sim.Run is the default implementation.
 type Simulator func(sim.Options) (sim.Outcome, error)
 
-// Plan is an experiment that is ready to run.
+// Plan is an experiment to run.
 type Plan struct {
 	Settings *Settings
 	Simulate Simulator
-	// Parallel is the number of runs at a time.
+	// Parallel is the number of concurrent runs.
 	Parallel int
-	// Progress, if set, hears of every finished run. Calls come from several
-	// goroutines.
+	// Progress, if set, is called after every run, from several goroutines.
 	Progress func(done, total int)
 }
 
@@ -33,7 +32,7 @@
 	outcome        sim.Outcome
 }
 
-// Run runs all variants with all seeds, the sweeps included, and sums up.
+// Run runs all variants with all seeds, including the sweeps, and summarizes the results.
 func Run(ctx context.Context, plan Plan) (*Results, error) {
 	points, jobs := plan.Settings.jobs()
 	if err := plan.simulate(ctx, jobs); err != nil {
@@ -49,7 +48,7 @@
 		variant.Runs = append(variant.Runs, run)
 	}
 	for index := range points {
-		if err := plan.Settings.sumUp(&points[index], index, jobs); err != nil {
+		if err := plan.Settings.summarizePoint(&points[index], index, jobs); err != nil {
 			return nil, err
 		}
 	}
@@ -62,7 +61,7 @@
 	}, nil
 }
 
-// simulate fills in the outcomes of all jobs.
+// simulate runs all jobs and sets their outcomes.
 func (p Plan) simulate(ctx context.Context, jobs []job) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(p.Parallel, 1))
@@ -87,7 +86,7 @@
 	return group.Wait()
 }
 
-// jobs lists the points and all runs, by point, variant and seed.
+// jobs returns all points and runs, ordered by point, variant and seed.
 func (s *Settings) jobs() ([]Point, []job) {
 	site, _ := siteNamed(s.Site)
 	points := []Point{s.point("", "", nil)}
@@ -99,7 +98,7 @@
 		}
 		for _, value := range sweep.Values {
 			overrides := s.Overrides
-			// The check has tried every value.
+			// Cannot fail: check has validated every value.
 			_ = sweepable[sweep.Setting].set(&overrides, value)
 			points = append(points, s.point(sweep.Setting, value, sweep.Variants))
 			last := len(points) - 1
@@ -109,7 +108,7 @@
 	return points, jobs
 }
 
-// point gives an empty point with the named variants, or all of them.
+// point returns a point without results for the named variants, or for all.
 func (s *Settings) point(setting, value string, names []string) Point {
 	point := Point{Setting: setting, Value: value}
 	if len(names) == 0 {
@@ -159,15 +158,14 @@
 	return run, nil
 }
 
-// namedHistogram is a histogram with what results call it.
+// namedHistogram is the set of histograms merged into one named distribution.
 type namedHistogram struct {
 	name, unit string
 	divisor    float64
 	histograms []*hdrhistogram.Histogram
 }
 
-// histogramsOf lists the histograms of an outcome, those of all trainers
-// together.
+// histogramsOf returns the histograms of an outcome. Those of all trainers are combined.
 func histogramsOf(outcome sim.Outcome) []namedHistogram {
 	staleness := namedHistogram{name: DistributionStaleness, unit: unitVersions, divisor: 1}
 	seconds := namedHistogram{name: DistributionStaleSeconds, unit: unitSeconds, divisor: millisPerSecond}
@@ -186,7 +184,7 @@
 	return list
 }
 
-// programVersion names the build: the module's version, or the revision.
+// programVersion returns the VCS revision of the build, or else the module's version.
 func programVersion() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -19,7 +19,7 @@
 func TestResultsAreEqualToTheLastByte(t *testing.T) {
 	var first []byte
 	for _, parallel := range []int{1, 8, 3} {
-		content, err := runFake(t, goodFile, fakeSimulate, parallel).Encode()
+		content, err := runFake(t, validFile, fakeSimulate, parallel).Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,13 +27,13 @@
 			first = content
 		}
 		if !bytes.Equal(first, content) {
-			t.Errorf("results with %d runs at a time differ", parallel)
+			t.Errorf("results with %d concurrent runs differ", parallel)
 		}
 	}
 }
 
 func TestResultsSurviveTheFile(t *testing.T) {
-	content, err := runFake(t, goodFile, fakeSimulate, 4).Encode()
+	content, err := runFake(t, validFile, fakeSimulate, 4).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,14 +50,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(content, again) {
-		t.Error("results that were read back differ")
+		t.Error("decoded results differ")
 	}
 }
 
 func TestRunsGetTheirSettings(t *testing.T) {
 	var mutex sync.Mutex
 	steps := map[string]map[time.Duration]int{}
-	spy := func(options sim.Options) (sim.Outcome, error) {
+	recordOptions := func(options sim.Options) (sim.Outcome, error) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		name := options.Variant.Name
@@ -73,7 +73,7 @@
 		}
 		return fakeSimulate(options)
 	}
-	runFake(t, goodFile, spy, 4)
+	runFake(t, validFile, recordOptions, 4)
 	for name, want := range map[string]map[time.Duration]int{
 		"round-robin": {10 * time.Millisecond: 3},
 		"loomgrade":   {10 * time.Millisecond: 3, 5 * time.Millisecond: 2, 20 * time.Millisecond: 2},
@@ -87,7 +87,7 @@
 }
 
 func TestSummaryStandsBesideItsLimitAndReference(t *testing.T) {
-	base := runFake(t, goodFile, fakeSimulate, 4).Base()
+	base := runFake(t, validFile, fakeSimulate, 4).Base()
 	variant, _ := base.VariantNamed("round-robin")
 	summary, known := variant.SummaryNamed(experiment.FigureIdleShare)
 	if !known || summary.Limit == nil || summary.Ratio == nil || summary.Difference == nil {
@@ -96,31 +96,31 @@
 	if !near(*summary.Ratio, summary.Mean/0.1) {
 		t.Errorf("ratio %v of mean %v to limit 0.1", *summary.Ratio, summary.Mean)
 	}
-	// The noise is the seed's alone, so the pairs differ by exactly 0.2.
+	// The noise depends only on the seed, so the pairs differ by exactly 0.2.
 	if !near(summary.Difference.Mean, 0.2) || summary.Difference.Half > 1e-9 {
 		t.Errorf("difference %+v, want 0.2 without noise", *summary.Difference)
 	}
 }
 
 func TestMergedDistributionsCountAllSeedsAndTrainers(t *testing.T) {
-	results := runFake(t, goodFile, fakeSimulate, 4)
+	results := runFake(t, validFile, fakeSimulate, 4)
 	variant, _ := results.Base().VariantNamed("loomgrade")
 	if got := variant.DistributionNamed(experiment.DistributionStaleness).Count; got != 3*3*100 {
-		t.Errorf("%d values, want those of 3 seeds and 3 trainers", got)
+		t.Errorf("%d values, want the values of 3 seeds and 3 trainers", got)
 	}
 	swept, _ := results.Points[1].VariantNamed("loomgrade")
 	if got := swept.DistributionNamed(experiment.DistributionStaleness).Count; got != 2*3*100 {
-		t.Errorf("%d values of a sweep, want those of 2 seeds and 3 trainers", got)
+		t.Errorf("%d values in a sweep, want the values of 2 seeds and 3 trainers", got)
 	}
 	counted := int64(0)
 	for _, count := range variant.DistributionNamed(experiment.DistributionStaleness).Counts {
 		counted += count.Count
 	}
 	if counted != 3*3*100 {
-		t.Errorf("%d values counted by age", counted)
+		t.Errorf("counts add up to %d", counted)
 	}
 	if got := variant.DistributionNamed(experiment.DistributionLatency + "/pilot").Count; got != 3*100 {
-		t.Errorf("%d values, want those of 3 seeds", got)
+		t.Errorf("%d values, want the values of 3 seeds", got)
 	}
 }
 
@@ -139,26 +139,26 @@
 			return outcome, err
 		}
 	}
-	againstLimit := strings.Replace(goodFile, "against: best_baseline\n    at_most: 0.7", "against: limit\n    at_most: 1.25", 1)
+	againstLimit := strings.Replace(validFile, "against: best_baseline\n    at_most: 0.7", "against: limit\n    at_most: 1.25", 1)
 	cases := []struct {
 		name     string
 		content  string
 		simulate experiment.Simulator
 		want     []bool
 	}{
-		{"met", goodFile, with(0.28, 0.1, 900), []bool{true, true}},
-		{"just not", goodFile, with(0.281, 0.1, 900), []bool{false, true}},
-		{"too little throughput", goodFile, with(0.2, 0.1, 881), []bool{true, false}},
+		{"met", validFile, with(0.28, 0.1, 900), []bool{true, true}},
+		{"slightly missed", validFile, with(0.281, 0.1, 900), []bool{false, true}},
+		{"throughput too low", validFile, with(0.2, 0.1, 881), []bool{true, false}},
 		{"close to the limit", againstLimit, with(0.25, 0.2, 900), []bool{true, true}},
 		{"far from the limit", againstLimit, with(0.26, 0.2, 900), []bool{false, true}},
 		{"limit of 0", againstLimit, with(0.001, 0, 900), []bool{false, true}},
-		{"nothing over a limit of 0", againstLimit, with(0, 0, 900), []bool{true, true}},
+		{"0 against a limit of 0", againstLimit, with(0, 0, 900), []bool{true, true}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			bars := runFake(t, test.content, test.simulate, 4).Base().Bars
 			if len(bars) != len(test.want) {
-				t.Fatalf("%d bars judged, want %d", len(bars), len(test.want))
+				t.Fatalf("%d bars evaluated, want %d", len(bars), len(test.want))
 			}
 			for index, want := range test.want {
 				if bars[index].Met != want {
@@ -170,24 +170,24 @@
 }
 
 func TestBestBaselineIsTheLowest(t *testing.T) {
-	bar := runFake(t, goodFile, fakeSimulate, 4).Base().Bars[0]
+	bar := runFake(t, validFile, fakeSimulate, 4).Base().Bars[0]
 	if bar.Opponent != "round-robin" || bar.Ratio == nil || !near(*bar.Ratio, bar.Measured/bar.Compared) {
 		t.Errorf("bar %+v, want a ratio to round-robin", bar)
 	}
 }
 
 func TestFailedRunsFailTheExperiment(t *testing.T) {
-	failure := errors.New("engine on fire")
+	failure := errors.New("simulated failure")
 	simulate := func(options sim.Options) (sim.Outcome, error) {
 		if options.Variant.Name == "random" && options.Seed == 2 {
 			return sim.Outcome{}, failure
 		}
 		return fakeSimulate(options)
 	}
-	plan := experiment.Plan{Settings: parse(t, goodFile), Simulate: simulate, Parallel: 2}
+	plan := experiment.Plan{Settings: parse(t, validFile), Simulate: simulate, Parallel: 2}
 	_, err := experiment.Run(context.Background(), plan)
 	if !errors.Is(err, failure) || !strings.Contains(err.Error(), "random, seed 2") {
-		t.Errorf("error %v, want one that names the run", err)
+		t.Errorf("error %v, want one with the variant and seed", err)
 	}
 }
 
@@ -195,7 +195,7 @@
 	empty := func(options sim.Options) (sim.Outcome, error) {
 		return sim.Outcome{Trainers: []sim.TrainerOutcome{{Pool: "bulletins"}}}, nil
 	}
-	results := runFake(t, goodFile, empty, 2)
+	results := runFake(t, validFile, empty, 2)
 	if _, err := results.Encode(); err != nil {
 		t.Errorf("results of an empty run: %v", err)
 	}
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -10,92 +10,88 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// Settings is a whole experiment file.
+// Settings is the content of an experiment file.
 type Settings struct {
 	Name string `yaml:"name" json:"name"`
-	// Site is inkwell or marea; Overrides change parts of it for every variant.
+	// Site is inkwell or marea; Overrides changes parts of it for every variant.
 	Site      string    `yaml:"site" json:"site"`
 	Overrides Overrides `yaml:"overrides,omitempty" json:"overrides,omitzero"`
-	// Length is the virtual time of a run; what happens before WarmUp is not
-	// counted.
+	// Length is the virtual time of a run. Figures exclude the first WarmUp of it.
 	Length settings.Duration `yaml:"length" json:"length"`
 	WarmUp settings.Duration `yaml:"warm_up" json:"warm_up"`
-	// Seeds is the number of seeds, from 1 on.
+	// Seeds is the number of seeds; they count from 1.
 	Seeds int `yaml:"seeds" json:"seeds"`
-	// Confidence is that of all intervals. Default 0.95.
+	// Confidence is the confidence level of all intervals. Default 0.95.
 	Confidence float64 `yaml:"confidence,omitempty" json:"confidence"`
-	// Reference is the variant that the others are compared with. Default: the
-	// last one.
+	// Reference is the variant that the others are compared with. Default: the last one.
 	Reference string    `yaml:"reference,omitempty" json:"reference"`
 	Variants  []Variant `yaml:"variants" json:"variants"`
 	Sweeps    []Sweep   `yaml:"sweeps,omitempty" json:"sweeps,omitempty"`
 	Bars      []Bar     `yaml:"bars,omitempty" json:"bars,omitempty"`
 }
 
-// Variant is one way to run the site.
+// Variant is a configuration of the routing under test.
 type Variant struct {
 	Name    string      `yaml:"name" json:"name"`
 	Routing sim.Routing `yaml:"routing" json:"routing"`
-	// Policy is the file of a policy program, relative to the experiment file
-	// unless absolute;
-	// empty keeps that of the site.
+	// Policy is the file of a policy program, relative to the experiment file unless
+	// absolute. If empty, the policy of the site is used.
 	Policy string `yaml:"policy,omitempty" json:"policy,omitempty"`
-	// Without switches off at most one part, so that a difference has one cause.
+	// Without disables at most one part, so that a difference has one cause.
 	Without []sim.Part `yaml:"without,omitempty" json:"without,omitempty"`
 
-	// ImportKV lets a long sample that is moved take its cache along.
+	// ImportKV transfers the KV cache of a long sample that is moved.
 	ImportKV bool `yaml:"import_kv,omitempty" json:"import_kv,omitempty"`
 
 	// policySource is the content of Policy.
 	policySource string
 }
 
-// Baseline says that the variant does without loomgrade's routing.
+// Baseline reports whether the variant doesn't use loomgrade's routing.
 func (v Variant) Baseline() bool { return v.Routing != sim.RoutingLoomgrade }
 
-// Sweep repeats variants with other values of one override.
+// Sweep repeats variants with different values of one override.
 type Sweep struct {
-	// Setting is the key of an override, as engine.step_base.
+	// Setting is the key of an override, such as engine.step_base.
 	Setting string   `yaml:"setting" json:"setting"`
 	Values  []string `yaml:"values" json:"values"`
-	// Variants are those to repeat. Default: all.
+	// Variants lists the variants to repeat. Default: all.
 	Variants []string `yaml:"variants,omitempty" json:"variants,omitempty"`
 	// Seeds is the number of seeds. Default: that of the experiment.
 	Seeds int `yaml:"seeds,omitempty" json:"seeds,omitempty"`
 }
 
-// Bar is a condition that the results meet or not. It compares the mean of a
-// figure, of which less is better, with the lowest mean of the baselines or with
-// the limit.
+// Bar is a condition on the results. It compares the mean of a figure, for which lower
+// is better, with the lowest mean of the baselines or with the limit.
 type Bar struct {
 	Figure  string `yaml:"figure" json:"figure"`
 	Variant string `yaml:"variant" json:"variant"`
 	// Against is best_baseline or limit.
 	Against Opponent `yaml:"against" json:"against"`
-	// AtMost is the largest allowed ratio of the variant's figure to the other.
+	// AtMost is the maximum ratio of the variant's figure to the other.
 	AtMost float64 `yaml:"at_most" json:"at_most"`
-	// Throughput, if over 0, is the least allowed ratio of the samples a trainer
-	// gets in an hour to that of the same baseline.
+	// Throughput, if over 0, is the minimum ratio of the variant's samples per hour to
+	// those of the same baseline.
 	Throughput float64 `yaml:"throughput,omitempty" json:"throughput,omitempty"`
 }
 
-// Opponent is what a bar compares with.
+// Opponent is what a bar compares a variant with.
 type Opponent string
 
-// The opponents.
+// Values of Opponent.
 const (
 	AgainstBestBaseline Opponent = "best_baseline"
 	AgainstLimit        Opponent = "limit"
 )
 
-// maxFileBytes bounds experiment and policy files.
+// maxFileBytes limits the size of experiment and policy files.
 const maxFileBytes = 1 << 20
 
 const defaultConfidence = 0.95
 
-// Load reads an experiment file and the policy programs that it names.
+// Load reads an experiment file and the policy programs that it refers to.
 func Load(path string) (*Settings, error) {
-	content, err := readBounded(path)
+	content, err := readLimited(path)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +108,7 @@
 		if !filepath.IsAbs(policy) {
 			policy = filepath.Join(filepath.Dir(path), policy)
 		}
-		source, err := readBounded(policy)
+		source, err := readLimited(policy)
 		if err != nil {
 			return nil, eris.Wrapf(err, "variant %s", variant.Name)
 		}
@@ -121,8 +117,8 @@
 	return experiment, nil
 }
 
-// Parse reads experiment settings from memory; path stands in messages only.
-// Policy programs are not read.
+// Parse parses an experiment file; path is used only in error messages. It doesn't read
+// policy programs.
 func Parse(path string, content []byte) (*Settings, error) {
 	var experiment Settings
 	check := func() []*settings.Error {
@@ -135,7 +131,7 @@
 	return &experiment, nil
 }
 
-func readBounded(path string) ([]byte, error) {
+func readLimited(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, eris.Wrapf(err, "file %s", path)
@@ -156,7 +152,7 @@
 	}
 }
 
-// variant finds a variant by name.
+// variant returns the variant with a name.
 func (s *Settings) variant(name string) (Variant, bool) {
 	for _, variant := range s.Variants {
 		if variant.Name == name {
--- a/internal/lab/experiment/settings_test.go
+++ b/internal/lab/experiment/settings_test.go
@@ -18,26 +18,26 @@
 		{"unknown nested key", "step_base: 10ms", "step: 10ms", []string{"6:", "step"}},
 		{"repeated key", "seeds: 3", "name: other", []string{"13:", "name"}},
 		{"wrong type", "seeds: 3", "seeds: many", []string{"demo.yaml:13", "seeds", "many", "whole number"}},
-		{"bad name", "name: demo", "name: ../up", []string{"demo.yaml:1", "name", "../up", "lower-case"}},
+		{"invalid name", "name: demo", "name: ../up", []string{"demo.yaml:1", "name", "../up", "lower-case"}},
 		{"unknown site", "site: marea", "site: atlantis", []string{"demo.yaml:2", "site", "atlantis", "inkwell or marea"}},
 		{"no unit", "step_base: 10ms", "step_base: 10", []string{"demo.yaml:6", "overrides.engine.step_base", "10", "with a unit"}},
 		{"length too short", "length: 20m", "length: 1ms", []string{"demo.yaml:11", "length", "1ms", "1s to"}},
 		{"warm-up too long", "warm_up: 2m", "warm_up: 11m", []string{"demo.yaml:12", "warm_up", "11m0s", "0s to 10m0s"}},
 		{"no seeds", "seeds: 3", "seeds: 0", []string{"demo.yaml:13", "seeds", "0", "1 to 1000"}},
 		{"negative engines", "engines: 4", "engines: -1", []string{"demo.yaml:4", "overrides.engines", "-1", "0 to"}},
-		{"split group", "engines: 4", "batch_samples: 33", []string{"demo.yaml:4", "overrides.batch_samples", "33", "multiple of group_size"}},
-		{"prefix beyond prompt", "shared_prefix_tokens: 600", "shared_prefix_tokens: 9999", []string{"demo.yaml:10", "9999", "at most prompt_tokens"}},
+		{"batch not a multiple of the group size", "engines: 4", "batch_samples: 33", []string{"demo.yaml:4", "overrides.batch_samples", "33", "multiple of group_size"}},
+		{"prefix longer than prompt", "shared_prefix_tokens: 600", "shared_prefix_tokens: 9999", []string{"demo.yaml:10", "9999", "at most prompt_tokens"}},
 		{"negative burst", "engines: 4", "bursts: [{at: 1m, length: 1m, factor: -2}]", []string{"demo.yaml:4", "bursts[0].factor", "-2", "0 to"}},
 		{"unknown routing", "routing: round_robin", "routing: sticky", []string{"demo.yaml:17", "variants[0].routing", "sticky", "least_in_flight"}},
-		{"name taken", "name: random", "name: round-robin", []string{"demo.yaml:18", "variants[1].name", "no other variant"}},
+		{"duplicate variant name", "name: random", "name: round-robin", []string{"demo.yaml:18", "variants[1].name", "no other variant"}},
 		{"unknown part", "[staging]", "[magic]", []string{"demo.yaml:22", "variants[2].without", "magic", "prefix_affinity"}},
-		{"two switches", "[staging]", "[staging, priorities]", []string{"demo.yaml:22", "one part"}},
-		{"baseline with a switch", "    routing: random", "    routing: random\n    without: [staging]", []string{"demo.yaml:20", "routing is loomgrade"}},
-		{"baseline that moves caches", "    routing: random", "    routing: random\n    import_kv: true", []string{"demo.yaml:20", "import_kv", "routing is loomgrade"}},
-		{"two differences", "[staging]", "[staging]\n    policy: other.star", []string{"demo.yaml:23", "variants[2].policy", "other.star", "only difference"}},
+		{"two disabled parts", "[staging]", "[staging, priorities]", []string{"demo.yaml:22", "one part"}},
+		{"baseline with a disabled part", "    routing: random", "    routing: random\n    without: [staging]", []string{"demo.yaml:20", "routing is loomgrade"}},
+		{"baseline with import_kv", "    routing: random", "    routing: random\n    import_kv: true", []string{"demo.yaml:20", "import_kv", "routing is loomgrade"}},
+		{"disabled part and another policy", "[staging]", "[staging]\n    policy: other.star", []string{"demo.yaml:23", "variants[2].policy", "other.star", "only difference"}},
 		{"unknown reference", "reference: loomgrade", "reference: best", []string{"demo.yaml:14", "reference", "best", "name of a variant"}},
 		{"unknown sweep", "setting: engine.step_base", "setting: engine.colour", []string{"demo.yaml:26", "engine.colour", "engine.step_per_sequence"}},
-		{"bad swept value", "[5ms, 20ms]", "[5ms, 20]", []string{"demo.yaml:27", "sweeps[0].values[1]", "20", "with a unit"}},
+		{"invalid swept value", "[5ms, 20ms]", "[5ms, 20]", []string{"demo.yaml:27", "sweeps[0].values[1]", "20", "with a unit"}},
 		{"swept value too large", "[5ms, 20ms]", "[5ms, 20h]", []string{"demo.yaml:27", "sweeps[0].values[1]", "20h"}},
 		{"unknown swept variant", "[random, loomgrade]", "[random, best]", []string{"demo.yaml:28", "sweeps[0].variants[1]", "best"}},
 		{"unknown figure", "figure: idle_share", "figure: joy", []string{"demo.yaml:31", "bars[0].figure", "joy", "staleness_p99"}},
@@ -46,17 +46,17 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if !strings.Contains(goodFile, test.old) {
-				t.Fatalf("the good file does not hold %q", test.old)
+			if !strings.Contains(validFile, test.old) {
+				t.Fatalf("the valid file does not contain %q", test.old)
 			}
-			content := strings.Replace(goodFile, test.old, test.replacement, 1)
+			content := strings.Replace(validFile, test.old, test.replacement, 1)
 			_, err := experiment.Parse("demo.yaml", []byte(content))
 			if err == nil {
 				t.Fatal("the file was accepted")
 			}
 			for _, part := range test.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("message %q does not name %q", err, part)
+					t.Errorf("message %q does not contain %q", err, part)
 				}
 			}
 		})
@@ -66,18 +66,18 @@
 func TestLoadReadsPoliciesBesideTheFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "experiment.yaml")
-	content := strings.Replace(goodFile, "    without: [staging]", "    policy: wide.star", 1)
+	content := strings.Replace(validFile, "    without: [staging]", "    policy: wide.star", 1)
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := experiment.Load(path); err == nil || !strings.Contains(err.Error(), "wide.star") {
-		t.Fatalf("a missing policy gave %v", err)
+		t.Fatalf("missing policy: got %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(folder, "wide.star"), []byte("def plan(pool): pass"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := experiment.Load(path); err != nil {
-		t.Fatalf("a good file was refused: %v", err)
+		t.Fatalf("a valid file was rejected: %v", err)
 	}
 }
 
--- a/internal/lab/experiment/site.go
+++ b/internal/lab/experiment/site.go
@@ -7,13 +7,13 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// The names of sites.
+// Names of sites.
 const (
 	siteInkwell = "inkwell"
 	siteMarea   = "marea"
 )
 
-// siteNamed gives a site as the users described it.
+// siteNamed returns the site with a name.
 func siteNamed(name string) (sim.Site, bool) {
 	switch name {
 	case siteInkwell:
@@ -25,7 +25,7 @@
 	}
 }
 
-// scaleCallers multiplies rates and numbers of callers.
+// scaleCallers returns the callers with rates and worker counts multiplied by scale.
 func scaleCallers(callers []load.Class, scale float64) []load.Class {
 	scaled := make([]load.Class, 0, len(callers))
 	for _, class := range callers {
--- a/internal/lab/experiment/statistics.go
+++ b/internal/lab/experiment/statistics.go
@@ -10,23 +10,23 @@
 // Estimate is a mean with its confidence interval.
 type Estimate struct {
 	Mean float64 `json:"mean"`
-	// Half is half the width of the interval: it reaches from Mean-Half to
-	// Mean+Half. Known is false for fewer than two values, which give none.
+	// Half is half the width of the interval, which is Mean-Half to Mean+Half. Known is
+	// false for fewer than two values, which have no interval.
 	Half  float64 `json:"half_width"`
 	Known bool    `json:"interval_known"`
 	Count int     `json:"count"`
 }
 
-// Low and High are the ends of the interval.
+// Low returns the lower end of the interval.
 func (e Estimate) Low() float64 { return e.Mean - e.Half }
 
-// High is the upper end of the interval.
+// High returns the upper end of the interval.
 func (e Estimate) High() float64 { return e.Mean + e.Half }
 
-// ExcludesZero says that the whole interval is on one side of 0.
+// ExcludesZero reports whether the whole interval is on one side of 0.
 func (e Estimate) ExcludesZero() bool { return e.Known && (e.Low() > 0 || e.High() < 0) }
 
-// EstimateMean gives the mean of values and its two-sided confidence interval,
+// EstimateMean returns the mean of values and its two-sided confidence interval,
 // mean ± t(1-α/2, n-1)·s/√n. Source: NIST/SEMATECH e-Handbook of Statistical
 // Methods, section 1.3.5.2, "Confidence Limits for the Mean".
 func EstimateMean(values []float64, confidence float64) Estimate {
@@ -46,10 +46,10 @@
 	}
 }
 
-// EstimatePaired gives the mean of second less first, pair by pair, and its
-// interval. The runs of a pair share a seed, so what the seed causes in both
-// cancels out. Source: Law, Simulation Modeling and Analysis, section 10.2.1, "A
-// Paired-t Confidence Interval". Both slices are equally long.
+// EstimatePaired returns the mean of second minus first, pair by pair, and its interval.
+// The runs of a pair share a seed, so its effect on both cancels out. Both slices must
+// have the same length. Source: Law, Simulation Modeling and Analysis, section 10.2.1, "A
+// Paired-t Confidence Interval".
 func EstimatePaired(first, second []float64, confidence float64) Estimate {
 	differences := make([]float64, len(first))
 	for index := range first {
@@ -58,8 +58,8 @@
 	return EstimateMean(differences, confidence)
 }
 
-// EstimateUnpaired gives the mean of second less that of first where the runs
-// share no seeds, with Welch's interval for unequal variances. Source:
+// EstimateUnpaired returns the mean of second minus that of first, for runs that share no
+// seeds, with Welch's interval for unequal variances. Source:
 // NIST/SEMATECH e-Handbook of Statistical Methods, section 1.3.5.3, "Two-Sample
 // t-Test for Equal Means".
 func EstimateUnpaired(first, second []float64, confidence float64) Estimate {
@@ -84,7 +84,7 @@
 	return difference
 }
 
-// criticalT is the two-sided critical value of Student's t distribution.
+// criticalT returns the two-sided critical value of Student's t distribution.
 func criticalT(confidence, freedom float64) float64 {
 	distribution := distuv.StudentsT{Sigma: 1, Nu: freedom}
 	return distribution.Quantile(1 - (1-confidence)/2)
--- a/internal/lab/experiment/statistics_test.go
+++ b/internal/lab/experiment/statistics_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/experiment"
 )
 
-// The critical values are those of printed tables of Student's t: 4.303 for 2
+// The critical values are from printed tables of Student's t: 4.303 for 2
 // degrees of freedom and 2.776 for 4, two-sided 95%; 4.604 for 4, 99%.
 func TestMeanAgainstKnownIntervals(t *testing.T) {
 	cases := []struct {
@@ -43,7 +43,7 @@
 		t.Errorf("paired: %+v", paired)
 	}
 	if unpaired := experiment.EstimateUnpaired(first, second, 0.95); unpaired.ExcludesZero() {
-		t.Errorf("without pairs the noise should hide the difference: %+v", unpaired)
+		t.Errorf("the unpaired interval excludes 0: %+v", unpaired)
 	}
 }
 
@@ -56,5 +56,5 @@
 	}
 }
 
-// near allows for the three decimals of printed tables.
+// near compares with the precision of printed tables.
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-3*max(1, math.Abs(want)) }
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -5,8 +5,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// sumUp fills in the summaries, merged distributions and bars of a point.
-func (s *Settings) sumUp(point *Point, pointIndex int, jobs []job) error {
+// summarizePoint sets the summaries, merged distributions and bars of a point.
+func (s *Settings) summarizePoint(point *Point, pointIndex int, jobs []job) error {
 	for index := range point.Variants {
 		variant := &point.Variants[index]
 		variant.Summary = summarize(variant.Runs, s.Confidence)
@@ -22,14 +22,15 @@
 		}
 	}
 	for _, bar := range s.Bars {
-		if result, judged := s.judge(bar, *point); judged {
+		if result, ok := s.evaluateBar(bar, *point); ok {
 			point.Bars = append(point.Bars, result)
 		}
 	}
 	return nil
 }
 
-// summarize estimates every figure that all runs have, in the first run's order.
+// summarize returns the summary of each figure that all runs have, in the first run's
+// order.
 func summarize(runs []RunResult, confidence float64) []Summary {
 	if len(runs) == 0 {
 		return nil
@@ -52,7 +53,7 @@
 	return summaries
 }
 
-// addLimit takes in the limits of a figure if every run has one.
+// addLimit sets the limit and ratio if every run has a limit.
 func (s *Summary) addLimit(limits []float64, runs int) {
 	if len(limits) < runs {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// valuesOf gives a figure's values and limits over runs, in the order of runs.
+// valuesOf returns a figure's values and limits, in the order of runs.
 func valuesOf(runs []RunResult, name string) (values, limits []float64) {
 	for _, run := range runs {
 		figure, known := figureNamed(run.Figures, name)
@@ -80,8 +81,8 @@
 	return values, limits
 }
 
-// pairedValues gives a figure's values of runs that share a seed, in the order
-// of the first's runs.
+// pairedValues returns a figure's values from runs that share a seed, in the order of the
+// first runs.
 func pairedValues(first, second []RunResult, name string) (firstValues, secondValues []float64) {
 	for _, run := range first {
 		for _, other := range second {
@@ -116,29 +117,29 @@
 
 // mergedDistributions merges the histograms of all seeds of one variant.
 func mergedDistributions(jobs []job, point, variant int) ([]NamedDistribution, error) {
-	var gathered []namedHistogram
+	var collected []namedHistogram
 	for _, job := range jobs {
 		if job.point != point || job.variant != variant {
 			continue
 		}
-		gathered = appendHistograms(gathered, histogramsOf(job.outcome))
+		collected = appendHistograms(collected, histogramsOf(job.outcome))
 	}
-	return distributionsOf(gathered, mergedShares)
+	return distributionsOf(collected, mergedShares)
 }
 
-// appendHistograms adds a run's histograms to those of the same names.
-func appendHistograms(gathered, run []namedHistogram) []namedHistogram {
+// appendHistograms appends a run's histograms to those of the same names.
+func appendHistograms(collected, run []namedHistogram) []namedHistogram {
 	for _, named := range run {
 		found := false
-		for index := range gathered {
-			if gathered[index].name == named.name {
-				gathered[index].histograms = append(gathered[index].histograms, named.histograms...)
+		for index := range collected {
+			if collected[index].name == named.name {
+				collected[index].histograms = append(collected[index].histograms, named.histograms...)
 				found = true
 			}
 		}
 		if !found {
-			gathered = append(gathered, named)
+			collected = append(collected, named)
 		}
 	}
-	return gathered
+	return collected
 }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -10,20 +10,19 @@
 	"github.com/loomgrade/loomgrade/internal/lab/sim"
 )
 
-// sweepSetting sets one override from text.
+// sweepSetting parses and sets one override.
 type sweepSetting struct {
 	name    string
 	allowed string
 	set     func(overrides *Overrides, value string) error
-	// given reads the value of a site.
+	// given returns the value that a site has.
 	given func(site sim.Site) string
 }
 
-// errOutside says that a swept value is not allowed.
-var errOutside = eris.New("value outside its range")
+// errOutOfRange is returned for a swept value that is not allowed.
+var errOutOfRange = eris.New("value out of range")
 
-// sweepSettings are the overrides that a sweep can change, in the order of
-// messages.
+// sweepSettings lists the overrides that a sweep can change, in the order of messages.
 var sweepSettings = []sweepSetting{
 	sweptTime("engine.step_base", maxEngineTime,
 		func(o *Overrides) *settings.Duration { return &o.Engine.StepBase },
@@ -65,48 +64,48 @@
 }
 
 func sweptTime(
-	name string, most time.Duration, field func(*Overrides) *settings.Duration, given func(sim.Site) time.Duration,
+	name string, maxTime time.Duration, field func(*Overrides) *settings.Duration, given func(sim.Site) time.Duration,
 ) sweepSetting {
 	set := func(overrides *Overrides, value string) error {
 		parsed, err := time.ParseDuration(value)
 		if err != nil {
 			return eris.Wrap(err, name)
 		}
-		if parsed < minEngineTime || parsed > most {
-			return errOutside
+		if parsed < minEngineTime || parsed > maxTime {
+			return errOutOfRange
 		}
 		*field(overrides) = settings.NewDuration(parsed)
 		return nil
 	}
 	return sweepSetting{
 		name:    name,
-		allowed: minEngineTime.String() + " to " + most.String() + ", with a unit",
+		allowed: minEngineTime.String() + " to " + maxTime.String() + ", with a unit",
 		set:     set,
 		given:   func(site sim.Site) string { return given(site).String() },
 	}
 }
 
-func sweptNumber(name string, most int, field func(*Overrides) *int, given func(sim.Site) int) sweepSetting {
+func sweptNumber(name string, maxNumber int, field func(*Overrides) *int, given func(sim.Site) int) sweepSetting {
 	set := func(overrides *Overrides, value string) error {
 		parsed, err := strconv.Atoi(value)
 		if err != nil {
 			return eris.Wrap(err, name)
 		}
-		if parsed < 1 || parsed > most {
-			return errOutside
+		if parsed < 1 || parsed > maxNumber {
+			return errOutOfRange
 		}
 		*field(overrides) = parsed
 		return nil
 	}
 	return sweepSetting{
 		name:    name,
-		allowed: "1 to " + strconv.Itoa(most),
+		allowed: "1 to " + strconv.Itoa(maxNumber),
 		set:     set,
 		given:   func(site sim.Site) string { return strconv.Itoa(given(site)) },
 	}
 }
 
-// givenValues reads the value of every sweep's setting without the sweep.
+// givenValues returns the value of each sweep's setting without the sweep.
 func (s *Settings) givenValues() []string {
 	named, _ := siteNamed(s.Site)
 	site := s.Overrides.apply(named)
@@ -117,8 +116,7 @@
 	return values
 }
 
-// SweptValue orders values of one setting: times by their length, numbers by
-// their size.
+// SweptValue converts a value of a setting to a number: seconds for durations.
 func SweptValue(value string) float64 {
 	if duration, err := time.ParseDuration(value); err == nil {
 		return duration.Seconds()
