--- a/internal/lab/engine/orders.go
+++ b/internal/lab/engine/orders.go
@@ -97,7 +97,6 @@
 }
 
 // stage starts to transfer weights unless they are staged or being staged.
-// stage begins to fetch weights unless they are there or on the way.
 func (m *Model) stage(now time.Duration, weights Weights) {
 	if slices.Contains(m.staged, weights) || slices.Contains(m.staging, weights) {
 		return
@@ -198,7 +197,7 @@
 	}
 }
 
-// finishSwap puts the ordered weights into service, unless a fault is set.
+// finishSwap puts the ordered weights into service, or applies the swap fault.
 func (m *Model) finishSwap(at time.Duration) {
 	ordered, fault := m.swapTarget, m.swapFault
 	m.swapping, m.swapFault = false, swapSucceeds
