--- a/test/site/cold_test.go
+++ b/test/site/cold_test.go
@@ -11,11 +11,11 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// TestColdReplicasGetFewRequests: a replica that says it is cold, and one whose zone was just
-// taken back, gets no more in any second than cold ones bear, however many fronts have
-// requests for it; what they refuse they refuse at once.
+// TestColdReplicasGetFewRequests: a cold replica, and one whose zone was just undrained, gets
+// no more requests per second than the warmup limit, whatever the number of fronts; the
+// fronts reject the others immediately.
 func TestColdReplicasGetFewRequests(t *testing.T) {
-	const rate, bound = 4, 4*1.5 + 5
+	const rate, limit = 4, 4*1.5 + 5
 	s := newSite(t, 3, 0)
 	s.plainFields = fmt.Sprintf(`,"warmupS":1.5,"warmupPerS":%d`, rate)
 	s.start()
@@ -25,8 +25,8 @@
 	s.configure()
 	replica := inZone(sitestandin.NewReplica(t, "i-cold", plain), "a")
 	s.add(replica)
-	until(t, "the number of senders is known", func() bool { return s.fronts[0].watcher.View().Senders >= uint32(len(s.fronts)) })
-	storm := func(name string, lasts time.Duration) (served, refused int) {
+	waitUntil(t, "the number of senders is in the view", func() bool { return s.fronts[0].watcher.View().Senders >= uint32(len(s.fronts)) })
+	sendLoad := func(name string, lasts time.Duration) (served, rejected int) {
 		var group sync.WaitGroup
 		var mutex sync.Mutex
 		end := time.Now().Add(lasts)
@@ -41,7 +41,7 @@
 					case status == http.StatusOK:
 						served++
 					case status == http.StatusServiceUnavailable && header.Get("Retry-After") != "":
-						refused++
+						rejected++
 					default:
 						t.Errorf("%s: status %d", name, status)
 					}
@@ -50,13 +50,13 @@
 			})
 		}
 		group.Wait()
-		return served, refused
+		return served, rejected
 	}
-	within := func(name string, from, until time.Time) {
+	checkRate := func(name string, from, to time.Time) {
 		t.Helper()
 		var at []time.Time
 		for _, arrival := range replica.Arrivals() {
-			if arrival.At.After(from) && arrival.At.Before(until) {
+			if arrival.At.After(from) && arrival.At.Before(to) {
 				at = append(at, arrival.At)
 			}
 		}
@@ -68,33 +68,33 @@
 					count++
 				}
 			}
-			if count > bound {
-				t.Fatalf("%s: %d requests within a second, %v are borne", name, count, bound)
+			if count > limit {
+				t.Fatalf("%s: %d requests within a second, limit %v", name, count, limit)
 			}
 		}
 	}
 	const cold = 1500 * time.Millisecond
 	replica.Cool(cold)
-	s.beat(replica)
-	until(t, "the fronts know that it is cold", func() bool {
+	s.sendHeartbeat(replica)
+	waitUntil(t, "the replica is cold in the views of all fronts", func() bool {
 		return !slices.ContainsFunc(s.fronts, func(p *process) bool { return p.watcher.View().ColdLeft(replica.ID, time.Now()) == 0 })
 	})
-	began := time.Now()
-	if _, refused := storm("cold", time.Second); refused == 0 {
-		t.Error("nothing is refused although the only replica is cold")
+	start := time.Now()
+	if _, rejected := sendLoad("cold", time.Second); rejected == 0 {
+		t.Error("nothing is rejected although the only replica is cold")
 	}
-	within("cold", began, began.Add(time.Second))
+	checkRate("cold", start, start.Add(time.Second))
 	replica.Cool(0)
-	until(t, "it is warm", func() bool {
-		served, refused := storm(fmt.Sprint("warm-", time.Now().UnixNano()), 20*time.Millisecond)
-		return refused == 0 && served > 0
+	waitUntil(t, "the replica is warm", func() bool {
+		served, rejected := sendLoad(fmt.Sprint("warm-", time.Now().UnixNano()), 20*time.Millisecond)
+		return rejected == 0 && served > 0
 	})
-	// Nobody is told that it is cold when its zone comes back.
+	// After an undrain the fronts treat replicas as cold, without a report from them.
 	s.drain("a", false)
-	s.awaitDrained("a", true)
+	s.waitDrained("a", true)
 	s.drain("a", true)
-	s.awaitDrained("a", false)
-	back := time.Now()
-	storm("back", time.Second)
-	within("after its zone came back", back, back.Add(time.Second))
+	s.waitDrained("a", false)
+	undrained := time.Now()
+	sendLoad("back", time.Second)
+	checkRate("after the undrain", undrained, undrained.Add(time.Second))
 }
--- a/test/site/doc.go
+++ b/test/site/doc.go
@@ -1,5 +1,4 @@
-// Package site holds tests of a whole site whose members find each other, on the
-// users' platform: control, store and front processes in one test process, over
-// loopback, with simulated disks and with replicas that speak the platform's
-// protocol.
+// Package site tests complete sites: control, store and front processes in one test
+// process, connected over loopback, with simulated disks and stand-in replicas that speak
+// the platform's protocol.
 package site
--- a/test/site/explain_test.go
+++ b/test/site/explain_test.go
@@ -14,33 +14,33 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// lineBook keeps the log lines of a site's processes.
-type lineBook struct {
+// logRecorder records the log lines of a site's processes.
+type logRecorder struct {
 	mutex sync.Mutex
 	bytes bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (b *lineBook) Write(line []byte) (int, error) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.bytes.Write(line)
+func (r *logRecorder) Write(line []byte) (int, error) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.bytes.Write(line)
 }
 
-// logger makes the logger of a process.
-func (b *lineBook) logger(process string) *log.Logger {
+// logger returns the logger of a process.
+func (r *logRecorder) logger(process string) *log.Logger {
 	return &log.Logger{
-		Level: log.InfoLevel, Writer: log.IOWriter{Writer: b}, TimeField: "time", TimeFormat: log.TimeFormatUnixMs,
+		Level: log.InfoLevel, Writer: log.IOWriter{Writer: r}, TimeField: "time", TimeFormat: log.TimeFormatUnixMs,
 		Context: log.NewContext(nil).Str("process", process).Value(),
 	}
 }
 
-// cause tells why what the id names failed, from the lines alone.
-func (b *lineBook) cause(id string) string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// cause returns the cause of a failed request or item, derived from the log lines alone.
+func (r *logRecorder) cause(id string) string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var lines []logtrace.Line
-	for text := range bytes.Lines(b.bytes.Bytes()) {
+	for text := range bytes.Lines(r.bytes.Bytes()) {
 		if line, ok := logtrace.Parse(text); ok {
 			lines = append(lines, line)
 		}
@@ -48,11 +48,11 @@
 	return logtrace.Cause(logtrace.Select(lines, id))
 }
 
-// TestTheLinesAloneNameTheCause injects failures and finds each from the log.
+// TestTheLinesAloneNameTheCause injects failures and derives each cause from the log.
 func TestTheLinesAloneNameTheCause(t *testing.T) {
-	var book lineBook
+	var logs logRecorder
 	s := newSite(t, 3, 3)
-	s.logger = book.logger
+	s.logger = logs.logger
 	s.start()
 	s.configure()
 	replica := sitestandin.NewReplica(t, "i-plain", plain)
@@ -87,32 +87,32 @@
 		if status, _, _ := s.call("/once/x", id); status < 500 {
 			t.Errorf("%s: status %d", id, status)
 		}
-		if got := book.cause(id); !strings.HasPrefix(got, want) {
+		if got := logs.cause(id); !strings.HasPrefix(got, want) {
 			t.Errorf("%s: %q, want %q", id, got, want)
 		}
 	}
 	s.call("/nowhere/x", "lost")
-	if got := book.cause("lost"); !strings.Contains(got, "has no route for host "+host) {
+	if got := logs.cause("lost"); !strings.Contains(got, "has no route for host "+host) {
 		t.Errorf("no route: %q", got)
 	}
 	s.submit("job-1", job(1, "item-failing"))
 	s.readAll("job-1")
-	if got := book.cause("item-failing"); got != "item given up after 3 failed runs: status 500" {
+	if got := logs.cause("item-failing"); got != "item given up after 3 failed runs: status 500" {
 		t.Errorf("item: %q", got)
 	}
 	for _, p := range s.controls {
 		p.kill()
 	}
-	time.Sleep(2 * time.Second) // longer than an unconfirmed view may deny a route
+	time.Sleep(2 * time.Second) // longer than an unconfirmed view may reject unknown routes
 	s.call("/nowhere/x", "cut-off")
-	if got := book.cause("cut-off"); !strings.Contains(got, "no route is known, and the configuration is not confirmed") {
-		t.Errorf("control cut off: %q", got)
+	if got := logs.cause("cut-off"); !strings.Contains(got, "no route is known, and the configuration is not confirmed") {
+		t.Errorf("control processes down: %q", got)
 	}
 	for _, p := range s.stores {
 		p.kill()
 	}
 	do(http.MethodPost, s.fronts[0].http.URL+"/jobs/submit", host, http.Header{sitestandin.Headers.RequestID: {"job-2"}}, job(1, "item-x"))
-	if got := book.cause("job-2"); !strings.HasPrefix(got, "front-0 answered 50") {
-		t.Errorf("stores lost: %q", got)
+	if got := logs.cause("job-2"); !strings.HasPrefix(got, "front-0 answered 50") {
+		t.Errorf("store processes down: %q", got)
 	}
 }
--- a/test/site/harness_test.go
+++ b/test/site/harness_test.go
@@ -40,21 +40,21 @@
 )
 
 const (
-	patience = 30 * time.Second
-	pollTime = 10 * time.Millisecond
-	host     = "site.example"
-	plain    = "plain-service"
-	lm       = "lm-service"
-	model    = "model-a"
-	// usageWindow and usageDue are those of sites with a provider.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
+	host         = "site.example"
+	plain        = "plain-service"
+	lm           = "lm-service"
+	model        = "model-a"
+	// usageWindow and usageDue are used by sites with a provider.
 	usageWindow = 500 * time.Millisecond
 	usageDue    = time.Second
 )
 
-// coldLimits are those of all sites.
+// coldLimits apply to all sites.
 var coldLimits = coldlimit.Limits{Overshoot: 1.5, Slack: 5}
 
-func quiet() *log.Logger {
+func discardLogger() *log.Logger {
 	return &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}}
 }
 
@@ -65,8 +65,8 @@
 	}
 }
 
-// process is a process of the site: it is started, killed and started again at
-// the same address, with the same disk.
+// process is a process of the site. It can be killed and restarted with the same address
+// and disk.
 type process struct {
 	name    string
 	address string
@@ -74,8 +74,8 @@
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 	server  *wire.Server
-	// slept is how long the machine was suspended so far, in nanoseconds.
-	slept atomic.Int64
+	// suspended is the total time of simulated suspension, in nanoseconds.
+	suspended atomic.Int64
 
 	control *sitecontrol.Control
 	http    *httptest.Server
@@ -84,13 +84,13 @@
 	watcher *siteview.Watcher
 }
 
-// clock is the machine's, which counts suspended time.
-func (p *process) clock() time.Duration { return boottime.Now() + time.Duration(p.slept.Load()) }
+// clock returns the machine's boot time clock, which includes suspended time.
+func (p *process) clock() time.Duration { return boottime.Now() + time.Duration(p.suspended.Load()) }
 
-// suspend lets time pass for all other machines. The process's steady clock does not count it.
-func (p *process) suspend(slept time.Duration) { p.slept.Add(int64(slept)) }
+// suspend advances the process's boot time clock but not its monotonic clock.
+func (p *process) suspend(duration time.Duration) { p.suspended.Add(int64(duration)) }
 
-// site is a whole site.
+// site is a complete site under test.
 type site struct {
 	t        testing.TB
 	controls []*process
@@ -99,37 +99,37 @@
 	replicas []*sitestandin.Replica
 	seeds    []string
 	version  uint64
-	// logger makes the logger of a process.
+	// logger returns the logger of a process.
 	logger func(process string) *log.Logger
-	// holderLease is how long replicas hold to who ordered last.
+	// holderLease is how long replicas accept orders only from the last lease holder.
 	holderLease time.Duration
-	// losses is how many machines with a disk may be lost at once.
-	losses int
-	extra  string // further routes, as JSON, beginning with a comma
-	// models are those of the engines' service.
+	// toleratedLosses is how many machines with a disk may be lost concurrently.
+	toleratedLosses int
+	extra           string // further routes, as JSON, beginning with a comma
+	// models are served by the engine service.
 	models []string
-	// budget bounds what fronts hold for callers; nil is no bound.
+	// budget limits the memory that fronts use for callers; nil is no limit.
 	budget *membudget.Budget
-	// zones gives the region of each zone; nil for none.
+	// zones maps each zone to its region; nil for none.
 	zones map[string]string
-	// storeZones are those of the store machines in turn; empty is "z" for all.
+	// storeZones are assigned to the store machines round-robin; empty is "z" for all.
 	storeZones []string
-	// lmRoute are further fields of the route of jobs, as JSON, beginning with a comma.
+	// lmRoute holds additional fields of the route of jobs, as JSON, beginning with a comma.
 	lmRoute string
-	// plainFields are further fields of the plain service, as JSON, beginning with a comma.
+	// plainFields holds additional fields of the plain service, as JSON, beginning with a comma.
 	plainFields string
-	// placesPerShard is how many places of engines a shard is for, 0 the default.
-	placesPerShard int
-	// tenants is the configuration's list of them, as JSON; empty for none.
+	// slotsPerShard is how many engine slots one shard handles; 0 is the default.
+	slotsPerShard int
+	// tenants is the configuration's list of tenants, as JSON; empty for none.
 	tenants string
-	// provider takes reports of usage; nil for none.
+	// provider receives usage reports; nil for none.
 	provider *sitestandin.Provider
-	// mostJobBytes bounds the jobs that a store machine holds, 0 for no bound.
-	mostJobBytes int
+	// maxJobBytes limits the jobs that a store machine stores; 0 for no limit.
+	maxJobBytes int
 }
 
 func newSite(t testing.TB, controls, stores int) *site {
-	s := &site{t: t, losses: 1, models: []string{model}, holderLease: 300 * time.Millisecond, logger: func(string) *log.Logger { return quiet() }}
+	s := &site{t: t, toleratedLosses: 1, models: []string{model}, holderLease: 300 * time.Millisecond, logger: func(string) *log.Logger { return discardLogger() }}
 	for i := range controls {
 		p := &process{name: fmt.Sprintf("core-%d", i), address: testkit.FreeAddress(t), disk: faultfs.New(uint64(i) + 1)}
 		s.controls = append(s.controls, p)
@@ -148,7 +148,7 @@
 	return p
 }
 
-// start starts everything, with one front.
+// start starts all control and store processes and one front.
 func (s *site) start() {
 	for _, p := range s.controls {
 		s.startControl(p, true)
@@ -173,7 +173,7 @@
 		if err == nil {
 			break
 		}
-		time.Sleep(pollTime)
+		time.Sleep(pollInterval)
 		listener, err = net.Listen("tcp", p.address)
 	}
 	if err != nil {
@@ -190,7 +190,7 @@
 	}()
 }
 
-// kill ends a process as SIGKILL would.
+// kill terminates a process as SIGKILL would.
 func (p *process) kill() {
 	if p.cancel == nil {
 		return
@@ -208,13 +208,13 @@
 	p.done.Wait()
 }
 
-// powerOff ends a process and loses what it had not synced.
+// powerOff kills a process and drops its unsynced data.
 func (p *process) powerOff() {
 	p.kill()
 	p.disk.Crash()
 }
 
-// wipe gives the machine an empty disk.
+// wipe replaces the machine's disk by an empty one.
 func (p *process) wipe(seed uint64) { p.disk = faultfs.New(seed) }
 
 func (s *site) startControl(p *process, first bool) {
@@ -228,7 +228,7 @@
 	p.control = sitecontrol.New(sitecontrol.Config{
 		Machine: p.name, Address: p.address, HeartbeatAddress: p.address, Seeds: s.seeds, Bootstrap: first, Folder: "/data/control", FileSystem: p.disk,
 		Wire: wireOptions(p.name), Dialect: platform.Dialect{}, Logger: s.logger(p.name), Seed: uint64(len(p.name)) + uint64(p.name[len(p.name)-1]),
-		Zones: s.zones, ToleratedLosses: s.losses, SlotsPerShard: s.placesPerShard, HolderLease: s.holderLease,
+		Zones: s.zones, ToleratedLosses: s.toleratedLosses, SlotsPerShard: s.slotsPerShard, HolderLease: s.holderLease,
 		Provider: cloud, UsageWindow: usageWindow, UsageDue: usageDue, Clock: p.clock,
 	})
 	p.control.Register(p.server)
@@ -246,7 +246,7 @@
 	p.store = sitestore.New(sitestore.Config{
 		Machine: p.name, Zone: s.storeZone(p), Address: p.address, Folder: "/data/store", FileSystem: p.disk, Wire: wireOptions(p.name),
 		Dialect: platform.Dialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger(p.name), Seed: uint64(p.name[len(p.name)-1]),
-		ToleratedLosses: s.losses, KeepJobs: time.Minute, MaxJobBytes: s.mostJobBytes, Clock: p.clock,
+		ToleratedLosses: s.toleratedLosses, KeepJobs: time.Minute, MaxJobBytes: s.maxJobBytes, Clock: p.clock,
 	})
 	p.store.Register(p.server)
 	s.listen(p)
@@ -255,7 +255,7 @@
 	p.run(func() { _ = store.Run(ctx) })
 }
 
-// storeZone is where a store machine stands.
+// storeZone returns the zone of a store machine.
 func (s *site) storeZone(p *process) string {
 	if i := slices.Index(s.stores, p); len(s.storeZones) > 0 {
 		return s.storeZones[i%len(s.storeZones)]
@@ -274,12 +274,12 @@
 		Seeds: s.seeds, Wire: wireOptions(name), Decode: platform.Dialect{}.DecodeConfiguration, Provisional: provisional, Interest: interest,
 		Changed: func(view *siteview.View) { sender.Observe(view) }, Logger: s.logger(name), Clock: p.clock, Zones: s.zones,
 	})
-	withholds := sitecontrol.NewGuard(name, watcher, s.logger(name))
+	guard := sitecontrol.NewGuard(name, watcher, s.logger(name))
 	sender = proxy.New(proxy.Config{
-		Dialect: platform.Dialect{}, View: watcher.View, Logger: s.logger(name), Connections: 8, Guard: withholds, Clock: p.clock,
+		Dialect: platform.Dialect{}, View: watcher.View, Logger: s.logger(name), Connections: 8, Guard: guard, Clock: p.clock,
 		Sender: name, Cold: coldLimits, MemoryBudget: s.budget,
 	})
-	p.run(func() { _ = withholds.Run(ctx) })
+	p.run(func() { _ = guard.Run(ctx) })
 	return watcher, sender
 }
 
@@ -289,35 +289,35 @@
 	watcher, sender := s.watch(ctx, p, true)
 	p.watcher = watcher
 	idle := httpserve.NewIdleConnections(time.Second)
-	var counted *front.UsageReporter
+	var usageReporter *front.UsageReporter
 	if s.provider != nil {
-		counted = front.NewUsageReporter(p.name, func(ctx context.Context, report usage.Report) (time.Duration, error) {
+		usageReporter = front.NewUsageReporter(p.name, func(ctx context.Context, report usage.Report) (time.Duration, error) {
 			var answer sitecontrol.Answer
 			err := watcher.Call(ctx, sitecontrol.MethodCall, sitecontrol.Request{Usage: &report}, &answer)
 			return answer.Pause, err
 		}, p.clock, s.logger(p.name))
-		p.run(func() { _ = counted.Run(ctx) })
+		p.run(func() { _ = usageReporter.Run(ctx) })
 	}
 	p.front = front.New(front.Config{
-		Usage:        counted,
+		Usage:        usageReporter,
 		MemoryBudget: s.budget,
 		Dialect:      platform.Dialect{}, Watcher: watcher, Proxy: sender, Logger: s.logger(p.name), Idle: idle,
 		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: wireOptions(p.name), Zone: "z", View: watcher.State, AssignShard: sitecontrol.Placer(watcher), StoredWithin: watcher.StoredWithin}),
 	})
 	p.http = httptest.NewUnstartedServer(platform.FrontHandler(p.front))
-	p.http.Listener = smallBuffers{p.http.Listener}
+	p.http.Listener = smallBufferListener{p.http.Listener}
 	p.http.Start()
 	p.run(func() { _ = watcher.Run(ctx) })
 	s.fronts = append(s.fronts, p)
 	return p
 }
 
-// smallBuffers is a listener to whose connections the kernel takes little of what nobody
-// reads.
-type smallBuffers struct{ net.Listener }
+// smallBufferListener accepts connections with small send buffers, so that the kernel
+// buffers little of what the client doesn't read.
+type smallBufferListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	const sendBuffer = 8 << 10
 	connection, err := l.Listener.Accept()
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
@@ -326,20 +326,20 @@
 	return connection, err
 }
 
-// until waits for a condition. The time is patience with a busy machine and
-// judges nothing.
-func until(t testing.TB, what string, condition func() bool) {
+// waitUntil polls a condition and fails the test if it doesn't hold within waitTimeout.
+func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("in %v not come: %s", patience, what)
+			t.Fatalf("timed out after %v: %s", waitTimeout, what)
 		}
-		time.Sleep(pollTime)
+		time.Sleep(pollInterval)
 	}
 }
 
-// do sends a request and gives the answer's status and body; status 0 is none.
+// do sends a request and returns the response's status, body and header; status 0 means
+// that the request failed.
 func do(method, url, requestHost string, header http.Header, body []byte) (int, string, http.Header) {
 	request, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -363,12 +363,12 @@
 	return response.StatusCode, string(read), response.Header
 }
 
-// operate makes a call at a control process until it is answered otherwise than
-// 5xx or not at all.
-func (s *site) operate(method, path string, body []byte) (int, string) {
+// callControl sends a request to the control processes in turn until one responds with a
+// status below 500.
+func (s *site) callControl(method, path string, body []byte) (int, string) {
 	s.t.Helper()
 	status, answer := 0, ""
-	until(s.t, method+" "+path, func() bool {
+	waitUntil(s.t, method+" "+path, func() bool {
 		for _, p := range s.controls {
 			if p.http == nil {
 				continue
@@ -383,13 +383,13 @@
 	return status, answer
 }
 
-// configuration is a whole configuration of the site's routes.
+// configuration returns a complete configuration of the site.
 func (s *site) configuration(version uint64) []byte {
 	models := make([]map[string]string, 0, len(s.models))
 	for _, name := range s.models {
 		models = append(models, map[string]string{"name": name})
 	}
-	listed, _ := json.Marshal(models)
+	modelsJSON, _ := json.Marshal(models)
 	return fmt.Appendf(nil, `{"version":%d,"routes":[
 		{"name":"r-plain","hostname":"%s","pathPrefix":"/plain/","routeType":"idempotent","timeoutMs":4000,"targetLatencyMs":400,"backend":"%s","maxAttempts":3},
 		{"name":"r-once","hostname":"%s","pathPrefix":"/once/","routeType":"non_idempotent","timeoutMs":4000,"targetLatencyMs":400,"backend":"%s","maxAttempts":3},
@@ -397,10 +397,10 @@
 		"services":[{"name":"%s","healthPath":"/healthz","maxConns":100%s},
 		{"name":"%s","healthPath":"/healthz","maxConns":100,"engine":{"slots":4,"models":%s}}],
 		"limits":{"maxHeaderBytes":16384,"maxBodyBytes":1048576,"headerTimeoutMs":3000,"idleTimeoutMs":15000}%s}`,
-		version, host, plain, host, plain, host, lm, s.lmRoute, s.extra, plain, s.plainFields, lm, listed, s.tenantsField())
+		version, host, plain, host, plain, host, lm, s.lmRoute, s.extra, plain, s.plainFields, lm, modelsJSON, s.tenantsField())
 }
 
-// tenantsField is the configuration's last field, if it has one.
+// tenantsField returns the configuration's tenants field, if tenants are set.
 func (s *site) tenantsField() string {
 	if s.tenants == "" {
 		return ""
@@ -408,14 +408,14 @@
 	return `,"tenants":` + s.tenants
 }
 
-// configure puts a new configuration in force and waits until fronts have it.
+// configure commits a new configuration and waits until all fronts have applied it.
 func (s *site) configure() {
 	s.t.Helper()
 	s.version++
-	if status, answer := s.operate(http.MethodPut, "/loomgrade/config", s.configuration(s.version)); status != http.StatusOK {
+	if status, answer := s.callControl(http.MethodPut, "/loomgrade/config", s.configuration(s.version)); status != http.StatusOK {
 		s.t.Fatalf("configuration: %d %s", status, answer)
 	}
-	until(s.t, "the configuration in force at the fronts", func() bool {
+	waitUntil(s.t, "configuration applied by all fronts", func() bool {
 		for _, p := range s.fronts {
 			if view := p.watcher.View(); view == nil || view.Table == nil || view.Table.Version() < s.version {
 				return false
@@ -425,21 +425,21 @@
 	})
 }
 
-// beat sends a replica's heartbeat.
-func (s *site) beat(r *sitestandin.Replica) {
+// sendHeartbeat sends a replica's heartbeat.
+func (s *site) sendHeartbeat(r *sitestandin.Replica) {
 	s.t.Helper()
-	if status, answer := s.operate(http.MethodPut, "/loomgrade/replicas/"+r.ID, r.Heartbeat()); status != http.StatusOK {
+	if status, answer := s.callControl(http.MethodPut, "/loomgrade/replicas/"+r.ID, r.Heartbeat()); status != http.StatusOK {
 		s.t.Fatalf("heartbeat: %d %s", status, answer)
 	}
 }
 
-// add brings replicas in and waits until fronts know them.
+// add registers replicas and waits until all fronts have them in their views.
 func (s *site) add(replicas ...*sitestandin.Replica) {
 	s.t.Helper()
 	for _, r := range replicas {
-		s.beat(r)
+		s.sendHeartbeat(r)
 		s.replicas = append(s.replicas, r)
-		until(s.t, "replica known", func() bool {
+		waitUntil(s.t, "replica in the views of all fronts", func() bool {
 			for _, p := range s.fronts {
 				if view := p.watcher.View(); view == nil || !view.Replicas.Has(r.ID) {
 					return false
@@ -466,10 +466,10 @@
 	Scorer  map[string]string `json:"scorer,omitempty"`
 }
 
-// job makes a job's body with items of an id each.
+// job returns the body of a job with one item per id.
 func job(minVersion uint64, ids ...string) []byte { return jobOf(model, minVersion, ids...) }
 
-// jobOf is job for a model.
+// jobOf returns the body of a job for a model.
 func jobOf(model string, minVersion uint64, ids ...string) []byte {
 	var items []jobItem
 	for _, id := range ids {
@@ -483,10 +483,10 @@
 	return body
 }
 
-// submit hands a job in until it is accepted.
+// submit sends a job until it is accepted.
 func (s *site) submit(id string, body []byte) {
 	s.t.Helper()
-	until(s.t, "job accepted", func() bool {
+	waitUntil(s.t, "job accepted", func() bool {
 		status, _, _ := do(http.MethodPost, s.fronts[0].http.URL+"/jobs/submit", host, http.Header{sitestandin.Headers.RequestID: {id}}, body)
 		return status == http.StatusAccepted
 	})
@@ -504,7 +504,7 @@
 	} `json:"results"`
 }
 
-// read gives a job's results from a position on.
+// read returns a job's results from a position onwards.
 func (s *site) read(id string, from int) (int, page) {
 	status, body, _ := do(http.MethodGet, fmt.Sprintf("%s/loomgrade/lots/%s?sinceRevision=%d", s.fronts[0].http.URL, id, from), host, nil, nil)
 	var read page
@@ -520,7 +520,7 @@
 func (s *site) readAll(id string) page {
 	s.t.Helper()
 	var all page
-	until(s.t, "all results of job "+id, func() bool {
+	waitUntil(s.t, "all results of job "+id, func() bool {
 		status, read := s.read(id, 0)
 		all = read
 		return status == http.StatusOK && len(read.Results) == read.Total
@@ -528,10 +528,10 @@
 	return all
 }
 
-// leaderStore gives the store process that runs items.
-func (s *site) leaderStore() *process {
+// waitStoreLeader waits for a leader of the store group and returns its process.
+func (s *site) waitStoreLeader() *process {
 	var leader *process
-	until(s.t, "a leader of the store group", func() bool {
+	waitUntil(s.t, "a leader of the store group", func() bool {
 		for _, p := range s.stores {
 			if p.cancel != nil && p.store.Leads() {
 				leader = p
--- a/test/site/homes_test.go
+++ b/test/site/homes_test.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// TestRequestsStayInTheirHomeRegions: those of a route and a tenant with homes are served, and
-// jobs kept, there alone; with the home region's replicas drained they are refused.
+// TestRequestsStayInTheirHomeRegions: requests of a route or tenant with allowed regions are
+// served there only, and jobs stored there only; without replicas there they are rejected.
 func TestRequestsStayInTheirHomeRegions(t *testing.T) {
 	s := newSite(t, 3, 6)
 	s.zones = map[string]string{"h": "home", "o": "other", "z": "home"}
@@ -43,9 +43,9 @@
 			}
 		}
 	}
-	// Route and tenant have no region in common.
+	// The allowed regions of route and tenant are disjoint.
 	if status, _ := with("/home/x", "both", "key-bound"); status != http.StatusServiceUnavailable {
-		t.Errorf("homes without a common region: %d", status)
+		t.Errorf("disjoint allowed regions: %d", status)
 	}
 	var ids []string
 	for n := range 12 {
@@ -56,23 +56,24 @@
 	shard := view.ShardOf(model)
 	for _, store := range view.Stores {
 		if store.Shard == shard && view.RegionOf(store.Zone) != "home" {
-			t.Errorf("%s in region %s keeps the job", store.Name, view.RegionOf(store.Zone))
+			t.Errorf("%s in region %s stores the job", store.Name, view.RegionOf(store.Zone))
 		}
 	}
-	until(t, "all items of the job run", func() bool { return len(homeEngine.Arrivals()) >= len(ids) })
+	waitUntil(t, "all items of the job run", func() bool { return len(homeEngine.Arrivals()) >= len(ids) })
 	if got := otherEngine.Arrivals(); len(got) > 0 {
 		t.Errorf("%d items ran in the other region", len(got))
 	}
 	if status := s.drain("h", false); status != http.StatusOK {
 		t.Fatalf("drain: %d", status)
 	}
-	s.awaitDrained("h", true)
+	s.waitDrained("h", true)
 	if status, body := with("/home/x", "nowhere", ""); status != http.StatusServiceUnavailable || !strings.Contains(body, "home") {
 		t.Errorf("with the home region drained: %d %s", status, body)
 	}
 }
 
-// TestAJobWhoseShardIsElsewhereIsRefused: nothing of it leaves the front.
+// TestAJobWhoseShardIsElsewhereIsRefused: the front rejects a job whose only shard is outside
+// the allowed regions.
 func TestAJobWhoseShardIsElsewhereIsRefused(t *testing.T) {
 	s := newSite(t, 3, 3)
 	s.zones = map[string]string{"h": "home", "z": "other"}
@@ -80,12 +81,12 @@
 	s.start()
 	s.configure()
 	s.add(inZone(sitestandin.NewEngine(t, "i-lm", lm, model), "h"))
-	until(t, "the only shard is founded", func() bool { return len(s.fronts[0].watcher.View().Shards) == 1 })
+	waitUntil(t, "the only shard is bootstrapped", func() bool { return len(s.fronts[0].watcher.View().Shards) == 1 })
 	status, _, _ := do(http.MethodPost, s.fronts[0].http.URL+"/jobs/submit", host, http.Header{sitestandin.Headers.RequestID: {"job"}}, job(0, "item"))
 	if status != http.StatusServiceUnavailable {
 		t.Errorf("status %d", status)
 	}
 	if got := s.fronts[0].watcher.View().ShardOf(model); got != sitestate.ShardNumber(0) {
-		t.Errorf("the model was given to shard %d", got)
+		t.Errorf("the model was assigned to shard %d", got)
 	}
 }
--- a/test/site/memory_test.go
+++ b/test/site/memory_test.go
@@ -7,11 +7,11 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// TestAJobWithoutRoomIsRefusedBeforeItIsKept: the refusal is at once and true. A job that
-// was kept before is answered as kept, room or not, and what is held is done.
+// TestAJobWithoutRoomIsRefusedBeforeItIsKept: a job above the memory limit is rejected
+// immediately and not stored. A retry of a stored job is accepted, and stored jobs finish.
 func TestAJobWithoutRoomIsRefusedBeforeItIsKept(t *testing.T) {
 	s := newSite(t, 3, 3)
-	s.mostJobBytes = 2000
+	s.maxJobBytes = 2000
 	s.start()
 	s.configure()
 	s.add(sitestandin.NewReplica(t, "i-plain", plain))
@@ -25,15 +25,15 @@
 	}
 	status, header := post("job-2", jobOf(model, 1, "item-2", "item-3", "item-4", "item-5", "item-6", "item-7"))
 	if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
-		t.Errorf("a job without room: status %d, Retry-After %q", status, header.Get("Retry-After"))
+		t.Errorf("a job above the limit: status %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
 	if status, _, _ := do(http.MethodGet, s.fronts[0].http.URL+"/loomgrade/lots/job-2?sinceRevision=0", host, nil, nil); status != http.StatusNotFound {
-		t.Errorf("the job that was refused: status %d", status)
+		t.Errorf("the rejected job: status %d", status)
 	}
 	if results := s.readAll("job-1").Results; len(results) != 2 {
-		t.Errorf("%d results of the job that was kept", len(results))
+		t.Errorf("%d results of the stored job", len(results))
 	}
 	if status, _ := post("job-1", first); status != http.StatusAccepted {
-		t.Errorf("the job that was kept, once more: status %d", status)
+		t.Errorf("retry of the stored job: status %d", status)
 	}
 }
--- a/test/site/quarantine_test.go
+++ b/test/site/quarantine_test.go
@@ -14,104 +14,103 @@
 )
 
 const (
-	// deadly is the path of requests that may end a replica.
-	deadly = "/plain/deadly"
-	// endsAllowed is how many replicas one request may end before the site must know it,
-	// and triesAllowed how often it may reach replicas once the site had the time that
-	// knowledge takes.
-	endsAllowed  = 3
-	triesAllowed = 3
-	knownWithin  = 3 * time.Second
+	// crashPath is the path of requests that may crash a replica.
+	crashPath = "/plain/deadly"
+	// maxCrashes is how many replicas a request may crash before the site withholds it, and
+	// maxLaterCrashes how many more once propagationTime has passed.
+	maxCrashes      = 3
+	maxLaterCrashes = 3
+	propagationTime = 3 * time.Second
 )
 
-// fallible is a service whose replicas end when they begin to run certain requests. Each
-// is replaced by a new incarnation that the test brings in.
-type fallible struct {
+// crashingService is a service whose replicas crash when they run certain requests; refill
+// replaces crashed replicas by new ones.
+type crashingService struct {
 	site *site
-	// start makes the stand-in of an incarnation.
-	start func(id string) *sitestandin.Replica
-	// fatal reports whether a request ends the replica that runs it.
-	fatal func(body string, r *http.Request) bool
+	// newReplica starts a stand-in replica.
+	newReplica func(id string) *sitestandin.Replica
+	// crashes reports whether a request crashes the replica that runs it.
+	crashes func(body string, r *http.Request) bool
 
-	mutex sync.Mutex
-	made  int
-	ended []string
-	alive []*sitestandin.Replica
+	mutex   sync.Mutex
+	created int
+	crashed []string
+	alive   []*sitestandin.Replica
 }
 
-// add brings a new incarnation in.
-func (f *fallible) add() {
-	f.mutex.Lock()
-	f.made++
-	replica := f.start(fmt.Sprintf("i-%d", f.made))
-	f.alive = append(f.alive, replica)
-	f.mutex.Unlock()
+// add starts and registers a new replica.
+func (c *crashingService) add() {
+	c.mutex.Lock()
+	c.created++
+	replica := c.newReplica(fmt.Sprintf("i-%d", c.created))
+	c.alive = append(c.alive, replica)
+	c.mutex.Unlock()
 	replica.Behave = func(w http.ResponseWriter, r *http.Request) bool {
 		arrivals := replica.Arrivals()
-		if !f.fatal(arrivals[len(arrivals)-1].Body, r) {
+		if !c.crashes(arrivals[len(arrivals)-1].Body, r) {
 			return false
 		}
-		f.end(replica)
+		c.crash(replica)
 		panic(http.ErrAbortHandler)
 	}
-	f.site.add(replica)
+	c.site.add(replica)
 }
 
-// end ends a replica as a crash does: all its connections close, and none opens any more.
-func (f *fallible) end(replica *sitestandin.Replica) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if slices.Contains(f.ended, replica.ID) {
+// crash simulates a crash: it closes all connections of a replica and accepts no new ones.
+func (c *crashingService) crash(replica *sitestandin.Replica) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if slices.Contains(c.crashed, replica.ID) {
 		return
 	}
-	f.ended = append(f.ended, replica.ID)
-	f.alive = slices.DeleteFunc(f.alive, func(one *sitestandin.Replica) bool { return one == replica })
+	c.crashed = append(c.crashed, replica.ID)
+	c.alive = slices.DeleteFunc(c.alive, func(one *sitestandin.Replica) bool { return one == replica })
 	replica.Stop()
 }
 
-// refill brings new incarnations in for those that ended.
-func (f *fallible) refill(most int) {
+// refill adds replicas until count of them are alive.
+func (c *crashingService) refill(count int) {
 	for {
-		f.mutex.Lock()
-		count := len(f.alive)
-		f.mutex.Unlock()
-		if count >= most {
+		c.mutex.Lock()
+		alive := len(c.alive)
+		c.mutex.Unlock()
+		if alive >= count {
 			return
 		}
-		f.add()
+		c.add()
 	}
 }
 
-// refillFor goes on bringing new incarnations in for a time.
-func (f *fallible) refillFor(duration time.Duration) {
-	for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(pollTime) {
-		f.refill(replicasOfTheService)
+// refillFor replaces crashed replicas for a duration.
+func (c *crashingService) refillFor(duration time.Duration) {
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		c.refill(serviceReplicas)
 	}
 }
 
-func (f *fallible) endedSoFar() int {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return len(f.ended)
+func (c *crashingService) crashCount() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return len(c.crashed)
 }
 
-// replicasOfTheService is as many as the small service of the incident had.
-const replicasOfTheService = 4
+// serviceReplicas is the number of replicas of the service.
+const serviceReplicas = 4
 
-func newFallible(s *site, fatal func(body string, r *http.Request) bool) *fallible {
-	f := &fallible{site: s, fatal: fatal, start: func(id string) *sitestandin.Replica { return sitestandin.NewReplica(s.t, id, plain) }}
-	f.refill(replicasOfTheService)
-	return f
+func newCrashingService(s *site, crashes func(body string, r *http.Request) bool) *crashingService {
+	c := &crashingService{site: s, crashes: crashes, newReplica: func(id string) *sitestandin.Replica { return sitestandin.NewReplica(s.t, id, plain) }}
+	c.refill(serviceReplicas)
+	return c
 }
 
-func newFallibleEngines(s *site, fatal func(body string, r *http.Request) bool) *fallible {
-	f := &fallible{site: s, fatal: fatal, start: func(id string) *sitestandin.Replica { return sitestandin.NewEngine(s.t, id, lm, model) }}
-	f.refill(replicasOfTheService)
-	return f
+func newCrashingEngines(s *site, crashes func(body string, r *http.Request) bool) *crashingService {
+	c := &crashingService{site: s, crashes: crashes, newReplica: func(id string) *sitestandin.Replica { return sitestandin.NewEngine(s.t, id, lm, model) }}
+	c.refill(serviceReplicas)
+	return c
 }
 
-// ask sends a request to a front and gives the status of its answer.
-func ask(front *httptest.Server, path, id, body string, header http.Header) int {
+// send sends a request to a front and returns the response's status.
+func send(front *httptest.Server, path, id, body string, header http.Header) int {
 	all := header.Clone()
 	if all == nil {
 		all = http.Header{}
@@ -122,106 +121,95 @@
 	return status
 }
 
-// TestARequestThatEndsReplicasIsWithheld plays an incident. Replicas of a small service
-// ended in pairs, were back after two seconds and ended again, 40 in 82 s; callers reported
-// one request under which three had ended, and which was sent to eight more.
-//
-// It came about by one request that ends each replica that begins to run it, and that its
-// callers sent again and again, to any front. The bound on the replicas of a request was one
-// try's: a front counted from zero for each, and knew nothing of the tries at others.
-//
-// What proved it: no try was sent to more replicas than its route allows, only tries of one
-// route broke at two replicas each, the second as long after its start as the first, and the
-// callers' record names one request for replicas that ended at four fronts.
+// TestARequestThatEndsReplicasIsWithheld: a request that crashes each replica that runs it
+// is withheld, although callers retry it at several fronts under new ids.
 func TestARequestThatEndsReplicasIsWithheld(t *testing.T) {
 	s := newSite(t, 3, 1)
 	s.start()
 	s.startFront(&process{name: "front-1"})
 	s.configure()
-	service := newFallible(s, func(body string, r *http.Request) bool { return body == "fatal" })
+	service := newCrashingService(s, func(body string, r *http.Request) bool { return body == "fatal" })
 	tries := 0
-	again := func() {
-		ask(s.fronts[tries%len(s.fronts)].http, deadly, fmt.Sprintf("again-%d", tries), "fatal", nil)
+	retry := func() {
+		send(s.fronts[tries%len(s.fronts)].http, crashPath, fmt.Sprintf("again-%d", tries), "fatal", nil)
 		tries++
 	}
-	for service.endedSoFar() < endsAllowed {
-		again()
-		service.refill(replicasOfTheService)
+	for service.crashCount() < maxCrashes {
+		retry()
+		service.refill(serviceReplicas)
 	}
-	time.Sleep(knownWithin)
-	before := service.endedSoFar()
+	time.Sleep(propagationTime)
+	before := service.crashCount()
 	for range 10 {
-		again()
-		service.refill(replicasOfTheService)
+		retry()
+		service.refill(serviceReplicas)
 	}
-	if ended := service.endedSoFar() - before; ended > triesAllowed {
-		t.Errorf("%d replicas had ended under a request, and %d more did when it came again", before, ended)
+	if crashed := service.crashCount() - before; crashed > maxLaterCrashes {
+		t.Errorf("%d replicas had crashed during a request, and retries crashed %d more", before, crashed)
 	}
 	for _, front := range s.fronts {
-		if status := ask(front.http, deadly, "other-"+front.name, "harmless", nil); status != http.StatusOK {
-			t.Errorf("%s: a request with another body is answered %d", front.name, status)
+		if status := send(front.http, crashPath, "other-"+front.name, "harmless", nil); status != http.StatusOK {
+			t.Errorf("%s: a request with another body gets status %d", front.name, status)
 		}
 	}
 }
 
-// TestAnItemThatEndsReplicasIsWithheld: what runs the items of a job sends an item again as
-// long as its job is open. One that ends each replica that runs it took them all, one after
-// the other, and the items beside it with them.
+// TestAnItemThatEndsReplicasIsWithheld: an item that crashes each replica that runs it is
+// withheld, although its job is still open, and the job's other items complete.
 func TestAnItemThatEndsReplicasIsWithheld(t *testing.T) {
 	s := newSite(t, 3, 3)
 	s.start()
 	s.configure()
-	engines := newFallibleEngines(s, func(_ string, r *http.Request) bool {
+	engines := newCrashingEngines(s, func(_ string, r *http.Request) bool {
 		return r.Header.Get(sitestandin.Headers.RequestID) == "fatal"
 	})
 	s.add(sitestandin.NewReplica(t, "plain-1", plain))
 	s.submit("job-1", job(1, "fatal", "item-1", "item-2"))
-	for engines.endedSoFar() < endsAllowed {
-		engines.refill(replicasOfTheService)
-		time.Sleep(pollTime)
+	for engines.crashCount() < maxCrashes {
+		engines.refill(serviceReplicas)
+		time.Sleep(pollInterval)
 	}
-	before := engines.endedSoFar()
-	engines.refillFor(2*knownWithin + knownWithin/2)
-	if ended := engines.endedSoFar() - before; ended > triesAllowed {
-		t.Errorf("%d replicas had ended under an item, and %d more did", before, ended)
+	before := engines.crashCount()
+	engines.refillFor(2*propagationTime + propagationTime/2)
+	if crashed := engines.crashCount() - before; crashed > maxLaterCrashes {
+		t.Errorf("%d replicas had crashed during an item, and %d more did", before, crashed)
 	}
-	until(t, "the other items completed", func() bool {
+	waitUntil(t, "the other items completed", func() bool {
 		_, read := s.read("job-1", 0)
 		return len(read.Results) >= 2
 	})
 }
 
-// endUnder has requests end as many replicas as it takes to withhold them.
-func (f *fallible) endUnder(path, body string, header http.Header) {
-	for try := 0; f.endedSoFar() < endsAllowed; try++ {
-		ask(f.site.fronts[0].http, path, fmt.Sprintf("end-%d", try), body, header)
-		f.refill(replicasOfTheService)
+// crashReplicas sends a request until it has crashed enough replicas to be withheld.
+func (c *crashingService) crashReplicas(path, body string, header http.Header) {
+	for try := 0; c.crashCount() < maxCrashes; try++ {
+		send(c.site.fronts[0].http, path, fmt.Sprintf("end-%d", try), body, header)
+		c.refill(serviceReplicas)
 	}
 }
 
-// withheldAt waits until a front refuses a request without sending it.
-func (f *fallible) withheldAt(front *process, path, body string, header http.Header) {
-	f.site.t.Helper()
+// waitWithheld waits until a front rejects a request without sending it to a replica.
+func (c *crashingService) waitWithheld(front *process, path, body string, header http.Header) {
+	c.site.t.Helper()
 	tries := 0
-	until(f.site.t, "the request withheld at "+front.name, func() bool {
+	waitUntil(c.site.t, "the request is withheld at "+front.name, func() bool {
 		tries++
-		before := f.endedSoFar()
-		status := ask(front.http, path, fmt.Sprintf("held-%s-%d", front.name, tries), body, header)
-		f.refill(replicasOfTheService)
-		return status == http.StatusServiceUnavailable && f.endedSoFar() == before
+		before := c.crashCount()
+		status := send(front.http, path, fmt.Sprintf("held-%s-%d", front.name, tries), body, header)
+		c.refill(serviceReplicas)
+		return status == http.StatusServiceUnavailable && c.crashCount() == before
 	})
 }
 
-// TestAWithheldRequestOutlivesItsProcesses: what the site knows is in the control log. A front
-// that starts anew, after the loss of all power of the control machines, does not send the
-// request either.
+// TestAWithheldRequestOutlivesItsProcesses: withheld requests are stored in the control log;
+// a front that starts after a power failure of the control machines withholds them too.
 func TestAWithheldRequestOutlivesItsProcesses(t *testing.T) {
 	s := newSite(t, 3, 1)
 	s.start()
 	s.configure()
-	service := newFallible(s, func(body string, _ *http.Request) bool { return body == "fatal" })
-	service.endUnder(deadly, "fatal", nil)
-	service.withheldAt(s.fronts[0], deadly, "fatal", nil)
+	service := newCrashingService(s, func(body string, _ *http.Request) bool { return body == "fatal" })
+	service.crashReplicas(crashPath, "fatal", nil)
+	service.waitWithheld(s.fronts[0], crashPath, "fatal", nil)
 	for _, p := range s.controls {
 		p.powerOff()
 	}
@@ -229,59 +217,51 @@
 		s.startControl(p, false)
 	}
 	late := s.startFront(&process{name: "front-late"})
-	until(t, "the new front has a view", func() bool { return late.watcher.ConfirmedWithin(time.Second) })
-	before := service.endedSoFar()
-	if status := ask(late.http, deadly, "late", "fatal", nil); status != http.StatusServiceUnavailable || service.endedSoFar() != before {
-		t.Errorf("answered %d, %d replicas ended", status, service.endedSoFar()-before)
+	waitUntil(t, "the new front has a view", func() bool { return late.watcher.ConfirmedWithin(time.Second) })
+	before := service.crashCount()
+	if status := send(late.http, crashPath, "late", "fatal", nil); status != http.StatusServiceUnavailable || service.crashCount() != before {
+		t.Errorf("status %d, %d replicas crashed", status, service.crashCount()-before)
 	}
 }
 
-// TestCallersOfTheSameAreToldApart: one tenant's request ends replicas, another one asks for
-// the same with the same body and is served.
+// TestCallersOfTheSameAreToldApart: a request withheld for one tenant is served for another
+// tenant with the same path and body.
 func TestCallersOfTheSameAreToldApart(t *testing.T) {
 	s := newSite(t, 3, 1)
 	s.tenants = twoTenants
 	s.start()
 	s.configure()
-	service := newFallible(s, func(_ string, r *http.Request) bool { return r.Header.Get(sitestandin.Headers.Tenant) == "ada" })
-	service.endUnder(deadly, "same", keyed("key-a1"))
-	service.withheldAt(s.fronts[0], deadly, "same", keyed("key-a2")) // the tenant's other key
-	if status := ask(s.fronts[0].http, deadly, "bob", "same", keyed("key-b")); status != http.StatusOK {
-		t.Errorf("the other tenant is answered %d", status)
+	service := newCrashingService(s, func(_ string, r *http.Request) bool { return r.Header.Get(sitestandin.Headers.Tenant) == "ada" })
+	service.crashReplicas(crashPath, "same", keyHeader("key-a1"))
+	service.waitWithheld(s.fronts[0], crashPath, "same", keyHeader("key-a2")) // another key of the same tenant
+	if status := send(s.fronts[0].http, crashPath, "bob", "same", keyHeader("key-b")); status != http.StatusOK {
+		t.Errorf("the other tenant gets status %d", status)
 	}
 }
 
-// TestARequestThatRanBesideTheCauseIsServedAgain: three replicas end by themselves under a
-// request. It is withheld, tried once when replicas had time to come back, and let go.
-//
-// It was once answered twice and withheld again. The front asked for a trial and got it, and its
-// view had not yet come when the caller tried again; the front asked anew and was given the
-// same trial once more, as one whose answer was lost. So the second answer did not mean that
-// the request was let go.
-//
-// What proved it: with views that came 0.1 s late the front's lines had trial 1 given twice
-// within 5 ms, both with no trial in the view, and the test failed as it had; with the front's
-// word of the answer 0.5 s late it passed.
+// TestARequestThatRanBesideTheCauseIsServedAgain: a withheld request that no longer crashes
+// replicas gets a trial and is released. Guards against a front that is granted the same
+// trial twice.
 func TestARequestThatRanBesideTheCauseIsServedAgain(t *testing.T) {
 	s := newSite(t, 3, 1)
 	s.start()
 	s.configure()
-	var unlucky atomic.Bool
-	unlucky.Store(true)
-	service := newFallible(s, func(string, *http.Request) bool { return unlucky.Load() })
-	service.endUnder(deadly, "harmless", nil)
-	service.withheldAt(s.fronts[0], deadly, "harmless", nil)
-	unlucky.Store(false)
+	var crashing atomic.Bool
+	crashing.Store(true)
+	service := newCrashingService(s, func(string, *http.Request) bool { return crashing.Load() })
+	service.crashReplicas(crashPath, "harmless", nil)
+	service.waitWithheld(s.fronts[0], crashPath, "harmless", nil)
+	crashing.Store(false)
 	count := 0
-	again := func() bool {
+	retry := func() bool {
 		count++
-		return ask(s.fronts[0].http, deadly, fmt.Sprintf("again-%d", count), "harmless", nil) == http.StatusOK
+		return send(s.fronts[0].http, crashPath, fmt.Sprintf("again-%d", count), "harmless", nil) == http.StatusOK
 	}
-	until(t, "the trial served", again)
-	until(t, "let go", again)
+	waitUntil(t, "the trial is served", retry)
+	waitUntil(t, "the request is released", retry)
 	for range 5 {
-		if !again() {
-			t.Error("withheld again")
+		if !retry() {
+			t.Error("the request is withheld again")
 		}
 	}
 }
--- a/test/site/register_bench_test.go
+++ b/test/site/register_bench_test.go
@@ -15,9 +15,8 @@
 	"github.com/loomgrade/loomgrade/platform"
 )
 
-// BenchmarkRegistration is what the control group does while a fleet's replicas come: each
-// sends its first heartbeat to any member, and again to the next one when it is refused or
-// gets no answer in a second, while many processes watch.
+// BenchmarkRegistration measures the registration of a fleet's replicas: each sends its first
+// heartbeat to the members in turn until one accepts it, while many processes watch.
 func BenchmarkRegistration(b *testing.B) {
 	for b.Loop() {
 		registerFleet(b, 4000, 60)
@@ -29,18 +28,18 @@
 	for _, p := range s.controls {
 		s.startControl(p, true)
 	}
-	s.operate(http.MethodPut, "/loomgrade/config", s.configuration(1))
+	s.callControl(http.MethodPut, "/loomgrade/config", s.configuration(1))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var watching sync.WaitGroup
 	for i := range watchers {
 		watcher := siteview.New(siteview.Config{
 			Seeds: s.seeds, Wire: wireOptions(fmt.Sprint("watcher-", i)), Decode: platform.Dialect{}.DecodeConfiguration,
-			Interest: sitestate.InterestRouting, Changed: func(*siteview.View) {}, Logger: quiet(),
+			Interest: sitestate.InterestRouting, Changed: func(*siteview.View) {}, Logger: discardLogger(),
 		})
 		watching.Go(func() { _ = watcher.Run(ctx) })
 	}
-	began := time.Now()
+	start := time.Now()
 	var failed atomic.Int64
 	var group sync.WaitGroup
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 200, MaxConnsPerHost: 400}}
@@ -63,7 +62,7 @@
 		})
 	}
 	group.Wait()
-	b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-register")
+	b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms-to-register")
 	b.ReportMetric(float64(failed.Load()), "failed-calls")
 	cancel()
 	watching.Wait()
--- a/test/site/site_test.go
+++ b/test/site/site_test.go
@@ -18,8 +18,8 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// serving starts a site with replicas of both services.
-func serving(t *testing.T) (s *site, plainReplica, engine *sitestandin.Replica) {
+// startServingSite starts a site with one replica of each service.
+func startServingSite(t *testing.T) (s *site, plainReplica, engine *sitestandin.Replica) {
 	s = newSite(t, 3, 3)
 	s.start()
 	s.configure()
@@ -34,12 +34,12 @@
 		for _, i := range order {
 			s.startControl(s.controls[i], true)
 		}
-		if status, _ := s.operate(http.MethodPut, "/loomgrade/config", s.configuration(4)); status != http.StatusOK {
+		if status, _ := s.callControl(http.MethodPut, "/loomgrade/config", s.configuration(4)); status != http.StatusOK {
 			t.Fatalf("order %v: status %d", order, status)
 		}
 		late := s.controls[3-order[0]-order[1]]
 		s.startControl(late, true)
-		until(t, "the late seed serves the configuration", func() bool {
+		waitUntil(t, "the last seed serves the configuration", func() bool {
 			status, body, _ := do(http.MethodGet, late.http.URL+"/loomgrade/config", "", nil, nil)
 			return status == http.StatusOK && strings.Contains(body, `"version":4`)
 		})
@@ -53,7 +53,7 @@
 		s.startControl(p, true)
 	}
 	put := func(body []byte) int {
-		status, _ := s.operate(http.MethodPut, "/loomgrade/config", body)
+		status, _ := s.callControl(http.MethodPut, "/loomgrade/config", body)
 		return status
 	}
 	if status := put(s.configuration(5)); status != http.StatusOK {
@@ -64,23 +64,23 @@
 		body []byte
 		want int
 	}{
-		"same again":              {s.configuration(5), http.StatusOK},
-		"older":                   {s.configuration(4), http.StatusOK},
-		"same version, other":     {other, http.StatusOK},
-		"cut short":               {s.configuration(6)[:200], http.StatusBadRequest},
-		"no version":              {[]byte(`{"routes":[],"services":[]}`), http.StatusBadRequest},
-		"unknown service":         {[]byte(strings.Replace(string(s.configuration(6)), `"backend":"plain-service"`, `"backend":"nowhere"`, 1)), http.StatusBadRequest},
-		"no time-out":             {[]byte(strings.Replace(string(s.configuration(6)), `"timeoutMs":4000`, `"timeoutMs":0`, 1)), http.StatusBadRequest},
-		"same place":              {[]byte(strings.Replace(string(s.configuration(6)), `"/once/"`, `"/plain/"`, 1)), http.StatusBadRequest},
-		"invalid, though old":     {[]byte(`{"version":1,"routes":[{"name":"x"}],"services":[]}`), http.StatusBadRequest},
-		"nothing":                 {nil, http.StatusBadRequest},
-		"a list instead of a map": {[]byte(`[]`), http.StatusBadRequest},
+		"same version again":           {s.configuration(5), http.StatusOK},
+		"older version":                {s.configuration(4), http.StatusOK},
+		"same version, other content":  {other, http.StatusOK},
+		"truncated":                    {s.configuration(6)[:200], http.StatusBadRequest},
+		"no version":                   {[]byte(`{"routes":[],"services":[]}`), http.StatusBadRequest},
+		"unknown service":              {[]byte(strings.Replace(string(s.configuration(6)), `"backend":"plain-service"`, `"backend":"nowhere"`, 1)), http.StatusBadRequest},
+		"no timeout":                   {[]byte(strings.Replace(string(s.configuration(6)), `"timeoutMs":4000`, `"timeoutMs":0`, 1)), http.StatusBadRequest},
+		"duplicate path prefix":        {[]byte(strings.Replace(string(s.configuration(6)), `"/once/"`, `"/plain/"`, 1)), http.StatusBadRequest},
+		"older version, invalid route": {[]byte(`{"version":1,"routes":[{"name":"x"}],"services":[]}`), http.StatusBadRequest},
+		"empty body":                   {nil, http.StatusBadRequest},
+		"list instead of object":       {[]byte(`[]`), http.StatusBadRequest},
 	} {
 		if got := put(row.body); got != row.want {
 			t.Errorf("%s: status %d, want %d", name, got, row.want)
 		}
 	}
-	if _, body := s.operate(http.MethodGet, "/loomgrade/config", nil); body != string(s.configuration(5)) {
+	if _, body := s.callControl(http.MethodGet, "/loomgrade/config", nil); body != string(s.configuration(5)) {
 		t.Errorf("read back:\n%s", body)
 	}
 }
@@ -90,31 +90,31 @@
 	for _, p := range s.controls {
 		s.startControl(p, true)
 	}
-	s.operate(http.MethodPut, "/loomgrade/config", s.configuration(7))
+	s.callControl(http.MethodPut, "/loomgrade/config", s.configuration(7))
 	lost := s.controls[1]
 	lost.powerOff()
 	lost.wipe(50)
 	s.startControl(lost, false)
-	until(t, "the wiped machine is a voter again", func() bool { return lost.control.IsVoter() })
+	waitUntil(t, "the wiped machine is a voter again", func() bool { return lost.control.IsVoter() })
 	second := s.controls[0]
 	second.powerOff()
 	second.wipe(51)
-	if _, body := s.operate(http.MethodGet, "/loomgrade/config", nil); body != string(s.configuration(7)) {
+	if _, body := s.callControl(http.MethodGet, "/loomgrade/config", nil); body != string(s.configuration(7)) {
 		t.Errorf("read back after the second loss:\n%s", body)
 	}
 }
 
 func TestRequestsPassUntouched(t *testing.T) {
-	s, plainReplica, _ := serving(t)
+	s, plainReplica, _ := startServingSite(t)
 	status, body, header := s.call("/plain/a%2Fb//c?x=%20y&z", "attempt-1")
 	if status != http.StatusOK || body != "answer of i-plain to attempt-1" || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("attempt-1") {
 		t.Fatalf("%d %q %v", status, body, header)
 	}
-	seen := plainReplica.Arrivals()
-	if len(seen) != 1 {
-		t.Fatalf("%d arrivals", len(seen))
+	arrivals := plainReplica.Arrivals()
+	if len(arrivals) != 1 {
+		t.Fatalf("%d arrivals", len(arrivals))
 	}
-	got := seen[0]
+	got := arrivals[0]
 	if got.Target != "/plain/a%2Fb//c?x=%20y&z" || got.Host != host || got.Body != "body of attempt-1" || got.ID != "attempt-1" {
 		t.Errorf("arrived as %+v", got)
 	}
@@ -127,39 +127,40 @@
 }
 
 func TestALeavingReplicaGetsNothingNew(t *testing.T) {
-	s, first, _ := serving(t)
+	s, first, _ := startServingSite(t)
 	second := sitestandin.NewReplica(t, "i-plain-2", plain)
 	s.add(second)
 	first.Drain(true)
-	s.beat(first)
-	until(t, "the front knows", func() bool { return s.fronts[0].watcher.View().ByService[plain].Len() == 1 })
+	s.sendHeartbeat(first)
+	waitUntil(t, "the front has applied the drain", func() bool { return s.fronts[0].watcher.View().ByService[plain].Len() == 1 })
 	before := len(first.Arrivals())
 	for i := range 20 {
 		if status, _, _ := s.call("/plain/x", fmt.Sprint("after-", i)); status != http.StatusOK {
 			t.Fatalf("status %d", status)
 		}
 	}
-	first.Drain(false) // a late heartbeat from before
-	s.beat(first)
+	first.Drain(false) // simulates a delayed heartbeat from before the drain
+	s.sendHeartbeat(first)
 	s.configure()
 	if got := s.fronts[0].watcher.View().ByService[plain].Len(); got != 1 {
-		t.Errorf("%d replicas after a late heartbeat", got)
+		t.Errorf("%d replicas after a delayed heartbeat", got)
 	}
 	if after := len(first.Arrivals()); after != before {
-		t.Errorf("%d requests reached the leaving replica", after-before)
+		t.Errorf("%d requests reached the draining replica", after-before)
 	}
 }
 
-// leaderAndFollowers gives the control process that leads and the others.
-func (s *site) leaderAndFollowers() (leader *process, followers []*process) {
-	until(s.t, "a control member leads and the others follow", func() bool {
+// waitLeaderAndFollowers waits until all control processes are in contact with a quorum and
+// one of them leads, and returns them.
+func (s *site) waitLeaderAndFollowers() (leader *process, followers []*process) {
+	waitUntil(s.t, "one control member leads and the others follow", func() bool {
 		leader, followers = nil, nil
 		for _, p := range s.controls {
-			shown := p.control.PublishedState()
+			published := p.control.PublishedState()
 			switch {
-			case shown == nil || !shown.Confirmed:
+			case published == nil || !published.Confirmed:
 				return false
-			case shown.LeaderReady:
+			case published.LeaderReady:
 				leader = p
 			default:
 				followers = append(followers, p)
@@ -170,63 +171,62 @@
 	return leader, followers
 }
 
-// TestAnyMemberTakesAHeartbeatThatTellsNothingNew: members share the heartbeats of
-// replicas; what is new goes to the leader. That a replica leaves is acknowledged only once
-// it is committed, also by one that was never heard of; that it is ready binds nobody and is
-// acknowledged before, by a member in touch with a quorum alone.
+// TestAnyMemberTakesAHeartbeatThatTellsNothingNew: a member forwards changes to the leader. A
+// drain is acknowledged only after its commit, also from an unknown replica; ready replicas
+// are acknowledged earlier, but only by a member in contact with a quorum.
 func TestAnyMemberTakesAHeartbeatThatTellsNothingNew(t *testing.T) {
-	s, _, _ := serving(t)
-	leader, followers := s.leaderAndFollowers()
+	s, _, _ := startServingSite(t)
+	leader, followers := s.waitLeaderAndFollowers()
 	follower := followers[0].control
 	report := sitestate.Replica{ID: "i-new", Service: plain, Address: "127.0.0.1:1", Zone: "z", Slots: 1, Sequence: 1}
 	beat := func() (sitestate.Replica, error) {
 		answer, err := follower.Call(t.Context(), sitecontrol.Request{Replica: &report})
 		if err == nil && answer.HeartbeatAddress != followers[0].address {
-			t.Errorf("further heartbeats are wanted at %q, not at the member that took this one", answer.HeartbeatAddress)
+			t.Errorf("further heartbeats go to %q, not to the member that received this one", answer.HeartbeatAddress)
 		}
 		report.Sequence++
-		held, _ := leader.control.View().Replicas.Get(report.ID)
-		return held, err
+		stored, _ := leader.control.View().Replicas.Get(report.ID)
+		return stored, err
 	}
 	if _, err := beat(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the leader has committed it, without a further heartbeat", func() bool { return leader.control.View().Replicas.Has(report.ID) })
-	until(t, "the follower knows it", func() bool { return follower.View().Replicas.Has(report.ID) })
+	waitUntil(t, "the leader has committed the replica without another heartbeat", func() bool { return leader.control.View().Replicas.Has(report.ID) })
+	waitUntil(t, "the follower has applied it", func() bool { return follower.View().Replicas.Has(report.ID) })
 	committed := leader.control.PublishedState().Applied
 	if _, err := beat(); err != nil {
 		t.Fatal(err)
 	}
 	report.State = sitestate.ReplicaDraining
-	if held, err := beat(); err != nil || held.State != sitestate.ReplicaDraining {
-		t.Errorf("a replica that drains is acknowledged before it is committed: %+v, %v", held, err)
+	if stored, err := beat(); err != nil || stored.State != sitestate.ReplicaDraining {
+		t.Errorf("a draining replica is acknowledged before its commit: %+v, %v", stored, err)
 	}
 	if got := leader.control.PublishedState().Applied; got <= committed {
 		t.Errorf("applied %d, then %d", committed, got)
 	}
 	fresh := report
 	report = sitestate.Replica{ID: "i-leaves-at-once", Service: plain, Address: "127.0.0.1:2", Zone: "z", Slots: 1, Sequence: 1, State: sitestate.ReplicaDraining}
-	if held, err := beat(); err != nil || held.State != sitestate.ReplicaDraining {
-		t.Errorf("a replica that is first heard of as it drains is acknowledged before that is committed: %+v, %v", held, err)
+	if stored, err := beat(); err != nil || stored.State != sitestate.ReplicaDraining {
+		t.Errorf("an unknown draining replica is acknowledged before its commit: %+v, %v", stored, err)
 	}
 	fresh.ID, fresh.Address, fresh.State = "i-never-seen", "127.0.0.1:3", sitestate.ReplicaReady
 	leader.kill()
 	followers[1].kill()
-	until(t, "the last member knows that it is alone", func() bool {
-		shown := follower.PublishedState()
-		return shown != nil && !shown.Confirmed
+	waitUntil(t, "the last member has lost contact with the quorum", func() bool {
+		published := follower.PublishedState()
+		return published != nil && !published.Confirmed
 	})
 	if _, err := beat(); err == nil {
 		t.Error("a member without a quorum acknowledged a heartbeat")
 	}
 	report = fresh
 	if _, err := beat(); err == nil {
-		t.Error("a member without a quorum acknowledged a replica that is ready")
+		t.Error("a member without a quorum acknowledged a ready replica")
 	}
 }
 
 func TestAClosingFrontPassesNothingOn(t *testing.T) {
-	s, plainReplica, _ := serving(t)
+	s, plainReplica, _ := startServingSite(t)
 	s.fronts[0].front.Drain()
 	request := httptest.NewRequest(http.MethodPost, "http://"+host+"/plain/x", strings.NewReader("body"))
 	request.Header.Set(sitestandin.Headers.RequestID, "while-draining")
@@ -241,16 +241,15 @@
 		t.Errorf("closing: %d %v", status, header)
 	}
 	if len(plainReplica.Arrivals()) != before {
-		t.Error("a request was passed on while connections close")
+		t.Error("a request was forwarded while connections close")
 	}
 }
 
-// TestASiteWithTooFewStoresTakesJobs: three store machines, of five that two losses
-// ask for, keep jobs as well as they can. (Found by a sweep at 30 machines, which
-// refused every job.)
+// TestASiteWithTooFewStoresTakesJobs: a site with three store machines, of five needed to
+// tolerate two losses, still accepts jobs.
 func TestASiteWithTooFewStoresTakesJobs(t *testing.T) {
 	s := newSite(t, 3, 3)
-	s.losses = 2
+	s.toleratedLosses = 2
 	s.start()
 	s.configure()
 	s.add(sitestandin.NewReplica(t, "i-plain", plain), sitestandin.NewEngine(t, "i-lm", lm, model))
@@ -261,7 +260,7 @@
 }
 
 func TestAJobIsTakenOnceAndItsResultsStay(t *testing.T) {
-	s, plainReplica, engine := serving(t)
+	s, plainReplica, engine := startServingSite(t)
 	body := job(1, "item-1", "item-2", "item-3")
 	s.submit("job-1", body)
 	s.submit("job-1", body)
@@ -296,27 +295,27 @@
 }
 
 func TestRunnerKilledMidTextGoesOnWithoutAGap(t *testing.T) {
-	s, _, engine := serving(t)
+	s, _, engine := startServingSite(t)
 	engine.Events, engine.EventPause = 40, 50*time.Millisecond
 	s.submit("job-1", job(1, "item-1"))
-	until(t, "the text has begun and some of it is kept", func() bool { return len(engine.Arrivals()) > 0 })
+	waitUntil(t, "the item runs", func() bool { return len(engine.Arrivals()) > 0 })
 	time.Sleep(time.Second)
-	leader := s.leaderStore()
+	leader := s.waitStoreLeader()
 	leader.powerOff()
 	all := s.readAll("job-1")
 	if len(all.Results) != 1 || all.Results[0].Text != sitestandin.WholeText("item-1", 40) {
 		t.Fatalf("%+v", all)
 	}
-	seen := engine.Arrivals()
-	if last := seen[len(seen)-1]; len(seen) < 2 || last.LastEvent == "" {
-		t.Errorf("%d runs, the last after event %q: nothing of the text was kept", len(seen), last.LastEvent)
+	arrivals := engine.Arrivals()
+	if last := arrivals[len(arrivals)-1]; len(arrivals) < 2 || last.LastEvent == "" {
+		t.Errorf("%d runs, the last resumed after event %q: no event was stored", len(arrivals), last.LastEvent)
 	}
 }
 
 func TestPowerOffRightAfterAnAcceptWithADiskWiped(t *testing.T) {
 	for lost := range 3 {
-		s, _, engine := serving(t)
-		s.leaderStore()
+		s, _, engine := startServingSite(t)
+		s.waitStoreLeader()
 		s.submit("job-1", job(1, "item-1", "item-2"))
 		for _, p := range s.stores {
 			p.powerOff()
@@ -336,39 +335,39 @@
 }
 
 func TestNothingOfAnEndedJobRuns(t *testing.T) {
-	s, _, engine := serving(t)
+	s, _, engine := startServingSite(t)
 	engine.Events, engine.EventPause = 1000, 20*time.Millisecond
 	var ids []string
 	for i := range 12 {
 		ids = append(ids, fmt.Sprint("item-", i))
 	}
 	s.submit("job-1", job(1, ids...))
-	until(t, "every slot is taken", func() bool { return len(engine.Arrivals()) >= 4 })
+	waitUntil(t, "all slots are in use", func() bool { return len(engine.Arrivals()) >= 4 })
 	status, _, _ := do(http.MethodDelete, s.fronts[0].http.URL+"/loomgrade/lots/job-1", host, nil, nil)
 	if status != http.StatusOK {
 		t.Fatalf("end: %d", status)
 	}
 	time.Sleep(300 * time.Millisecond)
 	after := len(engine.Arrivals())
-	s.leaderStore().kill()
-	s.leaderStore()
+	s.waitStoreLeader().kill()
+	s.waitStoreLeader()
 	time.Sleep(500 * time.Millisecond)
 	if got := len(engine.Arrivals()); got != after {
 		t.Errorf("%d runs after the end", got-after)
 	}
 	status, _, _ = do(http.MethodDelete, s.fronts[0].http.URL+"/loomgrade/lots/job-1", host, nil, nil)
 	if status != http.StatusOK {
-		t.Errorf("end, once more: %d", status)
+		t.Errorf("repeated end: %d", status)
 	}
 }
 
 func TestItemsThatAlwaysFailAreGivenUpAfterTheirAttempts(t *testing.T) {
-	s, _, engine := serving(t)
-	var hopeless, failing atomic.Int64
+	s, _, engine := startServingSite(t)
+	var unprocessable, failing atomic.Int64
 	engine.Behave = func(w http.ResponseWriter, r *http.Request) bool {
 		switch r.Header.Get(sitestandin.Headers.RequestID) {
 		case "hopeless":
-			hopeless.Add(1)
+			unprocessable.Add(1)
 			w.WriteHeader(http.StatusUnprocessableEntity)
 			return true
 		case "failing":
@@ -386,55 +385,55 @@
 	if states["hopeless"] != "errored" || states["failing"] != "errored" || states["fine"] != "completed" {
 		t.Errorf("states %v", states)
 	}
-	if hopeless.Load() != 1 || failing.Load() != 3 {
-		t.Errorf("%d runs of the hopeless, %d of the failing", hopeless.Load(), failing.Load())
+	if unprocessable.Load() != 1 || failing.Load() != 3 {
+		t.Errorf("%d runs of the unprocessable item, %d of the failing one", unprocessable.Load(), failing.Load())
 	}
 }
 
-// TestAnItemLeavesASlowReplica: an item whose replica turns slow goes on at another
-// one that has room, after its last event.
+// TestAnItemLeavesASlowReplica: an item whose replica becomes slow resumes after its last
+// event at another replica with free slots.
 func TestAnItemLeavesASlowReplica(t *testing.T) {
-	s, _, slow := serving(t)
-	sound := sitestandin.NewEngine(t, "i-lm-2", lm, model)
+	s, _, slow := startServingSite(t)
+	healthy := sitestandin.NewEngine(t, "i-lm-2", lm, model)
 	const events = 40
-	slow.Events, sound.Events = events, events
-	s.submit("job-usual", job(1, "usual-1", "usual-2")) // shows the usual pace
+	slow.Events, healthy.Events = events, events
+	s.submit("job-usual", job(1, "usual-1", "usual-2")) // establishes the baseline
 	s.readAll("job-usual")
 	slow.Behave = func(w http.ResponseWriter, r *http.Request) bool {
-		return crawl(w, r, events)
+		return serveSlowly(w, r, events)
 	}
 	s.submit("job-1", job(1, "item-1", "item-2"))
-	until(t, "both items are at the slow replica", func() bool { return len(slow.Arrivals()) == 4 })
-	s.add(sound)
+	waitUntil(t, "both items are at the slow replica", func() bool { return len(slow.Arrivals()) == 4 })
+	s.add(healthy)
 	for _, result := range s.readAll("job-1").Results {
 		if result.Text != sitestandin.WholeText(result.ID, events) {
 			t.Errorf("%s: %q", result.ID, result.Text)
 		}
 	}
 	resumed := 0
-	for _, arrival := range sound.Arrivals() {
+	for _, arrival := range healthy.Arrivals() {
 		if arrival.LastEvent != "" {
 			resumed++
 		}
 	}
 	if resumed != 2 {
-		t.Errorf("%d of 2 items went on at the sound replica", resumed)
+		t.Errorf("%d of 2 items resumed at the healthy replica", resumed)
 	}
 }
 
-// crawlPause is far longer than the usual pause, also on a busy machine.
-const crawlPause = 60 * sitestandin.DefaultEventPause
+// slowEventPause is far above the baseline, also on a busy machine.
+const slowEventPause = 60 * sitestandin.DefaultEventPause
 
-// crawl answers an item's request with long pauses between events.
-func crawl(w http.ResponseWriter, r *http.Request, events int) bool {
+// serveSlowly sends an item's events with long pauses between them.
+func serveSlowly(w http.ResponseWriter, r *http.Request, events int) bool {
 	id := r.Header.Get(sitestandin.Headers.RequestID)
 	w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(id))
 	w.Header().Set(sitestandin.Headers.WeightVersion, "1")
 	last, _ := strconv.Atoi(r.Header.Get(sitestandin.Headers.LastEventID))
 	for event := last + 1; event <= events; event++ {
-		pause := crawlPause
+		pause := slowEventPause
 		if event == last+1 {
-			pause = 0 // a run that shows nothing at all leaves with no event to go on from
+			pause = 0 // an item without any event has nothing to resume from
 		}
 		select {
 		case <-time.After(pause):
@@ -448,7 +447,7 @@
 }
 
 func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
-	s, _, first := serving(t)
+	s, _, first := startServingSite(t)
 	second := sitestandin.NewEngine(t, "i-lm-2", lm, model)
 	s.add(second)
 	var broken atomic.Bool
@@ -468,17 +467,17 @@
 		}
 	}
 	if !broken.Load() {
-		t.Error("no stream broke")
+		t.Error("no stream was broken")
 	}
 }
 
 func TestPublishedWeightsAreOrderedByOneHolder(t *testing.T) {
-	s, _, engine := serving(t)
-	if status, _ := s.operate(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":2}`, model)); status != http.StatusOK {
+	s, _, engine := startServingSite(t)
+	if status, _ := s.callControl(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":2}`, model)); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	until(t, "the replica serves version 2", func() bool { return len(engine.Orders()) > 0 })
-	s.beat(engine)
+	waitUntil(t, "version 2 is ordered", func() bool { return len(engine.Orders()) > 0 })
+	s.sendHeartbeat(engine)
 	s.submit("job-1", job(2, "item-1"))
 	if result := s.readAll("job-1").Results[0]; !slices.Equal(result.Versions, []uint64{2}) {
 		t.Errorf("versions %v", result.Versions)
@@ -489,8 +488,8 @@
 			p.kill()
 		}
 	}
-	s.operate(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":3}`, model))
-	until(t, "another holder orders version 3", func() bool { return len(engine.Orders()) > 1 })
+	s.callControl(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":3}`, model))
+	waitUntil(t, "another holder orders version 3", func() bool { return len(engine.Orders()) > 1 })
 	second := engine.Orders()[1]
 	if second.Holder == first.Holder || second.Fence <= first.Fence || second.At.Sub(first.At) < 300*time.Millisecond {
 		t.Errorf("orders %+v and %+v", first, second)
@@ -498,22 +497,22 @@
 }
 
 func TestAStoreMachineIsEmptied(t *testing.T) {
-	s, _, engine := serving(t)
-	s.leaderStore()
-	if status, _ := s.operate(http.MethodPost, "/loomgrade/retire/store-0", []byte(`{"durationS":10}`)); status != http.StatusConflict {
+	s, _, engine := startServingSite(t)
+	s.waitStoreLeader()
+	if status, _ := s.callControl(http.MethodPost, "/loomgrade/retire/store-0", []byte(`{"durationS":10}`)); status != http.StatusConflict {
 		t.Errorf("with three machines: %d", status)
 	}
-	if status, _ := s.operate(http.MethodPost, "/loomgrade/retire/nobody", []byte(`{"durationS":10}`)); status != http.StatusNotFound {
+	if status, _ := s.callControl(http.MethodPost, "/loomgrade/retire/nobody", []byte(`{"durationS":10}`)); status != http.StatusNotFound {
 		t.Errorf("unknown machine: %d", status)
 	}
 	s.submit("job-1", job(1, "item-1"))
 	s.startStore(s.addStore(3))
-	until(t, "the evacuation is taken", func() bool {
-		status, _ := s.operate(http.MethodPost, "/loomgrade/retire/store-0", []byte(`{"durationS":10}`))
+	waitUntil(t, "the evacuation is accepted", func() bool {
+		status, _ := s.callControl(http.MethodPost, "/loomgrade/retire/store-0", []byte(`{"durationS":10}`))
 		return status == http.StatusOK
 	})
-	until(t, "the machine is empty", func() bool {
-		_, body := s.operate(http.MethodGet, "/loomgrade/retire/store-0", nil)
+	waitUntil(t, "the machine is evacuated", func() bool {
+		_, body := s.callControl(http.MethodGet, "/loomgrade/retire/store-0", nil)
 		return strings.Contains(body, "completed")
 	})
 	s.stores[0].powerOff()
@@ -525,41 +524,41 @@
 	}
 }
 
-// TestTheHolderLeadsAgainAfterAllAreKilled: the machine that ordered replicas last
-// orders again at once, as no other one may before the lease is over.
+// TestTheHolderLeadsAgainAfterAllAreKilled: the last holder of the lease orders again
+// immediately after a power failure; no other machine may before the lease expires.
 func TestTheHolderLeadsAgainAfterAllAreKilled(t *testing.T) {
-	s, _, engine := serving(t)
-	s.operate(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":2}`, model))
-	until(t, "version 2 is ordered", func() bool { return len(engine.Orders()) > 0 })
+	s, _, engine := startServingSite(t)
+	s.callControl(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":2}`, model))
+	waitUntil(t, "version 2 is ordered", func() bool { return len(engine.Orders()) > 0 })
 	for _, p := range s.controls {
 		p.powerOff()
 	}
-	s.holderLease = time.Hour // no other machine may order within the test
+	s.holderLease = time.Hour // doesn't expire within the test
 	for _, p := range s.controls {
 		s.startControl(p, false)
 	}
-	s.operate(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":3}`, model))
-	until(t, "version 3 is ordered", func() bool { return len(engine.Orders()) > 1 })
+	s.callControl(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":3}`, model))
+	waitUntil(t, "version 3 is ordered", func() bool { return len(engine.Orders()) > 1 })
 	if orders := engine.Orders(); orders[0].Holder != orders[1].Holder || orders[1].Fence <= orders[0].Fence {
 		t.Errorf("orders %+v", orders)
 	}
 }
 
-// failTransfer makes the control leader offer leadership to a member that does not
-// take it, and gives the leader, which leads on without its read lease.
+// failTransfer makes the control leader transfer leadership to a member that is down. It
+// returns the leader, which still leads, but without its read lease.
 func (s *site) failTransfer() *process {
 	const tries = 10
 	for range tries {
-		leader, followers := s.leaderAndFollowers()
-		shown := leader.control.PublishedState()
-		best := shown.Status.Progress[0]
-		for _, peer := range shown.Status.Progress {
+		leader, followers := s.waitLeaderAndFollowers()
+		published := leader.control.PublishedState()
+		best := published.Status.Progress[0]
+		for _, peer := range published.Status.Progress {
 			if peer.Match > best.Match {
 				best = peer
 			}
 		}
 		lost := followers[0]
-		for _, record := range shown.Records {
+		for _, record := range published.Records {
 			if record.ID == best.ID && record.Address == followers[1].address {
 				lost = followers[1]
 			}
@@ -568,7 +567,7 @@
 		leader.control.TransferLeadership(s.t.Context())
 		after := leader.control.PublishedState()
 		s.startControl(lost, false)
-		if after != nil && after.Status.Term == shown.Status.Term && after.Status.Role == consensus.RoleLeader && !after.Status.LeaseValid {
+		if after != nil && after.Status.Term == published.Status.Term && after.Status.Role == consensus.RoleLeader && !after.Status.LeaseValid {
 			return leader
 		}
 	}
@@ -576,23 +575,22 @@
 	return nil
 }
 
-// TestAHolderOrdersAfterATransferThatFailed: a leader that offered leadership in
-// vain goes on ordering replicas. (Found by an own day of the users' bench, on
-// which no weights were loaded for 8 s.)
+// TestAHolderOrdersAfterATransferThatFailed: a leader whose transfer of leadership failed
+// still orders replicas.
 func TestAHolderOrdersAfterATransferThatFailed(t *testing.T) {
-	s, _, engine := serving(t)
+	s, _, engine := startServingSite(t)
 	leader := s.failTransfer()
-	s.operate(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":2}`, model))
-	until(t, "version 2 is ordered", func() bool { return len(engine.Orders()) > 0 })
+	s.callControl(http.MethodPost, "/loomgrade/version-put", fmt.Appendf(nil, `{"model":"%s","version":2}`, model))
+	waitUntil(t, "version 2 is ordered", func() bool { return len(engine.Orders()) > 0 })
 	if order := engine.Orders()[0]; order.Holder != leader.name {
 		t.Errorf("ordered by %s; %s leads", order.Holder, leader.name)
 	}
 }
 
-// TestAFrontServesBeforeALeaderIsElected: one control machine of three is back
-// after all lost power, and its disk has the configuration.
+// TestAFrontServesBeforeALeaderIsElected: a front serves with the configuration from the
+// disk of a single control machine, before there is a quorum.
 func TestAFrontServesBeforeALeaderIsElected(t *testing.T) {
-	s, plainReplica, _ := serving(t)
+	s, plainReplica, _ := startServingSite(t)
 	for _, p := range s.controls {
 		p.powerOff()
 	}
@@ -600,11 +598,11 @@
 	s.fronts = nil
 	s.startControl(s.controls[1], false)
 	s.startFront(&process{name: "front-1"})
-	until(t, "a call is served without a quorum", func() bool {
+	waitUntil(t, "a call is served without a quorum", func() bool {
 		status, body, _ := s.call("/plain/x", "early")
 		return status == http.StatusOK && body == sitestandin.Answer(plainReplica.ID, "early")
 	})
 	if status, _, header := s.call("/nowhere/", "unknown"); status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
-		t.Errorf("a route is denied by a view that no quorum confirmed: %d", status)
+		t.Errorf("unknown route without a confirmed view: status %d, want 503 with Retry-After", status)
 	}
 }
--- a/test/site/slowreader_test.go
+++ b/test/site/slowreader_test.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// slowReaders is how many callers send a request and read nothing of the answer.
-	slowReaders = 2000
-	// answerBytes is the length of an answer: all of them together are more than a front of
-	// 184 MB has.
+	// slowReaderCount is how many callers send a request and don't read the response.
+	slowReaderCount = 2000
+	// answerBytes is the length of a response. All responses together exceed the memory of a
+	// front of 184 MB.
 	answerBytes = 128 << 10
-	// heldBytes is a quarter of such a front's memory, and heapBytes what its heap may take.
-	heldBytes = 46 << 20
-	heapBytes = 110 << 20
+	// budgetBytes is a quarter of that memory; maxHeapGrowth limits the growth of the heap.
+	budgetBytes   = 46 << 20
+	maxHeapGrowth = 110 << 20
 )
 
-// TestSlowReadersAreBoundedInMemory: what a front holds for callers that do not read stays
-// within its budget; others are served or refused at once meanwhile; whoever was answered
-// gets the whole answer once it reads.
+// TestSlowReadersAreBoundedInMemory: memory used for callers that don't read stays within the
+// front's budget. Other callers are served or rejected immediately, and slow callers get
+// complete responses once they read.
 func TestSlowReadersAreBoundedInMemory(t *testing.T) {
 	s := newSite(t, 3, 0)
-	s.budget = membudget.NewBudget(heldBytes)
+	s.budget = membudget.NewBudget(budgetBytes)
 	s.start()
 	s.configure()
 	var replicas []*sitestandin.Replica
@@ -51,15 +51,15 @@
 	}
 	s.add(replicas...)
 	address := strings.TrimPrefix(s.fronts[0].http.URL, "http://")
-	before := heapNow()
+	before := heapAlloc()
 	var group sync.WaitGroup
-	connections := make([]net.Conn, slowReaders)
-	gate := make(chan struct{}, 100)
-	for i := range slowReaders {
+	connections := make([]net.Conn, slowReaderCount)
+	slots := make(chan struct{}, 100)
+	for i := range slowReaderCount {
 		group.Go(func() {
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			connection, err := slowDialer.Dial("tcp", address)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			connection, err := smallBufferDialer.Dial("tcp", address)
 			if err != nil {
 				t.Error(err)
 				return
@@ -70,18 +70,18 @@
 		})
 	}
 	group.Wait()
-	most, deadline := int64(0), time.Now().Add(2*time.Second)
+	peak, deadline := int64(0), time.Now().Add(2*time.Second)
 	for time.Now().Before(deadline) {
-		most = max(most, s.budget.Used())
+		peak = max(peak, s.budget.Used())
 		time.Sleep(5 * time.Millisecond)
 	}
-	if most > heldBytes {
-		t.Errorf("%d bytes are held, the budget is %d", most, heldBytes)
+	if peak > budgetBytes {
+		t.Errorf("%d bytes are in use, the budget is %d", peak, budgetBytes)
 	}
-	if most < heldBytes/2 {
-		t.Errorf("only %d bytes are held: the readers are not slow", most)
+	if peak < budgetBytes/2 {
+		t.Errorf("only %d bytes are in use: the readers are not slow", peak)
 	}
-	if grown := heapNow() - before; grown > heapBytes {
+	if grown := heapAlloc() - before; grown > maxHeapGrowth {
 		t.Errorf("the heap has grown by %d bytes", grown)
 	}
 	if status, body, _ := s.call("/plain/x", "quick"); status != http.StatusOK && status != http.StatusServiceUnavailable || (status == http.StatusOK && len(body) != answerBytes) {
@@ -93,31 +93,32 @@
 				return
 			}
 			defer func() { _ = connection.Close() }()
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			_ = connection.SetReadDeadline(time.Now().Add(patience))
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			_ = connection.SetReadDeadline(time.Now().Add(waitTimeout))
 			response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			if err != nil || response.StatusCode != http.StatusOK {
 				return
 			}
 			if read, err := io.ReadAll(response.Body); err == nil && len(read) != answerBytes {
-				t.Errorf("reader %d: %d bytes look whole", i, len(read))
+				t.Errorf("reader %d: a response of %d bytes ended without an error", i, len(read))
 			}
 		})
 	}
 	group.Wait()
-	until(t, "nothing is held any more", func() bool { return s.budget.Used() == 0 })
+	waitUntil(t, "the budget is unused", func() bool { return s.budget.Used() == 0 })
 }
 
-// slowDialer makes connections whose kernel takes little of what is not read.
-var slowDialer = net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+// smallBufferDialer opens connections with small receive buffers, so that the kernel buffers
+// little of what isn't read.
+var smallBufferDialer = net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 	const receiveBuffer = 4 << 10
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
 	})
 }}
 
-func heapNow() int64 {
+func heapAlloc() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/test/site/stream_test.go
+++ b/test/site/stream_test.go
@@ -10,12 +10,12 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// streamRoutes are one route whose streams may be resumed and one whose may not.
+// streamRoutes are a route with resumable streams and one without.
 const streamRoutes = `,{"name":"r-stream","hostname":"site.example","pathPrefix":"/stream/","routeType":"streaming","timeoutMs":8000,"targetLatencyMs":400,"backend":"lm-service","maxAttempts":3,"resumable":true},
 {"name":"r-fragile","hostname":"site.example","pathPrefix":"/fragile/","routeType":"streaming","timeoutMs":8000,"targetLatencyMs":400,"backend":"lm-service","maxAttempts":3}`
 
-// wholeStream is the stream of a request as replicas send it.
-func wholeStream(id string, events int) string {
+// completeStream returns the complete stream that replicas send for a request.
+func completeStream(id string, events int) string {
 	var text strings.Builder
 	for event := 1; event <= events; event++ {
 		fmt.Fprintf(&text, "id: %d\ndata: %s\n\n", event, sitestandin.EventData(id, event))
@@ -46,21 +46,21 @@
 		s.add(engine)
 	}
 	status, body, header := s.call("/stream/x", "resumed")
-	if status != http.StatusOK || body != wholeStream("resumed", sitestandin.DefaultEvents) || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("resumed") {
+	if status != http.StatusOK || body != completeStream("resumed", sitestandin.DefaultEvents) || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("resumed") {
 		t.Errorf("resumable: %d %q", status, body)
 	}
 	if runs.Load() != 2 {
 		t.Errorf("%d runs of a stream that broke once", runs.Load())
 	}
-	if status, body, _ = s.call("/fragile/x", "plain"); status != http.StatusOK || body != wholeStream("plain", sitestandin.DefaultEvents) {
+	if status, body, _ = s.call("/fragile/x", "plain"); status != http.StatusOK || body != completeStream("plain", sitestandin.DefaultEvents) {
 		t.Errorf("not resumable: %d %q", status, body)
 	}
 	broken.Store(0)
 	before := runs.Load()
 	if status, body, _ = s.call("/fragile/x", "fragile"); status != 0 {
-		t.Errorf("a broken stream looks whole: %d %q", status, body)
+		t.Errorf("a truncated stream ended without an error: %d %q", status, body)
 	}
 	if got := runs.Load() - before; got != 1 {
-		t.Errorf("a stream that may not be resumed ran %d times", got)
+		t.Errorf("a stream that isn't resumable ran %d times", got)
 	}
 }
--- a/test/site/suspend_test.go
+++ b/test/site/suspend_test.go
@@ -6,39 +6,38 @@
 	"time"
 )
 
-// suspension is longer than any time for which a process may trust what it believed.
+// suspension exceeds the validity of all leases and confirmed views.
 const suspension = 10 * time.Second
 
-// TestAFrontThatWakesUpDeniesNothing: its view was confirmed a moment ago by its steady clock.
-// A route may have been added and a key taken away while its machine was suspended, and nobody
-// can tell it yet.
+// TestAFrontThatWakesUpDeniesNothing: after a suspension a front doesn't reject unknown routes
+// and keys until its view is confirmed again, although by its monotonic clock the view is
+// recent.
 func TestAFrontThatWakesUpDeniesNothing(t *testing.T) {
-	s, _, _ := withTenants(t)
+	s, _, _ := startTenantSite(t)
 	front := s.fronts[0]
-	if status, _ := s.callWith(http.MethodPost, "/no-such-route/x", "before", keyed("key-b")); status != http.StatusNotFound {
+	if status, _ := s.callWith(http.MethodPost, "/no-such-route/x", "before", keyHeader("key-b")); status != http.StatusNotFound {
 		t.Fatalf("an unknown route: %d", status)
 	}
 	for _, p := range s.controls {
 		p.kill()
 	}
 	front.suspend(suspension)
-	if status, _ := s.callWith(http.MethodPost, "/no-such-route/x", "route", keyed("key-b")); status != http.StatusServiceUnavailable {
-		t.Errorf("an unknown route on waking up: %d", status)
+	if status, _ := s.callWith(http.MethodPost, "/no-such-route/x", "route", keyHeader("key-b")); status != http.StatusServiceUnavailable {
+		t.Errorf("an unknown route after the suspension: %d", status)
 	}
-	if status, _ := s.callWith(http.MethodPost, "/plain/x", "key", keyed("no-such-key")); status != http.StatusServiceUnavailable {
-		t.Errorf("an unknown key on waking up: %d", status)
+	if status, _ := s.callWith(http.MethodPost, "/plain/x", "key", keyHeader("no-such-key")); status != http.StatusServiceUnavailable {
+		t.Errorf("an unknown key after the suspension: %d", status)
 	}
 }
 
-// TestAStoreLeaderThatWakesUpLosesNothing: the machine that runs a job's items is suspended
-// while they run. The others elect another runner, or it goes on when they have confirmed it;
-// each result is whole and stands once.
+// TestAStoreLeaderThatWakesUpLosesNothing: when the leader that runs a job's items is
+// suspended, the job still completes, with one result per item.
 func TestAStoreLeaderThatWakesUpLosesNothing(t *testing.T) {
-	s, _, engine := serving(t)
+	s, _, engine := startServingSite(t)
 	engine.Events, engine.EventPause = 30, 20*time.Millisecond
 	s.submit("job-1", job(1, "item-1", "item-2", "item-3"))
-	until(t, "items run", func() bool { return len(engine.Arrivals()) >= 3 })
-	leader := s.leaderStore()
+	waitUntil(t, "all items run", func() bool { return len(engine.Arrivals()) >= 3 })
+	leader := s.waitStoreLeader()
 	leader.suspend(suspension)
 	time.Sleep(100 * time.Millisecond)
 	leader.suspend(suspension)
@@ -55,10 +54,10 @@
 	}
 }
 
-// TestHalfOfTheCoreIsSuspended: two of three control members wake up together. What was
-// accepted is read, and a change is accepted again.
+// TestHalfOfTheCoreIsSuspended: after two of three control members were suspended together,
+// the site accepts changes and serves requests.
 func TestHalfOfTheCoreIsSuspended(t *testing.T) {
-	s, _, _ := serving(t)
+	s, _, _ := startServingSite(t)
 	for range 2 {
 		s.controls[0].suspend(suspension)
 		s.controls[1].suspend(suspension)
--- a/test/site/tenants_test.go
+++ b/test/site/tenants_test.go
@@ -11,8 +11,8 @@
 
 const twoTenants = `[{"name":"ada","apiKeys":["key-a1","key-a2"]},{"name":"bob","apiKeys":["key-b"]}]`
 
-// withTenants starts a site whose callers need keys, but on the public route.
-func withTenants(t *testing.T) (s *site, plainReplica, engine *sitestandin.Replica) {
+// startTenantSite starts a site where all routes need a key, except for one public route.
+func startTenantSite(t *testing.T) (s *site, plainReplica, engine *sitestandin.Replica) {
 	s = newSite(t, 3, 3)
 	s.tenants = twoTenants
 	s.extra = fmt.Sprintf(`,{"name":"r-open","hostname":%q,"pathPrefix":"/open/","routeType":"idempotent","timeoutMs":4000,"targetLatencyMs":400,"backend":%q,"maxAttempts":3,"public":true}`, host, plain)
@@ -23,7 +23,7 @@
 	return s, plainReplica, engine
 }
 
-// callWith sends a client's request with headers of its own.
+// callWith sends a client's request with additional headers.
 func (s *site) callWith(method, path, id string, header http.Header) (int, string) {
 	sent := header.Clone()
 	if sent == nil {
@@ -34,11 +34,11 @@
 	return status, body
 }
 
-func keyed(keys ...string) http.Header { return http.Header{sitestandin.Headers.Key: keys} }
+func keyHeader(keys ...string) http.Header { return http.Header{sitestandin.Headers.Key: keys} }
 
 func TestRequestsCarryTheTenantOfTheirKeyAndNotTheKey(t *testing.T) {
-	s, plainReplica, _ := withTenants(t)
-	claimed := keyed("key-b")
+	s, plainReplica, _ := startTenantSite(t)
+	claimed := keyHeader("key-b")
 	claimed[sitestandin.Headers.Tenant] = []string{"ada", "ada"}
 	lower := http.Header{"x-loomgrade-key": {"key-a2"}, "x-loomgrade-tenant": {"bob"}}
 	for name, row := range map[string]struct {
@@ -47,20 +47,20 @@
 		status int
 		tenant []string
 	}{
-		"a key":                              {"/plain/x", keyed("key-a1"), http.StatusOK, []string{"ada"}},
-		"another key of the tenant":          {"/plain/x", keyed("key-a2"), http.StatusOK, []string{"ada"}},
+		"a key":                              {"/plain/x", keyHeader("key-a1"), http.StatusOK, []string{"ada"}},
+		"another key of the tenant":          {"/plain/x", keyHeader("key-a2"), http.StatusOK, []string{"ada"}},
 		"another tenant is claimed":          {"/plain/x", claimed, http.StatusOK, []string{"bob"}},
 		"headers in lower case":              {"/plain/x", lower, http.StatusOK, []string{"ada"}},
 		"no key":                             {"/plain/x", nil, http.StatusUnauthorized, nil},
 		"no key, but a tenant":               {"/plain/x", http.Header{sitestandin.Headers.Tenant: {"ada"}}, http.StatusUnauthorized, nil},
-		"an unknown key":                     {"/plain/x", keyed("key-c"), http.StatusUnauthorized, nil},
-		"an empty key":                       {"/plain/x", keyed(""), http.StatusUnauthorized, nil},
-		"two keys":                           {"/plain/x", keyed("key-a1", "key-b"), http.StatusUnauthorized, nil},
+		"an unknown key":                     {"/plain/x", keyHeader("key-c"), http.StatusUnauthorized, nil},
+		"an empty key":                       {"/plain/x", keyHeader(""), http.StatusUnauthorized, nil},
+		"two keys":                           {"/plain/x", keyHeader("key-a1", "key-b"), http.StatusUnauthorized, nil},
 		"a public route without a key":       {"/open/x", nil, http.StatusOK, nil},
-		"a public route with a key":          {"/open/x", keyed("key-b"), http.StatusOK, []string{"bob"}},
+		"a public route with a key":          {"/open/x", keyHeader("key-b"), http.StatusOK, []string{"bob"}},
 		"a public route, a tenant claimed":   {"/open/x", http.Header{sitestandin.Headers.Tenant: {"ada"}}, http.StatusOK, nil},
-		"a public route with an unknown key": {"/open/x", keyed("key-c"), http.StatusOK, nil},
-		"no route":                           {"/none/x", keyed("key-a1"), http.StatusNotFound, nil},
+		"a public route with an unknown key": {"/open/x", keyHeader("key-c"), http.StatusOK, nil},
+		"no route":                           {"/none/x", keyHeader("key-a1"), http.StatusNotFound, nil},
 	} {
 		before := len(plainReplica.Arrivals())
 		if status, body := s.callWith(http.MethodPost, row.path, "id of "+name, row.header); status != row.status {
@@ -72,7 +72,7 @@
 		}
 		for _, got := range arrived {
 			if len(got.Header[sitestandin.Headers.Key]) > 0 {
-				t.Errorf("%s: the replica saw a key", name)
+				t.Errorf("%s: the replica received a key", name)
 			}
 			if fmt.Sprint(got.Header[sitestandin.Headers.Tenant]) != fmt.Sprint(row.tenant) {
 				t.Errorf("%s: tenant %q, want %q", name, got.Header[sitestandin.Headers.Tenant], row.tenant)
@@ -81,21 +81,21 @@
 	}
 }
 
-// TestJobsBelongToTheirTenant: any of its keys reaches them, no other tenant does, and they
-// outlive the key that they were handed in with.
+// TestJobsBelongToTheirTenant: a tenant's job is accessible with all of its keys, also after
+// the key that submitted it was revoked, and not to other tenants.
 func TestJobsBelongToTheirTenant(t *testing.T) {
-	s, _, engine := withTenants(t)
+	s, _, engine := startTenantSite(t)
 	engine.EventPause = 0
-	until(t, "job accepted", func() bool {
+	waitUntil(t, "job accepted", func() bool {
 		status, _, _ := do(http.MethodPost, s.fronts[0].http.URL+"/jobs/submit", host,
 			http.Header{sitestandin.Headers.RequestID: {"job-1"}, sitestandin.Headers.Key: {"key-a1"}}, job(1, "item-1", "item-2"))
 		return status == http.StatusAccepted
 	})
 	read := func(key string) int {
-		status, _ := s.callWith(http.MethodGet, "/loomgrade/lots/job-1?sinceRevision=0", "r", keyed(key))
+		status, _ := s.callWith(http.MethodGet, "/loomgrade/lots/job-1?sinceRevision=0", "r", keyHeader(key))
 		return status
 	}
-	until(t, "results for the tenant", func() bool { return read("key-a1") == http.StatusOK })
+	waitUntil(t, "results for the tenant", func() bool { return read("key-a1") == http.StatusOK })
 	for name, want := range map[string]int{"key-a2": http.StatusOK, "key-b": http.StatusNotFound, "key-c": http.StatusUnauthorized} {
 		if status := read(name); status != want {
 			t.Errorf("read with %s: %d, want %d", name, status, want)
@@ -105,10 +105,10 @@
 		http.Header{sitestandin.Headers.RequestID: {"job-1"}, sitestandin.Headers.Key: {"key-b"}}, job(1, "other")); status != http.StatusBadRequest {
 		t.Errorf("another tenant's job under the same id: %d", status)
 	}
-	if status, _ := s.callWith(http.MethodDelete, "/loomgrade/lots/job-1", "d", keyed("key-b")); status != http.StatusNotFound {
+	if status, _ := s.callWith(http.MethodDelete, "/loomgrade/lots/job-1", "d", keyHeader("key-b")); status != http.StatusNotFound {
 		t.Errorf("ended by another tenant: %d", status)
 	}
-	until(t, "the items run", func() bool { return len(engine.Arrivals()) >= 2 })
+	waitUntil(t, "the items run", func() bool { return len(engine.Arrivals()) >= 2 })
 	for _, arrival := range engine.Arrivals() {
 		if got := arrival.Header.Get(sitestandin.Headers.Tenant); got != "ada" || arrival.Header.Get(sitestandin.Headers.Key) != "" {
 			t.Errorf("an item arrived with tenant %q and key %q", got, arrival.Header.Get(sitestandin.Headers.Key))
@@ -119,17 +119,17 @@
 	s.configure()
 	for name, want := range map[string]int{"key-a1": http.StatusUnauthorized, "key-a2": http.StatusOK, "key-b": http.StatusUnauthorized} {
 		if status := read(name); status != want {
-			t.Errorf("read with %s after keys were taken away: %d, want %d", name, status, want)
+			t.Errorf("read with %s after keys were revoked: %d, want %d", name, status, want)
 		}
 	}
-	if status, _ := s.callWith(http.MethodDelete, "/loomgrade/lots/job-1", "d", keyed("key-a2")); status != http.StatusOK {
+	if status, _ := s.callWith(http.MethodDelete, "/loomgrade/lots/job-1", "d", keyHeader("key-a2")); status != http.StatusOK {
 		t.Errorf("ended by its tenant: %d", status)
 	}
 }
 
-// TestATakenKeyActsOnKeptConnections: each request is judged by the configuration in force.
+// TestATakenKeyActsOnKeptConnections: a revoked key is rejected on open connections too.
 func TestATakenKeyActsOnKeptConnections(t *testing.T) {
-	s, _, _ := withTenants(t)
+	s, _, _ := startTenantSite(t)
 	client := &http.Client{}
 	call := func() int {
 		request, _ := http.NewRequest(http.MethodGet, s.fronts[0].http.URL+"/plain/x", nil)
@@ -149,42 +149,42 @@
 	s.tenants = `[{"name":"ada","apiKeys":["key-a1"]},{"name":"bob","apiKeys":[]}]`
 	s.configure()
 	if status := call(); status != http.StatusUnauthorized {
-		t.Errorf("with a key that was taken away: %d", status)
+		t.Errorf("with a revoked key: %d", status)
 	}
 }
 
 func TestASharedKeyIsInvalid(t *testing.T) {
 	s := newSite(t, 1, 0)
-	s.losses = 0
+	s.toleratedLosses = 0
 	s.startControl(s.controls[0], true)
 	s.tenants = `[{"name":"ada","apiKeys":["same"]},{"name":"bob","apiKeys":["other","same"]}]`
-	if status, body := s.operate(http.MethodPut, "/loomgrade/config", s.configuration(3)); status != http.StatusBadRequest {
+	if status, body := s.callControl(http.MethodPut, "/loomgrade/config", s.configuration(3)); status != http.StatusBadRequest {
 		t.Errorf("%d %s", status, body)
 	}
 }
 
-// TestNoLineShowsAKey: neither a good one, nor one that nobody holds, of requests and jobs.
+// TestNoLineShowsAKey: logs of requests and jobs contain neither valid nor unknown keys.
 func TestNoLineShowsAKey(t *testing.T) {
-	var book lineBook
+	var logs logRecorder
 	s := newSite(t, 3, 3)
-	s.logger = book.logger
+	s.logger = logs.logger
 	s.tenants = twoTenants
 	s.start()
 	s.configure()
 	s.add(sitestandin.NewReplica(t, "i-plain", plain), sitestandin.NewEngine(t, "i-lm", lm, model))
 	for _, key := range []string{"key-a1", "key-b", "key-unknown"} {
-		s.callWith(http.MethodPost, "/plain/x", "request with "+key[len("key-"):], keyed(key))
-		s.callWith(http.MethodGet, "/loomgrade/lots/none", "read", keyed(key))
-		s.callWith(http.MethodDelete, "/loomgrade/lots/none", "end", keyed(key))
+		s.callWith(http.MethodPost, "/plain/x", "request with "+key[len("key-"):], keyHeader(key))
+		s.callWith(http.MethodGet, "/loomgrade/lots/none", "read", keyHeader(key))
+		s.callWith(http.MethodDelete, "/loomgrade/lots/none", "end", keyHeader(key))
 	}
-	until(t, "job accepted", func() bool {
+	waitUntil(t, "job accepted", func() bool {
 		status, _, _ := do(http.MethodPost, s.fronts[0].http.URL+"/jobs/submit", host,
 			http.Header{sitestandin.Headers.RequestID: {"job-1"}, sitestandin.Headers.Key: {"key-a2"}}, job(1, "item-1"))
 		return status == http.StatusAccepted
 	})
 	s.close()
-	written := book.bytes.String()
-	if cause := book.cause("request with unknown"); !strings.Contains(cause, "no tenant with the key") {
+	written := logs.bytes.String()
+	if cause := logs.cause("request with unknown"); !strings.Contains(cause, "no tenant with the key") {
 		t.Errorf("cause %q", cause)
 	}
 	if !strings.Contains(written, "request.nokey") || !strings.Contains(written, "job.accepted") {
@@ -192,7 +192,7 @@
 	}
 	for _, key := range []string{"key-a1", "key-a2", "key-b", "key-unknown"} {
 		if strings.Contains(written, key) {
-			t.Errorf("a line shows %s", key)
+			t.Errorf("a log line contains %s", key)
 		}
 	}
 }
--- a/test/site/traps_test.go
+++ b/test/site/traps_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// rawServer answers every connection's requests with bytes of the test's own.
+// rawServer passes each accepted connection to answer and returns its address.
 func rawServer(t *testing.T, answer func(connection net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return listener.Addr().String()
 }
 
-// readRequest reads one request off a connection and gives its id.
+// readRequest reads one request from a connection and returns its id.
 func readRequest(reader *bufio.Reader) (id string, err error) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -48,28 +48,28 @@
 	return request.Header.Get(sitestandin.Headers.RequestID), nil
 }
 
-// answerTo is a whole answer of a replica.
+// answerTo returns a complete response of a replica.
 func answerTo(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id), len(body), body)
 }
 
-// reset makes closing a connection send a reset.
+// reset closes a connection with a TCP reset.
 func reset(connection net.Conn) {
 	_ = connection.(*net.TCPConn).SetLinger(0)
 	_ = connection.Close()
 }
 
-// TestTraps sends requests to a replica that misbehaves on its connection. Calls
-// of route "plain" may be repeated and find a sound replica afterwards; those of
-// route "once" must reach a replica once and get no false answer.
+// TestTraps sends requests to a replica that misbehaves on its connection. Requests of route
+// "plain" are retried at a healthy replica; those of route "once" must run at most once and
+// get no incorrect response.
 func TestTraps(t *testing.T) {
 	for name, row := range map[string]struct {
-		// serve answers one request; it reports whether the connection goes on.
+		// serve responds to one request and reports whether the connection stays open.
 		serve func(connection net.Conn, id string, count int64) bool
-		// once is the status of a call that may run once only.
+		// once is the expected status of a request that may run only once.
 		once int
-		// mayRunAgain is set if the misbehaving replica did not run the call.
-		mayRunAgain bool
+		// retriable is set if the misbehaving replica didn't run the request.
+		retriable bool
 	}{
 		"closes without an answer": {
 			serve: func(connection net.Conn, _ string, _ int64) bool { _ = connection.Close(); return false },
@@ -79,7 +79,7 @@
 			serve: func(connection net.Conn, _ string, _ int64) bool { reset(connection); return false },
 			once:  http.StatusBadGateway,
 		},
-		"an answer cut short": {
+		"truncated response": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
 				_, _ = connection.Write([]byte(answerTo(id, "whole answer")[:len(answerTo(id, "whole answer"))-4]))
 				_ = connection.Close()
@@ -87,7 +87,7 @@
 			},
 			once: http.StatusBadGateway,
 		},
-		"an answer without a length that is reset": {
+		"response without a length, then a reset": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
 				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\nhalf", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id))
 				time.Sleep(20 * time.Millisecond)
@@ -96,7 +96,7 @@
 			},
 			once: http.StatusBadGateway,
 		},
-		"bytes that are no answer": {
+		"malformed response": {
 			serve: func(connection net.Conn, _ string, _ int64) bool {
 				_, _ = connection.Write([]byte("garbage\r\n\r\n"))
 				_ = connection.Close()
@@ -104,35 +104,35 @@
 			},
 			once: http.StatusBadGateway,
 		},
-		"a success without a seal": {
+		"success without a signature": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
 				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nno", sitestandin.Headers.RequestID, id)
 				return true
 			},
 			once: http.StatusBadGateway,
 		},
-		"an answer to another request": {
+		"response to another request": {
 			serve: func(connection net.Conn, _ string, _ int64) bool {
 				_, _ = connection.Write([]byte(answerTo("somebody-else", "of somebody else")))
 				return true
 			},
 			once: http.StatusBadGateway,
 		},
-		"refuses as not run": {
+		"rejects as not run": {
 			serve: func(connection net.Conn, _ string, _ int64) bool {
 				fmt.Fprintf(connection, "HTTP/1.1 503 Service Unavailable\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", sitestandin.Headers.NotRun)
 				return true
 			},
-			once: http.StatusOK, mayRunAgain: true,
+			once: http.StatusOK, retriable: true,
 		},
-		"is another instance": {
+		"wrong instance": {
 			serve: func(connection net.Conn, _ string, _ int64) bool {
 				_, _ = connection.Write([]byte("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"))
 				return true
 			},
-			once: http.StatusOK, mayRunAgain: true,
+			once: http.StatusOK, retriable: true,
 		},
-		"a failure of its own": {
+		"internal server error": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
 				fmt.Fprintf(connection, "HTTP/1.1 500 Internal Server Error\r\n%s: %s\r\n%s: %s\r\nContent-Length: 4\r\n\r\nfail", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id))
 				return true
@@ -162,18 +162,18 @@
 			})
 			s.add(bad)
 			status, body, _ := s.call("/once/x", "once-1")
-			sound := sitestandin.NewReplica(t, "i-sound", plain)
-			s.add(sound)
-			if row.mayRunAgain {
+			healthy := sitestandin.NewReplica(t, "i-sound", plain)
+			s.add(healthy)
+			if row.retriable {
 				if status != http.StatusServiceUnavailable {
-					t.Errorf("alone: status %d", status)
+					t.Errorf("without a healthy replica: status %d", status)
 				}
 				status, body, _ = s.call("/once/x", "once-2")
 			}
 			if status != row.once {
 				t.Errorf("once: status %d %q, want %d", status, body, row.once)
 			}
-			if !row.mayRunAgain && runs.Load() != 1 {
+			if !row.retriable && runs.Load() != 1 {
 				t.Errorf("once: ran %d times", runs.Load())
 			}
 			for i := range 6 {
@@ -198,7 +198,7 @@
 			if err != nil {
 				return
 			}
-			// The surplus comes late, in the place of the next answer.
+			// The surplus response arrives in place of the next one.
 			_, _ = connection.Write([]byte(answerTo(id, "right answer to "+id)))
 			if _, err := reader.Peek(1); err != nil {
 				return
@@ -216,13 +216,13 @@
 }
 
 func TestAReplicaIsToldWhenTheCallerLeaves(t *testing.T) {
-	s, plainReplica, _ := serving(t)
-	left := make(chan struct{})
-	begun := make(chan struct{})
+	s, plainReplica, _ := startServingSite(t)
+	canceled := make(chan struct{})
+	started := make(chan struct{})
 	plainReplica.Behave = func(_ http.ResponseWriter, r *http.Request) bool {
-		close(begun)
+		close(started)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 		return true
 	}
 	connection, err := net.Dial("tcp", s.fronts[0].http.Listener.Addr().String())
@@ -230,23 +230,23 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(connection, "POST /once/x HTTP/1.1\r\nHost: %s\r\n%s: leaving\r\n%s: 60000\r\nContent-Length: 1\r\n\r\nx", host, sitestandin.Headers.RequestID, sitestandin.Headers.Deadline)
-	<-begun
+	<-started
 	_ = connection.Close()
 	select {
-	case <-left:
-	case <-time.After(patience):
-		t.Error("the replica works on although the caller left")
+	case <-canceled:
+	case <-time.After(waitTimeout):
+		t.Error("the request still runs after the caller has disconnected")
 	}
 }
 
 func TestASilentReplicaEndsAtTheTimeoutOfItsRoute(t *testing.T) {
-	s, plainReplica, _ := serving(t)
+	s, plainReplica, _ := startServingSite(t)
 	plainReplica.Behave = func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true }
 	if status, _, _ := s.call("/once/x", "silent"); status != http.StatusGatewayTimeout {
 		t.Errorf("status %d", status)
 	}
-	sound := sitestandin.NewReplica(t, "i-sound", plain)
-	s.add(sound)
+	healthy := sitestandin.NewReplica(t, "i-sound", plain)
+	s.add(healthy)
 	if status, body, _ := s.call("/plain/x", "hedged"); status != http.StatusOK || body != "answer of i-sound to hedged" {
 		t.Errorf("%d %q", status, body)
 	}
--- a/test/site/usage_test.go
+++ b/test/site/usage_test.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/test/sitestandin"
 )
 
-// reporting starts a site that reports usage, with the provider's behaviour.
-func reporting(t *testing.T, behave func(n int) int) (*site, *sitestandin.Provider) {
+// startReportingSite starts a site that reports usage; behave sets the provider's statuses.
+func startReportingSite(t *testing.T, behave func(n int) int) (*site, *sitestandin.Provider) {
 	cloud := sitestandin.NewProvider(t)
 	cloud.Behave = behave
 	s := newSite(t, 3, 0)
@@ -25,13 +25,13 @@
 	return s, cloud
 }
 
-// sendKeyed sends requests of both tenants: twice as many of the first.
-func (s *site) sendKeyed(count int) {
+// sendTenantRequests sends requests of both tenants, twice as many of the first.
+func (s *site) sendTenantRequests(count int) {
 	s.t.Helper()
 	for i := range count {
 		for key, times := range map[string]int{"key-a1": 2, "key-b": 1} {
 			for n := range times {
-				if status, body := s.callWith(http.MethodPost, "/plain/x", fmt.Sprint(key, i, n, time.Now().UnixNano()), keyed(key)); status != http.StatusOK {
+				if status, body := s.callWith(http.MethodPost, "/plain/x", fmt.Sprint(key, i, n, time.Now().UnixNano()), keyHeader(key)); status != http.StatusOK {
 					s.t.Fatalf("status %d %s", status, body)
 				}
 			}
@@ -39,12 +39,12 @@
 	}
 }
 
-// reported waits until the provider has so many requests of each tenant, and then for a
-// further window.
-func reported(t *testing.T, cloud *sitestandin.Provider, ada, bob uint64) {
+// checkReported waits for the given numbers of reported requests and one more report, and
+// checks that no others were reported.
+func checkReported(t *testing.T, cloud *sitestandin.Provider, ada, bob uint64) {
 	t.Helper()
 	sums := map[string]uint64{}
-	until(t, fmt.Sprintf("%d and %d requests reported", ada, bob), func() bool {
+	waitUntil(t, fmt.Sprintf("%d and %d requests reported", ada, bob), func() bool {
 		counts, differ := cloud.Taken()
 		if differ {
 			t.Fatal("a window was sent with different counts")
@@ -58,44 +58,44 @@
 		return sums["ada"] >= ada && sums["bob"] >= bob
 	})
 	before := len(cloud.Calls())
-	until(t, "a further report", func() bool { return len(cloud.Calls()) > before })
+	waitUntil(t, "another report", func() bool { return len(cloud.Calls()) > before })
 	if sums["ada"] != ada || sums["bob"] != bob || len(sums) != 2 {
 		t.Errorf("reported %v, want %d and %d", sums, ada, bob)
 	}
 }
 
-// TestUsageIsReportedOnce: each request in one window, each window with the same counts
-// however often it has to be sent.
+// TestUsageIsReportedOnce: each request is counted in one window, and retries of a window
+// send the same counts.
 func TestUsageIsReportedOnce(t *testing.T) {
 	for name, behave := range map[string]func(n int) int{
-		"sound":                nil,
-		"answers are lost":     func(n int) int { return []int{0, 0, http.StatusOK}[n%3] },
-		"busy":                 func(n int) int { return []int{http.StatusTooManyRequests, http.StatusOK}[n%2] },
-		"down for some calls":  func(n int) int { return map[bool]int{true: http.StatusServiceUnavailable, false: http.StatusOK}[n < 4] },
-		"lost answer, then no": func(n int) int { return []int{0, http.StatusServiceUnavailable, http.StatusOK}[n%3] },
+		"no fault":                     nil,
+		"responses are lost":           func(n int) int { return []int{0, 0, http.StatusOK}[n%3] },
+		"busy":                         func(n int) int { return []int{http.StatusTooManyRequests, http.StatusOK}[n%2] },
+		"unavailable for some calls":   func(n int) int { return map[bool]int{true: http.StatusServiceUnavailable, false: http.StatusOK}[n < 4] },
+		"lost response, then rejected": func(n int) int { return []int{0, http.StatusServiceUnavailable, http.StatusOK}[n%3] },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, cloud := reporting(t, behave)
-			s.sendKeyed(20)
-			reported(t, cloud, 40, 20)
+			s, cloud := startReportingSite(t, behave)
+			s.sendTenantRequests(20)
+			checkReported(t, cloud, 40, 20)
 		})
 	}
 }
 
-// TestUsageOutlivesItsLeader: what a front was told is kept is not lost with any member,
-// and a new leader goes on with a higher token once the one before can act no more.
+// TestUsageOutlivesItsLeader: acknowledged counts survive the loss of a member, and a new
+// leader reports with a higher token after the old lease has expired.
 func TestUsageOutlivesItsLeader(t *testing.T) {
-	s, cloud := reporting(t, nil)
-	s.sendKeyed(10)
-	until(t, "a first report", func() bool { return len(cloud.Calls()) > 0 })
+	s, cloud := startReportingSite(t, nil)
+	s.sendTenantRequests(10)
+	waitUntil(t, "a first report", func() bool { return len(cloud.Calls()) > 0 })
 	first := cloud.Calls()[0]
 	for _, p := range s.controls {
 		if p.name == first.Holder {
 			p.powerOff()
 		}
 	}
-	s.sendKeyed(10)
-	reported(t, cloud, 40, 20)
+	s.sendTenantRequests(10)
+	checkReported(t, cloud, 40, 20)
 	last := first
 	for _, call := range cloud.Calls() {
 		if call.Holder != last.Holder {
@@ -103,28 +103,28 @@
 				t.Errorf("%s has token %d after %s with %d", call.Holder, call.Fence, last.Holder, last.Fence)
 			}
 			if gap := call.At.Sub(last.At); gap < s.holderLease {
-				t.Errorf("a new holder acted %v after the one before, within the lease", gap)
+				t.Errorf("a new holder sent a report %v after the previous one, within the lease", gap)
 			}
 		}
 		last = call
 	}
 	if last.Holder == first.Holder {
-		t.Error("no other machine took over")
+		t.Error("no other machine became the holder")
 	}
 }
 
-// TestUsageOutlivesTheLossOfAllPower: windows that were kept are reported by whoever leads
-// afterwards.
+// TestUsageOutlivesTheLossOfAllPower: stored windows are reported after a power failure of
+// all control machines.
 func TestUsageOutlivesTheLossOfAllPower(t *testing.T) {
 	var up atomic.Bool
-	s, cloud := reporting(t, func(int) int {
+	s, cloud := startReportingSite(t, func(int) int {
 		if up.Load() {
 			return http.StatusOK
 		}
 		return http.StatusServiceUnavailable
 	})
-	s.sendKeyed(10)
-	until(t, "a report that is refused", func() bool { return len(cloud.Calls()) > 0 })
+	s.sendTenantRequests(10)
+	waitUntil(t, "a rejected report", func() bool { return len(cloud.Calls()) > 0 })
 	for _, p := range s.controls {
 		p.powerOff()
 	}
@@ -132,36 +132,36 @@
 		s.startControl(p, false)
 	}
 	up.Store(true)
-	reported(t, cloud, 20, 10)
+	checkReported(t, cloud, 20, 10)
 }
 
-// TestALeaderThatIsLostBetweenCallAndAnswer: the provider has taken the report, nobody knows,
-// and the next holder sends the same counts again.
+// TestALeaderThatIsLostBetweenCallAndAnswer: when the holder is lost before it receives the
+// provider's response, the next holder sends the same counts again.
 func TestALeaderThatIsLostBetweenCallAndAnswer(t *testing.T) {
-	taken := make(chan struct{})
-	s, cloud := reporting(t, func(n int) int {
+	received := make(chan struct{})
+	s, cloud := startReportingSite(t, func(n int) int {
 		if n == 0 {
-			close(taken)
+			close(received)
 			return 0
 		}
 		return http.StatusOK
 	})
-	s.sendKeyed(10)
-	<-taken
+	s.sendTenantRequests(10)
+	<-received
 	first := cloud.Calls()[0]
 	for _, p := range s.controls {
 		if p.name == first.Holder {
 			p.powerOff()
 		}
 	}
-	reported(t, cloud, 20, 10)
-	again := 0
+	checkReported(t, cloud, 20, 10)
+	resent := 0
 	for _, call := range cloud.Calls()[1:] {
 		if call.Window == first.Window {
-			again++
+			resent++
 		}
 	}
-	if again == 0 {
-		t.Error("the window without an answer was not sent again")
+	if resent == 0 {
+		t.Error("the window without a response was not sent again")
 	}
 }
