--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,6 +1,5 @@
-// Package docs_test holds the pages against the repository: links lead
-// somewhere, tests that pages name exist, and the contract names every path and
-// method of the code.
+// Package docs_test checks the pages against the repository: links resolve, the tests
+// that pages name exist, and the contract names every path and method of the code.
 package docs_test
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// pages lists the Markdown pages of the repository, from its root.
+// pages returns the paths of the repository's Markdown pages, relative to its root.
 func pages(t *testing.T) []string {
 	t.Helper()
 	root := testkit.Root(t)
@@ -48,14 +47,14 @@
 var (
 	linkPattern    = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	headingPattern = regexp.MustCompile(`(?m)^#+ (.+)$`)
-	notInAnchors   = regexp.MustCompile(`[^a-z0-9 _-]`)
+	nonAnchorChars = regexp.MustCompile(`[^a-z0-9 _-]`)
 )
 
-// anchors lists the anchors of a page's headings.
+// anchors returns the anchors of a page's headings.
 func anchors(page string) []string {
 	var found []string
 	for _, match := range headingPattern.FindAllStringSubmatch(page, -1) {
-		plain := notInAnchors.ReplaceAllString(strings.ToLower(match[1]), "")
+		plain := nonAnchorChars.ReplaceAllString(strings.ToLower(match[1]), "")
 		found = append(found, strings.ReplaceAll(plain, " ", "-"))
 	}
 	return found
@@ -75,7 +74,7 @@
 				target = filepath.Join(filepath.Dir(page), path)
 			}
 			if _, err := os.Stat(filepath.Join(root, target)); err != nil {
-				t.Errorf("%s: link %s leads nowhere", page, link)
+				t.Errorf("%s: link %s: file not found", page, link)
 				continue
 			}
 			if hasAnchor && !slices.Contains(anchors(testkit.Page(t, target)), anchor) {
@@ -85,8 +84,8 @@
 	}
 }
 
-// testsOf lists the tests that a folder's test files declare.
-func testsOf(t *testing.T, folder string) []string {
+// functionNames returns the names of the functions that a folder's test files declare.
+func functionNames(t *testing.T, folder string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(testkit.Root(t), folder, "*_test.go"))
 	if err != nil {
@@ -109,11 +108,11 @@
 
 var proofPattern = regexp.MustCompile("`([a-z][a-z0-9/_]*)\\.((?:Test|Fuzz)[A-Za-z0-9_]+)`")
 
-// notProved stands in a row of PROOF.md that no test proves yet.
+// notProved marks a row of PROOF.md that no test proves yet.
 const notProved = "not proved yet"
 
-// TestProofNamesTestsThatExist reads the rows of PROOF.md: each names a test, or
-// says that there is none.
+// TestProofNamesTestsThatExist checks that each row of PROOF.md names an existing test
+// or is marked as not proved.
 func TestProofNamesTestsThatExist(t *testing.T) {
 	page := testkit.Page(t, "docs/PROOF.md")
 	declared := map[string][]string{}
@@ -130,7 +129,7 @@
 	for _, proof := range proofPattern.FindAllStringSubmatch(page, -1) {
 		folder, name := proof[1], proof[2]
 		if _, read := declared[folder]; !read {
-			declared[folder] = testsOf(t, folder)
+			declared[folder] = functionNames(t, folder)
 		}
 		if !slices.Contains(declared[folder], name) {
 			t.Errorf("PROOF.md names %s.%s, which does not exist", folder, name)
@@ -138,7 +137,8 @@
 	}
 }
 
-// TestProtocolsNamesTestsThatExist reads "Tests: NAME and NAME in FOLDER".
+// TestProtocolsNamesTestsThatExist checks paragraphs of the form
+// "Tests: NAME and NAME in FOLDER".
 func TestProtocolsNamesTestsThatExist(t *testing.T) {
 	checked := 0
 	for paragraph := range strings.SplitSeq(testkit.Page(t, "docs/PROTOCOLS.md"), "\n\n") {
@@ -151,7 +151,7 @@
 				names = append(names, quoted)
 				continue
 			}
-			declared := testsOf(t, quoted)
+			declared := functionNames(t, quoted)
 			for _, name := range names {
 				checked++
 				if !slices.Contains(declared, name) {
@@ -169,9 +169,9 @@
 	}
 }
 
-// constantsOf gives the texts of a file's constants whose names begin with a
-// prefix.
-func constantsOf(t *testing.T, path, prefix string) []string {
+// constantsWithPrefix returns the values of a file's string constants whose names begin
+// with a prefix.
+func constantsWithPrefix(t *testing.T, path, prefix string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(testkit.Root(t), path), nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -198,8 +198,8 @@
 	return found
 }
 
-// TestProtocolsNamesEveryPathAndMethod compares the contract with the constants
-// that adapters and processes share.
+// TestProtocolsNamesEveryPathAndMethod checks that PROTOCOLS.md names the constants that
+// adapters and processes share.
 func TestProtocolsNamesEveryPathAndMethod(t *testing.T) {
 	page := testkit.Page(t, "docs/PROTOCOLS.md")
 	sources := []struct{ path, prefix string }{
@@ -214,7 +214,7 @@
 		{"internal/app/node/messages.go", "method"},
 	}
 	for _, source := range sources {
-		for _, text := range constantsOf(t, source.path, source.prefix) {
+		for _, text := range constantsWithPrefix(t, source.path, source.prefix) {
 			if !strings.Contains(page, text) {
 				t.Errorf("PROTOCOLS.md does not name %q of %s", text, source.path)
 			}
@@ -222,7 +222,7 @@
 	}
 }
 
-// TestReadmeListsThePages compares the README's table with the folders of docs.
+// TestReadmeListsThePages checks that README.md names every file and folder of docs.
 func TestReadmeListsThePages(t *testing.T) {
 	readme := testkit.Page(t, "README.md")
 	root := testkit.Root(t)
