--- a/internal/core/logtrace/delays.go
+++ b/internal/core/logtrace/delays.go
@@ -99,15 +99,15 @@
 	if done.Event == "" {
 		return
 	}
-	begun := done.Time - done.number("took_ms")
-	d.StartDelay = max(0, begun-d.AcceptedAt)
+	startedAt := done.Time - done.number("took_ms")
+	d.StartDelay = max(0, startedAt-d.AcceptedAt)
 	d.FirstWait, d.LaterWaits = done.number("deciding_first_wait_ms"), done.number("deciding_later_waits_ms")
 	d.Ran, d.Unused, d.Scored = done.number("deciding_ran_ms"), done.number("deciding_unused_ms"), done.number("deciding_scored_ms")
 	d.Deciding, d.Refused, d.Cut = done.field("deciding_item"), done.number("refused"), done.number("cut")
-	whole := done.number("whole_90_ms")
-	d.Whole = whole > 0
+	complete := done.number("whole_90_ms")
+	d.Whole = complete > 0
 	if d.Whole && ended > 0 {
-		d.Read = max(0, ended-begun-whole)
+		d.Read = max(0, ended-startedAt-complete)
 	}
 }
 
--- a/internal/core/logtrace/logtrace.go
+++ b/internal/core/logtrace/logtrace.go
@@ -173,7 +173,7 @@
 		if line.field("shown") == "true" {
 			return fmt.Sprintf("configuration %s, in force at %s, has no tenant with the key that the request showed", line.field("version"), line.Process)
 		}
-		return fmt.Sprintf("the request showed no key, and configuration %s, in force at %s, wants one", line.field("version"), line.Process)
+		return fmt.Sprintf("the request has no key, and configuration %s, in force at %s, requires one", line.field("version"), line.Process)
 	case "request.carried":
 		return causeOfCarried(line)
 	case "request.failed":
@@ -187,7 +187,7 @@
 		}
 		return "item given up: " + line.field("reason")
 	case "runner.notkept":
-		return "the store group could not keep text or results: " + line.field("error")
+		return "text or results were not committed: " + line.field("error")
 	default:
 		return ""
 	}
@@ -204,7 +204,7 @@
 	case "deadline":
 		return fmt.Sprintf("its time was over after %s sends, to replicas %s, of which %s may have run; the last failure: %s", line.field("sends"), line.field("tried"), line.field("may_have_run"), orNone(line.field("last_failure")))
 	case "cancelled":
-		return "its caller left"
+		return "the caller disconnected"
 	default:
 		return fmt.Sprintf("a replica of service %s failed after it may have run, tried were %s: %s", line.field("service"), line.field("tried"), orNone(line.field("last_failure")))
 	}
