--- a/internal/core/decision/decision_test.go
+++ b/internal/core/decision/decision_test.go
@@ -34,11 +34,11 @@
 		},
 		"request retried": {
 			port.Decision{Kind: port.DecisionRetried, Subject: "r-n1-9", Replica: "caption-1", Considered: 1},
-			"00:00:01.500 Request r-n1-9 was to be tried again after a failure on caption-1. 1 replica considered, none filtered out.",
+			"00:00:01.500 Request r-n1-9 was retried after a failure on caption-1. 1 replica considered, none filtered out.",
 		},
 		"retried without a replica": {
 			port.Decision{Kind: port.DecisionRetried, Subject: "s-lm-4-17", Detail: "no reward"},
-			"00:00:01.500 Sample s-lm-4-17 was to be tried again: no reward.",
+			"00:00:01.500 Sample s-lm-4-17 was retried: no reward.",
 		},
 		"placed with the highest score": {
 			port.Decision{Kind: port.DecisionPlaced, Subject: "r-n1-9", Replica: "lm-1", Scores: []port.ReplicaScore{{Replica: "lm-1", Total: 1}}},
@@ -61,12 +61,12 @@
 				Kind: port.DecisionStale, Subject: "s-lm-4-17", Detail: "its oldest span is 3 versions old, and the bound is 2", Version: 9,
 				Spans: []port.Span{{Version: 6, Tokens: 120}, {Version: 7, Tokens: 1}}, Related: []string{"batch/lm/4"},
 			},
-			"00:00:01.500 Sample s-lm-4-17 was dropped as too old to deliver because its oldest span is 3 versions old, and the bound is 2. " +
-				"It holds 120 tokens from version 6, 1 token from version 7. Weight version 9 was meant. See also batch/lm/4.",
+			"00:00:01.500 Sample s-lm-4-17 was dropped as stale because its oldest span is 3 versions old, and the bound is 2. " +
+				"It holds 120 tokens from version 6, 1 token from version 7. Weight version: 9. See also batch/lm/4.",
 		},
 		"attempt":  {port.Decision{Kind: port.DecisionDelivered, Subject: "b-lm-4-1", Detail: "32 samples"}, "00:00:01.500 Batch b-lm-4-1 was delivered: 32 samples."},
 		"batch":    {port.Decision{Kind: port.DecisionCommitted, Subject: "batch/lm/4"}, "00:00:01.500 Batch lm/4 was committed."},
-		"replica":  {port.Decision{Kind: port.DecisionEjected, Subject: "replica/lm-1", Detail: "consecutive failures"}, "00:00:01.500 Replica lm-1 was taken out of routing: consecutive failures."},
+		"replica":  {port.Decision{Kind: port.DecisionEjected, Subject: "replica/lm-1", Detail: "consecutive failures"}, "00:00:01.500 Replica lm-1 was ejected from routing: consecutive failures."},
 		"revision": {port.Decision{Kind: port.DecisionRefused, Subject: "revision/12", Code: port.CodeConflict, Verdict: port.NotRun}, "00:00:01.500 Configuration revision 12 was refused with conflict (it did not run)."},
 		"other":    {port.Decision{Kind: "odd", Subject: "x"}, "00:00:01.500 x had decision odd."},
 	}
--- a/internal/core/decision/explain.go
+++ b/internal/core/decision/explain.go
@@ -15,8 +15,8 @@
 // oldest first.
 func Explain(subject string, decisions []port.Decision) []string {
 	if len(decisions) == 0 {
-		return []string{fmt.Sprintf("No decision about %s is on record here. "+
-			"Records are kept for a bounded time; the oldest are dropped first.", subject)}
+		return []string{fmt.Sprintf("No decision about %s is recorded here. "+
+			"Records are kept in bounded memory; the oldest are dropped first.", subject)}
 	}
 	lines := make([]string, 0, len(decisions))
 	for index := range decisions {
@@ -83,17 +83,17 @@
 	case port.DecisionHeld:
 		return "was held"
 	case port.DecisionRetried:
-		return "was to be tried again" + failureOf(replica) + outcome(decision)
+		return "was retried" + failureOf(replica) + outcome(decision)
 	case port.DecisionRefused:
 		return "was refused" + outcome(decision)
 	case port.DecisionAnswered:
 		return "was answered" + by(replica) + outcome(decision)
 	case port.DecisionEjected:
-		return "was taken out of routing"
+		return "was ejected from routing"
 	case port.DecisionReturned:
 		return "was returned to routing"
 	case port.DecisionStale:
-		return "was dropped as too old to deliver"
+		return "was dropped as stale"
 	case port.DecisionCommitted:
 		return "was committed"
 	case port.DecisionDelivered:
@@ -162,7 +162,7 @@
 		add(fmt.Sprintf("This was attempt %d", decision.Attempt))
 	}
 	if decision.Version > 0 {
-		add(fmt.Sprintf("Weight version %d was meant", decision.Version))
+		add(fmt.Sprintf("Weight version: %d", decision.Version))
 	}
 	if withRelated && len(decision.Related) > 0 {
 		add("See also " + strings.Join(decision.Related, ", "))
