--- a/examples/policies/long-samples/no-over-provision.star
+++ b/examples/policies/long-samples/no-over-provision.star
@@ -1,16 +1,16 @@
 # The default policy without extra samples.
 def plan(pool):
-    # One batch that is wanted now and one that is being made.
+    # Enough samples for the next batch and the one after it.
     wanted = 2 * pool.batch_samples - pool.buffered
     target = min(pool.capacity, max(wanted, pool.group_size))
 
-    # A sample that starts on the oldest allowed version has no time left, unless
-    # the trainer waits for it: then no newer version comes before the batch does.
+    # A sample on the oldest allowed version becomes stale at the next publication.
+    # While the trainer waits, none happens before the batch is delivered.
     slack = 0 if pool.trainer_waiting else 1
     oldest = pool.version - max(pool.staleness_bound - slack, 0)
 
-    # With room to spare, one sample more than a group needs: the first ones to
-    # finish make the group, so that a long one holds it up less often.
+    # With spare capacity, each group gets an extra sample: the first ones to finish
+    # make the group, so that a long one delays it less often.
     spare = pool.capacity >= 2 * pool.batch_samples
 
     return struct(
