--- a/cmd/loomgrade/cmd_control.go
+++ b/cmd/loomgrade/cmd_control.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/policy"
 )
 
-// shutdownTimeout limits how long a planned stop waits for work in flight.
+// shutdownTimeout limits how long a graceful stop waits for work in flight.
 const shutdownTimeout = 5 * time.Minute
 
 // controlCommand runs a control member.
--- a/cmd/loomgrade/cmd_explain.go
+++ b/cmd/loomgrade/cmd_explain.go
@@ -111,8 +111,8 @@
 		len(status.Nodes), reached, silent, status.Revision)
 }
 
-// queryNodes queries the nodes in order and returns the first explanation. "Not found" is
-// final only if no other node knows the id.
+// queryNodes queries the nodes in order and returns the first explanation, or the
+// last node's error.
 func (c *explainCommand) queryNodes(ctx context.Context, token string) (httpapi.Explanation, error) {
 	var failure error
 	for _, node := range c.Node {
--- a/cmd/loomgrade/cmd_site.go
+++ b/cmd/loomgrade/cmd_site.go
@@ -1,6 +1,6 @@
 package main
 
-// siteCommand runs the processes of a site on the users' platform.
+// siteCommand runs the processes of a site.
 type siteCommand struct {
 	Front   siteFrontCommand   `cmd:"" help:"Run the process that callers reach."`
 	Control siteControlCommand `cmd:"" help:"Run a control process, which operators and replicas reach."`
--- a/cmd/loomgrade/cmd_site_front.go
+++ b/cmd/loomgrade/cmd_site_front.go
@@ -57,7 +57,7 @@
 		Jobs: jobsapi.NewClient(jobsapi.Config{Wire: p.wire, Zone: p.file.Zone, View: watcher.State, AssignShard: sitecontrol.Placer(watcher), StoredWithin: watcher.StoredWithin}),
 	})
 	p.metrics.Observe(func() metrics.SiteReading {
-		return addViewReading(metrics.SiteReading{InFlight: frontServer.InFlight(), HeldBytes: budget.Used(), LinesDropped: p.lines.Dropped()}, watcher)
+		return addViewReading(metrics.SiteReading{InFlight: frontServer.InFlight(), HeldBytes: budget.Used(), LinesDropped: p.logWriter.Dropped()}, watcher)
 	})
 	callers := newService(p.file.CallerListen, platform.FrontHandler(frontServer))
 	callers.server.ConnState = idle.Observe
--- a/cmd/loomgrade/cmd_site_store.go
+++ b/cmd/loomgrade/cmd_site_store.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
 )
 
-// keepJobsMargin is added to the time for which a job can be queried.
+// keepJobsMargin is added to the configured time for which finished jobs are available.
 const keepJobsMargin = 15 * time.Second
 
 // siteStoreCommand runs a store process.
@@ -35,7 +35,7 @@
 	})
 	store.Register(p.server)
 	p.metrics.Observe(func() metrics.SiteReading {
-		reading := metrics.SiteReading{InFlight: store.OpenItems(), JobBytes: store.JobBytes(), LinesDropped: p.lines.Dropped()}
+		reading := metrics.SiteReading{InFlight: store.OpenItems(), JobBytes: store.JobBytes(), LinesDropped: p.logWriter.Dropped()}
 		return addGroupReading(addViewReading(reading, watcher), store.PublishedState())
 	})
 	drain := func(ctx context.Context) { store.TransferLeadership(ctx) }
--- a/cmd/loomgrade/jobfile_test.go
+++ b/cmd/loomgrade/jobfile_test.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		if err == nil || !strings.Contains(err.Error(), row.want) {
-			t.Errorf("%s: %+v, %v", row.name, submission, err)
+			t.Errorf("%s: submission %+v, error %v", row.name, submission, err)
 		}
 	}
 	submission, err := readJobFile([]byte(complete))
--- a/cmd/loomgrade/main.go
+++ b/cmd/loomgrade/main.go
@@ -1,5 +1,5 @@
 // Command loomgrade runs the processes of a rollout service for reinforcement
-// learning and gives operators their commands.
+// learning and provides the operator commands.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is the root of the command line; each field is a command with a file of its own.
+// commandLine is the root of the command line; each field is a command.
 type commandLine struct {
 	Control    controlCommand    `cmd:"" help:"Run a control member from its settings file."`
 	Node       nodeCommand       `cmd:"" help:"Run a node from its settings file."`
--- a/cmd/loomgrade/operator_test.go
+++ b/cmd/loomgrade/operator_test.go
@@ -51,11 +51,11 @@
 	t.Cleanup(func() { _ = member.Kill() })
 	<-member.Ready()
 	shell := &operatorShell{t: t, folder: folder, server: member.OperatorAddress()}
-	shell.file("token", "secret\n")
+	shell.writeFile("token", "secret\n")
 	return shell
 }
 
-func (s *operatorShell) file(name, content string) string {
+func (s *operatorShell) writeFile(name, content string) string {
 	s.t.Helper()
 	path := filepath.Join(s.folder, name)
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -94,7 +94,7 @@
 // TestOperatorCommands runs most operator commands in sequence against one member.
 func TestOperatorCommands(t *testing.T) {
 	shell := newOperatorShell(t)
-	path := shell.file("configuration.yaml", testConfiguration)
+	path := shell.writeFile("configuration.yaml", testConfiguration)
 	steps := []struct {
 		command  []string
 		contains []string
@@ -125,13 +125,13 @@
 	}
 }
 
-// TestConfigSetAcceptsEditedConfigGet also checks that config set conflicts on an old
-// revision and succeeds when repeated under the first change id.
+// TestConfigSetAcceptsEditedConfigGet also checks that config set rejects an outdated
+// revision as a conflict and succeeds when repeated under its own change id.
 func TestConfigSetAcceptsEditedConfigGet(t *testing.T) {
 	shell := newOperatorShell(t)
-	shell.mustRun("config", "set", shell.file("configuration.yaml", testConfiguration))
+	shell.mustRun("config", "set", shell.writeFile("configuration.yaml", testConfiguration))
 	edited := strings.Replace(shell.mustRun("config", "get", "--output", "json"), `"queue_length": 16`, `"queue_length": 32`, 1)
-	path := shell.file("edited.json", edited)
+	path := shell.writeFile("edited.json", edited)
 	shell.mustRun("config", "set", path)
 	code, printed := shell.run("config", "set", path)
 	if code != exitConflict || !strings.Contains(printed, "revision 1") {
@@ -149,14 +149,14 @@
 
 func TestOperatorExitCodes(t *testing.T) {
 	shell := newOperatorShell(t)
-	bad := shell.file("bad.yaml", strings.Replace(testConfiguration, "min_inflight: 1", "min_inflight: 0", 1))
+	bad := shell.writeFile("bad.yaml", strings.Replace(testConfiguration, "min_inflight: 1", "min_inflight: 0", 1))
 	cases := []struct {
 		arguments []string
 		code      int
 		contains  string
 	}{
 		{[]string{"config", "set", bad}, exitUsage, "pools[page-api].admission.min_inflight"},
-		{[]string{"config", "set", shell.file("odd.yaml", "pool: []")}, exitUsage, "pool"},
+		{[]string{"config", "set", shell.writeFile("odd.yaml", "pool: []")}, exitUsage, "pool"},
 		{[]string{"pool", "show", "none"}, exitNotFound, "none"},
 		{[]string{"replica", "drain", "none"}, exitNotFound, "none"},
 		{[]string{"member", "promote", "7"}, exitNotFound, "7"},
@@ -169,7 +169,7 @@
 			t.Errorf("%v: exit code %d, want %d with %q: %s", test.arguments, code, test.code, test.contains, printed)
 		}
 	}
-	shell.file("token", "wrong")
+	shell.writeFile("token", "wrong")
 	if code, printed := shell.run("status"); code != exitDenied {
 		t.Errorf("wrong token: exit code %d: %s", code, printed)
 	}
--- a/cmd/loomgrade/siteoperator.go
+++ b/cmd/loomgrade/siteoperator.go
@@ -35,7 +35,7 @@
 // context ends with the timeout.
 func (f *siteFlags) connect() (*siteClient, *siteview.View, context.Context, context.CancelFunc, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
-	options := wire.Options{ClusterID: siteCluster, Name: "operator", DialTimeout: siteDial, Dial: tcpsocket.Dial(siteIdle, "")}
+	options := wire.Options{ClusterID: siteCluster, Name: "operator", DialTimeout: peerDialTimeout, Dial: tcpsocket.Dial(peerIdleTimeout, "")}
 	client := &siteClient{view: make(chan *siteview.View, 1)}
 	client.watcher = siteview.New(siteview.Config{
 		Seeds: f.Peer, Wire: options, Decode: platform.Dialect{}.DecodeConfiguration,
--- a/cmd/loomgrade/siteprocess.go
+++ b/cmd/loomgrade/siteprocess.go
@@ -34,27 +34,29 @@
 
 const (
 	siteCluster = "site"
-	// Timeouts between processes. An unreachable peer is dropped well within the time
-	// limit for applying a change.
-	sitePing      = 400 * time.Millisecond
-	siteIdle      = 1500 * time.Millisecond
-	siteDial      = 500 * time.Millisecond
-	siteWrite     = 1500 * time.Millisecond
-	siteBackoff   = 300 * time.Millisecond
+	// Timings of the connections between processes. An unreachable peer must be dropped
+	// before the time limit for applying a change.
+	peerPingInterval = 400 * time.Millisecond
+	peerIdleTimeout  = 1500 * time.Millisecond
+	peerDialTimeout  = 500 * time.Millisecond
+	peerWriteTimeout = 1500 * time.Millisecond
+	peerMaxBackoff   = 300 * time.Millisecond
+	// callerTimeout is the TCP user timeout of callers' connections.
 	callerTimeout = 10 * time.Second
 	// settingsPollInterval is the interval between checks of the settings file for changes.
 	settingsPollInterval = 2 * time.Second
 	// heapShare is the share of the machine's memory that the heap may use before garbage
 	// collection becomes more frequent.
 	heapShare = 0.6
-	// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is
-	// below the default: it saves peak memory at the cost of CPU time.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection; below
+	// the default, to limit peak memory.
 	gcPercent = 40
 	megabyte  = 1 << 20
 	// jobMemoryShare is the share of a store machine's memory for jobs. Each job may be in
 	// memory three times: in the state, in a snapshot being built, and in a transfer.
 	jobMemoryShare = 0.25
-	// headerTimeout and callerIdleTimeout limit how long a caller's connection may wait.
+	// headerTimeout limits reading a request's headers; callerIdleTimeout limits how long an
+	// idle connection stays open.
 	headerTimeout     = 10 * time.Second
 	callerIdleTimeout = 90 * time.Second
 	// connectionsToReplica limits the connections of a process to one replica.
@@ -63,16 +65,16 @@
 
 // siteProcess holds what every process of a site needs.
 type siteProcess struct {
-	path    string
-	file    *sitesettings.File
-	logger  *log.Logger
-	lines   *eventlog.Writer
-	metrics *metrics.Site
-	wire    wire.Options
-	server  *wire.Server
-	dialect dialect.Dialect
-	signals chan os.Signal
-	seed    uint64
+	path      string
+	file      *sitesettings.File
+	logger    *log.Logger
+	logWriter *eventlog.Writer
+	metrics   *metrics.Site
+	wire      wire.Options
+	server    *wire.Server
+	dialect   dialect.Dialect
+	signals   chan os.Signal
+	seed      uint64
 	// stopped is closed once the process has drained after a stop signal.
 	stopped chan struct{}
 }
@@ -91,12 +93,12 @@
 	}
 	lines := eventlog.New(os.Stdout)
 	p := &siteProcess{
-		lines: lines, metrics: metrics.NewSite(),
+		logWriter: lines, metrics: metrics.NewSite(),
 		path: path, file: file, dialect: platform.Dialect{}, signals: make(chan os.Signal, 1), stopped: make(chan struct{}),
 		logger: lines.Logger(file.Machine),
 		wire: wire.Options{
-			ClusterID: siteCluster, Name: file.Machine, PingInterval: sitePing, IdleTimeout: siteIdle,
-			DialTimeout: siteDial, WriteTimeout: siteWrite, BackoffMax: siteBackoff, Dial: tcpsocket.Dial(siteIdle, file.PeerSource),
+			ClusterID: siteCluster, Name: file.Machine, PingInterval: peerPingInterval, IdleTimeout: peerIdleTimeout,
+			DialTimeout: peerDialTimeout, WriteTimeout: peerWriteTimeout, BackoffMax: peerMaxBackoff, Dial: tcpsocket.Dial(peerIdleTimeout, file.PeerSource),
 		},
 	}
 	hash := fnv.New64a()
@@ -148,7 +150,7 @@
 	if p.file.MetricsListen != "" {
 		services = append(services, newService(p.file.MetricsListen, p.metrics.Handler()))
 	}
-	peers, err := tcpsocket.Listen(ctx, p.file.ListenAddress(), siteIdle)
+	peers, err := tcpsocket.Listen(ctx, p.file.ListenAddress(), peerIdleTimeout)
 	if err != nil {
 		return err
 	}
@@ -189,11 +191,11 @@
 	return err
 }
 
-// recordSuspension records that the machine was suspended. Leases expire without it, since
+// recordSuspension logs and counts a suspension of the machine. Leases do not depend on it:
 // their clocks count suspended time.
-func (p *siteProcess) recordSuspension(slept time.Duration) {
-	p.metrics.Suspended(slept)
-	p.logger.Warn().Str(eventlog.Field, eventlog.ProcessSuspended).Dur("slept_ms", slept).Msg("the machine was suspended")
+func (p *siteProcess) recordSuspension(suspended time.Duration) {
+	p.metrics.Suspended(suspended)
+	p.logger.Warn().Str(eventlog.Field, eventlog.ProcessSuspended).Dur("slept_ms", suspended).Msg("the machine was suspended")
 }
 
 // serveUntilClosed serves a listener. A closed server is no error, so that requests in
@@ -271,7 +273,7 @@
 		reading.Position, reading.Configuration = view.Position, view.Configuration.Version
 		reading.Withheld = view.Withheld()
 	}
-	reading.Confirmed = watcher.ConfirmedWithin(siteIdle)
+	reading.Confirmed = watcher.ConfirmedWithin(peerIdleTimeout)
 	return reading
 }
 
--- a/cmd/loomlab/cmd_run_test.go
+++ b/cmd/loomlab/cmd_run_test.go
@@ -55,7 +55,7 @@
 			first = content
 		}
 		if !bytes.Equal(first, content) {
-			t.Error("two runs with the same settings wrote different bytes")
+			t.Error("two runs with the same settings wrote different results")
 		}
 		page, err := os.ReadFile(filepath.Join(output, reportFile))
 		if err != nil || !strings.Contains(string(page), "data:image/png") {
@@ -89,8 +89,8 @@
 		name, content string
 		arguments     []string
 	}{
-		{"bad file", strings.Replace(smallExperiment, "site: marea", "site: atlantis", 1), nil},
-		{"bad seeds", smallExperiment, []string{"--seeds=-1"}},
+		{"unknown site", strings.Replace(smallExperiment, "site: marea", "site: atlantis", 1), nil},
+		{"negative seeds", smallExperiment, []string{"--seeds=-1"}},
 		{"two formats", smallExperiment, []string{"--table", "--json"}},
 	} {
 		if err := os.WriteFile(path, []byte(test.content), 0o600); err != nil {
--- a/internal/app/sitecontrol/control.go
+++ b/internal/app/sitecontrol/control.go
@@ -88,7 +88,7 @@
 	heartbeats  *heartbeats
 	rejectedLog logLimiter
 	lostLog     logLimiter
-	reports     *reports
+	reports     *reportBatcher
 	registrar   *registrar
 	senders     *senders
 	levels      *levels
@@ -130,7 +130,7 @@
 		Limits: groupmember.Limits{Voters: wantedVoters, MinVoters: 2*config.ToleratedLosses + 1, Learners: groupmember.UnlimitedLearners},
 	})
 	c.heartbeats = newHeartbeats(c)
-	c.reports = newReports(c)
+	c.reports = newReportBatcher(c)
 	c.registrar = newRegistrar(c)
 	c.stores = newStores(c)
 	c.lease = newLease(c)
--- a/internal/app/sitecontrol/reports.go
+++ b/internal/app/sitecontrol/reports.go
@@ -16,8 +16,8 @@
 const methodReports = "site.reports"
 
 const (
-	// batchInterval is how long a member collects reports for the leader. One call per
-	// report would cost the leader more than the log entry.
+	// batchInterval is how long a member collects reports for the leader, to save
+	// it a call per report.
 	batchInterval = 40 * time.Millisecond
 	// maxReports limits the size of a batch.
 	maxReports = 400
@@ -28,7 +28,7 @@
 	Reports []sitestate.Replica `cbor:"1,keyasint"`
 }
 
-// ReportAnswers answers a ReportBatch, one for each report.
+// ReportAnswers holds the outcomes of the reports of a ReportBatch, in order.
 type ReportAnswers struct {
 	Answers []ReportAnswer `cbor:"1,keyasint"`
 }
@@ -50,9 +50,9 @@
 	return port.NewError(port.MayHaveRun, a.Code, "%s", a.Message)
 }
 
-// reports batches the reports that this member forwards to the leader. It is safe for
+// reportBatcher batches the reports that this member forwards to the leader. It is safe for
 // concurrent use.
-type reports struct {
+type reportBatcher struct {
 	control *Control
 	mutex   sync.Mutex
 	queue   []*pendingReport
@@ -72,12 +72,12 @@
 	err    error
 }
 
-func newReports(control *Control) *reports {
-	return &reports{control: control, pending: map[reportKey]*pendingReport{}}
+func newReportBatcher(control *Control) *reportBatcher {
+	return &reportBatcher{control: control, pending: map[reportKey]*pendingReport{}}
 }
 
 // forward forwards a report to the leader in a batch and waits for the response.
-func (r *reports) forward(ctx context.Context, report sitestate.Replica) (Answer, error) {
+func (r *reportBatcher) forward(ctx context.Context, report sitestate.Replica) (Answer, error) {
 	waiting := r.enqueue(report)
 	select {
 	case <-waiting.done:
@@ -88,7 +88,7 @@
 }
 
 // enqueue returns the pending report that is equivalent, or a new one.
-func (r *reports) enqueue(report sitestate.Replica) *pendingReport {
+func (r *reportBatcher) enqueue(report sitestate.Replica) *pendingReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	key := keyOf(&report)
@@ -106,7 +106,7 @@
 }
 
 // send sends batches, several of them concurrently, until the queue is empty.
-func (r *reports) send() {
+func (r *reportBatcher) send() {
 	for {
 		time.Sleep(batchInterval)
 		r.mutex.Lock()
@@ -122,7 +122,7 @@
 	}
 }
 
-func (r *reports) sendBatch(batch []*pendingReport) {
+func (r *reportBatcher) sendBatch(batch []*pendingReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	answers, err := r.sendToLeader(ctx, batch)
@@ -148,25 +148,25 @@
 }
 
 // sendToLeader sends a batch. Leaders of earlier builds accept only single reports.
-func (r *reports) sendToLeader(ctx context.Context, batch []*pendingReport) (answers ReportAnswers, err error) {
+func (r *reportBatcher) sendToLeader(ctx context.Context, batch []*pendingReport) (answers ReportAnswers, err error) {
 	request := ReportBatch{}
 	for _, waiting := range batch {
 		request.Reports = append(request.Reports, waiting.report)
 	}
-	shown := r.control.member.PublishedState()
+	state := r.control.member.PublishedState()
 	switch {
-	case shown == nil || shown.Leader.Address == "":
+	case state == nil || state.Leader.Address == "":
 		return ReportAnswers{}, nil
-	case shown.Leader.ID == shown.Status.ID:
+	case state.Leader.ID == state.Status.ID:
 		return r.control.acceptReports(ctx, request), nil
 	}
-	err = r.control.pool.Client(shown.Leader.Address).Call(ctx, methodReports, request, &answers)
+	err = r.control.pool.Client(state.Leader.Address).Call(ctx, methodReports, request, &answers)
 	if wire.CodeOf(err) != port.CodeNotFound {
 		return answers, err
 	}
 	for i := range request.Reports {
 		var answer Answer
-		err := r.control.forward(ctx, shown.Leader.Address, Request{Replica: &request.Reports[i]}, &answer)
+		err := r.control.forward(ctx, state.Leader.Address, Request{Replica: &request.Reports[i]}, &answer)
 		answers.Answers = append(answers.Answers, reportAnswer(answer, err))
 	}
 	return answers, nil
--- a/internal/app/sitestore/jobtimes.go
+++ b/internal/app/sitestore/jobtimes.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/eventlog"
 )
 
-// jobTimes records the progress of a job from when this runner started it.
+// jobTimes records the progress of a job since this runner started it.
 type jobTimes struct {
 	startedAt time.Time
 	step      uint64
@@ -16,7 +16,7 @@
 	complete []time.Duration
 	items    int
 	// unplaced counts items that never ran; firstPlaced and lastPlaced are the times of the
-	// first and the last item's first run.
+	// earliest and the latest first run of an item.
 	unplaced                int
 	firstPlaced, lastPlaced time.Duration
 	runs                    int
@@ -38,8 +38,8 @@
 	phases  phases
 }
 
-func newJobTimes(taken time.Time, step uint64) *jobTimes {
-	return &jobTimes{startedAt: taken, step: step, open: map[string]int{}}
+func newJobTimes(startedAt time.Time, step uint64) *jobTimes {
+	return &jobTimes{startedAt: startedAt, step: step, open: map[string]int{}}
 }
 
 // add counts an open item.
@@ -80,10 +80,10 @@
 	}
 }
 
-// groupCount returns the number of groups in a share.
+// groupCount returns the number of groups that make up a share.
 func (t *jobTimes) groupCount(share float64) int { return max(1, int(share*float64(len(t.open))+0.5)) }
 
-// groupsComplete returns the time at which a share of the groups was complete, 0 if it is not.
+// groupsComplete returns the time at which a share of the groups was complete, or 0.
 func (t *jobTimes) groupsComplete(share float64) time.Duration {
 	count := t.groupCount(share)
 	if count > len(t.complete) {
@@ -92,7 +92,7 @@
 	return t.complete[count-1]
 }
 
-// logTimes logs a job that this runner no longer runs.
+// logTimes logs and drops the times of a job that this runner no longer runs.
 func (r *runner) logTimes(job string, ended bool, now time.Time) {
 	times := r.times[job]
 	if times == nil {
--- a/internal/app/siteview/siteview_test.go
+++ b/internal/app/siteview/siteview_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// The packed state is applied first, then the changes since.
+// TestWatchAnswerUpdates checks that the packed state is applied before the changes since.
 func TestWatchAnswerUpdates(t *testing.T) {
 	packed, err := wire.MarshalCompressed(sitestate.Update{Position: 7, Full: true, Replicas: []sitestate.Replica{{ID: "a"}, {ID: "b"}}})
 	if err != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// After a suspension the view is stale although no time has passed on the system's monotonic
-// clock; a key may have been revoked meanwhile.
+// TestViewIsNotConfirmedAfterSuspension guards against the use of revoked keys after a
+// suspension, which the system's monotonic clock does not count.
 func TestViewIsNotConfirmedAfterSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	watcher := New(Config{
--- a/internal/core/consensus/membership.go
+++ b/internal/core/consensus/membership.go
@@ -45,8 +45,8 @@
 	return entry, nil
 }
 
-// membershipAt is the membership from a log position on.
-type membershipAt struct {
+// indexedMembership is a membership and the index of the entry that set it.
+type indexedMembership struct {
 	index      uint64
 	membership Membership
 }
@@ -61,8 +61,8 @@
 	return n.history[0].membership
 }
 
-func membershipsIn(entries []Entry) ([]membershipAt, error) {
-	var found []membershipAt
+func membershipsIn(entries []Entry) ([]indexedMembership, error) {
+	var found []indexedMembership
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
 			continue
@@ -71,12 +71,12 @@
 		if err != nil {
 			return nil, err
 		}
-		found = append(found, membershipAt{entry.Index, decoded.Result})
+		found = append(found, indexedMembership{entry.Index, decoded.Result})
 	}
 	return found, nil
 }
 
-func (n *Node) recordMemberships(memberships []membershipAt) {
+func (n *Node) recordMemberships(memberships []indexedMembership) {
 	if len(memberships) == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 }
 
 // ProposeMembership appends a membership change; only one may be pending (section 4.1 of
-// the dissertation). A member uses it as soon as it is in its log. Besides the errors of
+// the Raft dissertation). A member uses a change as soon as its log has the entry. Besides the errors of
 // Propose it fails with ErrChangePending, ErrAlreadyMember, ErrReusedID, ErrNotMember,
 // ErrNotCaughtUp or ErrUnsafeChange.
 func (n *Node) ProposeMembership(change MembershipChange) (index, term uint64, err error) {
@@ -119,7 +119,7 @@
 		return 0, 0, fmt.Errorf("encode membership entry: %w", err)
 	}
 	entry := n.appendEntry(EntryMembership, data)
-	n.recordMemberships([]membershipAt{{entry.Index, result}})
+	n.recordMemberships([]indexedMembership{{entry.Index, result}})
 	n.reconcilePeers()
 	return entry.Index, entry.Term, nil
 }
@@ -188,7 +188,7 @@
 }
 
 // reconcilePeers updates the leader's peers from the membership. A removed member still
-// gets the log until it knows that its removal is committed.
+// receives the log until it knows that its removal is committed.
 func (n *Node) reconcilePeers() {
 	lead := &n.leadership
 	if lead.peers == nil {
@@ -231,8 +231,8 @@
 	}
 }
 
-// checkRemoval stops this member once its removal is committed. A member that joins
-// reads memberships from before it was added; they do not stop it.
+// checkRemoval stops this member once its removal is committed. Memberships from
+// before this member was added do not stop it.
 func (n *Node) checkRemoval() {
 	if n.membershipAt(n.log.commit).Contains(n.config.ID) {
 		n.wasMember = true
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -22,7 +22,7 @@
 
 	// membership is the latest one in the log, committed or not.
 	membership Membership
-	history    []membershipAt
+	history    []indexedMembership
 	wasMember  bool
 
 	// now counts ticks. The other counters are ticks since an event.
@@ -111,7 +111,7 @@
 }
 
 // check validates the restored state and returns the memberships in it.
-func (r Restored) check() ([]membershipAt, error) {
+func (r Restored) check() ([]indexedMembership, error) {
 	if !r.Snapshot.Membership.valid() {
 		return nil, &InconsistentError{Reason: "snapshot's membership is invalid", Index: r.Snapshot.Index}
 	}
@@ -121,7 +121,7 @@
 	if r.Snapshot.Index > 0 && len(r.Snapshot.Membership.Voters) == 0 {
 		return nil, &InconsistentError{Reason: "snapshot without voters", Index: r.Snapshot.Index}
 	}
-	history := []membershipAt{{r.Snapshot.Index, r.Snapshot.Membership.normalized()}}
+	history := []indexedMembership{{r.Snapshot.Index, r.Snapshot.Membership.normalized()}}
 	index, term := r.Snapshot.Index, r.Snapshot.Term
 	for _, entry := range r.Entries {
 		if entry.Index != index+1 {
@@ -138,7 +138,7 @@
 		if err != nil {
 			return nil, &InconsistentError{Reason: "unreadable membership entry", Index: entry.Index}
 		}
-		history = append(history, membershipAt{entry.Index, decoded.Result})
+		history = append(history, indexedMembership{entry.Index, decoded.Result})
 	}
 	if r.HardState.Term < term {
 		return nil, &InconsistentError{Reason: "term is below the log's", Index: index}
--- a/internal/core/consensus/snapshot.go
+++ b/internal/core/consensus/snapshot.go
@@ -199,7 +199,7 @@
 // installSnapshot replaces the log and the state with the leader's snapshot.
 func (n *Node) installSnapshot(snapshot Snapshot) {
 	n.log.reset(snapshot.Index, snapshot.Term)
-	n.history = []membershipAt{{snapshot.Index, snapshot.Membership}}
+	n.history = []indexedMembership{{snapshot.Index, snapshot.Membership}}
 	n.membership = snapshot.Membership
 	n.setSnapshot(snapshot)
 	n.outbox.pendingSnapshot = &snapshot
--- a/internal/core/controlstate/state_test.go
+++ b/internal/core/controlstate/state_test.go
@@ -17,8 +17,8 @@
 
 const startTime = int64(1_700_000_000_000)
 
-func changeID(birth int64, number int) string {
-	return registry.FormatChangeID(time.UnixMilli(birth), []byte{byte(number >> 24), byte(number >> 16), byte(number >> 8), byte(number)})
+func changeID(createdAt int64, number int) string {
+	return registry.FormatChangeID(time.UnixMilli(createdAt), []byte{byte(number >> 24), byte(number >> 16), byte(number >> 8), byte(number)})
 }
 
 func samplingPool(name port.PoolName) port.Pool {
@@ -37,7 +37,7 @@
 	}
 }
 
-// change returns a configuration change with a change id of the start time.
+// change returns a configuration change whose change id was created at startTime.
 func change(number int, expected port.Revision, edits ...port.Edit) port.Command {
 	return port.Command{
 		ChangeID: changeID(startTime, number), Time: startTime + int64(number),
@@ -64,11 +64,11 @@
 	if code(first) != "" || code(second) != port.CodeConflict || second.Revision != 1 {
 		t.Fatalf("first %+v, second %+v", first, second)
 	}
-	if resend := state.Apply(3, 2, change(1, 0, putPool("a"))); !reflect.DeepEqual(resend, first) {
-		t.Fatalf("resend got %+v, want %+v", resend, first)
+	if repeated := state.Apply(3, 2, change(1, 0, putPool("a"))); !reflect.DeepEqual(repeated, first) {
+		t.Fatalf("repeated change returned %+v, want %+v", repeated, first)
 	}
-	if refused := state.Apply(4, 2, change(2, 0, putPool("b"))); !reflect.DeepEqual(refused, second) {
-		t.Fatalf("resend of the rejected change got %+v, want %+v", refused, second)
+	if rejected := state.Apply(4, 2, change(2, 0, putPool("b"))); !reflect.DeepEqual(rejected, second) {
+		t.Fatalf("repeated rejected change returned %+v, want %+v", rejected, second)
 	}
 	if reused := state.Apply(5, 2, change(1, 1, putPool("c"))); code(reused) != port.CodeChangeIDReused {
 		t.Fatalf("same id, other body: %+v", reused)
@@ -76,14 +76,14 @@
 	late := change(1, 0, putPool("a"))
 	late.Time = startTime + registry.AnswerLifetime.Milliseconds() + 1000
 	if expired := state.Apply(6, 2, late); code(expired) != port.CodeChangeExpired || state.Revision() != 1 {
-		t.Fatalf("late resend: %+v", expired)
+		t.Fatalf("repeated after the change id expired: %+v", expired)
 	}
 	restored := New()
 	if err := restored.Restore(mustSnapshot(t, state)); err != nil {
 		t.Fatal(err)
 	}
 	if expired := restored.Apply(7, 2, late); code(expired) != port.CodeChangeExpired || restored.CachedResults() != 0 {
-		t.Fatalf("late resend after a snapshot: %+v, %d answers kept", expired, restored.CachedResults())
+		t.Fatalf("repeated after a snapshot: %+v, %d cached results", expired, restored.CachedResults())
 	}
 	if missing := state.Apply(7, 2, port.Command{ChangeConfiguration: &port.ChangeConfiguration{}}); code(missing) != port.CodeInvalid {
 		t.Fatalf("without a change id: %+v", missing)
@@ -101,7 +101,7 @@
 	acquire(1, "n1", startTime)
 	state.Apply(2, 1, port.Command{Time: startTime + 2000, RemoveNode: &port.RemoveNode{ID: "x"}})
 	if taken := acquire(3, "n2", startTime-5000); code(taken) != "" || taken.Lease.Epoch != 2 {
-		t.Fatalf("a slow clock revived an expired lease: %+v", taken)
+		t.Fatalf("a command with an earlier time renewed an expired lease: %+v", taken)
 	}
 	if state.Time() != startTime+2000 {
 		t.Fatalf("time %d", state.Time())
@@ -297,22 +297,22 @@
 		t.Fatalf("want 3 changes, got %d", len(update.Changes))
 	}
 	if len(state.changes.entries) > maxChanges {
-		t.Fatalf("%d changes kept", len(state.changes.entries))
+		t.Fatalf("%d changes stored", len(state.changes.entries))
 	}
 }
 
 func TestRestoreRefusesOtherBytes(t *testing.T) {
 	state := New()
 	state.Apply(1, 1, change(1, 0, putPool("a")))
-	good, err := state.Snapshot()
+	valid, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	foreign, err := encoding.Marshal(snapshot{Version: snapshotVersion + 1})
+	otherVersion, err := encoding.Marshal(snapshot{Version: snapshotVersion + 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, data := range [][]byte{nil, good[:len(good)-1], foreign, []byte("text")} {
+	for _, data := range [][]byte{nil, valid[:len(valid)-1], otherVersion, []byte("text")} {
 		if err := state.Restore(data); !errors.Is(err, ErrSnapshot) || state.Revision() != 1 {
 			t.Fatalf("restoring %d bytes returned %v, revision %d", len(data), err, state.Revision())
 		}
--- a/internal/core/ledger/prompts.go
+++ b/internal/core/ledger/prompts.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// promptSet is a set of prompts: all those below Below, and the sorted ones in Above.
+// promptSet is a set of prompts: all that are less than Below, and those in Above, sorted.
 type promptSet struct {
 	Below port.PromptIndex   `cbor:"1,keyasint"`
 	Above []port.PromptIndex `cbor:"2,keyasint,omitempty"`
@@ -26,12 +26,12 @@
 		return
 	}
 	p.Above = slices.Insert(p.Above, position, prompt)
-	joined := 0
-	for joined < len(p.Above) && p.Above[joined] == p.Below {
+	contiguous := 0
+	for contiguous < len(p.Above) && p.Above[contiguous] == p.Below {
 		p.Below++
-		joined++
+		contiguous++
 	}
-	p.Above = slices.Delete(p.Above, 0, joined)
+	p.Above = slices.Delete(p.Above, 0, contiguous)
 }
 
 // remove removes prompts and lowers Below to the lowest of them.
--- a/internal/core/ledger/sequences.go
+++ b/internal/core/ledger/sequences.go
@@ -12,8 +12,8 @@
 	Last  uint64
 }
 
-// maxSequenceRanges bounds the ranges kept for one coordinator epoch. Beyond it the oldest
-// gap is closed: its sequences count as used, so a very late sample may be refused but
+// maxSequenceRanges limits the ranges stored for one coordinator epoch. Beyond it the oldest
+// gap is closed: its sequences count as used, so a very late sample may be rejected but
 // none is accepted twice.
 const maxSequenceRanges = 4096
 
--- a/internal/core/nodestate/home.go
+++ b/internal/core/nodestate/home.go
@@ -15,8 +15,8 @@
 	gate    Gate
 }
 
-// HandleLoadReport handles an engine's answer to a load poll sent at askedAt.
-func (s *State) HandleLoadReport(now, askedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
+// HandleLoadReport handles an engine's answer to a load poll sent at requestedAt.
+func (s *State) HandleLoadReport(now, requestedAt time.Time, replica port.ReplicaID, report port.LoadReport, failure *port.Error) {
 	record := s.records[replica]
 	if record == nil {
 		return
@@ -28,14 +28,14 @@
 		}
 		return
 	}
-	_, restarted := record.ApplyReport(now, askedAt, report)
+	_, restarted := record.ApplyReport(now, requestedAt, report)
 	if poolGate := s.gates[record.Replica.Pool]; restarted && poolGate != nil {
 		poolGate.ResetCache(replica)
 	}
 }
 
-// setHomes starts and stops polls to match the replicas that this node is the home of.
-func (s *State) setHomes(owned map[port.ReplicaID]ownedReplica) {
+// setOwnedReplicas starts and stops polls to match the replicas that this node is the home of.
+func (s *State) setOwnedReplicas(owned map[port.ReplicaID]ownedReplica) {
 	for _, id := range sortedKeys(s.records) {
 		record := s.records[id]
 		wanted, keep := owned[id]
@@ -86,7 +86,7 @@
 	}
 }
 
-// maxOutcomes bounds the outcomes queued for one home between two ticks.
+// maxOutcomes limits the outcomes queued for one home between two ticks.
 const maxOutcomes = 256
 
 // sendOutcomes sends the queued outcomes to the homes of the replicas.
@@ -105,20 +105,20 @@
 	}
 	latency := time.Duration(outcome.LatencyMicros) * time.Microsecond
 	if change, happened := tracker.Observe(now, outcome.Replica, outcome.Failed, latency); happened {
-		s.healthChanged(pool, change)
+		s.recordHealthChange(pool, change)
 	}
 }
 
 func (s *State) tickTrackers(now time.Time) {
 	for _, pool := range sortedKeys(s.trackers) {
 		for _, change := range s.trackers[pool].Tick(now) {
-			s.healthChanged(pool, change)
+			s.recordHealthChange(pool, change)
 		}
 	}
 }
 
-// healthChanged records a decision for a change of health and makes a summary due.
-func (s *State) healthChanged(pool port.PoolName, change ejection.Change) {
+// recordHealthChange records a decision for a change of health and makes a summary due.
+func (s *State) recordHealthChange(pool port.PoolName, change ejection.Change) {
 	s.changed = true
 	s.lastSummary = time.Time{}
 	kind := port.DecisionReturned
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -28,7 +28,7 @@
 	}
 	next := s.emptySnapshot(view, live)
 	owned := s.owned()
-	s.setHomes(owned.byID)
+	s.setOwnedReplicas(owned.byID)
 	s.applyOwnSummary(now)
 	s.summaries.Retain(next.ZoneNodes)
 	routes := s.mayRoute(now)
--- a/internal/core/sitestate/identify_test.go
+++ b/internal/core/sitestate/identify_test.go
@@ -10,51 +10,51 @@
 // to a later one, and that late messages of an earlier start are recognized.
 func TestIdentifyDistinguishesStarts(t *testing.T) {
 	l := newLog(t)
-	take := func(name string, born uint64, address string) sitestate.Identity {
-		identity := l.state.Identify(name, born)
+	register := func(name string, startedAt uint64, address string) sitestate.Identity {
+		identity := l.state.Identify(name, startedAt)
 		if identity.Order == sitestate.StartOutdated {
 			return identity
 		}
 		if identity.Order == sitestate.StartNewer {
 			l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: identity.Replaces}})
 		}
-		report := sitestate.Replica{ID: identity.ID, Service: "s", Address: address, Sequence: 1, StartedAt: born}
+		report := sitestate.Replica{ID: identity.ID, Service: "s", Address: address, Sequence: 1, StartedAt: startedAt}
 		if identity.ID != name {
 			report.Instance = name
 		}
 		l.apply(sitestate.Command{Replica: &report})
 		return identity
 	}
-	first := take("i", 1000, "a")
+	first := register("i", 1000, "a")
 	if first.ID != "i" || first.Order != sitestate.StartCurrent {
 		t.Fatalf("first start: %+v", first)
 	}
 	l.apply(sitestate.Command{Replica: &sitestate.Replica{ID: "i", Service: "s", Address: "a", Sequence: 90, StartedAt: 1000, State: sitestate.ReplicaDraining}})
-	second := take("i", 2000, "a")
+	second := register("i", 2000, "a")
 	if second.ID == "i" || second.Order != sitestate.StartNewer || second.Replaces != "i" {
 		t.Fatalf("second start: %+v", second)
 	}
-	held, known := l.state.Replica(second.ID)
-	if !known || held.State != sitestate.ReplicaReady || held.InstanceName() != "i" {
-		t.Errorf("replica of the second start: %+v, %v", held, known)
+	registered, known := l.state.Replica(second.ID)
+	if !known || registered.State != sitestate.ReplicaReady || registered.InstanceName() != "i" {
+		t.Errorf("replica of the second start: %+v, %v", registered, known)
 	}
 	if _, known := l.state.Replica("i"); known || !l.state.HasLeft("i") {
 		t.Error("the first start is still registered")
 	}
-	if late := take("i", 1000, "a"); late.Order != sitestate.StartOutdated {
+	if late := register("i", 1000, "a"); late.Order != sitestate.StartOutdated {
 		t.Errorf("late message of the first start: %+v", late)
 	}
-	if again := take("i", 2000, "a"); again.ID != second.ID || again.Order != sitestate.StartCurrent {
+	if again := register("i", 2000, "a"); again.ID != second.ID || again.Order != sitestate.StartCurrent {
 		t.Errorf("second report of the second start: %+v", again)
 	}
 	var view *sitestate.View
 	view = view.Apply(l.state.Update(0, sitestate.InterestAll))
-	if held, known := view.StartOf("i", 2000); !known || held.ID != second.ID {
-		t.Errorf("StartOf the second start in the view: %+v, %v", held, known)
+	if registered, known := view.StartOf("i", 2000); !known || registered.ID != second.ID {
+		t.Errorf("StartOf returned %+v, %v for the second start", registered, known)
 	}
-	for _, born := range []uint64{0, 1000, 3000} {
-		if held, known := view.StartOf("i", born); known {
-			t.Errorf("born %d: the view has %+v", born, held)
+	for _, startedAt := range []uint64{0, 1000, 3000} {
+		if registered, known := view.StartOf("i", startedAt); known {
+			t.Errorf("start time %d: the view has %+v", startedAt, registered)
 		}
 	}
 	// A snapshot includes the start times.
@@ -69,12 +69,12 @@
 	if got := restored.Identify("i", 1000); got.Order != sitestate.StartOutdated {
 		t.Errorf("restored from a snapshot: %+v", got)
 	}
-	// A start that left does not return, but a later start under its name may join.
+	// A start that left cannot join again, but a later start under its name may join.
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: second.ID}})
 	if got := l.state.Identify("i", 2000); got.ID != second.ID || !l.state.HasLeft(got.ID) {
 		t.Errorf("a start that left: %+v", got)
 	}
-	if third := take("i", 3000, "b"); third.Order != sitestate.StartNewer || l.state.HasLeft(third.ID) {
+	if third := register("i", 3000, "b"); third.Order != sitestate.StartNewer || l.state.HasLeft(third.ID) {
 		t.Errorf("third start: %+v", third)
 	}
 }
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -41,7 +41,7 @@
 	base := results.Base()
 	all := []Table{
 		trainerTable(base),
-		poolTable(base),
+		idleShareTable(base),
 		stalenessTable(base),
 		longSampleTable(base),
 		callerTable(base),
@@ -62,7 +62,7 @@
 func trainerTable(point experiment.Point) Table {
 	table := Table{
 		Title: "Trainers",
-		Note:  "Idle share is the mean over the trainers. The limit is what total work over capacity and the longest sample allow with perfect knowledge, for the samples that the variant delivered: one that delivers shorter samples has less to do and a lower limit.",
+		Note:  "Idle share is the mean over the trainers. The limit assumes perfect scheduling of the samples that the variant delivered, given the total capacity and the longest sample; shorter samples lower it.",
 		Header: []string{
 			"variant", "idle share", "limit", "x limit", "samples/h", "limit", "x limit", "tokens/sample", "tokens/h",
 			"dropped as stale", "violations",
@@ -81,8 +81,8 @@
 	return table
 }
 
-// poolTable lists the idle share of each trainer if there are several.
-func poolTable(point experiment.Point) Table {
+// idleShareTable lists the idle share of each trainer if there are several.
+func idleShareTable(point experiment.Point) Table {
 	pools := figureParts(point, experiment.FigureIdleShare)
 	table := Table{Title: "Idle share by trainer", Header: append([]string{"variant"}, pools...)}
 	if len(pools) == 0 {
@@ -118,7 +118,7 @@
 func longSampleTable(point experiment.Point) Table {
 	table := Table{
 		Title:  "Long samples (the longest twentieth), seconds from first start to score",
-		Note:   "The limit is one step a token on an engine that runs nothing else.",
+		Note:   "The limit is one step per token on an engine that runs nothing else.",
 		Header: []string{"variant", "p50 s", "limit", "x limit", "p99 s", "limit", "x limit"},
 	}
 	for _, variant := range point.Variants {
@@ -134,16 +134,16 @@
 func callerTable(point experiment.Point) Table {
 	table := Table{
 		Title:  "Latency of callers, milliseconds",
-		Note:   "The limit is the way to a node and back and the median service time. The share of refused calls did not run.",
+		Note:   "The limit is the round trip to a node plus the median service time. Refused calls did not run.",
 		Header: []string{"class", "variant", "p50 ms", "limit", "x limit", "p99 ms", "x limit", "refused", "failed"},
 	}
 	for _, class := range figureParts(point, experiment.FigureLatencyP50) {
 		for _, variant := range point.Variants {
-			middle, tail := experiment.FigureLatencyP50+"/"+class, experiment.FigureLatencyP99+"/"+class
+			median, p99 := experiment.FigureLatencyP50+"/"+class, experiment.FigureLatencyP99+"/"+class
 			table.add(
 				class, variant.Name,
-				estimate(variant, middle), limit(variant, middle), ratio(variant, middle),
-				estimate(variant, tail), ratio(variant, tail),
+				estimate(variant, median), limit(variant, median), ratio(variant, median),
+				estimate(variant, p99), ratio(variant, p99),
 				mean(variant, experiment.FigureRefusedShare+"/"+class), mean(variant, experiment.FigureFailedShare+"/"+class),
 			)
 		}
@@ -154,7 +154,7 @@
 func engineTable(point experiment.Point) Table {
 	table := Table{
 		Title:  "Engines",
-		Note:   "Prompt tokens found in a cache, with the share that computing each prompt once a group allows; generated tokens that no trainer got.",
+		Note:   "Prefix hits are the share of prompt tokens found in a cache; the limit computes each prompt once per group. Tokens lost were generated but reached no trainer.",
 		Header: []string{"variant", "prefix hits", "limit", "x limit", "tokens lost", "limit"},
 	}
 	for _, variant := range point.Variants {
@@ -176,7 +176,7 @@
 func differenceTable(results *experiment.Results) Table {
 	table := Table{
 		Title:  "Difference to " + results.Settings.Reference + ", paired by seed",
-		Note:   "Each cell is the variant less the reference with its interval, and whether that is better or worse than the reference.",
+		Note:   "Each cell is the variant minus the reference, with its interval, and whether that is better or worse than the reference.",
 		Header: append([]string{"variant"}, differenceFigures...),
 	}
 	for _, variant := range results.Base().Variants {
@@ -224,7 +224,7 @@
 	return "NOT MET"
 }
 
-// sweepTable compares the swept settings, starting with the settings as given.
+// sweepTable compares the swept settings, starting with the unmodified settings.
 func sweepTable(results *experiment.Results) Table {
 	table := Table{
 		Title:  "Sweeps: which conclusions depend on the setting",
@@ -268,9 +268,9 @@
 		return nil
 	}
 	for _, summary := range point.Variants[0].Summary {
-		base, of := experiment.SplitName(summary.Name)
-		if base == figure && of != "" {
-			names = append(names, of)
+		base, part := experiment.SplitName(summary.Name)
+		if base == figure && part != "" {
+			names = append(names, part)
 		}
 	}
 	return names
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -133,9 +133,9 @@
 			p.step(coordinator.LedgerRead{State: p.world.control.state.Ledger(p.settings.Pool)})
 		})
 	case coordinator.Deliver:
-		p.trainer.answered(action)
+		p.trainer.handleDelivery(action)
 	case coordinator.Refuse:
-		p.trainer.refused(action)
+		p.trainer.handleRefusal(action)
 	case coordinator.Record:
 		p.handleDecision(&action.Decision)
 	}
--- a/internal/lab/sim/trainer.go
+++ b/internal/lab/sim/trainer.go
@@ -25,13 +25,13 @@
 
 	requesting  bool
 	requestedAt time.Duration
-	// published is when each version was published.
+	// published holds the publication time of each version.
 	published  map[port.WeightVersion]time.Duration
 	deliveries []delivery
 	stats      trainerStats
 }
 
-// delivery is the data on a delivered batch for the limits.
+// delivery records a delivered batch; the limits are computed from it.
 type delivery struct {
 	requestedAt, at time.Duration
 	version         port.WeightVersion
@@ -66,7 +66,7 @@
 	})
 }
 
-// requestNext requests the next batch and starts the idle time.
+// requestNext requests the next batch and starts counting idle time.
 func (t *trainer) requestNext() {
 	t.requesting = true
 	t.requestedAt = t.pool.world.now
@@ -83,8 +83,8 @@
 	})
 }
 
-// refused repeats the request after a pause.
-func (t *trainer) refused(refusal coordinator.Refuse) {
+// handleRefusal repeats the request after a pause.
+func (t *trainer) handleRefusal(refusal coordinator.Refuse) {
 	if refusal.Token != t.token || !t.requesting {
 		return
 	}
@@ -92,8 +92,8 @@
 	w.after(w.site.ClientLatency+retryPause, t.requestBatch)
 }
 
-// answered handles a delivered batch.
-func (t *trainer) answered(batch coordinator.Deliver) {
+// handleDelivery handles a delivered batch.
+func (t *trainer) handleDelivery(batch coordinator.Deliver) {
 	w := t.pool.world
 	w.after(w.site.ClientLatency, func() {
 		if t.requesting && batch.Number == t.next {
@@ -113,10 +113,10 @@
 		t.countDelivery(batch)
 	}
 	t.next++
-	w.after(t.pool.settings.StepTime, t.trained)
+	w.after(t.pool.settings.StepTime, t.finishStep)
 }
 
-// recordDelivery records the delivery for the limits.
+// recordDelivery records a batch from which the limits are computed.
 func (t *trainer) recordDelivery(batch coordinator.Deliver) {
 	recorded := delivery{requestedAt: t.requestedAt, at: t.pool.world.now, version: t.version}
 	prompts := make(map[port.PromptIndex]struct{})
@@ -151,8 +151,8 @@
 	return t.pool.world.now - replaced
 }
 
-// trained ends a step and publishes a version when it is due.
-func (t *trainer) trained() {
+// finishStep ends a step and publishes a version when it is due.
+func (t *trainer) finishStep() {
 	t.unpublished++
 	if t.unpublished < t.pool.settings.PublishEvery {
 		t.requestNext()
