--- a/internal/core/controlstate/state_test.go
+++ b/internal/core/controlstate/state_test.go
@@ -74,7 +74,7 @@
 		t.Fatalf("same id, other body: %+v", reused)
 	}
 	late := change(1, 0, putPool("a"))
-	late.Time = startTime + registry.AnswerLifetime.Milliseconds() + 1000
+	late.Time = startTime + registry.ResultLifetime.Milliseconds() + 1000
 	if expired := state.Apply(6, 2, late); code(expired) != port.CodeChangeExpired || state.Revision() != 1 {
 		t.Fatalf("repeated after the change id expired: %+v", expired)
 	}
@@ -280,7 +280,7 @@
 	}
 }
 
-func TestUpdateFallsBackToTheWholeView(t *testing.T) {
+func TestUpdateFallsBackToFullView(t *testing.T) {
 	state := New()
 	state.Apply(1, 1, change(1, 0, putPool("a")))
 	index := uint64(1)
@@ -301,7 +301,7 @@
 	}
 }
 
-func TestRestoreRefusesOtherBytes(t *testing.T) {
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	state := New()
 	state.Apply(1, 1, change(1, 0, putPool("a")))
 	valid, err := state.Snapshot()
--- a/internal/core/home/record.go
+++ b/internal/core/home/record.go
@@ -23,9 +23,9 @@
 
 	// report is the last load report, made at reportedAt and requested at askedAt; the
 	// times are zero before the first report.
-	report     port.LoadReport
-	reportedAt time.Time
-	askedAt    time.Time
+	report      port.LoadReport
+	reportedAt  time.Time
+	requestedAt time.Time
 	// failedPolls counts consecutive failed polls.
 	failedPolls int
 	// excludedUntil is the end of an exclusion from routing by a weights rollout.
@@ -47,11 +47,11 @@
 // report, which clears its cache.
 func (r *Record) ApplyReport(now, askedAt time.Time, report port.LoadReport) (applied, restarted bool) {
 	r.failedPolls = 0
-	if askedAt.Before(r.askedAt) {
+	if askedAt.Before(r.requestedAt) {
 		return false, false
 	}
 	restarted = r.hasReport() && r.report.Incarnation != report.Incarnation
-	r.askedAt = askedAt
+	r.requestedAt = askedAt
 	r.report = report
 	r.reportedAt = now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
 	return true, restarted
--- a/internal/core/registry/answers.go
+++ b/internal/core/registry/answers.go
@@ -8,9 +8,9 @@
 
 // Limits of the stored answers.
 const (
-	// AnswerLifetime is how long an answer is stored, in log time, after it was applied or
+	// ResultLifetime is how long an answer is stored, in log time, after it was applied or
 	// its change id was created, whichever is later.
-	AnswerLifetime = 10 * time.Minute
+	ResultLifetime = 10 * time.Minute
 	// MaxAnswers limits the stored answers; the oldest are dropped first.
 	MaxAnswers = 65536
 	// MaxCreatedAhead is how far a change id's creation may be ahead of log time. Log time lags
@@ -94,7 +94,7 @@
 		// Also wait for the creation time: otherwise a client whose clock is ahead would
 		// make the ids of all others count as expired.
 		start := max(a.queue[drop].Time, a.queue[drop].CreatedAt)
-		overdue := start+AnswerLifetime.Milliseconds() < now
+		overdue := start+ResultLifetime.Milliseconds() < now
 		if !overdue && len(a.queue)-drop <= a.limit {
 			break
 		}
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -207,7 +207,7 @@
 	id := FormatChangeID(time.UnixMilli(start), []byte{1, 2, 3, 4})
 	answers := NewAnswers(8)
 	answers.Remember(id, Digest{1}, start, port.Result{Index: 7})
-	lifetime := AnswerLifetime.Milliseconds()
+	lifetime := ResultLifetime.Milliseconds()
 	tests := []struct {
 		name   string
 		id     string
--- a/internal/lab/experiment/bars.go
+++ b/internal/lab/experiment/bars.go
@@ -1,7 +1,7 @@
 package experiment
 
-// BarResult is a bar with the values that were compared.
-type BarResult struct {
+// ThresholdResult is a bar with the values that were compared.
+type ThresholdResult struct {
 	Bar
 	// Measured is the variant's mean, Compared that of the opponent, and Opponent the
 	// opponent's name.
@@ -18,16 +18,16 @@
 
 // evaluateBar evaluates a bar on a point's results. It returns false if the variant or the
 // opponent did not run or lacks the figure.
-func (s *Settings) evaluateBar(bar Bar, point Point) (BarResult, bool) {
+func (s *Settings) evaluateBar(bar Bar, point Point) (ThresholdResult, bool) {
 	variant, ran := point.VariantNamed(bar.Variant)
 	summary, known := variant.SummaryNamed(bar.Figure)
 	if !ran || !known {
-		return BarResult{}, false
+		return ThresholdResult{}, false
 	}
-	result := BarResult{Bar: bar, Measured: summary.Mean, Opponent: string(AgainstLimit)}
+	result := ThresholdResult{Bar: bar, Measured: summary.Mean, Opponent: string(AgainstLimit)}
 	if bar.Against == AgainstLimit {
 		if summary.Limit == nil {
-			return BarResult{}, false
+			return ThresholdResult{}, false
 		}
 		result.Compared = *summary.Limit
 		result.evaluate()
@@ -35,7 +35,7 @@
 	}
 	best, found := s.bestBaseline(point, bar.Figure)
 	if !found {
-		return BarResult{}, false
+		return ThresholdResult{}, false
 	}
 	bestSummary, _ := best.SummaryNamed(bar.Figure)
 	result.Compared, result.Opponent = bestSummary.Mean, best.Name
@@ -48,7 +48,7 @@
 }
 
 // evaluate sets Ratio and Met. If Compared is 0, only 0 meets the bar.
-func (r *BarResult) evaluate() {
+func (r *ThresholdResult) evaluate() {
 	if r.Compared > 0 {
 		ratio := r.Measured / r.Compared
 		r.Ratio = &ratio
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -32,10 +32,10 @@
 // Point holds the results for one value of a swept setting.
 type Point struct {
 	// Setting and Value are the swept override, empty for the point without one.
-	Setting  string          `json:"setting,omitempty"`
-	Value    string          `json:"value,omitempty"`
-	Variants []VariantResult `json:"variants"`
-	Bars     []BarResult     `json:"bars,omitempty"`
+	Setting  string            `json:"setting,omitempty"`
+	Value    string            `json:"value,omitempty"`
+	Variants []VariantResult   `json:"variants"`
+	Bars     []ThresholdResult `json:"bars,omitempty"`
 }
 
 // Name returns the name of the point, unique within the results.
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -210,7 +210,7 @@
 	return table
 }
 
-func throughput(bar experiment.BarResult) string {
+func throughput(bar experiment.ThresholdResult) string {
 	if bar.ThroughputRatio == nil {
 		return noValue
 	}
--- a/internal/lab/sim/fault/trainer.go
+++ b/internal/lab/sim/fault/trainer.go
@@ -12,7 +12,7 @@
 // Timing of the trainer.
 const (
 	stepTime      = 400 * time.Millisecond
-	batchWait     = 2 * time.Second
+	batchTimeout  = 2 * time.Second
 	trainerPause  = 100 * time.Millisecond
 	publishEvery  = 2
 	trainerName   = "trainer"
--- a/internal/lab/sim/fault/trainernode.go
+++ b/internal/lab/sim/fault/trainernode.go
@@ -72,7 +72,7 @@
 		reply(batch, failure)
 	}
 	event := coordinator.BatchRequested{
-		Token: token, Number: number, ConsumerEpoch: epoch, Deadline: n.world.clock().Add(batchWait),
+		Token: token, Number: number, ConsumerEpoch: epoch, Deadline: n.world.clock().Add(batchTimeout),
 	}
 	if !w.machine.Running() {
 		n.later(0, func() { w.answer(token, nil, notCoordinator()) })
--- a/internal/lab/sim/trainer.go
+++ b/internal/lab/sim/trainer.go
@@ -9,8 +9,8 @@
 
 // Timing of the trainers' requests.
 const (
-	batchWait  = 2 * time.Second
-	retryPause = 100 * time.Millisecond
+	batchTimeout = 2 * time.Second
+	retryPause   = 100 * time.Millisecond
 )
 
 // trainer requests batches by number, trains on each and publishes versions.
@@ -78,7 +78,7 @@
 	t.token++
 	request := coordinator.BatchRequested{Token: t.token, Number: t.next, ConsumerEpoch: t.epoch}
 	w.after(w.site.ClientLatency, func() {
-		request.Deadline = w.clock().Add(batchWait)
+		request.Deadline = w.clock().Add(batchTimeout)
 		t.pool.step(request)
 	})
 }
