--- a/internal/lab/chaos/admin.go
+++ b/internal/lab/chaos/admin.go
@@ -6,24 +6,24 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// adminEvery is how often the operator of the machines looks at them.
-const adminEvery = 2 * time.Second
+// adminInterval is the interval at which the admin checks for lost machines.
+const adminInterval = 2 * time.Second
 
-// admin replaces machines that are lost: it adds a fresh one as a learner,
-// removes the lost one, and promotes the learner once it has caught up.
+// admin replaces lost machines: it adds a new one as a learner, removes the lost one and
+// promotes the learner once it has caught up.
 type admin struct {
 	world *World
-	// replacement is the machine that is being brought in, or nil.
+	// replacement is the machine being added, or nil.
 	replacement *machine
-	// learner is set if the lost machine had no vote.
+	// learner is set if the lost machine was a learner.
 	learner bool
 	// repaired counts completed replacements.
 	repaired int
 }
 
-func (a *admin) schedule() { a.world.after(adminEvery, a.look) }
+func (a *admin) schedule() { a.world.after(adminInterval, a.check) }
 
-func (a *admin) look() {
+func (a *admin) check() {
 	a.schedule()
 	leader := a.world.leader()
 	if leader == nil || !leader.member.QuorumActive() {
@@ -31,7 +31,7 @@
 	}
 	membership := leader.member.Status().Membership
 	lost := a.lostMember(membership)
-	a.forgetLostReplacement()
+	a.dropLostReplacement()
 	switch {
 	case a.replacement == nil && lost != nil:
 		a.replacement = a.world.addMachine(consensus.Membership{})
@@ -54,17 +54,17 @@
 	}
 }
 
-// forgetLostReplacement gives up a replacement that was lost itself.
-func (a *admin) forgetLostReplacement() {
-	if a.replacement != nil && a.replacement.gone {
+// dropLostReplacement abandons a replacement that was itself lost.
+func (a *admin) dropLostReplacement() {
+	if a.replacement != nil && a.replacement.lost {
 		a.replacement = nil
 	}
 }
 
-// lostMember finds a member whose machine is lost.
+// lostMember returns a member whose machine is lost, or nil.
 func (a *admin) lostMember(membership consensus.Membership) *machine {
 	for _, id := range membership.Members() {
-		if machine := a.world.machine(id); machine.gone {
+		if machine := a.world.machine(id); machine.lost {
 			return machine
 		}
 	}
@@ -75,7 +75,7 @@
 	change := consensus.MembershipChange{Kind: kind, Member: id, Context: []byte("10.0.0.3:7000")}
 	leader.process(func() {
 		token := a.world.token()
-		leader.callers[token] = func(reply answer) {
+		leader.callers[token] = func(reply response) {
 			if reply.err != nil {
 				a.world.tracef("membership change %d of member %d: %v", kind, id, reply.err)
 			}
--- a/internal/lab/chaos/audit.go
+++ b/internal/lab/chaos/audit.go
@@ -13,17 +13,15 @@
 )
 
 const (
-	// maxViolations ends a run that has gone wrong beyond doubt.
+	// maxViolations ends a run early.
 	maxViolations = 20
-	// digestEvery is the distance of the log positions at which whole states
-	// are compared.
-	digestEvery = 8
-	// confirmedAge is how old a confirmed view may be: the time until a leader
-	// without a quorum steps down, until its follower notices, and the longest
-	// delays of the messages between.
+	// digestInterval is the number of log positions between comparisons of full states.
+	digestInterval = 8
+	// confirmedAge is the max age of a confirmed view: the time until a leader without a
+	// quorum steps down and its follower detects it, plus the longest message delays.
 	confirmedAge = 3 * time.Second
-	// quorumPatience is how many ticks a leader may go without a quorum.
-	quorumPatience = 3 * electionTicks
+	// maxQuorumLossTicks is the max number of ticks that a leader may lead without a quorum.
+	maxQuorumLossTicks = 3 * electionTicks
 )
 
 // Violation is a broken invariant.
@@ -33,25 +31,25 @@
 	Detail string        `json:"detail"`
 }
 
-// committedEntry is what the auditor remembers of a committed entry.
+// committedEntry is the auditor's record of a committed entry.
 type committedEntry struct {
-	term   uint64
-	digest uint64
-	print  statePrint
-	state  uint64 // digest of the whole state, at some positions
+	term       uint64
+	digest     uint64
+	summary    stateSummary
+	fullDigest uint64 // digest of the full state; 0 at positions that are not compared
 }
 
-// statePrint is a cheap summary of a state.
-type statePrint struct {
-	revision port.Revision
-	position uint64
-	time     int64
-	answers  int
+// stateSummary is a cheap summary of a state.
+type stateSummary struct {
+	revision      port.Revision
+	position      uint64
+	time          int64
+	cachedResults int
 }
 
-// Auditor sees every committed entry and checks what must hold. It applies the
-// log to a state of its own, and checks the results against plain books that
-// share no code with the state machine.
+// Auditor checks invariants against every committed entry. It applies the log to a state
+// of its own, and checks the results against a reference model that shares no code with
+// the state machine.
 type Auditor struct {
 	report     func(check, format string, arguments ...any)
 	violations []Violation
@@ -61,20 +59,20 @@
 	state    *controlstate.State
 	leaders  map[uint64]consensus.MemberID
 	revision port.Revision
-	views    map[uint64]shownView
-	accepted map[string]port.Revision // by the change's name
-	// acceptedAt notes when each revision was first known to be committed.
+	views    map[uint64]expectedView
+	accepted map[string]port.Revision // by the change's author
+	// acceptedAt records when each revision was first committed.
 	acceptedAt   map[port.Revision]time.Duration
 	lastAccepted time.Duration
 	orders       map[port.Epoch]port.NodeID
 	lastOrder    port.Epoch
-	books        books
-	// granted, if set, hears of each lease when the log grants it.
-	granted func(port.Lease)
+	reference    referenceModel
+	// onGrant, if set, is called with each lease that the log grants.
+	onGrant func(port.Lease)
 }
 
-// shownView is what a view at some position must show.
-type shownView struct {
+// expectedView is the expected content of the view at a position.
+type expectedView struct {
 	revision    port.Revision
 	machineList string
 }
@@ -84,22 +82,22 @@
 		state:      controlstate.New(),
 		now:        func() time.Duration { return 0 },
 		leaders:    map[uint64]consensus.MemberID{},
-		views:      map[uint64]shownView{0: {}},
+		views:      map[uint64]expectedView{0: {}},
 		accepted:   map[string]port.Revision{},
 		acceptedAt: map[port.Revision]time.Duration{},
 		orders:     map[port.Epoch]port.NodeID{},
-		books:      newBooks(),
+		reference:  newReferenceModel(),
 	}
 }
 
-// noteCommitted takes in what a member was told to be committed.
-func (a *Auditor) noteCommitted(m *machine, ready consensus.Ready) {
+// recordCommitted records the entries that a member reports as committed.
+func (a *Auditor) recordCommitted(m *machine, ready consensus.Ready) {
 	for _, entry := range ready.Committed {
 		digest := xxhash.Sum64(entry.Data) ^ uint64(entry.Kind)
 		if entry.Index <= uint64(len(a.entries)) {
 			known := a.entries[entry.Index-1]
 			if known.term != entry.Term || known.digest != digest {
-				a.report("committed entries kept", "member %d has another entry at %d (term %d, was %d)", m.id, entry.Index, entry.Term, known.term)
+				a.report("committed entries kept", "member %d has a different entry at %d (term %d, was %d)", m.id, entry.Index, entry.Term, known.term)
 			}
 			continue
 		}
@@ -114,14 +112,14 @@
 // append applies a newly committed entry.
 func (a *Auditor) append(entry consensus.Entry, digest uint64) {
 	a.apply(entry)
-	added := committedEntry{term: entry.Term, digest: digest, print: printOf(a.state)}
-	if entry.Index%digestEvery == 0 {
-		added.state = stateDigest(a.state)
+	added := committedEntry{term: entry.Term, digest: digest, summary: summarize(a.state)}
+	if entry.Index%digestInterval == 0 {
+		added.fullDigest = stateDigest(a.state)
 	}
 	a.entries = append(a.entries, added)
 	view := a.state.View()
 	if _, known := a.views[view.Position]; !known {
-		a.views[view.Position] = shownView{revision: view.Revision, machineList: view.Configuration.MachineList}
+		a.views[view.Position] = expectedView{revision: view.Revision, machineList: view.Configuration.MachineList}
 	}
 }
 
@@ -138,9 +136,9 @@
 	before := a.revision
 	result := a.state.Apply(entry.Index, entry.Term, command)
 	a.checkChange(command, result, before)
-	a.books.check(a.report, command, result)
-	if a.granted != nil && command.AcquireLease != nil && result.Error == nil {
-		a.granted(*result.Lease)
+	a.reference.check(a.report, command, result)
+	if a.onGrant != nil && command.AcquireLease != nil && result.Error == nil {
+		a.onGrant(*result.Lease)
 	}
 }
 
@@ -159,8 +157,8 @@
 	}
 }
 
-// checkChange demands that each change is accepted once, and that revisions
-// count up by one.
+// checkChange checks that each change is accepted once, and that revisions increase by
+// one.
 func (a *Auditor) checkChange(command port.Command, result port.Result, before port.Revision) {
 	a.revision = a.state.Revision()
 	if command.ChangeConfiguration == nil || a.revision == before {
@@ -178,26 +176,26 @@
 	a.acceptedAt[a.revision] = a.now()
 }
 
-// noteApplied compares a member's state with the auditor's at its position.
-func (a *Auditor) noteApplied(m *machine) {
-	a.noteLeader(m)
+// checkApplied compares a member's state with the auditor's at its position.
+func (a *Auditor) checkApplied(m *machine) {
+	a.checkLeader(m)
 	state := m.member.State()
 	index := state.Applied()
-	if index == m.audited || index > uint64(len(a.entries)) {
+	if index == m.lastAudited || index > uint64(len(a.entries)) {
 		return
 	}
-	m.audited = index
+	m.lastAudited = index
 	want := a.entries[index-1]
-	if got := printOf(state); got != want.print {
-		a.report("states equal", "member %d at %d: %+v, want %+v", m.id, index, got, want.print)
+	if got := summarize(state); got != want.summary {
+		a.report("states equal", "member %d at %d: %+v, want %+v", m.id, index, got, want.summary)
 	}
-	if want.state != 0 && stateDigest(state) != want.state {
-		a.report("states equal", "member %d at %d has another state", m.id, index)
+	if want.fullDigest != 0 && stateDigest(state) != want.fullDigest {
+		a.report("states equal", "member %d at %d has a different state", m.id, index)
 	}
 }
 
-// noteSnapshot checks that a snapshot can be read and gives the same bytes again.
-func (a *Auditor) noteSnapshot(m *machine, snapshot consensus.Snapshot) {
+// checkSnapshot checks that a snapshot can be restored and encodes to the same bytes.
+func (a *Auditor) checkSnapshot(m *machine, snapshot consensus.Snapshot) {
 	restored := controlstate.New()
 	if err := restored.Restore(snapshot.Data); err != nil {
 		a.report("snapshots", "member %d: %v", m.id, err)
@@ -208,8 +206,8 @@
 	}
 }
 
-// noteLeader demands one leader a term, with every committed entry in its log.
-func (a *Auditor) noteLeader(m *machine) {
+// checkLeader checks that a term has one leader, whose log has every committed entry.
+func (a *Auditor) checkLeader(m *machine) {
 	if !m.member.IsLeader() {
 		return
 	}
@@ -227,15 +225,15 @@
 	}
 }
 
-// checkQuorumContact demands that a leader without a quorum steps down.
+// checkQuorumContact checks that a leader without a quorum steps down.
 func (a *Auditor) checkQuorumContact(m *machine) {
 	status := m.member.Status()
-	if m.member.IsLeader() && status.TicksSinceContact > quorumPatience {
+	if m.member.IsLeader() && status.TicksSinceContact > maxQuorumLossTicks {
 		a.report("leaders have a quorum", "member %d leads without a quorum for %d ticks", m.id, status.TicksSinceContact)
 	}
 }
 
-// checkView compares what an observer shows with the log.
+// checkView compares the view that an observer shows with the log.
 func (a *Auditor) checkView(number int, view *port.View) {
 	want, known := a.views[view.Position]
 	if !known {
@@ -247,8 +245,8 @@
 	}
 }
 
-// checkConfirmed demands that a view that a member confirms is not old. A
-// process that was paused finds old messages of its leader first.
+// checkConfirmed checks that a view confirmed by a member is recent. It exempts members
+// that just resumed, since they process old messages of their leader first.
 func (a *Auditor) checkConfirmed(m *machine, update port.ViewUpdate) {
 	now := a.now()
 	if !update.Confirmed || now-m.resumed < confirmedAge {
@@ -262,24 +260,24 @@
 	}
 }
 
-// noteOrder demands that each fence has one holder, and that no order is taken
-// after one of a higher fence.
-func (a *Auditor) noteOrder(fence port.Epoch, holder port.NodeID) {
+// checkOrder checks that each fence has one holder, and that the back end accepts no
+// order after one with a higher fence.
+func (a *Auditor) checkOrder(fence port.Epoch, holder port.NodeID) {
 	if known, seen := a.orders[fence]; seen && known != holder {
 		a.report("one holder by fence", "%s and %s act under fence %d", known, holder, fence)
 	}
 	a.orders[fence] = holder
 	if fence < a.lastOrder {
-		a.report("one holder by fence", "order of %s under fence %d taken after fence %d", holder, fence, a.lastOrder)
+		a.report("one holder by fence", "order of %s under fence %d accepted after fence %d", holder, fence, a.lastOrder)
 	}
 	a.lastOrder = max(a.lastOrder, fence)
 }
 
-// noteDelivered checks a batch that reached the trainer.
-func (a *Auditor) noteDelivered(batch port.CommitBatch) { a.books.noteDelivered(a.report, batch) }
+// checkDelivered checks a batch that the trainer received.
+func (a *Auditor) checkDelivered(batch port.CommitBatch) { a.reference.checkDelivered(a.report, batch) }
 
-func printOf(state *controlstate.State) statePrint {
-	return statePrint{revision: state.Revision(), position: state.Position(), time: state.Time(), answers: state.CachedResults()}
+func summarize(state *controlstate.State) stateSummary {
+	return stateSummary{revision: state.Revision(), position: state.Position(), time: state.Time(), cachedResults: state.CachedResults()}
 }
 
 func stateDigest(state *controlstate.State) uint64 {
@@ -290,7 +288,7 @@
 	return xxhash.Sum64(data)
 }
 
-// promptsOf gives the distinct prompts of a batch.
+// promptsOf returns the distinct prompts of a batch.
 func promptsOf(samples []port.CommittedSample) []port.PromptIndex {
 	var prompts []port.PromptIndex
 	for _, sample := range samples {
--- a/internal/lab/chaos/books.go
+++ b/internal/lab/chaos/books.go
@@ -6,35 +6,34 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// reportFunc notes a broken invariant.
+// reportFunc records a broken invariant.
 type reportFunc func(check, format string, arguments ...any)
 
-// books is a plain second account of leases and deliveries, kept from the log's
-// commands and their results.
-type books struct {
+// referenceModel is a reference model of leases and deliveries, built from the log's commands and
+// their results.
+type referenceModel struct {
 	published port.WeightVersion
 	lease     port.Lease
 	consumer  port.Consumer
-	// samples and prompts say which batch has them; voided samples stay.
+	// samples and prompts map to the batch that has them; voided samples stay.
 	samples map[port.SampleID]port.BatchNumber
 	prompts map[port.PromptIndex]port.BatchNumber
 	batches map[port.BatchNumber]port.CommitBatch
-	// delivered is what the trainer took.
+	// delivered maps the samples that the trainer received to their batches.
 	delivered map[port.SampleID]port.BatchNumber
 	epochs    map[port.Epoch]port.NodeID
 }
 
-func newBooks() books {
-	return books{
+func newReferenceModel() referenceModel {
+	return referenceModel{
 		samples: map[port.SampleID]port.BatchNumber{}, prompts: map[port.PromptIndex]port.BatchNumber{},
 		batches: map[port.BatchNumber]port.CommitBatch{}, delivered: map[port.SampleID]port.BatchNumber{},
 		epochs: map[port.Epoch]port.NodeID{},
 	}
 }
 
-// check takes in one command with its result. Refused commands count for
-// nothing.
-func (b *books) check(report reportFunc, command port.Command, result port.Result) {
+// check applies one command with its result. Rejected commands have no effect.
+func (b *referenceModel) check(report reportFunc, command port.Command, result port.Result) {
 	if result.Error != nil {
 		return
 	}
@@ -53,8 +52,8 @@
 	}
 }
 
-// checkLease demands that an epoch has one holder and that epochs count up.
-func (b *books) checkLease(report reportFunc, lease port.Lease) {
+// checkLease checks that an epoch has one holder and that epochs increase.
+func (b *referenceModel) checkLease(report reportFunc, lease port.Lease) {
 	if holder, seen := b.epochs[lease.Epoch]; seen && holder != lease.Holder {
 		report("one holder by fence", "epoch %d granted to %s and %s", lease.Epoch, holder, lease.Holder)
 	}
@@ -64,7 +63,7 @@
 	b.epochs[lease.Epoch], b.lease = lease.Holder, lease
 }
 
-func (b *books) checkCommit(report reportFunc, command port.CommitBatch) {
+func (b *referenceModel) checkCommit(report reportFunc, command port.CommitBatch) {
 	previous, exists := b.batches[command.Number]
 	if exists && previous.Attempt == command.Attempt {
 		if !slices.Equal(previous.Samples, command.Samples) {
@@ -73,7 +72,7 @@
 		return
 	}
 	if exists {
-		b.void(report, command, previous)
+		b.voidAttempt(report, command, previous)
 	}
 	if command.CoordinatorEpoch != b.lease.Epoch || command.ConsumerEpoch != b.consumer.Epoch {
 		report("fenced commits refused", "batch %d under epochs %d and %d, current are %d and %d",
@@ -91,7 +90,7 @@
 	b.batches[command.Number] = command
 }
 
-func (b *books) checkSample(report reportFunc, number port.BatchNumber, sample port.CommittedSample) {
+func (b *referenceModel) checkSample(report reportFunc, number port.BatchNumber, sample port.CommittedSample) {
 	if other, taken := b.samples[sample.ID]; taken {
 		report("batch committed once", "sample %s is in batches %d and %d", sample.ID, other, number)
 	}
@@ -101,9 +100,9 @@
 	}
 }
 
-// void returns the prompts of an attempt that a later one replaces. What the
-// trainer took must not be replaced.
-func (b *books) void(report reportFunc, command, previous port.CommitBatch) {
+// voidAttempt releases the prompts of an attempt that a later one replaces. An attempt
+// that the trainer received must not be replaced.
+func (b *referenceModel) voidAttempt(report reportFunc, command, previous port.CommitBatch) {
 	if _, later := b.batches[command.Number+1]; later {
 		report("batch committed once", "batch %d replaced after batch %d", command.Number, command.Number+1)
 	}
@@ -111,14 +110,14 @@
 		delete(b.prompts, prompt)
 	}
 	if _, taken := b.delivered[previous.Samples[0].ID]; taken {
-		report("batch committed once", "batch %d attempt %d voided after the trainer took it", command.Number, previous.Attempt)
+		report("batch committed once", "batch %d attempt %d voided after the trainer received it", command.Number, previous.Attempt)
 	}
 }
 
-// noteDelivered checks a batch that the trainer took against the log.
-func (b *books) noteDelivered(report reportFunc, batch port.CommitBatch) {
+// checkDelivered checks a batch that the trainer received against the log.
+func (b *referenceModel) checkDelivered(report reportFunc, batch port.CommitBatch) {
 	if committed := b.batches[batch.Number]; !slices.Equal(committed.Samples, batch.Samples) {
-		report("batch committed once", "the trainer took batch %d, which the log does not have so", batch.Number)
+		report("batch committed once", "the trainer received batch %d, which differs from the log", batch.Number)
 	}
 	for _, sample := range batch.Samples {
 		if other, twice := b.delivered[sample.ID]; twice {
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -12,8 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestScenariosHold is the fixed set of seeds. Together they must go through every
-// situation that is counted.
+// TestScenariosHold runs fixed seeds of every scenario, which together must cover every
+// counted situation.
 func TestScenariosHold(t *testing.T) {
 	scenarios := Scenarios()
 	summaries := make([]Summary, len(scenarios))
@@ -35,8 +35,8 @@
 			t.Errorf("no run had %s", counts.Type().Field(field).Name)
 		}
 	}
-	if total.MostMissed < 200 {
-		t.Errorf("observers missed %d revisions at most, want hundreds", total.MostMissed)
+	if total.MaxMissed < 200 {
+		t.Errorf("observers missed %d revisions at most, want hundreds", total.MaxMissed)
 	}
 }
 
@@ -57,8 +57,8 @@
 	return Summarize(scenario, reports)
 }
 
-// TestHistoriesAreDecided replays two seeds whose many lost answers left the
-// search for a linearization too many choices once.
+// TestHistoriesAreDecided replays two seeds with so many lost responses that the search
+// for a linearization once timed out.
 func TestHistoriesAreDecided(t *testing.T) {
 	for name, seed := range map[string]uint64{"all": 155, "together": 59} {
 		scenario, _ := ScenarioNamed(name)
@@ -83,19 +83,19 @@
 	}
 }
 
-// wipedScenario loses disks while leaders change.
+// wipedScenario wipes disks while leaders change.
 var wipedScenario = Scenario{
 	Name: "wiped", Faulty: 3 * time.Minute, Every: 5 * time.Second, Together: 2, Members: 3,
 	Faults: []Fault{FaultLose, FaultKill, FaultIsolate, FaultIsolateLeader},
 }
 
-// restartScenario restarts observers while members are cut off.
+// restartScenario restarts observers while members are isolated.
 var restartScenario = Scenario{
 	Name: "restarts", Faulty: 2 * time.Minute, Every: 3 * time.Second, Together: 1, Members: 3,
 	Faults: []Fault{FaultObserverAway, FaultObserverAway, FaultIsolate},
 }
 
-// TestAuditorFindsForgedEntries applies changes that a correct log never has.
+// TestAuditorFindsForgedEntries applies changes that a correct log never contains.
 func TestAuditorFindsForgedEntries(t *testing.T) {
 	change := func(number int, expected port.Revision, author string) port.Command {
 		return port.Command{
@@ -112,8 +112,8 @@
 		check   string
 	}{
 		{"correct", change(2, 1, "b"), port.Result{Revision: 2}, false, ""},
-		{"same change under another id", change(2, 1, "a"), port.Result{Revision: 2}, false, "each change once"},
-		{"revision of another answer", change(2, 1, "b"), port.Result{Revision: 3}, false, "revisions count up"},
+		{"same change, other id", change(2, 1, "a"), port.Result{Revision: 2}, false, "each change once"},
+		{"revision differs from result", change(2, 1, "b"), port.Result{Revision: 3}, false, "revisions count up"},
 		{"unexpected revision accepted", change(2, 0, "b"), port.Result{Revision: 2}, true, "revisions count up"},
 	}
 	for _, test := range tests {
@@ -124,7 +124,7 @@
 			audit.checkChange(first, audit.state.Apply(1, 1, first), 0)
 			applied := test.second
 			if test.skipped {
-				applied = change(3, 1, "c") // stands for a state machine that ignored the expected revision
+				applied = change(3, 1, "c") // simulates a state machine that ignores the expected revision
 			}
 			audit.state.Apply(2, 1, applied)
 			audit.checkChange(test.second, test.result, 1)
@@ -135,10 +135,8 @@
 	}
 }
 
-// TestMissingSafeguardsAreFound takes one safeguard away at a time, and demands
-// that the check for it fails within a few seeds. Two of the faults show in one run of
-// twelve or less (4 of 48 and 3 of 48 when it was counted, 4 and 1 after elections had
-// changed), and have as many seeds.
+// TestMissingSafeguardsAreFound removes one safeguard at a time and checks that the check
+// for it fails within a few seeds. Rows marked rare need more seeds.
 func TestMissingSafeguardsAreFound(t *testing.T) {
 	tests := []struct {
 		weakness Weakness
@@ -188,13 +186,13 @@
 					}
 				}
 			}
-			t.Fatalf("no seed of %s found that %q fails", test.scenario, test.check)
+			t.Fatalf("no seed of %s violated %q", test.scenario, test.check)
 		})
 	}
 }
 
-// TestBooksFindForgedResults feeds the auditor's books commits that a correct
-// state machine refuses.
+// TestBooksFindForgedResults feeds the reference model commits that a correct state
+// machine rejects.
 func TestBooksFindForgedResults(t *testing.T) {
 	commit := func(number port.BatchNumber, attempt uint32, sequence uint64, prompt port.PromptIndex, oldest port.WeightVersion) port.Command {
 		return port.Command{CommitBatch: &port.CommitBatch{
@@ -211,7 +209,7 @@
 		check  string
 	}{
 		{"correct", commit(2, 1, 2, 1, 4), port.Result{}, ""},
-		{"refused ones count for nothing", commit(2, 1, 1, 0, 1), port.Result{Error: &port.Error{}}, ""},
+		{"rejected commit has no effect", commit(2, 1, 1, 0, 1), port.Result{Error: &port.Error{}}, ""},
 		{"sample again", commit(2, 1, 1, 1, 5), port.Result{}, "batch committed once"},
 		{"prompt again", commit(2, 1, 2, 0, 5), port.Result{}, "batch committed once"},
 		{"other contents", commit(1, 1, 2, 1, 5), port.Result{}, "batch committed once"},
@@ -226,14 +224,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			found := ""
 			report := func(check, format string, arguments ...any) { found = check }
-			books := newBooks()
+			reference := newReferenceModel()
 			first := commit(1, 1, 1, 0, 5)
-			books.check(report, port.Command{PublishWeights: &port.PublishWeights{Version: 5}}, port.Result{})
-			books.check(report, port.Command{AcquireLease: &port.AcquireLease{}}, port.Result{Lease: &port.Lease{Holder: "node", Epoch: 1}})
-			books.check(report, port.Command{RegisterConsumer: &port.RegisterConsumer{}}, port.Result{Consumer: &port.Consumer{Epoch: 2}})
-			books.check(report, first, port.Result{})
-			books.noteDelivered(report, *first.CommitBatch)
-			books.check(report, test.forged, test.result)
+			reference.check(report, port.Command{PublishWeights: &port.PublishWeights{Version: 5}}, port.Result{})
+			reference.check(report, port.Command{AcquireLease: &port.AcquireLease{}}, port.Result{Lease: &port.Lease{Holder: "node", Epoch: 1}})
+			reference.check(report, port.Command{RegisterConsumer: &port.RegisterConsumer{}}, port.Result{Consumer: &port.Consumer{Epoch: 2}})
+			reference.check(report, first, port.Result{})
+			reference.checkDelivered(report, *first.CommitBatch)
+			reference.check(report, test.forged, test.result)
 			if found != test.check {
 				t.Fatalf("found %q, want %q", found, test.check)
 			}
--- a/internal/lab/chaos/coverage.go
+++ b/internal/lab/chaos/coverage.go
@@ -8,32 +8,32 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Coverage counts the situations that runs went through.
+// Coverage counts the situations that occurred in runs.
 type Coverage struct {
-	// Conflicts counts changes that lost a race of equal revisions.
+	// Conflicts counts changes rejected since another changed the same revision first.
 	Conflicts int `json:"conflicts"`
-	// Resends counts changes that were answered after an answer was lost;
-	// Elsewhere those answered by another member than the one asked first,
-	// AfterSnapshot those whose entry the answering member had compacted, and
-	// Expired those that were told that the answer is no longer kept.
-	Resends       int `json:"resends"`
-	Elsewhere     int `json:"elsewhere"`
+	// Retries counts changes that were answered after a response was lost; OtherMember
+	// those answered by another member than the first one called, AfterSnapshot those
+	// whose entry the answering member had compacted, and Expired those whose cached
+	// result had expired.
+	Retries       int `json:"resends"`
+	OtherMember   int `json:"elsewhere"`
 	AfterSnapshot int `json:"after_snapshot"`
 	Expired       int `json:"expired"`
-	// Installed counts snapshots that members took from their leader.
-	Installed int `json:"installed"`
-	// WholeViews counts whole views for observers that held something, and
-	// MostMissed is the most revisions that one update brought.
-	WholeViews int           `json:"whole_views"`
-	MostMissed port.Revision `json:"most_missed"`
-	// ObserverRestarts counts observers that came back with nothing.
+	// SnapshotsInstalled counts snapshots that members installed from their leader.
+	SnapshotsInstalled int `json:"installed"`
+	// FullViews counts full views sent to observers that had a view, and MaxMissed is
+	// the max number of revisions that one update skipped.
+	FullViews int           `json:"whole_views"`
+	MaxMissed port.Revision `json:"most_missed"`
+	// ObserverRestarts counts observers that restarted without a view.
 	ObserverRestarts int `json:"observer_restarts"`
 	// SecondLosses counts machines lost right after a repair.
 	SecondLosses int `json:"second_losses"`
 }
 
-// noteAnswer counts the answer of a member to an operator.
-func (c *Coverage) noteAnswer(operation *operation, from *machine, result port.Result) {
+// countResponse counts a member's response to an operator.
+func (c *Coverage) countResponse(operation *operation, from *machine, result port.Result) {
 	if operation.kind != operationChange {
 		return
 	}
@@ -43,9 +43,9 @@
 	if !operation.unanswered {
 		return
 	}
-	c.Resends++
-	if from.id != operation.first {
-		c.Elsewhere++
+	c.Retries++
+	if from.id != operation.firstMember {
+		c.OtherMember++
 	}
 	if result.Error != nil && result.Error.Code == port.CodeChangeExpired {
 		c.Expired++
@@ -55,38 +55,38 @@
 	}
 }
 
-// noteUpdate counts an update that took an observer from one view to another.
-func (c *Coverage) noteUpdate(before, after *port.View, update port.ViewUpdate) {
+// countUpdate counts an update that advanced an observer from one view to another.
+func (c *Coverage) countUpdate(before, after *port.View, update port.ViewUpdate) {
 	if before.Position == 0 || after.Position <= before.Position {
 		return
 	}
 	if update.Full != nil {
-		c.WholeViews++
+		c.FullViews++
 	}
-	c.MostMissed = max(c.MostMissed, after.Revision-before.Revision)
+	c.MaxMissed = max(c.MaxMissed, after.Revision-before.Revision)
 }
 
 func (c *Coverage) add(other Coverage) {
 	c.Conflicts += other.Conflicts
-	c.Resends += other.Resends
-	c.Elsewhere += other.Elsewhere
+	c.Retries += other.Retries
+	c.OtherMember += other.OtherMember
 	c.AfterSnapshot += other.AfterSnapshot
 	c.Expired += other.Expired
-	c.Installed += other.Installed
-	c.WholeViews += other.WholeViews
-	c.MostMissed = max(c.MostMissed, other.MostMissed)
+	c.SnapshotsInstalled += other.SnapshotsInstalled
+	c.FullViews += other.FullViews
+	c.MaxMissed = max(c.MaxMissed, other.MaxMissed)
 	c.ObserverRestarts += other.ObserverRestarts
 	c.SecondLosses += other.SecondLosses
 }
 
-// WriteCoverage writes what the runs went through as a table.
+// WriteCoverage writes the coverage of each scenario as a table.
 func WriteCoverage(to io.Writer, summaries []Summary) error {
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	rows := []string{"scenario\tlost races\tresends\tto another member\tafter a snapshot\texpired\tsnapshots installed\twhole views\tmost missed\tobserver restarts\tsecond losses\t"}
 	for _, summary := range summaries {
 		c := summary.Coverage
 		rows = append(rows, fmt.Sprintf("%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t", summary.Scenario.Name,
-			c.Conflicts, c.Resends, c.Elsewhere, c.AfterSnapshot, c.Expired, c.Installed, c.WholeViews, c.MostMissed,
+			c.Conflicts, c.Retries, c.OtherMember, c.AfterSnapshot, c.Expired, c.SnapshotsInstalled, c.FullViews, c.MaxMissed,
 			c.ObserverRestarts, c.SecondLosses))
 	}
 	for _, row := range rows {
--- a/internal/lab/chaos/doc.go
+++ b/internal/lab/chaos/doc.go
@@ -2,13 +2,13 @@
 // faults.
 //
 // A World runs several control members, operators, lease holders, a trainer and
-// observers in virtual time. The members are the real ones: controlmember over
-// consensus and controlstate, with the real write-ahead log on a file system in
-// memory that loses what was not synced. Network, clocks, crashes and disks
-// fail as the scenario says, and every choice follows from the seed. Auditor
-// checks invariants after each step; the operators' and holders' histories are
-// checked for linearizability at the end.
+// observers in virtual time. The members run the production code: controlmember over
+// consensus and controlstate, with the write-ahead log on an in-memory file system that
+// loses unsynced writes. Network, clocks, processes and disks fail as the scenario
+// defines, and every choice follows from the seed. Auditor checks invariants after each
+// step; the histories of operators and holders are checked for linearizability at the
+// end.
 //
-// A Weakness takes one safeguard away, so that tests can show that the checks
-// find its absence.
+// A Weakness disables one safeguard, so that tests can show that the checks detect its
+// absence.
 package chaos
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -11,51 +11,50 @@
 
 // The kinds of fault.
 const (
-	// FaultCut cuts one direction between two members.
+	// FaultCut blocks one direction between two members.
 	FaultCut Fault = "cut"
-	// FaultIsolate and FaultIsolateLeader cut a member off, in silence.
+	// FaultIsolate and FaultIsolateLeader isolate a member without closing connections.
 	FaultIsolate       Fault = "isolate"
 	FaultIsolateLeader Fault = "isolate-leader"
-	// FaultSplit cuts the members in two groups.
+	// FaultSplit partitions the members into two groups.
 	FaultSplit Fault = "split"
-	// FaultPowerLoss loses unsynced writes, some of them torn.
+	// FaultPowerLoss loses unsynced writes and tears some of them.
 	FaultPowerLoss Fault = "power-loss"
-	// FaultKill ends the process.
+	// FaultKill kills the process.
 	FaultKill Fault = "kill"
 	// FaultCrashPoints makes power losses likely between any two steps.
 	FaultCrashPoints Fault = "crash-points"
-	// FaultPause stops the process for a while.
+	// FaultPause suspends the process temporarily.
 	FaultPause Fault = "pause"
 	// FaultClock moves a member's clock.
 	FaultClock Fault = "clock"
-	// FaultClockElection moves the clocks of all members but the leader, whose
-	// process it ends, so that a member with another clock leads next.
+	// FaultClockElection moves the clocks of all members but the leader and kills the
+	// leader, so that a member with another clock leads next.
 	FaultClockElection Fault = "clock-election"
-	// FaultSync fails a sync to come.
+	// FaultSync makes a later sync fail.
 	FaultSync Fault = "sync"
-	// FaultDiskFull leaves no room on a disk.
+	// FaultDiskFull leaves a disk almost full.
 	FaultDiskFull Fault = "disk-full"
-	// FaultLose loses a machine for ever.
+	// FaultLose loses a machine permanently.
 	FaultLose Fault = "lose"
 	// FaultLoseAfterRepair loses a machine right after the next repair.
 	FaultLoseAfterRepair Fault = "lose-after-repair"
-	// FaultAbsence ends a process for minutes.
+	// FaultAbsence stops a process, for minutes in long scenarios.
 	FaultAbsence Fault = "absence"
-	// FaultObserverAway lets an observer be deaf for a while; half of them come
-	// back with nothing.
+	// FaultObserverAway makes an observer drop all messages for a while; half of the
+	// observers restart without a view.
 	FaultObserverAway Fault = "observer-away"
-	// FaultStorm makes the network very bad for a while.
+	// FaultStorm degrades the network temporarily.
 	FaultStorm Fault = "storm"
 )
 
-// longScenario is the faulty time from which on isolation and absence take
-// minutes.
-const longScenario = 4 * time.Minute
+// longFaultDuration is the fault time from which isolation and absence last minutes.
+const longFaultDuration = 4 * time.Minute
 
-// calmCheck is how long a leader must outlast the return of a cut-off member.
-const calmCheck = 3 * time.Second
+// leaderCheckDelay is how long a leader must keep leading after an isolated member returns.
+const leaderCheckDelay = 3 * time.Second
 
-// injector injects the scenario's faults.
+// injector applies the scenario's faults.
 type injector struct {
 	world *World
 	// count counts injected faults, active those that have not ended.
@@ -65,22 +64,22 @@
 
 func (i *injector) schedule() {
 	every := i.world.options.Scenario.Every
-	i.world.after(i.world.between(every/2, every*3/2), i.inject)
+	i.world.after(i.world.randomDuration(every/2, every*3/2), i.inject)
 }
 
 func (i *injector) inject() {
 	scenario := i.world.options.Scenario
-	if i.world.settling || len(scenario.Faults) == 0 {
+	if i.world.faultsEnded || len(scenario.Faults) == 0 {
 		return
 	}
 	i.schedule()
 	for range scenario.Together {
-		i.one(scenario.Faults[i.world.random.IntN(len(scenario.Faults))])
+		i.injectOne(scenario.Faults[i.world.random.IntN(len(scenario.Faults))])
 	}
 }
 
-// one injects one fault.
-func (i *injector) one(fault Fault) {
+// injectOne applies one fault.
+func (i *injector) injectOne(fault Fault) {
 	target := i.world.anyMachine()
 	if !i.permits(fault, target) {
 		return
@@ -89,7 +88,7 @@
 	i.world.tracef("fault %s, member %d", fault, target.id)
 	switch fault {
 	case FaultCut:
-		i.cut([]consensus.MemberID{target.id}, []consensus.MemberID{i.world.anyMachine().id}, false, i.short())
+		i.cut([]consensus.MemberID{target.id}, []consensus.MemberID{i.world.anyMachine().id}, false, i.shortDuration())
 	case FaultIsolate:
 		i.isolate(target)
 	case FaultIsolateLeader:
@@ -105,17 +104,17 @@
 		target.kill()
 	case FaultCrashPoints:
 		i.world.crashChance = 0.004
-		i.end(i.short(), func() { i.world.crashChance = 0 })
+		i.scheduleEnd(i.shortDuration(), func() { i.world.crashChance = 0 })
 	case FaultAbsence:
-		target.killFor(i.silence())
+		target.killFor(i.isolationDuration())
 	case FaultObserverAway:
 		observers := i.world.observers
-		observers[i.world.random.IntN(len(observers))].leave(i.silence())
+		observers[i.world.random.IntN(len(observers))].disconnect(i.isolationDuration())
 	case FaultPause:
 		target.pause()
-		i.end(i.long(), target.resume)
+		i.scheduleEnd(i.longDuration(), target.resume)
 	case FaultClock:
-		target.offset += i.world.between(-time.Hour, time.Hour)
+		target.offset += i.world.randomDuration(-time.Hour, time.Hour)
 	case FaultClockElection:
 		i.clockElection()
 	case FaultSync:
@@ -129,8 +128,8 @@
 		i.loseAfterRepair = true
 		target.lose()
 	case FaultStorm:
-		i.world.network.storm = Network{Loss: 0.4, Duplicate: 0.2, Delay: 500 * time.Millisecond}
-		i.end(i.short(), func() { i.world.network.storm = Network{} })
+		i.world.network.degradation = Network{Loss: 0.4, Duplicate: 0.2, Delay: 500 * time.Millisecond}
+		i.scheduleEnd(i.shortDuration(), func() { i.world.network.degradation = Network{} })
 	}
 }
 
@@ -138,7 +137,7 @@
 	leader := i.world.leader()
 	for _, machine := range i.world.machines {
 		if machine != leader {
-			machine.offset = i.world.between(-time.Hour, time.Hour)
+			machine.offset = i.world.randomDuration(-time.Hour, time.Hour)
 		}
 	}
 	if leader != nil {
@@ -146,7 +145,7 @@
 	}
 }
 
-// permits refuses what would lose a quorum of disks for ever, which no
+// permits rejects faults that would lose a quorum of disks permanently, which no
 // replicated log survives.
 func (i *injector) permits(fault Fault, target *machine) bool {
 	switch fault {
@@ -159,8 +158,7 @@
 	}
 }
 
-// spareDisks counts the voters that may be lost now: the smallest number over
-// all memberships that a running member still takes for the current one.
+// spareDisks returns how many voters of the leader's membership may be lost now.
 func (i *injector) spareDisks() int {
 	leader := i.world.leader()
 	if leader == nil || i.world.admin.replacement != nil {
@@ -169,58 +167,61 @@
 	voters := leader.member.Status().Membership.Voters
 	spare := (len(voters) - 1) / 2
 	for _, id := range voters {
-		if i.world.machine(id).gone {
+		if i.world.machine(id).lost {
 			spare--
 		}
 	}
 	return spare
 }
 
-// syncFaultPending says that a disk has a failed sync to come.
+// syncFaultPending reports whether a disk has a sync failure pending.
 func (i *injector) syncFaultPending() bool {
 	for _, machine := range i.world.machines {
-		if !machine.gone && machine.syncFault {
+		if !machine.lost && machine.syncFault {
 			return true
 		}
 	}
 	return false
 }
 
-// repaired is called when a replacement became a voter.
+// repaired runs when a replacement is complete.
 func (i *injector) repaired() {
-	if !i.loseAfterRepair || i.world.settling {
+	if !i.loseAfterRepair || i.world.faultsEnded {
 		return
 	}
 	i.loseAfterRepair = false
 	before := i.count
-	i.one(FaultLose)
+	i.injectOne(FaultLose)
 	i.world.coverage.SecondLosses += i.count - before
 }
 
-func (i *injector) short() time.Duration { return i.world.between(500*time.Millisecond, 8*time.Second) }
-func (i *injector) long() time.Duration  { return i.world.between(2*time.Second, 30*time.Second) }
+func (i *injector) shortDuration() time.Duration {
+	return i.world.randomDuration(500*time.Millisecond, 8*time.Second)
+}
+func (i *injector) longDuration() time.Duration {
+	return i.world.randomDuration(2*time.Second, 30*time.Second)
+}
 
-// silence is the length of an isolation; where it is the scenario's subject it
-// takes minutes.
-func (i *injector) silence() time.Duration {
-	if i.world.options.Scenario.Faulty >= longScenario {
-		return i.world.between(60*time.Second, 150*time.Second)
+// isolationDuration returns the length of an isolation, which is minutes in long scenarios.
+func (i *injector) isolationDuration() time.Duration {
+	if i.world.options.Scenario.Faulty >= longFaultDuration {
+		return i.world.randomDuration(60*time.Second, 150*time.Second)
 	}
-	return i.long()
+	return i.longDuration()
 }
 
-// end ends a fault after a while.
-func (i *injector) end(after time.Duration, heal func()) {
+// scheduleEnd schedules the end of a fault.
+func (i *injector) scheduleEnd(after time.Duration, heal func()) {
 	i.active++
 	i.world.after(after, func() {
 		i.active--
-		if !i.world.settling {
+		if !i.world.faultsEnded {
 			heal()
 		}
 	})
 }
 
-// cut cuts every direction from one group to the other, and back if both is set.
+// cut blocks every link from one group to the other, and back if both is set.
 func (i *injector) cut(from, to []consensus.MemberID, both bool, length time.Duration) {
 	each := func(change func(from, to consensus.MemberID)) {
 		for _, a := range from {
@@ -233,7 +234,7 @@
 		}
 	}
 	each(i.world.network.cut)
-	i.end(length, func() { each(i.world.network.heal) })
+	i.scheduleEnd(length, func() { each(i.world.network.heal) })
 }
 
 func (i *injector) others(target *machine) []consensus.MemberID {
@@ -246,15 +247,15 @@
 	return others
 }
 
-// isolate cuts a member off from the others, half of the time from everybody.
+// isolate cuts a member off from the others, half of the time from clients too.
 func (i *injector) isolate(target *machine) {
 	others := i.others(target)
 	if i.world.random.IntN(2) == 0 {
 		others = append(others, outside)
 	}
-	length := i.silence()
+	length := i.isolationDuration()
 	i.cut([]consensus.MemberID{target.id}, others, true, length)
-	i.world.after(length+time.Microsecond, func() { i.watchReturn(target) })
+	i.world.after(length+time.Microsecond, func() { i.checkReturn(target) })
 }
 
 func (i *injector) split() {
@@ -266,23 +267,23 @@
 			right = append(right, machine.id)
 		}
 	}
-	i.cut(left, right, true, i.short())
+	i.cut(left, right, true, i.shortDuration())
 }
 
-// watchReturn demands that a member that comes back from isolation does not
-// depose a healthy leader. It looks only while nothing else is wrong.
-func (i *injector) watchReturn(target *machine) {
+// checkReturn checks that a member that returns from isolation does not depose a healthy
+// leader. It checks only while no other fault is active.
+func (i *injector) checkReturn(target *machine) {
 	world := i.world
 	leader := world.leader()
-	if i.active > 0 || world.settling || leader == nil || leader == target || !target.running() {
+	if i.active > 0 || world.faultsEnded || leader == nil || leader == target || !target.running() {
 		return
 	}
 	if !leader.member.QuorumActive() || world.network.base.Loss > 0 {
 		return
 	}
 	count, term := i.count, leader.member.Status().Term
-	world.after(calmCheck, func() {
-		if i.count != count || world.settling {
+	world.after(leaderCheckDelay, func() {
+		if i.count != count || world.faultsEnded {
 			return
 		}
 		if !leader.running() || !leader.member.IsLeader() || leader.member.Status().Term != term {
--- a/internal/lab/chaos/history.go
+++ b/internal/lab/chaos/history.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// checkTimeout bounds the search for a linearization, in real time.
+// checkTimeout limits the search for a linearization, in real time.
 const checkTimeout = 30 * time.Second
 
 // firstHolder is the client number of the first lease holder.
@@ -25,18 +25,18 @@
 	operationLease
 )
 
-// operation is one client's call, from its first attempt to its answer.
+// operation is one client'w call, from its first attempt to its response.
 type operation struct {
 	kind     operationKind
 	client   int
 	name     string
 	expected port.Revision
 	attempts int
-	// unanswered is set if an attempt may have run though its answer was lost.
+	// unanswered is set if an attempt may have run but its response was lost.
 	unanswered bool
-	// first is the member that was asked first.
-	first consensus.MemberID
-	// holder and expectedEpoch are for leases; 0 asks for a new epoch.
+	// firstMember is the first member called.
+	firstMember consensus.MemberID
+	// holder and expectedEpoch are for leases; epoch 0 requests a new one.
 	holder        port.NodeID
 	expectedEpoch port.Epoch
 
@@ -49,26 +49,26 @@
 	o.done, o.end, o.result = true, now, result
 }
 
-// known says whether the answer tells if the operation took effect. An operator
-// who is told that the answer expired does not know.
-func (o *operation) known() bool {
+// outcomeKnown reports whether the response shows if the operation took effect. An
+// expired cached result leaves the outcome unknown.
+func (o *operation) outcomeKnown() bool {
 	expired := o.result.Error != nil && o.result.Error.Code == port.CodeChangeExpired
 	return o.done && !expired
 }
 
-// String is the operation's line in a trace.
+// String returns the operation'w line in a trace.
 func (o *operation) String() string {
 	switch {
 	case o.kind == operationRead:
 		return fmt.Sprintf("read revision %d", o.result.Revision)
 	case o.result.Error != nil:
-		return fmt.Sprintf("%s on %d refused after %d resends: %s", o.name, o.expected, o.attempts, o.result.Error.Code)
+		return fmt.Sprintf("%s on %d rejected after %d retries: %s", o.name, o.expected, o.attempts, o.result.Error.Code)
 	default:
-		return fmt.Sprintf("%s accepted as revision %d after %d resends", o.name, o.result.Revision, o.attempts)
+		return fmt.Sprintf("%s accepted as revision %d after %d retries", o.name, o.result.Revision, o.attempts)
 	}
 }
 
-// history is what clients saw.
+// history records the calls and responses of clients.
 type history struct {
 	configuration []*operation
 	leases        []*operation
@@ -82,46 +82,46 @@
 	h.configuration = append(h.configuration, operation)
 }
 
-// check demands that both histories are linearizable and agree with the log.
+// check checks that both histories are linearizable and agree with the log.
 func (h *history) check(w *World) {
 	for _, operation := range h.configuration {
-		checkAnswer(w, operation)
+		checkResponse(w, operation)
 	}
 	checkLinearizable(w, "configuration is linearizable", configurationModel(), h.resolved(w.audit.accepted))
 	checkLinearizable(w, "leases are linearizable", leaseModel(), h.leases)
 }
 
-// resolved settles the changes that no operator knows the outcome of as the log
-// did: accepted as a revision at some time after the call, or of no effect. That
-// demands more than any outcome that fits, and leaves the search few choices.
+// resolved replaces unknown outcomes of changes by those in the log: accepted as a
+// revision at some time after the call, or of no effect. This is stricter than trying
+// every outcome, and keeps the search small.
 func (h *history) resolved(accepted map[string]port.Revision) []*operation {
-	settled := make([]*operation, 0, len(h.configuration))
+	operations := make([]*operation, 0, len(h.configuration))
 	for _, each := range h.configuration {
-		if each.kind != operationChange || each.known() {
-			settled = append(settled, each)
+		if each.kind != operationChange || each.outcomeKnown() {
+			operations = append(operations, each)
 			continue
 		}
 		if revision, found := accepted[each.name]; found {
 			outcome := *each
 			outcome.finish(math.MaxInt64, port.Result{Revision: revision})
-			settled = append(settled, &outcome)
+			operations = append(operations, &outcome)
 		}
 	}
-	return settled
+	return operations
 }
 
-// checkAnswer compares what an operator was told with what the log says.
-func checkAnswer(w *World, operation *operation) {
+// checkResponse compares an operator'w response with the log.
+func checkResponse(w *World, operation *operation) {
 	if operation.kind != operationChange || !operation.done {
 		return
 	}
 	revision, accepted := w.audit.accepted[operation.name]
-	told := operation.result
+	result := operation.result
 	switch {
-	case told.Error == nil && (!accepted || revision != told.Revision):
-		w.violation("answers are true", "%s was told revision %d, the log has %d", operation.name, told.Revision, revision)
-	case told.Error != nil && operation.known() && accepted:
-		w.violation("answers are true", "%s was told %s, the log accepted it as %d", operation.name, told.Error.Code, revision)
+	case result.Error == nil && (!accepted || revision != result.Revision):
+		w.violation("answers are true", "%s returned revision %d, the log has %d", operation.name, result.Revision, revision)
+	case result.Error != nil && operation.outcomeKnown() && accepted:
+		w.violation("answers are true", "%s returned %s, the log accepted it as %d", operation.name, result.Error.Code, revision)
 	}
 }
 
@@ -129,7 +129,7 @@
 	events := make([]porcupine.Operation, 0, len(operations))
 	for _, operation := range operations {
 		end := int64(math.MaxInt64)
-		if operation.known() {
+		if operation.outcomeKnown() {
 			end = int64(operation.end)
 		}
 		if operation.kind == operationRead && !operation.done {
@@ -141,9 +141,9 @@
 	}
 	switch porcupine.CheckOperationsTimeout(model, events, checkTimeout) {
 	case porcupine.Illegal:
-		w.violation(check, "no order explains the %d answers", len(events))
+		w.violation(check, "no linearization of %d responses", len(events))
 	case porcupine.Unknown:
-		w.violation(check, "not decided for %d answers within %v", len(events), checkTimeout)
+		w.violation(check, "undecided for %d responses after %v", len(events), checkTimeout)
 	}
 }
 
@@ -158,24 +158,24 @@
 }
 
 func stepConfiguration(revision port.Revision, operation *operation) (bool, any) {
-	told := operation.result
+	result := operation.result
 	switch {
 	case operation.kind == operationRead:
-		return told.Revision == revision, revision
-	case !operation.known():
+		return result.Revision == revision, revision
+	case !operation.outcomeKnown():
 		if operation.expected == revision {
 			return true, revision + 1
 		}
 		return true, revision
-	case told.Error != nil:
-		return told.Error.Code == port.CodeConflict && operation.expected != revision && told.Revision == revision, revision
+	case result.Error != nil:
+		return result.Error.Code == port.CodeConflict && operation.expected != revision && result.Revision == revision, revision
 	default:
-		return operation.expected == revision && told.Revision == revision+1, revision + 1
+		return operation.expected == revision && result.Revision == revision+1, revision + 1
 	}
 }
 
-// leaseModel is a lease whose epochs only rise; renewals need the current one.
-// It leaves out calls without an answer, which can only take a lease away.
+// leaseModel is a lease whose epochs only increase; renewals need the current one. It
+// omits calls without a response, which can only revoke a lease.
 func leaseModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return port.Lease{} },
--- a/internal/lab/chaos/holder.go
+++ b/internal/lab/chaos/holder.go
@@ -11,70 +11,70 @@
 
 // Times of a lease holder.
 const (
-	leaseTTL      = 3 * time.Second
-	renewEvery    = leaseTTL / 3
-	orderEvery    = 400 * time.Millisecond
-	maxOrderStall = 8 * time.Second
-	// stallOdds is one in how many orders leaves late, as after a long pause.
+	leaseTTL           = 3 * time.Second
+	leaseRenewInterval = leaseTTL / 3
+	orderInterval      = 400 * time.Millisecond
+	maxOrderStall      = 8 * time.Second
+	// stallOdds is the number of orders per one that is delayed, as after a long pause.
 	stallOdds = 25
-	// lostAnswerOdds is one in how many batches is lost on the way.
-	lostAnswerOdds = 4
-	// leaseMargin is the share of a lease, one in so many, that its holder
+	// lostResponseOdds is the number of batches per one that is lost.
+	lostResponseOdds = 4
+	// leaseMargin is the divisor of the TTL that gives the end of a lease that its holder
 	// leaves unused.
 	leaseMargin = 8
 )
 
-// holder is a node that wants to coordinate the pool. While it holds the lease
-// it sends orders to the back end and commits the batches that the trainer asks
-// it for.
+// holder is a node that competes for the pool's coordinator lease. While it holds the
+// lease it sends orders to the back end and commits the batches that the trainer
+// requests.
 type holder struct {
 	world  *World
 	number int
 	id     port.NodeID
 	hint   consensus.MemberID
 
-	epoch    port.Epoch // 0 while it holds nothing
-	until    time.Duration
+	epoch    port.Epoch // 0 without a lease
+	leaseEnd time.Duration
 	sequence uint64
 	ledger   port.LedgerState
-	// last is the batch that it committed last, to serve again.
-	last port.CommitBatch
+	// lastBatch is the last batch that it committed, for repeated requests.
+	lastBatch port.CommitBatch
 }
 
 func newHolder(world *World, number int) *holder {
 	holder := &holder{world: world, number: number, id: port.NodeID(fmt.Sprintf("node-%d", number))}
-	world.after(world.between(2*time.Second, 4*time.Second), holder.renew)
-	world.after(world.between(4*time.Second, 5*time.Second), holder.order)
+	world.after(world.randomDuration(2*time.Second, 4*time.Second), holder.renew)
+	world.after(world.randomDuration(4*time.Second, 5*time.Second), holder.sendOrder)
 	return holder
 }
 
-// target gives the member to ask: the leader as far as known. The hint counts
-// once; the answer renews it.
+// target returns the member to call: the leader if known. A hint is used once; the next
+// response sets it again.
 func (h *holder) target() *machine {
 	machine := h.world.machine(h.hint)
 	h.hint = consensus.None
-	if machine != nil && !machine.gone {
+	if machine != nil && !machine.lost {
 		return machine
 	}
 	return h.world.anyMachine()
 }
 
-func (h *holder) holds() bool { return h.epoch != 0 && h.world.now < h.until }
+func (h *holder) holds() bool { return h.epoch != 0 && h.world.now < h.leaseEnd }
 
-// renew renews the lease, or tries to get it.
+// renew renews or acquires the lease.
 func (h *holder) renew() {
-	h.world.after(renewEvery+h.world.between(0, renewEvery/2), h.renew)
+	h.world.after(leaseRenewInterval+h.world.randomDuration(0, leaseRenewInterval/2), h.renew)
 	if !h.holds() {
 		h.epoch = 0
 	}
-	sent, asked := h.world.now, h.epoch
+	sent, leaseEpoch := h.world.now, h.epoch
 	command := &port.Command{AcquireLease: &port.AcquireLease{
-		Name: port.CoordinatorLease(poolName), Holder: h.id, TTL: leaseTTL, Epoch: asked,
+		Name: port.CoordinatorLease(poolName), Holder: h.id, TTL: leaseTTL, Epoch: leaseEpoch,
 	}}
-	operation := &operation{kind: operationLease, client: firstHolder + h.number, holder: h.id, expectedEpoch: asked, call: sent}
-	h.world.submit(h.target(), command, func(reply answer) {
+	operation := &operation{kind: operationLease, client: firstHolder + h.number, holder: h.id, expectedEpoch: leaseEpoch, call: sent}
+	h.world.submit(h.target(), command, func(reply response) {
 		h.hint = reply.leader
-		if reply.err != nil || h.epoch != asked {
+		if reply.err != nil || h.epoch != leaseEpoch {
 			return
 		}
 		if reply.result.Error != nil {
@@ -83,47 +83,47 @@
 		}
 		operation.finish(h.world.now, reply.result)
 		h.world.history.add(operation)
-		h.granted(*reply.result.Lease, sent)
+		h.applyLease(*reply.result.Lease, sent)
 	})
 }
 
-func (h *holder) granted(lease port.Lease, sent time.Duration) {
+func (h *holder) applyLease(lease port.Lease, sent time.Duration) {
 	if lease.Epoch != h.epoch {
-		h.sequence, h.last = 0, port.CommitBatch{}
+		h.sequence, h.lastBatch = 0, port.CommitBatch{}
 		h.world.tracef("holder %d has the lease under epoch %d", h.number, lease.Epoch)
 	}
-	h.epoch, h.until = lease.Epoch, sent+leaseTTL-leaseTTL/leaseMargin
+	h.epoch, h.leaseEnd = lease.Epoch, sent+leaseTTL-leaseTTL/leaseMargin
 }
 
-// order sends a fenced order to the back end. Some stall on the way out, after
-// the holder looked at its lease.
-func (h *holder) order() {
-	h.world.after(orderEvery, h.order)
+// sendOrder sends a fenced order to the back end. Some are delayed after the holder checked
+// its lease.
+func (h *holder) sendOrder() {
+	h.world.after(orderInterval, h.sendOrder)
 	if !h.holds() {
 		return
 	}
 	stall := time.Duration(0)
 	if h.world.random.IntN(stallOdds) == 0 {
-		stall = h.world.between(0, maxOrderStall)
+		stall = h.world.randomDuration(0, maxOrderStall)
 	}
 	fence := h.epoch
-	h.world.network.carry(outside, outside, h.world.now+stall, func() { h.world.engine.take(fence, h.id) })
+	h.world.network.send(outside, outside, h.world.now+stall, func() { h.world.engine.accept(fence, h.id) })
 }
 
-// serve answers the trainer's question for a batch. The last committed batch is
-// served from memory while the lease lasts by the holder's own clock: nobody
-// else can have voided it as long as the log grants no other holder the lease.
-func (h *holder) serve(ask ask) {
+// serve handles the trainer's request for a batch. The holder serves the last committed
+// batch from memory while its lease lasts by its own clock: another holder can void the
+// batch only once the log grants it the lease.
+func (h *holder) serve(request batchRequest) {
 	if !h.holds() {
 		return
 	}
-	if h.last.Number == ask.number && h.last.ConsumerEpoch == ask.epoch {
-		h.deliver(ask, h.last)
+	if h.lastBatch.Number == request.number && h.lastBatch.ConsumerEpoch == request.epoch {
+		h.deliver(request, h.lastBatch)
 		return
 	}
-	command := h.compose(ask)
-	command.ConsumerEpoch, command.Acknowledge = ask.epoch, ask.number-1
-	h.world.submit(h.target(), &port.Command{CommitBatch: &command}, func(reply answer) {
+	command := h.buildBatch(request)
+	command.ConsumerEpoch, command.Acknowledge = request.epoch, request.number-1
+	h.world.submit(h.target(), &port.Command{CommitBatch: &command}, func(reply response) {
 		h.hint = reply.leader
 		if reply.result.Ledger != nil {
 			h.ledger = *reply.result.Ledger
@@ -132,31 +132,31 @@
 			return
 		}
 		if reply.result.Error != nil {
-			h.last = port.CommitBatch{}
+			h.lastBatch = port.CommitBatch{}
 			return
 		}
 		if h.epoch != command.CoordinatorEpoch {
 			return
 		}
-		h.last = command
-		h.deliver(ask, command)
+		h.lastBatch = command
+		h.deliver(request, command)
 	})
 }
 
-// deliver sends a batch to the trainer. The answer may be lost.
-func (h *holder) deliver(ask ask, batch port.CommitBatch) {
-	if h.world.random.IntN(lostAnswerOdds) == 0 {
+// deliver sends a batch to the trainer. The response may be lost.
+func (h *holder) deliver(request batchRequest, batch port.CommitBatch) {
+	if h.world.random.IntN(lostResponseOdds) == 0 {
 		return
 	}
-	h.world.network.carry(outside, outside, h.world.now, func() { h.world.trainer.receive(ask, batch) })
+	h.world.network.send(outside, outside, h.world.now, func() { h.world.trainer.receive(request, batch) })
 }
 
-// compose makes a batch from the prompts that are open as far as the holder
+// buildBatch builds a batch from the prompts that are uncommitted as far as the holder
 // knows.
-func (h *holder) compose(ask ask) port.CommitBatch {
-	command := port.CommitBatch{Pool: poolName, CoordinatorEpoch: h.epoch, Number: ask.number, Attempt: 1}
+func (h *holder) buildBatch(request batchRequest) port.CommitBatch {
+	command := port.CommitBatch{Pool: poolName, CoordinatorEpoch: h.epoch, Number: request.number, Attempt: 1}
 	var returned []port.PromptIndex
-	if h.ledger.Committed == ask.number {
+	if h.ledger.Committed == request.number {
 		command.Attempt = h.ledger.Attempt + 1
 		for _, sample := range h.ledger.Last {
 			returned = append(returned, sample.Prompt)
@@ -170,13 +170,13 @@
 		if h.world.random.IntN(4) == 0 {
 			continue // still being generated
 		}
-		command.Samples = append(command.Samples, h.group(prompt)...)
+		command.Samples = append(command.Samples, h.buildGroup(prompt)...)
 	}
 	return command
 }
 
-// group makes the samples of one prompt, at times of an old version.
-func (h *holder) group(prompt port.PromptIndex) []port.CommittedSample {
+// buildGroup builds the samples of one prompt, some of an old version.
+func (h *holder) buildGroup(prompt port.PromptIndex) []port.CommittedSample {
 	samples := make([]port.CommittedSample, groupSize)
 	for position := range samples {
 		h.sequence++
@@ -190,16 +190,16 @@
 	return samples
 }
 
-// engine is a back end that takes fenced orders.
+// engine is a back end that accepts fenced orders.
 type engine struct {
 	world   *World
 	highest port.Epoch
 }
 
-func (e *engine) take(fence port.Epoch, holder port.NodeID) {
+func (e *engine) accept(fence port.Epoch, holder port.NodeID) {
 	if fence < e.highest && e.world.options.Weakness != WeaknessIgnoreFence {
 		return
 	}
-	e.world.audit.noteOrder(fence, holder)
+	e.world.audit.checkOrder(fence, holder)
 	e.highest = max(e.highest, fence)
 }
--- a/internal/lab/chaos/machine.go
+++ b/internal/lab/chaos/machine.go
@@ -14,40 +14,40 @@
 const (
 	dataFolder   = "data"
 	segmentBytes = 32 << 10
-	// maxBacklog bounds the messages that wait for a paused process.
+	// maxBacklog limits the messages queued for a paused process.
 	maxBacklog = 512
 )
 
-// machine is one control machine: a disk, a clock and, while it is up, a
-// process with a control member.
+// machine is one control machine: a disk, a clock and, while running, a process with a
+// control member.
 type machine struct {
 	world   *World
 	id      consensus.MemberID
 	initial consensus.Membership
 	disk    *faultfs.FileSystem
-	offset  time.Duration // of its clock
-	// created is set once the data folder was made; gone once the machine is
-	// lost for ever or its disk must not be used again.
-	created, gone bool
-	// syncFault is set while a sync of the disk is going to fail.
+	offset  time.Duration // of its clock from the true time
+	// created is set once the data folder exists; lost once the machine is lost
+	// permanently or its disk must not be used again.
+	created, lost bool
+	// syncFault is set while a sync failure of the disk is pending.
 	syncFault bool
 
-	incarnation uint64
-	member      *controlmember.Member // nil while down
-	log         *wal.Log
-	busyUntil   time.Duration
-	callers     map[uint64]func(answer)
-	watchers    map[int]watch // by observer
-	pushed      uint64
-	audited     uint64 // last applied index that the auditor compared
-	paused      bool
-	missed      int // ticks during a pause
-	resumed     time.Duration
-	backlog     []func()
+	incarnation   uint64
+	member        *controlmember.Member // nil while down
+	log           *wal.Log
+	busyUntil     time.Duration
+	callers       map[uint64]func(response)
+	subscriptions map[int]subscription // by observer
+	lastPushed    uint64
+	lastAudited   uint64 // last applied index that the auditor compared
+	paused        bool
+	missedTicks   int // ticks missed during a pause
+	resumed       time.Duration
+	backlog       []func()
 }
 
-// watch is an observer's subscription at one member.
-type watch struct {
+// subscription is an observer's subscription at one member.
+type subscription struct {
 	position uint64
 	session  uint64 // of the observer
 }
@@ -58,9 +58,9 @@
 
 func (m *machine) running() bool { return m.member != nil }
 
-// start brings the process up from what the disk holds.
+// start starts the process from the data on disk.
 func (m *machine) start() {
-	if m.running() || m.gone {
+	if m.running() || m.lost {
 		return
 	}
 	restored, err := m.open()
@@ -68,19 +68,19 @@
 		m.openFailed(err)
 		return
 	}
-	member, err := controlmember.New(m.config(), restored, m.world.wall(m.offset))
+	member, err := controlmember.New(m.config(), restored, m.world.wallClock(m.offset))
 	if err != nil {
 		m.world.violation("restart", "member %d: %v", m.id, err)
-		m.gone = true
+		m.lost = true
 		return
 	}
 	m.member = member
 	m.incarnation++
-	m.callers, m.watchers = map[uint64]func(answer){}, map[int]watch{}
-	m.paused, m.missed, m.backlog = false, 0, nil
-	m.pushed, m.audited = 0, 0
+	m.callers, m.subscriptions = map[uint64]func(response){}, map[int]subscription{}
+	m.paused, m.missedTicks, m.backlog = false, 0, nil
+	m.lastPushed, m.lastAudited = 0, 0
 	m.world.tracef("member %d starts at applied %d", m.id, member.State().Applied())
-	m.tickAfter(m.world.between(0, tickInterval), m.incarnation)
+	m.tickAfter(m.world.randomDuration(0, tickInterval), m.incarnation)
 }
 
 func (m *machine) config() controlmember.Config {
@@ -106,7 +106,7 @@
 		Identity: wal.Identity{Cluster: clusterName, Member: m.id},
 	}
 	if m.world.options.Weakness == WeaknessKeepTornTail {
-		options.FileSystem = keepTail{m.disk}
+		options.FileSystem = untruncatedFileSystem{m.disk}
 	}
 	if !m.created {
 		log, restored, err := wal.Create(options, m.initial)
@@ -122,7 +122,7 @@
 	}
 	m.log = log
 	if m.world.options.Weakness == WeaknessForgetAnswers && recovery.Restored.Snapshot.Index > 0 {
-		recovery.Restored.Snapshot.Data = withoutAnswers(recovery.Restored.Snapshot.Data)
+		recovery.Restored.Snapshot.Data = withoutCachedResults(recovery.Restored.Snapshot.Data)
 	}
 	return recovery.Restored, nil
 }
@@ -133,10 +133,10 @@
 		return
 	}
 	m.world.violation("restart", "member %d cannot use its folder after a crash: %v", m.id, err)
-	m.gone = true
+	m.lost = true
 }
 
-// tickAfter keeps the ticks going for one incarnation of the process.
+// tickAfter schedules the ticks of one incarnation of the process.
 func (m *machine) tickAfter(delay time.Duration, incarnation uint64) {
 	m.world.after(delay, func() {
 		if m.incarnation != incarnation || !m.running() {
@@ -144,7 +144,7 @@
 		}
 		m.tickAfter(tickInterval, incarnation)
 		if m.paused {
-			m.missed++
+			m.missedTicks++
 			return
 		}
 		m.process(m.tick)
@@ -152,11 +152,11 @@
 }
 
 func (m *machine) tick() {
-	m.member.Tick(m.world.wall(m.offset))
+	m.member.Tick(m.world.wallClock(m.offset))
 	m.world.audit.checkQuorumContact(m)
 }
 
-// process does work in the member's process and carries out what follows.
+// process runs work in the member's process and handles the resulting Ready.
 func (m *machine) process(work func()) {
 	if !m.running() {
 		return
@@ -177,30 +177,30 @@
 		return
 	}
 	work()
-	m.carryOut()
+	m.handleReady()
 }
 
-// carryOut does what the member's Ready asks for, and may crash between any two
-// steps of it.
-func (m *machine) carryOut() {
+// handleReady handles the member's pending Ready values; the machine may crash between any
+// two steps.
+func (m *machine) handleReady() {
 	for m.running() && m.member.HasReady() {
-		if !m.carryOutOne(m.member.Ready()) {
+		if !m.handleOneReady(m.member.Ready()) {
 			return
 		}
 	}
 	if !m.running() {
 		return
 	}
-	m.answerCallers()
+	m.replyToCallers()
 	if m.member.SnapshotDue() && !m.snapshot() {
 		return
 	}
 	m.push()
 }
 
-func (m *machine) carryOutOne(ready consensus.Ready) bool {
-	m.world.audit.noteCommitted(m, ready)
-	if !m.sendAll(ready, true) || m.mayCrash("before the write") {
+func (m *machine) handleOneReady(ready consensus.Ready) bool {
+	m.world.audit.recordCommitted(m, ready)
+	if !m.sendAll(ready, true) || m.maybeCrash("before the write") {
 		return false
 	}
 	if err := m.persist(ready); err != nil {
@@ -210,7 +210,7 @@
 	if ready.MustSync {
 		m.busyUntil = max(m.busyUntil, m.world.now) + syncTime
 	}
-	if m.mayCrash("between write and send") {
+	if m.maybeCrash("between write and send") {
 		return false
 	}
 	if !m.sendAll(ready, false) {
@@ -218,26 +218,26 @@
 	}
 	if err := m.member.Advance(ready); err != nil {
 		m.world.violation("advance", "member %d: %v", m.id, err)
-		m.down()
+		m.stop()
 		return false
 	}
 	if ready.Snapshot != nil {
-		m.world.coverage.Installed++
+		m.world.coverage.SnapshotsInstalled++
 	}
-	m.world.audit.noteApplied(m)
-	m.answerCallers()
-	return !m.mayCrash("after the answers")
+	m.world.audit.checkApplied(m)
+	m.replyToCallers()
+	return !m.maybeCrash("after the answers")
 }
 
-// sendAll sends the messages that may leave before the sync, or those that must
-// not.
+// sendAll sends the messages that may precede the sync if early is set, else those that
+// must follow it.
 func (m *machine) sendAll(ready consensus.Ready, early bool) bool {
 	for _, message := range ready.Messages {
 		if ready.MayPrecedeSync(message) != early {
 			continue
 		}
 		m.send(message)
-		if m.mayCrash("between two sends") {
+		if m.maybeCrash("between two sends") {
 			return false
 		}
 	}
@@ -257,16 +257,16 @@
 	if target == nil {
 		return
 	}
-	m.world.network.carry(m.id, message.To, max(m.world.now, m.busyUntil), func() {
+	m.world.network.send(m.id, message.To, max(m.world.now, m.busyUntil), func() {
 		target.process(func() {
 			if err := target.member.Step(message); errors.Is(err, consensus.ErrCommittedConflict) {
-				m.world.violation("committed entries kept", "member %d was asked to replace a committed entry", target.id)
+				m.world.violation("committed entries kept", "member %d received a conflict with a committed entry", target.id)
 			}
 		})
 	})
 }
 
-func (m *machine) answerCallers() {
+func (m *machine) replyToCallers() {
 	if !m.running() {
 		return
 	}
@@ -276,11 +276,11 @@
 			continue
 		}
 		delete(m.callers, reply.Token)
-		caller(answer{result: reply.Result, err: reply.Error, leader: m.member.Leader()})
+		caller(response{result: reply.Result, err: reply.Error, leader: m.member.Leader()})
 	}
 }
 
-// call hands a command, or a read, to the member.
+// call passes a command, or a read if it is nil, to the member.
 func (m *machine) call(token uint64, command *port.Command) {
 	if command != nil {
 		m.member.Propose(token, *command)
@@ -290,27 +290,27 @@
 	if weakness == WeaknessLocalReads || weakness == WeaknessLeaderReads && m.member.IsLeader() {
 		caller := m.callers[token]
 		delete(m.callers, token)
-		caller(answer{result: port.Result{Revision: m.member.State().Revision()}})
+		caller(response{result: port.Result{Revision: m.member.State().Revision()}})
 		return
 	}
 	m.member.Read(token)
 }
 
-// snapshot stores a snapshot and drops the log that it covers.
+// snapshot stores a snapshot and truncates the log that it covers.
 func (m *machine) snapshot() bool {
 	snapshot, err := m.member.BuildSnapshot()
 	if err != nil {
 		return true
 	}
-	m.world.audit.noteSnapshot(m, snapshot)
-	if m.mayCrash("before the snapshot") {
+	m.world.audit.checkSnapshot(m, snapshot)
+	if m.maybeCrash("before the snapshot") {
 		return false
 	}
 	if err := m.log.SaveSnapshot(snapshot); err != nil && !errors.Is(err, wal.ErrOldSnapshot) {
 		m.diskFailed(err)
 		return false
 	}
-	if m.mayCrash("after the snapshot") {
+	if m.maybeCrash("after the snapshot") {
 		return false
 	}
 	if err := m.member.Compact(snapshot); err != nil {
@@ -322,25 +322,25 @@
 // push sends updates to the observers that watch this member.
 func (m *machine) push() {
 	position := m.member.State().Position()
-	if position == m.pushed {
+	if position == m.lastPushed {
 		return
 	}
-	m.pushed = position
-	for _, number := range sortedKeys(m.watchers) {
+	m.lastPushed = position
+	for _, number := range sortedKeys(m.subscriptions) {
 		m.pushTo(number)
 	}
 }
 
 func (m *machine) pushTo(number int) {
-	watch := m.watchers[number]
+	watch := m.subscriptions[number]
 	update := m.member.Update(watch.position)
 	if m.world.options.Weakness == WeaknessConfirmBehind {
 		update.Confirmed = m.member.QuorumActive() && m.member.State().Applied() >= m.member.Status().Commit
 	}
 	m.world.audit.checkConfirmed(m, update)
 	watch.position = max(update.Position, watch.position)
-	m.watchers[number] = watch
-	m.world.network.carry(m.id, outside, max(m.world.now, m.busyUntil), func() {
+	m.subscriptions[number] = watch
+	m.world.network.send(m.id, outside, max(m.world.now, m.busyUntil), func() {
 		m.world.observers[number].receive(m.id, watch.session, update)
 	})
 }
--- a/internal/lab/chaos/machinefaults.go
+++ b/internal/lab/chaos/machinefaults.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/wal"
 )
 
-// mayCrash draws whether the machine loses power here.
-func (m *machine) mayCrash(where string) bool {
+// maybeCrash decides at random whether the machine loses power here.
+func (m *machine) maybeCrash(where string) bool {
 	if m.world.crashChance == 0 || m.world.random.Float64() >= m.world.crashChance {
 		return false
 	}
@@ -18,37 +18,37 @@
 	return true
 }
 
-// powerLoss stops the process, loses what was not synced, and comes back later.
+// powerLoss stops the process, loses unsynced writes and schedules a restart.
 func (m *machine) powerLoss() {
-	m.down()
+	m.stop()
 	m.disk.Crash()
-	m.world.after(m.world.between(100*time.Millisecond, 5*time.Second), m.start)
+	m.world.after(m.world.randomDuration(100*time.Millisecond, 5*time.Second), m.start)
 }
 
-// kill stops the process and keeps what was written; it comes back soon.
-func (m *machine) kill() { m.killFor(m.world.between(100*time.Millisecond, 5*time.Second)) }
+// kill stops the process, keeps its writes and schedules a restart.
+func (m *machine) kill() { m.killFor(m.world.randomDuration(100*time.Millisecond, 5*time.Second)) }
 
 func (m *machine) killFor(absence time.Duration) {
-	m.down()
+	m.stop()
 	m.disk.Stop()
 	m.world.after(absence, m.start)
 }
 
-func (m *machine) down() {
+func (m *machine) stop() {
 	m.member, m.log = nil, nil
 	m.incarnation++
 	m.paused, m.backlog = false, nil
 }
 
-// diskFailed stops a member whose log refuses. After a full disk the process
-// comes back once there is room; after a failed sync nobody knows what is on
-// the disk, and the machine must be replaced under a new id.
+// diskFailed stops a member whose log failed. After a full disk the process restarts once
+// there is space; after a failed sync the content of the disk is unknown, and the machine
+// must be replaced under a new id.
 func (m *machine) diskFailed(err error) {
 	m.world.tracef("member %d stops: %v", m.id, err)
-	m.down()
+	m.stop()
 	m.disk.Stop()
 	if errors.Is(err, wal.ErrFull) {
-		m.world.after(m.world.between(time.Second, 10*time.Second), func() {
+		m.world.after(m.world.randomDuration(time.Second, 10*time.Second), func() {
 			m.disk.SetCapacity(0)
 			m.start()
 		})
@@ -57,29 +57,29 @@
 	m.lose()
 }
 
-// lose takes the machine away for ever, or, without the safeguard of fresh ids,
-// lets it come back under its id with an empty disk.
+// lose loses the machine permanently, or, without the safeguard of fresh ids, restarts it
+// under its id with an empty disk.
 func (m *machine) lose() {
-	m.down()
+	m.stop()
 	if m.world.options.Weakness == WeaknessSameID && len(m.initial.Voters) > 0 {
 		m.disk.RemoveAll(dataFolder)
 		m.created = false
 		m.world.after(time.Second, m.start)
 		return
 	}
-	m.gone = true
+	m.lost = true
 }
 
 func (m *machine) pause() { m.paused = true }
 
-// resume lets a paused process go on: first it notes the time that passed.
+// resume continues a paused process: it runs the missed ticks, then the backlog.
 func (m *machine) resume() {
 	if !m.running() || !m.paused {
 		return
 	}
 	m.paused, m.resumed = false, m.world.now
-	missed, backlog := m.missed, m.backlog
-	m.missed, m.backlog = 0, nil
+	missed, backlog := m.missedTicks, m.backlog
+	m.missedTicks, m.backlog = 0, nil
 	m.process(func() {
 		for range missed {
 			m.tick()
@@ -90,7 +90,7 @@
 	}
 }
 
-// recover ends everything that is wrong with the machine and can end.
+// recover ends all temporary faults of the machine.
 func (m *machine) recover() {
 	m.disk.FailSync(0)
 	m.syncFault = false
--- a/internal/lab/chaos/measure.go
+++ b/internal/lab/chaos/measure.go
@@ -10,17 +10,17 @@
 
 // Times of the measurements.
 const (
-	killAt      = 20 * time.Second
-	killLeaders = 5
-	killEvery   = 15 * time.Second
-	measureFor  = time.Minute
-	settledAt   = 10 * time.Second
+	killAt          = 20 * time.Second
+	killLeaders     = 5
+	killInterval    = 15 * time.Second
+	measureDuration = time.Minute
+	warmUp          = 10 * time.Second
 )
 
 // Times is a sorted list of measured times.
 type Times []time.Duration
 
-// Quantile gives the time below which a share of the times lies.
+// Quantile returns the time below which a share of the times lies.
 func (t Times) Quantile(share float64) time.Duration {
 	if len(t) == 0 {
 		return 0
@@ -28,28 +28,28 @@
 	return t[min(len(t)-1, int(share*float64(len(t))))]
 }
 
-// String gives count, median, 95th percentile and maximum.
+// String returns count, median, 95th percentile and maximum.
 func (t Times) String() string {
 	const grain = 100 * time.Microsecond
 	return fmt.Sprintf("n=%d p50=%v p95=%v max=%v", len(t),
 		t.Quantile(0.5).Round(grain), t.Quantile(0.95).Round(grain), t.Quantile(1).Round(grain))
 }
 
-// Failover is how long the members were without a leader after the leader's
-// process was killed, and how long until the next change was accepted.
+// Failover holds how long the members had no leader after the leader's process was
+// killed, and how long until the next change was accepted.
 type Failover struct {
 	Leaderless Times
 	Unavailing Times
 }
 
-// MeasureFailover kills the leader of calm members again and again, over some
+// MeasureFailover repeatedly kills the leader of members without other faults, over some
 // seeds, and measures in virtual time.
 func MeasureFailover(members int, seeds int) Failover {
 	var found Failover
 	for seed := range uint64(seeds) {
 		world := newWorld(Options{Seed: seed + 1, Scenario: Scenario{Name: "failover", Faulty: time.Hour, Every: time.Hour, Members: members}})
 		for number := range killLeaders {
-			world.runUntil(killAt + time.Duration(number)*killEvery)
+			world.runUntil(killAt + time.Duration(number)*killInterval)
 			found.measureOne(world)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 	killed, term := world.now, leader.member.Status().Term
 	leader.kill()
-	until := killed + killEvery
+	until := killed + killInterval
 	for world.step(until) {
 		if next := world.leader(); next != nil && next.member.Status().Term > term {
 			f.Leaderless = append(f.Leaderless, world.now-killed)
@@ -81,21 +81,21 @@
 	}
 }
 
-// InForce is the time from a change's commit on the leader until all observers,
-// or half of them, show it.
+// InForce holds the times from a change's commit on the leader until half of the
+// observers, or all of them, show it.
 type InForce struct {
 	Half Times
 	All  Times
 }
 
-// MeasureInForce runs calm members with some observers in virtual time. The
-// links are not limited in bandwidth.
+// MeasureInForce runs members without faults and some observers in virtual time. Links
+// have unlimited bandwidth.
 func MeasureInForce(observers, seeds int) InForce {
 	var found InForce
 	for seed := range uint64(seeds) {
 		world := newWorld(Options{Seed: seed + 1, Observers: observers,
 			Scenario: Scenario{Name: "in-force", Faulty: time.Hour, Every: time.Hour, Members: 3}})
-		world.runUntil(measureFor)
+		world.runUntil(measureDuration)
 		found.collect(world)
 	}
 	slices.Sort(found.Half)
@@ -106,7 +106,7 @@
 func (f *InForce) collect(world *World) {
 	for _, revision := range sortedKeys(world.audit.acceptedAt) {
 		at := world.audit.acceptedAt[revision]
-		if at < settledAt || at > measureFor-settledAt {
+		if at < warmUp || at > measureDuration-warmUp {
 			continue
 		}
 		delays := make(Times, 0, len(world.observers))
@@ -119,10 +119,10 @@
 	}
 }
 
-// shownAt gives when the observer first showed a revision or a later one.
+// shownAt returns when the observer first showed a revision or a later one.
 func (o *observer) shownAt(revision port.Revision) time.Duration {
 	first := o.world.now
-	for shown, at := range o.reached {
+	for shown, at := range o.firstShown {
 		if shown >= revision {
 			first = min(first, at)
 		}
--- a/internal/lab/chaos/network.go
+++ b/internal/lab/chaos/network.go
@@ -6,22 +6,22 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// latency is the least one-way delay of a message.
-const latency = 500 * time.Microsecond
+// minLatency is the min one-way delay of a message.
+const minLatency = 500 * time.Microsecond
 
-// link is one direction between two processes. Processes other than members
-// have the id of the role that they play.
+// link is one direction between two processes. Processes other than members share the id
+// outside.
 type link struct{ from, to consensus.MemberID }
 
-// outside stands for operators, holders and observers.
+// outside is the id of operators, holders, observers, the trainer and the back end.
 const outside consensus.MemberID = 0
 
-// network decides what becomes of messages.
+// network delays, duplicates and drops messages.
 type network struct {
-	world *World
-	base  Network
-	storm Network
-	// cuts counts the reasons why a direction is cut.
+	world       *World
+	base        Network
+	degradation Network
+	// cuts counts the active faults that block a direction.
 	cuts map[link]int
 }
 
@@ -34,9 +34,9 @@
 	}
 }
 
-// carry delivers a message once, twice or not at all.
-func (n *network) carry(from, to consensus.MemberID, depart time.Duration, deliver func()) {
-	loss, duplicate := n.base.Loss+n.storm.Loss, n.base.Duplicate+n.storm.Duplicate
+// send delivers a message zero, one or two times.
+func (n *network) send(from, to consensus.MemberID, depart time.Duration, deliver func()) {
+	loss, duplicate := n.base.Loss+n.degradation.Loss, n.base.Duplicate+n.degradation.Duplicate
 	random := n.world.random
 	if loss > 0 && random.Float64() < loss {
 		return
@@ -55,6 +55,6 @@
 }
 
 func (n *network) delay() time.Duration {
-	extra := latency/4 + n.base.Delay + n.storm.Delay
-	return latency + time.Duration(n.world.random.Int64N(int64(extra)))
+	extra := minLatency/4 + n.base.Delay + n.degradation.Delay
+	return minLatency + time.Duration(n.world.random.Int64N(int64(extra)))
 }
--- a/internal/lab/chaos/observer.go
+++ b/internal/lab/chaos/observer.go
@@ -11,55 +11,55 @@
 // Times of an observer.
 const (
 	renewInterval = 500 * time.Millisecond
-	// watchTimeout is how long an observer stays with a member that does not
-	// confirm its view.
+	// watchTimeout is how long an observer stays with a member that does not confirm its
+	// view.
 	watchTimeout = 2 * time.Second
 )
 
-// observer is a node that watches one member at a time and moves on when that
-// member is silent or out of touch with a quorum.
+// observer is a node that watches one member at a time and switches to another when that
+// member is unresponsive or not in contact with a quorum.
 type observer struct {
 	world     *World
 	number    int
 	state     *controlstate.Observer
 	source    consensus.MemberID
 	confirmed time.Duration
-	// away is until when the observer is deaf.
-	away time.Duration
-	// floor is the position in the log that a member must have applied before it
-	// may give the observer its first view; fresh is set until it is known.
-	floor uint64
-	fresh bool
-	// session counts restarts: connections from before a restart are gone.
+	// awayUntil is the time until which the observer drops all messages.
+	awayUntil time.Duration
+	// startPosition is the log position that a member must have applied before it may send the
+	// observer its first view; awaitingStart is set until it is known.
+	startPosition uint64
+	awaitingStart bool
+	// session counts restarts, which invalidate earlier subscriptions.
 	session uint64
-	// loose is the view without the safeguard against going back.
-	loose    *port.View
-	position uint64
-	revision port.Revision
-	// reached notes when a revision was first shown, for measurements.
-	reached map[port.Revision]time.Duration
+	// unguardedView is the view without the safeguard against older views.
+	unguardedView *port.View
+	position      uint64
+	revision      port.Revision
+	// firstShown records when a revision was first shown, for measurements.
+	firstShown map[port.Revision]time.Duration
 }
 
 func newObserver(world *World, number int) *observer {
 	observer := &observer{
 		world: world, number: number, state: controlstate.NewObserver(),
-		loose: &port.View{}, reached: map[port.Revision]time.Duration{},
+		unguardedView: &port.View{}, firstShown: map[port.Revision]time.Duration{},
 	}
-	world.after(world.between(0, renewInterval), observer.renew)
+	world.after(world.randomDuration(0, renewInterval), observer.renew)
 	return observer
 }
 
 func (o *observer) view() *port.View {
 	if o.world.options.Weakness == WeaknessObserversGoBack {
-		return o.loose
+		return o.unguardedView
 	}
 	return o.state.View()
 }
 
-// renew asks the member for updates again; it runs all the time.
+// renew periodically requests updates from the member.
 func (o *observer) renew() {
 	o.world.after(renewInterval, o.renew)
-	if o.world.now < o.away {
+	if o.world.now < o.awayUntil {
 		return
 	}
 	if o.source == consensus.None || o.world.now-o.confirmed > watchTimeout {
@@ -69,63 +69,63 @@
 	o.subscribe()
 }
 
-// leave makes the observer deaf for a while. Half of the times it is a restart:
-// it comes back with nothing, yet what it showed before still counts.
-func (o *observer) leave(absence time.Duration) {
-	o.away = o.world.now + absence
+// disconnect makes the observer drop all messages for a while. Half of the time it also
+// restarts without a view; later views must still not be older than those shown before.
+func (o *observer) disconnect(absence time.Duration) {
+	o.awayUntil = o.world.now + absence
 	if o.world.random.IntN(2) == 0 {
 		return
 	}
 	o.world.coverage.ObserverRestarts++
 	o.session++
-	o.state, o.loose = controlstate.NewObserver(), &port.View{}
-	o.fresh = o.world.options.Weakness != WeaknessStaleStart
+	o.state, o.unguardedView = controlstate.NewObserver(), &port.View{}
+	o.awaitingStart = o.world.options.Weakness != WeaknessStaleStart
 }
 
-// askFloor asks the leader for the position to begin at, as a member does for an
-// observer that holds nothing.
-func (o *observer) askFloor() {
+// requestStartPosition requests from the leader the position of the first view, as a
+// member does for an observer without a view.
+func (o *observer) requestStartPosition() {
 	leader := o.world.leader()
 	if leader == nil {
 		return
 	}
 	session := o.session
-	o.world.submit(leader, nil, func(reply answer) {
+	o.world.submit(leader, nil, func(reply response) {
 		if reply.err == nil && o.session == session {
-			o.floor, o.fresh = reply.result.Index, false
+			o.startPosition, o.awaitingStart = reply.result.Index, false
 		}
 	})
 }
 
 func (o *observer) subscribe() {
-	if o.fresh {
-		o.askFloor()
+	if o.awaitingStart {
+		o.requestStartPosition()
 		return
 	}
-	floor, session := o.floor, o.session
+	floor, session := o.startPosition, o.session
 	machine, position := o.world.machine(o.source), o.view().Position
 	if o.world.options.Weakness == WeaknessObserversGoBack {
 		position = 0
 	}
-	o.world.network.carry(outside, machine.id, o.world.now, func() {
+	o.world.network.send(outside, machine.id, o.world.now, func() {
 		machine.process(func() {
 			if machine.member.State().Applied() < floor {
 				return
 			}
-			machine.watchers[o.number] = watch{position: position, session: session}
+			machine.subscriptions[o.number] = subscription{position: position, session: session}
 			machine.pushTo(o.number)
 		})
 	})
 }
 
 func (o *observer) receive(from consensus.MemberID, session uint64, update port.ViewUpdate) {
-	if from != o.source || session != o.session || o.world.now < o.away {
+	if from != o.source || session != o.session || o.world.now < o.awayUntil {
 		return
 	}
 	before := o.view()
 	if o.world.options.Weakness == WeaknessObserversGoBack {
 		if update.Full != nil {
-			o.loose = update.Full
+			o.unguardedView = update.Full
 		}
 	} else if _, err := o.state.Apply(update); err != nil {
 		o.subscribe()
@@ -133,13 +133,12 @@
 	if update.Confirmed && update.Position >= o.view().Position {
 		o.confirmed = o.world.now
 	}
-	o.world.coverage.noteUpdate(before, o.view(), update)
+	o.world.coverage.countUpdate(before, o.view(), update)
 	o.check()
 }
 
-// check demands that position and revision never fall, also not over restarts,
-// and that equal positions show equal revisions everywhere. An observer without
-// a view shows nothing.
+// check checks that position and revision never decrease, even over restarts, and that
+// equal positions show equal revisions. It ignores observers without a view.
 func (o *observer) check() {
 	view := o.view()
 	if view.Position == 0 {
@@ -150,7 +149,7 @@
 			o.number, o.revision, o.position, view.Revision, view.Position)
 	}
 	if view.Revision > o.revision {
-		o.reached[view.Revision] = o.world.now
+		o.firstShown[view.Revision] = o.world.now
 	}
 	o.position, o.revision = view.Position, view.Revision
 	o.world.audit.checkView(o.number, view)
--- a/internal/lab/chaos/operator.go
+++ b/internal/lab/chaos/operator.go
@@ -11,31 +11,31 @@
 
 // Times of an operator.
 const (
-	answerTimeout = 1500 * time.Millisecond
-	retryPause    = 200 * time.Millisecond
-	longestRest   = 2 * time.Second
+	responseTimeout = 1500 * time.Millisecond
+	retryDelay      = 200 * time.Millisecond
+	defaultMaxPause = 2 * time.Second
 )
 
-// operator changes the configuration, one change after the other, and reads in
-// between. It sends a change again, to any member, until it has an answer.
+// operator changes the configuration, one change at a time, and reads in between. It
+// retries a change at any member until it receives a response.
 type operator struct {
 	world    *World
 	number   int
 	revision port.Revision
 	changes  int
 	offset   time.Duration // of its clock
-	// hint is the last known leader; only operators that are in haste ask it
+	// hint is the last known leader; only operators of scenarios that set MaxPause call it
 	// first.
 	hint consensus.MemberID
 }
 
 func newOperator(world *World, number int) *operator {
-	operator := &operator{world: world, number: number, offset: world.between(-20*time.Second, 20*time.Second)}
-	world.after(world.between(time.Second, 3*time.Second), operator.next)
+	operator := &operator{world: world, number: number, offset: world.randomDuration(-20*time.Second, 20*time.Second)}
+	world.after(world.randomDuration(time.Second, 3*time.Second), operator.next)
 	return operator
 }
 
-// next begins the operator's next action.
+// next starts the operator's next action.
 func (o *operator) next() {
 	if o.world.random.IntN(3) == 0 {
 		o.read()
@@ -44,12 +44,12 @@
 	o.change()
 }
 
-func (o *operator) rest() {
-	longest := o.world.options.Scenario.Rest
+func (o *operator) pause() {
+	longest := o.world.options.Scenario.MaxPause
 	if longest == 0 {
-		longest = longestRest
+		longest = defaultMaxPause
 	}
-	o.world.after(o.world.between(longest/20, longest), o.next)
+	o.world.after(o.world.randomDuration(longest/20, longest), o.next)
 }
 
 func (o *operator) read() {
@@ -58,8 +58,7 @@
 	o.send(nil, operation, o.hint)
 }
 
-// change proposes a change that names itself, so that its traces can be told
-// from those of any other.
+// change proposes a change with a unique author, which identifies it in the log.
 func (o *operator) change() {
 	o.changes++
 	name := fmt.Sprintf("operator-%d-change-%d", o.number, o.changes)
@@ -79,7 +78,7 @@
 
 func (o *operator) changeID() string {
 	random := fmt.Appendf(nil, "%08x", o.world.random.Uint32())
-	return registry.FormatChangeID(o.world.wall(o.offset), random)
+	return registry.FormatChangeID(o.world.wallClock(o.offset), random)
 }
 
 func address(name string) *string {
@@ -87,35 +86,35 @@
 	return &text
 }
 
-// send sends a command, or a read, and sends it again until it is answered.
+// send sends a command or a read, and retries until it receives a response.
 func (o *operator) send(command *port.Command, operation *operation, hint consensus.MemberID) {
 	target := o.world.machine(hint)
-	if target == nil || target.gone {
+	if target == nil || target.lost {
 		target = o.world.anyMachine()
 	}
 	if operation.attempts == 0 {
-		operation.first = target.id
+		operation.firstMember = target.id
 	}
-	o.world.submit(target, command, func(reply answer) {
+	o.world.submit(target, command, func(reply response) {
 		if !operation.done && reply.err == nil {
-			o.world.coverage.noteAnswer(operation, target, reply.result)
+			o.world.coverage.countResponse(operation, target, reply.result)
 		}
 		o.receive(command, operation, reply)
 	})
 	attempt := operation.attempts
-	pause := answerTimeout
+	pause := responseTimeout
 	if o.world.random.IntN(20) == 0 {
-		pause = o.world.between(10*time.Second, 40*time.Second) // resend long after
+		pause = o.world.randomDuration(10*time.Second, 40*time.Second) // retry long after
 	}
 	o.world.after(pause, func() {
 		if !operation.done && operation.attempts == attempt {
 			operation.unanswered = true
-			o.again(command, operation, consensus.None)
+			o.retry(command, operation, consensus.None)
 		}
 	})
 }
 
-func (o *operator) again(command *port.Command, operation *operation, hint consensus.MemberID) {
+func (o *operator) retry(command *port.Command, operation *operation, hint consensus.MemberID) {
 	operation.attempts++
 	if command != nil && o.world.options.Weakness == WeaknessNoDeduplication {
 		copied := *command
@@ -125,25 +124,25 @@
 	o.send(command, operation, hint)
 }
 
-func (o *operator) receive(command *port.Command, operation *operation, reply answer) {
+func (o *operator) receive(command *port.Command, operation *operation, reply response) {
 	if operation.done {
 		return
 	}
 	if reply.err != nil {
 		attempt := operation.attempts
 		operation.unanswered = operation.unanswered || reply.err.Verdict != port.NotRun
-		o.world.after(retryPause, func() {
+		o.world.after(retryDelay, func() {
 			if !operation.done && operation.attempts == attempt {
-				o.again(command, operation, reply.leader)
+				o.retry(command, operation, reply.leader)
 			}
 		})
 		return
 	}
 	operation.finish(o.world.now, reply.result)
-	if o.world.options.Scenario.Rest > 0 {
+	if o.world.options.Scenario.MaxPause > 0 {
 		o.hint = reply.leader
 	}
 	o.revision = max(o.revision, reply.result.Revision)
 	o.world.tracef("operator %d: %s", o.number, operation)
-	o.rest()
+	o.pause()
 }
--- a/internal/lab/chaos/queue.go
+++ b/internal/lab/chaos/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// event is work at a point of virtual time. Events of one time run in the order
-// in which they were scheduled.
+// event is work at a point of virtual time. Events at the same time run in the order in
+// which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -32,23 +32,23 @@
 	return value
 }
 
-// queue is the virtual clock with its events.
+// queue is the virtual clock with its pending events.
 type queue struct {
 	now      time.Duration
 	sequence uint64
 	events   eventHeap
 }
 
-// at schedules work; a time in the past means now.
+// at schedules work at a time; a time in the past means now.
 func (q *queue) at(when time.Duration, run func()) {
 	q.sequence++
 	heap.Push(&q.events, event{at: max(when, q.now), sequence: q.sequence, run: run})
 }
 
-// after schedules work some time from now.
+// after schedules work after a delay.
 func (q *queue) after(delay time.Duration, run func()) { q.at(q.now+delay, run) }
 
-// step runs the next event, if it is not after until.
+// step runs the next event unless it is later than until, and reports whether it did.
 func (q *queue) step(until time.Duration) bool {
 	if len(q.events) == 0 || q.events[0].at > until {
 		q.now = max(q.now, until)
--- a/internal/lab/chaos/run.go
+++ b/internal/lab/chaos/run.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Report is what one run found.
+// Report is the result of one run.
 type Report struct {
 	Scenario   string      `json:"scenario"`
 	Seed       uint64      `json:"seed"`
@@ -20,19 +20,19 @@
 	Violations []Violation `json:"violations,omitempty"`
 }
 
-// Run runs one scenario with one seed. Equal options give equal reports.
+// Run runs one scenario with one seed. Equal options produce equal reports.
 func Run(options Options) Report {
 	world := newWorld(options)
 	world.run()
 	return Report{
 		Scenario: options.Scenario.Name, Seed: options.Seed, Steps: world.steps,
 		Faults: world.faults.count, Accepted: len(world.audit.accepted), Entries: len(world.audit.entries),
-		Batches: len(world.audit.books.batches), Repairs: world.admin.repaired, Coverage: world.coverage, Violations: world.audit.violations,
+		Batches: len(world.audit.reference.batches), Repairs: world.admin.repaired, Coverage: world.coverage, Violations: world.audit.violations,
 	}
 }
 
-// RunMany runs a scenario with seeds first to first+count-1, some in parallel,
-// and gives the reports by seed.
+// RunMany runs a scenario with seeds first to first+count-1, up to parallel at a time,
+// and returns the reports in order of seed.
 func RunMany(ctx context.Context, options Options, first uint64, count, parallel int) ([]Report, error) {
 	reports := make([]Report, count)
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/lab/chaos/trainer.go
+++ b/internal/lab/chaos/trainer.go
@@ -8,27 +8,27 @@
 
 // Times of the trainer.
 const (
-	askTimeout   = 800 * time.Millisecond
-	publishEvery = 3 * time.Second
-	// restartOdds is one in how many batches the trainer restarts after.
+	requestTimeout  = 800 * time.Millisecond
+	publishInterval = 3 * time.Second
+	// restartOdds is the number of batches per restart of the trainer.
 	restartOdds = 15
 )
 
-// ask is the trainer's question for a batch. Only the answer to its last ask
-// counts.
-type ask struct {
+// batchRequest is the trainer's request for a batch. The trainer accepts only the response
+// to its last request.
+type batchRequest struct {
 	number port.BatchNumber
 	epoch  port.Epoch
 	id     uint64
 }
 
-// trainer asks for one batch after the other and publishes versions.
+// trainer requests one batch at a time and publishes versions.
 type trainer struct {
-	world    *World
-	consumer port.Consumer
-	next     port.BatchNumber
-	current  uint64
-	version  port.WeightVersion
+	world     *World
+	consumer  port.Consumer
+	next      port.BatchNumber
+	requestID uint64
+	version   port.WeightVersion
 }
 
 func newTrainer(world *World) *trainer {
@@ -40,67 +40,67 @@
 
 // register makes the trainer the pool's consumer, under a new epoch.
 func (t *trainer) register() {
-	t.current++
-	attempt := t.current
+	t.requestID++
+	attempt := t.requestID
 	command := &port.Command{RegisterConsumer: &port.RegisterConsumer{Pool: poolName, Consumer: "trainer"}}
-	t.world.submit(t.world.anyMachine(), command, func(reply answer) {
-		if t.current != attempt || reply.err != nil || reply.result.Error != nil {
+	t.world.submit(t.world.anyMachine(), command, func(reply response) {
+		if t.requestID != attempt || reply.err != nil || reply.result.Error != nil {
 			return
 		}
 		t.consumer = *reply.result.Consumer
 		t.next = max(t.next, t.consumer.Next)
-		t.ask()
+		t.requestBatch()
 	})
-	t.world.after(askTimeout, func() {
-		if t.current == attempt {
+	t.world.after(requestTimeout, func() {
+		if t.requestID == attempt {
 			t.register()
 		}
 	})
 }
 
-// ask asks one of the nodes for the next batch.
-func (t *trainer) ask() {
-	t.current++
-	question := ask{number: t.next, epoch: t.consumer.Epoch, id: t.current}
+// requestBatch requests the next batch from a random node.
+func (t *trainer) requestBatch() {
+	t.requestID++
+	request := batchRequest{number: t.next, epoch: t.consumer.Epoch, id: t.requestID}
 	holder := t.world.holders[t.world.random.IntN(len(t.world.holders))]
-	t.world.network.carry(outside, outside, t.world.now, func() { holder.serve(question) })
-	t.world.after(askTimeout, func() {
-		if t.current == question.id {
-			t.askOrRegister()
+	t.world.network.send(outside, outside, t.world.now, func() { holder.serve(request) })
+	t.world.after(requestTimeout, func() {
+		if t.requestID == request.id {
+			t.requestOrRegister()
 		}
 	})
 }
 
-// askOrRegister asks again; now and then it registers anew, since it may have
-// been fenced off by a registration whose answer was lost.
-func (t *trainer) askOrRegister() {
+// requestOrRegister requests the batch again; at random it registers again instead, since a
+// registration whose response was lost may have fenced it off.
+func (t *trainer) requestOrRegister() {
 	if t.world.random.IntN(restartOdds) == 0 {
 		t.register()
 		return
 	}
-	t.ask()
+	t.requestBatch()
 }
 
-func (t *trainer) receive(question ask, batch port.CommitBatch) {
-	if question.id != t.current || batch.Number != t.next {
+func (t *trainer) receive(request batchRequest, batch port.CommitBatch) {
+	if request.id != t.requestID || batch.Number != t.next {
 		return
 	}
-	t.world.audit.noteDelivered(batch)
+	t.world.audit.checkDelivered(batch)
 	t.next++
-	t.current++
-	asked := t.current
-	t.world.after(t.world.between(100*time.Millisecond, 600*time.Millisecond), func() {
-		if t.current == asked {
-			t.askOrRegister()
+	t.requestID++
+	requestID := t.requestID
+	t.world.after(t.world.randomDuration(100*time.Millisecond, 600*time.Millisecond), func() {
+		if t.requestID == requestID {
+			t.requestOrRegister()
 		}
 	})
 }
 
 // publish publishes the next version.
 func (t *trainer) publish() {
-	t.world.after(publishEvery, t.publish)
+	t.world.after(publishInterval, t.publish)
 	command := &port.Command{PublishWeights: &port.PublishWeights{Pool: poolName, Version: t.version + 1, Bytes: 1 << 20}}
-	t.world.submit(t.world.anyMachine(), command, func(reply answer) {
+	t.world.submit(t.world.anyMachine(), command, func(reply response) {
 		if reply.err == nil {
 			t.version = max(t.version, reply.result.Current)
 		}
--- a/internal/lab/chaos/world.go
+++ b/internal/lab/chaos/world.go
@@ -18,31 +18,31 @@
 	snapshotEntries = 60
 	syncTime        = time.Millisecond
 	clusterName     = "chaos"
-	// settleTime is how long the members have, after the last fault, to get
-	// every observer up to date.
-	settleTime = 40 * time.Second
-	// epoch is the time of day at virtual time 0, in seconds since 1970.
+	// recoveryTime is the time after the last fault for the members to bring every observer
+	// up to date.
+	recoveryTime = 40 * time.Second
+	// epoch is the wall-clock time at virtual time 0, in seconds since 1970.
 	epoch = 1_700_000_000
 )
 
-// Options says what to run.
+// Options configures a run.
 type Options struct {
 	Scenario Scenario
 	Seed     uint64
-	// Trace, if set, gets a line for each fault, election and answer.
+	// Trace, if set, receives a line for each fault, election and response.
 	Trace    io.Writer
 	Weakness Weakness
 	// Observers is the number of observers; 0 means 5.
 	Observers int
 }
 
-// World is one simulation.
+// World is one simulation of members, clients and faults.
 type World struct {
 	queue
 	options  Options
 	random   *rand.Rand
 	network  network
-	machines []*machine // by id
+	machines []*machine // in order of id
 	audit    *Auditor
 	history  history
 	coverage Coverage
@@ -59,11 +59,11 @@
 	lastID      consensus.MemberID
 	lastToken   uint64
 	steps       uint64
-	// settling is set after the last fault.
-	settling bool
+	// faultsEnded is set after the last fault.
+	faultsEnded bool
 }
 
-// newWorld builds the processes; nothing has run yet.
+// newWorld builds the processes without running any event.
 func newWorld(options Options) *World {
 	world := &World{
 		options: options,
@@ -73,7 +73,7 @@
 	world.network = network{world: world, base: options.Scenario.Network, cuts: map[link]int{}}
 	world.audit.report = world.violation
 	world.audit.now = func() time.Duration { return world.now }
-	world.audit.granted = world.checkHolders
+	world.audit.onGrant = world.checkHolders
 	members := options.Scenario.Members
 	if members == 0 {
 		members = 3 + 2*world.random.IntN(2)
@@ -122,7 +122,7 @@
 	return machine
 }
 
-// machine finds a machine by member id, or gives nil.
+// machine returns the machine of a member id, or nil.
 func (w *World) machine(id consensus.MemberID) *machine {
 	if id == consensus.None || int(id) > len(w.machines) {
 		return nil
@@ -130,7 +130,7 @@
 	return w.machines[id-1]
 }
 
-// leader gives the running leader of the highest term, or nil.
+// leader returns the running leader of the highest term, or nil.
 func (w *World) leader() *machine {
 	var found *machine
 	for _, machine := range w.machines {
@@ -144,11 +144,11 @@
 	return found
 }
 
-// anyMachine picks a machine that is not lost for ever.
+// anyMachine picks a random machine that is not lost.
 func (w *World) anyMachine() *machine {
 	var usable []*machine
 	for _, machine := range w.machines {
-		if !machine.gone {
+		if !machine.lost {
 			usable = append(usable, machine)
 		}
 	}
@@ -158,16 +158,16 @@
 	return usable[w.random.IntN(len(usable))]
 }
 
-// between draws a time.
-func (w *World) between(low, high time.Duration) time.Duration {
+// randomDuration draws a random duration.
+func (w *World) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
-// run goes through the scenario: faults, then rest, then the last checks.
+// run runs the faults, the recovery and the final checks.
 func (w *World) run() {
 	w.runUntil(w.options.Scenario.Faulty)
-	w.settle()
-	w.runUntil(w.now + settleTime)
+	w.endFaults()
+	w.runUntil(w.now + recoveryTime)
 	w.checkProgress()
 	w.history.check(w)
 }
@@ -181,26 +181,26 @@
 	}
 }
 
-// settle ends all faults.
-func (w *World) settle() {
+// endFaults ends all faults.
+func (w *World) endFaults() {
 	w.tracef("faults end")
-	w.settling = true
+	w.faultsEnded = true
 	w.crashChance = 0
 	w.network.cuts = map[link]int{}
-	w.network.base, w.network.storm = Network{}, Network{}
+	w.network.base, w.network.degradation = Network{}, Network{}
 	for _, machine := range w.machines {
 		machine.recover()
 	}
 	for _, observer := range w.observers {
-		observer.away = 0
+		observer.awayUntil = 0
 	}
 }
 
-// checkProgress demands that, after the faults, every observer shows the newest
-// revision and that there is one that was accepted since.
+// checkProgress checks that after the last fault a change was accepted and every observer
+// shows a recent revision.
 func (w *World) checkProgress() {
 	if w.leader() == nil {
-		w.violation("no progress", "no leader %v after the last fault", settleTime)
+		w.violation("no progress", "no leader %v after the last fault", recoveryTime)
 		return
 	}
 	if w.audit.lastAccepted < w.options.Scenario.Faulty {
@@ -208,26 +208,26 @@
 	}
 	newest := w.audit.revision
 	for _, observer := range w.observers {
-		// The newest change may still be on its way.
+		// The newest change may still be in flight.
 		if shown := observer.view().Revision; shown+2 < newest {
 			w.violation("no progress", "observer %d shows revision %d of %d", observer.number, shown, newest)
 		}
 	}
 }
 
-// checkHolders demands that nobody else holds the lease by its own clock when
-// the log grants it.
+// checkHolders checks that no other holder has a valid lease by its own clock when the
+// log grants one.
 func (w *World) checkHolders(lease port.Lease) {
 	for _, holder := range w.holders {
 		if holder.id != lease.Holder && holder.holds() {
 			w.violation("one holder at a time", "epoch %d granted to %s, %s holds epoch %d for another %v",
-				lease.Epoch, lease.Holder, holder.id, holder.epoch, holder.until-w.now)
+				lease.Epoch, lease.Holder, holder.id, holder.epoch, holder.leaseEnd-w.now)
 		}
 	}
 }
 
-// wall gives the time of day on a clock that is off by some time.
-func (w *World) wall(offset time.Duration) time.Time {
+// wallClock returns the time on a clock with an offset.
+func (w *World) wallClock(offset time.Duration) time.Time {
 	return time.Unix(epoch, 0).Add(w.now + offset)
 }
 
@@ -243,30 +243,30 @@
 	_, _ = fmt.Fprintf(w.options.Trace, "%12v  %s\n", w.now, fmt.Sprintf(format, arguments...))
 }
 
-// violation notes a broken invariant.
+// violation records a broken invariant.
 func (w *World) violation(check, format string, arguments ...any) {
 	found := Violation{Check: check, Time: w.now, Detail: fmt.Sprintf(format, arguments...)}
 	w.tracef("VIOLATION %s: %s", check, found.Detail)
 	w.audit.violations = append(w.audit.violations, found)
 }
 
-// submit sends a command to a machine and hands over the answer, if both
-// arrive. A read is a command without a body.
-func (w *World) submit(to *machine, command *port.Command, receive func(answer)) {
+// submit sends a command to a machine and passes the response to receive, if both
+// arrive. A nil command is a read.
+func (w *World) submit(to *machine, command *port.Command, receive func(response)) {
 	id := to.id
-	w.network.carry(outside, id, w.now, func() {
+	w.network.send(outside, id, w.now, func() {
 		to.process(func() {
 			token := w.token()
-			to.callers[token] = func(reply answer) {
-				w.network.carry(id, outside, to.busyUntil, func() { receive(reply) })
+			to.callers[token] = func(reply response) {
+				w.network.send(id, outside, to.busyUntil, func() { receive(reply) })
 			}
 			to.call(token, command)
 		})
 	})
 }
 
-// answer is what a caller gets for a command.
-type answer struct {
+// response is the response to a command.
+type response struct {
 	result port.Result
 	err    *port.Error
 	leader consensus.MemberID
