--- a/test/system/audit_test.go
+++ b/test/system/audit_test.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// journal reads what a stand-in saw.
+// journal reads the observations of a stand-in.
 func (s *site) journal(t *testing.T, name string) audit.Observations {
 	t.Helper()
 	file, err := os.Open(s.path(name + ".journal"))
@@ -19,15 +19,15 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	seen, err := audit.ReadJournal(file)
+	observed, err := audit.ReadJournal(file)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	return seen
+	return observed
 }
 
-// observations gathers what callers and stand-ins saw. Those who got something
-// come before those who made it, so that nothing got lacks its making.
+// observations merges those of callers and stand-ins. Receivers come before producers, so
+// that every received sample or answer has its origin among them.
 func (s *site) observations(t *testing.T) audit.Observations {
 	t.Helper()
 	all := s.callers.observations()
@@ -43,10 +43,10 @@
 	return all
 }
 
-// untilDone waits until control holds every prompt up to the highest delivered
-// one for committed, and the trainer has learned from all batches of then. It
-// gives the lowest prompt that is not among them.
-func (s *site) untilDone(t *testing.T) port.PromptIndex {
+// waitUntilTrained waits until control has committed every prompt up to the highest
+// delivered one and the trainer has trained on every batch committed by then. It returns
+// the lowest uncommitted prompt.
+func (s *site) waitUntilTrained(t *testing.T) port.PromptIndex {
 	t.Helper()
 	highest := port.PromptIndex(0)
 	for _, delivery := range s.journal(t, trainer).Deliveries {
@@ -55,48 +55,48 @@
 		}
 	}
 	var detail operatorapi.PoolDetail
-	until(t, fmt.Sprintf("prompts up to %d are committed", highest), func() bool {
-		s.operate(t, &detail, "pool", "show", samplingPool)
+	waitUntil(t, fmt.Sprintf("prompts up to %d are committed", highest), func() bool {
+		s.runOperatorCommand(t, &detail, "pool", "show", samplingPool)
 		return detail.Ledger != nil && detail.Ledger.PromptsBelow > highest
 	})
 	committed := int(detail.Ledger.Committed)
-	until(t, fmt.Sprintf("the trainer has learned from batch %d", committed), func() bool { return s.steps(t) >= committed })
+	waitUntil(t, fmt.Sprintf("the trainer has trained on batch %d", committed), func() bool { return s.steps(t) >= committed })
 	return detail.Ledger.PromptsBelow
 }
 
-// check audits the run so far and shows what is on record about violations.
+// check audits the run so far and logs the evidence for violations.
 func (s *site) check(t *testing.T) {
 	t.Helper()
-	bounds := audit.Limits{
+	limits := audit.Limits{
 		Staleness:        map[string]uint64{samplingPool: staleness},
-		FirstUndelivered: map[string]port.PromptIndex{samplingPool: s.untilDone(t)},
+		FirstUndelivered: map[string]port.PromptIndex{samplingPool: s.waitUntilTrained(t)},
 	}
-	seen := s.observations(t)
-	for _, violation := range audit.Check(seen, bounds) {
+	observed := s.observations(t)
+	for _, violation := range audit.Check(observed, limits) {
 		t.Error(violation)
-		logEvidence(t, seen, violation.Subject)
+		logEvidence(t, observed, violation.Subject)
 	}
 }
 
-// logEvidence shows the calls and runs of a subject.
-func logEvidence(t *testing.T, seen audit.Observations, subject string) {
+// logEvidence logs the calls and runs of a subject.
+func logEvidence(t *testing.T, observed audit.Observations, subject string) {
 	t.Helper()
-	for _, call := range seen.Calls {
+	for _, call := range observed.Calls {
 		if call.Key == subject {
 			t.Logf("call %+v", call)
 		}
 	}
-	for _, execution := range seen.Executions {
+	for _, execution := range observed.Executions {
 		if execution.Call == subject {
 			t.Logf("execution %+v", execution)
 		}
 	}
-	for _, generation := range seen.Generations {
+	for _, generation := range observed.Generations {
 		if generation.Call == subject || generation.RequestID == subject {
 			t.Logf("generation %+v", generation)
 		}
 	}
 }
 
-// now gives the present time as the audit counts it.
+// now returns the current time as the audit represents it.
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/test/system/callers_test.go
+++ b/test/system/callers_test.go
@@ -10,18 +10,18 @@
 	"github.com/loomgrade/loomgrade/internal/lab/load"
 )
 
-// callers play the site's callers, a slice of load after another, and keep
-// what each of them was told.
+// callers generates the load of the site's callers in overlapping slices and records the
+// callers' observations.
 type callers struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mutex sync.Mutex
-	seen  audit.Observations
+	mutex    sync.Mutex
+	observed audit.Observations
 }
 
-// sliceLength is the length of a slice of load; a call that takes longer runs
-// on beside the next slice.
+// sliceLength is the length of a slice of load; a call that takes longer continues during
+// the next slice.
 const sliceLength = 500 * time.Millisecond
 
 func startCallers(nodes []string) *callers {
@@ -31,7 +31,7 @@
 		ticker := time.NewTicker(sliceLength)
 		defer ticker.Stop()
 		for seed := uint64(1); ; seed++ {
-			c.running.Go(func() { c.slice(nodes, seed) })
+			c.running.Go(func() { c.runSlice(nodes, seed) })
 			select {
 			case <-ticker.C:
 			case <-ctx.Done():
@@ -42,18 +42,18 @@
 	return c
 }
 
-// slice plays one slice; seeds of two slices differ, and so do their calls.
-func (c *callers) slice(nodes []string, seed uint64) {
+// runSlice runs one slice; slices have different seeds and thus different calls.
+func (c *callers) runSlice(nodes []string, seed uint64) {
 	result := load.Run(context.Background(), load.Config{
 		Targets: nodes, Classes: classes(), Seed: seed, Duration: sliceLength,
 	})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.seen.Merge(result.Observations())
+	c.observed.Merge(result.Observations())
 }
 
-// classes are readers, whose calls are safe, indexers, whose calls are not and
-// who resend, and people who wait for a completion.
+// classes returns readers, whose calls are safe, indexers, whose calls are unsafe and
+// retried, and users who wait for a completion.
 func classes() []load.Class {
 	const timeout = 10 * time.Second
 	return []load.Class{
@@ -69,8 +69,8 @@
 	}
 }
 
-// answered counts the calls that were answered so far.
-func (c *callers) answered() int {
+// answeredCount returns the number of calls answered so far.
+func (c *callers) answeredCount() int {
 	count := 0
 	for _, call := range c.observations().Calls {
 		if call.Outcome == audit.OutcomeAnswered {
@@ -84,11 +84,11 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var all audit.Observations
-	all.Merge(c.seen)
+	all.Merge(c.observed)
 	return all
 }
 
-// stop ends the load and waits for the calls in flight.
+// stop stops the load and waits for the calls in flight.
 func (c *callers) stop() {
 	c.cancel()
 	c.running.Wait()
--- a/test/system/doc.go
+++ b/test/system/doc.go
@@ -1,4 +1,4 @@
-// Package system holds the whole-system test: it builds the two programs,
-// starts a site as separate processes on loopback addresses from generated
-// settings files, and judges it by the audit of what the stand-ins saw.
+// Package system holds the whole-system test: it builds the two programs, starts a site
+// as separate processes on loopback addresses from generated settings files, and audits
+// the observations of the stand-ins.
 package system
--- a/test/system/faults_test.go
+++ b/test/system/faults_test.go
@@ -14,16 +14,15 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// stepsOfProgress is how many batches the trainer must get while a process is
-// away.
-const stepsOfProgress = 2
+// progressSteps is the number of batches that the trainer must receive during a fault.
+const progressSteps = 2
 
-// departureWatch is how long a leaving engine is watched for new work: twice
-// what the audit grants.
+// departureWatch is how long a leaving engine is watched for new work: twice the limit of
+// the audit.
 const departureWatch = 6 * time.Second
 
-// testFaults goes through the faults one after another, under the callers'
-// load, and audits the whole run after each.
+// testFaults applies the faults one after another under the callers' load, and audits the
+// whole run after each.
 func (s *site) testFaults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -33,26 +32,26 @@
 		{"kill the leader of control", (*site).leader, (*site).killAndRestart},
 		{"kill a follower of control", (*site).follower, (*site).killAndRestart},
 		{"kill the coordinator", (*site).coordinator, (*site).killAndRestart},
-		{"kill a home", (*site).otherNode, (*site).killAndRestart},
+		{"kill a home node", (*site).homeNode, (*site).killAndRestart},
 		{"kill an engine", named(engine(1)), (*site).killAndRestart},
 		{"kill an application server", named(application(1)), (*site).killAndRestart},
-		{"kill the trainer", named(trainer), (*site).killAndRestartAtOnce},
-		{"kill the scorer", named(scorer), (*site).killAndRestartAtOnce},
-		{"kill the weight store", named(weightStore), (*site).killAndRestartAtOnce},
-		{"silence the leader of control", (*site).leader, (*site).silence},
-		{"silence the coordinator", (*site).coordinator, (*site).silenceNode},
-		{"stop the coordinator as planned", (*site).coordinator, (*site).stopAndRestart},
-		{"stop a home as planned", (*site).otherNode, (*site).stopAndRestart},
-		{"stop a member of control as planned", (*site).leader, (*site).stopAndRestart},
-		{"kill every process of loomgrade at once", (*site).coordinator, (*site).killEverything},
-		{"an engine leaves", named(engine(2)), (*site).leave},
+		{"kill the trainer", named(trainer), (*site).killAndRestartImmediately},
+		{"kill the scorer", named(scorer), (*site).killAndRestartImmediately},
+		{"kill the weight store", named(weightStore), (*site).killAndRestartImmediately},
+		{"suspend the leader of control", (*site).leader, (*site).suspendAndResume},
+		{"suspend the coordinator", (*site).coordinator, (*site).suspendNode},
+		{"stop the coordinator gracefully", (*site).coordinator, (*site).stopAndRestart},
+		{"stop a home node gracefully", (*site).homeNode, (*site).stopAndRestart},
+		{"stop a member of control gracefully", (*site).leader, (*site).stopAndRestart},
+		{"kill every process of loomgrade concurrently", (*site).coordinator, (*site).killAndRestartAll},
+		{"an engine leaves", named(engine(2)), (*site).markLeaving},
 	}
 	for _, c := range cases {
 		passed := t.Run(c.name, func(t *testing.T) {
 			target := c.target(s, t)
 			t.Logf("%s: %s", c.name, target)
 			c.act(s, t, s.processes[target])
-			s.untilProgress(t, 1)
+			s.waitForProgress(t, 1)
 			s.check(t)
 		})
 		if !passed {
@@ -65,12 +64,12 @@
 	return func(*site, *testing.T) string { return name }
 }
 
-// leader gives the member that leads control.
+// leader returns the member that leads control.
 func (s *site) leader(t *testing.T) string {
 	t.Helper()
 	var status operatorapi.Status
-	until(t, "control has a leader", func() bool {
-		s.operate(t, &status, "status")
+	waitUntil(t, "control has a leader", func() bool {
+		s.runOperatorCommand(t, &status, "status")
 		return status.Leader != 0
 	})
 	return member(int(status.Leader))
@@ -86,10 +85,10 @@
 	return ""
 }
 
-// coordinator gives the node that committed the batch delivered last.
+// coordinator returns the node that committed the last delivered batch.
 func (s *site) coordinator(t *testing.T) string {
 	t.Helper()
-	s.untilProgress(t, 1)
+	s.waitForProgress(t, 1)
 	id := batchID(s.lastDelivery(t))
 	var found string
 	for _, decided := range s.explain(t, id).Decisions {
@@ -103,9 +102,8 @@
 	return found
 }
 
-// otherNode gives a node that is the home of its zone's replicas and does not
-// coordinate.
-func (s *site) otherNode(t *testing.T) string {
+// homeNode returns a home node of replicas that is not the coordinator.
+func (s *site) homeNode(t *testing.T) string {
 	t.Helper()
 	coordinator := s.coordinator(t)
 	for _, zone := range zones {
@@ -116,39 +114,38 @@
 	return ""
 }
 
-// disturb does something that the audit is to know of as a fault.
-func (s *site) disturb(kind string, target *process, what func()) {
+// applyFault applies a fault and records it for the audit.
+func (s *site) applyFault(kind string, target *process, what func()) {
 	from := now()
 	what()
 	s.faults = append(s.faults, audit.Fault{Target: target.name, Kind: kind, From: from, To: now()})
 }
 
-// killAndRestart kills a process that the site can do without, waits until the
-// site goes on and takes a change without it, and starts it again.
+// killAndRestart kills a process that the site can run without, waits until the site makes
+// progress and accepts a change without it, and restarts it.
 func (s *site) killAndRestart(t *testing.T, target *process) {
-	s.disturb("kill", target, func() {
+	s.applyFault("kill", target, func() {
 		target.kill(t)
-		s.change(t)
-		s.untilProgress(t, stepsOfProgress)
+		s.changeConfiguration(t)
+		s.waitForProgress(t, progressSteps)
 		target.start(t)
-		s.untilInForce(t)
+		s.waitUntilApplied(t)
 	})
 }
 
-// killAndRestartAtOnce is for processes without which there are no batches.
-func (s *site) killAndRestartAtOnce(t *testing.T, target *process) {
-	s.disturb("kill", target, func() {
+// killAndRestartImmediately is for processes without which no batch can complete.
+func (s *site) killAndRestartImmediately(t *testing.T, target *process) {
+	s.applyFault("kill", target, func() {
 		target.kill(t)
 		target.start(t)
-		s.untilProgress(t, stepsOfProgress)
+		s.waitForProgress(t, progressSteps)
 	})
 }
 
-// killEverything kills all members and nodes, as a loss of power does, and
-// starts them again.
-func (s *site) killEverything(t *testing.T, coordinator *process) {
-	s.change(t)
-	s.disturb("kill", coordinator, func() {
+// killAndRestartAll kills and restarts all members and nodes, as a power loss does.
+func (s *site) killAndRestartAll(t *testing.T, coordinator *process) {
+	s.changeConfiguration(t)
+	s.applyFault("kill", coordinator, func() {
 		var killed []*process
 		for _, process := range s.processes {
 			if process.program == "loomgrade" {
@@ -160,51 +157,51 @@
 			<-process.ended
 			process.start(t)
 		}
-		s.untilInForce(t)
+		s.waitUntilApplied(t)
 	})
 }
 
-// silence halts a process while the site goes on without it, and lets it run
-// again.
-func (s *site) silence(t *testing.T, target *process) {
-	s.disturb("silence", target, func() {
+// suspendAndResume suspends a process, waits until the site makes progress without it,
+// and resumes it.
+func (s *site) suspendAndResume(t *testing.T, target *process) {
+	s.applyFault("silence", target, func() {
 		target.signal(t, syscall.SIGSTOP)
-		s.untilProgress(t, stepsOfProgress)
-		s.change(t)
+		s.waitForProgress(t, progressSteps)
+		s.changeConfiguration(t)
 		target.signal(t, syscall.SIGCONT)
-		s.untilInForce(t)
+		s.waitUntilApplied(t)
 	})
 }
 
-// silenceNode halts a node for so long that control gives it up.
-func (s *site) silenceNode(t *testing.T, target *process) {
-	s.disturb("silence", target, func() {
+// suspendNode suspends a node until control no longer counts it.
+func (s *site) suspendNode(t *testing.T, target *process) {
+	s.applyFault("silence", target, func() {
 		target.signal(t, syscall.SIGSTOP)
-		until(t, "control gives the node up", func() bool {
+		waitUntil(t, "control drops the node", func() bool {
 			var status operatorapi.ConfigStatus
-			s.operate(t, &status, "config", "status")
+			s.runOperatorCommand(t, &status, "config", "status")
 			return status.InForce < len(zones)
 		})
-		s.change(t)
-		s.untilProgress(t, stepsOfProgress)
+		s.changeConfiguration(t)
+		s.waitForProgress(t, progressSteps)
 		target.signal(t, syscall.SIGCONT)
-		s.untilInForce(t)
+		s.waitUntilApplied(t)
 	})
 }
 
-// stopAndRestart stops a process as planned, under load.
+// stopAndRestart stops a process gracefully under load, and restarts it.
 func (s *site) stopAndRestart(t *testing.T, target *process) {
 	from := now()
 	target.stop(t)
 	s.stops = append(s.stops, audit.PlannedStop{Process: s.addresses[target.name], From: from, To: now()})
-	s.change(t)
-	s.untilProgress(t, stepsOfProgress)
+	s.changeConfiguration(t)
+	s.waitForProgress(t, progressSteps)
 	target.start(t)
-	s.untilInForce(t)
+	s.waitUntilApplied(t)
 }
 
-// leave lets the machine list show an engine as leaving.
-func (s *site) leave(t *testing.T, target *process) {
+// markLeaving sets the state of an engine in the machine list to leaving.
+func (s *site) markLeaving(t *testing.T, target *process) {
 	body, err := json.Marshal(port.Machine{Address: s.addresses[target.name], State: port.MachineLeaving})
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +214,7 @@
 	if response.StatusCode != http.StatusNoContent {
 		t.Fatalf("status %d", response.StatusCode)
 	}
-	until(t, "the engine is left alone for a while", func() bool {
+	waitUntil(t, "the engine receives no work for a while", func() bool {
 		last := now() - departureWatch
 		for _, departure := range s.journal(t, machineList).Departures {
 			if departure.SignalledAt < last {
--- a/test/system/first_site_test.go
+++ b/test/system/first_site_test.go
@@ -11,8 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// TestFirstSitePage runs the commands of the page on the first site, as they
-// stand, with other folders and another loopback address.
+// TestFirstSitePage runs the commands of the operators' first-site page, with other
+// folders and another loopback address.
 func TestFirstSitePage(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
@@ -24,7 +24,7 @@
 		"127.0.0.1", loopbackHost(),
 	).Replace(script)
 	command := exec.Command("bash", "-c", "set -euo pipefail\n"+script)
-	// A process group of its own, so that nothing outlives a page that fails.
+	// A process group of its own, so that a failing page leaves no process behind.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	output, err := os.Create(folder + "/output")
 	if err != nil {
@@ -36,22 +36,22 @@
 		t.Fatal(err)
 	}
 	group := -command.Process.Pid
-	giveUp := time.AfterFunc(patience, func() { _ = syscall.Kill(group, syscall.SIGKILL) })
+	timeout := time.AfterFunc(waitTimeout, func() { _ = syscall.Kill(group, syscall.SIGKILL) })
 	failure := command.Wait()
-	giveUp.Stop()
-	_ = syscall.Kill(group, syscall.SIGKILL) // nothing is left of a page that worked
-	said, _ := os.ReadFile(output.Name())    // shown as far as it can be read
+	timeout.Stop()
+	_ = syscall.Kill(group, syscall.SIGKILL) // fails if no process is left
+	shown, _ := os.ReadFile(output.Name())   // best effort
 	if failure != nil {
-		t.Fatalf("%v\n%s", failure, said)
+		t.Fatalf("%v\n%s", failure, shown)
 	}
 	for _, expected := range []string{"in_force", "was answered by pages-1", "was delivered", `"call":"mine"`} {
-		if !strings.Contains(string(said), expected) {
-			t.Errorf("%q is missing in:\n%s", expected, said)
+		if !strings.Contains(string(shown), expected) {
+			t.Errorf("%q is missing in:\n%s", expected, shown)
 		}
 	}
 }
 
-// commandsOf gives the indented blocks of a page.
+// commandsOf returns the indented blocks of a page.
 func commandsOf(page string) string {
 	const indent = "    "
 	var commands strings.Builder
--- a/test/system/process_test.go
+++ b/test/system/process_test.go
@@ -12,11 +12,10 @@
 	"time"
 )
 
-// patience bounds the wait for something that takes a few seconds at most; it
-// decides nothing but when a test that hangs is given up.
-const patience = 90 * time.Second
+// waitTimeout is the timeout of waits for events that take a few seconds at most.
+const waitTimeout = 90 * time.Second
 
-// process is one process of a site. It may be started again after it ended.
+// process is one process of a site. It can be restarted after it ended.
 type process struct {
 	name      string
 	program   string
@@ -27,9 +26,9 @@
 	failure   error         // of command, once ended
 }
 
-// launcher starts processes from one thread that lives as long as the test:
-// the kernel ends a child with the thread that started it, so that a test that
-// is cut short leaves none behind.
+// launcher starts processes from one thread that lives as long as the test. The kernel
+// kills a child when the thread that started it ends, so an interrupted test leaves no
+// process behind.
 var launcher = func() chan<- func() {
 	launches := make(chan func())
 	go func() {
@@ -76,57 +75,57 @@
 	}
 }
 
-// signal sends a signal to a process that must be running.
+// signal sends a signal to the process, which must be running.
 func (p *process) signal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if !p.running() {
-		t.Fatalf("%s has ended by itself: %v\n%s", p.name, p.failure, p.log())
+		t.Fatalf("%s ended unexpectedly: %v\n%s", p.name, p.failure, p.log())
 	}
 	if err := p.command.Process.Signal(signal); err != nil {
 		t.Fatalf("signal %s: %v", p.name, err)
 	}
 }
 
-// kill ends the process with SIGKILL, which leaves it no time for anything.
+// kill ends the process with SIGKILL.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGKILL)
 	<-p.ended
 }
 
-// stop ends the process as planned and demands that it does so without error.
+// stop stops the process gracefully and checks that it ends without error.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
-		t.Fatalf("%s does not stop\n%s", p.name, p.log())
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not stop\n%s", p.name, p.log())
 	}
 	if p.failure != nil {
 		t.Errorf("%s stopped with %v\n%s", p.name, p.failure, p.log())
 	}
 }
 
-// abandon ends the process in any state, at the end of a test.
-func (p *process) abandon() {
+// killIfRunning kills the process, if it is running, at the end of a test.
+func (p *process) killIfRunning() {
 	if p.running() {
-		_ = p.command.Process.Kill() // it may have ended meanwhile
+		_ = p.command.Process.Kill() // it may have ended in between
 		<-p.ended
 	}
 }
 
-// log gives the end of what the process wrote.
+// log returns the last output of the process.
 func (p *process) log() string {
-	const most = 4 << 10
-	content, _ := os.ReadFile(p.logFile) // a missing log is an empty one
-	return string(content[max(0, len(content)-most):])
+	const maxBytes = 4 << 10
+	content, _ := os.ReadFile(p.logFile) // a missing log counts as empty
+	return string(content[max(0, len(content)-maxBytes):])
 }
 
-// invoke runs a command of loomgrade to its end and gives exit code and output.
+// invoke runs a command of loomgrade and returns its exit code and output.
 func invoke(t *testing.T, arguments ...string) (code int, stdout, stderr string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, filepath.Join(binaries, "loomgrade"), arguments...)
 	out, err := command.Output()
@@ -142,14 +141,14 @@
 	}
 }
 
-// until polls until a condition holds.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil polls until a condition holds.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	const poll = 50 * time.Millisecond
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("gave up waiting until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(poll)
 	}
--- a/test/system/refusal_test.go
+++ b/test/system/refusal_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// exitUsage is the exit code for a field that is not allowed.
+// exitUsage is the exit code for an invalid field.
 const exitUsage = 2
 
 func TestBadSettingsAreRefused(t *testing.T) {
@@ -19,7 +19,7 @@
 	const node = "cluster: c\nnode:\n  id: n\n  zone: z\n  http_listen: 127.0.0.1:1\n  peer_listen: 127.0.0.1:2\n  control_members: [127.0.0.1:3]\n"
 	cases := []struct {
 		name, role, settings string
-		says                 []string
+		want                 []string
 	}{
 		{"host name", "control", strings.Replace(control, "127.0.0.1:2", "localhost:2", 1), []string{"control.operator_listen", "localhost:2", "IP:port", ":6"}},
 		{"no unit", "control", control + "  tick: 50\n", []string{"control.tick", "50", "unit"}},
@@ -41,7 +41,7 @@
 			if code != exitUsage {
 				t.Errorf("exit code %d, want %d", code, exitUsage)
 			}
-			for _, part := range append(c.says, path) {
+			for _, part := range append(c.want, path) {
 				if !strings.Contains(stderr, part) {
 					t.Errorf("%q is missing in %s", part, stderr)
 				}
@@ -50,40 +50,40 @@
 	}
 }
 
-// testBadChange demands that bad changes are refused with field, value and
-// what is allowed, and that nothing of them takes effect.
+// testBadChange checks that invalid changes are rejected with field, value and allowed
+// range, and that they have no effect.
 func (s *site) testBadChange(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(*port.Configuration)
-		says  []string
+		name       string
+		invalidate func(*port.Configuration)
+		want       []string
 	}{
 		{"share over one", func(c *port.Configuration) { c.Pools[0].Ejection.MaxShare = 1.5 }, []string{"max_share", "1.5", "allowed"}},
-		{"batch of half groups", func(c *port.Configuration) { c.Pools[0].Sampling.BatchSamples = 15 }, []string{"batch_samples", "15", "allowed"}},
+		{"batch of incomplete groups", func(c *port.Configuration) { c.Pools[0].Sampling.BatchSamples = 15 }, []string{"batch_samples", "15", "allowed"}},
 		{"policy that does not compile", func(c *port.Configuration) { c.Pools[0].Sampling.Policy = "def plan(pool):\n    return nothing\n" }, []string{"policy", "nothing"}},
-		{"replica of no pool", func(c *port.Configuration) { c.Replicas[0].Pool = "nowhere" }, []string{"pool", "nowhere", "allowed"}},
-		{"address by name", func(c *port.Configuration) { c.Replicas[0].Address = "engine:80" }, []string{"address", "engine:80", "allowed"}},
+		{"replica of unknown pool", func(c *port.Configuration) { c.Replicas[0].Pool = "nowhere" }, []string{"pool", "nowhere", "allowed"}},
+		{"address with host name", func(c *port.Configuration) { c.Replicas[0].Address = "engine:80" }, []string{"address", "engine:80", "allowed"}},
 	}
 	var before, after operatorapi.Config
-	s.operate(t, &before, "config", "get")
+	s.runOperatorCommand(t, &before, "config", "get")
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			changed := s.configuration()
-			c.spoil(&changed)
+			c.invalidate(&changed)
 			arguments := []string{"config", "set", s.writeConfiguration(t, changed)}
 			code, _, stderr := invoke(t, append(arguments, s.operatorFlags()...)...)
 			if code != exitUsage {
 				t.Errorf("exit code %d, want %d", code, exitUsage)
 			}
-			for _, part := range c.says {
+			for _, part := range c.want {
 				if !strings.Contains(stderr, part) {
 					t.Errorf("%q is missing in %s", part, stderr)
 				}
 			}
 		})
 	}
-	s.operate(t, &after, "config", "get")
+	s.runOperatorCommand(t, &after, "config", "get")
 	if before.Revision != after.Revision {
-		t.Errorf("revision went from %d to %d", before.Revision, after.Revision)
+		t.Errorf("revision changed from %d to %d", before.Revision, after.Revision)
 	}
 }
--- a/test/system/settings_test.go
+++ b/test/system/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// operatorToken is what operators of the site present.
+// operatorToken is the token of the site's operators.
 const operatorToken = "operator-of-the-system-test"
 
 func node(zone string) string { return "node-" + zone }
@@ -60,8 +60,8 @@
 // configure sets the configuration and publishes the first weights.
 func (s *site) configure(t *testing.T) {
 	t.Helper()
-	s.operate(t, nil, "config", "set", s.writeConfiguration(t, s.configuration()), "--expected", "0")
-	s.operate(t, nil, "weights", "publish", samplingPool, "1", "--bytes", fmt.Sprint(weightBytes))
+	s.runOperatorCommand(t, nil, "config", "set", s.writeConfiguration(t, s.configuration()), "--expected", "0")
+	s.runOperatorCommand(t, nil, "weights", "publish", samplingPool, "1", "--bytes", fmt.Sprint(weightBytes))
 }
 
 func (s *site) writeConfiguration(t *testing.T, configuration port.Configuration) string {
@@ -73,7 +73,7 @@
 	return s.write(t, "configuration.json", string(document))
 }
 
-// configuration gives the document that the site's operators set.
+// configuration returns the document that the site's operators set.
 func (s *site) configuration() port.Configuration {
 	captions := pool(samplingPool, port.PoolGeneration, time.Minute)
 	captions.Sampling = &port.Sampling{
--- a/test/system/site_test.go
+++ b/test/system/site_test.go
@@ -33,7 +33,7 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Names of the processes that there is one of.
+// Names of the processes with one instance.
 const (
 	weightStore = "weights"
 	scorer      = "scorer"
@@ -45,7 +45,7 @@
 func engine(number int) string      { return fmt.Sprintf("engine-%d", number) }
 func application(number int) string { return fmt.Sprintf("application-%d", number) }
 
-// site is a running installation with its stand-ins.
+// site is a running site with its stand-ins.
 type site struct {
 	folder    string
 	host      string
@@ -59,15 +59,15 @@
 	faults      []audit.Fault
 }
 
-// loopbackHost gives an address of the loopback network that no other process
-// uses as its own, so that a port of a killed process stays free for it.
+// loopbackHost returns a loopback address for this test process alone, so that the port
+// of a killed process stays free.
 func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&63, pid>>8&255, 1+pid&127)
 }
 
-// startSite starts every process, sets the configuration and waits until each
-// node is ready.
+// startSite starts every process, sets the configuration and waits until each node is
+// ready.
 func startSite(t *testing.T) *site {
 	t.Helper()
 	s := &site{
@@ -79,7 +79,7 @@
 	s.addStandIns()
 	t.Cleanup(func() {
 		for _, process := range s.processes {
-			process.abandon()
+			process.killIfRunning()
 		}
 	})
 	for name, process := range s.processes {
@@ -88,10 +88,10 @@
 		}
 	}
 	s.configure(t)
-	// It would publish the version after the first as soon as it has a batch.
+	// The trainer would publish the next version as soon as it has a batch.
 	s.processes[trainer].start(t)
 	for _, zone := range zones {
-		s.untilReady(t, node(zone))
+		s.waitUntilReady(t, node(zone))
 	}
 	s.callers = startCallers(s.nodeURLs())
 	t.Cleanup(s.callers.stop)
@@ -142,7 +142,7 @@
 	}
 }
 
-// addStandIns adds the processes around loomgrade. Each keeps a journal.
+// addStandIns adds the stand-ins around loomgrade. Each writes a journal.
 func (s *site) addStandIns() {
 	add := func(name, kind string, arguments ...string) {
 		common := []string{"stand-in", kind, "--listen", s.addresses[name], "--observations", s.path(name + ".journal")}
@@ -166,9 +166,9 @@
 	add(trainer, "trainer", "--pool", samplingPool, "--step-time", "200ms", "--nodes", strings.Join(s.nodeURLs(), ","))
 }
 
-// operate runs an operator's command, which must succeed, and decodes its JSON
-// output into answer, if there is one.
-func (s *site) operate(t *testing.T, answer any, arguments ...string) {
+// runOperatorCommand runs an operator's command, which must succeed, and decodes its JSON
+// output into answer unless that is nil.
+func (s *site) runOperatorCommand(t *testing.T, answer any, arguments ...string) {
 	t.Helper()
 	code, stdout, stderr := invoke(t, append(arguments, s.operatorFlags()...)...)
 	if code != 0 {
@@ -190,7 +190,7 @@
 	return []string{"--output", "json", "--token-file", s.path("operator.token"), "--server", strings.Join(servers, ",")}
 }
 
-// get reads JSON from a process; it reports false while that does not answer.
+// get reads JSON from a process, and reports whether it succeeded.
 func (s *site) get(name, path string, answer any) bool {
 	client := http.Client{Timeout: 5 * time.Second}
 	request, err := http.NewRequest(http.MethodGet, s.url(name)+path, nil)
@@ -206,49 +206,49 @@
 	return response.StatusCode == http.StatusOK && json.NewDecoder(response.Body).Decode(answer) == nil
 }
 
-func (s *site) untilReady(t *testing.T, name string) {
+func (s *site) waitUntilReady(t *testing.T, name string) {
 	t.Helper()
-	until(t, name+" is ready", func() bool {
+	waitUntil(t, name+" is ready", func() bool {
 		var health map[string]any
 		return s.get(name, api.PathReady, &health)
 	})
 }
 
-// steps gives the number of batches that the trainer has trained on.
+// steps returns the number of batches that the trainer has trained on.
 func (s *site) steps(t *testing.T) int {
 	t.Helper()
 	var stats standin.TrainerStats
-	until(t, "the trainer answers", func() bool { return s.get(trainer, standin.PathTrainerStats, &stats) })
+	waitUntil(t, "the trainer answers", func() bool { return s.get(trainer, standin.PathTrainerStats, &stats) })
 	return stats.Steps
 }
 
-// untilProgress waits until the trainer has trained on further batches, and
-// further callers have been answered.
-func (s *site) untilProgress(t *testing.T, steps int) {
+// waitForProgress waits until the trainer has trained on more batches and another caller
+// has an answer.
+func (s *site) waitForProgress(t *testing.T, steps int) {
 	t.Helper()
-	wanted, answered := s.steps(t)+steps, s.callers.answered()+1
-	until(t, fmt.Sprintf("the trainer has done %d steps", wanted), func() bool { return s.steps(t) >= wanted })
-	until(t, "a caller is answered", func() bool { return s.callers.answered() >= answered })
+	wanted, answered := s.steps(t)+steps, s.callers.answeredCount()+1
+	waitUntil(t, fmt.Sprintf("the trainer has done %d steps", wanted), func() bool { return s.steps(t) >= wanted })
+	waitUntil(t, "a caller is answered", func() bool { return s.callers.answeredCount() >= answered })
 }
 
-// change makes a change that operators have accepted.
-func (s *site) change(t *testing.T) {
+// changeConfiguration changes the configuration.
+func (s *site) changeConfiguration(t *testing.T) {
 	t.Helper()
 	s.queueLength++
 	var accepted operatorapi.Accepted
-	s.operate(t, &accepted, "config", "set", s.writeConfiguration(t, s.configuration()))
+	s.runOperatorCommand(t, &accepted, "config", "set", s.writeConfiguration(t, s.configuration()))
 	if accepted.Revision <= s.revision {
 		t.Fatalf("revision %d accepted after %d", accepted.Revision, s.revision)
 	}
 	s.revision = accepted.Revision
 }
 
-// untilInForce waits until the last accepted change is in force at every node.
-func (s *site) untilInForce(t *testing.T) {
+// waitUntilApplied waits until every node has applied the last accepted change.
+func (s *site) waitUntilApplied(t *testing.T) {
 	t.Helper()
-	until(t, "every node has the configuration", func() bool {
+	waitUntil(t, "every node has the configuration", func() bool {
 		var status operatorapi.ConfigStatus
-		s.operate(t, &status, "config", "status")
+		s.runOperatorCommand(t, &status, "config", "status")
 		if status.Revision < s.revision {
 			t.Fatalf("revision went from %d to %d", s.revision, status.Revision)
 		}
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -17,7 +17,7 @@
 	"github.com/loomgrade/loomgrade/internal/port/api"
 )
 
-// TestSite takes one site through the whole path and through every fault.
+// TestSite runs one site through its main functions and through every fault.
 func TestSite(t *testing.T) {
 	t.Parallel()
 	s := startSite(t)
@@ -40,8 +40,7 @@
 	}
 }
 
-// showLogs shows what every process wrote, and how the site looks to its
-// operators.
+// showLogs logs the output of every process and the site's status.
 func (s *site) showLogs(t *testing.T) {
 	for name, process := range s.processes {
 		t.Logf("%s:\n%s", name, process.log())
@@ -60,8 +59,8 @@
 	}
 }
 
-// ask makes an application call through a node and gives the request's id.
-func (s *site) ask(t *testing.T, zone, call string) string {
+// callApplication makes an application call through a node and returns the request's id.
+func (s *site) callApplication(t *testing.T, zone, call string) string {
 	t.Helper()
 	address := s.url(node(zone)) + api.PathApplication + pagesPool + "/pages/1?" + standin.QueryCall + "=" + call
 	response, err := http.Get(address)
@@ -82,12 +81,12 @@
 
 func (s *site) testApplicationCall(t *testing.T) {
 	for _, zone := range zones {
-		s.ask(t, zone, "first-of-"+zone)
+		s.callApplication(t, zone, "first-of-"+zone)
 	}
 }
 
 func (s *site) testSamples(t *testing.T) {
-	s.untilProgress(t, 3)
+	s.waitForProgress(t, 3)
 	deliveries := s.journal(t, trainer).Deliveries
 	for index, delivery := range deliveries {
 		if delivery.Batch != uint64(index+1) || len(delivery.Samples) != batchSamples {
@@ -97,17 +96,16 @@
 	s.check(t)
 }
 
-// testWeights demands that versions which the trainer published are active at
-// every engine by its own word.
+// testWeights checks that every engine serves a version that the trainer published.
 func (s *site) testWeights(t *testing.T) {
 	for number := range engines {
-		until(t, fmt.Sprintf("engine %d serves published weights", number+1), func() bool {
+		waitUntil(t, fmt.Sprintf("engine %d serves published weights", number+1), func() bool {
 			var report port.LoadReport
 			return s.get(engine(number+1), api.PathEngineLoad, &report) && report.Version > 1
 		})
 	}
 	var weights operatorapi.Weights
-	s.operate(t, &weights, "weights", "status")
+	s.runOperatorCommand(t, &weights, "weights", "status")
 	if len(weights.Pools) != 1 || weights.Pools[0].Version < 2 {
 		t.Errorf("weights status %+v", weights)
 	}
@@ -137,7 +135,7 @@
 		name, id string
 		kinds    []port.DecisionKind
 	}{
-		{"request", s.ask(t, zones[1], "to-be-explained"), []port.DecisionKind{port.DecisionPlaced, port.DecisionAnswered}},
+		{"request", s.callApplication(t, zones[1], "to-be-explained"), []port.DecisionKind{port.DecisionPlaced, port.DecisionAnswered}},
 		{"sample", delivery.Samples[0].ID, []port.DecisionKind{port.DecisionPlaced, port.DecisionAnswered}},
 		{"batch", batchID(delivery), []port.DecisionKind{port.DecisionCommitted, port.DecisionDelivered}},
 	}
