--- a/test/sitestandin/doc.go
+++ b/test/sitestandin/doc.go
@@ -1,3 +1,3 @@
-// Package sitestandin has stand-ins of the replicas of a site, which speak the
-// platform's protocol, for tests of whole sites.
+// Package sitestandin has stand-ins for the replicas and the provider of a site, which
+// speak the platform's protocol.
 package sitestandin
--- a/test/sitestandin/provider.go
+++ b/test/sitestandin/provider.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// UsageCall is a report of usage that reached a Provider.
+// UsageCall is a usage report that a Provider received.
 type UsageCall struct {
 	Window int64             `json:"window"`
 	Counts map[string]uint64 `json:"counts"`
 	Holder string
 	Fence  uint64
 	At     time.Time
-	// Status is the answer, 0 if none was given.
+	// Status is the response's status, 0 if none was sent.
 	Status int
 }
 
-// Provider is a stand-in of the provider of the site's machines.
+// Provider is a stand-in for the provider of the site's machines.
 type Provider struct {
-	// Behave, if set, gives the status of the n-th call, counted from 0; 0 takes the
-	// report and breaks the connection off without an answer.
+	// Behave, if set, returns the status of the n-th call, counted from 0; 0 accepts the
+	// report and breaks the connection without a response.
 	Behave func(n int) int
 
 	server *httptest.Server
@@ -43,7 +43,7 @@
 	return p
 }
 
-// Address is where the provider serves.
+// Address returns the provider's address.
 func (p *Provider) Address() string { return p.server.Listener.Addr().String() }
 
 func (p *Provider) serve(w http.ResponseWriter, r *http.Request) {
@@ -65,21 +65,21 @@
 	w.WriteHeader(call.Status)
 }
 
-// Calls gives all reports of usage so far.
+// Calls returns all usage reports so far.
 func (p *Provider) Calls() []UsageCall {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return append([]UsageCall(nil), p.calls...)
 }
 
-// Taken gives the counts of all windows that the provider has, and whether a window was
-// sent with different counts at any time.
+// Taken returns the counts of all accepted windows, and whether any window was sent with
+// different counts.
 func (p *Provider) Taken() (counts map[int64]map[string]uint64, differ bool) {
 	counts = map[int64]map[string]uint64{}
 	sent := map[int64]string{}
 	for _, call := range p.Calls() {
 		encoded, _ := json.Marshal(call.Counts)
-		if before, again := sent[call.Window]; again && before != string(encoded) {
+		if previous, repeated := sent[call.Window]; repeated && previous != string(encoded) {
 			differ = true
 		}
 		sent[call.Window] = string(encoded)
--- a/test/sitestandin/replica.go
+++ b/test/sitestandin/replica.go
@@ -18,18 +18,18 @@
 	"github.com/loomgrade/loomgrade/platform"
 )
 
-// Headers are the names of the headers on the wire.
+// Headers holds the names of the headers on the wire.
 var Headers = platform.Dialect{}.Headers()
 
-// Defaults of a Replica.
+// Defaults and constants of a Replica.
 const (
 	DefaultEvents     = 6
 	DefaultEventPause = 5 * time.Millisecond
-	// Slots is how many requests a replica says that it works on at once.
+	// Slots is the number of concurrent requests that a replica reports as its capacity.
 	Slots = 4
 )
 
-// Arrival is a request that reached a replica.
+// Arrival is a request that a replica received.
 type Arrival struct {
 	ID        string
 	Target    string
@@ -41,7 +41,7 @@
 	Replica   string
 }
 
-// Order is an order that reached a replica.
+// Order is an order that a replica received.
 type Order struct {
 	Model            string `json:"model"`
 	Version          uint64 `json:"version"`
@@ -51,36 +51,36 @@
 	At               time.Time
 }
 
-// Replica is a stand-in of a replica. Its exported fields are set before the
-// first request.
+// Replica is a stand-in for a replica. Its exported fields are set before the first
+// request.
 type Replica struct {
 	ID      string
 	Service string
-	// Zone is where it stands; empty is "z".
+	// Zone is the replica's zone; empty means "z".
 	Zone string
-	// Models are served by an engine; empty for a plain application.
+	// Models lists the models that an engine serves; empty for a plain application.
 	Models []string
 	// EventPause is the time between two events of a text, Events their number.
 	EventPause time.Duration
 	Events     int
-	// Behave, if set, answers a request in the replica's place and reports
-	// whether it did.
+	// Behave, if set, may handle a request instead of the replica and reports whether it
+	// did.
 	Behave func(w http.ResponseWriter, r *http.Request) bool
-	// Raw, if set, is the address of a server of the test's own.
+	// Raw, if set, is the address of the test's own server, reported instead.
 	Raw string
 
-	server   *httptest.Server
-	mutex    sync.Mutex
-	version  uint64
-	orders   []Order
-	arrivals []Arrival
-	sequence uint64
-	draining bool
-	born     uint64
-	cold     time.Duration
+	server     *httptest.Server
+	mutex      sync.Mutex
+	version    uint64
+	orders     []Order
+	arrivals   []Arrival
+	sequence   uint64
+	draining   bool
+	startedAt  uint64
+	warmupLeft time.Duration
 }
 
-// NewReplica starts a stand-in of an application server.
+// NewReplica starts a stand-in for an application server.
 func NewReplica(t testing.TB, id, service string) *Replica {
 	r := &Replica{ID: id, Service: service, version: 1, EventPause: DefaultEventPause, Events: DefaultEvents}
 	r.server = httptest.NewServer(http.HandlerFunc(r.serve))
@@ -91,21 +91,21 @@
 	return r
 }
 
-// NewEngine starts a stand-in of an engine.
+// NewEngine starts a stand-in for an engine.
 func NewEngine(t testing.TB, id, service string, models ...string) *Replica {
 	r := NewReplica(t, id, service)
 	r.Models = models
 	return r
 }
 
-// Stop ends the replica as a crash does: it closes its connections and takes no new ones.
-// It may be called while it serves a request.
+// Stop stops the replica as a crash does: it closes its connections and accepts no new
+// ones. It may be called while the replica serves a request.
 func (r *Replica) Stop() {
 	_ = r.server.Listener.Close()
 	r.server.CloseClientConnections()
 }
 
-// Address is where the replica serves.
+// Address returns the replica's address.
 func (r *Replica) Address() string {
 	if r.Raw != "" {
 		return r.Raw
@@ -113,13 +113,13 @@
 	return r.server.Listener.Addr().String()
 }
 
-// SealOf is the signature of a replica's answer to a request.
+// SealOf returns the signature of a replica's response to a request.
 func SealOf(id string) string { return "seal." + id }
 
-// EventData is the data of an event of an item's text, the same at every replica.
+// EventData returns the data of an event of an item's text, the same at every replica.
 func EventData(item string, event int) string { return fmt.Sprintf("%s-%d", item, event) }
 
-// WholeText is the text of an item.
+// WholeText returns the complete text of an item.
 func WholeText(item string, events int) string {
 	var lines []string
 	for i := 1; i <= events; i++ {
@@ -128,7 +128,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Answer is the body of a plain answer.
+// Answer returns the body of an application's response.
 func Answer(replica, id string) string { return fmt.Sprintf("answer of %s to %s", replica, id) }
 
 func (r *Replica) serve(w http.ResponseWriter, request *http.Request) {
@@ -141,7 +141,7 @@
 	case platform.Dialect{}.ReportCall().Path:
 		r.report(w)
 	case order.Path:
-		r.take(w, request)
+		r.acceptOrder(w, request)
 	default:
 		r.run(w, request)
 	}
@@ -193,20 +193,20 @@
 	}
 }
 
-// modelState is a model in a report or heartbeat.
+// modelState is a model's state in a report or heartbeat.
 type modelState struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// reportBody is the answer to a question for a report.
+// reportBody is the response to a request for a report.
 type reportBody struct {
 	Models   []modelState `json:"models"`
 	Busy     bool         `json:"busy"`
 	Sequence int          `json:"sequence"`
 }
 
-// heartbeatBody is what a replica sends of itself.
+// heartbeatBody is the body of a replica's heartbeat.
 type heartbeatBody struct {
 	Backend string `json:"backend"`
 	Address string `json:"address"`
@@ -214,12 +214,12 @@
 	Version string `json:"version"`
 	Slots   int    `json:"slots"`
 	State   string `json:"state"`
-	// WarmupLeftMs is how much longer the replica stays cold.
+	// WarmupLeftMs is the remaining warmup time.
 	WarmupLeftMs int          `json:"warmupLeftMs"`
 	Stage        string       `json:"stage"`
 	Models       []modelState `json:"models"`
 	Sequence     uint64       `json:"sequence"`
-	Born         uint64       `json:"born,omitempty"`
+	StartedAt    uint64       `json:"born,omitempty"`
 }
 
 func (r *Replica) modelStates() []modelState {
@@ -236,39 +236,39 @@
 	_ = json.NewEncoder(w).Encode(reportBody{Models: r.modelStates(), Sequence: len(r.orders)})
 }
 
-func (r *Replica) take(w http.ResponseWriter, request *http.Request) {
-	taken := Order{At: time.Now()}
-	if json.NewDecoder(request.Body).Decode(&taken) != nil {
+func (r *Replica) acceptOrder(w http.ResponseWriter, request *http.Request) {
+	order := Order{At: time.Now()}
+	if json.NewDecoder(request.Body).Decode(&order) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if taken.ExpectedRevision != uint64(len(r.orders)) {
+	if order.ExpectedRevision != uint64(len(r.orders)) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	r.orders = append(r.orders, taken)
-	r.version = taken.Version
+	r.orders = append(r.orders, order)
+	r.version = order.Version
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// Arrivals gives the requests that reached the replica so far.
+// Arrivals returns the requests that the replica has received.
 func (r *Replica) Arrivals() []Arrival {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.arrivals)
 }
 
-// Orders gives the orders that the replica took so far.
+// Orders returns the orders that the replica has accepted.
 func (r *Replica) Orders() []Order {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.orders)
 }
 
-// Drain makes further heartbeats say that the replica leaves; Drain(false) makes
-// them late ones from before, which say that it is ready.
+// Drain makes further heartbeats report the state draining; Drain(false) simulates delayed
+// earlier heartbeats, which report ready with old sequence numbers.
 func (r *Replica) Drain(draining bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -278,36 +278,36 @@
 	}
 }
 
-// Restart makes further heartbeats those of a start under the same name: it counts them anew
-// and knows nothing of before.
-func (r *Replica) Restart(born uint64) {
+// Restart simulates a restart under the same name: the sequence of heartbeats and the
+// revision of orders start again, and the version is the first one.
+func (r *Replica) Restart(startedAt uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.born, r.sequence, r.draining, r.version = born, 0, false, 1
+	r.startedAt, r.sequence, r.draining, r.version = startedAt, 0, false, 1
 	r.orders = nil
 }
 
-// Cool makes further heartbeats say that the replica stays cold for so long.
+// Cool makes further heartbeats report the remaining warmup time.
 func (r *Replica) Cool(left time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.cold = left
+	r.warmupLeft = left
 }
 
 func (r *Replica) zone() string { return cmp.Or(r.Zone, "z") }
 
-// Heartbeat is the body of the replica's next heartbeat.
+// Heartbeat returns the body of the replica's next heartbeat.
 func (r *Replica) Heartbeat() []byte {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sequence++
-	beat := heartbeatBody{
+	heartbeat := heartbeatBody{
 		Backend: r.Service, Address: r.Address(), Zone: r.zone(), Version: "v1", Slots: Slots, State: "ready",
-		Stage: "mixed", Models: r.modelStates(), Sequence: r.sequence, Born: r.born, WarmupLeftMs: int(r.cold.Milliseconds()),
+		Stage: "mixed", Models: r.modelStates(), Sequence: r.sequence, StartedAt: r.startedAt, WarmupLeftMs: int(r.warmupLeft.Milliseconds()),
 	}
 	if r.draining {
-		beat.State = "draining"
+		heartbeat.State = "draining"
 	}
-	body, _ := json.Marshal(beat)
+	body, _ := json.Marshal(heartbeat)
 	return body
 }
