--- a/test/soak/doc.go
+++ b/test/soak/doc.go
@@ -1,19 +1,18 @@
-// Package soak runs a site's real programs as processes and draws faults from
-// outside: signals (kill, stop and continue, planned stops), a proxy on loopback
-// between the machines (delay, reset, cuts in one direction or both, silence),
-// lost and damaged disks, disks that stall, are slow or refuse writes (the program
-// is built with the tag faultinjection for these). The time of day cannot be
-// changed from outside; test/source shows that no decision depends on it. Nor can a machine be
-// suspended: a process is stopped, and the clock that counts suspended time goes ahead by more
-// than that when it goes on. Its steady clock counts the stop, as that of a suspended machine
-// would not.
-// Meanwhile it checks what must always hold by what
-// callers, operators and replicas see.
+// Package soak runs a site's real programs as processes and injects random faults from
+// outside: signals (kill, stop and continue, graceful stop), a loopback proxy between the
+// machines (delay, reset, cuts in one direction or both), lost and damaged disks, and disks
+// that stall, are slow or reject writes (the program is built with the tag faultinjection).
+// Meanwhile it checks invariants from the observations of callers, operators and replicas.
 //
-// Without flags the site runs for a few seconds without faults. A soak is
+// The wall clock can't be changed from outside; test/source shows that no decision depends
+// on it. Suspension of a machine is simulated: the process is stopped, and the clock that
+// includes suspended time is advanced further before the process continues. Unlike on a
+// suspended machine, the monotonic clock advances during the stop.
+//
+// Without flags the site runs for a few seconds without faults. To run a soak:
 //
 //	go test ./test/soak -run TestSoak -soak 3m -seed 0 -v
 //
-// where seed 0 draws a fresh one and prints it. A seed that failed is kept in
-// regressions, with its cause.
+// Seed 0 picks a random seed and prints it. Seeds that failed are listed in regressions,
+// with their causes.
 package soak
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -22,7 +22,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// program is the built binary.
+// program is the path of the built binary.
 var program string
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	os.Exit(code)
 }
 
-// build makes the program once.
+// build builds the program unless it exists.
 func build(t *testing.T) {
 	t.Helper()
 	if _, err := os.Stat(program); err == nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// launcher starts processes from one thread that lives as long as the test: the
-// kernel ends a child with the thread that started it.
+// launcher starts processes from one thread that lives as long as the test. The kernel
+// kills a child when the thread that started it ends.
 var launcher = func() chan<- func() {
 	launches := make(chan func())
 	go func() {
@@ -62,46 +62,45 @@
 	return launches
 }()
 
-// machine is a machine with its process.
+// machine is a simulated machine with its process.
 type machine struct {
 	name, role string
-	// public is the IP by which others know it, private that at which its
-	// process listens and from which it calls.
+	// public is the IP address at which other machines reach it, private the one at which
+	// its process listens and from which it connects.
 	public, private string
 	folder          string
 	command         *exec.Cmd
 	ended           chan struct{}
 	frozen          bool
-	// slept is for how long the machine was suspended so far.
-	slept time.Duration
-	// excused is how much of the log was looked at or tells of a time at which
-	// the disk misbehaved, so that the process might end by itself; found holds
-	// the failures of the former.
-	excused int
-	found   []string
+	// suspended is the total suspended time of the machine.
+	suspended time.Duration
+	// checkedBytes is the length of the log whose failures are already in failureLines, or
+	// are ignored since the disk was faulty while the process wrote it.
+	checkedBytes int
+	failureLines []string
 }
 
 func (m *machine) logPath() string { return filepath.Join(m.folder, "log") }
 
-func (m *machine) sleptPath() string { return filepath.Join(m.folder, "suspended") }
+func (m *machine) suspendedPath() string { return filepath.Join(m.folder, "suspended") }
 
-// suspend lets the clock that counts suspended time go ahead, for the process that runs and
-// those that follow.
-func (m *machine) suspend(slept time.Duration) error {
-	m.slept += slept
-	file, err := os.OpenFile(m.sleptPath(), os.O_CREATE|os.O_WRONLY, 0o600)
+// suspend advances the clock that includes suspended time, for the running process and its
+// successors.
+func (m *machine) suspend(duration time.Duration) error {
+	m.suspended += duration
+	file, err := os.OpenFile(m.suspendedPath(), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	var written [8]byte
-	binary.NativeEndian.PutUint64(written[:], uint64(m.slept))
+	binary.NativeEndian.PutUint64(written[:], uint64(m.suspended))
 	_, err = file.WriteAt(written[:], 0)
 	return errors.Join(err, file.Close())
 }
 
 func (m *machine) dataPath() string { return filepath.Join(m.folder, "data") }
 
-// setDisk makes the machine's disk misbehave; an empty mode is a sound disk.
+// setDisk sets the fault mode of the machine's disk; an empty mode means no fault.
 func (m *machine) setDisk(mode diskfault.Mode) error {
 	next := filepath.Join(m.folder, "disk-fault.next")
 	if err := os.WriteFile(next, []byte(mode), 0o600); err != nil {
@@ -131,16 +130,16 @@
 	seeds    []string
 }
 
-// ports are equal on all machines.
+// ports are the same on all machines.
 type ports struct{ peer, control, caller, ready int }
 
-// drawPorts finds ports that are free on every address given.
-func drawPorts(t *testing.T, addresses []string) ports {
+// pickPorts picks ports that are free on all addresses.
+func pickPorts(t *testing.T, addresses []string) ports {
 	t.Helper()
-	const least, span, tries = 20000, 10000, 200
+	const minPort, span, tries = 20000, 10000, 200
 	for range tries {
-		base := least + rand.IntN(span)
-		if free(addresses, base) && free(addresses, base+1) && free(addresses, base+2) && free(addresses, base+3) {
+		base := minPort + rand.IntN(span)
+		if portIsFree(addresses, base) && portIsFree(addresses, base+1) && portIsFree(addresses, base+2) && portIsFree(addresses, base+3) {
 			return ports{peer: base, control: base + 1, caller: base + 2, ready: base + 3}
 		}
 	}
@@ -148,7 +147,7 @@
 	return ports{}
 }
 
-func free(addresses []string, port int) bool {
+func portIsFree(addresses []string, port int) bool {
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp", fmt.Sprintf("%s:%d", address, port))
 		if err != nil {
@@ -159,7 +158,7 @@
 	return true
 }
 
-// newSite lays out machines: controls, stores and fronts.
+// newSite prepares a site of machines and its network without starting processes.
 func newSite(t *testing.T, controls, stores, fronts int) *site {
 	s := &site{t: t, network: newNetwork()}
 	root := t.TempDir()
@@ -183,8 +182,8 @@
 	add("control", controls)
 	add("store", stores)
 	add("front", fronts)
-	s.ports = drawPorts(t, addresses)
-	for _, m := range s.of("control")[:3] {
+	s.ports = pickPorts(t, addresses)
+	for _, m := range s.machinesOf("control")[:3] {
 		s.seeds = append(s.seeds, fmt.Sprintf("%s:%d", m.public, s.ports.control))
 	}
 	for _, m := range s.machines {
@@ -196,7 +195,7 @@
 	return s
 }
 
-func (s *site) of(role string) []*machine {
+func (s *site) machinesOf(role string) []*machine {
 	var found []*machine
 	for _, m := range s.machines {
 		if m.role == role {
@@ -243,7 +242,7 @@
 	if err := m.suspend(0); err != nil {
 		s.t.Fatal(err)
 	}
-	command.Env = append(os.Environ(), "LOOMGRADE_TEST_SUSPENDED="+m.sleptPath())
+	command.Env = append(os.Environ(), "LOOMGRADE_TEST_SUSPENDED="+m.suspendedPath())
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
 	launcher <- func() { started <- command.Start() }
@@ -255,18 +254,17 @@
 	go func() { _ = command.Wait(); close(ended) }()
 }
 
-// address is where a machine serves from outside; it does not lead through the
-// proxy.
+// address returns the public address of a port that bypasses the proxy.
 func (s *site) address(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.public, port) }
 
-// signal signals the machine's own process.
+// signal sends a signal to the machine's process.
 func (m *machine) signal(signal syscall.Signal) {
 	if m.running() {
 		_ = m.command.Process.Signal(signal)
 	}
 }
 
-// kill ends the machine's own process at once.
+// kill ends the machine's process immediately.
 func (m *machine) kill() {
 	if !m.running() {
 		return
@@ -275,7 +273,7 @@
 	<-m.ended
 }
 
-// stop ends it as planned, or kills it after the grace.
+// stop stops the process gracefully, and kills it after a timeout.
 func (m *machine) stop() {
 	m.signal(syscall.SIGTERM)
 	select {
@@ -298,14 +296,14 @@
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		}
-		kept := filepath.Join(os.TempDir(), "loomgrade-soak-"+m.name+".log")
-		if os.WriteFile(kept, content, 0o600) == nil {
-			s.t.Logf("log of %s: %s", m.name, kept)
+		copied := filepath.Join(os.TempDir(), "loomgrade-soak-"+m.name+".log")
+		if os.WriteFile(copied, content, 0o600) == nil {
+			s.t.Logf("log of %s: %s", m.name, copied)
 		}
 	}
 }
 
-// ready asks a front whether callers should come to it.
+// ready reports whether a front is ready for callers.
 func (s *site) ready(m *machine) bool {
 	response, err := http.Get("http://" + s.address(m, s.ports.ready) + readyPath)
 	if err != nil {
@@ -315,19 +313,19 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// excuse leaves out what the log tells of failures while a fault goes on.
-func (m *machine) excuse(fault func()) {
-	m.found = m.failures()
+// ignoreFailures ignores failures in the log during a fault.
+func (m *machine) ignoreFailures(fault func()) {
+	m.failureLines = m.failures()
 	fault()
 	content, _ := os.ReadFile(m.logPath())
-	m.excused = len(content)
+	m.checkedBytes = len(content)
 }
 
-// failures gives the lines of a log that tell of a failed process.
+// failures returns the lines of the log that report a failed process.
 func (m *machine) failures() []string {
 	content, _ := os.ReadFile(m.logPath())
-	content = content[min(m.excused, len(content)):]
-	found := slices.Clone(m.found)
+	content = content[min(m.checkedBytes, len(content)):]
+	found := slices.Clone(m.failureLines)
 	for line := range strings.Lines(string(content)) {
 		if strings.Contains(line, `"process.failed"`) || strings.HasPrefix(line, "panic:") || strings.Contains(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
 			found = append(found, strings.TrimSpace(line))
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -7,34 +7,33 @@
 	"time"
 )
 
-// link is what happens to bytes from one machine to another.
+// link is the state of the connections from one machine to another.
 type link struct {
 	delay time.Duration
-	// cut holds bytes back: nothing arrives and nothing says so.
+	// cut blocks all bytes without an error.
 	cut bool
 }
 
-// network is the loopback network between machines: every machine is reached
-// through a proxy at its public address, which knows who connects by the source
-// address.
+// network is the loopback network between machines. A proxy at the public address of every
+// machine identifies the peer by its source address.
 type network struct {
 	mutex sync.Mutex
 	links map[[2]string]link // from, to by IP
-	conns map[*proxied]struct{}
+	conns map[*proxyConn]struct{}
 	done  chan struct{}
 }
 
-// proxied is a proxied connection.
-type proxied struct {
-	from, to         string
-	inbound, onwards net.Conn
+// proxyConn is one connection through the proxy.
+type proxyConn struct {
+	from, to          string
+	inbound, outbound net.Conn
 }
 
 func newNetwork() *network {
-	return &network{links: map[[2]string]link{}, conns: map[*proxied]struct{}{}, done: make(chan struct{})}
+	return &network{links: map[[2]string]link{}, conns: map[*proxyConn]struct{}{}, done: make(chan struct{})}
 }
 
-// open serves a machine's public address; private is where it listens.
+// open starts the proxy of a public address; private is the address behind it.
 func (n *network) open(public, private string) error {
 	listener, err := net.Listen("tcp", public)
 	if err != nil {
@@ -55,7 +54,7 @@
 
 func (n *network) close() {
 	close(n.done)
-	n.reset(func(*proxied) bool { return true })
+	n.reset(func(*proxyConn) bool { return true })
 }
 
 func hostOf(address string) string {
@@ -65,28 +64,28 @@
 
 func (n *network) serve(inbound net.Conn, public, private string) {
 	from, to := hostOf(inbound.RemoteAddr().String()), hostOf(public)
-	n.await(from, to) // the opening packets of a cut link are held back too
-	onwards, err := net.DialTimeout("tcp", private, time.Second)
+	n.waitForLink(from, to) // a cut also blocks new connections
+	outbound, err := net.DialTimeout("tcp", private, time.Second)
 	if err != nil {
-		hardClose(inbound)
+		closeWithReset(inbound)
 		return
 	}
-	connection := &proxied{from: from, to: to, inbound: inbound, onwards: onwards}
+	connection := &proxyConn{from: from, to: to, inbound: inbound, outbound: outbound}
 	n.mutex.Lock()
 	n.conns[connection] = struct{}{}
 	n.mutex.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); n.copy(onwards, inbound, from, to) }()
-	go func() { defer both.Done(); n.copy(inbound, onwards, to, from) }()
+	go func() { defer both.Done(); n.copy(outbound, inbound, from, to) }()
+	go func() { defer both.Done(); n.copy(inbound, outbound, to, from) }()
 	both.Wait()
 	n.mutex.Lock()
 	delete(n.conns, connection)
 	n.mutex.Unlock()
 }
 
-// await holds on while a link is cut, and for its delay.
-func (n *network) await(from, to string) {
+// waitForLink blocks while a link is cut, and for its delay.
+func (n *network) waitForLink(from, to string) {
 	for {
 		n.mutex.Lock()
 		state := n.links[[2]string{from, to}]
@@ -109,49 +108,49 @@
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			n.await(source, target)
+			n.waitForLink(source, target)
 			if _, failed := to.Write(buffer[:count]); failed != nil {
 				return
 			}
 		}
 		if err != nil {
 			if err != io.EOF {
-				hardClose(to)
+				closeWithReset(to)
 			}
 			return
 		}
 	}
 }
 
-func hardClose(connection net.Conn) {
+func closeWithReset(connection net.Conn) {
 	if tcp, isTCP := connection.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
 	}
 	_ = connection.Close()
 }
 
-// set changes a link in one direction.
+// set sets the state of a link in one direction.
 func (n *network) set(from, to string, state link) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.links[[2]string{from, to}] = state
 }
 
-// heal makes all links sound.
+// heal removes all link faults.
 func (n *network) heal() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	clear(n.links)
 }
 
-// reset resets the connections that match.
-func (n *network) reset(match func(*proxied) bool) {
+// reset resets the matching connections.
+func (n *network) reset(match func(*proxyConn) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for connection := range n.conns {
 		if match(connection) {
-			hardClose(connection.inbound)
-			hardClose(connection.onwards)
+			closeWithReset(connection.inbound)
+			closeWithReset(connection.outbound)
 		}
 	}
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -26,29 +26,29 @@
 )
 
 const (
-	patience  = 60 * time.Second
-	calmTime  = 4 * time.Second
-	wholeTime = 10 * time.Second
-	// diskPause is how long the stores or controls have to make a lost disk
-	// good before the next one may be lost.
-	diskPause = 15 * time.Second
-	// restartTime is how long a process has to notice that its disk failed.
-	restartTime = 500 * time.Millisecond
+	waitTimeout   = 60 * time.Second
+	stabilizeTime = 4 * time.Second
+	recoveryTime  = 10 * time.Second
+	// diskLossInterval is the time for the stores or controls to recover from a lost disk before
+	// the next one may be lost.
+	diskLossInterval = 15 * time.Second
+	// diskFailureTime is the time for a process to detect that its disk failed.
+	diskFailureTime = 500 * time.Millisecond
 )
 
-// regressions are seeds that failed once, with their causes. Their faults are
-// drawn again by `-soak`, before the fresh seed.
+// regressions are seeds that failed before, with their causes. The flag -soak runs them
+// before the seed given.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{}
 
-// TestRealProcesses starts a site's programs and sends traffic without faults.
+// TestRealProcesses runs a site's programs with traffic and without faults.
 func TestRealProcesses(t *testing.T) {
 	runSoak(t, 0, 0)
 }
 
-// TestSoak draws faults for the time given.
+// TestSoak injects faults for the time of the flag -soak.
 func TestSoak(t *testing.T) {
 	if *soakTime == 0 {
 		t.Skip("a soak has no fixed outcome; run it with -soak")
@@ -63,12 +63,12 @@
 	t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed, *soakTime) })
 }
 
-func until(t *testing.T, what string, condition func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("in %v not come: %s", patience, what)
+			t.Fatalf("timed out after %v: %s", waitTimeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -91,49 +91,49 @@
 		tasks.Add(1)
 		go func() { defer tasks.Done(); task() }()
 	}
-	spawn(func() { tr.operate(ctx) })
+	spawn(func() { tr.changeConfigurations(ctx) })
 	for _, replica := range tr.replicas {
-		spawn(func() { tr.beat(ctx, replica) })
+		spawn(func() { tr.sendHeartbeats(ctx, replica) })
 	}
-	until(t, "fronts are ready", func() bool {
-		for _, front := range s.of("front") {
+	waitUntil(t, "fronts are ready", func() bool {
+		for _, front := range s.machinesOf("front") {
 			if !s.ready(front) {
 				return false
 			}
 		}
 		return true
 	})
-	until(t, "a call is served", func() bool {
-		status, _, _ := tr.do(ctx, http.MethodPost, tr.front()+"/plain/x", http.Header{sitestandin.Headers.RequestID: {"call-first"}}, nil)
+	waitUntil(t, "a call is served", func() bool {
+		status, _, _ := tr.do(ctx, http.MethodPost, tr.frontURL()+"/plain/x", http.Header{sitestandin.Headers.RequestID: {"call-first"}}, nil)
 		return status == http.StatusOK
 	})
 	working, stopWork := context.WithCancel(ctx)
 	for i := range 3 {
-		spawn(func() { tr.call(working, fmt.Sprint(i)) })
+		spawn(func() { tr.sendCalls(working, fmt.Sprint(i)) })
 	}
 	followers, stopFollowers := context.WithCancel(ctx)
-	spawn(func() { tr.handIn(working, followers) })
-	d := &drawer{site: s, random: rand.New(rand.NewPCG(seed, 1)), log: t.Logf}
+	spawn(func() { tr.submitJobs(working, followers) })
+	d := &injector{site: s, random: rand.New(rand.NewPCG(seed, 1)), log: t.Logf}
 	d.run(length)
-	time.Sleep(calmTime)
+	time.Sleep(stabilizeTime)
 	stopWork()
-	d.makeWhole()
+	d.recoverAll()
 	tr.finish(t, ctx)
 	stopFollowers()
 	if length == 0 {
-		tr.book.jobs["job-by-command"] = &jobBook{id: "job-by-command", items: []string{"command-0"}}
-		s.askByCommand(t)
+		tr.recorder.jobs["job-by-command"] = &jobRecord{id: "job-by-command", items: []string{"command-0"}}
+		s.testOperatorCommands(t)
 	}
 	cancel()
 	tasks.Wait()
-	tr.judge(t, d)
+	tr.check(t, d)
 }
 
-// askByCommand asks the running site by the operators' commands.
-func (s *site) askByCommand(t *testing.T) {
+// testOperatorCommands runs the operators' commands against the running site.
+func (s *site) testOperatorCommands(t *testing.T) {
 	t.Helper()
-	peers := fmt.Sprintf("%s:%d", s.of("control")[1].public, s.ports.peer)
-	ask := func(arguments ...string) (string, error) {
+	peers := fmt.Sprintf("%s:%d", s.machinesOf("control")[1].public, s.ports.peer)
+	run := func(arguments ...string) (string, error) {
 		output, err := exec.Command(program, append(arguments, "--peer", peers, "--output", "json")...).CombinedOutput()
 		return string(output), err
 	}
@@ -155,177 +155,177 @@
 		{[]string{"store", "status"}, `"state": "active"`},
 		{[]string{"store", "evacuate", "store-3"}, `"name": "store-3"`},
 	} {
-		if output, err := ask(row.arguments...); err != nil || !strings.Contains(output, row.want) {
+		if output, err := run(row.arguments...); err != nil || !strings.Contains(output, row.want) {
 			t.Errorf("%v: %v, %s", row.arguments, err, output)
 		}
 	}
 	for _, arguments := range [][]string{{"job", "results", "no-such-job"}, {"job", "end", "no-such-job"}, {"store", "evacuate", "nobody"}} {
 		var exit *exec.ExitError
-		if output, err := ask(arguments...); !errors.As(err, &exit) || exit.ExitCode() != 5 {
+		if output, err := run(arguments...); !errors.As(err, &exit) || exit.ExitCode() != 5 {
 			t.Errorf("%v: %v, %s", arguments, err, output)
 		}
 	}
 }
 
-// handIn hands jobs in while work goes on; their clients go on reading.
-func (tr *traffic) handIn(working, followers context.Context) {
-	for i := 0; pause(working, jobPause); i++ {
-		job := &jobBook{id: fmt.Sprint("job-", i)}
-		for item := range itemsOfAJob {
+// submitJobs submits jobs during the load; their clients keep reading afterwards.
+func (tr *traffic) submitJobs(working, followers context.Context) {
+	for i := 0; pause(working, jobInterval); i++ {
+		job := &jobRecord{id: fmt.Sprint("job-", i)}
+		for item := range itemsPerJob {
 			job.items = append(job.items, fmt.Sprintf("item-%d-%d", i, item))
 		}
-		tr.book.mutex.Lock()
-		tr.book.jobs[job.id] = job
-		tr.book.mutex.Unlock()
-		go tr.follow(followers, job, i%3 == 2)
+		tr.recorder.mutex.Lock()
+		tr.recorder.jobs[job.id] = job
+		tr.recorder.mutex.Unlock()
+		go tr.runJobClient(followers, job, i%3 == 2)
 	}
 }
 
-// finish waits until all jobs are read, and reads the configuration back.
+// finish waits until all results are read, and reads the configuration.
 func (tr *traffic) finish(t *testing.T, ctx context.Context) {
-	until(t, "every job that was not ended has all its results", func() bool {
-		tr.book.mutex.Lock()
-		defer tr.book.mutex.Unlock()
-		for _, job := range tr.book.jobs {
+	waitUntil(t, "every job that was not ended has all its results", func() bool {
+		tr.recorder.mutex.Lock()
+		defer tr.recorder.mutex.Unlock()
+		for _, job := range tr.recorder.jobs {
 			if job.ended.IsZero() && len(job.results) < len(job.items) {
 				return false
 			}
 		}
 		return true
 	})
-	until(t, "the configuration is read back", func() bool { return tr.readBack(ctx) })
+	waitUntil(t, "the configuration is read", func() bool { return tr.checkConfiguration(ctx) })
 }
 
-// judge checks what was seen against the promises.
-func (tr *traffic) judge(t *testing.T, d *drawer) {
+// check checks the observations of the run.
+func (tr *traffic) check(t *testing.T, d *injector) {
 	var arrivals []sitestandin.Arrival
 	for _, replica := range tr.replicas {
 		arrivals = append(arrivals, replica.Arrivals()...)
-		tr.book.checkOrders(replica.ID, replica.Orders(), d.quietAt)
+		tr.recorder.checkOrders(replica.ID, replica.Orders(), d.noRecentResume)
 	}
-	tr.book.checkArrivals(arrivals, d.quietAt)
+	tr.recorder.checkArrivals(arrivals, d.noRecentResume)
 	for _, m := range tr.site.machines {
 		if failures := m.failures(); len(failures) > 0 {
 			t.Errorf("%s failed %d times, first: %s", m.name, len(failures), failures[0])
 		}
 	}
-	for _, fault := range tr.book.faults {
+	for _, fault := range tr.recorder.violations {
 		t.Error(fault)
 	}
-	if tr.book.counts["call 200"] == 0 || tr.book.counts["jobs accepted"] == 0 || tr.book.counts["configurations"] == 0 {
-		t.Errorf("too little was served: %v", tr.book.counts)
+	if tr.recorder.counts["call 200"] == 0 || tr.recorder.counts["jobs accepted"] == 0 || tr.recorder.counts["configurations"] == 0 {
+		t.Errorf("too little was served: %v", tr.recorder.counts)
 	}
-	t.Logf("%d arrivals, %v, faults %v", len(arrivals), tr.book.counts, d.drawn)
+	t.Logf("%d arrivals, %v, faults %v", len(arrivals), tr.recorder.counts, d.counts)
 }
 
-// drawer draws faults.
-type drawer struct {
-	site     *site
-	random   *rand.Rand
-	log      func(string, ...any)
-	drawn    map[string]int
-	lastDisk time.Time
-	// thaws are the times at which processes were continued or links healed.
-	mutex sync.Mutex
-	thaws []time.Time
+// injector injects random faults.
+type injector struct {
+	site         *site
+	random       *rand.Rand
+	log          func(string, ...any)
+	counts       map[string]int
+	lastDiskLoss time.Time
+	// resumes are the times at which processes resumed or links healed.
+	mutex   sync.Mutex
+	resumes []time.Time
 }
 
-// thawTime is how long after a machine is continued, or a link healed, what it
-// sends does not count: it may have been on its way.
-const thawTime = time.Second
+// resumeGrace is the time after a resume or heal during which delayed messages may still
+// arrive, and are exempt from checks.
+const resumeGrace = time.Second
 
-// quietAt reports whether no machine had just come back at a time.
-func (d *drawer) quietAt(at time.Time) bool {
+// noRecentResume reports whether no machine or link had resumed shortly before a time.
+func (d *injector) noRecentResume(at time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for _, thaw := range d.thaws {
-		if since := at.Sub(thaw); since > -100*time.Millisecond && since < thawTime {
+	for _, resume := range d.resumes {
+		if since := at.Sub(resume); since > -100*time.Millisecond && since < resumeGrace {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *drawer) thawed() {
+func (d *injector) recordResume() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.thaws = append(d.thaws, time.Now())
+	d.resumes = append(d.resumes, time.Now())
 }
 
-func (d *drawer) run(length time.Duration) {
-	d.drawn = map[string]int{}
-	d.lastDisk = time.Now()
+func (d *injector) run(length time.Duration) {
+	d.counts = map[string]int{}
+	d.lastDiskLoss = time.Now()
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		d.draw()
+		d.injectOne()
 		time.Sleep(time.Duration(500+d.random.IntN(3000)) * time.Millisecond)
 	}
 }
 
-func (d *drawer) note(fault string, m *machine, detail any) {
-	d.drawn[fault]++
+func (d *injector) record(fault string, m *machine, detail any) {
+	d.counts[fault]++
 	d.log("%s %s %s %v", time.Now().Format("15:04:05.000"), fault, m.name, detail)
 }
 
-// draw draws one fault on one machine and, but for lasting ones, ends it.
-func (d *drawer) draw() {
+// injectOne injects one fault on one machine and waits for its end.
+func (d *injector) injectOne() {
 	m := d.site.machines[d.random.IntN(len(d.site.machines))]
-	spell := time.Duration(300+d.random.IntN(4000)) * time.Millisecond
+	duration := time.Duration(300+d.random.IntN(4000)) * time.Millisecond
 	switch d.random.IntN(14) {
 	case 0, 1:
-		d.note("kill", m, spell)
+		d.record("kill", m, duration)
 		m.kill()
-		time.Sleep(spell)
+		time.Sleep(duration)
 		d.site.start(m, false)
 	case 2:
-		d.note("stop", m, "")
+		d.record("stop", m, "")
 		m.stop()
 		d.site.start(m, false)
 	case 3, 4:
-		d.note("freeze", m, spell)
+		d.record("freeze", m, duration)
 		m.signal(syscall.SIGSTOP)
-		time.Sleep(spell)
-		d.thawed()
+		time.Sleep(duration)
+		d.recordResume()
 		m.signal(syscall.SIGCONT)
 	case 5:
-		d.cut(m, spell, d.random.IntN(3))
+		d.cut(m, duration, d.random.IntN(3))
 	case 6:
-		d.note("delay", m, spell)
-		d.links(m, link{delay: time.Duration(20+d.random.IntN(200)) * time.Millisecond}, 2)
-		time.Sleep(spell)
+		d.record("delay", m, duration)
+		d.setLinks(m, link{delay: time.Duration(20+d.random.IntN(200)) * time.Millisecond}, 2)
+		time.Sleep(duration)
 		d.site.network.heal()
 	case 7:
-		d.note("reset", m, "")
-		d.site.network.reset(func(c *proxied) bool { return c.from == m.private || c.to == m.public })
+		d.record("reset", m, "")
+		d.site.network.reset(func(c *proxyConn) bool { return c.from == m.private || c.to == m.public })
 	case 8:
 		d.loseDisk(m)
 	case 9:
-		d.killAll(spell / 4)
+		d.killAll(duration / 4)
 	case 10, 11:
-		d.disturbDisk(m, spell)
+		d.injectDiskFault(m, duration)
 	case 12, 13:
-		d.suspend(m, spell)
+		d.suspend(m, duration)
 	}
 }
 
-// suspend stops a process, as a freeze does, and lets more time pass by the clock that counts
-// suspended time; once more right after it has woken up in some cases.
-func (d *drawer) suspend(m *machine, spell time.Duration) {
+// suspend stops a process and advances the clock that includes suspended time; at random it
+// repeats this right after the process resumed.
+func (d *injector) suspend(m *machine, duration time.Duration) {
 	for again := true; again; again = d.random.IntN(3) == 0 {
-		slept := time.Duration(d.random.IntN(12)) * time.Second
-		d.note("suspend", m, slept)
+		suspended := time.Duration(d.random.IntN(12)) * time.Second
+		d.record("suspend", m, suspended)
 		m.signal(syscall.SIGSTOP)
-		time.Sleep(spell)
-		if err := m.suspend(slept); err != nil {
+		time.Sleep(duration)
+		if err := m.suspend(suspended); err != nil {
 			d.log("suspend %s: %v", m.name, err)
 		}
-		d.thawed()
+		d.recordResume()
 		m.signal(syscall.SIGCONT)
-		spell /= 8
+		duration /= 8
 	}
 }
 
-// links sets the links of a machine: 0 into it, 1 out of it, 2 both.
-func (d *drawer) links(m *machine, state link, direction int) {
+// setLinks sets the links of a machine: 0 into it, 1 out of it, 2 both.
+func (d *injector) setLinks(m *machine, state link, direction int) {
 	for _, other := range d.site.machines {
 		if other == m {
 			continue
@@ -341,61 +341,61 @@
 	}
 }
 
-func (d *drawer) cut(m *machine, spell time.Duration, direction int) {
-	d.note([]string{"cut into", "cut out of", "cut off"}[direction], m, spell)
-	d.links(m, link{cut: true}, direction)
-	time.Sleep(spell)
-	d.thawed()
+func (d *injector) cut(m *machine, duration time.Duration, direction int) {
+	d.record([]string{"cut into", "cut out of", "cut off"}[direction], m, duration)
+	d.setLinks(m, link{cut: true}, direction)
+	time.Sleep(duration)
+	d.recordResume()
 	d.site.network.heal()
 }
 
-// loseDisk empties or damages one machine's disk while its process is down. The
-// next one is lost only after the group has had time to make it good.
-func (d *drawer) loseDisk(m *machine) {
-	if m.role == "front" || time.Since(d.lastDisk) < diskPause {
+// loseDisk removes or damages one machine's data while its process is down. It allows the
+// group time to recover before the next loss.
+func (d *injector) loseDisk(m *machine) {
+	if m.role == "front" || time.Since(d.lastDiskLoss) < diskLossInterval {
 		return
 	}
-	d.makeWhole()
-	time.Sleep(wholeTime / 2)
+	d.recoverAll()
+	time.Sleep(recoveryTime / 2)
 	m.kill()
 	if d.random.IntN(2) == 0 {
-		d.note("lost disk", m, "")
+		d.record("lost disk", m, "")
 		_ = os.RemoveAll(m.dataPath())
 	} else {
-		d.note("damaged disk", m, damage(m.dataPath()))
+		d.record("damaged disk", m, damage(m.dataPath()))
 	}
 	d.site.start(m, false)
-	d.lastDisk = time.Now()
-	time.Sleep(wholeTime)
+	d.lastDiskLoss = time.Now()
+	time.Sleep(recoveryTime)
 }
 
-// disturbDisk lets one machine's disk stall, be slow or refuse writes for a spell.
-// A process that ends by it is started again, as the platform does, also while
-// the disk still misbehaves.
-func (d *drawer) disturbDisk(m *machine, spell time.Duration) {
+// injectDiskFault makes one machine's disk stall, be slow or reject writes for a while. It
+// restarts a process that ends because of it, as the platform does, even while the fault
+// lasts.
+func (d *injector) injectDiskFault(m *machine, duration time.Duration) {
 	if m.role == "front" {
 		return
 	}
 	mode := []diskfault.Mode{diskfault.Stall, diskfault.Slow, diskfault.Refuse}[d.random.IntN(3)]
-	d.note("disk "+string(mode), m, spell)
-	m.excuse(func() {
+	d.record("disk "+string(mode), m, duration)
+	m.ignoreFailures(func() {
 		d.setDisk(m, mode)
 		const steps = 4
 		for range steps {
-			time.Sleep(spell / steps)
+			time.Sleep(duration / steps)
 			if !m.running() {
 				d.site.start(m, false)
 			}
 		}
 		d.setDisk(m, "")
-		time.Sleep(restartTime)
+		time.Sleep(diskFailureTime)
 	})
 	if !m.running() {
 		d.site.start(m, false)
 	}
 }
 
-func (d *drawer) setDisk(m *machine, mode diskfault.Mode) {
+func (d *injector) setDisk(m *machine, mode diskfault.Mode) {
 	if err := m.setDisk(mode); err != nil {
 		d.site.t.Error(err)
 	}
@@ -422,20 +422,20 @@
 	return fmt.Sprintf("%s at %d", filepath.Base(largest), size/2)
 }
 
-func (d *drawer) killAll(spell time.Duration) {
-	d.note("kill all", d.site.machines[0], spell)
+func (d *injector) killAll(duration time.Duration) {
+	d.record("kill all", d.site.machines[0], duration)
 	for _, m := range d.site.machines {
 		m.kill()
 	}
-	time.Sleep(spell)
+	time.Sleep(duration)
 	for _, m := range d.site.machines {
 		d.site.start(m, false)
 	}
-	time.Sleep(calmTime)
+	time.Sleep(stabilizeTime)
 }
 
-// makeWhole ends all faults and starts what is down.
-func (d *drawer) makeWhole() {
+// recoverAll ends the link faults and starts the stopped processes.
+func (d *injector) recoverAll() {
 	d.site.network.heal()
 	for _, m := range d.site.machines {
 		if !m.running() {
@@ -444,9 +444,8 @@
 	}
 }
 
-// TestPlannedStopFinishesWhatIsInFlight: a front that is told to stop answers a
-// request that takes longer than its notice to callers, before it ends. (Found by
-// a day of 85 machines: the end of the listener ended the drain.)
+// TestPlannedStopFinishesWhatIsInFlight checks that a front that is stopped gracefully
+// completes a request that takes longer than its notice to callers.
 func TestPlannedStopFinishesWhatIsInFlight(t *testing.T) {
 	build(t)
 	s := newSite(t, 3, 0, 1)
@@ -454,10 +453,10 @@
 		s.start(m, true)
 	}
 	tr := newTraffic(s)
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	slow := tr.replicas[0]
 	slow.Behave = func(w http.ResponseWriter, r *http.Request) bool {
-		close(begun)
+		close(started)
 		select {
 		case <-time.After(4 * time.Second):
 		case <-r.Context().Done():
@@ -466,19 +465,19 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go tr.operate(ctx)
-	go tr.beat(ctx, slow)
-	front := s.of("front")[0]
-	until(t, "the front is ready", func() bool { return s.ready(front) })
+	go tr.changeConfigurations(ctx)
+	go tr.sendHeartbeats(ctx, slow)
+	front := s.machinesOf("front")[0]
+	waitUntil(t, "the front is ready", func() bool { return s.ready(front) })
 	answered := make(chan string, 1)
 	go func() {
 		status, body := http.StatusServiceUnavailable, ""
-		for status == http.StatusServiceUnavailable { // the replica may not be known yet
-			status, body, _ = tr.do(ctx, http.MethodPost, tr.front()+"/once/x", http.Header{sitestandin.Headers.RequestID: {"once-slow"}}, nil)
+		for status == http.StatusServiceUnavailable { // the replica may not be registered yet
+			status, body, _ = tr.do(ctx, http.MethodPost, tr.frontURL()+"/once/x", http.Header{sitestandin.Headers.RequestID: {"once-slow"}}, nil)
 		}
 		answered <- fmt.Sprint(status, " ", body)
 	}()
-	<-begun
+	<-started
 	front.stop()
 	if got, want := <-answered, fmt.Sprint(http.StatusOK, " ", sitestandin.Answer(slow.ID, "once-slow")); got != want {
 		t.Errorf("answer %q, want %q", got, want)
--- a/test/soak/traffic_test.go
+++ b/test/soak/traffic_test.go
@@ -21,23 +21,23 @@
 	model     = "model-a"
 	readyPath = "/loomgrade/readyz"
 
-	holderLease = 1500 * time.Millisecond
-	cancelTime  = 3 * time.Second
-	callPause   = 40 * time.Millisecond
-	jobPause    = 700 * time.Millisecond
-	itemsOfAJob = 6
+	holderLease  = 1500 * time.Millisecond
+	cancelGrace  = 3 * time.Second
+	callInterval = 40 * time.Millisecond
+	jobInterval  = 700 * time.Millisecond
+	itemsPerJob  = 6
 )
 
-// traffic is callers, clients of jobs, an operator and replicas.
+// traffic simulates callers, job clients, an operator and replicas.
 type traffic struct {
 	site     *site
-	book     *book
+	recorder *recorder
 	replicas []*sitestandin.Replica
 	client   *http.Client
 }
 
 func newTraffic(s *site) *traffic {
-	tr := &traffic{site: s, book: newBook(), client: &http.Client{
+	tr := &traffic{site: s, recorder: newRecorder(), client: &http.Client{
 		Timeout:   8 * time.Second,
 		Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4},
 	}}
@@ -54,7 +54,7 @@
 
 func (tr *traffic) events() int { return tr.replicas[len(tr.replicas)-1].Events }
 
-// do sends a request; status 0 is no answer.
+// do sends a request; it returns status 0 without a complete response.
 func (tr *traffic) do(ctx context.Context, method, url string, header http.Header, body []byte) (int, string, http.Header) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -76,13 +76,13 @@
 	return response.StatusCode, string(read), response.Header
 }
 
-func (tr *traffic) front() string {
-	fronts := tr.site.of("front")
+func (tr *traffic) frontURL() string {
+	fronts := tr.site.machinesOf("front")
 	return "http://" + tr.site.address(fronts[rand.IntN(len(fronts))], tr.site.ports.caller)
 }
 
-func (tr *traffic) control() string {
-	controls := tr.site.of("control")
+func (tr *traffic) controlURL() string {
+	controls := tr.site.machinesOf("control")
 	return "http://" + tr.site.address(controls[rand.IntN(len(controls))], tr.site.ports.control)
 }
 
@@ -95,31 +95,31 @@
 	}
 }
 
-// call sends requests that may be repeated and such that may not.
-func (tr *traffic) call(ctx context.Context, name string) {
-	for i := 0; pause(ctx, callPause); i++ {
+// sendCalls sends requests, of which every second may run at most once.
+func (tr *traffic) sendCalls(ctx context.Context, name string) {
+	for i := 0; pause(ctx, callInterval); i++ {
 		kind, path := "call", "/plain/x"
 		if i%2 == 1 {
 			kind, path = "once", "/once/x"
 		}
 		id := fmt.Sprintf("%s-%s-%d", kind, name, i)
-		status, body, header := tr.do(ctx, http.MethodPost, tr.front()+path, http.Header{
+		status, body, header := tr.do(ctx, http.MethodPost, tr.frontURL()+path, http.Header{
 			sitestandin.Headers.RequestID: {id}, sitestandin.Headers.Deadline: {"2000"},
 		}, []byte(id))
-		tr.book.answered(id, status, body, header.Get(sitestandin.Headers.Signature))
-		tr.book.count(fmt.Sprintf("%s %d", kind, status))
+		tr.recorder.checkResponse(id, status, body, header.Get(sitestandin.Headers.Signature))
+		tr.recorder.count(fmt.Sprintf("%s %d", kind, status))
 		if kind == "once" {
-			tr.book.mutex.Lock()
-			tr.book.once[id] = status
-			tr.book.mutex.Unlock()
+			tr.recorder.mutex.Lock()
+			tr.recorder.onceStatus[id] = status
+			tr.recorder.mutex.Unlock()
 		}
 	}
 }
 
-// beat sends a replica's heartbeats.
-func (tr *traffic) beat(ctx context.Context, replica *sitestandin.Replica) {
+// sendHeartbeats sends a replica's heartbeats.
+func (tr *traffic) sendHeartbeats(ctx context.Context, replica *sitestandin.Replica) {
 	for ctx.Err() == nil {
-		status, _, _ := tr.do(ctx, http.MethodPut, tr.control()+"/loomgrade/replicas/"+replica.ID, nil, replica.Heartbeat())
+		status, _, _ := tr.do(ctx, http.MethodPut, tr.controlURL()+"/loomgrade/replicas/"+replica.ID, nil, replica.Heartbeat())
 		if status == http.StatusOK && !pause(ctx, 600*time.Millisecond) {
 			return
 		}
@@ -136,26 +136,26 @@
 		"limits":{"maxBodyBytes":1048576}}`, version, host, plain, host, plain, host, engines, plain, engines, model)
 }
 
-// operate changes the configuration and names weights, and reads back.
-func (tr *traffic) operate(ctx context.Context) {
+// changeConfigurations changes the configuration and reads it back, and publishes weights.
+func (tr *traffic) changeConfigurations(ctx context.Context) {
 	version, weights := uint64(0), uint64(1)
 	for round := 0; ctx.Err() == nil; round++ {
 		version++
 		body := configuration(version)
 		for {
-			status, _, _ := tr.do(ctx, http.MethodPut, tr.control()+"/loomgrade/config", nil, body)
+			status, _, _ := tr.do(ctx, http.MethodPut, tr.controlURL()+"/loomgrade/config", nil, body)
 			if status == http.StatusOK {
-				tr.book.mutex.Lock()
-				tr.book.acknowledged = version
-				tr.book.mutex.Unlock()
-				tr.book.count("configurations")
+				tr.recorder.mutex.Lock()
+				tr.recorder.acknowledged = version
+				tr.recorder.mutex.Unlock()
+				tr.recorder.count("configurations")
 				break
 			}
 			if !pause(ctx, 100*time.Millisecond) {
 				return
 			}
 		}
-		tr.readBack(ctx)
+		tr.checkConfiguration(ctx)
 		if round%4 == 3 {
 			weights++
 			tr.publish(ctx, weights)
@@ -169,9 +169,9 @@
 func (tr *traffic) publish(ctx context.Context, version uint64) {
 	body := fmt.Appendf(nil, `{"model":"%s","version":%d}`, model, version)
 	for {
-		status, _, _ := tr.do(ctx, http.MethodPost, tr.control()+"/loomgrade/version-put", nil, body)
+		status, _, _ := tr.do(ctx, http.MethodPost, tr.controlURL()+"/loomgrade/version-put", nil, body)
 		if status == http.StatusOK {
-			tr.book.count("weights published")
+			tr.recorder.count("weights published")
 			return
 		}
 		if !pause(ctx, 100*time.Millisecond) {
@@ -180,13 +180,14 @@
 	}
 }
 
-// readBack reads the configuration at any machine: it is never older than what
-// was acknowledged before, and as it was sent.
-func (tr *traffic) readBack(ctx context.Context) bool {
-	tr.book.mutex.Lock()
-	acknowledged := tr.book.acknowledged
-	tr.book.mutex.Unlock()
-	status, body, _ := tr.do(ctx, http.MethodGet, tr.control()+"/loomgrade/config", nil, nil)
+// checkConfiguration reads the configuration from any control: it must not be older than
+// the last acknowledged version, and must equal the one sent. It reports whether the read
+// succeeded.
+func (tr *traffic) checkConfiguration(ctx context.Context) bool {
+	tr.recorder.mutex.Lock()
+	acknowledged := tr.recorder.acknowledged
+	tr.recorder.mutex.Unlock()
+	status, body, _ := tr.do(ctx, http.MethodGet, tr.controlURL()+"/loomgrade/config", nil, nil)
 	if status != http.StatusOK {
 		return false
 	}
@@ -195,16 +196,16 @@
 	}
 	switch err := json.Unmarshal([]byte(body), &read); {
 	case err != nil:
-		tr.book.fault("configuration read back: %v", err)
+		tr.recorder.violation("configuration read back: %v", err)
 	case read.Version < acknowledged:
-		tr.book.fault("version %d read back after %d was acknowledged", read.Version, acknowledged)
+		tr.recorder.violation("read version %d after version %d was acknowledged", read.Version, acknowledged)
 	case body != string(configuration(read.Version)):
-		tr.book.fault("version %d differs from what was sent", read.Version)
+		tr.recorder.violation("version %d differs from the one sent", read.Version)
 	}
 	return true
 }
 
-func (tr *traffic) submission(job *jobBook) []byte {
+func (tr *traffic) submission(job *jobRecord) []byte {
 	var items []map[string]any
 	for _, id := range job.items {
 		items = append(items, map[string]any{
@@ -219,40 +220,40 @@
 	return body
 }
 
-// follow is a job's client, until the context ends or all is read.
-func (tr *traffic) follow(ctx context.Context, job *jobBook, early bool) {
+// runJobClient runs a job's client until the context ends or all results are read.
+func (tr *traffic) runJobClient(ctx context.Context, job *jobRecord, endEarly bool) {
 	body := tr.submission(job)
 	for {
-		status, _, _ := tr.do(ctx, http.MethodPost, tr.front()+"/jobs/submit", http.Header{sitestandin.Headers.RequestID: {job.id}}, body)
+		status, _, _ := tr.do(ctx, http.MethodPost, tr.frontURL()+"/jobs/submit", http.Header{sitestandin.Headers.RequestID: {job.id}}, body)
 		if status == http.StatusAccepted {
-			tr.book.count("jobs accepted")
+			tr.recorder.count("jobs accepted")
 			break
 		}
 		if !pause(ctx, 150*time.Millisecond) {
-			tr.book.mutex.Lock()
-			job.items = nil // not known to be kept
-			delete(tr.book.jobs, job.id)
-			tr.book.mutex.Unlock()
+			tr.recorder.mutex.Lock()
+			job.items = nil // may not be accepted
+			delete(tr.recorder.jobs, job.id)
+			tr.recorder.mutex.Unlock()
 			return
 		}
 	}
-	if early && pause(ctx, 300*time.Millisecond) {
-		tr.end(ctx, job)
+	if endEarly && pause(ctx, 300*time.Millisecond) {
+		tr.endJob(ctx, job)
 		return
 	}
-	for !tr.read(ctx, job) && pause(ctx, 200*time.Millisecond) {
+	for !tr.readResults(ctx, job) && pause(ctx, 200*time.Millisecond) {
 	}
 }
 
-// read reads from an earlier position on; it reports whether all is listed.
-func (tr *traffic) read(ctx context.Context, job *jobBook) bool {
+// readResults reads results from a random earlier position, and reports whether it has all.
+func (tr *traffic) readResults(ctx context.Context, job *jobRecord) bool {
 	from := 0
-	if held := len(job.results); held > 0 {
-		from = rand.IntN(held + 1)
+	if stored := len(job.results); stored > 0 {
+		from = rand.IntN(stored + 1)
 	}
-	status, body, _ := tr.do(ctx, http.MethodGet, fmt.Sprintf("%s/loomgrade/lots/%s?sinceRevision=%d", tr.front(), job.id, from), nil, nil)
+	status, body, _ := tr.do(ctx, http.MethodGet, fmt.Sprintf("%s/loomgrade/lots/%s?sinceRevision=%d", tr.frontURL(), job.id, from), nil, nil)
 	if status == http.StatusNotFound {
-		tr.book.fault("job %s was accepted and is not known", job.id)
+		tr.recorder.violation("accepted job %s is not found", job.id)
 		return true
 	}
 	if status != http.StatusOK {
@@ -263,21 +264,21 @@
 		Results []result `json:"results"`
 	}
 	if err := json.Unmarshal([]byte(body), &page); err != nil {
-		tr.book.fault("job %s: %v", job.id, err)
+		tr.recorder.violation("job %s: %v", job.id, err)
 		return true
 	}
-	tr.book.readPage(job, from, page.Total, page.Results, tr.events())
+	tr.recorder.checkPage(job, from, page.Total, page.Results, tr.events())
 	return len(job.results) == len(job.items)
 }
 
-func (tr *traffic) end(ctx context.Context, job *jobBook) {
+func (tr *traffic) endJob(ctx context.Context, job *jobRecord) {
 	for {
-		status, _, _ := tr.do(ctx, http.MethodDelete, tr.front()+"/loomgrade/lots/"+job.id, nil, nil)
+		status, _, _ := tr.do(ctx, http.MethodDelete, tr.frontURL()+"/loomgrade/lots/"+job.id, nil, nil)
 		if status == http.StatusOK {
-			tr.book.mutex.Lock()
+			tr.recorder.mutex.Lock()
 			job.ended = time.Now()
-			tr.book.mutex.Unlock()
-			tr.book.count("jobs ended")
+			tr.recorder.mutex.Unlock()
+			tr.recorder.count("jobs ended")
 			return
 		}
 		if !pause(ctx, 100*time.Millisecond) {
