--- a/test/source/doc.go
+++ b/test/source/doc.go
@@ -1,3 +1,3 @@
-// Package source holds tests that read the source of the repository: what the
-// core may use, which libraries there are, and that no process starts another.
+// Package source holds tests that parse the repository's source: which packages the core
+// may import, which libraries are allowed, and that no process starts another.
 package source
--- a/test/source/source_test.go
+++ b/test/source/source_test.go
@@ -15,19 +15,19 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// sourceFile is one parsed file, by its path from the root.
+// sourceFile is one parsed file, with its path relative to the root.
 type sourceFile struct {
 	path    string
 	syntax  *ast.File
-	imports map[string]string // path by the name that the file uses
+	imports map[string]string // import path by name in the file
 }
 
-// sources parses the Go files below a folder, without tests.
-func sources(t *testing.T, below string) []sourceFile {
+// parseSources parses the non-test Go files below a folder.
+func parseSources(t *testing.T, folder string) []sourceFile {
 	t.Helper()
 	root := testkit.Root(t)
 	var found []sourceFile
-	err := filepath.WalkDir(filepath.Join(root, below), func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -39,15 +39,15 @@
 		found = append(found, sourceFile{relative, syntax, importsOf(syntax)})
 		return err
 	})
-	if err != nil || len(found) < leastFiles(below) {
-		t.Fatalf("%d files below %s, %v", len(found), below, err)
+	if err != nil || len(found) < minFiles(folder) {
+		t.Fatalf("%d files below %s, %v", len(found), folder, err)
 	}
 	return found
 }
 
-// leastFiles guards against a walk that found nothing.
-func leastFiles(below string) int {
-	if below == "platform" {
+// minFiles returns the min number of files below a folder, to detect an incomplete walk.
+func minFiles(folder string) int {
+	if folder == "platform" {
 		return 5 // a small folder
 	}
 	return 10
@@ -69,22 +69,22 @@
 	return imports
 }
 
-// impureImports reach outside the process or hold hidden state.
+// impureImports lists packages that reach outside the process or hold hidden state.
 var impureImports = []string{
 	"os", "os/exec", "os/signal", "net", "net/http", "io/fs", "syscall", "crypto/rand", "math/rand", "log",
 	"github.com/phuslu/log", "golang.org/x/sync/errgroup",
 }
 
-// impureCalls read a clock or the global random source.
+// impureCalls lists functions that read a clock or the global random source.
 var impureCalls = map[string][]string{
 	"time":         {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"},
 	"math/rand/v2": {"Int", "IntN", "Int64", "Int64N", "Uint32", "Uint64", "Uint64N", "N", "Float64", "Perm", "Shuffle", "ExpFloat64", "NormFloat64"},
 }
 
-// TestCoreIsPure: the decisions of internal/core take time, ids and seeds as
-// arguments, so that the same code runs in processes and in virtual time.
+// TestCoreIsPure checks that internal/core takes time, ids and seeds as arguments, so that
+// the same code runs in processes and in virtual time.
 func TestCoreIsPure(t *testing.T) {
-	for _, file := range sources(t, "internal/core") {
+	for _, file := range parseSources(t, "internal/core") {
 		for _, path := range file.imports {
 			if slices.Contains(impureImports, path) || strings.Contains(path, "/internal/adapter") || strings.Contains(path, "/internal/app") || strings.Contains(path, "/internal/lab") {
 				t.Errorf("%s imports %s", file.path, path)
@@ -104,29 +104,29 @@
 	}
 }
 
-// TestPortsKnowNoAdapter: dependencies point inwards.
+// TestPortsKnowNoAdapter checks that dependencies point inwards.
 func TestPortsKnowNoAdapter(t *testing.T) {
-	for _, file := range sources(t, "internal/port") {
+	for _, file := range parseSources(t, "internal/port") {
 		for _, path := range file.imports {
 			if strings.Contains(path, "loomgrade/internal/") && !strings.HasSuffix(path, "loomgrade/internal/port") {
 				t.Errorf("%s imports %s", file.path, path)
 			}
 		}
 	}
-	for _, file := range append(sources(t, "internal/adapter"), sources(t, "internal/app")...) {
+	for _, file := range append(parseSources(t, "internal/adapter"), parseSources(t, "internal/app")...) {
 		isTestSupport := strings.HasPrefix(file.path, "internal/adapter/contracttest/")
 		for _, path := range file.imports {
 			if strings.Contains(path, "loomgrade/internal/lab") && !isTestSupport {
-				t.Errorf("%s imports %s: the product must not need the lab", file.path, path)
+				t.Errorf("%s imports %s: programs must not depend on the lab", file.path, path)
 			}
 		}
 	}
 }
 
-// TestNoProcessStartsAnother looks at everything that ends up in the programs.
+// TestNoProcessStartsAnother checks all source of the programs.
 func TestNoProcessStartsAnother(t *testing.T) {
-	for _, below := range []string{"cmd", "internal"} {
-		for _, file := range sources(t, below) {
+	for _, folder := range []string{"cmd", "internal"} {
+		for _, file := range parseSources(t, folder) {
 			for name, path := range file.imports {
 				if path == "os/exec" || path == "plugin" {
 					t.Errorf("%s imports %s", file.path, path)
@@ -151,9 +151,9 @@
 	}
 }
 
-// agreedLibraries are the modules that the code may import, besides the standard
-// library; docs/design/0001-overview.md says what each is for.
-var agreedLibraries = []string{
+// allowedLibraries lists the modules that the code may import besides the standard library;
+// docs/design/0001-overview.md describes each.
+var allowedLibraries = []string{
 	"github.com/alecthomas/kong", "github.com/phuslu/log", "github.com/rotisserie/eris",
 	"github.com/fxamacker/cbor/v2", "golang.org/x/sync/errgroup", "github.com/goccy/go-yaml",
 	"go.starlark.net/", "github.com/prometheus/client_golang/", "github.com/HdrHistogram/hdrhistogram-go",
@@ -166,19 +166,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, library := range agreedLibraries {
+	for _, library := range allowedLibraries {
 		if !strings.Contains(string(overview), strings.TrimSuffix(library, "/")) {
-			t.Errorf("the overview does not say what %s is for", library)
+			t.Errorf("the overview does not describe %s", library)
 		}
 	}
-	for _, below := range []string{"cmd", "internal"} {
-		for _, file := range sources(t, below) {
+	for _, folder := range []string{"cmd", "internal"} {
+		for _, file := range parseSources(t, folder) {
 			for _, path := range file.imports {
 				if !strings.Contains(path, ".") || strings.HasPrefix(path, "github.com/loomgrade/loomgrade/") {
 					continue
 				}
-				if !slices.ContainsFunc(agreedLibraries, func(library string) bool { return strings.HasPrefix(path, library) }) {
-					t.Errorf("%s imports %s, which is not agreed", file.path, path)
+				if !slices.ContainsFunc(allowedLibraries, func(library string) bool { return strings.HasPrefix(path, library) }) {
+					t.Errorf("%s imports %s, which is not allowed", file.path, path)
 				}
 			}
 		}
@@ -187,28 +187,28 @@
 
 func TestEveryPackageIsDocumented(t *testing.T) {
 	documented := map[string]bool{}
-	for _, below := range []string{"cmd", "internal"} {
-		for _, file := range sources(t, below) {
-			folder := filepath.Dir(file.path)
-			documented[folder] = documented[folder] || file.syntax.Doc != nil
+	for _, folder := range []string{"cmd", "internal"} {
+		for _, file := range parseSources(t, folder) {
+			directory := filepath.Dir(file.path)
+			documented[directory] = documented[directory] || file.syntax.Doc != nil
 		}
 	}
-	for folder, has := range documented {
+	for directory, has := range documented {
 		if !has {
-			t.Errorf("%s has no package comment", folder)
+			t.Errorf("%s has no package comment", directory)
 		}
 	}
 }
 
-// platformPackage speaks the users' platform.
+// platformPackage implements the protocol of the users' platform.
 const platformPackage = "github.com/loomgrade/loomgrade/platform"
 
-// TestOnlyThePlatformFolderKnowsThePlatform: its names stand nowhere else in the
-// programs, and only the commands put it together with the rest.
+// TestOnlyThePlatformFolderKnowsThePlatform checks that only the platform folder contains
+// the platform's names, and that only the commands import it.
 func TestOnlyThePlatformFolderKnowsThePlatform(t *testing.T) {
 	names := []string{"x-loomgrade-", "/loomgrade/", "attempt-id", "response-seal"}
-	for _, below := range []string{"cmd", "internal"} {
-		for _, file := range sources(t, below) {
+	for _, folder := range []string{"cmd", "internal"} {
+		for _, file := range parseSources(t, folder) {
 			for _, path := range file.imports {
 				if path == platformPackage && !strings.HasPrefix(file.path, "cmd/loomgrade/") {
 					t.Errorf("%s imports %s", file.path, path)
@@ -224,7 +224,7 @@
 				}
 				for _, name := range names {
 					if strings.Contains(strings.ToLower(literal.Value), name) {
-						t.Errorf("%s has the platform's name %s", file.path, literal.Value)
+						t.Errorf("%s contains the platform's name %s", file.path, literal.Value)
 					}
 				}
 				return true
@@ -233,10 +233,10 @@
 	}
 }
 
-// TestThePlatformFolderDecidesNothing: it reads no clock, draws nothing, starts
-// nothing, sends nothing and keeps nothing between calls.
+// TestThePlatformFolderDecidesNothing checks that the platform folder reads no clock or
+// random source, starts no goroutine, does no I/O and holds no shared state.
 func TestThePlatformFolderDecidesNothing(t *testing.T) {
-	for _, file := range sources(t, "platform") {
+	for _, file := range parseSources(t, "platform") {
 		for _, path := range file.imports {
 			if slices.Contains([]string{"os", "net", "syscall", "math/rand/v2", "crypto/rand", "sync", "sync/atomic", "golang.org/x/sync/errgroup"}, path) ||
 				strings.Contains(path, "/internal/adapter") || strings.Contains(path, "/internal/core/consensus") {
@@ -257,7 +257,8 @@
 	}
 }
 
-// siteSources hold the decisions of a site's processes on the users' platform.
+// siteSources lists the code that makes the decisions of a site's processes on the users'
+// platform.
 var siteSources = []string{
 	"cmd/loomgrade/cmd_site", "cmd/loomgrade/site", "platform/",
 	"internal/adapter/eventlog/", "internal/adapter/httpcall/", "internal/adapter/tcpsocket/", "internal/adapter/wire/",
@@ -267,31 +268,31 @@
 	"internal/core/jobstate/", "internal/core/routing/", "internal/core/sitestate/",
 }
 
-// stripsSteadyClock are methods of time.Time, and functions of package time, that
-// leave the time of day alone.
-var stripsSteadyClock = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "MarshalBinary", "MarshalText", "MarshalJSON"}
+// stripsMonotonicClock lists methods of time.Time and functions of package time that drop
+// the monotonic clock reading.
+var stripsMonotonicClock = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "MarshalBinary", "MarshalText", "MarshalJSON"}
 
-// TestASiteLivesByTheSteadyClock: the time of day jumps on some machines, so no
-// process of a site takes a decision by it. Readings of time.Now compare by the
-// steady clock until one of these strips it.
+// TestASiteLivesByTheSteadyClock checks that no process of a site decides by the wall
+// clock, which may jump. Results of time.Now compare by the monotonic clock until one of
+// these methods drops it.
 func TestASiteLivesByTheSteadyClock(t *testing.T) {
 	seen := map[string]bool{}
-	for _, below := range []string{"cmd", "platform", "internal"} {
-		for _, file := range sources(t, below) {
+	for _, folder := range []string{"cmd", "platform", "internal"} {
+		for _, file := range parseSources(t, folder) {
 			i := slices.IndexFunc(siteSources, func(prefix string) bool { return strings.HasPrefix(file.path, prefix) })
 			if i < 0 {
 				continue
 			}
 			seen[siteSources[i]] = true
 			ast.Inspect(file.syntax, func(node ast.Node) bool {
-				if selector, isSelector := node.(*ast.SelectorExpr); isSelector && slices.Contains(stripsSteadyClock, selector.Sel.Name) {
-					t.Errorf("%s uses %s, which strips the steady clock", file.path, selector.Sel.Name)
+				if selector, isSelector := node.(*ast.SelectorExpr); isSelector && slices.Contains(stripsMonotonicClock, selector.Sel.Name) {
+					t.Errorf("%s uses %s, which drops the monotonic clock reading", file.path, selector.Sel.Name)
 				}
 				return true
 			})
 		}
 	}
 	if len(seen) != len(siteSources) {
-		t.Errorf("sources of %d of %d places were found", len(seen), len(siteSources))
+		t.Errorf("found sources of %d of %d prefixes", len(seen), len(siteSources))
 	}
 }
