--- a/cmd/loomlab/cmd_chaos.go
+++ b/cmd/loomlab/cmd_chaos.go
@@ -112,10 +112,10 @@
 	for _, members := range []int{3, 5} {
 		failover := chaos.MeasureFailover(members, failoverSeeds)
 		fmt.Printf("%d members, leader killed: no leader    %v\n", members, failover.Leaderless)
-		fmt.Printf("%d members, leader killed: next change  %v\n", members, failover.Unavailing)
+		fmt.Printf("%d members, leader killed: next change  %v\n", members, failover.Unavailable)
 	}
 	for _, observers := range []int{3, 60, 660} {
-		inForce := chaos.MeasureInForce(observers, inForceSeeds)
+		inForce := chaos.MeasurePropagation(observers, inForceSeeds)
 		fmt.Printf("%3d observers, commit to in force: half %v\n", observers, inForce.Half)
 		fmt.Printf("%3d observers, commit to in force: all  %v\n", observers, inForce.All)
 	}
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -12,9 +12,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestScenariosHold runs fixed seeds of every scenario, which together must cover every
+// TestScenariosKeepInvariants runs fixed seeds of every scenario, which together must cover every
 // counted situation.
-func TestScenariosHold(t *testing.T) {
+func TestScenariosKeepInvariants(t *testing.T) {
 	scenarios := Scenarios()
 	summaries := make([]Summary, len(scenarios))
 	t.Run("scenario", func(t *testing.T) {
@@ -57,9 +57,9 @@
 	return Summarize(scenario, reports)
 }
 
-// TestHistoriesAreDecided replays two seeds with so many lost responses that the search
+// TestLinearizationCheckFinishes replays two seeds with so many lost responses that the search
 // for a linearization once timed out.
-func TestHistoriesAreDecided(t *testing.T) {
+func TestLinearizationCheckFinishes(t *testing.T) {
 	for name, seed := range map[string]uint64{"all": 155, "together": 59} {
 		scenario, _ := ScenarioNamed(name)
 		for _, violation := range Run(Options{Scenario: scenario, Seed: seed}).Violations {
@@ -85,13 +85,13 @@
 
 // wipedScenario wipes disks while leaders change.
 var wipedScenario = Scenario{
-	Name: "wiped", Faulty: 3 * time.Minute, Every: 5 * time.Second, Together: 2, Members: 3,
+	Name: "wiped", FaultDuration: 3 * time.Minute, InjectionInterval: 5 * time.Second, FaultsPerInjection: 2, Members: 3,
 	Faults: []Fault{FaultLose, FaultKill, FaultIsolate, FaultIsolateLeader},
 }
 
 // restartScenario restarts observers while members are isolated.
 var restartScenario = Scenario{
-	Name: "restarts", Faulty: 2 * time.Minute, Every: 3 * time.Second, Together: 1, Members: 3,
+	Name: "restarts", FaultDuration: 2 * time.Minute, InjectionInterval: 3 * time.Second, FaultsPerInjection: 1, Members: 3,
 	Faults: []Fault{FaultObserverAway, FaultObserverAway, FaultIsolate},
 }
 
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestBooksFindForgedResults feeds the reference model commits that a correct state
+// TestReferenceModelFindsForgedResults feeds the reference model commits that a correct state
 // machine rejects.
-func TestBooksFindForgedResults(t *testing.T) {
+func TestReferenceModelFindsForgedResults(t *testing.T) {
 	commit := func(number port.BatchNumber, attempt uint32, sequence uint64, prompt port.PromptIndex, oldest port.WeightVersion) port.Command {
 		return port.Command{CommitBatch: &port.CommitBatch{
 			Number: number, Attempt: attempt, CoordinatorEpoch: 1, ConsumerEpoch: 2,
@@ -244,7 +244,7 @@
 	if len(failover.Leaderless) == 0 || failover.Leaderless[0] < electionTicks*tickInterval/2 {
 		t.Fatalf("leaderless %v", failover.Leaderless)
 	}
-	inForce := MeasureInForce(3, 1)
+	inForce := MeasurePropagation(3, 1)
 	if len(inForce.All) == 0 || inForce.All[0] <= 0 || inForce.All.Quantile(1) > time.Minute {
 		t.Fatalf("in force %v", inForce.All)
 	}
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -63,7 +63,7 @@
 }
 
 func (i *injector) schedule() {
-	every := i.world.options.Scenario.Every
+	every := i.world.options.Scenario.InjectionInterval
 	i.world.after(i.world.randomDuration(every/2, every*3/2), i.inject)
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	i.schedule()
-	for range scenario.Together {
+	for range scenario.FaultsPerInjection {
 		i.injectOne(scenario.Faults[i.world.random.IntN(len(scenario.Faults))])
 	}
 }
@@ -204,7 +204,7 @@
 
 // isolationDuration returns the length of an isolation, which is minutes in long scenarios.
 func (i *injector) isolationDuration() time.Duration {
-	if i.world.options.Scenario.Faulty >= longFaultDuration {
+	if i.world.options.Scenario.FaultDuration >= longFaultDuration {
 		return i.world.randomDuration(60*time.Second, 150*time.Second)
 	}
 	return i.longDuration()
--- a/internal/lab/chaos/measure.go
+++ b/internal/lab/chaos/measure.go
@@ -38,8 +38,8 @@
 // Failover holds how long the members had no leader after the leader's process was
 // killed, and how long until the next change was accepted.
 type Failover struct {
-	Leaderless Times
-	Unavailing Times
+	Leaderless  Times
+	Unavailable Times
 }
 
 // MeasureFailover repeatedly kills the leader of members without other faults, over some
@@ -47,14 +47,14 @@
 func MeasureFailover(members int, seeds int) Failover {
 	var found Failover
 	for seed := range uint64(seeds) {
-		world := newWorld(Options{Seed: seed + 1, Scenario: Scenario{Name: "failover", Faulty: time.Hour, Every: time.Hour, Members: members}})
+		world := newWorld(Options{Seed: seed + 1, Scenario: Scenario{Name: "failover", FaultDuration: time.Hour, InjectionInterval: time.Hour, Members: members}})
 		for number := range killLeaders {
 			world.runUntil(killAt + time.Duration(number)*killInterval)
 			found.measureOne(world)
 		}
 	}
 	slices.Sort(found.Leaderless)
-	slices.Sort(found.Unavailing)
+	slices.Sort(found.Unavailable)
 	return found
 }
 
@@ -75,26 +75,26 @@
 	accepted := world.audit.lastAccepted
 	for world.step(until) {
 		if world.audit.lastAccepted > max(accepted, killed) {
-			f.Unavailing = append(f.Unavailing, world.audit.lastAccepted-killed)
+			f.Unavailable = append(f.Unavailable, world.audit.lastAccepted-killed)
 			return
 		}
 	}
 }
 
-// InForce holds the times from a change's commit on the leader until half of the
+// Propagation holds the times from a change's commit on the leader until half of the
 // observers, or all of them, show it.
-type InForce struct {
+type Propagation struct {
 	Half Times
 	All  Times
 }
 
-// MeasureInForce runs members without faults and some observers in virtual time. Links
+// MeasurePropagation runs members without faults and some observers in virtual time. Links
 // have unlimited bandwidth.
-func MeasureInForce(observers, seeds int) InForce {
-	var found InForce
+func MeasurePropagation(observers, seeds int) Propagation {
+	var found Propagation
 	for seed := range uint64(seeds) {
 		world := newWorld(Options{Seed: seed + 1, Observers: observers,
-			Scenario: Scenario{Name: "in-force", Faulty: time.Hour, Every: time.Hour, Members: 3}})
+			Scenario: Scenario{Name: "in-force", FaultDuration: time.Hour, InjectionInterval: time.Hour, Members: 3}})
 		world.runUntil(measureDuration)
 		found.collect(world)
 	}
@@ -103,7 +103,7 @@
 	return found
 }
 
-func (f *InForce) collect(world *World) {
+func (f *Propagation) collect(world *World) {
 	for _, revision := range sortedKeys(world.audit.acceptedAt) {
 		at := world.audit.acceptedAt[revision]
 		if at < warmUp || at > measureDuration-warmUp {
--- a/internal/lab/chaos/report.go
+++ b/internal/lab/chaos/report.go
@@ -45,7 +45,7 @@
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	rows := []string{"scenario\tseeds\tvirtual time\tsteps\tfaults\tchanges accepted\tbatches\trepairs\tviolations\t"}
 	for _, summary := range summaries {
-		virtual := time.Duration(summary.Seeds) * (summary.Scenario.Faulty + recoveryTime)
+		virtual := time.Duration(summary.Seeds) * (summary.Scenario.FaultDuration + recoveryTime)
 		rows = append(rows, fmt.Sprintf("%s\t%d\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t",
 			summary.Scenario.Name, summary.Seeds, virtual.Round(time.Minute), summary.Steps, summary.Faults,
 			summary.Accepted, summary.Batches, summary.Repairs, summary.Violations))
--- a/internal/lab/chaos/scenario.go
+++ b/internal/lab/chaos/scenario.go
@@ -6,12 +6,12 @@
 type Scenario struct {
 	Name  string
 	Title string
-	// Faulty is how long faults are injected, in virtual time.
-	Faulty time.Duration
-	// Every is the mean time between two injections, Together the number of faults per
+	// FaultDuration is how long faults are injected, in virtual time.
+	FaultDuration time.Duration
+	// InjectionInterval is the mean time between two injections, Together the number of faults per
 	// injection.
-	Every    time.Duration
-	Together int
+	InjectionInterval  time.Duration
+	FaultsPerInjection int
 	// Network applies while faults are injected.
 	Network Network
 	Faults  []Fault
@@ -39,17 +39,17 @@
 		FaultPause, FaultClock, FaultClockElection, FaultSync, FaultDiskFull, FaultLose, FaultStorm, FaultObserverAway,
 	}
 	return []Scenario{
-		{Name: "calm", Title: "no faults", Faulty: time.Minute, Every: time.Hour},
-		{Name: "lossy", Title: "loss, delay, duplication and reordering of messages", Faulty: 90 * time.Second, Every: 10 * time.Second, Together: 1, Network: lossy, Faults: []Fault{FaultStorm}},
-		{Name: "cuts", Title: "one-way cuts and splits", Faulty: 90 * time.Second, Every: 4 * time.Second, Together: 1, Faults: []Fault{FaultCut, FaultCut, FaultSplit}},
-		{Name: "isolation", Title: "silent isolation for minutes, of the leader too", Faulty: 5 * time.Minute, Every: 60 * time.Second, Together: 1, Faults: []Fault{FaultIsolateLeader, FaultIsolate, FaultPause}},
-		{Name: "crashes", Title: "power loss and kills between any two steps, lost and torn writes", Faulty: 90 * time.Second, Every: 3 * time.Second, Together: 1, Faults: []Fault{FaultPowerLoss, FaultKill, FaultCrashPoints}},
-		{Name: "disks", Title: "failed syncs and full disks", Faulty: 2 * time.Minute, Every: 6 * time.Second, Together: 1, Faults: []Fault{FaultSync, FaultDiskFull, FaultPowerLoss}},
-		{Name: "clocks", Title: "clock jumps and pauses", Faulty: 90 * time.Second, Every: 5 * time.Second, Together: 1, Faults: []Fault{FaultClock, FaultClockElection, FaultPause, FaultKill}},
-		{Name: "replace", Title: "a machine lost and replaced, a second one lost right after", Faulty: 3 * time.Minute, Every: 40 * time.Second, Together: 1, Members: 3, Faults: []Fault{FaultLose, FaultLoseAfterRepair}},
-		{Name: "absence", Title: "members and observers away for minutes and hundreds of changes", Faulty: 4 * time.Minute, Every: 12 * time.Second, Together: 1, Learners: 1, MaxPause: 600 * time.Millisecond, Faults: []Fault{FaultAbsence, FaultKill, FaultObserverAway, FaultObserverAway, FaultIsolate}},
-		{Name: "all", Title: "all faults, one at a time", Faulty: 3 * time.Minute, Every: 4 * time.Second, Together: 1, Learners: 1, Network: Network{Loss: 0.02, Duplicate: 0.02, Delay: 20 * time.Millisecond}, Faults: every},
-		{Name: "together", Title: "all faults, two at once and twice", Faulty: 3 * time.Minute, Every: 6 * time.Second, Together: 2, Learners: 1, Network: lossy, Faults: append(every, FaultLoseAfterRepair)},
+		{Name: "calm", Title: "no faults", FaultDuration: time.Minute, InjectionInterval: time.Hour},
+		{Name: "lossy", Title: "loss, delay, duplication and reordering of messages", FaultDuration: 90 * time.Second, InjectionInterval: 10 * time.Second, FaultsPerInjection: 1, Network: lossy, Faults: []Fault{FaultStorm}},
+		{Name: "cuts", Title: "one-way cuts and splits", FaultDuration: 90 * time.Second, InjectionInterval: 4 * time.Second, FaultsPerInjection: 1, Faults: []Fault{FaultCut, FaultCut, FaultSplit}},
+		{Name: "isolation", Title: "silent isolation for minutes, of the leader too", FaultDuration: 5 * time.Minute, InjectionInterval: 60 * time.Second, FaultsPerInjection: 1, Faults: []Fault{FaultIsolateLeader, FaultIsolate, FaultPause}},
+		{Name: "crashes", Title: "power loss and kills between any two steps, lost and torn writes", FaultDuration: 90 * time.Second, InjectionInterval: 3 * time.Second, FaultsPerInjection: 1, Faults: []Fault{FaultPowerLoss, FaultKill, FaultCrashPoints}},
+		{Name: "disks", Title: "failed syncs and full disks", FaultDuration: 2 * time.Minute, InjectionInterval: 6 * time.Second, FaultsPerInjection: 1, Faults: []Fault{FaultSync, FaultDiskFull, FaultPowerLoss}},
+		{Name: "clocks", Title: "clock jumps and pauses", FaultDuration: 90 * time.Second, InjectionInterval: 5 * time.Second, FaultsPerInjection: 1, Faults: []Fault{FaultClock, FaultClockElection, FaultPause, FaultKill}},
+		{Name: "replace", Title: "a machine lost and replaced, a second one lost right after", FaultDuration: 3 * time.Minute, InjectionInterval: 40 * time.Second, FaultsPerInjection: 1, Members: 3, Faults: []Fault{FaultLose, FaultLoseAfterRepair}},
+		{Name: "absence", Title: "members and observers away for minutes and hundreds of changes", FaultDuration: 4 * time.Minute, InjectionInterval: 12 * time.Second, FaultsPerInjection: 1, Learners: 1, MaxPause: 600 * time.Millisecond, Faults: []Fault{FaultAbsence, FaultKill, FaultObserverAway, FaultObserverAway, FaultIsolate}},
+		{Name: "all", Title: "all faults, one at a time", FaultDuration: 3 * time.Minute, InjectionInterval: 4 * time.Second, FaultsPerInjection: 1, Learners: 1, Network: Network{Loss: 0.02, Duplicate: 0.02, Delay: 20 * time.Millisecond}, Faults: every},
+		{Name: "together", Title: "all faults, two at once and twice", FaultDuration: 3 * time.Minute, InjectionInterval: 6 * time.Second, FaultsPerInjection: 2, Learners: 1, Network: lossy, Faults: append(every, FaultLoseAfterRepair)},
 	}
 }
 
--- a/internal/lab/chaos/world.go
+++ b/internal/lab/chaos/world.go
@@ -165,7 +165,7 @@
 
 // run runs the faults, the recovery and the final checks.
 func (w *World) run() {
-	w.runUntil(w.options.Scenario.Faulty)
+	w.runUntil(w.options.Scenario.FaultDuration)
 	w.endFaults()
 	w.runUntil(w.now + recoveryTime)
 	w.checkProgress()
@@ -203,7 +203,7 @@
 		w.violation("no progress", "no leader %v after the last fault", recoveryTime)
 		return
 	}
-	if w.audit.lastAccepted < w.options.Scenario.Faulty {
+	if w.audit.lastAccepted < w.options.Scenario.FaultDuration {
 		w.violation("no progress", "no change accepted since the last fault")
 	}
 	newest := w.audit.revision
--- a/internal/lab/sim/fault/fault_test.go
+++ b/internal/lab/sim/fault/fault_test.go
@@ -17,9 +17,9 @@
 	if !found {
 		t.Fatalf("no scenario %q", name)
 	}
-	scenario.Faulty = 15 * time.Second
+	scenario.FaultDuration = 15 * time.Second
 	if len(faults) > 0 {
-		scenario.Faults, scenario.Every, scenario.Together = faults, 500*time.Millisecond, 1
+		scenario.Faults, scenario.InjectionInterval, scenario.FaultsPerInjection = faults, 500*time.Millisecond, 1
 	}
 	return scenario
 }
--- a/internal/lab/sim/fault/inject.go
+++ b/internal/lab/sim/fault/inject.go
@@ -10,12 +10,12 @@
 
 // injectNext injects faults at random intervals until the fault phase ends.
 func (w *world) injectNext() {
-	wait := time.Duration(w.random.faults.ExpFloat64() * float64(w.options.Scenario.Every))
+	wait := time.Duration(w.random.faults.ExpFloat64() * float64(w.options.Scenario.InjectionInterval))
 	w.after(wait, func() {
 		if w.queue.Now() >= w.faultsEnd() || len(w.options.Scenario.Faults) == 0 {
 			return
 		}
-		for range w.options.Scenario.Together {
+		for range w.options.Scenario.FaultsPerInjection {
 			w.inject(w.options.Scenario.Faults[w.random.faults.IntN(len(w.options.Scenario.Faults))])
 		}
 		w.injectNext()
--- a/internal/lab/sim/fault/options.go
+++ b/internal/lab/sim/fault/options.go
@@ -49,13 +49,13 @@
 type Scenario struct {
 	Name  string
 	Title string
-	// Faulty is how long faults are injected.
-	Faulty time.Duration
-	// Every is the mean time between injections, Together the number of faults in
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	// InjectionInterval is the mean time between injections, Together the number of faults in
 	// one injection.
-	Every    time.Duration
-	Together int
-	Faults   []Fault
+	InjectionInterval  time.Duration
+	FaultsPerInjection int
+	Faults             []Fault
 }
 
 // settleTime is the fault-free time at the end, in which work must make progress.
@@ -115,20 +115,20 @@
 	every := join(engines, backEnds, cuts, nodes, coordinators, control, trainers, weights, departures, stops)
 	const faulty = 30 * time.Second
 	return []Scenario{
-		{Name: "calm", Title: "no faults", Faulty: faulty, Every: time.Hour},
-		{Name: "engines", Title: "engines crash, refuse, mix ids, go on after cancel, report late", Faulty: faulty, Every: 2 * time.Second, Together: 1, Faults: engines},
-		{Name: "backends", Title: "application back ends crash, refuse, fail, mix ids, get slow", Faulty: faulty, Every: time.Second, Together: 1, Faults: backEnds},
-		{Name: "cuts", Title: "connections cut before and after the first byte", Faulty: faulty, Every: 2 * time.Second, Together: 1, Faults: cuts},
-		{Name: "nodes", Title: "home nodes lost, two homes, zones cut off", Faulty: faulty, Every: 8 * time.Second, Together: 1, Faults: nodes},
-		{Name: "coordinators", Title: "coordinator killed at any step, two at once", Faulty: faulty, Every: 8 * time.Second, Together: 1, Faults: coordinators},
-		{Name: "control", Title: "outages, lost proposals and answers, late views", Faulty: faulty, Every: 5 * time.Second, Together: 1, Faults: control},
-		{Name: "trainers", Title: "trainer crashes, asks twice and back, publishes early; scorer late and failing", Faulty: faulty, Every: 2 * time.Second, Together: 1, Faults: trainers},
-		{Name: "weights", Title: "swaps fail and land elsewhere while engines crash", Faulty: faulty, Every: 4 * time.Second, Together: 1, Faults: weights},
-		{Name: "departures", Title: "back ends leave while the list lags", Faulty: faulty, Every: 8 * time.Second, Together: 1, Faults: departures},
-		{Name: "stops", Title: "planned stops of nodes and back ends, nothing else", Faulty: faulty, Every: 10 * time.Second, Together: 1, Faults: stops},
-		{Name: "delivery", Title: "coordinators, control and trainers together", Faulty: faulty, Every: 4 * time.Second, Together: 2, Faults: join(coordinators, control, trainers)},
-		{Name: "all", Title: "all faults, one at a time", Faulty: faulty, Every: 2 * time.Second, Together: 1, Faults: every},
-		{Name: "together", Title: "all faults, two at once and twice", Faulty: faulty, Every: 4 * time.Second, Together: 2, Faults: every},
+		{Name: "calm", Title: "no faults", FaultDuration: faulty, InjectionInterval: time.Hour},
+		{Name: "engines", Title: "engines crash, refuse, mix ids, go on after cancel, report late", FaultDuration: faulty, InjectionInterval: 2 * time.Second, FaultsPerInjection: 1, Faults: engines},
+		{Name: "backends", Title: "application back ends crash, refuse, fail, mix ids, get slow", FaultDuration: faulty, InjectionInterval: time.Second, FaultsPerInjection: 1, Faults: backEnds},
+		{Name: "cuts", Title: "connections cut before and after the first byte", FaultDuration: faulty, InjectionInterval: 2 * time.Second, FaultsPerInjection: 1, Faults: cuts},
+		{Name: "nodes", Title: "home nodes lost, two homes, zones cut off", FaultDuration: faulty, InjectionInterval: 8 * time.Second, FaultsPerInjection: 1, Faults: nodes},
+		{Name: "coordinators", Title: "coordinator killed at any step, two at once", FaultDuration: faulty, InjectionInterval: 8 * time.Second, FaultsPerInjection: 1, Faults: coordinators},
+		{Name: "control", Title: "outages, lost proposals and answers, late views", FaultDuration: faulty, InjectionInterval: 5 * time.Second, FaultsPerInjection: 1, Faults: control},
+		{Name: "trainers", Title: "trainer crashes, asks twice and back, publishes early; scorer late and failing", FaultDuration: faulty, InjectionInterval: 2 * time.Second, FaultsPerInjection: 1, Faults: trainers},
+		{Name: "weights", Title: "swaps fail and land elsewhere while engines crash", FaultDuration: faulty, InjectionInterval: 4 * time.Second, FaultsPerInjection: 1, Faults: weights},
+		{Name: "departures", Title: "back ends leave while the list lags", FaultDuration: faulty, InjectionInterval: 8 * time.Second, FaultsPerInjection: 1, Faults: departures},
+		{Name: "stops", Title: "planned stops of nodes and back ends, nothing else", FaultDuration: faulty, InjectionInterval: 10 * time.Second, FaultsPerInjection: 1, Faults: stops},
+		{Name: "delivery", Title: "coordinators, control and trainers together", FaultDuration: faulty, InjectionInterval: 4 * time.Second, FaultsPerInjection: 2, Faults: join(coordinators, control, trainers)},
+		{Name: "all", Title: "all faults, one at a time", FaultDuration: faulty, InjectionInterval: 2 * time.Second, FaultsPerInjection: 1, Faults: every},
+		{Name: "together", Title: "all faults, two at once and twice", FaultDuration: faulty, InjectionInterval: 4 * time.Second, FaultsPerInjection: 2, Faults: every},
 	}
 }
 
--- a/internal/lab/sim/fault/world.go
+++ b/internal/lab/sim/fault/world.go
@@ -138,7 +138,7 @@
 	w.trainer.start()
 	w.startCallers()
 	w.after(warmUp, w.injectNext)
-	w.queue.RunUntil(warmUp + w.options.Scenario.Faulty + settleTime)
+	w.queue.RunUntil(warmUp + w.options.Scenario.FaultDuration + settleTime)
 	for _, e := range w.engines {
 		e.advance()
 	}
@@ -149,7 +149,7 @@
 const warmUp = 8 * time.Second
 
 // faultsEnd returns the end of the fault phase.
-func (w *world) faultsEnd() time.Duration { return warmUp + w.options.Scenario.Faulty }
+func (w *world) faultsEnd() time.Duration { return warmUp + w.options.Scenario.FaultDuration }
 
 func (w *world) clock() time.Time { return origin.Add(w.queue.Now()) }
 
--- a/test/site/cold_test.go
+++ b/test/site/cold_test.go
@@ -74,7 +74,7 @@
 		}
 	}
 	const cold = 1500 * time.Millisecond
-	replica.Cool(cold)
+	replica.SetWarmupLeft(cold)
 	s.sendHeartbeat(replica)
 	waitUntil(t, "the replica is cold in the views of all fronts", func() bool {
 		return !slices.ContainsFunc(s.fronts, func(p *process) bool { return p.watcher.View().ColdLeft(replica.ID, time.Now()) == 0 })
@@ -84,7 +84,7 @@
 		t.Error("nothing is rejected although the only replica is cold")
 	}
 	checkRate("cold", start, start.Add(time.Second))
-	replica.Cool(0)
+	replica.SetWarmupLeft(0)
 	waitUntil(t, "the replica is warm", func() bool {
 		served, rejected := sendLoad(fmt.Sprint("warm-", time.Now().UnixNano()), 20*time.Millisecond)
 		return rejected == 0 && served > 0
--- a/test/site/explain_test.go
+++ b/test/site/explain_test.go
@@ -57,14 +57,14 @@
 	s.configure()
 	replica := sitestandin.NewReplica(t, "i-plain", plain)
 	engine := sitestandin.NewEngine(t, "i-lm", lm, model)
-	engine.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	engine.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		if r.Header.Get(sitestandin.Headers.RequestID) != "item-failing" {
 			return false
 		}
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	}
-	replica.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	replica.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		switch r.Header.Get(sitestandin.Headers.RequestID) {
 		case "silent":
 			<-r.Context().Done()
--- a/test/site/quarantine_test.go
+++ b/test/site/quarantine_test.go
@@ -45,7 +45,7 @@
 	replica := c.newReplica(fmt.Sprintf("i-%d", c.created))
 	c.alive = append(c.alive, replica)
 	c.mutex.Unlock()
-	replica.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	replica.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		arrivals := replica.Arrivals()
 		if !c.crashes(arrivals[len(arrivals)-1].Body, r) {
 			return false
--- a/test/site/shards_test.go
+++ b/test/site/shards_test.go
@@ -58,7 +58,7 @@
 	}
 	for _, name := range s.models {
 		for _, result := range s.readAll("job-" + name).Results {
-			if result.State != "completed" || result.Text != sitestandin.WholeText(result.ID, sitestandin.DefaultEvents) {
+			if result.State != "completed" || result.Text != sitestandin.CompleteText(result.ID, sitestandin.DefaultEvents) {
 				t.Errorf("%+v", result)
 			}
 		}
--- a/test/site/site_test.go
+++ b/test/site/site_test.go
@@ -107,7 +107,7 @@
 func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	s, plainReplica, _ := startServingSite(t)
 	status, body, header := s.call("/plain/a%2Fb//c?x=%20y&z", "attempt-1")
-	if status != http.StatusOK || body != "answer of i-plain to attempt-1" || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("attempt-1") {
+	if status != http.StatusOK || body != "answer of i-plain to attempt-1" || header.Get(sitestandin.Headers.Signature) != sitestandin.SignatureOf("attempt-1") {
 		t.Fatalf("%d %q %v", status, body, header)
 	}
 	arrivals := plainReplica.Arrivals()
@@ -269,7 +269,7 @@
 		t.Fatalf("%+v", all)
 	}
 	for i, result := range all.Results {
-		if result.State != "completed" || result.Text != sitestandin.WholeText(result.ID, engine.Events) || result.Score != sitestandin.SealOf("score-"+result.ID) || !slices.Equal(result.Versions, []uint64{1}) {
+		if result.State != "completed" || result.Text != sitestandin.CompleteText(result.ID, engine.Events) || result.Score != sitestandin.SignatureOf("score-"+result.ID) || !slices.Equal(result.Versions, []uint64{1}) {
 			t.Errorf("result %+v", result)
 		}
 		if _, from := s.read("job-1", i); len(from.Results) != 3-i || from.Results[0].ID != result.ID {
@@ -303,7 +303,7 @@
 	leader := s.waitStoreLeader()
 	leader.powerOff()
 	all := s.readAll("job-1")
-	if len(all.Results) != 1 || all.Results[0].Text != sitestandin.WholeText("item-1", 40) {
+	if len(all.Results) != 1 || all.Results[0].Text != sitestandin.CompleteText("item-1", 40) {
 		t.Fatalf("%+v", all)
 	}
 	arrivals := engine.Arrivals()
@@ -326,7 +326,7 @@
 		}
 		all := s.readAll("job-1")
 		for _, result := range all.Results {
-			if result.State != "completed" || result.Text != sitestandin.WholeText(result.ID, engine.Events) {
+			if result.State != "completed" || result.Text != sitestandin.CompleteText(result.ID, engine.Events) {
 				t.Errorf("store %d lost its disk: %+v", lost, result)
 			}
 		}
@@ -364,7 +364,7 @@
 func TestItemsThatAlwaysFailAreGivenUpAfterTheirAttempts(t *testing.T) {
 	s, _, engine := startServingSite(t)
 	var unprocessable, failing atomic.Int64
-	engine.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	engine.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		switch r.Header.Get(sitestandin.Headers.RequestID) {
 		case "hopeless":
 			unprocessable.Add(1)
@@ -399,14 +399,14 @@
 	slow.Events, healthy.Events = events, events
 	s.submit("job-usual", job(1, "usual-1", "usual-2")) // establishes the baseline
 	s.readAll("job-usual")
-	slow.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	slow.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		return serveSlowly(w, r, events)
 	}
 	s.submit("job-1", job(1, "item-1", "item-2"))
 	waitUntil(t, "both items are at the slow replica", func() bool { return len(slow.Arrivals()) == 4 })
 	s.add(healthy)
 	for _, result := range s.readAll("job-1").Results {
-		if result.Text != sitestandin.WholeText(result.ID, events) {
+		if result.Text != sitestandin.CompleteText(result.ID, events) {
 			t.Errorf("%s: %q", result.ID, result.Text)
 		}
 	}
@@ -427,7 +427,7 @@
 // serveSlowly sends an item's events with long pauses between them.
 func serveSlowly(w http.ResponseWriter, r *http.Request, events int) bool {
 	id := r.Header.Get(sitestandin.Headers.RequestID)
-	w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(id))
+	w.Header().Set(sitestandin.Headers.Signature, sitestandin.SignatureOf(id))
 	w.Header().Set(sitestandin.Headers.WeightVersion, "1")
 	last, _ := strconv.Atoi(r.Header.Get(sitestandin.Headers.LastEventID))
 	for event := last + 1; event <= events; event++ {
@@ -451,7 +451,7 @@
 	second := sitestandin.NewEngine(t, "i-lm-2", lm, model)
 	s.add(second)
 	var broken atomic.Bool
-	first.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	first.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		if r.Header.Get(sitestandin.Headers.LastEventID) != "" || !broken.CompareAndSwap(false, true) {
 			return false
 		}
@@ -462,7 +462,7 @@
 	}
 	s.submit("job-1", job(1, "item-1", "item-2", "item-3", "item-4"))
 	for _, result := range s.readAll("job-1").Results {
-		if result.Text != sitestandin.WholeText(result.ID, first.Events) {
+		if result.Text != sitestandin.CompleteText(result.ID, first.Events) {
 			t.Errorf("%s: %q", result.ID, result.Text)
 		}
 	}
@@ -519,7 +519,7 @@
 	s.stores[1].powerOff()
 	s.stores[1].wipe(77)
 	s.startStore(s.stores[1])
-	if result := s.readAll("job-1").Results[0]; result.Text != sitestandin.WholeText("item-1", engine.Events) {
+	if result := s.readAll("job-1").Results[0]; result.Text != sitestandin.CompleteText("item-1", engine.Events) {
 		t.Errorf("%+v", result)
 	}
 }
--- a/test/site/slowreader_test.go
+++ b/test/site/slowreader_test.go
@@ -41,8 +41,8 @@
 	content := strings.Repeat("x", answerBytes)
 	for i := range 8 {
 		replica := sitestandin.NewReplica(t, fmt.Sprint("i-", i), plain)
-		replica.Behave = func(w http.ResponseWriter, r *http.Request) bool {
-			w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(r.Header.Get(sitestandin.Headers.RequestID)))
+		replica.Handle = func(w http.ResponseWriter, r *http.Request) bool {
+			w.Header().Set(sitestandin.Headers.Signature, sitestandin.SignatureOf(r.Header.Get(sitestandin.Headers.RequestID)))
 			w.Header().Set("Content-Length", strconv.Itoa(answerBytes))
 			_, _ = io.WriteString(w, content)
 			return true
--- a/test/site/stream_test.go
+++ b/test/site/stream_test.go
@@ -35,18 +35,18 @@
 			return false
 		}
 		id := r.Header.Get(sitestandin.Headers.RequestID)
-		w.Header().Set(sitestandin.Headers.Signature, sitestandin.SealOf(id))
+		w.Header().Set(sitestandin.Headers.Signature, sitestandin.SignatureOf(id))
 		fmt.Fprintf(w, "id: 1\ndata: %s\n\nid: 2\nda", sitestandin.EventData(id, 1))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
 	for i := range 2 {
 		engine := sitestandin.NewEngine(t, fmt.Sprint("i-lm-", i), lm, model)
-		engine.Behave = breakOnce
+		engine.Handle = breakOnce
 		s.add(engine)
 	}
 	status, body, header := s.call("/stream/x", "resumed")
-	if status != http.StatusOK || body != completeStream("resumed", sitestandin.DefaultEvents) || header.Get(sitestandin.Headers.Signature) != sitestandin.SealOf("resumed") {
+	if status != http.StatusOK || body != completeStream("resumed", sitestandin.DefaultEvents) || header.Get(sitestandin.Headers.Signature) != sitestandin.SignatureOf("resumed") {
 		t.Errorf("resumable: %d %q", status, body)
 	}
 	if runs.Load() != 2 {
--- a/test/site/traps_test.go
+++ b/test/site/traps_test.go
@@ -50,7 +50,7 @@
 
 // answerTo returns a complete response of a replica.
 func answerTo(id, body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id), len(body), body)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SignatureOf(id), len(body), body)
 }
 
 // reset closes a connection with a TCP reset.
@@ -89,7 +89,7 @@
 		},
 		"response without a length, then a reset": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
-				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\nhalf", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id))
+				fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\nhalf", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SignatureOf(id))
 				time.Sleep(20 * time.Millisecond)
 				reset(connection)
 				return false
@@ -134,7 +134,7 @@
 		},
 		"internal server error": {
 			serve: func(connection net.Conn, id string, _ int64) bool {
-				fmt.Fprintf(connection, "HTTP/1.1 500 Internal Server Error\r\n%s: %s\r\n%s: %s\r\nContent-Length: 4\r\n\r\nfail", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SealOf(id))
+				fmt.Fprintf(connection, "HTTP/1.1 500 Internal Server Error\r\n%s: %s\r\n%s: %s\r\nContent-Length: 4\r\n\r\nfail", sitestandin.Headers.RequestID, id, sitestandin.Headers.Signature, sitestandin.SignatureOf(id))
 				return true
 			},
 			once: http.StatusInternalServerError,
@@ -147,7 +147,7 @@
 			s.configure()
 			var runs atomic.Int64
 			bad := sitestandin.NewReplica(t, "i-bad", plain)
-			bad.Raw = rawServer(t, func(connection net.Conn) {
+			bad.ExternalAddress = rawServer(t, func(connection net.Conn) {
 				reader := bufio.NewReader(connection)
 				for {
 					id, err := readRequest(reader)
@@ -191,7 +191,7 @@
 	s.start()
 	s.configure()
 	bad := sitestandin.NewReplica(t, "i-bad", plain)
-	bad.Raw = rawServer(t, func(connection net.Conn) {
+	bad.ExternalAddress = rawServer(t, func(connection net.Conn) {
 		reader := bufio.NewReader(connection)
 		for {
 			id, err := readRequest(reader)
@@ -219,7 +219,7 @@
 	s, plainReplica, _ := startServingSite(t)
 	canceled := make(chan struct{})
 	started := make(chan struct{})
-	plainReplica.Behave = func(_ http.ResponseWriter, r *http.Request) bool {
+	plainReplica.Handle = func(_ http.ResponseWriter, r *http.Request) bool {
 		close(started)
 		<-r.Context().Done()
 		close(canceled)
@@ -241,7 +241,7 @@
 
 func TestUnresponsiveReplicaTimesOut(t *testing.T) {
 	s, plainReplica, _ := startServingSite(t)
-	plainReplica.Behave = func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true }
+	plainReplica.Handle = func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true }
 	if status, _, _ := s.call("/once/x", "silent"); status != http.StatusGatewayTimeout {
 		t.Errorf("status %d", status)
 	}
--- a/test/site/usage_test.go
+++ b/test/site/usage_test.go
@@ -13,7 +13,7 @@
 // startReportingSite starts a site that reports usage; behave sets the provider's statuses.
 func startReportingSite(t *testing.T, behave func(n int) int) (*site, *sitestandin.Provider) {
 	cloud := sitestandin.NewProvider(t)
-	cloud.Behave = behave
+	cloud.Respond = behave
 	s := newSite(t, 3, 0)
 	s.tenants, s.provider = twoTenants, cloud
 	for _, p := range s.controls {
@@ -45,7 +45,7 @@
 	t.Helper()
 	sums := map[string]uint64{}
 	waitUntil(t, fmt.Sprintf("%d and %d requests reported", ada, bob), func() bool {
-		counts, differ := cloud.Taken()
+		counts, differ := cloud.AcceptedCounts()
 		if differ {
 			t.Fatal("a window was sent with different counts")
 		}
--- a/test/sitestandin/provider.go
+++ b/test/sitestandin/provider.go
@@ -23,9 +23,9 @@
 
 // Provider is a stand-in for the provider of the site's machines.
 type Provider struct {
-	// Behave, if set, returns the status of the n-th call, counted from 0; 0 accepts the
+	// Respond, if set, returns the status of the n-th call, counted from 0; 0 accepts the
 	// report and breaks the connection without a response.
-	Behave func(n int) int
+	Respond func(n int) int
 
 	server *httptest.Server
 	mutex  sync.Mutex
@@ -54,8 +54,8 @@
 		return
 	}
 	p.mutex.Lock()
-	if p.Behave != nil {
-		call.Status = p.Behave(len(p.calls))
+	if p.Respond != nil {
+		call.Status = p.Respond(len(p.calls))
 	}
 	p.calls = append(p.calls, call)
 	p.mutex.Unlock()
@@ -72,9 +72,9 @@
 	return append([]UsageCall(nil), p.calls...)
 }
 
-// Taken returns the counts of all accepted windows, and whether any window was sent with
+// AcceptedCounts returns the counts of all accepted windows, and whether any window was sent with
 // different counts.
-func (p *Provider) Taken() (counts map[int64]map[string]uint64, differ bool) {
+func (p *Provider) AcceptedCounts() (counts map[int64]map[string]uint64, differ bool) {
 	counts = map[int64]map[string]uint64{}
 	sent := map[int64]string{}
 	for _, call := range p.Calls() {
--- a/test/sitestandin/replica.go
+++ b/test/sitestandin/replica.go
@@ -63,11 +63,11 @@
 	// EventPause is the time between two events of a text, Events their number.
 	EventPause time.Duration
 	Events     int
-	// Behave, if set, may handle a request instead of the replica and reports whether it
+	// Handle, if set, may handle a request instead of the replica and reports whether it
 	// did.
-	Behave func(w http.ResponseWriter, r *http.Request) bool
-	// Raw, if set, is the address of the test's own server, reported instead.
-	Raw string
+	Handle func(w http.ResponseWriter, r *http.Request) bool
+	// ExternalAddress, if set, is the address of the test's own server, reported instead.
+	ExternalAddress string
 
 	server     *httptest.Server
 	mutex      sync.Mutex
@@ -107,20 +107,20 @@
 
 // Address returns the replica's address.
 func (r *Replica) Address() string {
-	if r.Raw != "" {
-		return r.Raw
+	if r.ExternalAddress != "" {
+		return r.ExternalAddress
 	}
 	return r.server.Listener.Addr().String()
 }
 
-// SealOf returns the signature of a replica's response to a request.
-func SealOf(id string) string { return "seal." + id }
+// SignatureOf returns the signature of a replica's response to a request.
+func SignatureOf(id string) string { return "seal." + id }
 
 // EventData returns the data of an event of an item's text, the same at every replica.
 func EventData(item string, event int) string { return fmt.Sprintf("%s-%d", item, event) }
 
-// WholeText returns the complete text of an item.
-func WholeText(item string, events int) string {
+// CompleteText returns the complete text of an item.
+func CompleteText(item string, events int) string {
 	var lines []string
 	for i := 1; i <= events; i++ {
 		lines = append(lines, EventData(item, i))
@@ -160,10 +160,10 @@
 	})
 	r.mutex.Unlock()
 	w.Header().Set(Headers.RequestID, id)
-	if r.Behave != nil && r.Behave(w, request) {
+	if r.Handle != nil && r.Handle(w, request) {
 		return
 	}
-	w.Header().Set(Headers.Signature, SealOf(id))
+	w.Header().Set(Headers.Signature, SignatureOf(id))
 	if len(r.Models) > 0 {
 		r.generate(w, request)
 		return
@@ -287,8 +287,8 @@
 	r.orders = nil
 }
 
-// Cool makes further heartbeats report the remaining warmup time.
-func (r *Replica) Cool(left time.Duration) {
+// SetWarmupLeft makes further heartbeats report the remaining warmup time.
+func (r *Replica) SetWarmupLeft(left time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.warmupLeft = left
--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -70,7 +70,7 @@
 	if status/100 != 2 {
 		return
 	}
-	if signature != sitestandin.SealOf(id) || !strings.HasSuffix(body, " to "+id) {
+	if signature != sitestandin.SignatureOf(id) || !strings.HasSuffix(body, " to "+id) {
 		r.violation("request %s: response %q with signature %q", id, body, signature)
 	}
 }
@@ -118,10 +118,10 @@
 	if listed.State != "completed" {
 		return
 	}
-	if listed.Text != sitestandin.WholeText(listed.ID, events) {
+	if listed.Text != sitestandin.CompleteText(listed.ID, events) {
 		r.violation("item %s: text %q", listed.ID, listed.Text)
 	}
-	if listed.Score != sitestandin.SealOf("score-"+listed.ID) {
+	if listed.Score != sitestandin.SignatureOf("score-"+listed.ID) {
 		r.violation("item %s: score %q", listed.ID, listed.Score)
 	}
 	if len(listed.Versions) == 0 {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -444,9 +444,9 @@
 	}
 }
 
-// TestPlannedStopFinishesWhatIsInFlight checks that a front that is stopped gracefully
+// TestGracefulStopFinishesRequestsInFlight checks that a front that is stopped gracefully
 // completes a request that takes longer than its notice to callers.
-func TestPlannedStopFinishesWhatIsInFlight(t *testing.T) {
+func TestGracefulStopFinishesRequestsInFlight(t *testing.T) {
 	build(t)
 	s := newSite(t, 3, 0, 1)
 	for _, m := range s.machines {
@@ -455,7 +455,7 @@
 	tr := newTraffic(s)
 	started := make(chan struct{})
 	slow := tr.replicas[0]
-	slow.Behave = func(w http.ResponseWriter, r *http.Request) bool {
+	slow.Handle = func(w http.ResponseWriter, r *http.Request) bool {
 		close(started)
 		select {
 		case <-time.After(4 * time.Second):
--- a/test/source/source_test.go
+++ b/test/source/source_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestPortsKnowNoAdapter checks that dependencies point inwards.
-func TestPortsKnowNoAdapter(t *testing.T) {
+// TestDependenciesPointInwards checks that dependencies point inwards.
+func TestDependenciesPointInwards(t *testing.T) {
 	for _, file := range parseSources(t, "internal/port") {
 		for _, path := range file.imports {
 			if strings.Contains(path, "loomgrade/internal/") && !strings.HasSuffix(path, "loomgrade/internal/port") {
@@ -161,7 +161,7 @@
 	"golang.org/x/sys/unix",
 }
 
-func TestOnlyAgreedLibraries(t *testing.T) {
+func TestOnlyAllowedLibraries(t *testing.T) {
 	overview, err := os.ReadFile(filepath.Join(testkit.Root(t), "docs/design/0001-overview.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -203,9 +203,9 @@
 // platformPackage implements the protocol of the users' platform.
 const platformPackage = "github.com/loomgrade/loomgrade/platform"
 
-// TestOnlyThePlatformFolderKnowsThePlatform checks that only the platform folder contains
+// TestPlatformNamesOnlyInPlatformFolder checks that only the platform folder contains
 // the platform's names, and that only the commands import it.
-func TestOnlyThePlatformFolderKnowsThePlatform(t *testing.T) {
+func TestPlatformNamesOnlyInPlatformFolder(t *testing.T) {
 	names := []string{"x-loomgrade-", "/loomgrade/", "attempt-id", "response-seal"}
 	for _, folder := range []string{"cmd", "internal"} {
 		for _, file := range parseSources(t, folder) {
@@ -233,9 +233,9 @@
 	}
 }
 
-// TestThePlatformFolderDecidesNothing checks that the platform folder reads no clock or
+// TestPlatformFolderIsStateless checks that the platform folder reads no clock or
 // random source, starts no goroutine, does no I/O and holds no shared state.
-func TestThePlatformFolderDecidesNothing(t *testing.T) {
+func TestPlatformFolderIsStateless(t *testing.T) {
 	for _, file := range parseSources(t, "platform") {
 		for _, path := range file.imports {
 			if slices.Contains([]string{"os", "net", "syscall", "math/rand/v2", "crypto/rand", "sync", "sync/atomic", "golang.org/x/sync/errgroup"}, path) ||
@@ -272,10 +272,10 @@
 // the monotonic clock reading.
 var stripsMonotonicClock = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "UTC", "Local", "MarshalBinary", "MarshalText", "MarshalJSON"}
 
-// TestASiteLivesByTheSteadyClock checks that no process of a site decides by the wall
+// TestSiteUsesMonotonicClock checks that no process of a site decides by the wall
 // clock, which may jump. Results of time.Now compare by the monotonic clock until one of
 // these methods drops it.
-func TestASiteLivesByTheSteadyClock(t *testing.T) {
+func TestSiteUsesMonotonicClock(t *testing.T) {
 	seen := map[string]bool{}
 	for _, folder := range []string{"cmd", "platform", "internal"} {
 		for _, file := range parseSources(t, folder) {
