--- a/internal/lab/chaos/scenario.go
+++ b/internal/lab/chaos/scenario.go
@@ -8,7 +8,7 @@
 	Title string
 	// FaultDuration is how long faults are injected, in virtual time.
 	FaultDuration time.Duration
-	// InjectionInterval is the mean time between two injections, Together the number of faults per
+	// InjectionInterval is the mean time between two injections, FaultsPerInjection the number of faults per
 	// injection.
 	InjectionInterval  time.Duration
 	FaultsPerInjection int
--- a/internal/lab/sim/fault/options.go
+++ b/internal/lab/sim/fault/options.go
@@ -51,7 +51,7 @@
 	Title string
 	// FaultDuration is how long faults are injected.
 	FaultDuration time.Duration
-	// InjectionInterval is the mean time between injections, Together the number of faults in
+	// InjectionInterval is the mean time between injections, FaultsPerInjection the number of faults in
 	// one injection.
 	InjectionInterval  time.Duration
 	FaultsPerInjection int
