--- a/internal/core/coordinator/batches.go
+++ b/internal/core/coordinator/batches.go
@@ -14,9 +14,9 @@
 // notReadyRetryAfter is the RetryAfter hint of refusals that a retry may resolve.
 const notReadyRetryAfter = time.Second
 
-// redeliveryGrace is how long after a delivery a request for the same batch does not
-// void it for staleness: a duplicate of the answered request may arrive late, while
-// the trainer is already using the batch.
+// redeliveryGrace is the time after a delivery during which a request for the same batch
+// does not void the batch as stale: a duplicate of the answered request may arrive late,
+// while the trainer is already using the batch.
 const redeliveryGrace = 5 * time.Second
 
 // waiter is a pending request for a batch.
@@ -66,13 +66,13 @@
 	if len(c.waiters) == 0 {
 		return
 	}
-	kept := c.waiters[:0]
+	remaining := c.waiters[:0]
 	for _, w := range c.waiters {
 		if !c.serve(w) {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 		}
 	}
-	c.waiters = kept
+	c.waiters = remaining
 	if c.pending == nil && len(c.waiters) > 0 {
 		c.formBatch()
 	}
@@ -148,8 +148,8 @@
 	return held.deliveredTo == w.epoch && !held.delivered.Before(w.arrived)
 }
 
-// serveUnknownConsumer handles a consumer epoch above the known one; the ledger must
-// confirm it first.
+// serveUnknownConsumer handles a request with a consumer epoch above that of the ledger
+// state; a ledger read must confirm the epoch first.
 func (c *Coordinator) serveUnknownConsumer(w waiter) (answered bool) {
 	if w.confirmed {
 		c.refuse(w.token, port.NotRun, port.CodeInvalid, "consumer epoch %d is not registered", w.epoch)
@@ -207,15 +207,15 @@
 
 // expireWaiters answers requests whose deadline has passed.
 func (c *Coordinator) expireWaiters() {
-	kept := c.waiters[:0]
+	remaining := c.waiters[:0]
 	for _, w := range c.waiters {
 		if c.now.Before(w.deadline) {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		c.refuseExpired(w)
 	}
-	c.waiters = kept
+	c.waiters = remaining
 }
 
 func (c *Coordinator) refuseExpired(w waiter) {
--- a/internal/core/coordinator/config.go
+++ b/internal/core/coordinator/config.go
@@ -33,13 +33,13 @@
 	Timeouts Timeouts
 }
 
-// Timeouts bounds how long the coordinator waits for answers.
+// Timeouts limits how long the coordinator waits for answers.
 type Timeouts struct {
-	// Stall bounds the time between two progress reports of a running sample.
+	// Stall limits the time between two progress reports of a running sample.
 	Stall time.Duration
-	// Cancel bounds the wait for a moved attempt to end.
+	// Cancel limits the wait for a moved attempt to end.
 	Cancel time.Duration
-	// Score, Fetch, Commit and Read bound the respective calls.
+	// Score, Fetch, Commit and Read limit the respective calls.
 	Score  time.Duration
 	Fetch  time.Duration
 	Commit time.Duration
@@ -65,7 +65,7 @@
 	maxBackoff       = 20 * time.Second
 	maxScoreAttempts = 8
 	maxFetch         = 1024
-	// maxMoves bounds how often a sample is moved to another replica.
+	// maxMoves limits how often a sample is moved to another replica.
 	maxMoves = 1
 )
 
--- a/internal/core/coordinator/coordinator.go
+++ b/internal/core/coordinator/coordinator.go
@@ -32,7 +32,7 @@
 	prompts            promptQueue
 	lengths            lengthDistribution
 
-	// groups holds all groups in progress by prompt, order in order of creation.
+	// groups holds all groups in progress by prompt; order lists them by creation.
 	groups  map[port.PromptIndex]*group
 	order   []*group
 	samples map[port.SampleID]*sample
@@ -171,7 +171,7 @@
 	case WeightsPublished:
 		c.weightsPublished(event.Weights)
 	case PublicationStarted:
-		c.pendingPublication.begin(event.Version, c.now)
+		c.pendingPublication.start(event.Version, c.now)
 	case PublicationEnded:
 		c.publicationEnded(event)
 	case CapacityChanged:
--- a/internal/core/coordinator/coordinator_test.go
+++ b/internal/core/coordinator/coordinator_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestBatchesFollowEachOther(t *testing.T) {
-	w := newWorld(t, smallSampling(), "")
+	w := newHarness(t, smallSampling(), "")
 	for range 20 {
 		w.train()
 		w.publish()
@@ -26,16 +26,16 @@
 func TestSamplesWaitForRequiredWeights(t *testing.T) {
 	cases := []struct {
 		name    string
-		serving func(w *world)
+		serving func(w *harness)
 		starts  bool
 	}{
-		{"replicas serve the oldest allowed version", func(w *world) { w.serving = w.published - 1 }, true},
-		{"replicas serve an older version", func(w *world) { w.serving = w.published - 2 }, false},
-		{"replicas serve no known version", func(w *world) { w.serving = 0 }, false},
+		{"replicas serve the oldest allowed version", func(w *harness) { w.serving = w.published - 1 }, true},
+		{"replicas serve an older version", func(w *harness) { w.serving = w.published - 2 }, false},
+		{"replicas serve no known version", func(w *harness) { w.serving = 0 }, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWorld(t, smallSampling(), "")
+			w := newHarness(t, smallSampling(), "")
 			w.published = 5
 			w.rolloutStopped = true
 			test.serving(w)
@@ -57,7 +57,7 @@
 // TestReplacementStartsAtOnce checks that the replacements of stale samples start in
 // the same step, not at the next tick.
 func TestReplacementStartsAtOnce(t *testing.T) {
-	w := newWorld(t, smallSampling(), "")
+	w := newHarness(t, smallSampling(), "")
 	w.answerFetch(false)
 	w.tick(time.Second)
 	run := w.attempts[0]
@@ -79,7 +79,7 @@
 // program before the next tick.
 func TestBatchRequestRunsPolicyBetweenTicks(t *testing.T) {
 	source := "def plan(pool):\n  return struct(target_in_flight = 7 if pool.trainer_waiting else 3)"
-	w := newWorld(t, smallSampling(), source)
+	w := newHarness(t, smallSampling(), source)
 	w.tick(time.Second)
 	if target := w.current.Status().Plan.TargetInFlight; target != 3 {
 		t.Fatalf("target %d before the trainer request", target)
@@ -95,7 +95,7 @@
 // the new weights although the plan allows the old ones that replicas still serve.
 func TestStaleReplacementWaitsForNewWeights(t *testing.T) {
 	source := "def plan(pool):\n  return struct(target_in_flight = 16)"
-	w := newWorld(t, smallSampling(), source)
+	w := newHarness(t, smallSampling(), source)
 	w.answerFetch(false)
 	w.tick(time.Second)
 	run := w.attempts[0]
@@ -118,8 +118,8 @@
 	serve()
 	w.tick(time.Second)
 	newest := 0
-	for _, begun := range w.attempts[started:] {
-		if begun.start.MinVersion == w.published {
+	for _, attempt := range w.attempts[started:] {
+		if attempt.start.MinVersion == w.published {
 			newest++
 		}
 	}
--- a/internal/core/coordinator/events.go
+++ b/internal/core/coordinator/events.go
@@ -83,7 +83,7 @@
 	Deadline time.Time
 }
 
-// RequestAbandoned reports that the caller of a request is gone.
+// RequestAbandoned reports that the caller of a request has disconnected.
 type RequestAbandoned struct{ Token uint64 }
 
 // CommitAnswered reports the outcome of a Commit: the state machine's Result, or Err if
@@ -132,8 +132,8 @@
 // LeaseLost stops the coordinator: another node may hold the lease.
 type LeaseLost struct{}
 
-// Drain prepares for a planned stop: nothing new is started. Drained follows once no
-// commit is pending.
+// Drain prepares for a graceful stop: the coordinator starts nothing new, and emits
+// Drained once no commit is pending.
 type Drain struct{}
 
 func (Tick) event()               {}
--- a/internal/core/coordinator/fault_test.go
+++ b/internal/core/coordinator/fault_test.go
@@ -13,12 +13,12 @@
 )
 
 // fillBuffer finishes enough groups for a batch without requesting it.
-func (w *world) fillBuffer() { w.runRounds(3) }
+func (w *harness) fillBuffer() { w.runRounds(3) }
 
 // commitCount counts the batches committed to the log.
-func (w *world) commitCount() int { return len(w.commits) }
+func (w *harness) commitCount() int { return len(w.commits) }
 
-func (w *world) wantRefused(t *testing.T, token uint64, code port.Code) {
+func (w *harness) wantRefused(t *testing.T, token uint64, code port.Code) {
 	t.Helper()
 	refusal := w.refused[token]
 	if refusal == nil || refusal.Code != code {
@@ -26,7 +26,7 @@
 	}
 }
 
-func (w *world) wantDelivered(t *testing.T, token uint64, number port.BatchNumber, attempt uint32) coordinator.Deliver {
+func (w *harness) wantDelivered(t *testing.T, token uint64, number port.BatchNumber, attempt uint32) coordinator.Deliver {
 	t.Helper()
 	delivery, found := w.deliveries[token]
 	if !found || delivery.Number != number || delivery.Attempt != attempt {
@@ -37,7 +37,7 @@
 }
 
 // countRecords counts decisions of a kind.
-func (w *world) countRecords(kind port.DecisionKind) int {
+func (w *harness) countRecords(kind port.DecisionKind) int {
 	count := 0
 	for _, decision := range w.records {
 		if decision.Kind == kind {
@@ -52,8 +52,8 @@
 const pastRedeliveryGrace = 6 * time.Second
 
 func TestDeliveryFaults(t *testing.T) {
-	cases := map[string]func(t *testing.T, w *world){
-		"no delivery before the commit succeeds": func(t *testing.T, w *world) {
+	cases := map[string]func(t *testing.T, w *harness){
+		"no delivery before the commit succeeds": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.tick(time.Second)
@@ -63,7 +63,7 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"concurrent requests get one commit and one batch": func(t *testing.T, w *world) {
+		"concurrent requests get one commit and one batch": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			first, second := w.requestBatch(1, w.trainer, time.Minute), w.requestBatch(1, w.trainer, time.Minute)
 			if len(w.proposals) != 1 {
@@ -75,7 +75,7 @@
 				t.Fatal("the two deliveries differ")
 			}
 		},
-		"repeated request gets the same payload": func(t *testing.T, w *world) {
+		"repeated request gets the same payload": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			w.next = 1
@@ -86,7 +86,7 @@
 				t.Fatalf("%d commits", w.commitCount())
 			}
 		},
-		"repeated request after publications unknown to the coordinator": func(t *testing.T, w *world) {
+		"repeated request after publications unknown to the coordinator": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			w.next = 1
@@ -100,7 +100,7 @@
 			w.runRounds(6)
 			w.wantDelivered(t, token, 1, 2)
 		},
-		"a ledger read sent before a request does not confirm it": func(t *testing.T, w *world) {
+		"a ledger read sent before a request does not confirm it": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			w.next = 1
@@ -117,7 +117,7 @@
 		},
 		// Guards against a second delivery based on a ledger state read before the trainer
 		// consumed the first one and published a version that makes the batch stale.
-		"a duplicate request gets no delivery based on an old ledger read": func(t *testing.T, w *world) {
+		"a duplicate request gets no delivery based on an old ledger read": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			first := w.requestBatch(1, w.trainer, time.Minute)
 			w.tick(time.Millisecond)
@@ -132,7 +132,7 @@
 			}
 			w.wantRefused(t, second, port.CodeNotReady)
 		},
-		"the answer to a commit raises the known version": func(t *testing.T, w *world) {
+		"the answer to a commit raises the known version": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			w.requestBatch(1, w.trainer, time.Minute)
 			proposed := w.proposals[0].commit
@@ -146,7 +146,7 @@
 		},
 		// As above, for a request after the delivery: the ledger read was sent after the
 		// request, but its state is older than the publication.
-		"a request before a publication gets no second delivery after it": func(t *testing.T, w *world) {
+		"a request before a publication gets no second delivery after it": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(time.Millisecond)
 			token := w.requestBatch(1, w.trainer, time.Minute)
@@ -159,7 +159,7 @@
 			}
 			w.wantRefused(t, token, port.CodeNotReady)
 		},
-		"a failed publication delays no delivery": func(t *testing.T, w *world) {
+		"a failed publication delays no delivery": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			w.next = 1
@@ -169,7 +169,7 @@
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"a publication without reported outcome expires": func(t *testing.T, w *world) {
+		"a publication without reported outcome expires": func(t *testing.T, w *harness) {
 			w.train()
 			w.step(w.current, coordinator.PublicationStarted{Version: w.published + 3})
 			w.tick(pastRedeliveryGrace)
@@ -178,14 +178,14 @@
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"the end of a publication raises the known version": func(t *testing.T, w *world) {
+		"the end of a publication raises the known version": func(t *testing.T, w *harness) {
 			w.published++
 			w.step(w.current, coordinator.PublicationEnded{Version: w.published, Published: true})
 			if known := w.current.Status().Version; known != w.published {
 				t.Fatalf("known version %d, published %d", known, w.published)
 			}
 		},
-		"a version published before the commit answer prevents a first delivery": func(t *testing.T, w *world) {
+		"a version published before the commit answer prevents a first delivery": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			abandoned := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.RequestAbandoned{Token: abandoned})
@@ -203,9 +203,9 @@
 			w.runRounds(6)
 			w.wantDelivered(t, token, 1, 2)
 		},
-		// The log answers more slowly than a request waits, so that no answer can confirm a
+		// The log's answer arrives after the request's deadline, so that it confirms no
 		// waiting request. A first delivery must not depend on a confirmation.
-		"a batch is delivered although the log is slower than the request deadline": func(t *testing.T, w *world) {
+		"a batch is delivered although the log is slower than the request deadline": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			w.requestBatch(1, w.trainer, time.Second)
 			w.tick(2 * time.Second)
@@ -213,7 +213,7 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"repeated request for a stale batch voids it": func(t *testing.T, w *world) {
+		"repeated request for a stale batch voids it": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			voided := w.consumed[1].Samples[0].Prompt.Index
@@ -232,7 +232,7 @@
 				w.train()
 			}
 		},
-		"a duplicate request that arrives late voids nothing": func(t *testing.T, w *world) {
+		"a duplicate request that arrives late voids nothing": func(t *testing.T, w *harness) {
 			w.train()
 			for range 3 {
 				w.publish()
@@ -244,27 +244,27 @@
 				t.Fatalf("%d commits", w.commitCount())
 			}
 		},
-		"an acknowledged batch is refused": func(t *testing.T, w *world) {
+		"an acknowledged batch is refused": func(t *testing.T, w *harness) {
 			w.train()
 			w.train()
 			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeFenced)
 		},
-		"a batch before the requested one is refused while the request is pending": func(t *testing.T, w *world) {
+		"a batch before the requested one is refused while the request is pending": func(t *testing.T, w *harness) {
 			w.train()
 			w.requestBatch(2, w.trainer, time.Minute)
 			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeFenced)
 		},
-		"a batch beyond the next one is refused": func(t *testing.T, w *world) {
+		"a batch beyond the next one is refused": func(t *testing.T, w *harness) {
 			w.wantRefused(t, w.requestBatch(3, w.trainer, time.Minute), port.CodeConflict)
 		},
-		"a new consumer does not get an acknowledged batch": func(t *testing.T, w *world) {
+		"a new consumer does not get an acknowledged batch": func(t *testing.T, w *harness) {
 			w.train()
 			w.train()
 			w.registerConsumer()
 			w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
 			w.wantRefused(t, w.requestBatch(1, w.trainer, time.Minute), port.CodeFenced)
 		},
-		"a rewind returns other samples": func(t *testing.T, w *world) {
+		"a rewind returns other samples": func(t *testing.T, w *harness) {
 			w.train()
 			w.train()
 			first := w.consumed[2].Samples[0].ID
@@ -274,7 +274,7 @@
 				t.Fatalf("sample %v was delivered again", second)
 			}
 		},
-		"the bound is raised while a stale batch is being voided": func(t *testing.T, w *world) {
+		"the bound is raised while a stale batch is being voided": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			for range 3 {
@@ -292,7 +292,7 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 2)
 		},
-		"the answer to an earlier proposal is ignored": func(t *testing.T, w *world) {
+		"the answer to an earlier proposal is ignored": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			w.requestBatch(1, w.trainer, time.Hour)
 			id := w.proposals[0].commit.ChangeID
@@ -303,7 +303,7 @@
 				t.Fatal("delivered after the answer to another proposal")
 			}
 		},
-		"a ledger state from before the last commit is ignored": func(t *testing.T, w *world) {
+		"a ledger state from before the last commit is ignored": func(t *testing.T, w *harness) {
 			before := w.log.State(poolName)
 			w.train()
 			w.step(w.current, coordinator.LedgerRead{State: before})
@@ -312,7 +312,7 @@
 			}
 			w.train()
 		},
-		"the ledger has committed prompts that are in progress": func(t *testing.T, w *world) {
+		"the ledger has committed prompts that are in progress": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			state := w.log.State(poolName)
 			state.Committed, state.Acknowledged, state.PromptsBelow = 5, 5, 15
@@ -327,7 +327,7 @@
 				t.Fatalf("samples of committed prompts are buffered: %+v", status)
 			}
 		},
-		"a conflicting batch is formed from other samples": func(t *testing.T, w *world) {
+		"a conflicting batch is formed from other samples": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			refused := w.proposals[0].commit
@@ -345,13 +345,13 @@
 				}
 			}
 		},
-		"change id expired and no commit in the ledger: new proposal": func(t *testing.T, w *world) {
+		"change id expired and no commit in the ledger: new proposal": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			commit := w.proposals[0].commit
 			w.proposals = nil
 			w.step(w.current, coordinator.CommitAnswered{ChangeID: commit.ChangeID, Result: port.Result{
-				Error: port.NewError(port.NotRun, port.CodeChangeExpired, "forgotten"),
+				Error: port.NewError(port.NotRun, port.CodeChangeExpired, "change id expired"),
 			}})
 			w.tick(time.Minute)
 			if len(w.proposals) != 0 {
@@ -361,13 +361,13 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"a previous consumer is refused": func(t *testing.T, w *world) {
+		"a previous consumer is refused": func(t *testing.T, w *harness) {
 			previous := w.trainer
 			w.registerConsumer()
 			w.step(w.current, coordinator.LedgerRead{State: w.log.State(poolName)})
 			w.wantRefused(t, w.requestBatch(1, previous, time.Minute), port.CodeFenced)
 		},
-		"a previous consumer unknown to the coordinator is fenced by the log": func(t *testing.T, w *world) {
+		"a previous consumer unknown to the coordinator is fenced by the log": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			previous := w.trainer
 			token := w.requestBatch(1, previous, time.Minute)
@@ -376,7 +376,7 @@
 			w.wantRefused(t, token, port.CodeFenced)
 			w.train()
 		},
-		"an unregistered consumer is refused": func(t *testing.T, w *world) {
+		"an unregistered consumer is refused": func(t *testing.T, w *harness) {
 			token := w.requestBatch(1, w.trainer+100, time.Minute)
 			if w.reads != 1 {
 				t.Fatalf("%d ledger reads", w.reads)
@@ -384,7 +384,7 @@
 			w.read()
 			w.wantRefused(t, token, port.CodeInvalid)
 		},
-		"a new consumer gets the unacknowledged batch again": func(t *testing.T, w *world) {
+		"a new consumer gets the unacknowledged batch again": func(t *testing.T, w *harness) {
 			w.train()
 			w.tick(pastRedeliveryGrace)
 			w.registerConsumer()
@@ -396,7 +396,7 @@
 				t.Fatalf("%d commits", w.commitCount())
 			}
 		},
-		"commit answer lost: the same proposal is resent and then delivered": func(t *testing.T, w *world) {
+		"commit answer lost: the same proposal is resent and then delivered": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			id := w.proposals[0].commit.ChangeID
@@ -411,7 +411,7 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"not run after may have run leaves the outcome unknown": func(t *testing.T, w *world) {
+		"not run after may have run leaves the outcome unknown": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			id := w.proposals[0].commit.ChangeID
@@ -425,7 +425,7 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"unanswered commit is resent": func(t *testing.T, w *world) {
+		"unanswered commit is resent": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			w.apply(w.proposals[0].commit)
@@ -434,7 +434,7 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"commit not run: new proposal": func(t *testing.T, w *world) {
+		"commit not run: new proposal": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			id := w.proposals[0].commit.ChangeID
@@ -446,19 +446,19 @@
 			w.resolveProposal(answered)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"change id expired and commit in the ledger: delivered": func(t *testing.T, w *world) {
+		"change id expired and commit in the ledger: delivered": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			commit := w.proposals[0].commit
 			w.apply(commit)
 			w.proposals = nil
 			w.step(w.current, coordinator.CommitAnswered{ChangeID: commit.ChangeID, Result: port.Result{
-				Error: port.NewError(port.NotRun, port.CodeChangeExpired, "forgotten"),
+				Error: port.NewError(port.NotRun, port.CodeChangeExpired, "change id expired"),
 			}})
 			w.read()
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"publication during the commit: refused as stale, new proposal": func(t *testing.T, w *world) {
+		"publication during the commit: refused as stale, new proposal": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			w.published += 3
@@ -469,7 +469,7 @@
 			w.runRounds(10)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"lease expired: held batches are not delivered": func(t *testing.T, w *world) {
+		"lease expired: held batches are not delivered": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.now = w.now.Add(leaseTTL)
@@ -480,7 +480,7 @@
 			w.tick(time.Second)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"previous coordinator's commit is fenced and it stops": func(t *testing.T, w *world) {
+		"previous coordinator's commit is fenced and it stops": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			previous := w.current
 			w.requestBatch(1, w.trainer, time.Minute)
@@ -491,7 +491,7 @@
 			}
 			w.train()
 		},
-		"lease lost: samples are cancelled and requests refused": func(t *testing.T, w *world) {
+		"lease lost: samples are cancelled and requests refused": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.LeaseLost{})
@@ -504,7 +504,7 @@
 				t.Fatalf("%d attempts still running", len(w.attempts))
 			}
 		},
-		"payload lost with its coordinator: a new attempt voids the old one": func(t *testing.T, w *world) {
+		"payload lost with its coordinator: a new attempt voids the old one": func(t *testing.T, w *harness) {
 			w.train()
 			lost := w.consumed[1].Samples[0].Prompt.Index
 			delete(w.consumed, 1)
@@ -522,7 +522,7 @@
 				w.train()
 			}
 		},
-		"request is refused at its deadline": func(t *testing.T, w *world) {
+		"request is refused at its deadline": func(t *testing.T, w *harness) {
 			token := w.requestBatch(1, w.trainer, time.Second)
 			w.tick(2 * time.Second)
 			w.wantRefused(t, token, port.CodeNotReady)
@@ -530,7 +530,7 @@
 				t.Fatal("refusal without RetryAfter")
 			}
 		},
-		"abandoned request causes no commit": func(t *testing.T, w *world) {
+		"abandoned request causes no commit": func(t *testing.T, w *harness) {
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.RequestAbandoned{Token: token})
 			w.runRounds(5)
@@ -538,7 +538,7 @@
 				t.Fatal("committed for an abandoned request")
 			}
 		},
-		"control outage: the buffer fills up to its limit": func(t *testing.T, w *world) {
+		"control outage: the buffer fills up to its limit": func(t *testing.T, w *harness) {
 			token := w.requestBatch(1, w.trainer, time.Hour)
 			for range 100 {
 				for len(w.proposals) > 0 {
@@ -563,7 +563,7 @@
 			w.runRounds(3)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"drain: nothing new starts, the pending commit is resolved, then drained": func(t *testing.T, w *world) {
+		"drain: nothing new starts, the pending commit is resolved, then drained": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.step(w.current, coordinator.Drain{})
@@ -580,16 +580,16 @@
 		},
 	}
 	for name, run := range cases {
-		t.Run(name, func(t *testing.T) { run(t, newWorld(t, smallSampling(), "")) })
+		t.Run(name, func(t *testing.T) { run(t, newHarness(t, smallSampling(), "")) })
 	}
 }
 
 func TestSampleFaults(t *testing.T) {
 	cases := map[string]struct {
 		source string
-		run    func(t *testing.T, w *world)
+		run    func(t *testing.T, w *harness)
 	}{
-		"scorer answers twice, late and for a dropped sample": {"", func(t *testing.T, w *world) {
+		"scorer answers twice, late and for a dropped sample": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			w.finish(w.attempts[0])
 			id := w.scores[0].ID
@@ -604,7 +604,7 @@
 			}
 			w.train()
 		}},
-		"scorer fails: retried, then another sample": {"", func(t *testing.T, w *world) {
+		"scorer fails: retried, then another sample": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			w.finish(w.attempts[0])
 			id, requests := w.scores[0].ID, 0
@@ -622,7 +622,7 @@
 			}
 			w.train()
 		}},
-		"scorer does not answer: retried": {"", func(t *testing.T, w *world) {
+		"scorer does not answer: retried": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			w.finish(w.attempts[0])
 			w.scores = nil
@@ -632,7 +632,7 @@
 				t.Fatalf("%d requests", len(w.scores))
 			}
 		}},
-		"engine reports no version": {"", func(t *testing.T, w *world) {
+		"engine reports no version": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.remove(run)
@@ -641,7 +641,7 @@
 				t.Fatal("a sample of unknown version was accepted")
 			}
 		}},
-		"engine's spans do not add up": {"", func(t *testing.T, w *world) {
+		"engine's spans do not add up": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.remove(run)
@@ -650,7 +650,7 @@
 				t.Fatal("a sample with wrong spans was accepted")
 			}
 		}},
-		"engine reports another version than the published one": {"", func(t *testing.T, w *world) {
+		"engine reports another version than the published one": {"", func(t *testing.T, w *harness) {
 			w.publish()
 			w.published = 1
 			w.answerFetch(false)
@@ -659,7 +659,7 @@
 			w.runRounds(2)
 			w.train()
 		}},
-		"answer of an earlier attempt": {"", func(t *testing.T, w *world) {
+		"answer of an earlier attempt": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.fail(run, false)
@@ -671,7 +671,7 @@
 			}
 			w.train()
 		}},
-		"attempt without progress is restarted": {"", func(t *testing.T, w *world) {
+		"attempt without progress is restarted": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			w.attempts = nil
 			w.tick(3 * time.Minute)
@@ -681,7 +681,7 @@
 			}
 			w.train()
 		}},
-		"crash: resumes from the partial text": {"", func(t *testing.T, w *world) {
+		"crash: resumes from the partial text": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
@@ -694,7 +694,7 @@
 			w.publish()
 			w.train()
 		}},
-		"crash under a policy that never resumes": {"def plan(pool):\n  return struct(resume = 'never')", func(t *testing.T, w *world) {
+		"crash under a policy that never resumes": {"def plan(pool):\n  return struct(resume = 'never')", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
@@ -704,7 +704,7 @@
 				t.Fatalf("restarted as %+v", restarted)
 			}
 		}},
-		"crash with a partial text that has become stale: restarts": {"", func(t *testing.T, w *world) {
+		"crash with a partial text that has become stale: restarts": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
@@ -717,7 +717,7 @@
 				t.Fatalf("restarted as %+v", restarted)
 			}
 		}},
-		"stale when it finishes, without a progress report": {"", func(t *testing.T, w *world) {
+		"stale when it finishes, without a progress report": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.generate(run, 1)
@@ -729,7 +729,7 @@
 				t.Fatalf("%d score requests, %+v", len(w.scores), w.current.Status().Counters)
 			}
 		}},
-		"crash after the maximum length: sample is finished": {"", func(t *testing.T, w *world) {
+		"crash after the maximum length: sample is finished": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 100)
@@ -738,7 +738,7 @@
 				t.Fatal("the sample was not scored")
 			}
 		}},
-		"stale while buffered: replaced by another sample": {"", func(t *testing.T, w *world) {
+		"stale while buffered: replaced by another sample": {"", func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			before := w.current.Status().Buffered
 			for range 3 {
@@ -752,7 +752,7 @@
 			}
 			w.train()
 		}},
-		"stale while running: dropped immediately": {"", func(t *testing.T, w *world) {
+		"stale while running: dropped immediately": {"", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 1)
@@ -763,7 +763,7 @@
 				t.Fatal("a sample past the bound is still running")
 			}
 		}},
-		"max_versions 1: a sample of two versions restarts": {"def plan(pool):\n  return struct(max_versions = 1)", func(t *testing.T, w *world) {
+		"max_versions 1: a sample of two versions restarts": {"def plan(pool):\n  return struct(max_versions = 1)", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 2)
@@ -773,7 +773,7 @@
 				t.Fatal("a sample of two versions is still running")
 			}
 		}},
-		"over-provisioned group keeps the first to finish": {"def plan(pool):\n  return struct(over_provision = 1)", func(t *testing.T, w *world) {
+		"over-provisioned group keeps the first to finish": {"def plan(pool):\n  return struct(over_provision = 1)", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			first, second, third := w.attempts[0], w.attempts[1], w.attempts[2]
 			w.finish(third)
@@ -783,7 +783,7 @@
 			}
 			w.train()
 		}},
-		"long sample moves once to a less loaded replica": {"def plan(pool):\n  return struct(long_tokens = 5, long_priority = 7, resume = 'long')", func(t *testing.T, w *world) {
+		"long sample moves once to a less loaded replica": {"def plan(pool):\n  return struct(long_tokens = 5, long_priority = 7, resume = 'long')", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 6)
@@ -802,7 +802,7 @@
 			}
 			w.train()
 		}},
-		"move that is never answered": {"def plan(pool):\n  return struct(long_tokens = 5, resume = 'long')", func(t *testing.T, w *world) {
+		"move that is never answered": {"def plan(pool):\n  return struct(long_tokens = 5, resume = 'long')", func(t *testing.T, w *harness) {
 			w.answerFetch(false)
 			run := w.attempts[0]
 			w.progress(run, 6)
@@ -811,7 +811,7 @@
 			w.tick(time.Minute)
 			w.running(run.start.ID)
 		}},
-		"failing policy keeps the last plan and is recorded": {"def plan(pool):\n  return struct(target_in_flight = 4 if pool.version < 2 else -1)", func(t *testing.T, w *world) {
+		"failing policy keeps the last plan and is recorded": {"def plan(pool):\n  return struct(target_in_flight = 4 if pool.version < 2 else -1)", func(t *testing.T, w *harness) {
 			w.publish()
 			w.tick(2 * time.Second)
 			w.tick(2 * time.Second)
@@ -821,7 +821,7 @@
 			}
 			w.train()
 		}},
-		"prompt source fails, then returns too few": {"", func(t *testing.T, w *world) {
+		"prompt source fails, then returns too few": {"", func(t *testing.T, w *harness) {
 			for range 3 {
 				w.answerFetch(true)
 				w.tick(time.Minute)
@@ -836,7 +836,7 @@
 			}
 			w.train()
 		}},
-		"group size changes": {"", func(t *testing.T, w *world) {
+		"group size changes": {"", func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			w.sampling.GroupSize = 3
 			program, err := policy.Compile("def plan(pool):\n  return struct(target_in_flight = 12)")
@@ -848,7 +848,7 @@
 		}},
 	}
 	for name, test := range cases {
-		t.Run(name, func(t *testing.T) { test.run(t, newWorld(t, smallSampling(), test.source)) })
+		t.Run(name, func(t *testing.T) { test.run(t, newHarness(t, smallSampling(), test.source)) })
 	}
 }
 
@@ -857,7 +857,7 @@
 func TestMixedAgeGroupsAreDelivered(t *testing.T) {
 	sampling := smallSampling()
 	sampling.GroupSize = 3
-	w := newWorld(t, sampling, "")
+	w := newHarness(t, sampling, "")
 	w.answerFetch(false)
 	groups := map[port.PromptIndex][]*attemptRun{}
 	for _, run := range w.attempts {
@@ -891,7 +891,7 @@
 	for _, predict := range []string{"True", "False"} {
 		sampling := smallSampling()
 		sampling.StalenessBound = 3
-		w := newWorld(t, sampling, "def plan(pool):\n  return struct(predict_stale = "+predict+")")
+		w := newHarness(t, sampling, "def plan(pool):\n  return struct(predict_stale = "+predict+")")
 		w.length = 40
 		publishLater := func() {
 			w.tick(9 * time.Second)
@@ -922,14 +922,14 @@
 // TestReplacedAtEveryStep replaces the coordinator before each event of a run, with or
 // without its last proposal applied. No prompt may be lost and no sample repeated.
 func TestReplacedAtEveryStep(t *testing.T) {
-	baseline := newWorld(t, smallSampling(), "")
+	baseline := newHarness(t, smallSampling(), "")
 	for range 3 {
 		baseline.train()
 		baseline.publish()
 	}
 	for crashAt := 3; crashAt < baseline.steps; crashAt++ {
 		for _, applied := range []bool{false, true} {
-			w := newWorld(t, smallSampling(), "")
+			w := newHarness(t, smallSampling(), "")
 			w.crashAt, w.crashApplies = crashAt, applied
 			for round := 0; round < 6 || w.log.State(poolName).PromptsBelow < 9; round++ {
 				if round > 20 {
--- a/internal/core/coordinator/groups.go
+++ b/internal/core/coordinator/groups.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// mayStart reports whether any replica can take a new sample. While no replica serves
-// the minimum version, a started sample would be refused and its backoff would take
+// mayStart reports whether any replica can accept a new sample. While no replica serves
+// the minimum version, replicas would refuse a started sample, and its backoff would last
 // longer than loading the weights.
 func (c *Coordinator) mayStart() bool { return c.replicas.serves(c.minVersion()) }
 
--- a/internal/core/coordinator/planning.go
+++ b/internal/core/coordinator/planning.go
@@ -27,7 +27,7 @@
 }
 
 // runPolicy runs the policy program if it is due. If the run fails, the last valid plan
-// stays in force; repeated identical errors are recorded once.
+// remains active; repeated identical errors are recorded once.
 func (c *Coordinator) runPolicy() {
 	if !c.planning.due && c.now.Sub(c.planning.lastRun) < planInterval {
 		return
@@ -44,9 +44,9 @@
 }
 
 func (c *Coordinator) reportPolicyError(err error) {
-	known := c.planning.err != nil && c.planning.err.Error() == err.Error()
+	repeated := c.planning.err != nil && c.planning.err.Error() == err.Error()
 	c.planning.err = err
-	if known {
+	if repeated {
 		return
 	}
 	c.record(port.Decision{
@@ -94,7 +94,7 @@
 	utilization    map[port.ReplicaID]float64
 	minUtilization float64
 	capacity       int
-	// newestVersion is the newest version served by any replica that takes samples.
+	// newestVersion is the newest version served by any replica that accepts samples.
 	newestVersion port.WeightVersion
 }
 
@@ -117,7 +117,7 @@
 	return loads
 }
 
-// serves reports whether any replica that takes samples serves the version or a newer
+// serves reports whether any replica that accepts samples serves the version or a newer
 // one. A replica without loaded weights or adapter has version 0.
 func (l *replicaLoads) serves(version port.WeightVersion) bool {
 	return l.newestVersion >= max(version, 1)
--- a/internal/core/coordinator/prompts.go
+++ b/internal/core/coordinator/prompts.go
@@ -15,10 +15,10 @@
 	committedAbove map[port.PromptIndex]struct{}
 	// cursor is the lowest index not fetched yet.
 	cursor port.PromptIndex
-	// requeued precedes fresh; queued holds the indexes of both.
-	requeued []port.Prompt
-	fresh    []port.Prompt
-	queued   map[port.PromptIndex]struct{}
+	// pop returns requeued prompts before newPrompts; queued holds the indexes of both.
+	requeued   []port.Prompt
+	newPrompts []port.Prompt
+	queued     map[port.PromptIndex]struct{}
 	// refetch lists prompts whose text must be fetched again, sorted by index.
 	refetch []port.PromptIndex
 
@@ -58,14 +58,15 @@
 	return found
 }
 
-func (q *promptQueue) length() int { return len(q.requeued) + len(q.fresh) }
+func (q *promptQueue) length() int { return len(q.requeued) + len(q.newPrompts) }
 
-// push appends a new prompt, requeue a prompt that was started before.
+// push appends a new prompt.
 func (q *promptQueue) push(prompt port.Prompt) {
-	q.fresh = append(q.fresh, prompt)
+	q.newPrompts = append(q.newPrompts, prompt)
 	q.queued[prompt.Index] = struct{}{}
 }
 
+// requeue appends a prompt that was started before.
 func (q *promptQueue) requeue(prompt port.Prompt) {
 	if _, queued := q.queued[prompt.Index]; queued {
 		return
@@ -76,7 +77,7 @@
 
 // pop returns the next prompt, requeued ones first.
 func (q *promptQueue) pop() (port.Prompt, bool) {
-	for _, queue := range []*[]port.Prompt{&q.requeued, &q.fresh} {
+	for _, queue := range []*[]port.Prompt{&q.requeued, &q.newPrompts} {
 		if len(*queue) == 0 {
 			continue
 		}
@@ -90,18 +91,18 @@
 
 // dropCommitted removes committed prompts from the queues.
 func (q *promptQueue) dropCommitted() {
-	keep := func(prompts []port.Prompt) []port.Prompt {
-		kept := prompts[:0]
+	filter := func(prompts []port.Prompt) []port.Prompt {
+		remaining := prompts[:0]
 		for _, prompt := range prompts {
 			if q.committed(prompt.Index) {
 				delete(q.queued, prompt.Index)
 				continue
 			}
-			kept = append(kept, prompt)
+			remaining = append(remaining, prompt)
 		}
-		return kept
+		return remaining
 	}
-	q.requeued, q.fresh = keep(q.requeued), keep(q.fresh)
+	q.requeued, q.newPrompts = filter(q.requeued), filter(q.newPrompts)
 	q.refetch = slices.DeleteFunc(q.refetch, q.committed)
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// nextFetch returns the range to fetch: lost prompts first, then new ones.
+// nextFetch returns the range to fetch: prompts to fetch again first, then new ones.
 func (q *promptQueue) nextFetch(wanted int) (from port.PromptIndex, count int) {
 	if len(q.refetch) > 0 {
 		from = q.refetch[0]
--- a/internal/core/coordinator/rapid_test.go
+++ b/internal/core/coordinator/rapid_test.go
@@ -20,9 +20,9 @@
     )
 `
 
-// machine drives a world with random actions.
+// machine drives a harness with random actions.
 type machine struct {
-	*world
+	*harness
 	previous []*coordinator.Coordinator
 }
 
@@ -69,7 +69,7 @@
 		"ask":             func(t *rapid.T) { m.requestNext(t) },
 		"ask twice":       func(t *rapid.T) { m.requestNext(t); m.requestNext(t) },
 		"ask earlier":     func(*rapid.T) { m.requestPrevious() },
-		"forget answer":   func(*rapid.T) { m.forgetAnswer() },
+		"forget answer":   func(*rapid.T) { m.loseDelivery() },
 		"new trainer":     func(*rapid.T) { m.registerConsumer() },
 		"take over":       func(*rapid.T) { m.replaceCurrent() },
 		"former wakes":    func(t *rapid.T) { m.stepPrevious(t) },
@@ -132,9 +132,9 @@
 	}
 }
 
-// forgetAnswer makes the trainer lose the last answer before using it, so that it
+// loseDelivery makes the trainer lose the last answer before using it, so that it
 // requests the same batch again.
-func (m *machine) forgetAnswer() {
+func (m *machine) loseDelivery() {
 	last := m.next - 1
 	if m.highestRequested > last {
 		return
@@ -158,8 +158,8 @@
 	m.step(previous, coordinator.Tick{})
 }
 
-// checkEnd stops injecting faults and checks that the pool recovers, that every prompt
-// started is committed, and that the trainer consumed the batches in the log.
+// checkEnd stops injecting faults and checks that the pool recovers, that every started
+// prompt is committed, and that the trainer consumed the batches in the log.
 func (m *machine) checkEnd(t *rapid.T) {
 	m.scores, m.moves = nil, nil
 	m.attempts = slices.DeleteFunc(m.attempts, func(run *attemptRun) bool { return run.owner != m.current })
@@ -195,7 +195,7 @@
 
 func TestExactlyOnceUnderRandomFaults(t *testing.T) {
 	testkit.Check(t, 20261202, func(rt *rapid.T) {
-		m := &machine{world: newWorld(rt, smallSampling(), stressPolicy)}
+		m := &machine{harness: newHarness(rt, smallSampling(), stressPolicy)}
 		rt.Repeat(m.actions())
 		m.checkEnd(rt)
 	})
--- a/internal/core/coordinator/staleness.go
+++ b/internal/core/coordinator/staleness.go
@@ -179,17 +179,17 @@
 	r.last = now
 }
 
-// pendingPublicationTTL bounds how long a publication counts as pending if its outcome
+// pendingPublicationTTL limits how long a publication counts as pending if its outcome
 // is never reported, for example because the publisher crashed.
 const pendingPublicationTTL = 5 * time.Second
 
-// pendingPublication is the highest version whose publication has begun and not ended.
+// pendingPublication is the highest version whose publication has started but not ended.
 type pendingPublication struct {
 	version port.WeightVersion
 	expires time.Time
 }
 
-func (p *pendingPublication) begin(version port.WeightVersion, now time.Time) {
+func (p *pendingPublication) start(version port.WeightVersion, now time.Time) {
 	if version >= p.version || !now.Before(p.expires) {
 		*p = pendingPublication{version: version, expires: now.Add(pendingPublicationTTL)}
 	}
--- a/internal/core/coordinator/world_test.go
+++ b/internal/core/coordinator/world_test.go
@@ -56,9 +56,9 @@
 	commit coordinator.Commit
 }
 
-// world runs coordinators against the real ledger and simulated engines, scorer, prompt
+// harness runs coordinators against the real ledger and simulated engines, scorer, prompt
 // source and trainer, and checks the batches that the trainer receives.
-type world struct {
+type harness struct {
 	t        rapid.TB
 	now      time.Time
 	sampling port.Sampling
@@ -105,12 +105,12 @@
 	generated map[port.SampleID]map[string][]port.Span
 }
 
-func newWorld(t rapid.TB, sampling port.Sampling, source string) *world {
+func newHarness(t rapid.TB, sampling port.Sampling, source string) *harness {
 	program, err := policy.Compile(source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{
+	w := &harness{
 		t: t, now: start, sampling: sampling, program: program, published: 1, length: 3,
 		answers: map[string]port.Result{}, commits: map[string]commitRecord{},
 		refused: map[uint64]*port.Error{}, deliveries: map[uint64]coordinator.Deliver{},
@@ -123,7 +123,7 @@
 }
 
 // registerConsumer registers a new trainer process as the pool's consumer.
-func (w *world) registerConsumer() {
+func (w *harness) registerConsumer() {
 	w.epochs++
 	consumer, refusal := w.log.Register(port.RegisterConsumer{Pool: poolName, Consumer: "trainer"}, w.epochs)
 	if refusal != nil {
@@ -134,7 +134,7 @@
 }
 
 // rewind registers a new trainer process that rewinds to a batch.
-func (w *world) rewind(number port.BatchNumber) {
+func (w *harness) rewind(number port.BatchNumber) {
 	w.epochs++
 	command := port.RegisterConsumer{Pool: poolName, Consumer: "trainer", RewindTo: number}
 	consumer, refusal := w.log.Register(command, w.epochs)
@@ -152,7 +152,7 @@
 
 // replaceCoordinator starts a new coordinator under a new lease epoch, after the previous
 // lease has expired. The previous coordinator is not notified.
-func (w *world) replaceCoordinator() {
+func (w *harness) replaceCoordinator() {
 	if w.current != nil {
 		w.now = w.now.Add(leaseTTL)
 		w.fetches, w.reads = nil, 0
@@ -175,7 +175,7 @@
 
 // refresh sends the coordinator the replicas, which serve the published version unless
 // rolloutStopped is set, and a tick.
-func (w *world) refresh() {
+func (w *harness) refresh() {
 	if !w.rolloutStopped {
 		w.serving = w.published
 	}
@@ -187,7 +187,7 @@
 }
 
 // step sends an event and performs the resulting actions.
-func (w *world) step(to *coordinator.Coordinator, event coordinator.Event) {
+func (w *harness) step(to *coordinator.Coordinator, event coordinator.Event) {
 	w.steps++
 	if w.steps == w.crashAt {
 		if w.crashApplies {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (w *world) perform(by *coordinator.Coordinator, action coordinator.Action) {
+func (w *harness) perform(by *coordinator.Coordinator, action coordinator.Action) {
 	switch action := action.(type) {
 	case coordinator.Record:
 		w.records = append(w.records, action.Decision)
@@ -230,7 +230,7 @@
 	}
 }
 
-func (w *world) cancel(by *coordinator.Coordinator, action coordinator.CancelSample) {
+func (w *harness) cancel(by *coordinator.Coordinator, action coordinator.CancelSample) {
 	if action.Move {
 		w.moves = append(w.moves, action)
 		return
@@ -241,7 +241,7 @@
 }
 
 // tick advances the clock, renews the lease and refreshes the coordinator.
-func (w *world) tick(by time.Duration) {
+func (w *harness) tick(by time.Duration) {
 	w.now = w.now.Add(by)
 	w.step(w.current, coordinator.LeaseRenewed{Until: w.now.Add(leaseTTL)})
 	w.refresh()
@@ -256,7 +256,7 @@
 }
 
 // answerFetch answers the oldest outstanding fetch.
-func (w *world) answerFetch(fail bool) {
+func (w *harness) answerFetch(fail bool) {
 	if len(w.fetches) == 0 {
 		return
 	}
@@ -270,7 +270,7 @@
 }
 
 // generate appends tokens of the served version to an attempt.
-func (w *world) generate(run *attemptRun, tokens int) {
+func (w *harness) generate(run *attemptRun, tokens int) {
 	tokens = min(tokens, run.start.MaxTokens-spanTokens(run.spans))
 	for range tokens {
 		run.text += fmt.Sprintf("%d/%d ", run.start.ID.Sequence, w.serving)
@@ -286,9 +286,8 @@
 	return sum
 }
 
-// finish ends an attempt with its complete text, progress reports tokens, and fail ends
-// an attempt with an error.
-func (w *world) finish(run *attemptRun) {
+// finish ends an attempt with its complete text.
+func (w *harness) finish(run *attemptRun) {
 	if !run.ended {
 		w.generate(run, w.length)
 	}
@@ -300,7 +299,8 @@
 	})
 }
 
-func (w *world) progress(run *attemptRun, tokens int) {
+// progress generates tokens and reports the progress of an attempt.
+func (w *harness) progress(run *attemptRun, tokens int) {
 	w.generate(run, tokens)
 	w.step(run.owner, coordinator.SampleProgress{
 		ID: run.start.ID, Attempt: run.start.Attempt, Replica: "replica-1",
@@ -308,7 +308,8 @@
 	})
 }
 
-func (w *world) fail(run *attemptRun, partial bool) {
+// fail ends an attempt with an error, with or without its partial output.
+func (w *harness) fail(run *attemptRun, partial bool) {
 	w.remove(run)
 	w.recordGenerated(run)
 	event := coordinator.SampleFailed{
@@ -322,7 +323,7 @@
 }
 
 // running returns the sample's running attempt.
-func (w *world) running(id port.SampleID) *attemptRun {
+func (w *harness) running(id port.SampleID) *attemptRun {
 	for _, run := range w.attempts {
 		if run.start.ID == id {
 			return run
@@ -333,7 +334,7 @@
 }
 
 // recordGenerated records the text and spans that an attempt generated.
-func (w *world) recordGenerated(run *attemptRun) {
+func (w *harness) recordGenerated(run *attemptRun) {
 	texts := w.generated[run.start.ID]
 	if texts == nil {
 		texts = map[string][]port.Span{}
@@ -346,13 +347,13 @@
 	texts[run.start.Resume+run.text] = append(slices.Clone(resumed), run.spans...)
 }
 
-func (w *world) remove(run *attemptRun) {
+func (w *harness) remove(run *attemptRun) {
 	run.ended = true
 	w.attempts = slices.DeleteFunc(w.attempts, func(other *attemptRun) bool { return other == run })
 }
 
 // score answers a request to the scorer.
-func (w *world) score(position int, fail bool) {
+func (w *harness) score(position int, fail bool) {
 	request := w.scores[position]
 	w.scores = slices.Delete(w.scores, position, position+1)
 	if fail {
@@ -363,7 +364,7 @@
 }
 
 // apply applies a proposal to the log and returns its result.
-func (w *world) apply(commit coordinator.Commit) port.Result {
+func (w *harness) apply(commit coordinator.Commit) port.Result {
 	result, known := w.answers[commit.ChangeID]
 	if !known {
 		result = port.Result{Index: uint64(len(w.answers) + 1)}
@@ -397,7 +398,7 @@
 )
 
 // resolveProposal ends the oldest proposal with an outcome.
-func (w *world) resolveProposal(outcome commitOutcome) {
+func (w *harness) resolveProposal(outcome commitOutcome) {
 	if len(w.proposals) == 0 {
 		return
 	}
@@ -421,28 +422,28 @@
 }
 
 // ledgerState returns the pool's ledger state with the published version.
-func (w *world) ledgerState() port.LedgerState {
+func (w *harness) ledgerState() port.LedgerState {
 	state := w.log.State(poolName)
 	state.Published = w.published
 	return state
 }
 
 // read answers one ReadLedger.
-func (w *world) read() {
+func (w *harness) read() {
 	if w.reads > 0 {
 		w.reads--
 		w.step(w.current, coordinator.LedgerRead{State: w.ledgerState()})
 	}
 }
 
-func (w *world) publish() {
+func (w *harness) publish() {
 	w.published++
 	w.step(w.current, coordinator.WeightsPublished{Weights: port.PublishedWeights{Pool: poolName, Version: w.published}})
 	w.refresh()
 }
 
 // requestBatch sends the trainer's request for a batch and returns its token.
-func (w *world) requestBatch(number port.BatchNumber, epoch port.Epoch, wait time.Duration) uint64 {
+func (w *harness) requestBatch(number port.BatchNumber, epoch port.Epoch, wait time.Duration) uint64 {
 	w.tokens++
 	w.requests = append(w.requests, batchRequest{token: w.tokens, number: number, epoch: epoch, coordinator: w.current})
 	token := w.tokens
@@ -453,7 +454,7 @@
 	return token
 }
 
-func (w *world) closeRequest(token uint64) (batchRequest, bool) {
+func (w *harness) closeRequest(token uint64) (batchRequest, bool) {
 	for position, open := range w.requests {
 		if open.token == token {
 			w.requests = slices.Delete(w.requests, position, position+1)
@@ -465,7 +466,7 @@
 
 // receive checks a delivery against the log and the generated texts. The trainer consumes
 // it if the request is still pending.
-func (w *world) receive(delivery coordinator.Deliver) {
+func (w *harness) receive(delivery coordinator.Deliver) {
 	open, waiting := w.closeRequest(delivery.Token)
 	if !waiting {
 		return
@@ -488,7 +489,7 @@
 }
 
 // closeDuplicates closes the trainer's other requests for a batch that it has received.
-func (w *world) closeDuplicates(open batchRequest) {
+func (w *harness) closeDuplicates(open batchRequest) {
 	for _, other := range slices.Clone(w.requests) {
 		if other.number == open.number && other.epoch == open.epoch && other.coordinator != open.coordinator {
 			w.closeRequest(other.token)
@@ -496,7 +497,7 @@
 	}
 }
 
-func (w *world) checkBatch(delivery coordinator.Deliver, committed commitRecord) {
+func (w *harness) checkBatch(delivery coordinator.Deliver, committed commitRecord) {
 	if len(delivery.Samples) != w.sampling.BatchSamples || len(committed.samples) != len(delivery.Samples) {
 		w.t.Fatalf("batch %d has %d samples, %d committed", delivery.Number, len(delivery.Samples), len(committed.samples))
 	}
@@ -527,7 +528,7 @@
 
 // consume records a batch as trained on and checks that none of its samples or prompts
 // was in an earlier batch.
-func (w *world) consume(delivery coordinator.Deliver) {
+func (w *harness) consume(delivery coordinator.Deliver) {
 	for number, earlier := range w.consumed {
 		if number == delivery.Number {
 			continue
@@ -544,13 +545,13 @@
 	w.next = delivery.Number + 1
 }
 
-func (w *world) refuse(action coordinator.Refuse) {
+func (w *harness) refuse(action coordinator.Refuse) {
 	w.refused[action.Token] = action.Err
 	w.closeRequest(action.Token)
 }
 
 // runRounds answers all outstanding actions successfully, for a number of rounds.
-func (w *world) runRounds(rounds int) {
+func (w *harness) runRounds(rounds int) {
 	for range rounds {
 		for len(w.fetches) > 0 {
 			w.answerFetch(false)
@@ -575,7 +576,7 @@
 }
 
 // endMoves ends attempts cancelled for a move, with their partial output.
-func (w *world) endMoves() {
+func (w *harness) endMoves() {
 	moves := w.moves
 	w.moves = nil
 	for _, move := range moves {
@@ -587,8 +588,8 @@
 	}
 }
 
-// train requests a batch and runs the world until it arrives.
-func (w *world) train() {
+// train requests a batch and runs the harness until it arrives.
+func (w *harness) train() {
 	w.t.Helper()
 	number := w.next
 	for range 200 {
