--- a/internal/core/rollout/ask.go
+++ b/internal/core/rollout/ask.go
@@ -6,28 +6,28 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Repetition of accepted orders.
+// Limits of the repetition of accepted orders.
 const (
-	// minRepeatInterval and maxRepeatInterval bound the time between two repetitions of
+	// minRepeatInterval and maxRepeatInterval limit the time between two repetitions of
 	// an accepted order. The interval grows with the order's age beyond recentOrderAge,
 	// divided by repeatIntervalDivisor, since each repetition may restart a failing load.
 	minRepeatInterval     = 100 * time.Millisecond
 	maxRepeatInterval     = 5 * time.Second
 	recentOrderAge        = 3 * time.Second
 	repeatIntervalDivisor = 4
-	// maxOutstandingRepeats bounds the unanswered repetitions, so that a switch of
+	// maxOutstandingRepeats limits the unanswered repetitions, so that a switch of
 	// thousands of replicas does not flood their home nodes.
 	maxOutstandingRepeats = 32
 )
 
-// matches reports whether o is the pending form of the order; o may be nil.
+// matches reports whether o has the order's kind and version; o may be nil.
 func (o *pendingOrder) matches(order port.Order) bool {
 	return o != nil && o.kind == order.Kind && o.version == order.Version
 }
 
 // repeatOrders repeats accepted orders whose effect has not been reported yet. A repeated
-// order has no further effect, and its answer contains the replica's current state, while
-// polled load reports arrive too late for a fast switch.
+// order has no further effect, and its answer contains the replica's current state;
+// polled load reports would arrive too late for a fast switch.
 func (r *Rollout) repeatOrders() {
 	remaining := maxOutstandingRepeats - r.countOutstandingRepeats()
 	for range r.replicas {
--- a/internal/core/rollout/config.go
+++ b/internal/core/rollout/config.go
@@ -34,7 +34,7 @@
 	WeightStore string
 	// Weights are the currently published weights; version 0 means none.
 	Weights port.PublishedWeights
-	// MaxStaging bounds the number of replicas that load from the store concurrently.
+	// MaxStaging limits the number of replicas that load from the store concurrently.
 	MaxStaging int
 	// StageTimeout is how long a replica may take to stage before the order is sent
 	// again.
@@ -44,7 +44,7 @@
 	// recently: a rollout to many replicas may take longer.
 	StageDeadline time.Duration
 	ActivateShare float64
-	// ActivateTimeout bounds the time from the activation order to the report of the new
+	// ActivateTimeout limits the time from the activation order to the report of the new
 	// version.
 	ActivateTimeout time.Duration
 	// Rolling activates each replica as soon as it has staged, instead of all together.
--- a/internal/core/rollout/messages.go
+++ b/internal/core/rollout/messages.go
@@ -30,7 +30,7 @@
 }
 
 // ReplicasChanged lists the replicas of the rollout. A replica that is unreachable or
-// leaving is listed with Reachable false or left out; the rollout does not wait for it.
+// leaving is listed with Reachable false or not at all; the rollout does not wait for it.
 type ReplicasChanged struct{ Replicas []Replica }
 
 // Replica is the state of a replica as seen by its home node.
@@ -66,7 +66,7 @@
 	// Replicas is the number of replicas that serve it.
 	Replicas int
 	// Duration is the time since the publication was received, Switch the time since the
-	// activation began.
+	// activation started.
 	Duration time.Duration
 	Switch   time.Duration
 }
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -76,7 +76,7 @@
 	awaitingAnswer bool
 }
 
-// maxSkipped bounds how many consecutive targets a newer publication may replace during
+// maxSkipped limits how many consecutive targets a newer publication may replace during
 // staging; otherwise weights published faster than they can be staged would never be
 // served.
 const maxSkipped = 1
@@ -151,22 +151,22 @@
 }
 
 func (r *Rollout) replicasChanged(listed []Replica) {
-	known := make(map[port.ReplicaID]*replica, len(listed))
+	listedByID := make(map[port.ReplicaID]*replica, len(listed))
 	r.replicas = r.replicas[:0]
 	for _, entry := range listed {
 		member := r.byID[entry.ID]
 		if member == nil {
 			member = &replica{id: entry.ID}
 		}
-		if known[entry.ID] != nil {
+		if listedByID[entry.ID] != nil {
 			continue
 		}
 		member.reachable = entry.Reachable
-		known[entry.ID] = member
+		listedByID[entry.ID] = member
 		r.replicas = append(r.replicas, member)
 	}
 	slices.SortFunc(r.replicas, func(a, b *replica) int { return cmp.Compare(a.id, b.id) })
-	r.byID = known
+	r.byID = listedByID
 }
 
 // advance sends the orders that are due.
@@ -196,8 +196,8 @@
 	r.checkCompleted()
 }
 
-// mayStage acquires the staging turn before the switch and releases it afterwards.
-// Staging after the switch, on a replica that joined late, needs no turn, since it does
+// mayStage acquires the staging lock before the switch and releases it afterwards.
+// Staging after the switch, on a replica that joined late, needs no lock, since it does
 // not wait for other replicas.
 func (r *Rollout) mayStage() bool {
 	if r.switching || r.completed {
@@ -214,7 +214,7 @@
 	return r.config.StagingLock.acquire(r.now, r.config.Pool, r.config.StageDeadline)
 }
 
-// Stop releases the staging turn; Step must not be called afterwards.
+// Stop releases the staging lock; Step must not be called afterwards.
 func (r *Rollout) Stop() {
 	r.fenced = true
 	r.config.StagingLock.release(r.config.Pool)
@@ -222,8 +222,8 @@
 
 // needsOrder reports whether a replica is due for an order.
 func (r *Rollout) needsOrder(member *replica) bool {
-	known := member.reachable && !member.lastReport.IsZero()
-	return known && member.version != r.target && member.order == nil && !r.now.Before(member.notBefore)
+	eligible := member.reachable && !member.lastReport.IsZero()
+	return eligible && member.version != r.target && member.order == nil && !r.now.Before(member.notBefore)
 }
 
 func (r *Rollout) countStaging() int {
@@ -340,14 +340,14 @@
 	r.record(to.id, fmt.Sprintf("%s version %d, serves %d", kind, r.target, to.version))
 }
 
-// record records a decision on a replica, or on the pool's weights if about is empty.
-func (r *Rollout) record(about port.ReplicaID, detail string) {
-	subject := string(about)
-	if about == "" {
+// record records a decision on a replica, or on the pool's weights if id is empty.
+func (r *Rollout) record(id port.ReplicaID, detail string) {
+	subject := string(id)
+	if id == "" {
 		subject = fmt.Sprintf("w-%s-%d", r.config.Pool, r.target)
 	}
 	r.actions = append(r.actions, Record{Decision: port.Decision{
 		Kind: port.DecisionOrdered, Subject: subject, Time: r.now.UnixMilli(), Node: r.config.Node,
-		Pool: r.config.Pool, Replica: about, Version: r.target, Detail: detail,
+		Pool: r.config.Pool, Replica: id, Version: r.target, Detail: detail,
 	}})
 }
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -32,8 +32,8 @@
 	if !allServe(f, 2) || len(f.completed) != 1 || f.completed[0].Replicas != 5 {
 		t.Fatalf("versions %v, completed %+v", f.versions(), f.completed)
 	}
-	if took := f.completed[0].Duration; took < 3*stageTime || took > 4*stageTime {
-		t.Errorf("three waves of %s took %s", stageTime, took)
+	if duration := f.completed[0].Duration; duration < 3*stageTime || duration > 4*stageTime {
+		t.Errorf("three waves of %s took %s", stageTime, duration)
 	}
 }
 
@@ -135,7 +135,7 @@
 			f.engines[0].refusal = lost
 			f.run(2 * time.Second)
 			if !f.engines[0].routed {
-				t.Fatal("replica that kept its version is out of routing")
+				t.Fatal("replica that still serves its version is out of routing")
 			}
 			f.engines[0].refusal = nil
 			f.run(time.Minute)
@@ -181,7 +181,7 @@
 				t.Fatalf("versions %v after %d loads", f.versions(), f.engines[1].loads)
 			}
 		}},
-		{"an engine that does not report its load is waited for until the timeout", rollout.Config{StageTimeout: 20 * time.Second}, func(t *testing.T, f *fleet) {
+		{"rollout waits until the timeout for an engine that does not report its load", rollout.Config{StageTimeout: 20 * time.Second}, func(t *testing.T, f *fleet) {
 			f.engines[1].unresponsive = true
 			f.publish(2)
 			f.run(19 * time.Second)
--- a/internal/core/rollout/turn.go
+++ b/internal/core/rollout/turn.go
@@ -11,7 +11,7 @@
 // a time. An engine keeps few staged versions and evicts the oldest for a new one, so
 // rollouts staging concurrently would evict each other's weights forever.
 //
-// A rollout releases the turn at the switch, since activated weights occupy no staging
+// A rollout releases the lock at the switch, since activated weights occupy no staging
 // slot. Waiting rollouts acquire it in the order of their requests. It is not safe for
 // concurrent use.
 type StagingLock struct {
@@ -20,31 +20,32 @@
 	waiting []port.PoolName
 }
 
-// acquire requests the turn and reports whether the pool holds it. While others wait, a
-// pool holds the turn for at most the given time, so that a pool whose weights cannot be
+// acquire requests the lock and reports whether the pool holds it. While others wait, a
+// pool holds the lock for at most the given time, so that a pool whose weights cannot be
 // fetched does not block the others.
-func (t *StagingLock) acquire(now time.Time, pool port.PoolName, duration time.Duration) bool {
-	if t.holder != "" && !now.Before(t.expires) && len(t.waiting) > 0 {
-		t.release(t.holder)
+func (l *StagingLock) acquire(now time.Time, pool port.PoolName, duration time.Duration) bool {
+	if l.holder != "" && !now.Before(l.expires) && len(l.waiting) > 0 {
+		l.release(l.holder)
 	}
-	if t.holder == pool {
+	if l.holder == pool {
 		return true
 	}
-	if !slices.Contains(t.waiting, pool) {
-		t.waiting = append(t.waiting, pool)
+	if !slices.Contains(l.waiting, pool) {
+		l.waiting = append(l.waiting, pool)
 	}
-	if t.holder != "" || t.waiting[0] != pool {
+	if l.holder != "" || l.waiting[0] != pool {
 		return false
 	}
-	t.waiting = t.waiting[1:]
-	t.holder, t.expires = pool, now.Add(duration)
+	l.waiting = l.waiting[1:]
+	l.holder, l.expires = pool, now.Add(duration)
 	return true
 }
 
-// release ends the pool's turn or removes it from the waiting pools.
-func (t *StagingLock) release(pool port.PoolName) {
-	if t.holder == pool {
-		t.holder = ""
+// release releases the lock if the pool holds it, and removes the pool from the waiting
+// ones.
+func (l *StagingLock) release(pool port.PoolName) {
+	if l.holder == pool {
+		l.holder = ""
 	}
-	t.waiting = slices.DeleteFunc(t.waiting, func(waiting port.PoolName) bool { return waiting == pool })
+	l.waiting = slices.DeleteFunc(l.waiting, func(waiting port.PoolName) bool { return waiting == pool })
 }
--- a/internal/core/rollout/turn_test.go
+++ b/internal/core/rollout/turn_test.go
@@ -35,11 +35,11 @@
 			Weights: engine.Weights{Version: 1}, StagedSlots: 2, Store: store, WeightBytes: 1 << 20,
 		})
 	}
-	turn := &rollout.StagingLock{}
+	lock := &rollout.StagingLock{}
 	for _, pool := range adapters {
 		created, err := rollout.New(rollout.Config{
 			Pool: pool, Adapter: string(pool), Fence: fence, WeightStore: "http://127.0.0.1:9",
-			Weights: port.PublishedWeights{Pool: pool, Version: 1}, StagingLock: turn, MaxStaging: 2,
+			Weights: port.PublishedWeights{Pool: pool, Version: 1}, StagingLock: lock, MaxStaging: 2,
 			StageDeadline: 30 * time.Second,
 		}, start)
 		if err != nil {
