--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -11,9 +11,9 @@
 
 // Limits of one pool's delivery state.
 const (
-	// MaxPromptsAbove bounds the committed prompts above the lowest open one.
+	// MaxPromptsAbove limits the committed prompts above the lowest open one.
 	MaxPromptsAbove = 8192
-	// MaxRewindBatches bounds how many batches an operator can rewind.
+	// MaxRewindBatches limits how many batches an operator can rewind.
 	MaxRewindBatches = 64
 	maxConsumerName  = 128
 )
@@ -45,7 +45,7 @@
 	pools []*poolLedger // by name
 }
 
-// CommitContext are the pool's state at a commit's position in the log.
+// CommitContext is the pool's state at a commit's position in the log.
 type CommitContext struct {
 	// CoordinatorEpoch is the epoch of the pool's coordinator lease, 0 if there
 	// is none.
@@ -85,12 +85,12 @@
 	return ledger.Consumer, nil
 }
 
-// Commit records a batch, or returns why it must not be delivered. Committing the last
-// batch again with the same attempt and samples has no effect and is no error, so that a
-// coordinator may resend.
-func (l *Ledger) Commit(command port.CommitBatch, terms CommitContext) *port.Error {
+// Commit records a batch, or returns the reason why it must not be delivered. Committing
+// the last batch again with the same attempt and samples has no effect and returns no
+// error, so that a coordinator may resend.
+func (l *Ledger) Commit(command port.CommitBatch, context CommitContext) *port.Error {
 	ledger := l.ensure(command.Pool)
-	if refusal := ledger.checkEpochs(command, terms); refusal != nil {
+	if refusal := ledger.checkEpochs(command, context); refusal != nil {
 		return refusal
 	}
 	if ledger.isLast(command) {
@@ -100,7 +100,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	if refusal := checkStaleness(command, terms); refusal != nil {
+	if refusal := checkStaleness(command, context); refusal != nil {
 		return refusal
 	}
 	voidsLast := command.Number == ledger.Committed
@@ -108,7 +108,7 @@
 	if voidsLast {
 		prompts.remove(distinctPrompts(ledger.Last))
 	}
-	committed, refusal := checkSamples(command, terms.Sampling, &prompts)
+	committed, refusal := checkSamples(command, context.Sampling, &prompts)
 	if refusal != nil {
 		return refusal
 	}
@@ -152,10 +152,10 @@
 	}
 }
 
-func (p *poolLedger) checkEpochs(command port.CommitBatch, terms CommitContext) *port.Error {
-	if command.CoordinatorEpoch == 0 || command.CoordinatorEpoch != terms.CoordinatorEpoch {
+func (p *poolLedger) checkEpochs(command port.CommitBatch, context CommitContext) *port.Error {
+	if command.CoordinatorEpoch == 0 || command.CoordinatorEpoch != context.CoordinatorEpoch {
 		return port.NewError(port.NotRun, port.CodeFenced, "coordinator epoch %d is not the current one (%d)",
-			command.CoordinatorEpoch, terms.CoordinatorEpoch)
+			command.CoordinatorEpoch, context.CoordinatorEpoch)
 	}
 	if command.ConsumerEpoch == 0 || command.ConsumerEpoch != p.Consumer.Epoch {
 		return port.NewError(port.NotRun, port.CodeFenced, "consumer epoch %d is not the current one (%d)",
@@ -186,16 +186,16 @@
 		command.Number, command.Attempt, p.Committed, p.Attempt, acknowledged)
 }
 
-func checkStaleness(command port.CommitBatch, terms CommitContext) *port.Error {
+func checkStaleness(command port.CommitBatch, context CommitContext) *port.Error {
 	for _, sample := range command.Samples {
-		known := sample.Oldest != 0
-		if known && sample.Oldest+port.WeightVersion(terms.Sampling.StalenessBound) >= terms.Published {
+		versionKnown := sample.Oldest != 0
+		if versionKnown && sample.Oldest+port.WeightVersion(context.Sampling.StalenessBound) >= context.Published {
 			continue
 		}
 		refusal := port.NewError(port.NotRun, port.CodeStale, "sample %s: version %d against published version %d",
-			sample.ID, sample.Oldest, terms.Published)
+			sample.ID, sample.Oldest, context.Published)
 		refusal.Field, refusal.Value = "samples.oldest_version", strconv.FormatUint(uint64(sample.Oldest), 10)
-		refusal.Allowed = fmt.Sprintf("known and at most %d versions old", terms.Sampling.StalenessBound)
+		refusal.Allowed = fmt.Sprintf("known and at most %d versions old", context.Sampling.StalenessBound)
 		return refusal
 	}
 	return nil
@@ -237,7 +237,7 @@
 }
 
 // addSampleIDs checks the batch's sample ids and returns the used sequences including
-// them. Ids of earlier epochs cannot recur, so only the current epoch's are kept.
+// them. Ids of earlier epochs cannot recur, so only the current epoch's are stored.
 func (p *poolLedger) addSampleIDs(command port.CommitBatch) (sequenceSet, *port.Error) {
 	var used sequenceSet
 	if p.UsedEpoch == command.CoordinatorEpoch {
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 
 const testPool port.PoolName = "pool"
 
-var testTerms = CommitContext{
+var testContext = CommitContext{
 	CoordinatorEpoch: 5, Published: 10,
 	Sampling: port.Sampling{StalenessBound: 2, BatchSamples: 4, GroupSize: 2},
 }
@@ -52,10 +52,10 @@
 
 func TestCommitRefusals(t *testing.T) {
 	tests := []struct {
-		name   string
-		modify func(*port.CommitBatch)
-		terms  func(*CommitContext)
-		want   port.Code
+		name    string
+		modify  func(*port.CommitBatch)
+		context func(*CommitContext)
+		want    port.Code
 	}{
 		{"next batch", func(*port.CommitBatch) {}, nil, ""},
 		{"resend of the last batch", func(c *port.CommitBatch) { *c = batch(1, 1, 1, 0, 1) }, nil, ""},
@@ -79,16 +79,16 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			ledger := newRegisteredLedger(t)
-			if refusal := ledger.Commit(batch(1, 1, 1, 0, 1), testTerms); refusal != nil {
+			if refusal := ledger.Commit(batch(1, 1, 1, 0, 1), testContext); refusal != nil {
 				t.Fatal(refusal)
 			}
 			before := ledger.State(testPool)
-			command, terms := batch(2, 1, 5, 2, 3), testTerms
+			command, context := batch(2, 1, 5, 2, 3), testContext
 			test.modify(&command)
-			if test.terms != nil {
-				test.terms(&terms)
+			if test.context != nil {
+				test.context(&context)
 			}
-			if got := codeOf(ledger.Commit(command, terms)); got != test.want {
+			if got := codeOf(ledger.Commit(command, context)); got != test.want {
 				t.Fatalf("got %q, want %q", got, test.want)
 			}
 			if after := ledger.State(testPool); test.want != "" && after.Committed != before.Committed {
@@ -101,17 +101,17 @@
 func TestVoidReopensPromptsAndKeepsIDsUsed(t *testing.T) {
 	ledger := newRegisteredLedger(t)
 	for _, command := range []port.CommitBatch{batch(1, 1, 1, 0, 3), batch(2, 1, 5, 1, 2)} {
-		if refusal := ledger.Commit(command, testTerms); refusal != nil {
+		if refusal := ledger.Commit(command, testContext); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
 	if below := ledger.State(testPool).PromptsBelow; below != 4 {
 		t.Fatalf("prompts below %d, want 4", below)
 	}
-	if got := codeOf(ledger.Commit(batch(2, 2, 7, 2, 4), testTerms)); got != port.CodeConflict {
+	if got := codeOf(ledger.Commit(batch(2, 2, 7, 2, 4), testContext)); got != port.CodeConflict {
 		t.Fatalf("voided sample ids were accepted: %q", got)
 	}
-	if refusal := ledger.Commit(batch(2, 2, 9, 2, 4), testTerms); refusal != nil {
+	if refusal := ledger.Commit(batch(2, 2, 9, 2, 4), testContext); refusal != nil {
 		t.Fatal(refusal)
 	}
 	state := ledger.State(testPool)
@@ -124,7 +124,7 @@
 	ledger := newRegisteredLedger(t)
 	for number := range port.BatchNumber(3) {
 		first := port.PromptIndex(2 * number)
-		if refusal := ledger.Commit(batch(number+1, 1, uint64(4*number), first, first+1), testTerms); refusal != nil {
+		if refusal := ledger.Commit(batch(number+1, 1, uint64(4*number), first, first+1), testContext); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
@@ -138,12 +138,12 @@
 	if below := ledger.State(testPool).PromptsBelow; below != 2 {
 		t.Fatalf("prompts below %d, want 2", below)
 	}
-	if got := codeOf(ledger.Commit(batch(2, 1, 100, 2, 3), testTerms)); got != port.CodeFenced {
+	if got := codeOf(ledger.Commit(batch(2, 1, 100, 2, 3), testContext)); got != port.CodeFenced {
 		t.Fatalf("commit for a fenced consumer: %q", got)
 	}
 	command := batch(2, 1, 100, 2, 3)
 	command.ConsumerEpoch = 2
-	if refusal := ledger.Commit(command, testTerms); refusal != nil {
+	if refusal := ledger.Commit(command, testContext); refusal != nil {
 		t.Fatal(refusal)
 	}
 }
--- a/internal/core/ledger/prompts.go
+++ b/internal/core/ledger/prompts.go
@@ -34,7 +34,7 @@
 	p.Above = slices.Delete(p.Above, 0, contiguous)
 }
 
-// remove removes prompts and lowers Below to the lowest of them.
+// remove removes prompts, and lowers Below to the lowest of them if that is less.
 func (p *promptSet) remove(prompts []port.PromptIndex) {
 	if len(prompts) == 0 {
 		return
--- a/internal/core/ledger/sequences.go
+++ b/internal/core/ledger/sequences.go
@@ -12,9 +12,9 @@
 	Last  uint64
 }
 
-// maxSequenceRanges limits the ranges stored for one coordinator epoch. Beyond it the oldest
-// gap is closed: its sequences count as used, so a very late sample may be rejected but
-// none is accepted twice.
+// maxSequenceRanges limits the ranges stored for one coordinator epoch. Beyond it, add
+// closes the oldest gap: its sequences count as used, so a very late sample may be
+// rejected but none is accepted twice.
 const maxSequenceRanges = 4096
 
 // sequenceSet is a set of numbers stored as sorted, disjoint, non-adjacent ranges.
