--- a/internal/core/poolworker/action.go
+++ b/internal/core/poolworker/action.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Action is something the caller carries out. The types below implement it.
+// Action is an instruction to the caller; the types below implement it.
 type Action interface{ action() }
 
 // Propose sends a command to the control log. The caller passes the result to ProposalAnswered
@@ -20,27 +20,28 @@
 }
 
 // PollHomes polls the home nodes of an engine pool's replicas and sends them the
-// replicas that a rollout excludes from routing. StatesPolled takes the result.
+// replicas that a rollout excludes from routing. The caller passes the result to
+// StatesPolled.
 type PollHomes struct {
 	Pool     port.PoolName
 	Fence    port.Epoch
 	Excluded []port.ReplicaID
 }
 
-// Order sends an order to an engine. OrderAnswered takes the result.
+// Order sends an order to an engine. The caller passes the result to OrderAnswered.
 type Order struct {
 	Rollout port.PoolName
 	Send    rollout.SendOrder
 }
 
-// CoordinatorAction carries out an action of the coordinator that the worker doesn't turn
-// into Propose, Record or Ended. Sampling holds the current settings.
+// CoordinatorAction carries out an action of the coordinator that the worker does not
+// handle itself. Sampling holds the current settings.
 type CoordinatorAction struct {
 	Action   coordinator.Action
 	Sampling port.Sampling
 }
 
-// Record stores a decision for explain.
+// Record stores a decision for the explain command.
 type Record struct{ Decision port.Decision }
 
 // PolicyRejected reports a policy program that doesn't compile. The previous program
--- a/internal/core/poolworker/lease.go
+++ b/internal/core/poolworker/lease.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// leaseMarginDivisor is the fraction of the lease, as a divisor, that is kept as a
-	// margin for clock drift.
+	// leaseMarginDivisor divides the lease duration; the quotient is the margin for
+	// clock drift.
 	leaseMarginDivisor = 10
 	// renewalsPerLease is the number of renewals sent within one lease.
 	renewalsPerLease = 3
@@ -17,8 +17,8 @@
 	renewalRetryDelay = 100 * time.Millisecond
 )
 
-// acquire requests the pool's lease. The lease counts from before the request was
-// sent, so that it expires at this node before it expires in the log.
+// acquire requests the pool's lease. The lease duration counts from the time at which the
+// request was sent, so that it expires at this node before it expires in the log.
 func (w *Worker) acquire(sent time.Time) {
 	request := port.AcquireLease{
 		Name: port.CoordinatorLease(w.config.Pool), Holder: w.config.Node, TTL: w.config.Lease,
@@ -51,13 +51,13 @@
 	})
 }
 
-// readLedger reads the pool's delivery state through the log. The result of any commit
-// holds it, so an empty batch, which the log rejects, is enough.
+// readLedger reads the pool's delivery state through the log. It commits an empty batch:
+// the log rejects it, and the result of any commit contains the delivery state.
 func (w *Worker) readLedger(done func(time.Time, *port.LedgerState, *port.Error)) {
 	empty := port.CommitBatch{Pool: w.config.Pool, CoordinatorEpoch: w.epoch}
 	w.propose(port.Command{CommitBatch: &empty}, w.config.CallTimeout, func(now time.Time, result port.Result, failure *port.Error) {
 		if failure == nil && result.Ledger == nil {
-			failure = port.NewError(port.NotRun, port.CodeUnavailable, "the commit's result holds no delivery state")
+			failure = port.NewError(port.NotRun, port.CodeUnavailable, "the commit's result contains no delivery state")
 		}
 		done(now, result.Ledger, failure)
 	})
@@ -96,7 +96,7 @@
 	switch {
 	case w.phase != phaseRunning:
 	case failure != nil:
-		// A tick retries while the lease lasts.
+		// Tick retries until the lease expires.
 		w.nextRenewal = now.Add(renewalRetryDelay)
 	case result.Error != nil:
 		w.end(now, nil)
@@ -119,7 +119,7 @@
 	w.propose(port.Command{ReleaseLease: &request}, w.config.CallTimeout, nil)
 }
 
-// end ends the worker at once, without releasing the lease.
+// end ends the worker immediately, without releasing the lease.
 func (w *Worker) end(now time.Time, cause error) {
 	if w.phase == phaseEnded {
 		return
--- a/internal/core/poolworker/rollouts.go
+++ b/internal/core/poolworker/rollouts.go
@@ -59,7 +59,7 @@
 func (w *Worker) startRollout(now time.Time, pool *port.Pool, weights port.PublishedWeights) {
 	machine, err := rollout.New(rollout.Config{
 		Pool: pool.Name, Adapter: pool.Adapter, Fence: w.epoch, Node: w.config.Node,
-		WeightStore: pool.Sampling.WeightStore, Weights: weights, Seed: w.config.Seed, StagingLock: &w.turn,
+		WeightStore: pool.Sampling.WeightStore, Weights: weights, Seed: w.config.Seed, StagingLock: &w.stagingLock,
 	}, now)
 	if err != nil {
 		return
@@ -162,7 +162,7 @@
 	return w.flush()
 }
 
-// capacity returns the routable replicas as the pool's policy sees them.
+// capacity returns the routable replicas in the form of the policy's view.
 func (w *Worker) capacity(adapter string, replicas []nodestate.ReplicaState) []policy.Replica {
 	zones := make(map[port.ReplicaID]port.ZoneName, len(w.view.Configuration.Replicas))
 	for index := range w.view.Configuration.Replicas {
--- a/internal/core/poolworker/seeker.go
+++ b/internal/core/poolworker/seeker.go
@@ -14,19 +14,19 @@
 
 // LeaseSelector selects the free leases that a node should acquire. There is a lease for each
 // sampling pool and for each engine pool that serves one, since the holder of the
-// engine pool's lease orders the weights. It is not safe for concurrent use.
+// engine pool's lease sends the weight orders. It is not safe for concurrent use.
 type LeaseSelector struct {
 	node      port.NodeID
 	freeSince map[port.PoolName]time.Time
 }
 
-// NewLeaseSelector returns the seeker of a node.
+// NewLeaseSelector returns the selector of a node.
 func NewLeaseSelector(node port.NodeID) *LeaseSelector {
 	return &LeaseSelector{node: node, freeSince: make(map[port.PoolName]time.Time)}
 }
 
 // Acquirable returns the pools, in order, whose lease this node should acquire now. running
-// reports whether a worker of a pool runs here already.
+// reports whether a worker of a pool already runs on this node.
 func (s *LeaseSelector) Acquirable(now time.Time, view *port.View, running func(port.PoolName) bool) []port.PoolName {
 	leased := leasedPools(view)
 	for pool := range s.freeSince {
@@ -34,16 +34,17 @@
 			delete(s.freeSince, pool)
 		}
 	}
-	var wanted []port.PoolName
+	var acquirable []port.PoolName
 	for _, pool := range leased {
 		if !running(pool) && s.mayAcquire(now, view, pool) {
-			wanted = append(wanted, pool)
+			acquirable = append(acquirable, pool)
 		}
 	}
-	return wanted
+	return acquirable
 }
 
-// WorkerEnded records that a worker of the pool ended here. The next attempt waits by rank.
+// WorkerEnded records that this node's worker of the pool ended. The next attempt waits by
+// rank.
 func (s *LeaseSelector) WorkerEnded(now time.Time, pool port.PoolName) { s.freeSince[pool] = now }
 
 // leasedPools returns the pools that need a lease holder, in order.
@@ -68,8 +69,8 @@
 			return false
 		}
 	}
-	since, known := s.freeSince[pool]
-	if !known {
+	since, found := s.freeSince[pool]
+	if !found {
 		since = now
 		s.freeSince[pool] = now
 	}
--- a/internal/core/poolworker/worker.go
+++ b/internal/core/poolworker/worker.go
@@ -54,10 +54,10 @@
 	weights     port.WeightVersion
 
 	rollouts map[port.PoolName]*rolloutState
-	// turn is shared by all rollouts.
-	turn     rollout.StagingLock
-	polling  bool
-	nextPoll time.Time
+	// stagingLock is shared by all rollouts.
+	stagingLock rollout.StagingLock
+	polling     bool
+	nextPoll    time.Time
 	// replicas is the number of replicas in the last poll.
 	replicas int
 }
@@ -74,7 +74,7 @@
 	return w, w.flush()
 }
 
-// Epoch returns the epoch of the lease; 0 before it was granted.
+// Epoch returns the epoch of the lease; 0 until the lease is granted.
 func (w *Worker) Epoch() port.Epoch { return w.epoch }
 
 // Running reports whether the worker coordinates the pool.
@@ -107,8 +107,8 @@
 // coordinator.
 const requestRetryAfter = 500 * time.Millisecond
 
-// Coordinator passes an event to the coordinator. While there is none, batch requests
-// are rejected at once.
+// Coordinator passes an event to the coordinator. While there is none, it rejects batch
+// requests immediately.
 func (w *Worker) Coordinator(now time.Time, event coordinator.Event) []Action {
 	if w.phase == phaseRunning && w.coordinator != nil {
 		w.step(now, event)
@@ -133,7 +133,7 @@
 	return w.flush()
 }
 
-// Drain starts a planned stop: the worker starts nothing new, and releases the lease
+// Drain starts a graceful stop: the worker starts nothing new, and releases the lease
 // once no commit has an unknown outcome.
 func (w *Worker) Drain(now time.Time) []Action {
 	w.draining = true
@@ -147,7 +147,7 @@
 	return w.flush()
 }
 
-// Stop ends the worker at once.
+// Stop ends the worker immediately.
 func (w *Worker) Stop(now time.Time) []Action {
 	w.end(now, nil)
 	return w.flush()
@@ -180,7 +180,8 @@
 	w.weights = weights.Version
 }
 
-// compile returns the compiled program, or nil if it is invalid: the previous one stays.
+// compile returns the compiled program, or nil if it is invalid: the previous one stays in
+// use.
 func (w *Worker) compile(source string) *policy.Program {
 	w.policy = source
 	program, err := policy.Compile(source)
--- a/internal/core/poolworker/worker_test.go
+++ b/internal/core/poolworker/worker_test.go
@@ -58,7 +58,7 @@
 	w.actions = append(w.actions, w.worker.ProposalAnswered(now, proposed.Token, result, failure)...)
 }
 
-// acquire grants the lease at a time and returns the delivery state.
+// acquire grants the lease at a time and answers the read of the delivery state.
 func (w *harness) acquire(now time.Time) {
 	lease := &port.Lease{Name: "coordinator/lm", Holder: "n1", Epoch: 3}
 	w.answer(now, w.proposal(), port.Result{Lease: lease}, nil)
@@ -135,35 +135,35 @@
 
 func TestNodesWaitByRank(t *testing.T) {
 	none := func(port.PoolName) bool { return false }
-	asked := make(map[port.NodeID]time.Duration)
+	requestedAfter := make(map[port.NodeID]time.Duration)
 	for _, id := range []port.NodeID{"n1", "n2", "n3"} {
-		seeker := poolworker.NewLeaseSelector(id)
+		selector := poolworker.NewLeaseSelector(id)
 		for step := range 20 {
 			after := time.Duration(step) * 100 * time.Millisecond
-			if _, done := asked[id]; !done && len(seeker.Acquirable(start.Add(after), view(), none)) > 0 {
-				asked[id] = after
+			if _, done := requestedAfter[id]; !done && len(selector.Acquirable(start.Add(after), view(), none)) > 0 {
+				requestedAfter[id] = after
 			}
 		}
 	}
-	turns := map[time.Duration]bool{asked["n1"]: true, asked["n2"]: true, asked["n3"]: true}
-	if !turns[0] || !turns[500*time.Millisecond] || !turns[time.Second] {
-		t.Errorf("asked after %v", asked)
+	delays := map[time.Duration]bool{requestedAfter["n1"]: true, requestedAfter["n2"]: true, requestedAfter["n3"]: true}
+	if !delays[0] || !delays[500*time.Millisecond] || !delays[time.Second] {
+		t.Errorf("requested after %v", requestedAfter)
 	}
 }
 
 func TestHeldLeaseIsNotRequested(t *testing.T) {
-	held := view()
-	held.Leases = []port.Lease{{Name: "coordinator/lm", Holder: "n2", Epoch: 1, Expires: at(5).UnixMilli()}}
+	leased := view()
+	leased.Leases = []port.Lease{{Name: "coordinator/lm", Holder: "n2", Epoch: 1, Expires: at(5).UnixMilli()}}
 	none := func(port.PoolName) bool { return false }
-	seeker := poolworker.NewLeaseSelector("n1")
+	selector := poolworker.NewLeaseSelector("n1")
 	for step := range 49 {
-		if wanted := seeker.Acquirable(at(float64(step)/10), held, none); len(wanted) > 0 {
-			t.Fatalf("requests %v after %d ms", wanted, 100*step)
+		if acquirable := selector.Acquirable(at(float64(step)/10), leased, none); len(acquirable) > 0 {
+			t.Fatalf("requests %v after %d ms", acquirable, 100*step)
 		}
 	}
 }
 
-// A batch request to a worker without a coordinator must be rejected: nobody else
+// A batch request to a worker without a coordinator must be rejected: no other component
 // answers it.
 func TestBatchRequestWithoutCoordinatorIsRejected(t *testing.T) {
 	request := coordinator.BatchRequested{Token: 7, Number: 1, ConsumerEpoch: 1, Deadline: at(9)}
