--- a/internal/core/scheduling/candidate.go
+++ b/internal/core/scheduling/candidate.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Candidate holds what the caller knows of one replica at the time of a decision.
+// Candidate holds the known state of one replica at the time of a decision.
 type Candidate struct {
 	Replica port.ReplicaID
 	Zone    port.ZoneName
@@ -14,8 +14,8 @@
 	// Home is the node that queues the replica's requests and checks its health.
 	Home port.NodeID
 
-	// Version is the weight version the replica last reported to serve, Staged the one
-	// it has loaded in addition. VersionUnknown excludes the replica from routing, as
+	// Version is the weight version that the replica last reported to serve, Staged the
+	// one it has loaded in addition. VersionUnknown excludes the replica from routing, as
 	// after a swap that failed partway.
 	Version        port.WeightVersion
 	Staged         port.WeightVersion
@@ -26,17 +26,17 @@
 	// Draining is set by an operator, Leaving by the machine list.
 	Draining bool
 	Leaving  bool
-	// Ejected and Probing are the health state at the home.
+	// Ejected and Probing are the health state at the home node.
 	Ejected bool
 	Probing bool
 
-	// Running and Waiting are the replica's own counts, of age ReportAge.
+	// Running and Waiting are the replica's own counts; ReportAge is their age.
 	Running   int
 	Waiting   int
 	ReportAge time.Duration
-	// Inflight is the exact number of requests that this node, or any node if this is
-	// the home, has sent and that have not finished. SentSinceReport and
-	// FinishedSinceReport count those sent and finished after the report.
+	// Inflight is the exact number of unfinished requests sent by this node, or by all
+	// nodes if this is the home node. SentSinceReport and FinishedSinceReport count the
+	// requests sent and finished after the report.
 	Inflight            int
 	SentSinceReport     int
 	FinishedSinceReport int
@@ -82,7 +82,7 @@
 	Zone     port.ZoneName
 	Region   port.RegionName
 	Priority port.Priority
-	// PromptTokens and MaxTokens bound the request's KV cache use.
+	// PromptTokens and MaxTokens limit the request's KV cache use.
 	PromptTokens int
 	MaxTokens    int
 	// MinVersion is the oldest weight version that may serve; 0 means any known one.
--- a/internal/core/scheduling/filter_test.go
+++ b/internal/core/scheduling/filter_test.go
@@ -19,29 +19,29 @@
 		candidate Candidate
 		want      bool
 	}{
-		"healthy":                         {Health{}, Request{}, Candidate{}, true},
-		"ejected":                         {Health{}, Request{}, Candidate{Ejected: true}, false},
-		"probing and idle":                {Health{}, Request{}, Candidate{Probing: true}, true},
-		"probing with a probe in flight":  {Health{}, Request{}, Candidate{Probing: true, Inflight: 1}, false},
-		"leaving":                         {Leaving{}, Request{}, Candidate{Leaving: true}, false},
-		"not leaving":                     {Leaving{}, Request{}, Candidate{}, true},
-		"draining":                        {Draining{}, Request{}, Candidate{Draining: true}, false},
-		"role unknown":                    {Role{}, Request{}, Candidate{}, true},
-		"decode only for a whole request": {Role{}, Request{}, Candidate{Role: port.RoleDecode}, false},
-		"decode for decode":               {Role{}, Request{Role: port.RoleDecode}, Candidate{Role: port.RoleDecode}, true},
-		"both for prefill":                {Role{}, Request{Role: port.RolePrefill}, Candidate{Role: port.RoleBoth}, true},
-		"prefill for decode":              {Role{}, Request{Role: port.RoleDecode}, Candidate{Role: port.RolePrefill}, false},
-		"version as required":             {Version{}, Request{MinVersion: 7}, Candidate{Version: 7}, true},
-		"version too old":                 {Version{}, Request{MinVersion: 7}, Candidate{Version: 6, Staged: 7}, false},
-		"version unknown, none required":  {Version{}, Request{}, Candidate{Version: 9, VersionUnknown: true}, false},
-		"no adapter required":             {Adapter{}, Request{}, Candidate{}, true},
-		"adapter loaded":                  {Adapter{}, Request{Adapter: "a"}, Candidate{Adapters: []string{"b", "a"}}, true},
-		"adapter missing":                 {Adapter{}, Request{Adapter: "a"}, Candidate{Adapters: []string{"b"}}, false},
-		"below limit":                     {Limit{}, Request{}, Candidate{Limit: 2, Inflight: 1}, true},
-		"at limit":                        {Limit{}, Request{}, Candidate{Limit: 2, Inflight: 2}, false},
-		"no limit":                        {Limit{}, Request{}, Candidate{Inflight: 99}, true},
-		"tried before":                    {Excluded{}, Request{Exclude: []port.ReplicaID{"x"}}, Candidate{Replica: "x"}, false},
-		"not tried before":                {Excluded{}, Request{Exclude: []port.ReplicaID{"x"}}, Candidate{Replica: "y"}, true},
+		"healthy":                        {Health{}, Request{}, Candidate{}, true},
+		"ejected":                        {Health{}, Request{}, Candidate{Ejected: true}, false},
+		"probing and idle":               {Health{}, Request{}, Candidate{Probing: true}, true},
+		"probing with a probe in flight": {Health{}, Request{}, Candidate{Probing: true, Inflight: 1}, false},
+		"leaving":                        {Leaving{}, Request{}, Candidate{Leaving: true}, false},
+		"not leaving":                    {Leaving{}, Request{}, Candidate{}, true},
+		"draining":                       {Draining{}, Request{}, Candidate{Draining: true}, false},
+		"role unknown":                   {Role{}, Request{}, Candidate{}, true},
+		"decode for all phases":          {Role{}, Request{}, Candidate{Role: port.RoleDecode}, false},
+		"decode for decode":              {Role{}, Request{Role: port.RoleDecode}, Candidate{Role: port.RoleDecode}, true},
+		"both for prefill":               {Role{}, Request{Role: port.RolePrefill}, Candidate{Role: port.RoleBoth}, true},
+		"prefill for decode":             {Role{}, Request{Role: port.RoleDecode}, Candidate{Role: port.RolePrefill}, false},
+		"version as required":            {Version{}, Request{MinVersion: 7}, Candidate{Version: 7}, true},
+		"version too old":                {Version{}, Request{MinVersion: 7}, Candidate{Version: 6, Staged: 7}, false},
+		"version unknown, none required": {Version{}, Request{}, Candidate{Version: 9, VersionUnknown: true}, false},
+		"no adapter required":            {Adapter{}, Request{}, Candidate{}, true},
+		"adapter loaded":                 {Adapter{}, Request{Adapter: "a"}, Candidate{Adapters: []string{"b", "a"}}, true},
+		"adapter missing":                {Adapter{}, Request{Adapter: "a"}, Candidate{Adapters: []string{"b"}}, false},
+		"below limit":                    {Limit{}, Request{}, Candidate{Limit: 2, Inflight: 1}, true},
+		"at limit":                       {Limit{}, Request{}, Candidate{Limit: 2, Inflight: 2}, false},
+		"no limit":                       {Limit{}, Request{}, Candidate{Inflight: 99}, true},
+		"tried before":                   {Excluded{}, Request{Exclude: []port.ReplicaID{"x"}}, Candidate{Replica: "x"}, false},
+		"not tried before":               {Excluded{}, Request{Exclude: []port.ReplicaID{"x"}}, Candidate{Replica: "y"}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 }
 
 // No profile may pick a replica that the required filters drop, each must pick one if
-// any is left, and the counts must add up.
+// any remains, and the counts must add up.
 func TestEveryProfileAppliesRequiredFilters(t *testing.T) {
 	names := []string{ProfileGeneration, ProfileApplication, ProfileRoundRobin, ProfileRandom, ProfileLeastInflight, ProfileTwoChoices}
 	for _, name := range names {
--- a/internal/core/scheduling/scheduler_test.go
+++ b/internal/core/scheduling/scheduler_test.go
@@ -31,7 +31,7 @@
 		}
 		return candidates
 	}
-	// latencies takes pairs of requests in flight and latency in milliseconds.
+	// latencies returns replicas from pairs of requests in flight and latency in ms.
 	latencies := func(pairs ...int) []Candidate {
 		candidates := make([]Candidate, len(pairs)/2)
 		for index := range candidates {
