--- a/internal/core/placement/chooser.go
+++ b/internal/core/placement/chooser.go
@@ -45,7 +45,8 @@
 }
 
 // Local picks one of the zone's replicas and returns its index and the zone's free slots
-// per replica. It avoids the tried replicas of earlier attempts unless no other is left.
+// per replica. It picks a replica of an earlier attempt, listed in tried, only if there is
+// no other.
 func (c *Chooser) Local(now time.Time, request scheduling.Request, tried []port.ReplicaID, zone []scheduling.Candidate) (chosen int, free float64, refusal *port.Error) {
 	c.index.Expire(now)
 	excluded := request.Exclude
@@ -89,12 +90,12 @@
 }
 
 // Zone picks another zone if it has clearly more free slots per replica than this node's
-// zone, or if noReplica is set: this zone cannot serve the request. It returns the index
-// of the offer, or false if the request stays.
-func (c *Chooser) Zone(offers []ZoneCapacity, free float64, noReplica bool) (int, bool) {
-	usable := make([]int, 0, len(offers))
-	for index := range offers {
-		if offers[index].Routable > 0 {
+// zone, or if noReplica is set because this zone cannot serve the request. It returns the
+// index of the zone, or false if the request stays in this zone.
+func (c *Chooser) Zone(zones []ZoneCapacity, free float64, noReplica bool) (int, bool) {
+	usable := make([]int, 0, len(zones))
+	for index := range zones {
+		if zones[index].Routable > 0 {
 			usable = append(usable, index)
 		}
 	}
@@ -104,17 +105,17 @@
 	// The better of two random zones: with the best of all, every node of a zone would
 	// send its requests to the same one until the next report.
 	chosen, other := usable[c.Draw(len(usable))], usable[c.Draw(len(usable))]
-	if offers[other].FreePerReplica > offers[chosen].FreePerReplica {
+	if zones[other].FreePerReplica > zones[chosen].FreePerReplica {
 		chosen = other
 	}
-	if !noReplica && offers[chosen].FreePerReplica < free+zoneMargin {
+	if !noReplica && zones[chosen].FreePerReplica < free+zoneMargin {
 		return 0, false
 	}
 	return chosen, true
 }
 
-// Draw returns a random number below bound.
-func (c *Chooser) Draw(bound int) int { return c.random.IntN(bound) }
+// Draw returns a random number below limit.
+func (c *Chooser) Draw(limit int) int { return c.random.IntN(limit) }
 
 // NoReplica returns the error for a request that no replica can serve.
 func NoReplica(filtered []port.FilterCount) *port.Error {
--- a/internal/core/placement/chooser_test.go
+++ b/internal/core/placement/chooser_test.go
@@ -33,7 +33,7 @@
 		{"a tried replica is avoided", scheduling.Request{}, []port.ReplicaID{"a"}, nil, "b"},
 		{"a tried replica is better than none", scheduling.Request{}, []port.ReplicaID{"a", "b"},
 			func(c []scheduling.Candidate) { c[0].Leaving = true }, "b"},
-		{"an excluded replica is not", scheduling.Request{Exclude: []port.ReplicaID{"a", "b"}}, nil, nil, ""},
+		{"an excluded replica is never chosen", scheduling.Request{Exclude: []port.ReplicaID{"a", "b"}}, nil, nil, ""},
 		{"a full replica is better than none", scheduling.Request{Exclude: []port.ReplicaID{"b"}}, nil,
 			func(c []scheduling.Candidate) { c[0].Inflight = 9 }, "a"},
 		{"all versions too old", scheduling.Request{MinVersion: 4}, nil, nil, ""},
@@ -63,7 +63,7 @@
 func TestZone(t *testing.T) {
 	cases := []struct {
 		name      string
-		offers    []placement.ZoneCapacity
+		zones     []placement.ZoneCapacity
 		free      float64
 		noReplica bool
 		want      bool
@@ -76,7 +76,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			if _, crosses := newChooser().Zone(testCase.offers, testCase.free, testCase.noReplica); crosses != testCase.want {
+			if _, crosses := newChooser().Zone(testCase.zones, testCase.free, testCase.noReplica); crosses != testCase.want {
 				t.Errorf("crosses zones: %v", crosses)
 			}
 		})
@@ -86,11 +86,11 @@
 // Requests sent and finished after a report correct it; those in the report are not
 // counted twice.
 func TestCountsCorrectALateReport(t *testing.T) {
-	mark := placement.CountsAtReport{}.Update(start, placement.Counts{Sent: 10, Finished: 8})
-	mark = mark.Update(start.Add(time.Microsecond), placement.Counts{Sent: 12, Finished: 9})
+	counts := placement.CountsAtReport{}.Update(start, placement.Counts{Sent: 10, Finished: 8})
+	counts = counts.Update(start.Add(time.Microsecond), placement.Counts{Sent: 12, Finished: 9})
 	candidate := scheduling.Candidate{Running: 5}
 	now := start.Add(time.Second)
-	candidate = mark.Apply(now, start, candidate, placement.Counts{Sent: 12, Finished: 9})
+	candidate = counts.Apply(now, start, candidate, placement.Counts{Sent: 12, Finished: 9})
 	// 3 are in flight, of which the report counted 2; the other 3 of its 5 are from others.
 	if got := candidate.Load(); got != 6 || candidate.ReportAge != time.Second {
 		t.Errorf("load %d of %+v", got, candidate)
--- a/internal/core/placement/counts.go
+++ b/internal/core/placement/counts.go
@@ -20,7 +20,7 @@
 // same report with a different measured age.
 const minReportInterval = time.Millisecond
 
-// Update returns the mark for a report made at reported, or m if the report is not newer.
+// Update returns the counts at the given report, or m if the report is not newer than m's.
 func (m CountsAtReport) Update(reported time.Time, counts Counts) CountsAtReport {
 	if !m.Reported.IsZero() && !reported.After(m.Reported.Add(minReportInterval)) {
 		return m
