--- a/internal/core/policy/doc.go
+++ b/internal/core/policy/doc.go
@@ -4,5 +4,6 @@
 // versions and replicas.
 //
 // A program is deterministic: it cannot load modules, print, read a clock or draw random
-// numbers, and has no effect besides its result. Its interpreter steps are bounded.
+// numbers, and has no effect besides its result. The number of its interpreter steps is
+// limited.
 package policy
--- a/internal/core/policy/plan.go
+++ b/internal/core/policy/plan.go
@@ -65,7 +65,7 @@
 	// PredictStale cancels an unfinished sample that is expected to exceed the staleness
 	// bound when it finishes.
 	PredictStale bool `json:"predict_stale"`
-	// MaxVersions bounds the distinct versions that may produce one sample; 0
+	// MaxVersions limits the distinct versions that may produce one sample; 0
 	// means any number.
 	MaxVersions int `json:"max_versions"`
 	// Selection is the order in which buffered groups go into a batch.
--- a/internal/core/policy/program.go
+++ b/internal/core/policy/program.go
@@ -12,11 +12,11 @@
 
 // Limits of a program.
 const (
-	// DefaultMaxSteps bounds the interpreter steps of one run.
+	// DefaultMaxSteps limits the interpreter steps of one run.
 	DefaultMaxSteps = 500_000
-	// MaxSourceBytes bounds a program's source.
+	// MaxSourceBytes limits a program's source.
 	MaxSourceBytes = 64 << 10
-	// MaxRange bounds the length of a range, which one step could turn into a
+	// MaxRange limits the length of a range, which one step could turn into a
 	// list of any size.
 	MaxRange = 10_000
 
@@ -84,7 +84,7 @@
 	return plan, steps, err
 }
 
-// newThread returns a thread without load and print, with bounded steps.
+// newThread returns a thread without load and print, with a limit on its steps.
 func newThread(maxSteps uint64) *starlark.Thread {
 	thread := &starlark.Thread{
 		Name:  FileName,
@@ -98,12 +98,12 @@
 func predeclared() starlark.StringDict {
 	return starlark.StringDict{
 		"struct": starlark.NewBuiltin("struct", starlarkstruct.Make),
-		"range":  starlark.NewBuiltin("range", boundedRange),
+		"range":  starlark.NewBuiltin("range", limitedRange),
 	}
 }
 
-// boundedRange is the language's range with a bounded length.
-func boundedRange(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, keywords []starlark.Tuple) (starlark.Value, error) {
+// limitedRange is the language's range with a limit on its length.
+func limitedRange(thread *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, keywords []starlark.Tuple) (starlark.Value, error) {
 	value, err := starlark.Call(thread, starlark.Universe["range"], args, keywords)
 	if err != nil {
 		return nil, err
--- a/internal/core/policy/values.go
+++ b/internal/core/policy/values.go
@@ -79,7 +79,7 @@
 	reader.boolean("predict_stale", func(b bool) { plan.PredictStale = b })
 	reader.names("zones", func(s string) { plan.Zones = append(plan.Zones, port.ZoneName(s)) })
 	reader.names("exclude", func(s string) { plan.Exclude = append(plan.Exclude, port.ReplicaID(s)) })
-	reader.refuseUnknown()
+	reader.rejectUnknown()
 	return plan, reader.err
 }
 
@@ -109,14 +109,14 @@
 	return fields, nil
 }
 
-// planReader reads fields one by one and keeps the first error.
+// planReader reads fields one by one and stores the first error.
 type planReader struct {
 	fields map[string]starlark.Value
 	err    error
 }
 
-// take removes and returns a field; None counts as omitted.
-func (r *planReader) take(name string) starlark.Value {
+// pop removes and returns a field; None counts as omitted.
+func (r *planReader) pop(name string) starlark.Value {
 	value, found := r.fields[name]
 	delete(r.fields, name)
 	if !found || value == starlark.None || r.err != nil {
@@ -125,12 +125,12 @@
 	return value
 }
 
-func (r *planReader) refuse(name string, value starlark.Value, allowed string) {
+func (r *planReader) reject(name string, value starlark.Value, allowed string) {
 	r.err = &FieldError{Field: name, Value: shorten(value.String()), Allowed: allowed}
 }
 
 func (r *planReader) integer(name string, low, high int64, set func(int64)) {
-	value := r.take(name)
+	value := r.pop(name)
 	if value == nil {
 		return
 	}
@@ -140,14 +140,14 @@
 		signed, fits = number.Int64()
 	}
 	if !fits || signed < low || signed > high {
-		r.refuse(name, value, "a whole number from "+strconv.FormatInt(low, 10)+" to "+strconv.FormatInt(high, 10))
+		r.reject(name, value, "a whole number from "+strconv.FormatInt(low, 10)+" to "+strconv.FormatInt(high, 10))
 		return
 	}
 	set(signed)
 }
 
 func (r *planReader) choice(name string, allowed []string, set func(string)) {
-	value := r.take(name)
+	value := r.pop(name)
 	if value == nil {
 		return
 	}
@@ -158,44 +158,44 @@
 			return
 		}
 	}
-	r.refuse(name, value, strings.Join(allowed, ", "))
+	r.reject(name, value, strings.Join(allowed, ", "))
 }
 
 func (r *planReader) boolean(name string, set func(bool)) {
-	value := r.take(name)
+	value := r.pop(name)
 	if value == nil {
 		return
 	}
 	truth, isBool := value.(starlark.Bool)
 	if !isBool {
-		r.refuse(name, value, "True or False")
+		r.reject(name, value, "True or False")
 		return
 	}
 	set(bool(truth))
 }
 
 func (r *planReader) names(name string, add func(string)) {
-	value := r.take(name)
+	value := r.pop(name)
 	if value == nil {
 		return
 	}
 	list, isSequence := value.(starlark.Indexable)
 	if _, isText := value.(starlark.String); !isSequence || isText {
-		r.refuse(name, value, "a list of names")
+		r.reject(name, value, "a list of names")
 		return
 	}
 	for index := range list.Len() {
 		text, isString := starlark.AsString(list.Index(index))
 		if !isString {
-			r.refuse(name, value, "a list of names")
+			r.reject(name, value, "a list of names")
 			return
 		}
 		add(text)
 	}
 }
 
-// refuseUnknown reports an unknown field, such as a misspelt one.
-func (r *planReader) refuseUnknown() {
+// rejectUnknown reports an unknown field, such as a misspelt one.
+func (r *planReader) rejectUnknown() {
 	if r.err != nil || len(r.fields) == 0 {
 		return
 	}
@@ -204,7 +204,7 @@
 		unknown = append(unknown, name)
 	}
 	sort.Strings(unknown)
-	r.refuse(unknown[0], r.fields[unknown[0]], "a field of docs/operators/policies.md")
+	r.reject(unknown[0], r.fields[unknown[0]], "a field of docs/operators/policies.md")
 }
 
 // shorten truncates a value for an error message.
--- a/internal/core/policy/view.go
+++ b/internal/core/policy/view.go
@@ -2,7 +2,7 @@
 
 import "github.com/loomgrade/loomgrade/internal/port"
 
-// View is what a program sees of its pool: the fields of its argument.
+// View holds the fields of a program's argument.
 type View struct {
 	// Name is the pool's name (pool.name).
 	Name port.PoolName `json:"name"`
@@ -24,10 +24,10 @@
 	Capacity int `json:"capacity"`
 	// TrainerWaiting is set while the trainer waits for a batch that is not complete.
 	TrainerWaiting bool `json:"trainer_waiting"`
-	// LongSamples counts running samples over the plan's long-sample threshold.
+	// LongSamples counts running samples of at least the plan's LongTokens.
 	LongSamples int `json:"long_samples"`
 	// MedianTokens and HighTokens are the median and 95th percentile of the lengths of
-	// finished samples; 0 until there are some.
+	// finished samples; 0 while too few have finished.
 	MedianTokens int `json:"median_tokens"`
 	HighTokens   int `json:"high_tokens"`
 	// Replicas lists the pool's replicas (pool.replicas).
@@ -40,7 +40,7 @@
 	Zone port.ZoneName  `json:"zone"`
 	// Version is the weight version last reported; 0 means unknown.
 	Version port.WeightVersion `json:"version"`
-	// Running counts the replica's requests, Limit bounds them.
+	// Running is the number of the replica's requests, Limit the maximum.
 	Running int `json:"running"`
 	Limit   int `json:"limit"`
 }
