--- a/internal/core/scheduling/picker.go
+++ b/internal/core/scheduling/picker.go
@@ -66,8 +66,8 @@
 // peak EWMA balancer of Finagle does. While either latency is unknown, it compares the
 // requests in flight. Ties are broken by score.
 //
-// It ignores the load reported by others, since a short request often finishes before the
-// next report.
+// It ignores the load reported by others, since the age of a report exceeds the duration
+// of a short request.
 type LowerLatencyOfTwo struct{}
 
 // Pick implements Picker.
