--- a/internal/core/jobqueue/jobqueue.go
+++ b/internal/core/jobqueue/jobqueue.go
@@ -1,6 +1,6 @@
 // Package jobqueue decides which item runs next, and on which replica. Older jobs run before
 // newer ones; within a job, items with a longer expected length run first, because they finish
-// last. Which groups the client will not wait for is unknown until enough others are complete.
+// last. Which groups the client does not need is unknown until enough others are complete.
 // The package does no I/O.
 package jobqueue
 
@@ -197,14 +197,14 @@
 // running items; others prefer replicas that finish them first regardless of the number of
 // running items. A replica that processed the group's prompt has a small advantage.
 func cost(replica *Replica, item Item) float64 {
-	warm := 0.0
+	hasPrompt := 0.0
 	if replica.HasPrompt != nil && replica.HasPrompt(item.Group) {
-		warm = 1
+		hasPrompt = 1
 	}
 	if item.Relaxed {
-		return replica.Pace.Seconds() * (float64(replica.Running+1) - warm*sharedPromptBonus)
+		return replica.Pace.Seconds() * (float64(replica.Running+1) - hasPrompt*sharedPromptBonus)
 	}
-	return replica.Pace.Seconds() * (1 + batchSlowdown*(float64(replica.Running)-warm*sharedPromptBonus))
+	return replica.Pace.Seconds() * (1 + batchSlowdown*(float64(replica.Running)-hasPrompt*sharedPromptBonus))
 }
 
 // avoidPenalty ranks a replica after all others.
--- a/internal/core/jobqueue/jobqueue_test.go
+++ b/internal/core/jobqueue/jobqueue_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("placed %v", placed)
 	}
 	if queue.Len() != 1 {
-		t.Errorf("%d left", queue.Len())
+		t.Errorf("%d items remaining, want 1", queue.Len())
 	}
 }
 
@@ -58,9 +58,9 @@
 
 func TestDelayedItemDoesNotBlockOthers(t *testing.T) {
 	var queue jobqueue.Queue
-	held := item("j", 0, jobqueue.Rank{})
-	held.NotBefore = now.Add(time.Second)
-	queue.Add(held)
+	delayed := item("j", 0, jobqueue.Rank{})
+	delayed.NotBefore = now.Add(time.Second)
+	queue.Add(delayed)
 	queue.Add(item("j", 1, jobqueue.Rank{Item: 1}))
 	if placed := queue.Place([]jobqueue.Replica{replica("a", 2, 1)}, now); len(placed) != 1 || placed[0].Item.Item != 1 {
 		t.Errorf("placed %v", placed)
@@ -155,7 +155,7 @@
 		"long item, fast replica is full":      {false, []jobqueue.Replica{busy("slow", 0, slow), busy("fast", 12, fast)}, "slow"},
 		"relaxed, slow replica runs fewer":     {true, []jobqueue.Replica{busy("slow", 2, slow), busy("fast", 9, fast)}, "slow"},
 		"relaxed, both run equally many":       {true, []jobqueue.Replica{busy("slow", 4, slow), busy("fast", 4, fast)}, "fast"},
-		"relaxed, idle replica is much slower": {true, []jobqueue.Replica{busy("crawls", 0, 30*fast), busy("fast", 9, fast)}, "fast"},
+		"relaxed, idle replica is much slower": {true, []jobqueue.Replica{busy("slowest", 0, 30*fast), busy("fast", 9, fast)}, "fast"},
 	} {
 		var queue jobqueue.Queue
 		waiting := item("j", 0, jobqueue.Rank{})
--- a/internal/core/jobqueue/scores.go
+++ b/internal/core/jobqueue/scores.go
@@ -1,7 +1,7 @@
 package jobqueue
 
 const (
-	// minRewardCalls is the limit at a service that reports few slots.
+	// minRewardCalls is the minimum limit, for a service that reports few slots.
 	minRewardCalls = 2
 	// reservedForCallers is the number of slots that reward calls leave free for callers'
 	// requests.
--- a/internal/core/jobqueue/scores_test.go
+++ b/internal/core/jobqueue/scores_test.go
@@ -48,21 +48,21 @@
 // arrival, with a limit on concurrent reward calls. It returns the longest wait of a reward call
 // for the limit and the longest response time of a caller's request.
 func simulateRewardCalls(limit int, arrivals []arrival) (queued, callers time.Duration) {
-	var held, queue []arrival
+	var delayed, queue []arrival
 	var busy []activeRequest
-	for now := time.Duration(0); len(arrivals) > 0 || len(held) > 0 || len(queue) > 0 || len(busy) > 0; now += time.Millisecond {
+	for now := time.Duration(0); len(arrivals) > 0 || len(delayed) > 0 || len(queue) > 0 || len(busy) > 0; now += time.Millisecond {
 		busy = slices.DeleteFunc(busy, func(running activeRequest) bool { return running.ends <= now })
 		for len(arrivals) > 0 && arrivals[0].at <= now {
 			if arrivals[0].caller {
 				queue = append(queue, arrivals[0])
 			} else {
-				held = append(held, arrivals[0])
+				delayed = append(delayed, arrivals[0])
 			}
 			arrivals = arrivals[1:]
 		}
-		for len(held) > 0 && countRewardCalls(queue, busy) < limit {
-			queued = max(queued, now-held[0].at)
-			queue, held = append(queue, held[0]), held[1:]
+		for len(delayed) > 0 && countRewardCalls(queue, busy) < limit {
+			queued = max(queued, now-delayed[0].at)
+			queue, delayed = append(queue, delayed[0]), delayed[1:]
 		}
 		for len(queue) > 0 && len(busy) < scoreLoad.slots {
 			running := activeRequest{ends: now + scoreLoad.call, caller: queue[0].caller}
