--- a/internal/core/jobstate/command.go
+++ b/internal/core/jobstate/command.go
@@ -115,7 +115,7 @@
 	Failures       int    `cbor:"9,keyasint,omitempty"`
 	ScorerFailures int    `cbor:"10,keyasint,omitempty"`
 	Result         Result `cbor:"11,keyasint,omitempty"`
-	// Score comes with ResultCompleted.
+	// Score is set with ResultCompleted.
 	Score string `cbor:"12,keyasint,omitempty"`
 	// Crashes is added to the number of replicas that crashed while they ran the item.
 	Crashes int `cbor:"13,keyasint,omitempty"`
--- a/internal/core/jobstate/jobstate_test.go
+++ b/internal/core/jobstate/jobstate_test.go
@@ -94,9 +94,9 @@
 	if page := l.state.Job("j").Page(0, 1000); len(page.Results) != 0 {
 		t.Errorf("completed with an incomplete text: %+v", page)
 	}
-	whole := text("j", 0, 1, "2")
-	whole.Complete, whole.Result, whole.Score = true, jobstate.ResultCompleted, "s"
-	l.record(whole)
+	complete := text("j", 0, 1, "2")
+	complete.Complete, complete.Result, complete.Score = true, jobstate.ResultCompleted, "s"
+	l.record(complete)
 	l.record(jobstate.ItemRecord{Job: "j", Item: 0, Events: 2, Result: jobstate.ResultErrored})
 	l.record(jobstate.ItemRecord{Job: "j", Item: 1, Result: jobstate.ResultErrored})
 	page := l.state.Job("j").Page(0, 1000)
@@ -104,7 +104,7 @@
 		t.Errorf("%+v", page)
 	}
 	if job := l.state.Job("j"); job.Items[0].Item.Body != nil || !job.Done() {
-		t.Errorf("a finished item keeps its body: %+v", job.Items[0])
+		t.Errorf("a finished item still has its body: %+v", job.Items[0])
 	}
 }
 
@@ -130,14 +130,14 @@
 		change func(*jobstate.Submission)
 		want   string
 	}{
-		"the same":    {func(*jobstate.Submission) {}, "1\n2"},
-		"newer bound": {func(s *jobstate.Submission) { s.MinVersion = 4 }, ""},
-		"other model": {func(s *jobstate.Submission) { s.Model = "n" }, ""},
-		"other body":  {func(s *jobstate.Submission) { s.Items[0].Body = []byte("x") }, ""},
-		"other path":  {func(s *jobstate.Submission) { s.Items[0].Path = "/x/" }, ""},
-		"other item":  {func(s *jobstate.Submission) { s.Items[0].ID = "x" }, ""},
-		"one version": {func(s *jobstate.Submission) { s.OneVersion = true }, "1\n2"},
-		"older bound": {func(s *jobstate.Submission) { s.MinVersion = 1 }, "1\n2"},
+		"the same":          {func(*jobstate.Submission) {}, "1\n2"},
+		"higher MinVersion": {func(s *jobstate.Submission) { s.MinVersion = 4 }, ""},
+		"other model":       {func(s *jobstate.Submission) { s.Model = "n" }, ""},
+		"other body":        {func(s *jobstate.Submission) { s.Items[0].Body = []byte("x") }, ""},
+		"other path":        {func(s *jobstate.Submission) { s.Items[0].Path = "/x/" }, ""},
+		"other item":        {func(s *jobstate.Submission) { s.Items[0].ID = "x" }, ""},
+		"one version":       {func(s *jobstate.Submission) { s.OneVersion = true }, "1\n2"},
+		"lower MinVersion":  {func(s *jobstate.Submission) { s.MinVersion = 1 }, "1\n2"},
 	} {
 		l := newLog(t)
 		l.apply(jobstate.Command{Accept: submission("first", "a")})
@@ -157,11 +157,11 @@
 	l.apply(jobstate.Command{Accept: submission("j", "a")})
 	for range 2 {
 		if known := l.apply(jobstate.Command{End: &jobstate.End{ID: "j"}}); known != true {
-			t.Error("the job is unknown")
+			t.Error("ending the job returned false")
 		}
 	}
 	if known := l.apply(jobstate.Command{End: &jobstate.End{ID: "x"}}); known != false {
-		t.Error("an unknown job is known")
+		t.Error("ending an unknown job returned true")
 	}
 	l.apply(jobstate.Command{Forget: &jobstate.Forget{Jobs: []string{"j", "x"}}})
 	if l.state.Job("j") != nil {
@@ -315,7 +315,7 @@
 	if err := l.state.Snapshot()(&buffer); err != nil {
 		t.Fatal(err)
 	}
-	if most := buffer.Len() * 11 / 10; buffer.Cap() > most {
+	if limit := buffer.Len() * 11 / 10; buffer.Cap() > limit {
 		t.Errorf("buffer of %d bytes for a snapshot of %d bytes", buffer.Cap(), buffer.Len())
 	}
 }
@@ -326,7 +326,7 @@
 	var before int
 	checkGrowth := func(what string, want bool) {
 		t.Helper()
-		if rose := l.state.Bytes() > before; rose != want {
+		if grew := l.state.Bytes() > before; grew != want {
 			t.Errorf("%s: %d bytes, previously %d", what, l.state.Bytes(), before)
 		}
 		before = l.state.Bytes()
