--- a/internal/core/coordinator/batches.go
+++ b/internal/core/coordinator/batches.go
@@ -31,8 +31,8 @@
 	confirmed bool
 }
 
-// heldBatch is the payload of the last committed batch.
-type heldBatch struct {
+// storedBatch is the payload of the last committed batch.
+type storedBatch struct {
 	number  port.BatchNumber
 	attempt uint32
 	version port.WeightVersion
@@ -97,7 +97,7 @@
 		return true
 	}
 	if c.canDeliver(w.number) && c.pending == nil && c.leaseValid() {
-		return c.serveHeld(w)
+		return c.serveStored(w)
 	}
 	if c.staleAfterDelivery(w) {
 		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was just delivered and is now stale", w.number)
@@ -110,17 +110,17 @@
 	return false
 }
 
-// serveHeld delivers the held batch. A batch that was delivered before is delivered
+// serveStored delivers the stored batch. A batch that was delivered before is delivered
 // again only to a confirmed request, since this node may not have seen a version
 // published after the commit. A ledger read can't confirm a request that was already
 // waiting when the batch was delivered to another one: from then on the trainer may
 // publish, and a state read before the publication may arrive after it.
-func (c *Coordinator) serveHeld(w waiter) (answered bool) {
+func (c *Coordinator) serveStored(w waiter) (answered bool) {
 	switch {
 	case c.staleUnderPendingPublication():
 		c.refuse(w.token, port.NotRun, port.CodeNotReady, "batch %d was delivered before and is stale under the version being published", w.number)
 		return true
-	case w.confirmed, c.held.delivered.IsZero():
+	case w.confirmed, c.stored.delivered.IsZero():
 		c.deliver(w)
 		return true
 	case c.deliveredWhileWaiting(w):
@@ -138,14 +138,14 @@
 // not delayed: no trainer has used the batch yet.
 func (c *Coordinator) staleUnderPendingPublication() bool {
 	newest := c.pendingPublication.highestVersion(c.version, c.now)
-	return !c.held.delivered.IsZero() && ageAt(newest, c.held.oldest) > c.config.Sampling.StalenessBound
+	return !c.stored.delivered.IsZero() && ageAt(newest, c.stored.oldest) > c.config.Sampling.StalenessBound
 }
 
 // deliveredWhileWaiting reports whether the consumer received the batch through
 // another request while this one was waiting.
 func (c *Coordinator) deliveredWhileWaiting(w waiter) bool {
-	held := c.held
-	return held.deliveredTo == w.epoch && !held.delivered.Before(w.arrived)
+	stored := c.stored
+	return stored.deliveredTo == w.epoch && !stored.delivered.Before(w.arrived)
 }
 
 // serveUnknownConsumer handles a request with a consumer epoch above that of the ledger
@@ -159,40 +159,40 @@
 	return false
 }
 
-// canDeliver reports whether the payload of a batch is held and within the staleness
+// canDeliver reports whether the payload of a batch is stored and within the staleness
 // bound.
 func (c *Coordinator) canDeliver(number port.BatchNumber) bool {
-	held := c.held
-	if held == nil || held.number != number || number != c.ledger.Committed {
+	stored := c.stored
+	if stored == nil || stored.number != number || number != c.ledger.Committed {
 		return false
 	}
-	return c.age(held.oldest) <= c.config.Sampling.StalenessBound
+	return c.age(stored.oldest) <= c.config.Sampling.StalenessBound
 }
 
-// staleAfterDelivery reports whether the held batch is stale and the request arrived
+// staleAfterDelivery reports whether the stored batch is stale and the request arrived
 // too soon after its delivery to void it.
 func (c *Coordinator) staleAfterDelivery(w waiter) bool {
-	held := c.held
-	if held == nil || held.number != w.number || held.delivered.IsZero() || c.pending != nil {
+	stored := c.stored
+	if stored == nil || stored.number != w.number || stored.delivered.IsZero() || c.pending != nil {
 		return false
 	}
-	return !c.canDeliver(w.number) && w.arrived.Before(held.delivered.Add(redeliveryGrace))
+	return !c.canDeliver(w.number) && w.arrived.Before(stored.delivered.Add(redeliveryGrace))
 }
 
-// deliver answers a request with the held batch.
+// deliver answers a request with the stored batch.
 func (c *Coordinator) deliver(w waiter) {
-	held := c.held
-	held.delivered, held.deliveredTo = c.now, w.epoch
+	stored := c.stored
+	stored.delivered, stored.deliveredTo = c.now, w.epoch
 	c.counters.Delivered++
 	c.emit(Deliver{
-		Token: w.token, Number: held.number, Attempt: held.attempt,
-		TrainerVersion: held.version, Samples: held.samples,
+		Token: w.token, Number: stored.number, Attempt: stored.attempt,
+		TrainerVersion: stored.version, Samples: stored.samples,
 	})
 	c.record(port.Decision{
-		Kind: port.DecisionDelivered, Subject: batchName(c.config.Pool, held.number, held.attempt),
-		Attempt: int(held.attempt), Version: held.version,
+		Kind: port.DecisionDelivered, Subject: batchName(c.config.Pool, stored.number, stored.attempt),
+		Attempt: int(stored.attempt), Version: stored.version,
 		Detail: fmt.Sprintf("%d samples to consumer epoch %d, oldest version %d; version %d read %v ago; requested %v ago",
-			len(held.samples), w.epoch, held.oldest, c.version, c.now.Sub(c.versionReadAt), c.now.Sub(w.arrived)),
+			len(stored.samples), w.epoch, stored.oldest, c.version, c.now.Sub(c.versionReadAt), c.now.Sub(w.arrived)),
 	})
 }
 
@@ -229,8 +229,8 @@
 // formBatch proposes the requested batch if enough complete groups are within the
 // staleness bound.
 func (c *Coordinator) formBatch() {
-	number, wanted := c.wantedNumber()
-	if !wanted || c.draining || !c.leaseValid() || c.now.Before(c.commitAfter) {
+	number, found := c.requestedNumber()
+	if !found || c.draining || !c.leaseValid() || c.now.Before(c.commitAfter) {
 		return
 	}
 	groups := c.selectGroups()
@@ -244,8 +244,8 @@
 	c.propose(number, attempt, groups)
 }
 
-// wantedNumber returns the batch number that must be committed for the waiting requests.
-func (c *Coordinator) wantedNumber() (port.BatchNumber, bool) {
+// requestedNumber returns the batch number that must be committed for the waiting requests.
+func (c *Coordinator) requestedNumber() (port.BatchNumber, bool) {
 	for _, w := range c.waiters {
 		if w.epoch == c.ledger.Consumer.Epoch && w.number > c.ledger.Acknowledged && !c.canDeliver(w.number) {
 			return w.number, true
@@ -257,14 +257,14 @@
 // selectGroups returns complete groups for a batch in the plan's order, or nil if there
 // are too few.
 func (c *Coordinator) selectGroups() []*group {
-	wanted := c.config.Sampling.BatchSamples / c.config.Sampling.GroupSize
-	candidates := make([]*group, 0, wanted)
+	count := c.config.Sampling.BatchSamples / c.config.Sampling.GroupSize
+	candidates := make([]*group, 0, count)
 	for _, g := range c.order {
 		if c.ready(g) {
 			candidates = append(candidates, g)
 		}
 	}
-	if len(candidates) < wanted {
+	if len(candidates) < count {
 		return nil
 	}
 	freshest := c.planning.plan.Selection == policy.SelectFreshest
@@ -279,13 +279,13 @@
 		}
 		return cmp.Compare(a.prompt.Index, b.prompt.Index)
 	})
-	if c.committedAboveAfter(candidates[:wanted]) <= ledger.MaxPromptsAbove {
-		return candidates[:wanted]
+	if c.committedAboveAfter(candidates[:count]) <= ledger.MaxPromptsAbove {
+		return candidates[:count]
 	}
-	// Too many prompts would be committed above the lowest open one: take the lowest first.
+	// Too many prompts would be committed above the lowest open one: select the lowest first.
 	slices.SortFunc(candidates, func(a, b *group) int { return cmp.Compare(a.prompt.Index, b.prompt.Index) })
-	if c.committedAboveAfter(candidates[:wanted]) <= max(ledger.MaxPromptsAbove, len(c.prompts.committedAbove)) {
-		return candidates[:wanted]
+	if c.committedAboveAfter(candidates[:count]) <= max(ledger.MaxPromptsAbove, len(c.prompts.committedAbove)) {
+		return candidates[:count]
 	}
 	return nil
 }
--- a/internal/core/coordinator/commits.go
+++ b/internal/core/coordinator/commits.go
@@ -102,37 +102,37 @@
 	c.emit(Commit{ChangeID: pending.changeID, Batch: pending.batch})
 }
 
-// commitSucceeded makes the pending batch the held one.
+// commitSucceeded stores the payload of the pending batch.
 func (c *Coordinator) commitSucceeded(result port.Result) {
 	pending := c.pending
 	c.pending = nil
 	c.confirmWaiters(pending.firstSent)
 	c.commitTries = 0
 	c.counters.Committed++
-	held := &heldBatch{
+	stored := &storedBatch{
 		number: pending.batch.Number, attempt: pending.batch.Attempt,
 		version: max(pending.version, result.Current),
 	}
 	names := make([]string, 0, len(pending.batch.Samples))
 	for index, g := range pending.groups {
-		if index == 0 || g.oldest() < held.oldest {
-			held.oldest = g.oldest()
+		if index == 0 || g.oldest() < stored.oldest {
+			stored.oldest = g.oldest()
 		}
-		held.prompts = append(held.prompts, g.prompt)
+		stored.prompts = append(stored.prompts, g.prompt)
 		for _, s := range g.samples {
 			names = append(names, s.id.String())
-			held.samples = append(held.samples, DeliveredSample{
+			stored.samples = append(stored.samples, DeliveredSample{
 				ID: s.id, Prompt: g.prompt, Text: s.text, Tokens: s.tokens, Reward: s.reward, Spans: s.spans,
 			})
 		}
 		c.discardGroup(g)
 	}
-	c.voidPrevious(held)
-	c.held = held
+	c.voidPrevious(stored)
+	c.stored = stored
 	c.record(port.Decision{
-		Kind: port.DecisionCommitted, Subject: batchName(c.config.Pool, held.number, held.attempt),
-		Attempt: int(held.attempt), Version: held.version, Related: names,
-		Detail: fmt.Sprintf("log index %d, oldest version %d", result.Index, held.oldest),
+		Kind: port.DecisionCommitted, Subject: batchName(c.config.Pool, stored.number, stored.attempt),
+		Attempt: int(stored.attempt), Version: stored.version, Related: names,
+		Detail: fmt.Sprintf("log index %d, oldest version %d", result.Index, stored.oldest),
 	})
 	if result.Ledger != nil {
 		c.applyLedger(*result.Ledger)
@@ -142,8 +142,8 @@
 }
 
 // voidPrevious records the voided attempt and requeues its prompts.
-func (c *Coordinator) voidPrevious(held *heldBatch) {
-	if held.number != c.ledger.Committed {
+func (c *Coordinator) voidPrevious(stored *storedBatch) {
+	if stored.number != c.ledger.Committed {
 		return
 	}
 	names := make([]string, 0, len(c.ledger.Last))
@@ -152,14 +152,14 @@
 	}
 	c.counters.Voided += uint64(len(names))
 	c.record(port.Decision{
-		Kind: port.DecisionVoided, Subject: batchName(c.config.Pool, held.number, c.ledger.Attempt),
+		Kind: port.DecisionVoided, Subject: batchName(c.config.Pool, stored.number, c.ledger.Attempt),
 		Attempt: int(c.ledger.Attempt), Related: names,
 		Detail: "payload lost or over the staleness bound when requested again",
 	})
-	if c.held == nil || c.held.number != held.number {
+	if c.stored == nil || c.stored.number != stored.number {
 		return
 	}
-	for _, prompt := range c.held.prompts {
+	for _, prompt := range c.stored.prompts {
 		c.prompts.requeue(prompt)
 	}
 }
--- a/internal/core/coordinator/coordinator.go
+++ b/internal/core/coordinator/coordinator.go
@@ -48,7 +48,7 @@
 	highestRequested port.BatchNumber
 	waiters          []waiter
 	pending          *pendingCommit
-	held             *heldBatch
+	stored           *storedBatch
 	reading          readState
 	// commitAfter is the earliest time for the next commit after a failed one.
 	commitAfter   time.Time
@@ -239,7 +239,7 @@
 	for _, waiting := range c.waiters {
 		c.refuse(waiting.token, verdict, port.CodeUnavailable, "coordinator stopped: %s", reason)
 	}
-	c.waiters, c.pending, c.held = nil, nil, nil
+	c.waiters, c.pending, c.stored = nil, nil, nil
 }
 
 // drain stops new work; a commit with unknown outcome is still resolved.
--- a/internal/core/coordinator/fault_test.go
+++ b/internal/core/coordinator/fault_test.go
@@ -469,7 +469,7 @@
 			w.runRounds(10)
 			w.wantDelivered(t, token, 1, 1)
 		},
-		"lease expired: held batches are not delivered": func(t *testing.T, w *harness) {
+		"lease expired: stored batches are not delivered": func(t *testing.T, w *harness) {
 			w.fillBuffer()
 			token := w.requestBatch(1, w.trainer, time.Minute)
 			w.now = w.now.Add(leaseTTL)
--- a/internal/core/coordinator/prompts.go
+++ b/internal/core/coordinator/prompts.go
@@ -115,7 +115,7 @@
 }
 
 // nextFetch returns the range to fetch: prompts to fetch again first, then new ones.
-func (q *promptQueue) nextFetch(wanted int) (from port.PromptIndex, count int) {
+func (q *promptQueue) nextFetch(newCount int) (from port.PromptIndex, count int) {
 	if len(q.refetch) > 0 {
 		from = q.refetch[0]
 		count = 1
@@ -125,8 +125,8 @@
 		return from, count
 	}
 	q.skipCommitted()
-	window := int64(q.committedBelow) + ledger.MaxPromptsAbove + int64(wanted) - int64(q.cursor)
-	return q.cursor, int(min(int64(wanted), int64(maxFetch), max(window, 0)))
+	window := int64(q.committedBelow) + ledger.MaxPromptsAbove + int64(newCount) - int64(q.cursor)
+	return q.cursor, int(min(int64(newCount), int64(maxFetch), max(window, 0)))
 }
 
 // skipCommitted advances the cursor past committed prompts.
