--- a/internal/core/poolworker/rollouts.go
+++ b/internal/core/poolworker/rollouts.go
@@ -27,7 +27,7 @@
 	excluded map[port.ReplicaID]bool // from routing
 }
 
-// updateRollouts keeps one rollout for each sampling pool that the engines of this
+// updateRollouts maintains one rollout for each sampling pool that the engines of this
 // worker's pool serve, and passes new versions to them.
 func (w *Worker) updateRollouts(now time.Time) {
 	served := make(map[port.PoolName]bool)
--- a/internal/core/rollout/turn.go
+++ b/internal/core/rollout/turn.go
@@ -8,8 +8,8 @@
 )
 
 // StagingLock is a lock that lets only one of the rollouts on the same engines stage at
-// a time. An engine keeps few staged versions and evicts the oldest for a new one, so
-// rollouts staging concurrently would evict each other's weights forever.
+// a time. An engine stores only a few staged versions and evicts the oldest for a new
+// one, so rollouts staging concurrently would evict each other's weights forever.
 //
 // A rollout releases the lock at the switch, since activated weights occupy no staging
 // slot. Waiting rollouts acquire it in the order of their requests. It is not safe for
