--- a/internal/core/coordinator/coordinator.go
+++ b/internal/core/coordinator/coordinator.go
@@ -32,7 +32,7 @@
 	prompts            promptQueue
 	lengths            lengthDistribution
 
-	// groups holds all groups in progress by prompt, order in order of creation.
+	// groups holds all groups in progress by prompt; order lists them by creation.
 	groups  map[port.PromptIndex]*group
 	order   []*group
 	samples map[port.SampleID]*sample
@@ -48,7 +48,7 @@
 	highestRequested port.BatchNumber
 	waiters          []waiter
 	pending          *pendingCommit
-	held             *heldBatch
+	stored           *storedBatch
 	reading          readState
 	// commitAfter is the earliest time for the next commit after a failed one.
 	commitAfter   time.Time
@@ -171,7 +171,7 @@
 	case WeightsPublished:
 		c.weightsPublished(event.Weights)
 	case PublicationStarted:
-		c.pendingPublication.begin(event.Version, c.now)
+		c.pendingPublication.start(event.Version, c.now)
 	case PublicationEnded:
 		c.publicationEnded(event)
 	case CapacityChanged:
@@ -239,7 +239,7 @@
 	for _, waiting := range c.waiters {
 		c.refuse(waiting.token, verdict, port.CodeUnavailable, "coordinator stopped: %s", reason)
 	}
-	c.waiters, c.pending, c.held = nil, nil, nil
+	c.waiters, c.pending, c.stored = nil, nil, nil
 }
 
 // drain stops new work; a commit with unknown outcome is still resolved.
