--- a/internal/core/consensus/benchmark_test.go
+++ b/internal/core/consensus/benchmark_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// compactAll compacts the logs of all members, to bound the memory of a long benchmark.
+// compactAll compacts the logs of all members, to limit the memory of a long benchmark.
 func (net *network) compactAll() {
 	for _, id := range net.order {
 		member := net.members[id]
--- a/internal/core/consensus/config.go
+++ b/internal/core/consensus/config.go
@@ -88,13 +88,13 @@
 }
 
 // leaseTicks returns how long a leader may serve reads after it sent a message that a
-// quorum accepted. Voters refuse other candidates for ElectionTicks after they received
+// quorum accepted. Voters reject other candidates for ElectionTicks after they received
 // it; one tick covers the phase of their clocks and a quarter covers rate differences.
 func (c Config) leaseTicks() uint64 {
 	return uint64(c.ElectionTicks - 1 - c.ElectionTicks/4)
 }
 
-// retransmitTicks returns how long a leader waits for an acknowledgement.
+// retransmitTicks returns how long a leader waits for an acknowledgement before it resends.
 func (c Config) retransmitTicks() uint64 {
 	return uint64(2*c.HeartbeatTicks + 1)
 }
--- a/internal/core/consensus/election.go
+++ b/internal/core/consensus/election.go
@@ -1,16 +1,16 @@
 package consensus
 
-// vote is a member's answer to a pre-vote or a vote request.
+// vote is a member's reply to a pre-vote or a vote request.
 type vote uint8
 
 const (
-	voteRefused vote = iota
+	voteRejected vote = iota
 	voteGranted
-	// voteRefusedJustStarted refuses a pre-vote only because the voter has just started.
-	voteRefusedJustStarted
+	// voteRejectedJustStarted rejects a pre-vote only because the voter has just started.
+	voteRejectedJustStarted
 )
 
-// startElection begins with a pre-vote, which changes no term.
+// startElection requests pre-votes, which change no term, or votes if pre-votes are disabled.
 func (n *Node) startElection() {
 	if n.config.Safeguards.NoPreVote {
 		n.campaign(Message{})
@@ -27,8 +27,8 @@
 
 // useStartupTimeout shortens the election timeout of a member that has just started. Such
 // a member may have renewed a leader's lease before it stopped, so it needs the consent of
-// all voters: if none leads and none has had contact with a leader since it started, there
-// is no leader. A group whose processes were all killed thus elects without delay.
+// all voters: if none of them leads or has had contact with a leader since it started,
+// there is no leader. A group that was killed and restarted thus elects without delay.
 func (n *Node) useStartupTimeout() {
 	if n.justStarted() && !n.config.Safeguards.NoPreVote {
 		n.electionTimeout = n.startupTimeoutTicks()
@@ -39,8 +39,8 @@
 // ticks give the others time to start.
 func (n *Node) startupTimeoutTicks() int { return 1 + n.random.intn(2) }
 
-// justStarted reports whether this member assumes a leader only because it has just
-// started.
+// justStarted reports whether this member assumes that a leader exists only because it
+// has just started.
 func (n *Node) justStarted() bool {
 	return !n.contactedLeader && n.role != RoleLeader && n.leaderMayExist()
 }
@@ -92,7 +92,7 @@
 	switch needed := n.votesNeeded(); {
 	case counts[voteGranted] >= needed:
 		n.becomeLeader()
-	case counts[voteRefused] > len(n.membership.Voters)-needed:
+	case counts[voteRejected] > len(n.membership.Voters)-needed:
 		n.role = RoleFollower
 	}
 }
@@ -105,29 +105,29 @@
 	return n.membership.Quorum()
 }
 
-// countPreVotes starts the election proper, or schedules the next pre-vote.
+// countPreVotes requests votes once enough pre-votes are granted, or schedules a retry.
 func (n *Node) countPreVotes(counts map[vote]int) {
 	quorum, voters := n.membership.Quorum(), len(n.membership.Voters)
 	switch {
 	case counts[voteGranted] >= quorum && !n.justStarted():
 		n.campaign(Message{})
-	case counts[voteGranted]+counts[voteRefusedJustStarted] == voters:
+	case counts[voteGranted]+counts[voteRejectedJustStarted] == voters:
 		n.campaign(Message{Unanimous: true})
-	case counts[voteRefused]+counts[voteRefusedJustStarted] >= quorum:
+	case counts[voteRejected]+counts[voteRejectedJustStarted] >= quorum:
 		n.electionTimeout = min(n.electionTimeout, n.electionElapsed+n.retryTicks())
-		if counts[voteRefused] > 0 {
+		if counts[voteRejected] > 0 {
 			n.role = RoleFollower
 		}
 	}
 }
 
-// retryTicks returns the delay before a refused pre-vote is repeated. It is short: a
-// pre-vote changes no state, and members that have just started refuse it for an election
+// retryTicks returns the delay before a rejected pre-vote is repeated. It is short: a
+// pre-vote changes no state, and members that have just started reject it for an election
 // timeout even if there is no leader.
 func (n *Node) retryTicks() int {
-	const pausesPerElection = 4
-	pause := max(1, n.config.ElectionTicks/pausesPerElection)
-	return pause + n.random.intn(pause)
+	const retriesPerElectionTimeout = 4
+	delay := max(1, n.config.ElectionTicks/retriesPerElectionTimeout)
+	return delay + n.random.intn(delay)
 }
 
 // becomeFollower enters term, which is at least the current one.
@@ -173,9 +173,9 @@
 	return n.role == RoleLeader || n.ticksSinceLeader < n.config.ElectionTicks
 }
 
-// ignoresVoteRequest reports whether a vote request gets no answer because there may be a
-// leader. The leader itself requests a transfer; and if all voters grant a vote, none of
-// them leads.
+// ignoresVoteRequest reports whether to drop a vote request because there may be a leader.
+// Exceptions are a transfer, which the leader itself requests, and a unanimous vote: if
+// all voters grant it, none of them leads.
 func (n *Node) ignoresVoteRequest(request Message) bool {
 	return n.leaderMayExist() && !request.Transfer && !(request.Unanimous && n.justStarted())
 }
@@ -199,9 +199,9 @@
 	return true
 }
 
-// refuseOldTerm replies with the current term, so that an old leader steps down and a
+// rejectOldTerm replies with the current term, so that an old leader steps down and a
 // candidate with an old term updates it.
-func (n *Node) refuseOldTerm(message Message) {
+func (n *Node) rejectOldTerm(message Message) {
 	reply := Message{To: message.From, Reject: true}
 	switch message.Kind {
 	case MessagePreVote:
@@ -255,9 +255,9 @@
 	case !reply.Reject:
 		return voteGranted
 	case reply.JustStarted:
-		return voteRefusedJustStarted
+		return voteRejectedJustStarted
 	default:
-		return voteRefused
+		return voteRejected
 	}
 }
 
@@ -283,16 +283,16 @@
 	}
 }
 
-// handleTimeoutNow starts an election because the leader requested it.
+// handleTimeoutNow starts an election at the leader's request.
 func (n *Node) handleTimeoutNow(message Message) {
 	if n.role == RoleFollower && n.membership.IsVoter(n.config.ID) {
 		n.campaign(Message{Transfer: true})
 	}
 }
 
-// TransferLeadership transfers leadership to another voter once that voter has the whole
-// log. Proposals are refused until then; the transfer is aborted after an election
-// timeout. It fails with ErrNotLeader, ErrNotMember or ErrNotCaughtUp.
+// TransferLeadership transfers leadership to another voter once that voter has the
+// complete log. Until then proposals fail with ErrTransferring; the transfer is aborted
+// after an election timeout. It fails with ErrNotLeader, ErrNotMember or ErrNotCaughtUp.
 func (n *Node) TransferLeadership(to MemberID) error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
--- a/internal/core/consensus/election_test.go
+++ b/internal/core/consensus/election_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// A pre-candidate that is refused by members that have just started must retry before a
-// whole election timeout has passed.
+// A pre-candidate rejected by members that have just started must retry before a full
+// election timeout has passed.
 func TestStaggeredRestartElectsWithinBound(t *testing.T) {
 	const (
-		apart = testElectionTicks / 2
-		// most covers the time after the last start in which the member grants no vote,
+		startSpread = testElectionTicks / 2
+		// maxTicks covers the time after the last start in which the member grants no vote,
 		// and the delay before a repeated pre-vote.
-		most = testElectionTicks + testElectionTicks/2 + 1
+		maxTicks = testElectionTicks + testElectionTicks/2 + 1
 	)
 	for seed := range uint64(50) {
 		net := newNetwork(t, 3, func(config *Config) { config.Seed = seed })
@@ -19,10 +19,10 @@
 		}
 		for _, id := range net.order {
 			net.start(id)
-			net.tick(apart / len(net.order))
+			net.tick(startSpread / len(net.order))
 		}
 		ticks := 0
-		for ; net.leader() == None && ticks <= most; ticks++ {
+		for ; net.leader() == None && ticks <= maxTicks; ticks++ {
 			net.tick(1)
 		}
 		if net.leader() == None {
@@ -34,9 +34,9 @@
 
 // If all members restart, there is no leader to wait for.
 func TestFullRestartElectsWithoutDelay(t *testing.T) {
-	// most covers two pre-vote delays: that of the first pre-candidate, and one more if
-	// there are several at once.
-	const most = 2 * 2 * (testElectionTicks / 4)
+	// maxTicks covers two pre-vote delays: that of the first pre-candidate, and one more if
+	// there are several concurrent ones.
+	const maxTicks = 2 * 2 * (testElectionTicks / 4)
 	for _, voters := range []int{1, 3, 5, 9} {
 		for seed := range uint64(50) {
 			net := newNetwork(t, voters, func(config *Config) { config.Seed = seed })
@@ -47,13 +47,13 @@
 				net.start(id)
 			}
 			ticks := 0
-			for ; net.leader() == None && ticks <= most; ticks++ {
+			for ; net.leader() == None && ticks <= maxTicks; ticks++ {
 				net.tick(1)
 			}
 			if net.leader() == None {
 				t.Errorf("%d voters, seed %d: no leader after %d ticks", voters, seed, ticks)
-			} else if grown := net.node(net.leader()).Status().Term - term; grown > 2 {
-				t.Errorf("%d voters, seed %d: the term grew by %d", voters, seed, grown)
+			} else if increase := net.node(net.leader()).Status().Term - term; increase > 2 {
+				t.Errorf("%d voters, seed %d: the term increased by %d", voters, seed, increase)
 			}
 			net.checkNoViolations()
 		}
--- a/internal/core/consensus/explore_test.go
+++ b/internal/core/consensus/explore_test.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// restartAll stops all members and restarts most of them at once.
+// restartAll stops all members and immediately restarts most of them.
 func (e *explorer) restartAll() {
 	for _, id := range e.net.order {
 		e.net.members[id].down = true
@@ -297,7 +297,7 @@
 				termA, _ := logA.term(index)
 				same := logB.matches(index, termA)
 				if agree && !same {
-					e.net.reportViolation("logs of %d and %d agree after %d but not at it", a, b, index)
+					e.net.reportViolation("logs of %d and %d agree after index %d but not at it", a, b, index)
 				}
 				agree = agree || same
 			}
--- a/internal/core/consensus/harness_test.go
+++ b/internal/core/consensus/harness_test.go
@@ -18,7 +18,7 @@
 	entries  []Entry
 }
 
-// persist writes a Ready like the log storage.
+// persist stores a Ready as the log storage does.
 func (d *disk) persist(ready Ready) {
 	if snapshot := ready.Snapshot; snapshot != nil {
 		d.install(*snapshot)
@@ -185,9 +185,9 @@
 		net.reportViolation("member %d applied %d after %d", id, entry.Index, member.applied)
 	}
 	member.applied = entry.Index
-	known, seen := net.history[entry.Index]
-	if seen && (known.Term != entry.Term || !bytes.Equal(known.Data, entry.Data)) {
-		net.reportViolation("member %d committed (%d, term %d), another one (term %d)", id, entry.Index, entry.Term, known.Term)
+	existing, ok := net.history[entry.Index]
+	if ok && (existing.Term != entry.Term || !bytes.Equal(existing.Data, entry.Data)) {
+		net.reportViolation("member %d committed entry (%d, term %d), another member one of term %d", id, entry.Index, entry.Term, existing.Term)
 	}
 	net.history[entry.Index] = entry
 	if entry.Kind == EntryNormal {
@@ -200,7 +200,7 @@
 	if status.Role != RoleLeader {
 		return
 	}
-	if other, known := net.leaders[status.Term]; known && other != id {
+	if other, ok := net.leaders[status.Term]; ok && other != id {
 		net.reportViolation("members %d and %d both lead term %d", other, id, status.Term)
 	}
 	net.leaders[status.Term] = id
--- a/internal/core/consensus/log.go
+++ b/internal/core/consensus/log.go
@@ -47,8 +47,8 @@
 }
 
 func (l *raftLog) matches(index, term uint64) bool {
-	own, known := l.term(index)
-	return known && own == term
+	own, ok := l.term(index)
+	return ok && own == term
 }
 
 // isUpToDate reports whether a log that ends in (index, term) is at least as up to date
@@ -97,17 +97,17 @@
 	l.stable = min(l.stable, index-1)
 }
 
-// compactionIndex returns the index up to which the log may be compacted so that the
-// newest entries up to index are kept: at most so many, and with at most bytes of data
-// unless bytes is 0.
-func (l *raftLog) compactionIndex(index uint64, entries, bytes int) uint64 {
+// compactionIndex returns the index up to which to compact the log for a snapshot at
+// index. It retains at most maxEntries entries before the snapshot, with at most maxBytes
+// of data unless maxBytes is 0.
+func (l *raftLog) compactionIndex(index uint64, maxEntries, maxBytes int) uint64 {
 	size := 0
-	for range entries {
+	for range maxEntries {
 		if index <= l.baseIndex {
 			break
 		}
 		size += len(l.entries[index-l.baseIndex-1].Data)
-		if bytes > 0 && size > bytes {
+		if maxBytes > 0 && size > maxBytes {
 			break
 		}
 		index--
@@ -117,21 +117,21 @@
 
 // compact removes the entries up to and including index.
 func (l *raftLog) compact(index uint64) {
-	term, known := l.term(index)
-	if !known || index <= l.baseIndex {
+	term, ok := l.term(index)
+	if !ok || index <= l.baseIndex {
 		return
 	}
 	l.entries = append([]Entry(nil), l.entries[index-l.baseIndex:]...)
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// reset replaces the whole log with a snapshot's position.
+// reset removes all entries and sets the base to a snapshot's position.
 func (l *raftLog) reset(index, term uint64) {
 	*l = raftLog{baseIndex: index, baseTerm: term, inProgress: index, stable: index, commit: index, applied: index}
 }
 
-// lastAtOrBelow returns the largest index up to limit whose term is at most
-// term, or the base index.
+// lastAtOrBelow returns the largest index up to limit whose term is at most term, and the
+// term there. If there is none, it returns the base position.
 func (l *raftLog) lastAtOrBelow(limit, term uint64) (uint64, uint64) {
 	index := min(limit, l.lastIndex())
 	for index > l.baseIndex {
--- a/internal/core/consensus/membership.go
+++ b/internal/core/consensus/membership.go
@@ -53,12 +53,12 @@
 
 // membershipAt returns the membership in force after the entry at index.
 func (n *Node) membershipAt(index uint64) Membership {
-	for _, at := range slices.Backward(n.history) {
+	for _, at := range slices.Backward(n.membershipHistory) {
 		if at.index <= index {
 			return at.membership
 		}
 	}
-	return n.history[0].membership
+	return n.membershipHistory[0].membership
 }
 
 func membershipsIn(entries []Entry) ([]indexedMembership, error) {
@@ -80,34 +80,34 @@
 	if len(memberships) == 0 {
 		return
 	}
-	n.history = append(n.history, memberships...)
-	n.membership = n.history[len(n.history)-1].membership
+	n.membershipHistory = append(n.membershipHistory, memberships...)
+	n.membership = n.membershipHistory[len(n.membershipHistory)-1].membership
 }
 
 // truncateMemberships removes the memberships from index on.
 func (n *Node) truncateMemberships(index uint64) {
-	for len(n.history) > 1 && n.history[len(n.history)-1].index >= index {
-		n.history = n.history[:len(n.history)-1]
+	for len(n.membershipHistory) > 1 && n.membershipHistory[len(n.membershipHistory)-1].index >= index {
+		n.membershipHistory = n.membershipHistory[:len(n.membershipHistory)-1]
 	}
-	n.membership = n.history[len(n.history)-1].membership
+	n.membership = n.membershipHistory[len(n.membershipHistory)-1].membership
 }
 
 // pruneMemberships removes the memberships that were replaced at or before index.
 func (n *Node) pruneMemberships(index uint64) {
-	for len(n.history) > 1 && n.history[1].index <= index {
-		n.history = n.history[1:]
+	for len(n.membershipHistory) > 1 && n.membershipHistory[1].index <= index {
+		n.membershipHistory = n.membershipHistory[1:]
 	}
 }
 
 // ProposeMembership appends a membership change; only one may be pending (section 4.1 of
-// the Raft dissertation). A member uses a change as soon as its log has the entry. Besides the errors of
-// Propose it fails with ErrChangePending, ErrAlreadyMember, ErrReusedID, ErrNotMember,
-// ErrNotCaughtUp or ErrUnsafeChange.
+// the Raft dissertation). A member uses a change as soon as its log has the entry. Besides
+// the errors of Propose it fails with ErrChangePending, ErrAlreadyMember, ErrReusedID,
+// ErrNotMember, ErrNotCaughtUp or ErrUnsafeChange.
 func (n *Node) ProposeMembership(change MembershipChange) (index, term uint64, err error) {
 	if err := n.checkProposal(change.Context); err != nil {
 		return 0, 0, err
 	}
-	if n.history[len(n.history)-1].index > n.log.commit || n.log.commit < n.leadership.termStart {
+	if n.membershipHistory[len(n.membershipHistory)-1].index > n.log.commit || n.log.commit < n.leadership.termStart {
 		return 0, 0, ErrChangePending
 	}
 	result, err := n.changedMembership(change)
@@ -159,8 +159,8 @@
 	return result.normalized(), nil
 }
 
-// caughtUp reports whether a learner is active and has made durable what was committed
-// one heartbeat ago.
+// caughtUp reports whether a learner is active and its durable log includes the entries
+// that were committed one heartbeat ago.
 func (n *Node) caughtUp(id MemberID) bool {
 	peer := n.leadership.peers[id]
 	return peer != nil && n.active(peer) && peer.match >= n.leadership.promotionFloor
@@ -201,7 +201,7 @@
 	}
 	for id, peer := range lead.peers {
 		if !n.membership.Contains(id) && peer.removalIndex == 0 {
-			peer.removalIndex = n.history[len(n.history)-1].index
+			peer.removalIndex = n.membershipHistory[len(n.membershipHistory)-1].index
 		}
 	}
 	n.sortPeers()
@@ -253,7 +253,7 @@
 	n.leader = None
 }
 
-// offerLeadership asks the active voter with the longest log to start an election.
+// offerLeadership sends MessageTimeoutNow to the active voter with the longest log.
 func (n *Node) offerLeadership() {
 	best := None
 	for _, id := range n.membership.Voters {
@@ -273,7 +273,7 @@
 // replyIfRemoved answers a pre-vote of a member that is not in the committed membership,
 // and reports whether it did.
 func (n *Node) replyIfRemoved(message Message) bool {
-	committed := n.history[len(n.history)-1].index <= n.log.commit
+	committed := n.membershipHistory[len(n.membershipHistory)-1].index <= n.log.commit
 	if n.role != RoleLeader || !committed || n.membership.Contains(message.From) {
 		return false
 	}
--- a/internal/core/consensus/membership_test.go
+++ b/internal/core/consensus/membership_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if err := net.change(AddLearner, 6); !errors.Is(err, ErrChangePending) {
-		t.Errorf("second change at once: %v", err)
+		t.Errorf("change while another is pending: %v", err)
 	}
 }
 
@@ -96,20 +96,20 @@
 	for _, cutOff := range []bool{false, true} {
 		net := newNetwork(t, 4, nil)
 		leader := net.elect()
-		gone := net.others(leader)[0]
-		net.isolate(gone, cutOff)
-		net.mustChange(RemoveMember, gone)
+		removed := net.others(leader)[0]
+		net.isolate(removed, cutOff)
+		net.mustChange(RemoveMember, removed)
 		net.tick(2 * testElectionTicks)
-		net.isolate(gone, false)
+		net.isolate(removed, false)
 		term := net.node(leader).Status().Term
 		net.tick(5 * testElectionTicks)
-		if role := net.node(gone).Status().Role; role != RoleRemoved {
+		if role := net.node(removed).Status().Role; role != RoleRemoved {
 			t.Errorf("cut off %v: role %v", cutOff, role)
 		}
 		if after := net.node(net.leader()).Status().Term; after != term {
 			t.Errorf("cut off %v: term %d became %d", cutOff, term, after)
 		}
-		if err := net.change(AddLearner, gone); !errors.Is(err, ErrReusedID) {
+		if err := net.change(AddLearner, removed); !errors.Is(err, ErrReusedID) {
 			t.Errorf("added again under its old id: %v", err)
 		}
 		net.checkNoViolations()
@@ -129,7 +129,7 @@
 	net.checkNoViolations()
 }
 
-// A lost member is replaced; then another one is lost.
+// A group that replaced one lost member must survive the loss of another.
 func TestSecondLossAfterRepair(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
--- a/internal/core/consensus/message.go
+++ b/internal/core/consensus/message.go
@@ -8,7 +8,7 @@
 	MessagePreVote MessageKind = iota + 1
 	// MessagePreVoteReply answers MessagePreVote.
 	MessagePreVoteReply
-	// MessageVote asks for a vote in Term.
+	// MessageVote requests a vote in Term.
 	MessageVote
 	// MessageVoteReply answers MessageVote.
 	MessageVoteReply
@@ -24,9 +24,10 @@
 	// MessageSnapshotChunk carries a chunk of a snapshot.
 	MessageSnapshotChunk
 	// MessageSnapshotReply requests the snapshot's bytes from Offset, or with
-	// Done acknowledges the whole snapshot as durable.
+	// MessageSnapshotReply requests the snapshot's bytes from Offset, or with
+	// Done acknowledges the complete snapshot as durable.
 	MessageSnapshotReply
-	// MessageTimeoutNow asks the receiver to start an election at once.
+	// MessageTimeoutNow requests that the receiver start an election immediately.
 	MessageTimeoutNow
 	// MessageRemoved informs a former member that it was removed.
 	MessageRemoved
@@ -59,9 +60,10 @@
 	// Commit is the sender's commit index.
 	Commit  uint64  `cbor:"7,keyasint,omitempty"`
 	Entries []Entry `cbor:"8,keyasint,omitempty"`
-	// Reject is set in a refusal.
+	// Reject is set if the sender rejects the request.
 	Reject bool `cbor:"9,keyasint,omitempty"`
-	// HintIndex and HintTerm bound the last position at which the logs may agree.
+	// HintIndex and HintTerm are upper limits of the last position at which the logs may
+	// agree.
 	HintIndex uint64 `cbor:"10,keyasint,omitempty"`
 	HintTerm  uint64 `cbor:"11,keyasint,omitempty"`
 	// SentTick is the leader's tick when it sent the message; replies echo it. The
@@ -75,12 +77,12 @@
 	Chunk    *SnapshotChunk `cbor:"15,keyasint,omitempty"`
 	// Offset is how many bytes of the snapshot at Index the sender has received.
 	Offset uint64 `cbor:"16,keyasint,omitempty"`
-	// Done is set once the whole snapshot at Index is durable.
+	// Done is set once the complete snapshot at Index is durable.
 	Done bool `cbor:"17,keyasint,omitempty"`
 	// Required is the index that a state machine must have applied to include every
 	// entry that was committed when the leader sent the message.
 	Required uint64 `cbor:"18,keyasint,omitempty"`
-	// JustStarted marks a pre-vote refusal by a member that refuses only because it has
+	// JustStarted marks a pre-vote rejection by a member that rejects only because it has
 	// had no contact with a leader since it started.
 	JustStarted bool `cbor:"19,keyasint,omitempty"`
 	// Unanimous marks a vote request of a candidate that needs the vote of every voter.
@@ -93,10 +95,10 @@
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
 	Membership Membership `cbor:"3,keyasint"`
-	// Offset is the position of Data in the whole data of Total bytes.
+	// Offset is the position of Data in the snapshot's data, which has Total bytes.
 	Offset uint64 `cbor:"4,keyasint,omitempty"`
 	Total  uint64 `cbor:"5,keyasint,omitempty"`
-	// Checksum is the CRC32C of the whole data.
+	// Checksum is the CRC32C of the snapshot's data.
 	Checksum uint32 `cbor:"6,keyasint,omitempty"`
 	Data     []byte `cbor:"7,keyasint,omitempty"`
 }
--- a/internal/core/consensus/missed_test.go
+++ b/internal/core/consensus/missed_test.go
@@ -10,8 +10,8 @@
 	}
 }
 
-// A leader that missed more ticks than an election timeout must not take that for the
-// silence of the other members.
+// A leader that missed more ticks than an election timeout must not conclude that the
+// other members timed out.
 func TestLeaderKeepsLeadershipAfterMissedTicks(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
@@ -87,12 +87,12 @@
 		t.Fatalf("%d peers of a leader", len(progress))
 	}
 	for _, peer := range progress {
-		silent := peer.TicksSinceContact
-		if peer.ID == lost && (peer.Active || silent < testElectionTicks || silent > 2*testElectionTicks) {
-			t.Errorf("the lost member: active %v, silent for %d ticks", peer.Active, silent)
+		elapsed := peer.TicksSinceContact
+		if peer.ID == lost && (peer.Active || elapsed < testElectionTicks || elapsed > 2*testElectionTicks) {
+			t.Errorf("the lost member: active %v, no contact for %d ticks", peer.Active, elapsed)
 		}
-		if peer.ID != lost && (!peer.Active || silent > testHeartbeatTicks) {
-			t.Errorf("the other member: active %v, silent for %d ticks", peer.Active, silent)
+		if peer.ID != lost && (!peer.Active || elapsed > testHeartbeatTicks) {
+			t.Errorf("the other member: active %v, no contact for %d ticks", peer.Active, elapsed)
 		}
 	}
 	net.checkNoViolations()
--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -21,9 +21,9 @@
 	incoming         *incomingSnapshot
 
 	// membership is the latest one in the log, committed or not.
-	membership Membership
-	history    []indexedMembership
-	wasMember  bool
+	membership        Membership
+	membershipHistory []indexedMembership
+	wasMember         bool
 
 	// now counts ticks. The other counters are ticks since an event.
 	now              uint64
@@ -61,7 +61,7 @@
 	transferTo      MemberID
 	transferSent    bool
 	transferElapsed int
-	// leaseRevoked is set once a transfer was offered in this term: the receiver may be
+	// leaseRevoked is set once this leader offered leadership in this term: the receiver may be
 	// elected while voters still accept this leader's messages.
 	leaseRevoked bool
 	// snapshotWanted is set while a member waits for a snapshot whose data was released.
@@ -80,14 +80,14 @@
 		return nil, err
 	}
 	node := &Node{
-		config:   config.withDefaults(),
-		random:   randomSource{state: config.Seed ^ uint64(config.ID)*0x9e3779b97f4a7c15},
-		term:     restored.HardState.Term,
-		votedFor: restored.HardState.VotedFor,
-		log:      newRaftLog(restored.Snapshot, restored.Entries, restored.HardState.Commit),
-		snapshot: restored.Snapshot,
-		history:  history,
-		now:      1,
+		config:            config.withDefaults(),
+		random:            randomSource{state: config.Seed ^ uint64(config.ID)*0x9e3779b97f4a7c15},
+		term:              restored.HardState.Term,
+		votedFor:          restored.HardState.VotedFor,
+		log:               newRaftLog(restored.Snapshot, restored.Entries, restored.HardState.Commit),
+		snapshot:          restored.Snapshot,
+		membershipHistory: history,
+		now:               1,
 	}
 	node.snapshot.Membership = restored.Snapshot.Membership.normalized()
 	node.snapshotChecksum = checksum(node.snapshot.Data)
@@ -171,8 +171,9 @@
 }
 
 // TickMissed advances the clock by ticks during which the owner did not run the member,
-// for example in a slow write. They count for leases and votes, but not as silence of
-// other members, whose messages the owner has not passed on yet. Tick follows.
+// for example in a slow write. They count for leases and votes, but not for the timeouts
+// of other members, whose messages the owner has not yet passed to Step. The owner calls
+// Tick next.
 func (n *Node) TickMissed(ticks int) {
 	if ticks <= 0 || n.role == RoleRemoved || n.failed != nil {
 		return
@@ -206,7 +207,7 @@
 		return nil
 	}
 	if message.Term < n.term {
-		n.refuseOldTerm(message)
+		n.rejectOldTerm(message)
 		return nil
 	}
 	if message.Term > n.term && !n.adoptTerm(message) {
--- a/internal/core/consensus/node_test.go
+++ b/internal/core/consensus/node_test.go
@@ -141,23 +141,23 @@
 	for _, window := range []int{1, 3} {
 		net, leader, behind := newLaggingNetwork(t, func(c *Config) { c.SnapshotWindow = window })
 		total := uint64(len(net.members[leader].node.snapshot.Data))
-		ahead, most, sent := uint64(0), uint64(0), map[uint64]int{}
+		sentEnd, maxPending, sent := uint64(0), uint64(0), map[uint64]int{}
 		net.filter = func(m Message) bool {
 			switch m.Kind {
 			case MessageSnapshotChunk:
 				sent[m.Chunk.Offset]++
-				ahead = max(ahead, m.Chunk.Offset+uint64(len(m.Chunk.Data)))
+				sentEnd = max(sentEnd, m.Chunk.Offset+uint64(len(m.Chunk.Data)))
 			case MessageSnapshotReply:
 				if !m.Done {
-					most = max(most, ahead-min(ahead, m.Offset))
+					maxPending = max(maxPending, sentEnd-min(sentEnd, m.Offset))
 				}
 			}
 			return true
 		}
 		net.start(behind)
 		net.tick(4 * testElectionTicks)
-		if most > uint64(window*7) {
-			t.Errorf("window %d: %d unacknowledged bytes", window, most)
+		if maxPending > uint64(window*7) {
+			t.Errorf("window %d: %d unacknowledged bytes", window, maxPending)
 		}
 		if parts := int(total+6) / 7; len(sent) != parts {
 			t.Errorf("window %d: %d chunks, want %d", window, len(sent), parts)
--- a/internal/core/consensus/progress.go
+++ b/internal/core/consensus/progress.go
@@ -46,7 +46,7 @@
 	sentCommit uint64
 	snapshot   *Snapshot
 	checksum   uint32
-	// offset counts the snapshot's acknowledged bytes, sent those sent; resentTick is
+	// offset counts the snapshot's acknowledged bytes and sent those sent; resentTick is
 	// the tick of the last resend from offset.
 	offset     uint64
 	sent       uint64
--- a/internal/core/consensus/read.go
+++ b/internal/core/consensus/read.go
@@ -8,9 +8,9 @@
 }
 
 // ReadIndex requests a safe read index: a state machine that has applied it includes
-// every change committed before this call. The answer is a ReadState. It is available at
-// once under the leader lease, else after a quorum has answered a heartbeat sent after
-// the call. The owner must have called Tick for all the time that passed. It fails with
+// every change committed before this call. The answer is a ReadState. It is available
+// immediately under the leader lease, else after a quorum has answered a heartbeat sent
+// after the call. The owner must have called Tick for every tick so far. It fails with
 // ErrNotLeader, ErrRemoved or ErrQueueFull.
 func (n *Node) ReadIndex(requestID uint64) error {
 	lead := &n.leadership
@@ -39,7 +39,7 @@
 }
 
 // leaseValid reports whether no other leader can have been elected yet: a quorum accepted
-// a message of this leader so recently that it still refuses to vote.
+// a message of this leader so recently that it still rejects other candidates.
 func (n *Node) leaseValid() bool {
 	if n.config.NoLeaseReads || n.leadership.leaseRevoked {
 		return false
--- a/internal/core/consensus/ready.go
+++ b/internal/core/consensus/ready.go
@@ -27,8 +27,8 @@
 	// written at or after the first index.
 	Entries []Entry
 	// Snapshot is set if the leader sent one. It replaces the state machine's state and
-	// the log up to its index, and the whole log unless that holds the entry at the
-	// snapshot's index and term.
+	// the complete log, or the log up to the snapshot's index if the log holds the entry
+	// at the snapshot's index and term.
 	Snapshot *Snapshot
 	// MustSync is set if the messages depend on what is written.
 	MustSync bool
--- a/internal/core/consensus/replication.go
+++ b/internal/core/consensus/replication.go
@@ -173,8 +173,8 @@
 // it starts a snapshot instead and returns false.
 func (n *Node) sendEntries(id MemberID, peer *progress, entries []Entry) bool {
 	previous := peer.next - 1
-	term, known := n.log.term(previous)
-	if !known {
+	term, ok := n.log.term(previous)
+	if !ok {
 		n.startSnapshot(id, peer)
 		return false
 	}
@@ -345,8 +345,8 @@
 	index := n.quorumValue(func(id MemberID) uint64 {
 		return n.peerValue(id, n.log.stable, func(p *progress) uint64 { return p.match })
 	})
-	term, known := n.log.term(index)
-	if index <= n.log.commit || !known {
+	term, ok := n.log.term(index)
+	if index <= n.log.commit || !ok {
 		return
 	}
 	if term != n.term && !n.config.Safeguards.NoTermCommitRule {
--- a/internal/core/consensus/replication_test.go
+++ b/internal/core/consensus/replication_test.go
@@ -111,14 +111,14 @@
 	node := leaderOfThree(t, func(c *Config) { c.MaxInflight, c.MaxBatchBytes, c.MaxUncommitted = 4, 30, 100 })
 	acknowledge(t, node, 2, 1)
 	node.Advance(node.Ready())
-	refused := 0
+	rejected := 0
 	for range 200 {
 		if _, _, err := node.Propose(make([]byte, 10)); errors.Is(err, ErrQueueFull) {
-			refused++
+			rejected++
 		}
 	}
-	if refused != 100 {
-		t.Errorf("%d proposals refused, want 100", refused)
+	if rejected != 100 {
+		t.Errorf("%d proposals rejected, want 100", rejected)
 	}
 	sent, entries := 0, 0
 	ready := node.Ready()
@@ -195,7 +195,7 @@
 	}
 }
 
-// FuzzStep passes arbitrary messages to a leader and a follower, which must refuse or
+// FuzzStep passes arbitrary messages to a leader and a follower, which must reject or
 // ignore invalid ones.
 func FuzzStep(f *testing.F) {
 	seeds := []Message{
--- a/internal/core/consensus/retain_test.go
+++ b/internal/core/consensus/retain_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Limits on both the number and the bytes of the entries kept before a snapshot.
+// The entries retained before a snapshot are limited in number and in bytes.
 func TestRetainedEntriesAreBoundedInNumberAndBytes(t *testing.T) {
 	log := raftLog{baseIndex: 10, baseTerm: 1}
 	for range 20 { // 11 to 30
--- a/internal/core/consensus/safeguard_test.go
+++ b/internal/core/consensus/safeguard_test.go
@@ -37,17 +37,17 @@
 		net := newNetwork(t, 3, func(c *Config) { c.Safeguards.NoPreVote = disabled })
 		leader := net.elect()
 		term := net.node(leader).Status().Term
-		away := net.others(leader)[0]
-		net.isolate(away, true)
+		isolated := net.others(leader)[0]
+		net.isolate(isolated, true)
 		net.tick(20 * testElectionTicks)
-		net.isolate(away, false)
+		net.isolate(isolated, false)
 		net.tick(5 * testElectionTicks)
-		grown := net.node(net.leader()).Status().Term - term
-		if disabled && grown == 0 {
-			t.Error("without pre-vote: the term did not grow, so the test proves nothing")
+		increase := net.node(net.leader()).Status().Term - term
+		if disabled && increase == 0 {
+			t.Error("without pre-vote: the term did not increase, so the test proves nothing")
 		}
-		if !disabled && (grown != 0 || net.leader() != leader) {
-			t.Errorf("term grew by %d, leader %d became %d", grown, leader, net.leader())
+		if !disabled && (increase != 0 || net.leader() != leader) {
+			t.Errorf("term increased by %d, leader %d became %d", increase, leader, net.leader())
 		}
 		net.checkNoViolations()
 	}
--- a/internal/core/consensus/snapshot.go
+++ b/internal/core/consensus/snapshot.go
@@ -27,8 +27,8 @@
 	if index > n.log.applied {
 		return Snapshot{}, ErrNotApplied
 	}
-	term, known := n.log.term(index)
-	if !known || index < n.snapshot.Index {
+	term, ok := n.log.term(index)
+	if !ok || index < n.snapshot.Index {
 		return Snapshot{}, ErrCompacted
 	}
 	membership := n.membershipAt(index).Clone()
@@ -133,14 +133,14 @@
 	}
 }
 
-// resendChunks resumes from the offset that the member has: a chunk was lost, or the
-// member started over. The member refuses every chunk after a lost one; only the first
-// refusal counts.
-func (n *Node) resendChunks(have uint64, peer *progress) {
-	if have == peer.offset && peer.resentTick == n.now {
+// resendChunks resumes from the received offset that the member reported: a chunk was
+// lost, or the member restarted the transfer. The member rejects every chunk after a lost
+// one; only the first rejection per tick counts.
+func (n *Node) resendChunks(received uint64, peer *progress) {
+	if received == peer.offset && peer.resentTick == n.now {
 		return
 	}
-	peer.offset, peer.resentTick = have, n.now
+	peer.offset, peer.resentTick = received, n.now
 	peer.waiting = false
 	peer.progressTick = n.now
 	n.outbox.dirty = true
@@ -173,18 +173,18 @@
 
 func (n *Node) addChunk(message Message) {
 	incoming, chunk := n.incoming, message.Chunk
-	have := uint64(len(incoming.data))
-	if chunk.Offset != have {
-		n.reply(message, Message{Kind: MessageSnapshotReply, Index: chunk.Index, Offset: have, Reject: chunk.Offset > have})
+	received := uint64(len(incoming.data))
+	if chunk.Offset != received {
+		n.reply(message, Message{Kind: MessageSnapshotReply, Index: chunk.Index, Offset: received, Reject: chunk.Offset > received})
 		return
 	}
 	if incoming.data == nil {
 		incoming.data = make([]byte, 0, min(chunk.Total, maxSnapshotPreallocBytes))
 	}
 	incoming.data = append(incoming.data, chunk.Data...)
-	have = uint64(len(incoming.data))
-	if have < chunk.Total {
-		n.reply(message, Message{Kind: MessageSnapshotReply, Index: chunk.Index, Offset: have})
+	received = uint64(len(incoming.data))
+	if received < chunk.Total {
+		n.reply(message, Message{Kind: MessageSnapshotReply, Index: chunk.Index, Offset: received})
 		return
 	}
 	n.incoming = nil
@@ -199,7 +199,7 @@
 // installSnapshot replaces the log and the state with the leader's snapshot.
 func (n *Node) installSnapshot(snapshot Snapshot) {
 	n.log.reset(snapshot.Index, snapshot.Term)
-	n.history = []indexedMembership{{snapshot.Index, snapshot.Membership}}
+	n.membershipHistory = []indexedMembership{{snapshot.Index, snapshot.Membership}}
 	n.membership = snapshot.Membership
 	n.setSnapshot(snapshot)
 	n.outbox.pendingSnapshot = &snapshot
