--- a/internal/core/groupmember/member.go
+++ b/internal/core/groupmember/member.go
@@ -57,7 +57,7 @@
 	SnapshotEntries uint64
 	SnapshotBytes   int
 	// Founders are the records of the initial members, which bootstrap the group. Only
-	// they have them; their leader adds them to the log for members that join.
+	// these members set it; their leader adds the records to the log for members that join.
 	Founders []Record
 }
 
@@ -97,8 +97,8 @@
 	confirmedReads  []confirmedRead
 	replies         []Reply
 
-	// membershipKnown is set once the members at the applied index are known. A
-	// member that joins reads the log from before it was added.
+	// membershipKnown is set once the membership at the applied index is known. A joining
+	// member also applies entries from before it was added.
 	membershipKnown bool
 
 	lastRead           uint64
@@ -107,7 +107,7 @@
 	// bytesSinceCapture counts the bytes applied since the last capture, which its
 	// snapshot does not contain.
 	bytesSinceCapture int
-	// snapshotBytes is the size of the last snapshot. A large state is saved less often.
+	// snapshotBytes is the size of the last snapshot; a larger state is captured less often.
 	snapshotBytes int
 }
 
@@ -225,9 +225,9 @@
 	m.pending[index] = proposal{token: token, term: term}
 }
 
-// Read requests a linearizable read. When the state includes every command committed
-// before the call, a Reply is returned; the caller may read the state until the next
-// Advance. Only the leader can serve it.
+// Read requests a linearizable read. Once the state includes every command committed
+// before the call, a Reply is queued; the caller may read the state until the next
+// Advance. Only the leader can serve reads.
 func (m *Member) Read(token uint64) {
 	m.lastRead++
 	if err := m.node.ReadIndex(m.lastRead); err != nil {
@@ -237,7 +237,7 @@
 	m.reads[m.lastRead] = token
 }
 
-// TransferTo transfers leadership to another voter before a planned stop.
+// TransferTo transfers leadership to another voter before a graceful stop.
 func (m *Member) TransferTo(id consensus.MemberID) error { return m.node.TransferLeadership(id) }
 
 // TakeReplies returns the pending replies and clears them.
--- a/internal/core/groupmember/overload_test.go
+++ b/internal/core/groupmember/overload_test.go
@@ -16,50 +16,50 @@
 )
 
 // A leader that runs for a third of the time remains leader, commits at least a quarter of
-// its usual rate (over all seeds), and recovers the full rate soon after.
+// its normal rate (over all seeds), and recovers the full rate soon after.
 func TestLeaderKeepsLeadershipUnderOverload(t *testing.T) {
-	acknowledged, usual := 0, 0
+	acknowledged, normal := 0, 0
 	for seed := range uint64(40) {
-		w := newWorld(t, seed, 3, 3)
+		h := newHarness(t, seed, 3, 3)
 		for range 100 {
-			w.tick()
+			h.tick()
 		}
-		leader := w.leader()
+		leader := h.leader()
 		if leader == nil {
 			t.Fatalf("seed %d: no leader", seed)
 		}
 		term := leader.member.Status().Term
-		before := w.countAcknowledged(rateTicks)
-		count := len(w.acknowledgedNumbers)
-		for passed := 0; passed < overloadTicks; passed++ {
-			if passed%(pausedTicks+runTicks) == 0 {
-				w.pause(leader, pausedTicks)
+		before := h.countAcknowledged(rateTicks)
+		count := len(h.acknowledgedNumbers)
+		for elapsed := 0; elapsed < overloadTicks; elapsed++ {
+			if elapsed%(pausedTicks+runTicks) == 0 {
+				h.pause(leader, pausedTicks)
 			}
-			w.tick()
+			h.tick()
 		}
-		acknowledged += len(w.acknowledgedNumbers) - count
-		usual += before * overloadTicks / rateTicks
-		w.heal(recoveryTicks)
-		if now := w.leader(); now != leader || now.member.Status().Term != term {
+		acknowledged += len(h.acknowledgedNumbers) - count
+		normal += before * overloadTicks / rateTicks
+		h.heal(recoveryTicks)
+		if now := h.leader(); now != leader || now.member.Status().Term != term {
 			t.Errorf("seed %d: leader or term changed", seed)
 			continue
 		}
-		if after := w.countAcknowledged(rateTicks); after < before*3/4 {
+		if after := h.countAcknowledged(rateTicks); after < before*3/4 {
 			t.Errorf("seed %d: %d acknowledged in %d ticks before, %d after", seed, before, rateTicks, after)
 		}
-		w.check()
+		h.check()
 	}
-	t.Logf("%d acknowledged under overload, %d in the same time without", acknowledged, usual)
-	if acknowledged < usual/4 {
-		t.Errorf("%d acknowledged under overload, want at least a quarter of %d", acknowledged, usual)
+	t.Logf("%d acknowledged under overload, %d in the same time without", acknowledged, normal)
+	if acknowledged < normal/4 {
+		t.Errorf("%d acknowledged under overload, want at least a quarter of %d", acknowledged, normal)
 	}
 }
 
 // countAcknowledged returns how many commands are acknowledged during the given ticks.
-func (w *world) countAcknowledged(ticks int) int {
-	before := len(w.acknowledgedNumbers)
+func (h *harness) countAcknowledged(ticks int) int {
+	before := len(h.acknowledgedNumbers)
 	for range ticks {
-		w.tick()
+		h.tick()
 	}
-	return len(w.acknowledgedNumbers) - before
+	return len(h.acknowledgedNumbers) - before
 }
--- a/internal/core/groupmember/plan.go
+++ b/internal/core/groupmember/plan.go
@@ -6,9 +6,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// Limits are the wanted size of a group and the timeouts for replacing its members.
+// Limits are the target size of a group and the timeouts for replacing its members.
 type Limits struct {
-	// Voters is the wanted number of voters; it must be odd.
+	// Voters is the target number of voters; it must be odd.
 	Voters int
 	// MinVoters is the minimum number of voters that remain when a member leaves.
 	MinVoters int
@@ -17,9 +17,9 @@
 	ReplaceTicks uint64
 	// RemoveLearnerTicks is the time without contact after which a learner is removed.
 	RemoveLearnerTicks uint64
-	// Learners is the wanted number of learners, or UnlimitedLearners.
+	// Learners is the target number of learners, or UnlimitedLearners.
 	Learners int
-	// FreeSlotTicks is the time without contact after which another machine may take a
+	// FreeSlotTicks is the time without contact after which another machine may use a
 	// member's slot.
 	FreeSlotTicks uint64
 }
@@ -27,7 +27,7 @@
 // UnlimitedLearners allows any number of learners.
 const UnlimitedLearners = -1
 
-// Change is one step towards the wanted membership.
+// Change is one step towards the target membership.
 type Change struct {
 	Kind   consensus.MembershipChangeKind
 	Member consensus.MemberID
@@ -36,8 +36,8 @@
 }
 
 // Plan returns the next change for the group of a leader that is ready, if one is due.
-// Leaving holds the names of machines that are being drained. The next change is planned
-// once this one is committed.
+// Leaving holds the names of machines that are being drained. The caller calls Plan again
+// once the change is committed.
 func Plan(status consensus.Status, records []Record, leaving map[string]bool, limits Limits) (Change, bool) {
 	group := newGroupView(status, records, leaving, limits)
 	for _, rule := range []func() (Change, bool){
@@ -123,7 +123,7 @@
 }
 
 // replaceable reports whether a voter is to be replaced: it had no contact for
-// ReplaceTicks, or for FreeSlotTicks if a caught-up learner may take its slot.
+// ReplaceTicks, or for FreeSlotTicks if a caught-up learner can replace it.
 func (g *groupView) replaceable(m member) bool {
 	if !m.voter || m.self {
 		return false
@@ -145,8 +145,8 @@
 	return Change{Kind: consensus.RemoveMember, Member: old.record.ID}, true
 }
 
-// shrinksQuorumBelowMin reports whether removing one voter would make a quorum that is
-// large enough too small.
+// shrinksQuorumBelowMin reports whether removing one voter would shrink the quorum below
+// that of MinVoters voters.
 func (g *groupView) shrinksQuorumBelowMin() bool {
 	minimum := quorum(g.limits.MinVoters)
 	return quorum(g.voters()) >= minimum && quorum(g.voters()-1) < minimum
@@ -176,15 +176,15 @@
 // removeLeaving removes a member whose machine is being drained, once enough other voters
 // are caught up and active.
 func (g *groupView) removeLeaving() (Change, bool) {
-	leaver, found := g.find(func(m member) bool { return m.leaving })
+	drained, found := g.find(func(m member) bool { return m.leaving })
 	if !found {
 		return Change{}, false
 	}
 	healthy := g.count(func(m member) bool { return m.voter && !m.leaving && m.active && m.caughtUp })
-	if leaver.voter && healthy < g.limits.MinVoters {
+	if drained.voter && healthy < g.limits.MinVoters {
 		return Change{}, false
 	}
-	return Change{Kind: consensus.RemoveMember, Member: leaver.record.ID, Transfer: leaver.self}, true
+	return Change{Kind: consensus.RemoveMember, Member: drained.record.ID, Transfer: drained.self}, true
 }
 
 // removeReplaced removes an unreachable voter once a learner has replaced it.
@@ -200,7 +200,7 @@
 	return Change{Kind: consensus.RemoveMember, Member: unreachable.record.ID}, true
 }
 
-// removeSurplus reduces the voters to the wanted number.
+// removeSurplus reduces the voters to the target number.
 func (g *groupView) removeSurplus() (Change, bool) {
 	if g.voters() <= g.limits.Voters {
 		return Change{}, false
--- a/internal/core/groupmember/plan_test.go
+++ b/internal/core/groupmember/plan_test.go
@@ -37,7 +37,7 @@
 	}{
 		"nothing to do":                                     {members: three, voters: 3},
 		"spare learner stays a learner":                     {members: with(three, learner), voters: 3},
-		"no even number of voters":                          {members: with(three, learner), voters: 5},
+		"no promotion to an even number of voters":          {members: with(three, learner), voters: 5},
 		"two learners promoted towards five voters":         {members: with(three, learner, planMember{id: 5, address: "e", learner: true}), voters: 5, want: groupmember.Change{Kind: consensus.PromoteLearner, Member: 4}},
 		"missing voter":                                     {members: []planMember{voter(1, "a"), voter(2, "b"), learner}, voters: 3, want: groupmember.Change{Kind: consensus.PromoteLearner, Member: 4}},
 		"learner lags":                                      {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 4, address: "d", learner: true, lagging: true}}, voters: 3},
--- a/internal/core/groupmember/ready.go
+++ b/internal/core/groupmember/ready.go
@@ -80,8 +80,8 @@
 	m.replies = append(m.replies, Reply{Token: proposed.token, Result: result})
 }
 
-// applyNormal applies a command or the directory. Every member skips undecodable data
-// alike; only another version of the program can have written it.
+// applyNormal applies a command or the directory. Data that cannot be decoded comes from
+// another version of the program; every member skips it.
 func (m *Member) applyNormal(entry consensus.Entry) any {
 	var decoded envelope
 	if err := cbor.Unmarshal(entry.Data, &decoded); err != nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// queueReads queues confirmed reads until their index is applied, and fails those that
-// lost their leader.
+// queueReads queues confirmed reads until their index is applied, and fails those for
+// which leadership was lost.
 func (m *Member) queueReads(states []consensus.ReadState) {
 	for _, state := range states {
 		token, found := m.reads[state.RequestID]
@@ -162,17 +162,17 @@
 // new one would add a copy of the state, and compact entries that the receiver needs next.
 const sendingSnapshotFactor = 2
 
-// SnapshotDue reports whether enough was applied since the last snapshot.
+// SnapshotDue reports whether enough entries or bytes were applied since the last snapshot.
 func (m *Member) SnapshotDue() bool {
 	entries := m.applied - m.snapshotIndex
 	if !m.membershipKnown || entries == 0 {
 		return false
 	}
-	enoughEntries, enoughBytes := m.config.SnapshotEntries, max(m.config.SnapshotBytes, m.snapshotBytes/2)
+	minEntries, minBytes := m.config.SnapshotEntries, max(m.config.SnapshotBytes, m.snapshotBytes/2)
 	if m.node.SendingSnapshot() {
-		enoughEntries, enoughBytes = sendingSnapshotFactor*enoughEntries, sendingSnapshotFactor*enoughBytes
+		minEntries, minBytes = sendingSnapshotFactor*minEntries, sendingSnapshotFactor*minBytes
 	}
-	return entries >= enoughEntries || m.bytesSinceSnapshot >= enoughBytes
+	return entries >= minEntries || m.bytesSinceSnapshot >= minBytes
 }
 
 // Capture is the applied state at one index of the log, before it is encoded.
--- a/internal/core/groupmember/room.go
+++ b/internal/core/groupmember/room.go
@@ -10,7 +10,7 @@
 		return true
 	}
 	group := newGroupView(status, records, leaving, limits)
-	if _, known := group.find(func(m member) bool { return m.record.Address == address }); known {
+	if _, found := group.find(func(m member) bool { return m.record.Address == address }); found {
 		return true
 	}
 	return group.freeSlots() > 0
@@ -28,8 +28,8 @@
 // freeSlots counts the unused slots. A member that is unreachable, leaving or superseded
 // by a newer id uses none, so that it cannot block its replacement.
 func (g *groupView) freeSlots() int {
-	taken := g.count(func(m member) bool {
+	used := g.count(func(m member) bool {
 		return !m.leaving && !m.superseded && (m.self || m.ticksSinceContact < g.limits.FreeSlotTicks)
 	})
-	return max(0, g.limits.Voters+g.limits.Learners-taken)
+	return max(0, g.limits.Voters+g.limits.Learners-used)
 }
--- a/internal/core/groupmember/room_test.go
+++ b/internal/core/groupmember/room_test.go
@@ -7,8 +7,9 @@
 	"github.com/loomgrade/loomgrade/internal/core/groupmember"
 )
 
-// The leader accepts only as many joining machines as the group has slots: too many at
-// once overload it. Unreachable members use no slot, so that their replacements can join.
+// The leader accepts only as many joining machines as the group has slots, since sending
+// state to many members concurrently overloads it. Unreachable members use no slot, so
+// that their replacements can join.
 func TestAcceptsLearner(t *testing.T) {
 	const unreachableTicks = 40
 	for name, row := range map[string]struct {
@@ -19,23 +20,23 @@
 		address                                string
 		want                                   bool
 	}{
-		"no learner yet":                           {voters: 5, learners: 0, learnerLimit: 1, address: "x", want: true},
-		"one learner":                              {voters: 5, learners: 1, learnerLimit: 1, address: "x", want: false},
-		"one voter missing":                        {voters: 4, learners: 1, learnerLimit: 1, address: "x", want: true},
-		"one voter missing, replacement joined":    {voters: 4, learners: 2, learnerLimit: 1, address: "x", want: false},
-		"two voters missing":                       {voters: 3, learners: 2, learnerLimit: 1, address: "x", want: true},
-		"address of a member":                      {voters: 5, learners: 1, learnerLimit: 1, address: "v2", want: true},
-		"address of a former member":               {voters: 5, learners: 1, learnerLimit: 1, address: "gone", want: false},
-		"no limit":                                 {voters: 5, learners: 9, learnerLimit: groupmember.UnlimitedLearners, address: "x", want: true},
-		"no learner wanted":                        {voters: 5, learnerLimit: 0, address: "x", want: false},
-		"no learner wanted, one voter unreachable": {voters: 5, unreachableVoters: 1, learnerLimit: 0, address: "x", want: true},
-		"learner unreachable":                      {voters: 5, learners: 1, unreachableLearners: 1, learnerLimit: 1, address: "x", want: true},
-		"voter unreachable":                        {voters: 5, learners: 1, unreachableVoters: 1, learnerLimit: 1, address: "x", want: true},
-		"voter unreachable, replacement joined":    {voters: 5, learners: 2, unreachableVoters: 1, learnerLimit: 1, address: "x", want: false},
-		"voter and learner unreachable":            {voters: 5, learners: 2, unreachableVoters: 1, unreachableLearners: 1, learnerLimit: 1, address: "x", want: true},
-		"voter leaving":                            {voters: 5, learners: 1, leaving: map[string]bool{"v3": true}, learnerLimit: 1, address: "x", want: true},
+		"no learner yet":                            {voters: 5, learners: 0, learnerLimit: 1, address: "x", want: true},
+		"one learner":                               {voters: 5, learners: 1, learnerLimit: 1, address: "x", want: false},
+		"one voter missing":                         {voters: 4, learners: 1, learnerLimit: 1, address: "x", want: true},
+		"one voter missing, replacement joined":     {voters: 4, learners: 2, learnerLimit: 1, address: "x", want: false},
+		"two voters missing":                        {voters: 3, learners: 2, learnerLimit: 1, address: "x", want: true},
+		"address of a member":                       {voters: 5, learners: 1, learnerLimit: 1, address: "v2", want: true},
+		"address of a former member":                {voters: 5, learners: 1, learnerLimit: 1, address: "former", want: false},
+		"no limit":                                  {voters: 5, learners: 9, learnerLimit: groupmember.UnlimitedLearners, address: "x", want: true},
+		"no learner allowed":                        {voters: 5, learnerLimit: 0, address: "x", want: false},
+		"no learner allowed, one voter unreachable": {voters: 5, unreachableVoters: 1, learnerLimit: 0, address: "x", want: true},
+		"learner unreachable":                       {voters: 5, learners: 1, unreachableLearners: 1, learnerLimit: 1, address: "x", want: true},
+		"voter unreachable":                         {voters: 5, learners: 1, unreachableVoters: 1, learnerLimit: 1, address: "x", want: true},
+		"voter unreachable, replacement joined":     {voters: 5, learners: 2, unreachableVoters: 1, learnerLimit: 1, address: "x", want: false},
+		"voter and learner unreachable":             {voters: 5, learners: 2, unreachableVoters: 1, unreachableLearners: 1, learnerLimit: 1, address: "x", want: true},
+		"voter leaving":                             {voters: 5, learners: 1, leaving: map[string]bool{"v3": true}, learnerLimit: 1, address: "x", want: true},
 	} {
-		group := testGroup{status: consensus.Status{ID: 1}, records: []groupmember.Record{{ID: 99, Address: "gone"}}}
+		group := testGroup{status: consensus.Status{ID: 1}, records: []groupmember.Record{{ID: 99, Address: "former"}}}
 		for i := range row.voters {
 			id := group.add(consensus.MemberID(i+1), "v", i >= row.voters-row.unreachableVoters, unreachableTicks)
 			group.status.Membership.Voters = append(group.status.Membership.Voters, id)
--- a/internal/core/groupmember/simulation_test.go
+++ b/internal/core/groupmember/simulation_test.go
@@ -20,11 +20,11 @@
 // drained. Every acknowledged command must be in every later state, once, in one order.
 
 const (
-	electionTicks  = 8
-	heartbeatTicks = 2
-	replaceTicks   = 58
-	vacantTicks    = 25
-	forgetTicks    = 333
+	electionTicks      = 8
+	heartbeatTicks     = 2
+	replaceTicks       = 58
+	freeSlotTicks      = 25
+	removeLearnerTicks = 333
 )
 
 // commandLog is a state machine that records the numbers of the applied commands.
@@ -86,7 +86,7 @@
 	d.entries = slices.DeleteFunc(slices.Clone(d.entries), func(entry consensus.Entry) bool { return entry.Index <= snapshot.Index })
 }
 
-// machine runs at most one member.
+// machine is a simulated machine that runs at most one member.
 type machine struct {
 	name          string
 	incarnation   int
@@ -115,7 +115,7 @@
 	message consensus.Message
 }
 
-type world struct {
+type harness struct {
 	t          *testing.T
 	random     *rand.Rand
 	now        int
@@ -146,10 +146,10 @@
 	batchBytes int
 }
 
-func newWorld(t *testing.T, seed uint64, count, voters int) *world {
-	w := &world{
+func newHarness(t *testing.T, seed uint64, count, voters int) *harness {
+	h := &harness{
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), pending: map[consensus.MemberID]map[uint64]uint64{}, lastWipe: -1000, snapshotEntries: 40,
-		limits: groupmember.Limits{Voters: voters, MinVoters: 3, Learners: groupmember.UnlimitedLearners, ReplaceTicks: replaceTicks, FreeSlotTicks: vacantTicks, RemoveLearnerTicks: forgetTicks},
+		limits: groupmember.Limits{Voters: voters, MinVoters: 3, Learners: groupmember.UnlimitedLearners, ReplaceTicks: replaceTicks, FreeSlotTicks: freeSlotTicks, RemoveLearnerTicks: removeLearnerTicks},
 	}
 	var founders []groupmember.Record
 	for i := range 3 {
@@ -161,50 +161,50 @@
 			added.id, added.founders = founders[i].ID, founders
 			added.disk.snapshot.Membership = consensus.Membership{Voters: []consensus.MemberID{1, 2, 3}}
 		}
-		w.machines = append(w.machines, added)
+		h.machines = append(h.machines, added)
 	}
-	return w
+	return h
 }
 
-func (w *world) start(m *machine) {
+func (h *harness) start(m *machine) {
 	m.state = &commandLog{}
 	member, err := groupmember.New(groupmember.Config{
-		Consensus: consensus.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: w.random.Uint64(), RetainEntries: 8, MaxBatchBytes: w.batchBytes, SnapshotChunkBytes: w.chunkBytes},
-		Founders:  m.founders, SnapshotEntries: w.snapshotEntries,
+		Consensus: consensus.Config{ID: m.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, Seed: h.random.Uint64(), RetainEntries: 8, MaxBatchBytes: h.batchBytes, SnapshotChunkBytes: h.chunkBytes},
+		Founders:  m.founders, SnapshotEntries: h.snapshotEntries,
 	}, consensus.Restored{HardState: m.disk.hard, Snapshot: m.disk.snapshot, Entries: slices.Clone(m.disk.entries)}, m.state)
 	if err != nil {
-		w.t.Fatalf("tick %d: %s does not start: %v", w.now, m.name, err)
+		h.t.Fatalf("tick %d: %s does not start: %v", h.now, m.name, err)
 	}
 	m.member = member
 }
 
-// stop stops the member, which loses all that is not on its disk.
-func (w *world) stop(m *machine, ticks int) {
+// stop stops the member, which loses all state that is not on its disk.
+func (h *harness) stop(m *machine, ticks int) {
 	m.member = nil
 	m.pausedUntil, m.missedTicks = 0, 0
 	m.changePending = false
 	m.pendingSnapshot = nil
-	m.downUntil = max(m.downUntil, w.now+ticks)
-	delete(w.pending, m.id)
+	m.downUntil = max(m.downUntil, h.now+ticks)
+	delete(h.pending, m.id)
 }
 
-func (w *world) wipe(m *machine) {
+func (h *harness) wipe(m *machine) {
 	m.disk = &disk{}
 	m.id = 0
 	m.founders = nil
 	m.incarnation++
-	m.wiped = w.now
-	w.lastWipe = w.now
+	m.wiped = h.now
+	h.lastWipe = h.now
 }
 
-func (w *world) up(m *machine) bool { return !m.removed && w.now >= m.downUntil }
+func (h *harness) up(m *machine) bool { return !m.removed && h.now >= m.downUntil }
 
-func (w *world) paused(m *machine) bool { return w.now < m.pausedUntil }
+func (h *harness) paused(m *machine) bool { return h.now < m.pausedUntil }
 
-func (w *world) leader() *machine {
+func (h *harness) leader() *machine {
 	var leader *machine
-	for _, m := range w.machines {
-		if m.member != nil && !w.paused(m) && m.member.LeaderReady() && (leader == nil || m.member.Status().Term > leader.member.Status().Term) {
+	for _, m := range h.machines {
+		if m.member != nil && !h.paused(m) && m.member.LeaderReady() && (leader == nil || m.member.Status().Term > leader.member.Status().Term) {
 			leader = m
 		}
 	}
@@ -212,9 +212,9 @@
 }
 
 // join makes a machine without an id a learner, or returns the id that it already has.
-func (w *world) join(m *machine) {
-	leader := w.leader()
-	if leader == nil || leader.changePending || leader.isolatedUntil > w.now || m.isolatedUntil > w.now || m.leaving {
+func (h *harness) join(m *machine) {
+	leader := h.leader()
+	if leader == nil || leader.changePending || leader.isolatedUntil > h.now || m.isolatedUntil > h.now || m.leaving {
 		return
 	}
 	status := leader.member.Status()
@@ -225,7 +225,7 @@
 			return
 		}
 	}
-	if !groupmember.AcceptsLearner(status, leader.member.Directory(), w.leaving(), m.name, w.limits) {
+	if !groupmember.AcceptsLearner(status, leader.member.Directory(), h.leaving(), m.name, h.limits) {
 		return
 	}
 	leader.changePending = true
@@ -234,28 +234,28 @@
 	})
 }
 
-func (w *world) process(m *machine) {
+func (h *harness) process(m *machine) {
 	for m.member.HasReady() {
 		ready := m.member.Ready()
 		m.disk.persist(ready)
 		for _, message := range ready.Messages {
-			if w.random.Float64() >= w.loss {
-				w.inFlight = append(w.inFlight, delivery{at: w.now + 1 + w.random.IntN(2), message: message})
+			if h.random.Float64() >= h.loss {
+				h.inFlight = append(h.inFlight, delivery{at: h.now + 1 + h.random.IntN(2), message: message})
 			}
 		}
 		if err := m.member.Advance(ready); err != nil {
-			w.t.Fatalf("tick %d: %s: %v", w.now, m.name, err)
+			h.t.Fatalf("tick %d: %s: %v", h.now, m.name, err)
 		}
 	}
 	for _, reply := range m.member.TakeReplies() {
-		w.handleReply(m, reply)
+		h.handleReply(m, reply)
 	}
-	w.save(m)
-	if w.releaseData {
-		w.releaseSnapshotData(m)
+	h.save(m)
+	if h.releaseData {
+		h.releaseSnapshotData(m)
 	}
 	if m.member.Status().Role == consensus.RoleRemoved {
-		w.stop(m, 1)
+		h.stop(m, 1)
 		m.disk, m.id, m.founders = &disk{}, 0, nil
 		m.incarnation++
 	}
@@ -263,75 +263,75 @@
 
 // save captures a snapshot once one is due, and compacts the log once the
 // snapshot is written, unless the leader has sent a later one.
-func (w *world) save(m *machine) {
+func (h *harness) save(m *machine) {
 	if m.pendingSnapshot == nil && m.member.SnapshotDue() {
 		capture, err := m.member.CaptureSnapshot()
 		if err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		m.pendingSnapshot = &capture
 		if m.member.SendingSnapshot() {
-			w.snapshotsWhileSending++
+			h.snapshotsWhileSending++
 		}
-		m.snapshotDoneAt = w.now + w.saveTicks
+		m.snapshotDoneAt = h.now + h.saveTicks
 	}
-	if m.pendingSnapshot == nil || w.now < m.snapshotDoneAt {
+	if m.pendingSnapshot == nil || h.now < m.snapshotDoneAt {
 		return
 	}
 	snapshot, err := m.pendingSnapshot.Encode()
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	m.pendingSnapshot = nil
 	if snapshot.Index <= m.disk.snapshot.Index {
-		w.staleSnapshots++
+		h.staleSnapshots++
 		return
 	}
 	m.disk.compact(snapshot)
 	if err := m.member.Compact(snapshot); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
 // releaseSnapshotData releases the data of the member's newest snapshot, and provides it
 // again some ticks after it is wanted.
-func (w *world) releaseSnapshotData(m *machine) {
+func (h *harness) releaseSnapshotData(m *machine) {
 	switch {
 	case !m.member.SnapshotWanted():
 		m.member.ReleaseSnapshot()
-	case w.now%3 == 0:
-		w.provided++
+	case h.now%3 == 0:
+		h.provided++
 		m.member.ProvideSnapshot(m.disk.snapshot)
 	}
 }
 
-func (w *world) handleReply(m *machine, reply groupmember.Reply) {
+func (h *harness) handleReply(m *machine, reply groupmember.Reply) {
 	if reply.Token == 0 {
 		m.changePending = false
 		return
 	}
-	number := w.pending[m.id][reply.Token]
-	delete(w.pending[m.id], reply.Token)
+	number := h.pending[m.id][reply.Token]
+	delete(h.pending[m.id], reply.Token)
 	if reply.Err == nil && number != 0 {
-		w.acknowledgedNumbers = append(w.acknowledgedNumbers, number)
+		h.acknowledgedNumbers = append(h.acknowledgedNumbers, number)
 	}
 }
 
-func (w *world) propose(m *machine) {
-	w.lastNumber++
-	if w.pending[m.id] == nil {
-		w.pending[m.id] = map[uint64]uint64{}
+func (h *harness) propose(m *machine) {
+	h.lastNumber++
+	if h.pending[m.id] == nil {
+		h.pending[m.id] = map[uint64]uint64{}
 	}
-	w.pending[m.id][w.lastNumber] = w.lastNumber
-	m.member.Propose(w.lastNumber, binary.BigEndian.AppendUint64(nil, w.lastNumber))
+	h.pending[m.id][h.lastNumber] = h.lastNumber
+	m.member.Propose(h.lastNumber, binary.BigEndian.AppendUint64(nil, h.lastNumber))
 }
 
-func (w *world) plan(m *machine) {
+func (h *harness) plan(m *machine) {
 	m.member.ProposeDirectory()
 	if m.changePending {
 		return
 	}
-	change, due := groupmember.Plan(m.member.Status(), m.member.Directory(), w.leaving(), w.limits)
+	change, due := groupmember.Plan(m.member.Status(), m.member.Directory(), h.leaving(), h.limits)
 	if !due {
 		return
 	}
@@ -349,9 +349,9 @@
 }
 
 // leaving returns the names of the machines that are being drained.
-func (w *world) leaving() map[string]bool {
+func (h *harness) leaving() map[string]bool {
 	leaving := map[string]bool{}
-	for _, m := range w.machines {
+	for _, m := range h.machines {
 		if m.leaving {
 			leaving[m.name] = true
 		}
@@ -359,8 +359,8 @@
 	return leaving
 }
 
-func (w *world) machineOf(id consensus.MemberID) *machine {
-	for _, m := range w.machines {
+func (h *harness) machineOf(id consensus.MemberID) *machine {
+	for _, m := range h.machines {
 		if m.id == id && m.member != nil {
 			return m
 		}
@@ -368,118 +368,118 @@
 	return nil
 }
 
-func (w *world) tick() {
-	w.now++
-	for _, m := range w.machines {
+func (h *harness) tick() {
+	h.now++
+	for _, m := range h.machines {
 		switch {
-		case !w.up(m):
-		case w.paused(m):
+		case !h.up(m):
+		case h.paused(m):
 			m.missedTicks++
 		case m.member != nil:
 			m.member.TickMissed(m.missedTicks)
 			m.missedTicks = 0
 			m.member.Tick()
-			w.process(m)
+			h.process(m)
 		case m.id == 0:
-			w.join(m)
+			h.join(m)
 		default:
-			w.start(m)
-			w.process(m)
+			h.start(m)
+			h.process(m)
 		}
 	}
-	w.deliver()
-	if leader := w.leader(); leader != nil {
-		w.plan(leader)
-		if w.random.IntN(2) == 0 {
-			w.propose(leader)
+	h.deliver()
+	if leader := h.leader(); leader != nil {
+		h.plan(leader)
+		if h.random.IntN(2) == 0 {
+			h.propose(leader)
 		}
-		w.process(leader)
+		h.process(leader)
 	}
 }
 
-func (w *world) deliver() {
-	due := w.inFlight
-	w.inFlight = nil
-	w.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
-	for _, mail := range due {
-		if mail.at > w.now {
-			w.inFlight = append(w.inFlight, mail)
+func (h *harness) deliver() {
+	due := h.inFlight
+	h.inFlight = nil
+	h.random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
+	for _, next := range due {
+		if next.at > h.now {
+			h.inFlight = append(h.inFlight, next)
 			continue
 		}
-		from, to := w.machineOf(mail.message.From), w.machineOf(mail.message.To)
-		if to == nil || to.isolatedUntil > w.now || (from != nil && from.isolatedUntil > w.now) {
+		from, to := h.machineOf(next.message.From), h.machineOf(next.message.To)
+		if to == nil || to.isolatedUntil > h.now || (from != nil && from.isolatedUntil > h.now) {
 			continue
 		}
-		if w.paused(to) {
-			w.inFlight = append(w.inFlight, delivery{at: to.pausedUntil, message: mail.message})
+		if h.paused(to) {
+			h.inFlight = append(h.inFlight, delivery{at: to.pausedUntil, message: next.message})
 			continue
 		}
-		if err := to.member.Step(mail.message); err != nil && to.member != nil {
-			w.t.Logf("tick %d: %s: %v", w.now, to.name, err)
+		if err := to.member.Step(next.message); err != nil && to.member != nil {
+			h.t.Logf("tick %d: %s: %v", h.now, to.name, err)
 		}
-		w.process(to)
+		h.process(to)
 	}
 }
 
 // injectFault injects a random fault. Disks are lost only while the group is healthy.
-func (w *world) injectFault() {
-	m := w.machines[w.random.IntN(len(w.machines))]
+func (h *harness) injectFault() {
+	m := h.machines[h.random.IntN(len(h.machines))]
 	if m.removed {
 		return
 	}
-	switch w.random.IntN(11) {
+	switch h.random.IntN(11) {
 	case 0, 1:
-		w.stop(m, 1+w.random.IntN(40))
+		h.stop(m, 1+h.random.IntN(40))
 	case 2:
-		m.isolatedUntil = w.now + 10 + w.random.IntN(60)
+		m.isolatedUntil = h.now + 10 + h.random.IntN(60)
 	case 3:
-		for _, each := range w.machines {
-			w.stop(each, 1+w.random.IntN(12))
+		for _, each := range h.machines {
+			h.stop(each, 1+h.random.IntN(12))
 		}
 	case 4:
-		w.loss = w.random.Float64() * 0.2
+		h.loss = h.random.Float64() * 0.2
 	case 5:
-		w.loss = 0
+		h.loss = 0
 	case 6:
-		if w.healthy() {
-			w.stop(m, 5+w.random.IntN(20))
-			w.wipe(m)
+		if h.healthy() {
+			h.stop(m, 5+h.random.IntN(20))
+			h.wipe(m)
 		}
 	case 7:
-		if w.healthy() && len(w.machines) < 9 {
-			w.stop(m, 1)
+		if h.healthy() && len(h.machines) < 9 {
+			h.stop(m, 1)
 			m.removed = true
-			w.lastWipe = w.now
-			w.machines = append(w.machines, &machine{name: fmt.Sprintf("m%d", len(w.machines)), disk: &disk{}})
+			h.lastWipe = h.now
+			h.machines = append(h.machines, &machine{name: fmt.Sprintf("m%d", len(h.machines)), disk: &disk{}})
 		}
 	case 8:
-		if leader := w.leader(); leader != nil && leader.isolatedUntil <= w.now {
-			w.stop(leader, 3)
-			if w.healthy() {
-				w.wipe(leader)
+		if leader := h.leader(); leader != nil && leader.isolatedUntil <= h.now {
+			h.stop(leader, 3)
+			if h.healthy() {
+				h.wipe(leader)
 			}
 		}
 	case 9:
-		w.pause(m, 1+w.random.IntN(60))
+		h.pause(m, 1+h.random.IntN(60))
 	case 10:
-		ticks := 1 + w.random.IntN(30)
-		for _, each := range w.machines {
-			w.pause(each, ticks)
+		ticks := 1 + h.random.IntN(30)
+		for _, each := range h.machines {
+			h.pause(each, ticks)
 		}
 	}
 }
 
 // pause pauses a machine that runs a member.
-func (w *world) pause(m *machine, ticks int) {
+func (h *harness) pause(m *machine, ticks int) {
 	if m.member != nil {
-		m.pausedUntil = w.now + 1 + ticks
+		m.pausedUntil = h.now + 1 + ticks
 	}
 }
 
 // healthy reports whether the group has enough voters, all active and caught up: only
 // then may another disk be lost.
-func (w *world) healthy() bool {
-	leader := w.leader()
+func (h *harness) healthy() bool {
+	leader := h.leader()
 	if leader == nil {
 		return false
 	}
@@ -496,41 +496,41 @@
 }
 
 // check compares all states with each other and with the acknowledged commands.
-func (w *world) check() {
+func (h *harness) check() {
 	var longest []uint64
-	for _, m := range w.machines {
+	for _, m := range h.machines {
 		if m.member != nil && len(m.state.numbers) > len(longest) {
 			longest = m.state.numbers
 		}
 	}
-	for _, m := range w.machines {
+	for _, m := range h.machines {
 		if m.member == nil {
 			continue
 		}
 		if !slices.Equal(m.state.numbers, longest[:len(m.state.numbers)]) {
-			w.t.Fatalf("tick %d: %s has a different order", w.now, m.name)
+			h.t.Fatalf("tick %d: %s has a different order", h.now, m.name)
 		}
 	}
 	found := make(map[uint64]bool, len(longest))
 	for _, number := range longest {
 		found[number] = true
 	}
-	for _, number := range w.acknowledgedNumbers {
+	for _, number := range h.acknowledgedNumbers {
 		if !found[number] {
-			w.t.Fatalf("tick %d: acknowledged command %d is lost", w.now, number)
+			h.t.Fatalf("tick %d: acknowledged command %d is lost", h.now, number)
 		}
 	}
 }
 
-func (w *world) heal(ticks int) {
-	w.loss = 0
-	for _, m := range w.machines {
+func (h *harness) heal(ticks int) {
+	h.loss = 0
+	for _, m := range h.machines {
 		m.isolatedUntil = 0
-		m.pausedUntil = min(m.pausedUntil, w.now+1)
-		m.downUntil = min(m.downUntil, w.now+5)
+		m.pausedUntil = min(m.pausedUntil, h.now+1)
+		m.downUntil = min(m.downUntil, h.now+5)
 	}
 	for range ticks {
-		w.tick()
+		h.tick()
 	}
 }
 
@@ -542,8 +542,8 @@
 	testNoAcknowledgedLoss(t, seeds, 0)
 }
 
-// Members keep running while the snapshots that they captured are written, even if they
-// stop or receive a later one before.
+// No acknowledged command may be lost if a member stops or receives a later snapshot while
+// its captured snapshot is being written.
 func TestAcknowledgedCommandsSurviveSnapshotWrites(t *testing.T) {
 	const seeds, saveTicks = 15, 30
 	testNoAcknowledgedLoss(t, seeds, saveTicks)
@@ -553,37 +553,37 @@
 func testNoAcknowledgedLoss(t *testing.T, seeds uint64, saveTicks int) {
 	acknowledged, staleSnapshots, provided := 0, 0, 0
 	for seed := range seeds {
-		w := newWorld(t, seed, 3+int(seed%3), 3+2*int(seed%2))
-		w.saveTicks, w.releaseData = saveTicks, saveTicks > 0
+		h := newHarness(t, seed, 3+int(seed%3), 3+2*int(seed%2))
+		h.saveTicks, h.releaseData = saveTicks, saveTicks > 0
 		for round := range 60 {
-			for range 15 + w.random.IntN(40) {
-				w.tick()
+			for range 15 + h.random.IntN(40) {
+				h.tick()
 			}
-			w.injectFault()
+			h.injectFault()
 			if round%20 == 19 {
-				w.heal(150)
-				w.check()
+				h.heal(150)
+				h.check()
 			}
 		}
-		w.heal(400)
-		w.check()
-		leader := w.leader()
+		h.heal(400)
+		h.check()
+		leader := h.leader()
 		if leader == nil {
 			t.Fatalf("seed %d: no leader after the faults ended", seed)
 		}
 		if voters := len(leader.member.Status().Membership.Voters); voters < 3 {
 			t.Errorf("seed %d: %d voters at the end", seed, voters)
 		}
-		before := len(w.acknowledgedNumbers)
+		before := len(h.acknowledgedNumbers)
 		for range 50 {
-			w.tick()
+			h.tick()
 		}
-		if len(w.acknowledgedNumbers) == before {
+		if len(h.acknowledgedNumbers) == before {
 			t.Errorf("seed %d: no command acknowledged after the faults ended", seed)
 		}
-		acknowledged += len(w.acknowledgedNumbers)
-		staleSnapshots += w.staleSnapshots
-		provided += w.provided
+		acknowledged += len(h.acknowledgedNumbers)
+		staleSnapshots += h.staleSnapshots
+		provided += h.provided
 	}
 	t.Logf("%d commands acknowledged over %d seeds, %d snapshots discarded, %d provided again", acknowledged, seeds, staleSnapshots, provided)
 	if saveTicks > 0 && provided == 0 {
@@ -593,14 +593,14 @@
 
 func TestDrainedMachineIsRemovedWithoutLoss(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, seed, 4, 3)
+		h := newHarness(t, seed, 4, 3)
 		for range 200 {
-			w.tick()
+			h.tick()
 		}
-		leaver := w.machines[int(seed)%3]
-		leaver.leaving = true
+		target := h.machines[int(seed)%3]
+		target.leaving = true
 		drained := func() bool {
-			leader := w.leader()
+			leader := h.leader()
 			if leader == nil {
 				return false
 			}
@@ -609,41 +609,41 @@
 			for _, existing := range leader.member.Directory() {
 				names[existing.Name] = true
 			}
-			return !names[leaver.name] && len(leader.member.Status().Membership.Voters) == 3
+			return !names[target.name] && len(leader.member.Status().Membership.Voters) == 3
 		}
 		for range 200 {
-			if w.tick(); drained() {
+			if h.tick(); drained() {
 				break
 			}
 		}
 		if !drained() {
 			t.Fatalf("seed %d: the machine is still a member after 200 ticks", seed)
 		}
-		w.stop(leaver, 1)
-		leaver.removed = true
-		lost := w.machines[(int(seed)+1)%3]
-		w.stop(lost, 5)
-		w.wipe(lost)
-		w.heal(300)
-		w.check()
-		if w.leader() == nil {
+		h.stop(target, 1)
+		target.removed = true
+		lost := h.machines[(int(seed)+1)%3]
+		h.stop(lost, 5)
+		h.wipe(lost)
+		h.heal(300)
+		h.check()
+		if h.leader() == nil {
 			t.Fatalf("seed %d: no leader", seed)
 		}
 	}
 }
 
 func TestWipedMachineRejoinsUnderNewID(t *testing.T) {
-	w := newWorld(t, 5, 3, 3)
+	h := newHarness(t, 5, 3, 3)
 	for range 200 {
-		w.tick()
+		h.tick()
 	}
-	lost := w.machines[1]
-	w.stop(lost, 10)
-	w.wipe(lost)
+	lost := h.machines[1]
+	h.stop(lost, 10)
+	h.wipe(lost)
 	for range 200 {
-		w.tick()
+		h.tick()
 	}
-	leader := w.leader()
+	leader := h.leader()
 	if leader == nil {
 		t.Fatal("no leader")
 	}
@@ -656,20 +656,20 @@
 	}
 }
 
-// A joining member that reads the whole log must not take a snapshot before the entry that
-// added it: it does not know the membership of that time.
+// A joining member that reads the complete log must not make a snapshot before the entry
+// that added it: it does not know the membership before that entry.
 func TestJoiningMemberTakesNoSnapshotBeforeItsAddition(t *testing.T) {
-	w := newWorld(t, 3, 3, 3)
-	w.snapshotEntries, w.batchBytes = 100000, 100
+	h := newHarness(t, 3, 3, 3)
+	h.snapshotEntries, h.batchBytes = 100000, 100
 	for range 300 {
-		w.tick()
+		h.tick()
 	}
 	added := &machine{name: "m3", disk: &disk{}}
-	w.machines = append(w.machines, added)
-	w.snapshotEntries = 20
-	w.heal(100)
+	h.machines = append(h.machines, added)
+	h.snapshotEntries = 20
+	h.heal(100)
 	if added.member == nil || len(added.state.numbers) == 0 {
 		t.Fatal("the machine did not join")
 	}
-	w.check()
+	h.check()
 }
--- a/internal/core/groupmember/succession_test.go
+++ b/internal/core/groupmember/succession_test.go
@@ -9,7 +9,7 @@
 
 // Durations of the succession test; a tick is 60 ms.
 const (
-	calmTicks      = 170 // between two faults
+	faultFreeTicks = 170 // between two faults
 	successorTicks = 17  // from the loss of a machine to the start of its successor
 	// repairTicks limits the time from the start of the successor until the group has
 	// all its voters, running and caught up. A message takes one or two ticks.
@@ -19,29 +19,29 @@
 )
 
 // replaceMachine removes a machine permanently and adds an empty one at another address.
-func (w *world) replaceMachine(m *machine) {
-	w.stop(m, 1)
+func (h *harness) replaceMachine(m *machine) {
+	h.stop(m, 1)
 	m.removed = true
 	for range successorTicks {
-		w.tick()
+		h.tick()
 	}
-	w.machines = append(w.machines, &machine{name: m.name + "'", disk: &disk{}})
+	h.machines = append(h.machines, &machine{name: m.name + "'", disk: &disk{}})
 }
 
 // liveMachines returns the machines that are not removed.
-func (w *world) liveMachines() []*machine {
-	var living []*machine
-	for _, m := range w.machines {
+func (h *harness) liveMachines() []*machine {
+	var live []*machine
+	for _, m := range h.machines {
 		if !m.removed {
-			living = append(living, m)
+			live = append(live, m)
 		}
 	}
-	return living
+	return live
 }
 
 // Two of four machines are replaced, one is isolated, and one loses its disk in a power
-// failure of all. For every choice of machines the group must be repaired in time, and
-// keep all acknowledged commands.
+// failure of all machines. For every choice of machines the group must be repaired in
+// time and retain all acknowledged commands.
 func TestReplacementsOfLostMachinesJoin(t *testing.T) {
 	t.Parallel()
 	for part := range parts {
@@ -70,63 +70,63 @@
 // learners.
 func testSuccession(t *testing.T, choice, learners int) {
 	t.Helper()
-	w := newWorld(t, uint64(choice), machines, 3)
-	w.limits.Learners = learners
-	victim := func(digit int) *machine { return w.liveMachines()[choice/digit%machines] }
-	for range calmTicks {
-		w.tick()
+	h := newHarness(t, uint64(choice), machines, 3)
+	h.limits.Learners = learners
+	victim := func(digit int) *machine { return h.liveMachines()[choice/digit%machines] }
+	for range faultFreeTicks {
+		h.tick()
 	}
 	for _, digit := range []int{1, machines} {
-		w.replaceMachine(victim(digit))
-		w.mustRepair(choice, learners)
-		for range calmTicks - repairTicks {
-			w.tick()
+		h.replaceMachine(victim(digit))
+		h.mustRepair(choice, learners)
+		for range faultFreeTicks - repairTicks {
+			h.tick()
 		}
 	}
 	isolated := victim(machines * machines)
-	isolated.isolatedUntil = w.now + isolationTicks
+	isolated.isolatedUntil = h.now + isolationTicks
 	for range isolationTicks + repairTicks {
-		w.tick()
+		h.tick()
 	}
 	wiped := victim(machines * machines * machines)
-	for _, m := range w.machines {
-		w.stop(m, powerOffTicks)
+	for _, m := range h.machines {
+		h.stop(m, powerOffTicks)
 	}
-	w.wipe(wiped)
-	w.heal(300)
-	w.check()
-	if w.leader() == nil {
+	h.wipe(wiped)
+	h.heal(300)
+	h.check()
+	if h.leader() == nil {
 		t.Fatalf("choice %d, %d learners: no leader after all faults", choice, learners)
 	}
 }
 
 // mustRepair runs for repairTicks and fails unless the group is repaired by then.
-func (w *world) mustRepair(choice, learners int) {
-	w.t.Helper()
+func (h *harness) mustRepair(choice, learners int) {
+	h.t.Helper()
 	repaired := false
 	for range repairTicks {
-		w.tick()
-		repaired = repaired || w.repaired()
+		h.tick()
+		repaired = repaired || h.repaired()
 	}
 	if !repaired {
 		status := consensus.Status{}
-		if leader := w.leader(); leader != nil {
+		if leader := h.leader(); leader != nil {
 			status = leader.member.Status()
 		}
-		w.t.Fatalf("choice %d, %d learners, tick %d: not repaired %d ticks after a successor started: %+v", choice, learners, w.now, repairTicks, status)
+		h.t.Fatalf("choice %d, %d learners, tick %d: not repaired %d ticks after a successor started: %+v", choice, learners, h.now, repairTicks, status)
 	}
 }
 
-// repaired reports whether the group has the wanted number of voters, all of them running
+// repaired reports whether the group has the target number of voters, all of them running
 // and caught up.
-func (w *world) repaired() bool {
-	leader := w.leader()
+func (h *harness) repaired() bool {
+	leader := h.leader()
 	if leader == nil {
 		return false
 	}
 	status := leader.member.Status()
 	for _, id := range status.Membership.Voters {
-		if w.machineOf(id) == nil {
+		if h.machineOf(id) == nil {
 			return false
 		}
 	}
@@ -135,5 +135,5 @@
 			return false
 		}
 	}
-	return len(status.Membership.Voters) == w.limits.Voters
+	return len(status.Membership.Voters) == h.limits.Voters
 }
--- a/internal/core/groupmember/wiped_test.go
+++ b/internal/core/groupmember/wiped_test.go
@@ -10,15 +10,15 @@
 // voters again: 6 s at 60 ms per tick.
 const recoverVotersTicks = 100
 
-// newFiveVoterWorld returns a world of five voters that must tolerate two losses.
-func newFiveVoterWorld(t *testing.T, seed uint64, configure func(*world)) *world {
-	w := newWorld(t, seed, 5, 5)
-	w.limits.MinVoters = 5
-	configure(w)
+// newFiveVoterHarness returns a harness with five voters that must tolerate two losses.
+func newFiveVoterHarness(t *testing.T, seed uint64, configure func(*harness)) *harness {
+	h := newHarness(t, seed, 5, 5)
+	h.limits.MinVoters = 5
+	configure(h)
 	for range 400 {
-		w.tick()
-		if leader := w.leader(); leader != nil && len(leader.member.Status().Membership.Voters) == 5 {
-			return w
+		h.tick()
+		if leader := h.leader(); leader != nil && len(leader.member.Status().Membership.Voters) == 5 {
+			return h
 		}
 	}
 	t.Fatalf("seed %d: no five voters", seed)
@@ -26,12 +26,12 @@
 }
 
 // wipeFollowers stops two followers and wipes their disks.
-func (w *world) wipeFollowers() {
-	leader, wiped := w.leader(), 0
-	for _, m := range w.machines {
+func (h *harness) wipeFollowers() {
+	leader, wiped := h.leader(), 0
+	for _, m := range h.machines {
 		if m != leader && wiped < 2 {
-			w.stop(m, 5)
-			w.wipe(m)
+			h.stop(m, 5)
+			h.wipe(m)
 			wiped++
 		}
 	}
@@ -41,12 +41,12 @@
 // acknowledged commands are on three disks.
 func TestQuorumSurvivesTwoLossesWhileWipedMembersRejoin(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newFiveVoterWorld(t, seed, func(*world) {})
-		w.wipeFollowers()
-		returned := false
-		for passed := 0; passed < recoverVotersTicks && !returned; passed++ {
-			w.tick()
-			leader := w.leader()
+		h := newFiveVoterHarness(t, seed, func(*harness) {})
+		h.wipeFollowers()
+		rejoined := false
+		for elapsed := 0; elapsed < recoverVotersTicks && !rejoined; elapsed++ {
+			h.tick()
+			leader := h.leader()
 			if leader == nil {
 				continue
 			}
@@ -54,19 +54,19 @@
 			if len(voters) < 4 {
 				t.Fatalf("seed %d: %d voters", seed, len(voters))
 			}
-			returned = len(voters) == 5 && w.allVoters(leader.member.Status().Membership)
+			rejoined = len(voters) == 5 && h.allVoters(leader.member.Status().Membership)
 		}
-		if !returned {
+		if !rejoined {
 			t.Errorf("seed %d: not all machines are voters again", seed)
 		}
-		w.heal(20)
-		w.check()
+		h.heal(20)
+		h.check()
 	}
 }
 
 // allVoters reports whether every machine runs a voter.
-func (w *world) allVoters(membership consensus.Membership) bool {
-	for _, m := range w.machines {
+func (h *harness) allVoters(membership consensus.Membership) bool {
+	for _, m := range h.machines {
 		if m.member == nil || !membership.IsVoter(m.id) {
 			return false
 		}
@@ -74,40 +74,40 @@
 	return true
 }
 
-// A leader makes no snapshot while it sends one, unless twice the usual amount was
+// A leader makes no snapshot while it sends one, unless twice the normal amount was
 // applied. With 64-byte chunks a transfer lasts several snapshot intervals.
 func TestNoSnapshotIsTakenWhileSendingOne(t *testing.T) {
-	saved, total := 0, 0
+	snapshots, total := 0, 0
 	for seed := range uint64(20) {
-		w := newFiveVoterWorld(t, seed, func(w *world) { w.chunkBytes, w.snapshotEntries = 64, 10 })
+		h := newFiveVoterHarness(t, seed, func(h *harness) { h.chunkBytes, h.snapshotEntries = 64, 10 })
 		for range 100 {
-			w.tick()
+			h.tick()
 		}
-		leader := w.leader()
+		leader := h.leader()
 		if leader == nil {
 			continue
 		}
-		w.wipeFollowers()
-		w.snapshotsWhileSending = 0
+		h.wipeFollowers()
+		h.snapshotsWhileSending = 0
 		sending, maxEntries := 0, uint64(0)
 		for range recoverVotersTicks {
-			w.tick()
-			if leader = w.leader(); leader != nil && leader.member.SendingSnapshot() {
+			h.tick()
+			if leader = h.leader(); leader != nil && leader.member.SendingSnapshot() {
 				sending++
 				maxEntries = max(maxEntries, leader.member.Applied()-leader.member.Status().SnapshotIndex)
 			}
 		}
-		saved += w.snapshotsWhileSending
-		if maxEntries > 2*w.snapshotEntries+20 {
+		snapshots += h.snapshotsWhileSending
+		if maxEntries > 2*h.snapshotEntries+20 {
 			t.Errorf("seed %d: %d entries without a snapshot, sending for %d ticks", seed, maxEntries, sending)
 		}
 		total += sending
-		w.heal(20)
-		w.check()
+		h.heal(20)
+		h.check()
 	}
-	t.Logf("%d snapshots were made in %d ticks in which one was sent", saved, total)
+	t.Logf("%d snapshots were made in %d ticks in which one was sent", snapshots, total)
 	// At 0.5 entries per tick and 10 entries per snapshot, one is due every 20 ticks.
-	if total == 0 || saved > total/30 {
-		t.Errorf("%d snapshots were made in %d ticks in which one was sent", saved, total)
+	if total == 0 || snapshots > total/30 {
+		t.Errorf("%d snapshots were made in %d ticks in which one was sent", snapshots, total)
 	}
 }
