--- a/internal/core/controlstate/apply.go
+++ b/internal/core/controlstate/apply.go
@@ -11,10 +11,9 @@
 )
 
 // Apply applies the log entry at index and returns its result. A rejected command
-// returns the reason in Result.Error with verdict NotRun. A command with a known
-// change id is not applied again: Apply returns the result of the first application
-// with the present ledger. Configuration changes must carry a change id, other
-// commands may.
+// returns the reason in Result.Error with verdict NotRun. A command whose change id was
+// already used is not applied again: Apply returns the cached result with the current
+// ledger. Configuration changes require a change id; for other commands it is optional.
 func (s *State) Apply(index, term uint64, command port.Command) port.Result {
 	s.applied = index
 	s.publish(index, term, s.advanceTime(command))
@@ -60,7 +59,7 @@
 	return port.Result{Index: index, Revision: s.revision, Error: refusal}
 }
 
-// withLedger adds the pool's delivery state, which cached results don't hold.
+// withLedger adds the pool's delivery state, which cached results do not include.
 func (s *State) withLedger(command port.Command, result port.Result) port.Result {
 	if command.CommitBatch != nil {
 		state := s.Ledger(command.CommitBatch.Pool)
@@ -171,7 +170,7 @@
 	return changes, nil
 }
 
-// maxTextBytes bounds the author and the note of a history entry.
+// maxTextBytes limits the author and the note of a history entry.
 const maxTextBytes = 1024
 
 // sampling returns the sampling settings of a pool that feeds a trainer.
@@ -208,8 +207,8 @@
 			changes = append(changes, port.ViewChange{LeaseRemoved: name})
 		}
 	}
-	lease, used, refusal := s.leases.Acquire(request, s.epoch+1, s.time)
-	if used {
+	lease, epochUsed, refusal := s.leases.Acquire(request, s.epoch+1, s.time)
+	if epochUsed {
 		s.epoch++
 	}
 	if refusal == nil {
--- a/internal/core/controlstate/benchmark_test.go
+++ b/internal/core/controlstate/benchmark_test.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// BenchmarkSnapshot encodes the whole state.
+// BenchmarkSnapshot encodes the complete state.
 func BenchmarkSnapshot(b *testing.B) {
 	eachFleet(b, func(b *testing.B, state *State) {
 		bytes := 0
--- a/internal/core/controlstate/changelog.go
+++ b/internal/core/controlstate/changelog.go
@@ -47,7 +47,7 @@
 
 // since returns the changes after a position. It reports false if some were dropped
 // or a full view is cheaper. Of several changes of one lease it returns the last.
-func (c *changeLog) since(after uint64) (changes []port.ViewChange, kept bool) {
+func (c *changeLog) since(after uint64) (changes []port.ViewChange, ok bool) {
 	if after < c.floor {
 		return nil, false
 	}
--- a/internal/core/controlstate/doc.go
+++ b/internal/core/controlstate/doc.go
@@ -2,7 +2,7 @@
 //
 // State applies the commands of the log in order: configuration changes, weight
 // publications, leases, node registrations, consumers and batch commits. It is
-// deterministic, bounded in size and reads no clock. Observer follows the state
+// deterministic, limited in size and reads no clock. Observer follows the state
 // through the updates of any member; its position never decreases.
 //
 // Log time is the highest Command.Time applied so far. It never decreases, so a
--- a/internal/core/controlstate/fuzz_test.go
+++ b/internal/core/controlstate/fuzz_test.go
@@ -30,7 +30,7 @@
 }
 
 // FuzzDecodeCommand applies an arbitrary decoded command: two states must agree, a
-// snapshot must restore to the same bytes, and the revision grows by one at most.
+// snapshot must restore to the same bytes, and the revision may increase by at most one.
 func FuzzDecodeCommand(f *testing.F) {
 	for _, command := range commandSeeds() {
 		data, err := EncodeCommand(command)
@@ -107,12 +107,12 @@
 		for number, command := range commandSeeds() {
 			restored.Apply(restored.Applied()+1, uint64(number+1), command)
 		}
-		taken := mustSnapshot(t, restored)
-		again := New()
-		if err := again.Restore(taken); err != nil {
+		encoded := mustSnapshot(t, restored)
+		second := New()
+		if err := second.Restore(encoded); err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(mustSnapshot(t, again), taken) {
+		if !bytes.Equal(mustSnapshot(t, second), encoded) {
 			t.Fatal("the restored state differs")
 		}
 	})
--- a/internal/core/controlstate/observer.go
+++ b/internal/core/controlstate/observer.go
@@ -34,8 +34,8 @@
 func (o *Observer) Position() uint64 { return o.view.Position }
 
 // Apply applies an update. It reports false, without an error, if the update is not
-// newer than the observer's view: the sender lags, and its Confirmed flag proves
-// nothing about the newer view.
+// newer than the observer's view: the sender lags, and its Confirmed flag does not apply
+// to the newer view.
 func (o *Observer) Apply(update port.ViewUpdate) (advanced bool, err error) {
 	if update.Position <= o.view.Position || update.Revision < o.view.Revision {
 		return false, nil
@@ -59,7 +59,7 @@
 }
 
 // Confirms reports whether an update that was passed to Apply proves that a member in
-// contact with a quorum held the observer's view.
+// contact with a quorum had the observer's view.
 func (o *Observer) Confirms(update port.ViewUpdate) bool {
 	return update.Confirmed && update.Position >= o.view.Position
 }
--- a/internal/core/controlstate/snapshot.go
+++ b/internal/core/controlstate/snapshot.go
@@ -73,7 +73,7 @@
 	Members       map[uint64]string       `cbor:"16,keyasint,omitempty"`
 }
 
-// Snapshot encodes the whole state, except for the change log. Equal states encode to
+// Snapshot encodes the complete state, except for the change log. Equal states encode to
 // equal bytes.
 func (s *State) Snapshot() ([]byte, error) {
 	answers, floor := s.answers.Export()
--- a/internal/core/controlstate/state.go
+++ b/internal/core/controlstate/state.go
@@ -101,17 +101,17 @@
 	return s.view
 }
 
-// Update returns what an observer at position after lacks: nothing, the changes since
-// then, or the full view if the change log no longer holds them or they are too many.
-// An observer ahead of this member gets an update with a lower Position and no
-// changes, which it ignores. The member sets Confirmed.
+// Update returns the update for an observer at position after: no changes, the changes
+// since then, or the full view if the change log has dropped some or there are too many.
+// An observer ahead of this member receives an update with a lower Position and no
+// changes, which it ignores. The caller sets Confirmed.
 func (s *State) Update(after uint64) port.ViewUpdate {
 	update := port.ViewUpdate{After: after, Position: s.position, Term: s.term, Revision: s.revision}
 	if after >= s.position {
 		return update
 	}
-	changes, kept := s.changes.since(after)
-	if kept {
+	changes, ok := s.changes.since(after)
+	if ok {
 		update.Changes = changes
 		return update
 	}
--- a/internal/core/controlstate/state_test.go
+++ b/internal/core/controlstate/state_test.go
@@ -100,15 +100,15 @@
 	}
 	acquire(1, "n1", startTime)
 	state.Apply(2, 1, port.Command{Time: startTime + 2000, RemoveNode: &port.RemoveNode{ID: "x"}})
-	if taken := acquire(3, "n2", startTime-5000); code(taken) != "" || taken.Lease.Epoch != 2 {
-		t.Fatalf("a command with an earlier time renewed an expired lease: %+v", taken)
+	if acquired := acquire(3, "n2", startTime-5000); code(acquired) != "" || acquired.Lease.Epoch != 2 {
+		t.Fatalf("a command with an earlier time renewed an expired lease: %+v", acquired)
 	}
 	if state.Time() != startTime+2000 {
 		t.Fatalf("time %d", state.Time())
 	}
 }
 
-// TestBatchesAgainstPublications checks commits against publications, leases and
+// TestBatchesAgainstPublications checks commits after publications, lease changes and
 // registrations at earlier positions of the log.
 func TestBatchesAgainstPublications(t *testing.T) {
 	state := New()
