--- a/internal/core/controlmember/clock.go
+++ b/internal/core/controlmember/clock.go
@@ -4,12 +4,13 @@
 
 // logClock returns the times that a leader stamps on commands, in Unix milliseconds.
 // Every member advances it with its ticks from the last log time it observed. A new
-// leader starts from its wall clock if that is later, and ignores it for the rest of
-// its term.
+// leader starts from its wall clock if that is later, and does not read the wall clock
+// again in its term.
 //
-// The leader's first command reports the jump: how far the clock is ahead of what the
-// log time can have reached. Leases are extended by it, so that neither a wrong wall
-// clock nor an earlier leader whose clock stopped makes them expire early.
+// The leader's first command reports the jump: how far the clock is ahead of the time
+// that the last leader's clock must have reached. Leases are extended by it, so that
+// neither a wrong wall clock nor an earlier leader whose clock stopped makes them expire
+// early.
 type logClock struct {
 	tick time.Duration
 	time time.Duration // since 1970
--- a/internal/core/controlmember/member.go
+++ b/internal/core/controlmember/member.go
@@ -20,8 +20,8 @@
 	// SnapshotEntries is the number of applied entries after which a snapshot is due; 0
 	// means DefaultSnapshotEntries.
 	SnapshotEntries uint64
-	// NoTimeJump keeps the leader from reporting jumps of the log time. Only tests that
-	// show the resulting failure set it.
+	// NoTimeJump disables the reports of jumps of the log time. Only tests set it, to show
+	// the resulting failure.
 	NoTimeJump bool
 }
 
@@ -61,7 +61,7 @@
 	Error  *port.Error
 }
 
-// New returns a member with the state that its storage restored and its present wall
+// New returns a member with the state that its storage restored and the current wall
 // clock. It fails if that state is invalid; the member must then not start.
 func New(config Config, restored consensus.Restored, wall time.Time) (*Member, error) {
 	if config.TickInterval <= 0 {
@@ -146,8 +146,8 @@
 	m.pending[index] = proposal{token: token, term: term}
 }
 
-// Read requests a linearizable read. When the state includes every change accepted before
-// the call, a Reply returns the revision; the caller may read State until the next
+// Read requests a linearizable read. Once the state includes every change accepted before
+// the call, a Reply with the revision is queued; the caller may read State until the next
 // Advance.
 func (m *Member) Read(token uint64) {
 	m.lastRead++
@@ -158,7 +158,7 @@
 	m.reads[m.lastRead] = token
 }
 
-// TransferTo transfers leadership to another voter before a planned stop.
+// TransferTo transfers leadership to another voter before a graceful stop.
 func (m *Member) TransferTo(id consensus.MemberID) error { return m.node.TransferLeadership(id) }
 
 // TakeReplies returns the pending replies and clears them.
@@ -177,7 +177,7 @@
 // IsLeader reports whether this member is the leader.
 func (m *Member) IsLeader() bool { return m.status.Role == consensus.RoleLeader }
 
-// Leader returns the leader that this member knows, or None.
+// Leader returns the leader that this member follows, or None.
 func (m *Member) Leader() consensus.MemberID { return m.status.Leader }
 
 // QuorumActive reports whether the member is in contact with a quorum: directly as the
@@ -225,7 +225,7 @@
 	m.replies = append(m.replies, Reply{Token: token, Error: reason})
 }
 
-// unavailable converts a consensus error of a call that left nothing in the log.
+// unavailable converts a consensus error of a call that appended nothing to the log.
 func unavailable(err error) *port.Error {
 	return port.NewError(port.NotRun, port.CodeUnavailable, "%v", err)
 }
--- a/internal/core/controlmember/ready.go
+++ b/internal/core/controlmember/ready.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// queueReads queues confirmed reads until their index is applied, and fails those
-// whose leader lost its leadership.
+// queueReads queues confirmed reads until their index is applied, and fails those for
+// which leadership was lost.
 func (m *Member) queueReads(states []consensus.ReadState) {
 	for _, state := range states {
 		token, found := m.reads[state.RequestID]
