--- a/internal/core/membership/aggregate.go
+++ b/internal/core/membership/aggregate.go
@@ -9,8 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// PoolAggregate summarizes a pool in one zone for the other zones. It is sent by the
-// zone's aggregator for the pool, given by Assigner.HomeOf.
+// PoolAggregate summarizes a pool in one zone for the other zones. The zone's aggregator
+// for the pool, which Assigner.HomeOf selects, sends it.
 type PoolAggregate struct {
 	Zone port.ZoneName `cbor:"1,keyasint"`
 	Pool port.PoolName `cbor:"2,keyasint"`
@@ -21,7 +21,7 @@
 	// Replicas counts all replicas, Routable those that accept requests.
 	Replicas int `cbor:"6,keyasint"`
 	Routable int `cbor:"7,keyasint"`
-	// Free is the number of requests that could start at once.
+	// Free is the number of requests that could start immediately.
 	Free     int            `cbor:"8,keyasint"`
 	Queued   int            `cbor:"9,keyasint,omitempty"`
 	Versions []VersionCount `cbor:"10,keyasint,omitempty"`
@@ -36,7 +36,7 @@
 	Free     int                `cbor:"3,keyasint"`
 }
 
-// Aggregate sums up a zone's replicas by pool, in order of pool and version. The caller
+// Aggregate aggregates a zone's replicas by pool, sorted by pool and version. The caller
 // sets Zone, Node, Incarnation and Sequence.
 func (s *Summaries) Aggregate(now time.Time, homes *Assigner) []PoolAggregate {
 	byPool := make(map[port.PoolName]*PoolAggregate)
@@ -100,9 +100,9 @@
 	return &Aggregates{byPool: make(map[port.PoolName]*poolAggregates)}
 }
 
-// Apply stores an aggregate unless it is not newer than the current one of the same node,
-// and reports whether it did. One from another node always replaces the current one, as
-// the zone's former aggregator sends no more.
+// Apply stores an aggregate and reports whether it did. It drops one that is not newer than
+// the current one of the same node. One from another node always replaces the current one,
+// as the zone's previous aggregator sends no more.
 func (a *Aggregates) Apply(now time.Time, aggregate PoolAggregate) bool {
 	pool := a.byPool[aggregate.Pool]
 	if pool == nil {
--- a/internal/core/membership/bench_test.go
+++ b/internal/core/membership/bench_test.go
@@ -15,7 +15,7 @@
 
 // BenchmarkDetector runs one zone of n nodes in virtual time. It reports, per node and
 // second, the messages, encoded bytes and processor time of a stable zone, and the bytes
-// of the busiest node while a death spreads.
+// of the busiest node while the notices of a death spread.
 func BenchmarkDetector(b *testing.B) {
 	for _, size := range []int{20, 60, 200, 660} {
 		b.Run(fmt.Sprintf("nodes=%d", size), func(b *testing.B) {
@@ -25,7 +25,7 @@
 			f.stopped[f.nodes[size/2]] = true
 			death := f.maxBytesPerSecond(b)
 			clear(f.sent)
-			f.changes = nil // bounds the memory, which would grow with b.N
+			f.changes = nil // limits the memory, which would grow with b.N
 			virtual := time.Duration(0)
 			for b.Loop() {
 				f.run(DefaultInterval)
@@ -58,9 +58,9 @@
 	}
 	f.run(measuredTime)
 	f.observe = nil
-	most := 0
+	maxSent := 0
 	for _, bytes := range sent {
-		most = max(most, bytes)
+		maxSent = max(maxSent, bytes)
 	}
-	return float64(most) / measuredTime.Seconds()
+	return float64(maxSent) / measuredTime.Seconds()
 }
--- a/internal/core/membership/detector.go
+++ b/internal/core/membership/detector.go
@@ -21,8 +21,8 @@
 	Successors int
 	// Interval is the time between two heartbeats.
 	Interval time.Duration
-	// SuspectAfter is the silence after which a monitor suspects a node, and DeadAfter
-	// that after which the node may be declared dead.
+	// SuspectAfter is the time without a heartbeat after which a monitor suspects a node,
+	// and DeadAfter that after which the node may be declared dead.
 	SuspectAfter time.Duration
 	DeadAfter    time.Duration
 	// MessagesPerInterval limits the queued notices sent per interval.
@@ -75,7 +75,7 @@
 	listed   bool
 	draining bool
 	leaving  bool
-	// assigner caches the homes for the live nodes; nil after a change of the live nodes.
+	// assigner assigns homes to the live nodes; nil after a change of the live nodes.
 	assigner *Assigner
 }
 
@@ -119,7 +119,7 @@
 		return d.flush(0)
 	}
 	if d.intervals > 0 && now.Sub(d.nextHeartbeat) > d.config.SuspectAfter {
-		d.restartSilenceTimers(now)
+		d.resetHeartbeatTimers(now)
 	}
 	d.nextHeartbeat = now.Add(d.config.Interval)
 	d.intervals++
@@ -140,19 +140,19 @@
 	if node == d.config.Self {
 		return StatusAlive
 	}
-	if known := d.peers[node]; known != nil {
-		return known.status
+	if existing := d.peers[node]; existing != nil {
+		return existing.status
 	}
 	return StatusDead
 }
 
 // Live returns the nodes of the zone that may be homes, in ascending order: those in the
-// control view that are not dead, draining or leaving. The same holds for this node. The
-// caller must not modify the slice.
+// control view that are not dead, draining or leaving. It includes this node if that holds
+// for it. The caller must not modify the slice.
 func (d *Detector) Live() []port.NodeID { return d.Assigner().nodes }
 
-// Assigner returns the homes for the current live nodes. It returns the same pointer until
-// they change.
+// Assigner returns the assigner for the current live nodes. It returns the same pointer
+// until they change.
 func (d *Detector) Assigner() *Assigner {
 	if d.assigner == nil {
 		d.assigner = NewAssigner(d.live())
@@ -184,67 +184,68 @@
 	}
 }
 
-// restartSilenceTimers restarts the silence of all predecessors: this process itself was
-// paused, so that missing messages do not prove that others are silent.
-func (d *Detector) restartSilenceTimers(now time.Time) {
+// resetHeartbeatTimers restarts the timeouts of all predecessors: this process itself was
+// paused, so that missing heartbeats do not prove that they failed.
+func (d *Detector) resetHeartbeatTimers(now time.Time) {
 	for _, id := range d.predecessors {
 		d.peers[id].lastHeartbeat = now
 	}
 }
 
-// checkPredecessors suspects silent predecessors and declares them dead.
+// checkPredecessors suspects predecessors that timed out, and declares them dead once that
+// is confirmed.
 func (d *Detector) checkPredecessors(now time.Time) {
 	for _, id := range slices.Clone(d.predecessors) {
-		watched := d.peers[id]
-		silence := now.Sub(watched.lastHeartbeat)
-		if silence <= d.config.SuspectAfter {
+		target := d.peers[id]
+		elapsed := now.Sub(target.lastHeartbeat)
+		if elapsed <= d.config.SuspectAfter {
 			continue
 		}
-		d.suspect(watched)
-		if silence > d.config.DeadAfter && d.deathConfirmed(now, watched, silence) {
-			d.markDead(now, watched)
-			d.broadcastDeath(watched)
+		d.suspect(target)
+		if elapsed > d.config.DeadAfter && d.deathConfirmed(now, target, elapsed) {
+			d.markDead(now, target)
+			d.broadcastDeath(target)
 		}
 	}
 }
 
-// suspect notifies the node itself and its other monitors, in every interval.
-func (d *Detector) suspect(watched *peer) {
-	if watched.status == StatusAlive {
-		d.setStatus(watched, StatusSuspect)
+// suspect marks a node suspect, and notifies it and its other monitors in every interval.
+func (d *Detector) suspect(target *peer) {
+	if target.status == StatusAlive {
+		d.setStatus(target, StatusSuspect)
 	}
 	message := Message{
-		Kind: Suspect, From: d.config.Self, About: watched.id, Incarnation: watched.incarnation,
+		Kind: Suspect, From: d.config.Self, About: target.id, Incarnation: target.incarnation,
 	}
-	d.send(watched.id, message)
-	for _, monitor := range d.monitors(watched.id) {
+	d.send(target.id, message)
+	for _, monitor := range d.monitors(target.id) {
 		if monitor != d.config.Self {
 			d.send(monitor, message)
 		}
 	}
 }
 
-// deathConfirmed reports whether a silent node may be declared dead.
-func (d *Detector) deathConfirmed(now time.Time, watched *peer, silence time.Duration) bool {
-	if watched.machineMissing || watched.leaving {
+// deathConfirmed reports whether a node without heartbeats for elapsed may be declared dead.
+func (d *Detector) deathConfirmed(now time.Time, target *peer, elapsed time.Duration) bool {
+	if target.machineMissing || target.leaving {
 		return true
 	}
-	agreeing, able := 1, 1
-	for _, monitor := range d.monitors(watched.id) {
+	suspecting, liveMonitors := 1, 1
+	for _, monitor := range d.monitors(target.id) {
 		if monitor == d.config.Self {
 			continue
 		}
-		if last, suspected := watched.suspicions[monitor]; suspected && now.Sub(last) <= d.config.SuspectAfter {
-			agreeing++
+		if last, suspected := target.suspicions[monitor]; suspected && now.Sub(last) <= d.config.SuspectAfter {
+			suspecting++
 		}
 		if d.peers[monitor].status == StatusAlive {
-			able++
+			liveMonitors++
 		}
 	}
-	if agreeing >= requiredConfirmations {
+	if suspecting >= requiredConfirmations {
 		return true
 	}
-	return able == 1 && silence > soleMonitorFactor*d.config.DeadAfter
+	return liveMonitors == 1 && elapsed > soleMonitorFactor*d.config.DeadAfter
 }
 
 // monitors returns the nodes that monitor a node: its successors on the ring.
@@ -276,7 +277,7 @@
 	return dead
 }
 
-// broadcastDeath queues a notice of a death to the whole zone and the node itself.
+// broadcastDeath queues a notice of a death to all other nodes, including the dead one.
 func (d *Detector) broadcastDeath(deadPeer *peer) {
 	d.broadcast(Message{Kind: Dead, From: d.config.Self, About: deadPeer.id, Incarnation: deadPeer.incarnation})
 }
@@ -298,7 +299,7 @@
 
 // flush returns the current output with up to count queued notices.
 func (d *Detector) flush(count int) Output {
-	d.output.Messages = d.outbox.take(count, d.output.Messages)
+	d.output.Messages = d.outbox.dequeue(count, d.output.Messages)
 	output := d.output
 	d.output = Output{}
 	return output
--- a/internal/core/membership/doc.go
+++ b/internal/core/membership/doc.go
@@ -3,9 +3,9 @@
 //
 // It combines three sources. The control view lists the existing nodes. The machine list
 // shows, with a delay, which machines are leaving. Heartbeats between neighbours on a
-// ring of the zone's nodes show who answers: each node sends to a fixed number of
+// ring of the zone's nodes show which nodes respond: each node sends to a fixed number of
 // successors, so that a node's traffic does not grow with the zone. The monitors of a
-// silent node suspect it, and declare it dead when two of them agree; the node can refute
+// node without heartbeats suspect it, and declare it dead when two agree; it can refute
 // both with a higher incarnation number (after SWIM: Das, Gupta, Motivala, 2002). Digests
 // on the heartbeats repair differences caused by lost messages.
 //
--- a/internal/core/membership/fleet_test.go
+++ b/internal/core/membership/fleet_test.go
@@ -12,8 +12,8 @@
 
 const testZone = port.ZoneName("north")
 
-// maxInFlight limits the messages in flight, to bound the memory of a test in which nodes
-// answer each other endlessly.
+// maxInFlight limits the messages in flight, and thereby the memory of a test in which
+// nodes answer each other endlessly.
 const maxInFlight = 1 << 21
 
 var testStart = time.UnixMilli(1_700_000_000_000)
@@ -111,7 +111,7 @@
 	f.handle(envelope.To, f.detectors[envelope.To].Receive(f.now, envelope.Message))
 }
 
-// checkLive checks that every running node has exactly the wanted nodes as live.
+// checkLive checks that every running node considers exactly the nodes in want live.
 func (f *fleet) checkLive(t *testing.T, want []port.NodeID) {
 	t.Helper()
 	for _, node := range f.nodes {
@@ -124,8 +124,8 @@
 	}
 }
 
-func without(nodes []port.NodeID, gone ...port.NodeID) []port.NodeID {
-	return slices.DeleteFunc(slices.Clone(nodes), func(node port.NodeID) bool { return slices.Contains(gone, node) })
+func without(nodes []port.NodeID, removed ...port.NodeID) []port.NodeID {
+	return slices.DeleteFunc(slices.Clone(nodes), func(node port.NodeID) bool { return slices.Contains(removed, node) })
 }
 
 func TestQuietFleetStaysAlive(t *testing.T) {
@@ -139,9 +139,9 @@
 func TestDeathsAndReturnsAreDetected(t *testing.T) {
 	tests := map[string]struct {
 		size, dead int
-		// within limits the time to detect the deaths: of ring neighbours that die
+		// timeout limits the time to detect the deaths: of ring neighbours that die
 		// together, two are detected at a time.
-		within time.Duration
+		timeout time.Duration
 	}{
 		"one of two":                    {2, 1, 6 * time.Second},
 		"one of three":                  {3, 1, 4 * time.Second},
@@ -156,13 +156,13 @@
 			f := newFleet(test.size, 2)
 			f.run(5 * time.Second)
 			ring := f.detectors[f.nodes[0]].ring
-			gone := slices.Clone(ring[1 : 1+test.dead])
-			for _, node := range gone {
+			failed := slices.Clone(ring[1 : 1+test.dead])
+			for _, node := range failed {
 				f.stopped[node] = true
 			}
-			f.run(test.within)
-			f.checkLive(t, without(f.nodes, gone...))
-			for _, node := range gone {
+			f.run(test.timeout)
+			f.checkLive(t, without(f.nodes, failed...))
+			for _, node := range failed {
 				f.start(node, 2)
 			}
 			f.run(40 * time.Second)
@@ -200,12 +200,12 @@
 func TestSingleMonitorCannotDeclareDeath(t *testing.T) {
 	f := newFleet(10, 5)
 	f.run(2 * time.Second)
-	deaf := f.nodes[3]
-	f.blocked = func(_, to port.NodeID) bool { return to == deaf }
+	unreachable := f.nodes[3]
+	f.blocked = func(_, to port.NodeID) bool { return to == unreachable }
 	f.run(30 * time.Second)
-	for _, node := range without(f.nodes, deaf) {
+	for _, node := range without(f.nodes, unreachable) {
 		if live := f.detectors[node].Live(); !slices.Equal(live, f.nodes) {
-			t.Fatalf("%s follows a monitor that receives nothing: live %v", node, live)
+			t.Fatalf("%s follows a monitor that receives no messages: live %v", node, live)
 		}
 	}
 }
@@ -234,14 +234,14 @@
 	}{
 		"listed as live: needs a second monitor": {[]port.Machine{{Address: "127.0.0.2:7000", State: port.MachineLive}}, false},
 		"no list at all":                         {nil, false},
-		"machine gone from the list":             {[]port.Machine{{Address: "127.0.0.9:7000", State: port.MachineLive}}, true},
+		"machine missing from the list":          {[]port.Machine{{Address: "127.0.0.9:7000", State: port.MachineLive}}, true},
 		"machine leaving":                        {[]port.Machine{{Address: "127.0.0.2:7000", State: port.MachineLeaving}}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(8, 7)
-			watcher := f.nodes[0]
-			detector := f.detectors[watcher]
+			monitor := f.nodes[0]
+			detector := f.detectors[monitor]
 			target := detector.predecessors[0]
 			position := slices.Index(f.nodes, target)
 			machines := slices.Clone(test.machines)
@@ -250,13 +250,13 @@
 					machines[index].Address = fmt.Sprintf("127.0.0.%d:7000", position+1)
 				}
 			}
-			f.blocked = func(from, to port.NodeID) bool { return from == target && to == watcher }
+			f.blocked = func(from, to port.NodeID) bool { return from == target && to == monitor }
 			f.run(time.Second)
 			detector.SetMachines("127.0.0.1:7000", machines)
 			f.run(2500 * time.Millisecond)
-			died := slices.Contains(f.changes[watcher], Change{Node: target, Status: StatusDead})
-			if died != test.wantDead {
-				t.Errorf("declared dead: %v, want %v; changes %v", died, test.wantDead, f.changes[watcher])
+			declaredDead := slices.Contains(f.changes[monitor], Change{Node: target, Status: StatusDead})
+			if declaredDead != test.wantDead {
+				t.Errorf("declared dead: %v, want %v; changes %v", declaredDead, test.wantDead, f.changes[monitor])
 			}
 		})
 	}
@@ -301,18 +301,18 @@
 	f := newFleet(20, 10)
 	f.run(5 * time.Second)
 	f.drop = func(message Message) bool { return message.Kind == Dead }
-	gone := f.nodes[7]
-	f.stopped[gone] = true
+	failed := f.nodes[7]
+	f.stopped[failed] = true
 	f.run(30 * time.Second)
-	f.checkLive(t, without(f.nodes, gone))
+	f.checkLive(t, without(f.nodes, failed))
 }
 
 // A replayed heartbeat does not keep a node alive.
 func TestReplayedHeartbeatIsIgnored(t *testing.T) {
 	f := newFleet(5, 11)
 	f.run(3 * time.Second)
-	watcher := f.detectors[f.nodes[0]]
-	target := watcher.predecessors[0]
+	monitor := f.detectors[f.nodes[0]]
+	target := monitor.predecessors[0]
 	replayed := Message{Kind: Heartbeat, From: target, Incarnation: 1, Sequence: f.detectors[target].sequence}
 	f.stopped[target] = true
 	for range 40 {
@@ -327,27 +327,27 @@
 func TestSuspicionsOfNonMonitorsAreIgnored(t *testing.T) {
 	f := newFleet(12, 12)
 	f.run(2 * time.Second)
-	watcher := f.nodes[0]
-	detector := f.detectors[watcher]
+	monitor := f.nodes[0]
+	detector := f.detectors[monitor]
 	target := detector.predecessors[0]
-	f.blocked = func(from, to port.NodeID) bool { return from == target && to == watcher }
-	bystanders := without(f.nodes, append(detector.monitors(target), target)...)
+	f.blocked = func(from, to port.NodeID) bool { return from == target && to == monitor }
+	nonMonitors := without(f.nodes, append(detector.monitors(target), target)...)
 	for range 50 {
 		f.run(100 * time.Millisecond)
-		for _, bystander := range append(bystanders, "stranger") {
+		for _, nonMonitor := range append(nonMonitors, "unlisted") {
 			for _, kind := range []MessageKind{Heartbeat, Probe, Alive, Suspect, Sync} {
-				if bystander != "stranger" && kind != Suspect {
+				if nonMonitor != "unlisted" && kind != Suspect {
 					continue
 				}
-				message := Message{Kind: kind, From: bystander, About: target, Incarnation: detector.peers[target].incarnation}
-				f.handle(watcher, detector.Receive(f.now, message))
+				message := Message{Kind: kind, From: nonMonitor, About: target, Incarnation: detector.peers[target].incarnation}
+				f.handle(monitor, detector.Receive(f.now, message))
 			}
 		}
 	}
-	if kept := len(detector.peers[target].suspicions); kept > DefaultSuccessors {
-		t.Errorf("keeps the suspicions of %d nodes, want only those of monitors", kept)
+	if count := len(detector.peers[target].suspicions); count > DefaultSuccessors {
+		t.Errorf("suspicions of %d nodes are stored, want only those of monitors", count)
 	}
-	if died := slices.Contains(f.changes[watcher], Change{Node: target, Status: StatusDead}); died {
+	if declaredDead := slices.Contains(f.changes[monitor], Change{Node: target, Status: StatusDead}); declaredDead {
 		t.Error("declared dead by nodes that do not monitor it")
 	}
 }
--- a/internal/core/membership/home_test.go
+++ b/internal/core/membership/home_test.go
@@ -45,7 +45,7 @@
 						claims++
 					}
 					if first, _ := NewAssigner(views[0]).Home(replica); first != home {
-						t.Fatalf("views in different order give %s and %s", first, home)
+						t.Fatalf("views in different order yield %s and %s", first, home)
 					}
 				}
 			}
@@ -94,13 +94,13 @@
 func TestRankMatchesHomeOrder(t *testing.T) {
 	nodes := []port.NodeID{"d", "b", "f", "a", "c", "e"}
 	for _, key := range []string{"coordinator/x", "coordinator/y", ""} {
-		left := slices.Clone(nodes)
+		remaining := slices.Clone(nodes)
 		for want := range nodes {
-			first, _ := NewAssigner(left).HomeOf(key)
+			first, _ := NewAssigner(remaining).HomeOf(key)
 			if got := Rank(key, nodes, first); got != want {
 				t.Errorf("key %q: rank of %s is %d, want %d", key, first, got, want)
 			}
-			left = without(left, first)
+			remaining = without(remaining, first)
 		}
 	}
 }
--- a/internal/core/membership/message.go
+++ b/internal/core/membership/message.go
@@ -9,9 +9,9 @@
 const (
 	// Heartbeat shows that the sender is alive.
 	Heartbeat MessageKind = iota + 1
-	// Probe asks a node that the sender considers dead to answer with Alive.
+	// Probe requests an Alive reply from a node that the sender considers dead.
 	Probe
-	// Suspect reports that the sender misses the heartbeats of About.
+	// Suspect reports that the sender no longer receives heartbeats from About.
 	Suspect
 	// Alive reports that the sender is alive.
 	Alive
--- a/internal/core/membership/outbox.go
+++ b/internal/core/membership/outbox.go
@@ -6,8 +6,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// outbox queues the notices to the whole zone. A notice replaces an earlier one about the
-// same node, so that the queue holds at most one notice per node.
+// outbox queues the notices to all nodes of the zone. A notice replaces an earlier one
+// about the same node, so that the queue holds at most one notice per node.
 type outbox struct{ notices []notice }
 
 // notice is a message with its remaining receivers.
@@ -24,8 +24,8 @@
 	return m.About
 }
 
-// add queues a notice. If it replaces an earlier one, it goes first to the receivers which
-// that one did not reach, so that frequent notices do not always skip the same receivers.
+// add queues a notice. If it replaces an earlier one, the receivers that the earlier one did
+// not reach come first, so that frequent notices do not always skip the same receivers.
 func (o *outbox) add(message Message, receivers []port.NodeID) {
 	position := slices.IndexFunc(o.notices, func(queued notice) bool {
 		return queued.message.about() == message.about()
@@ -46,16 +46,16 @@
 	return slices.Concat(receivers[start:], receivers[:start])
 }
 
-// take appends up to count messages, oldest notice first.
-func (o *outbox) take(count int, messages []Envelope) []Envelope {
+// dequeue appends up to count queued messages to messages, oldest notice first.
+func (o *outbox) dequeue(count int, messages []Envelope) []Envelope {
 	for count > 0 && len(o.notices) > 0 {
 		first := &o.notices[0]
-		now := min(count, len(first.receivers))
-		for _, receiver := range first.receivers[:now] {
+		dequeued := min(count, len(first.receivers))
+		for _, receiver := range first.receivers[:dequeued] {
 			messages = append(messages, Envelope{To: receiver, Message: first.message})
 		}
-		count -= now
-		first.receivers = first.receivers[now:]
+		count -= dequeued
+		first.receivers = first.receivers[dequeued:]
 		if len(first.receivers) == 0 {
 			o.notices = slices.Delete(o.notices, 0, 1)
 		}
--- a/internal/core/membership/receive.go
+++ b/internal/core/membership/receive.go
@@ -73,17 +73,17 @@
 	}
 }
 
-// updateIncarnation marks a node alive if the incarnation is higher than the known one.
-func (d *Detector) updateIncarnation(now time.Time, known *peer, incarnation uint64) {
-	if incarnation <= known.incarnation {
+// updateIncarnation marks a node alive if the incarnation is higher than its current one.
+func (d *Detector) updateIncarnation(now time.Time, target *peer, incarnation uint64) {
+	if incarnation <= target.incarnation {
 		return
 	}
-	known.incarnation = incarnation
-	known.sequence = 0
-	known.suspicions = nil
-	known.lastHeartbeat = now
-	if known.status != StatusAlive {
-		d.setStatus(known, StatusAlive)
+	target.incarnation = incarnation
+	target.sequence = 0
+	target.suspicions = nil
+	target.lastHeartbeat = now
+	if target.status != StatusAlive {
+		d.setStatus(target, StatusAlive)
 		d.rebuildRing(now)
 	}
 }
@@ -126,7 +126,7 @@
 	d.rebuildRing(now)
 }
 
-// refute raises this node's incarnation above the given one and announces it.
+// refute raises this node's incarnation above incarnation and announces it.
 func (d *Detector) refute(incarnation uint64) {
 	if incarnation < d.incarnation {
 		return
@@ -136,7 +136,7 @@
 	d.broadcastAlive()
 }
 
-// broadcastAlive notifies the monitors at once and queues a notice to the whole zone.
+// broadcastAlive notifies the monitors immediately and queues a notice to all other nodes.
 func (d *Detector) broadcastAlive() {
 	message := d.aliveMessage()
 	for _, successor := range d.successors {
@@ -149,7 +149,7 @@
 	return Message{Kind: Alive, From: d.config.Self, Incarnation: d.incarnation}
 }
 
-// sendSync sends this node's dead nodes.
+// sendSync sends the nodes that this node considers dead.
 func (d *Detector) sendSync(to port.NodeID) {
 	message := Message{Kind: Sync, From: d.config.Self, Incarnation: d.incarnation}
 	for _, deadPeer := range d.dead() {
--- a/internal/core/membership/ring.go
+++ b/internal/core/membership/ring.go
@@ -29,17 +29,17 @@
 	d.updateMonitored(now)
 }
 
-// updateMonitored marks the predecessors as monitored; silence counts from then on.
+// updateMonitored marks the predecessors as monitored; the timeouts of new ones start now.
 func (d *Detector) updateMonitored(now time.Time) {
 	for _, peer := range d.peers {
-		watched := slices.Contains(d.predecessors, peer.id)
-		if watched && !peer.monitored {
+		isPredecessor := slices.Contains(d.predecessors, peer.id)
+		if isPredecessor && !peer.monitored {
 			peer.lastHeartbeat = now
 		}
-		if !watched && peer.status == StatusSuspect {
+		if !isPredecessor && peer.status == StatusSuspect {
 			d.setStatus(peer, StatusAlive)
 		}
-		peer.monitored = watched
+		peer.monitored = isPredecessor
 	}
 }
 
--- a/internal/core/membership/summary_test.go
+++ b/internal/core/membership/summary_test.go
@@ -124,7 +124,7 @@
 func TestTakes(t *testing.T) {
 	tests := map[string]struct {
 		summary  ReplicaSummary
-		takes    int
+		capacity int
 		routable bool
 	}{
 		"healthy":         {ReplicaSummary{Limit: 8}, 8, true},
@@ -136,8 +136,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := test.summary.Capacity(); got != test.takes {
-				t.Errorf("takes %d, want %d", got, test.takes)
+			if got := test.summary.Capacity(); got != test.capacity {
+				t.Errorf("capacity %d, want %d", got, test.capacity)
 			}
 			if got := test.summary.Routable(); got != test.routable {
 				t.Errorf("routable %v", got)
--- a/internal/core/membership/teller.go
+++ b/internal/core/membership/teller.go
@@ -20,13 +20,13 @@
 	// only the free slots changed.
 	MinAggregateInterval = 3 * time.Second
 	// minFreeChange is the change of free slots per replica that is sent before the
-	// refresh. Requests cross zones for a difference of this size.
+	// refresh. Requests are sent to another zone at a difference of this size.
 	minFreeChange = 2
 )
 
-// AggregateScheduler decides when to send a zone's aggregates to the other zones: at once if
-// replicas or versions changed, after MinAggregateInterval if the free slots changed by
-// minFreeChange, and every AggregateRefresh. It is not safe for concurrent use.
+// AggregateScheduler decides when to send a zone's aggregates to the other zones:
+// immediately if replicas or versions changed, after MinAggregateInterval if the free slots
+// changed by minFreeChange, and every AggregateRefresh. It is not safe for concurrent use.
 type AggregateScheduler struct {
 	lastSent map[port.PoolName]sentAggregate
 }
@@ -36,15 +36,15 @@
 	aggregate PoolAggregate
 }
 
-// NewAggregateScheduler returns a teller that has sent nothing.
+// NewAggregateScheduler returns a scheduler that has sent nothing.
 func NewAggregateScheduler() *AggregateScheduler {
 	return &AggregateScheduler{lastSent: make(map[port.PoolName]sentAggregate)}
 }
 
 // Due reports whether to send an aggregate now, and if so, records it as sent.
 func (t *AggregateScheduler) Due(now time.Time, aggregate PoolAggregate) bool {
-	last, known := t.lastSent[aggregate.Pool]
-	if known && !last.due(now, &aggregate) {
+	last, found := t.lastSent[aggregate.Pool]
+	if found && !last.due(now, &aggregate) {
 		return false
 	}
 	t.lastSent[aggregate.Pool] = sentAggregate{at: now, aggregate: aggregate}
@@ -57,10 +57,10 @@
 	if before.Routable != current.Routable || before.Unhealthy != current.Unhealthy || !sameVersions(before, current) {
 		return true
 	}
-	passed := now.Sub(t.at)
+	elapsed := now.Sub(t.at)
 	change := before.freePerReplica() - current.freePerReplica()
 	significant := change >= minFreeChange || change <= -minFreeChange
-	return passed >= AggregateRefresh || significant && passed >= MinAggregateInterval
+	return elapsed >= AggregateRefresh || significant && elapsed >= MinAggregateInterval
 }
 
 func sameVersions(before, after *PoolAggregate) bool {
--- a/internal/core/membership/teller_test.go
+++ b/internal/core/membership/teller_test.go
@@ -36,13 +36,13 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			teller := NewAggregateScheduler()
-			if !teller.Due(testStart, first) {
+			scheduler := NewAggregateScheduler()
+			if !scheduler.Due(testStart, first) {
 				t.Fatal("the first aggregate is not due")
 			}
 			next := first
 			test.change(&next)
-			if got := teller.Due(testStart.Add(test.after), next); got != test.want {
+			if got := scheduler.Due(testStart.Add(test.after), next); got != test.want {
 				t.Errorf("due: %v, want %v", got, test.want)
 			}
 		})
@@ -51,11 +51,11 @@
 
 // Small changes must not add up to a large one that is never sent.
 func TestSmallChangesAddUp(t *testing.T) {
-	teller := NewAggregateScheduler()
+	scheduler := NewAggregateScheduler()
 	aggregate := PoolAggregate{Pool: "p", Routable: 10, Free: 100}
 	sent := 0
 	for step := range 9 {
-		if teller.Due(testStart.Add(time.Duration(step)*MinAggregateInterval/4), aggregate) {
+		if scheduler.Due(testStart.Add(time.Duration(step)*MinAggregateInterval/4), aggregate) {
 			sent++
 		}
 		aggregate.Free -= 5
@@ -80,8 +80,8 @@
 	}
 }
 
-// Exactly one node relays each (zone, pool), so that a new node that asks all nodes of its
-// zone receives each aggregate once.
+// Exactly one node relays each (zone, pool), so that a new node that requests the
+// aggregates from all nodes of its zone receives each one once.
 func TestEachAggregateIsRelayedOnce(t *testing.T) {
 	nodes := []port.NodeID{"a", "b", "c"}
 	aggregates, homes := NewAggregates(), NewAssigner(nodes)
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -8,7 +8,7 @@
 )
 
 // SetView updates the nodes from the control view; only those in this node's zone count. A
-// new node is considered alive until it is silent for too long.
+// new node is considered alive until its heartbeats time out.
 func (d *Detector) SetView(now time.Time, nodes []port.NodeAddress) Output {
 	listed := make(map[port.NodeID]bool, len(nodes))
 	changed, listedBefore := false, d.listed
@@ -24,20 +24,20 @@
 			continue
 		}
 		listed[node.ID] = true
-		known := d.peers[node.ID]
-		if known == nil {
-			known = &peer{id: node.ID, lastHeartbeat: now}
-			d.peers[node.ID] = known
+		current := d.peers[node.ID]
+		if current == nil {
+			current = &peer{id: node.ID, lastHeartbeat: now}
+			d.peers[node.ID] = current
 			d.output.Changes = append(d.output.Changes, Change{Node: node.ID, Status: StatusAlive})
 			changed = true
 		}
-		known.address = node.PeerAddress
-		known.draining = node.Draining
+		current.address = node.PeerAddress
+		current.draining = node.Draining
 	}
-	for id, known := range d.peers {
+	for id, current := range d.peers {
 		if !listed[id] {
 			delete(d.peers, id)
-			d.output.Changes = append(d.output.Changes, Change{Node: id, Status: known.status, Removed: true})
+			d.output.Changes = append(d.output.Changes, Change{Node: id, Status: current.status, Removed: true})
 			changed = true
 		}
 	}
@@ -50,9 +50,9 @@
 	return d.flush(0)
 }
 
-// SetMachines updates the nodes from the machine list. A node on a leaving machine is no
-// home; a silent node whose machine is not listed needs no confirmation of its death. As
-// the list lags, it does not declare a node dead by itself.
+// SetMachines updates the nodes from the machine list. A node on a leaving machine cannot
+// be a home. A node that times out is declared dead without confirmation if its machine is
+// leaving or not listed. As the list lags, it alone does not make a node dead.
 func (d *Detector) SetMachines(self string, machines []port.Machine) {
 	states := make(map[string]port.MachineState, len(machines))
 	for _, machine := range machines {
