--- a/internal/core/consensus/node.go
+++ b/internal/core/consensus/node.go
@@ -61,8 +61,8 @@
 	transferTo      MemberID
 	transferSent    bool
 	transferElapsed int
-	// leaseRevoked is set once this leader offered leadership in this term: the receiver may be
-	// elected while voters still accept this leader's messages.
+	// leaseRevoked is set once this leader offered leadership in this term: the receiver
+	// may be elected while voters still accept this leader's messages.
 	leaseRevoked bool
 	// snapshotWanted is set while a member waits for a snapshot whose data was released.
 	snapshotWanted bool
--- a/internal/core/controlmember/silence.go
+++ b/internal/core/controlmember/silence.go
@@ -22,8 +22,8 @@
 	reports := make(map[port.NodeID]time.Time, len(nodes))
 	var timedOut []port.NodeID
 	for _, node := range nodes {
-		last, known := t.lastReport[node.ID]
-		if !known {
+		last, found := t.lastReport[node.ID]
+		if !found {
 			last = now
 		}
 		if age, reported := ages[node.ID]; reported && now.Add(-age).After(last) {
