--- a/internal/core/groupmember/plan_test.go
+++ b/internal/core/groupmember/plan_test.go
@@ -37,7 +37,7 @@
 	}{
 		"nothing to do":                                     {members: three, voters: 3},
 		"spare learner stays a learner":                     {members: with(three, learner), voters: 3},
-		"no even number of voters":                          {members: with(three, learner), voters: 5},
+		"no promotion to an even number of voters":          {members: with(three, learner), voters: 5},
 		"two learners promoted towards five voters":         {members: with(three, learner, planMember{id: 5, address: "e", learner: true}), voters: 5, want: groupmember.Change{Kind: consensus.PromoteLearner, Member: 4}},
 		"missing voter":                                     {members: []planMember{voter(1, "a"), voter(2, "b"), learner}, voters: 3, want: groupmember.Change{Kind: consensus.PromoteLearner, Member: 4}},
 		"learner lags":                                      {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 4, address: "d", learner: true, lagging: true}}, voters: 3},
@@ -49,7 +49,7 @@
 		"lost disk in a group below its size":               {members: with(three, lagging("c", 4)), voters: 5, want: groupmember.Change{Kind: consensus.RemoveMember, Member: 3}},
 		"unreachable voter, learner promoted":               {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 3, address: "c", ticksSinceContact: 99, inactive: true}, learner}, voters: 3, want: groupmember.Change{Kind: consensus.PromoteLearner, Member: 4}},
 		"unreachable voter removed after replacement":       {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 3, address: "c", ticksSinceContact: 99, inactive: true}, voter(4, "d")}, voters: 3, want: groupmember.Change{Kind: consensus.RemoveMember, Member: 3}},
-		"two of six unreachable, five wanted":               {members: []planMember{voter(1, "a"), voter(2, "b"), voter(3, "c"), {id: 4, address: "d", ticksSinceContact: 99, inactive: true}, {id: 5, address: "e", ticksSinceContact: 99, inactive: true}, voter(6, "f")}, voters: 5, want: groupmember.Change{Kind: consensus.RemoveMember, Member: 4}},
+		"two of six unreachable, target of five":            {members: []planMember{voter(1, "a"), voter(2, "b"), voter(3, "c"), {id: 4, address: "d", ticksSinceContact: 99, inactive: true}, {id: 5, address: "e", ticksSinceContact: 99, inactive: true}, voter(6, "f")}, voters: 5, want: groupmember.Change{Kind: consensus.RemoveMember, Member: 4}},
 		"briefly unreachable voter, replacement caught up":  {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 3, address: "c", ticksSinceContact: 30, inactive: true}, learner, {id: 5, address: "e", learner: true}}, voters: 3, want: groupmember.Change{Kind: consensus.PromoteLearner, Member: 4}},
 		"briefly unreachable voter, only the spare learner": {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 3, address: "c", ticksSinceContact: 30, inactive: true}, learner}, voters: 3},
 		"unreachable voter, no learner":                     {members: []planMember{voter(1, "a"), voter(2, "b"), {id: 3, address: "c", ticksSinceContact: 99, inactive: true}}, voters: 3},
