--- a/internal/app/sitestore/calls.go
+++ b/internal/app/sitestore/calls.go
@@ -38,16 +38,17 @@
 	return call.Send(answer)
 }
 
-// leader returns the address of the leader of a shard's group, if known.
+// leader returns the address of the leader of a shard's group, empty if this member doesn't
+// know it.
 func (s *Store) leader(shard group.Shard, refusal *group.NotLeaderError) string {
 	if refusal.Leader.Address != "" {
 		return refusal.Leader.Address
 	}
-	shown := s.member.PublishedState()
-	if shown == nil || shown.Shard != shard || shown.Leader.Address == s.config.Address {
+	published := s.member.PublishedState()
+	if published == nil || published.Shard != shard || published.Leader.Address == s.config.Address {
 		return ""
 	}
-	return shown.Leader.Address
+	return published.Leader.Address
 }
 
 func (s *Store) serve(ctx context.Context, request jobsapi.Request) (jobsapi.Answer, error) {
@@ -86,7 +87,7 @@
 	}
 	outcome, _ := result.(jobstate.AcceptOutcome)
 	if outcome == jobstate.OwnedByOtherTenant {
-		return jobsapi.Answer{}, port.NewError(port.NotRun, port.CodeInvalid, "the job's id is taken")
+		return jobsapi.Answer{}, port.NewError(port.NotRun, port.CodeInvalid, "the job's id is in use")
 	}
 	return jobsapi.Answer{Accepted: outcome}, nil
 }
@@ -134,20 +135,20 @@
 	if limit, used := s.config.MaxJobBytes, int(s.JobBytes()); limit > 0 && used+bytes > limit {
 		return port.NewError(port.NotRun, port.CodeQueueFull, "the shard's jobs use %d of %d bytes of memory, %d more do not fit", used, limit, bytes)
 	}
-	shown := s.member.PublishedState()
-	if shown == nil {
+	published := s.member.PublishedState()
+	if published == nil {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "this machine has not joined the store group yet")
 	}
-	quorum := shown.Status.Membership.Quorum()
-	if quorum <= s.config.ToleratedLosses && !usesAllStores(len(shown.Status.Membership.Voters), s.activeStores(), s.wantedVoters()) {
+	quorum := published.Status.Membership.Quorum()
+	if quorum <= s.config.ToleratedLosses && !usesAllStores(len(published.Status.Membership.Voters), s.activeStores(), s.wantedVoters()) {
 		return port.NewError(port.NotRun, port.CodeUnavailable, "a job would be stored on %d machines only", quorum)
 	}
 	return nil
 }
 
-// usesAllStores reports whether a group has all store machines of a site that has too few
-// for the tolerated losses. Jobs are accepted then although a quorum is too small. With an
-// even number of machines one of them is no voter.
+// usesAllStores reports whether a group has all store machines of a site with too few for the
+// tolerated losses. Such a group accepts jobs although its quorum is too small. With an even
+// number of machines one of them does not vote.
 func usesAllStores(voters, active, wanted int) bool {
 	return active > 0 && active < wanted && voters >= active-(active+1)%2
 }
@@ -201,7 +202,7 @@
 
 // leaderPage returns results; it waits for one if there is none yet.
 func (s *Store) leaderPage(ctx context.Context, shard group.Shard, request jobsapi.PageRequest) (jobsapi.Answer, error) {
-	waited := time.After(time.Duration(request.WaitMillis) * time.Millisecond)
+	timeout := time.After(time.Duration(request.WaitMillis) * time.Millisecond)
 	for {
 		change := s.nextChange()
 		answer := jobsapi.Answer{Unknown: true}
@@ -215,7 +216,7 @@
 		}
 		select {
 		case <-change:
-		case <-waited:
+		case <-timeout:
 			return answer, nil
 		case <-ctx.Done():
 			return answer, nil
@@ -223,7 +224,7 @@
 	}
 }
 
-// body returns the body of an item without a result, until its job ends.
+// body returns the body of an item that has no result yet, unless its job has ended.
 func (s *Store) body(ctx context.Context, shard group.Shard, request jobsapi.BodyRequest) (jobsapi.Answer, error) {
 	answer := jobsapi.Answer{Unknown: true}
 	err := s.member.ReadFrom(ctx, shard, func(machine groupmember.StateMachine) {
@@ -241,7 +242,7 @@
 	return answer, err
 }
 
-// end ends a job. An unknown job is not logged, because clients call all shards.
+// end ends a job. It proposes nothing for an unknown job, because clients call all shards.
 func (s *Store) end(ctx context.Context, shard group.Shard, request jobsapi.EndRequest) (jobsapi.Answer, error) {
 	stored, err := s.hasJob(ctx, shard, request.Job, request.Access)
 	if err != nil || !stored {
@@ -255,8 +256,8 @@
 	if err != nil {
 		return jobsapi.Answer{}, err
 	}
-	known, _ := result.(bool)
-	return jobsapi.Answer{Unknown: !known}, nil
+	found, _ := result.(bool)
+	return jobsapi.Answer{Unknown: !found}, nil
 }
 
 func (s *Store) list(ctx context.Context, shard group.Shard) (jobsapi.Answer, error) {
--- a/internal/app/sitestore/demand.go
+++ b/internal/app/sitestore/demand.go
@@ -13,10 +13,10 @@
 	demandTimeConstant = 8 * time.Second
 	// backlogDrainTime is the time over which open items count as demand.
 	backlogDrainTime = 4 * time.Second
-	// defaultLength is the assumed length of a text in events before one is complete.
+	// defaultLength is the assumed length of a text in events until the first one is complete.
 	defaultLength   = 16
 	newLengthWeight = 0.05
-	// peakInterval is the minimum time that a peak of open items is reported.
+	// peakInterval is the minimum time for which a peak of open items is reported.
 	peakInterval = 8 * time.Second
 )
 
@@ -29,8 +29,8 @@
 	// lengths are the mean lengths of complete texts in events, by model.
 	lengths  map[string]float64
 	smoothed map[string]float64
-	// peak and previousPeak are the maximum numbers of open items in this and the last
-	// peakInterval, by model; peakStart is the start of this one.
+	// peak and previousPeak are the maximum numbers of open items in the current and the
+	// previous peakInterval, by model; peakStart is the start of the current one.
 	peak         map[string]int
 	previousPeak map[string]int
 	peakStart    time.Time
@@ -72,13 +72,14 @@
 	d.lengths[model] = float64(events)
 }
 
-// rates returns the demand, given the open items by model, if an update is due.
+// rates returns the smoothed demand by model, if an update is due. open has the numbers of
+// open items by model.
 func (d *demandMeter) rates(open map[string]int, now time.Time) (rates map[string]float64, due bool) {
 	elapsed := now.Sub(d.measuredAt)
 	if elapsed < demandInterval {
 		return nil, false
 	}
-	share := 1 - math.Exp(-elapsed.Seconds()/demandTimeConstant.Seconds())
+	weight := 1 - math.Exp(-elapsed.Seconds()/demandTimeConstant.Seconds())
 	models := maps.Clone(d.smoothed)
 	for model := range open {
 		models[model] += 0
@@ -92,7 +93,7 @@
 			length = defaultLength
 		}
 		rate := float64(d.events[model])/elapsed.Seconds() + float64(open[model])*length/backlogDrainTime.Seconds()
-		d.smoothed[model] += share * (rate - d.smoothed[model])
+		d.smoothed[model] += weight * (rate - d.smoothed[model])
 	}
 	d.measuredAt = now
 	clear(d.events)
--- a/internal/app/sitestore/doc.go
+++ b/internal/app/sitestore/doc.go
@@ -3,6 +3,6 @@
 //
 // A job is accepted once it is durable on more machines than may fail. Generated text is
 // committed periodically, so that a new leader resumes it; a result is listed once it is
-// committed. The runner works only while its member leads with a quorum, so that the end of
-// a job stops its runs.
+// committed. The runner runs items only while its member leads in contact with a quorum, so
+// that the end of a job stops its runs.
 package sitestore
--- a/internal/app/sitestore/items.go
+++ b/internal/app/sitestore/items.go
@@ -22,7 +22,7 @@
 	now := time.Now()
 	// The callback may still run in the member's loop after ctx ended, so it must not
 	// access the runner.
-	known, steps := r.jobs, map[string]uint64{}
+	current, steps := r.jobs, map[string]uint64{}
 	err := r.store.member.Inspect(ctx, func(machine groupmember.StateMachine) {
 		for _, job := range machine.(*jobstate.State).Jobs() {
 			id := job.Submission.ID
@@ -30,7 +30,7 @@
 				continue
 			}
 			open[id] = true
-			if !known[id] {
+			if !current[id] {
 				steps[id] = job.Submission.Step
 				added = append(added, openItems(job, now)...)
 			}
--- a/internal/app/sitestore/jobtimes.go
+++ b/internal/app/sitestore/jobtimes.go
@@ -10,8 +10,8 @@
 type jobTimes struct {
 	startedAt time.Time
 	step      uint64
-	// open counts the items without a result by group; complete has the completion time of
-	// each group.
+	// open counts the items without a result by group; complete has the completion times
+	// of the complete groups.
 	open     map[string]int
 	complete []time.Duration
 	items    int
--- a/internal/app/sitestore/leadership.go
+++ b/internal/app/sitestore/leadership.go
@@ -21,7 +21,7 @@
 	quorumLostAt time.Time
 
 	jobSerial uint64
-	// jobs are the known open jobs.
+	// jobs are the open jobs whose items the runner has.
 	jobs  map[string]bool
 	items map[jobqueue.Key]*itemState
 	times map[string]*jobTimes
@@ -57,11 +57,11 @@
 	return l
 }
 
-// duty is what a runner does in a given state of its member.
+// duty is what a runner must do, depending on the state of its member.
 type duty uint8
 
 const (
-	// dutyNone: the member does not lead, or may have been replaced.
+	// dutyNone: run nothing; the member does not lead, or may have been replaced as leader.
 	dutyNone duty = iota
 	// dutyStart: start a leadership.
 	dutyStart
@@ -72,20 +72,19 @@
 	dutyHold
 )
 
-// dutyOf returns the duty of a runner with the given leadership, or nil. A member that was
-// not scheduled for a while loses contact with its quorum briefly; cancelling all runs would
-// restart them all. Patience is the election timeout, after which voters elect another
-// leader.
-func dutyOf(shown *group.PublishedState, l *leadership, now time.Time, timeout time.Duration) duty {
-	if shown == nil || shown.Status.Role != consensus.RoleLeader {
+// dutyOf returns the duty of a runner whose leadership is l, nil if it has none. A leader that
+// was not scheduled for a while loses contact with its quorum briefly; its runs continue until
+// the election timeout, after which voters elect another leader.
+func dutyOf(published *group.PublishedState, l *leadership, now time.Time, timeout time.Duration) duty {
+	if published == nil || published.Status.Role != consensus.RoleLeader {
 		return dutyNone
 	}
-	same := l != nil && l.shard == sitestate.ShardNumber(shown.Shard) && l.term == shown.Status.Term
+	same := l != nil && l.shard == sitestate.ShardNumber(published.Shard) && l.term == published.Status.Term
 	switch {
-	case shown.LeaderReady && same:
+	case published.LeaderReady && same:
 		l.quorumLostAt = time.Time{}
 		return dutyContinue
-	case shown.LeaderReady:
+	case published.LeaderReady:
 		return dutyStart
 	case !same:
 		return dutyNone
--- a/internal/app/sitestore/leadership_test.go
+++ b/internal/app/sitestore/leadership_test.go
@@ -12,19 +12,19 @@
 // TestDuty covers the duty of a runner in each state of its member.
 func TestDuty(t *testing.T) {
 	const timeout = 480 * time.Millisecond
-	shows := func(role consensus.Role, term uint64, settled bool) *group.PublishedState {
-		return &group.PublishedState{Shard: 2, LeaderReady: settled, Status: consensus.Status{Role: role, Term: term}}
+	stateOf := func(role consensus.Role, term uint64, ready bool) *group.PublishedState {
+		return &group.PublishedState{Shard: 2, LeaderReady: ready, Status: consensus.Status{Role: role, Term: term}}
 	}
-	leads, noQuorum := shows(consensus.RoleLeader, 5, true), shows(consensus.RoleLeader, 5, false)
+	leads, noQuorum := stateOf(consensus.RoleLeader, 5, true), stateOf(consensus.RoleLeader, 5, false)
 	for name, test := range map[string]struct {
-		shown   *group.PublishedState
+		state   *group.PublishedState
 		current *leadership
 		want    duty
 	}{
 		"not a member":                {nil, nil, dutyNone},
 		"no longer a member":          {nil, &leadership{shard: 2, term: 5}, dutyNone},
-		"follower":                    {shows(consensus.RoleFollower, 5, false), nil, dutyNone},
-		"became follower":             {shows(consensus.RoleFollower, 6, false), &leadership{shard: 2, term: 5}, dutyNone},
+		"follower":                    {stateOf(consensus.RoleFollower, 5, false), nil, dutyNone},
+		"became follower":             {stateOf(consensus.RoleFollower, 6, false), &leadership{shard: 2, term: 5}, dutyNone},
 		"became leader":               {leads, nil, dutyStart},
 		"still leader":                {leads, &leadership{shard: 2, term: 5}, dutyContinue},
 		"leader in a later term":      {leads, &leadership{shard: 2, term: 4}, dutyStart},
@@ -35,7 +35,7 @@
 		"quorum lost for the timeout": {noQuorum, &leadership{shard: 2, term: 5, quorumLostAt: testTime.Add(-timeout)}, dutyNone},
 		"quorum lost, before timeout": {noQuorum, &leadership{shard: 2, term: 5, quorumLostAt: testTime.Add(time.Millisecond - timeout)}, dutyHold},
 	} {
-		if got := dutyOf(test.shown, test.current, testTime, timeout); got != test.want {
+		if got := dutyOf(test.state, test.current, testTime, timeout); got != test.want {
 			t.Errorf("%s: %d, want %d", name, got, test.want)
 		}
 	}
@@ -48,15 +48,15 @@
 	l := newLeadership(context.Background(), 0, 0)
 	defer l.cancel()
 	steps := []struct {
-		settled bool
-		after   time.Duration
-		want    duty
+		ready bool
+		after time.Duration
+		want  duty
 	}{
 		{false, 0, dutyHold}, {false, 900 * time.Millisecond, dutyHold}, {true, 950 * time.Millisecond, dutyContinue},
 		{false, time.Second, dutyHold}, {false, 1900 * time.Millisecond, dutyHold}, {false, 2 * time.Second, dutyNone},
 	}
 	for _, step := range steps {
-		leader.LeaderReady = step.settled
+		leader.LeaderReady = step.ready
 		if got := dutyOf(leader, l, testTime.Add(step.after), timeout); got != step.want {
 			t.Errorf("after %v: %d, want %d", step.after, got, step.want)
 		}
--- a/internal/app/sitestore/move.go
+++ b/internal/app/sitestore/move.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// minRunTime is the minimum time before an item is moved from a replica.
+	// minRunTime is the minimum time before an item that has not stalled is moved.
 	minRunTime = 500 * time.Millisecond
-	// maxScanGap is the maximum time between two scans; beyond it this process was not
-	// scheduled and cannot tell which runs are stalled.
+	// maxScanGap is the maximum time between two scans; after a longer gap this process was
+	// not scheduled and cannot detect stalled runs.
 	maxScanGap = 3 * runnerInterval
 	// relaxedShare is the expected length of an item, relative to the longest of its job, up
 	// to which any replica is fast enough. Expected lengths are imprecise.
@@ -22,12 +22,12 @@
 	// delayedSlowdown is the median slowdown of all runs above which this process, not the
 	// replicas, is considered slow.
 	delayedSlowdown = 1.3
-	// minDelayedRuns is the minimum number of runs for that.
+	// minDelayedRuns is the minimum number of runs for this decision.
 	minDelayedRuns = 8
 )
 
 // moveFromSlow moves items from slow or stalled replicas to faster ones with free slots. An
-// item resumes there after its last event. Since is the time since the last scan.
+// item resumes there after its last event. since is the time since the last scan.
 func (r *runner) moveFromSlow(view *siteview.View, now time.Time, since time.Duration) {
 	runs, slowdowns := r.measureRuns(now)
 	if since > maxScanGap || processDelayed(slowdowns) || len(runs) == 0 {
@@ -38,9 +38,8 @@
 	}
 }
 
-// processDelayed reports whether this process reads events late, given the slowdowns of all
-// runs: replicas rarely turn slow together, but without processor time all seem slow. Moves
-// would add to the load.
+// processDelayed reports whether this process, not the replicas, is slow: if most runs are slow
+// at the same time, it lacks processor time, and moves would add to its load.
 func processDelayed(slowdowns []float64) bool {
 	if len(slowdowns) < minDelayedRuns {
 		return false
@@ -49,8 +48,8 @@
 	return slowdowns[len(slowdowns)/2] > delayedSlowdown
 }
 
-// measureRuns records the pace of all runs at their replicas. It returns the runs that may be
-// moved, and the slowdown of each run relative to its replica's baseline.
+// measureRuns updates the replicas' paces from all runs. It returns the runs that may be moved,
+// and the slowdown of each run relative to its replica's baseline.
 func (r *runner) measureRuns(now time.Time) (runs []jobqueue.Run, slowdowns []float64) {
 	paces := map[string][]time.Duration{}
 	for _, item := range r.items {
--- a/internal/app/sitestore/outcome.go
+++ b/internal/app/sitestore/outcome.go
@@ -85,7 +85,7 @@
 // retryPause is the delay before an item is retried.
 const retryPause = 10 * time.Millisecond
 
-// recordReplica records what a run revealed about its replica.
+// recordReplica updates the state of a replica after a run on it.
 func (r *runner) recordReplica(event runEvent, now time.Time) {
 	entry := r.replicas.entry(event.replica)
 	if event.responded && event.item.placedAt.After(entry.respondedAt) {
@@ -158,7 +158,8 @@
 // maxRecordBytes limits the text of one record.
 const maxRecordBytes = 1 << 20
 
-// collect returns the uncommitted results, and with all also unfinished text.
+// collect returns the uncommitted results, and also unfinished text if all is set. It removes
+// the finished items.
 func (r *runner) collect(all bool) jobstate.Record {
 	var record jobstate.Record
 	bytes := 0
--- a/internal/app/sitestore/pace.go
+++ b/internal/app/sitestore/pace.go
@@ -20,20 +20,20 @@
 // measurements.
 type pace struct {
 	recent, baseline time.Duration
-	at               time.Time
+	updatedAt        time.Time
 }
 
 // record records a finished run.
 func (p *pace) record(pause time.Duration, now time.Time) {
 	p.recent = blend(p.recent, pause, recentWeight)
 	p.baseline = blend(p.baseline, pause, baselineWeight)
-	p.at = now
+	p.updatedAt = now
 }
 
 // recordRunning records the pace of current runs.
 func (p *pace) recordRunning(pause time.Duration, now time.Time) {
 	p.recent = blend(p.recent, pause, runningWeight)
-	p.at = now
+	p.updatedAt = now
 }
 
 // expected returns the expected pace of the next run, 0 if unknown.
@@ -41,7 +41,7 @@
 	if p.baseline == 0 {
 		return p.recent
 	}
-	weight := math.Exp2(-now.Sub(p.at).Seconds() / recentHalfLife.Seconds())
+	weight := math.Exp2(-now.Sub(p.updatedAt).Seconds() / recentHalfLife.Seconds())
 	return p.baseline + time.Duration(float64(p.recent-p.baseline)*weight)
 }
 
--- a/internal/app/sitestore/pause.go
+++ b/internal/app/sitestore/pause.go
@@ -9,11 +9,11 @@
 const (
 	// paceWindow is the number of latest pauses between events that determine the pace.
 	paceWindow = 5
-	// minPaceSamples is the minimum number of them.
+	// minPaceSamples is the minimum number of pauses that determine it.
 	minPaceSamples = 3
-	// stallPauses is the number of pauses without an event after which a run counts as
-	// stalled, firstEventStallPauses that before its first event; minStall is the minimum
-	// time for both, which tolerates short delays of processes and networks.
+	// stallPauses is the number of usual pauses without an event after which a run counts
+	// as stalled, firstEventStallPauses that before its first event; minStall is the
+	// minimum time for both, which tolerates short delays of processes and networks.
 	stallPauses           = 4
 	firstEventStallPauses = 12
 	minStall              = 250 * time.Millisecond
@@ -38,7 +38,7 @@
 	m.count++
 }
 
-// mean returns the mean pause, 0 before there is one.
+// mean returns the mean pause, 0 before the second event.
 func (m *pauseMeter) mean() time.Duration {
 	if m.count < 2 {
 		return 0
@@ -70,8 +70,8 @@
 	p.at.Store(int64(at))
 }
 
-// currentPace returns the pace at a time since the base; a stalled run is as slow as the time
-// since its last event. Usual is the expected pace.
+// currentPace returns the run's pace and whether it is stalled; a stalled run is as slow as the
+// time since its last event. now counts from the runner's base time; baseline is the usual pace.
 func (p *progress) currentPace(now, baseline time.Duration) (pace time.Duration, stalled bool) {
 	pace = time.Duration(p.pace.Load())
 	sinceEvent := now - time.Duration(p.at.Load())
--- a/internal/app/sitestore/pause_test.go
+++ b/internal/app/sitestore/pause_test.go
@@ -49,14 +49,14 @@
 		"no event yet":                {0, time.Second, 1300 * time.Millisecond, 0, false},
 		"stalled before any event":    {0, time.Second, 2 * time.Second, time.Second, true},
 	} {
-		var shown progress
-		shown.set(row.pace, row.at)
-		if pace, stalled := shown.currentPace(row.now, baseline); pace != row.want || stalled != row.stalled {
+		var run progress
+		run.set(row.pace, row.at)
+		if pace, stalled := run.currentPace(row.now, baseline); pace != row.want || stalled != row.stalled {
 			t.Errorf("%s: %v, %v", name, pace, stalled)
 		}
 	}
-	var shown progress
-	if pace, stalled := shown.currentPace(time.Hour, 0); pace != 0 || stalled {
+	var run progress
+	if pace, stalled := run.currentPace(time.Hour, 0); pace != 0 || stalled {
 		t.Errorf("without a baseline: %v, %v", pace, stalled)
 	}
 }
--- a/internal/app/sitestore/phases.go
+++ b/internal/app/sitestore/phases.go
@@ -16,7 +16,7 @@
 	rejected, cutOff int
 }
 
-// recordWait records a wait that ended with a replica.
+// recordWait records a wait that ended when the item got a replica.
 func (p *phases) recordWait(waited time.Duration, first bool) {
 	if first {
 		p.firstWait += waited
@@ -25,9 +25,9 @@
 	p.laterWaits += waited
 }
 
-// recordRun records the end of a run.
-func (p *phases) recordRun(kind runKind, took time.Duration, grew bool) {
-	if grew {
+// recordRun records the end of a run; generated is set if the run added text.
+func (p *phases) recordRun(kind runKind, took time.Duration, generated bool) {
+	if generated {
 		p.ran += took
 	} else {
 		p.unused += took
@@ -41,5 +41,5 @@
 	}
 }
 
-// waited returns the time that the item was on no replica.
+// waited returns the total wait for replicas.
 func (p *phases) waited() time.Duration { return p.firstWait + p.laterWaits }
--- a/internal/app/sitestore/place.go
+++ b/internal/app/sitestore/place.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// place starts the queued items that find a replica.
+// place starts the queued items for which there is a replica.
 func (r *runner) place(view *siteview.View) {
 	if r.queue.Len() == 0 {
 		return
@@ -20,15 +20,15 @@
 	r.restartStranded(candidates)
 	for _, placed := range r.queue.Place(candidates, now) {
 		item := r.items[placed.Item.Key]
-		replica, known := view.Replicas.Get(placed.Replica)
-		if item == nil || !known {
+		replica, registered := view.Replicas.Get(placed.Replica)
+		if item == nil || !registered {
 			continue
 		}
 		r.startRun(item, replica, view.Position)
 	}
 }
 
-// startRun sends an item to a replica. Position is that of the view used for the choice.
+// startRun sends an item to a replica, chosen from the view at the given position.
 func (r *runner) startRun(item *itemState, replica sitestate.Replica, position uint64) {
 	now := time.Now()
 	r.replicas.addRun(item, replica.ID, now)
@@ -46,8 +46,8 @@
 	go r.generate(ctx, item, replica)
 }
 
-// restartStranded restarts texts that only one version may continue, if no replica serves that
-// version any more.
+// restartStranded restarts texts that only one version may continue, once all replicas serve
+// later versions.
 func (r *runner) restartStranded(candidates []jobqueue.Replica) {
 	var stranded []jobqueue.Key
 	r.queue.Drop(func(item jobqueue.Item) bool {
--- a/internal/app/sitestore/register.go
+++ b/internal/app/sitestore/register.go
@@ -36,7 +36,7 @@
 		return group.Origin{}, errNoShard
 	}
 	assigned := membership{
-		founder: groupmember.Record{Address: s.config.Address, Incarnation: incarnation},
+		self:    groupmember.Record{Address: s.config.Address, Incarnation: incarnation},
 		invited: sitestate.ShardNumber(s.invited.Load()), member: sitestate.ShardNumber(s.member.Shard()),
 	}
 	if shard, found := assigned.shard(view.Shards); found {
@@ -45,16 +45,17 @@
 	return group.Origin{}, errNoShard
 }
 
-// membership determines the shard of a machine with its data folder.
+// membership is what determines the shard of this machine.
 type membership struct {
-	founder groupmember.Record
-	// invited and member are 0 if unset.
+	// self is this machine's address and data folder.
+	self groupmember.Record
+	// invited is the shard to join, member that of the machine's group; 0 if unset.
 	invited sitestate.ShardNumber
 	member  sitestate.ShardNumber
 }
 
 // shard returns the shard whose group the machine founds, is invited to or is already a
-// member of. A member removed during its absence can only contact that group.
+// member of. Only its group can inform a member that was removed while it was down.
 func (p membership) shard(shards []sitestate.Shard) (sitestate.Shard, bool) {
 	number := p.member
 	if number == 0 {
@@ -73,7 +74,7 @@
 // isFounder reports whether this machine, with this folder, is a founder of a shard's group.
 func (p membership) isFounder(shard sitestate.Shard) bool {
 	return slices.ContainsFunc(shard.Founders, func(founder groupmember.Record) bool {
-		return founder.Address == p.founder.Address && founder.Incarnation == p.founder.Incarnation
+		return founder.Address == p.self.Address && founder.Incarnation == p.self.Incarnation
 	})
 }
 
@@ -146,20 +147,20 @@
 	}
 }
 
-// describeGroup adds the members of the group, if this machine leads it.
+// describeGroup adds the state of the group, if this machine leads it.
 func (s *Store) describeGroup(heartbeat *sitecontrol.StoreHeartbeat) {
-	shown := s.member.PublishedState()
-	if shown == nil || !shown.LeaderReady || sitestate.ShardNumber(shown.Shard) != heartbeat.Store.Shard {
+	published := s.member.PublishedState()
+	if published == nil || !published.LeaderReady || sitestate.ShardNumber(published.Shard) != heartbeat.Store.Shard {
 		return
 	}
 	heartbeat.Members = []string{}
-	heartbeat.FreeSlots = groupmember.FreeSlots(shown.Status, shown.Records, s.leaving(), s.member.Limits())
+	heartbeat.FreeSlots = groupmember.FreeSlots(published.Status, published.Records, s.leaving(), s.member.Limits())
 	completeVoters := 0
 	// A member has a record until its removal is committed. Until then its machine
 	// must stay.
-	for _, record := range shown.Records {
+	for _, record := range published.Records {
 		heartbeat.Members = append(heartbeat.Members, record.Name)
-		if shown.Status.Membership.IsVoter(record.ID) && (record.ID == shown.Status.ID || caughtUp(shown, record)) {
+		if published.Status.Membership.IsVoter(record.ID) && (record.ID == published.Status.ID || caughtUp(published, record)) {
 			completeVoters++
 		}
 	}
@@ -170,8 +171,8 @@
 	}
 }
 
-func caughtUp(shown *group.PublishedState, record groupmember.Record) bool {
-	for _, peer := range shown.Status.Progress {
+func caughtUp(published *group.PublishedState, record groupmember.Record) bool {
+	for _, peer := range published.Status.Progress {
 		if peer.ID == record.ID {
 			return peer.Active && peer.CaughtUp
 		}
--- a/internal/app/sitestore/register_test.go
+++ b/internal/app/sitestore/register_test.go
@@ -19,11 +19,11 @@
 		assigned membership
 		want     sitestate.ShardNumber
 	}{
-		"founder":                    {membership{founder: self}, 2},
-		"founder that lost its disk": {membership{founder: groupmember.Record{Address: "a", Incarnation: "y"}}, 0},
+		"founder":                    {membership{self: self}, 2},
+		"founder that lost its disk": {membership{self: groupmember.Record{Address: "a", Incarnation: "y"}}, 0},
 		"invited":                    {membership{invited: 3}, 3},
 		"removed member":             {membership{member: 3}, 3},
-		"founder invited elsewhere":  {membership{founder: self, invited: 1}, 2},
+		"founder invited elsewhere":  {membership{self: self, invited: 1}, 2},
 		"member invited elsewhere":   {membership{member: 3, invited: 1}, 3},
 		"free":                       {membership{}, 0},
 		"member of an unknown shard": {membership{member: 4}, 0},
--- a/internal/app/sitestore/replicabook.go
+++ b/internal/app/sitestore/replicabook.go
@@ -15,14 +15,14 @@
 	// promptTTL is how long a replica is assumed to cache a group's prompt.
 	promptTTL = 5 * time.Second
 	// handoverPause is the wait before items are sent to a replica that moved from another
-	// shard, whose runner may not know of it yet.
+	// shard, whose runner may not have seen the move yet.
 	handoverPause = 1500 * time.Millisecond
 )
 
 // replicaTracker tracks the state of replicas for the runner of a shard.
 type replicaTracker struct {
 	shard sitestate.ShardNumber
-	// cold limits the items on cold replicas beyond their service's rate.
+	// cold is the tolerance of the limits of cold replicas; each service sets its own rate.
 	cold     coldlimit.Limits
 	replicas map[string]*replicaEntry
 	// pace is the pace of all replicas.
@@ -107,7 +107,7 @@
 	entry.reserved = max(0, entry.reserved-1)
 }
 
-// block excludes a replica until a time.
+// block excludes a replica from the candidates at least until a time.
 func (t *replicaTracker) block(id string, until time.Time) {
 	entry := t.entry(id)
 	if until.After(entry.blockedUntil) {
--- a/internal/app/sitestore/replicabook_test.go
+++ b/internal/app/sitestore/replicabook_test.go
@@ -169,7 +169,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if placed := queue.Place(tracker.candidates(view, table, testTime), testTime); len(placed) > 0 {
-					b.Fatal("placed")
+					b.Fatal("placed an item that no replica can run")
 				}
 			}
 		})
--- a/internal/app/sitestore/run.go
+++ b/internal/app/sitestore/run.go
@@ -30,7 +30,7 @@
 	brokenPause   = 400 * time.Millisecond
 	// scorePause is the delay before a failed reward call is retried.
 	scorePause = 50 * time.Millisecond
-	// scoreTimeout bounds one reward call, without its wait in the limiter.
+	// scoreTimeout limits one reward call, without its wait in the limiter.
 	scoreTimeout = 1200 * time.Millisecond
 )
 
@@ -96,9 +96,9 @@
 	defer stall.Stop()
 	headers := r.store.config.Dialect.Headers()
 	header := http.Header{}
-	for _, given := range item.spec.Headers {
-		if !setsTenant(given.Name, headers) || item.tenant == "" {
-			header[given.Name] = append(header[given.Name], given.Value)
+	for _, field := range item.spec.Headers {
+		if !setsTenant(field.Name, headers) || item.tenant == "" {
+			header[field.Name] = append(header[field.Name], field.Value)
 		}
 	}
 	if item.tenant != "" {
@@ -139,7 +139,7 @@
 	return strings.EqualFold(name, headers.Key) || strings.EqualFold(name, headers.Tenant)
 }
 
-// classifyResponse returns the end of a run whose response is not a stream.
+// classifyResponse returns the end of a run whose response is not a stream, or false.
 func (r *runner) classifyResponse(response *http.Response) (runEvent, bool) {
 	status := response.StatusCode
 	if status == http.StatusOK {
@@ -191,7 +191,7 @@
 	}
 }
 
-// score sends the reward call of a complete text until it is answered.
+// score sends the reward call of a complete text until it succeeds or has failed too often.
 func (r *runner) score(ctx context.Context, item *itemState) {
 	event := runEvent{item: item, context: ctx, kind: runScored}
 	if item.spec.Scorer != nil {
--- a/internal/app/sitestore/runner.go
+++ b/internal/app/sitestore/runner.go
@@ -16,8 +16,8 @@
 	// textInterval is the minimum time between two records with unfinished text.
 	textInterval = 400 * time.Millisecond
 	// resultInterval is the minimum time between two records.
-	resultInterval = 25 * time.Millisecond
-	eventQueue     = 1024
+	resultInterval     = 25 * time.Millisecond
+	eventQueueCapacity = 1024
 	// expiryMargin is added to an item's retention before the item fails.
 	expiryMargin = time.Second
 )
@@ -39,7 +39,7 @@
 func newRunner(store *Store, replica *replicacall.Client) *runner {
 	return &runner{
 		store: store, replica: replica, base: time.Now(), wake: make(chan struct{}, 1),
-		events: make(chan runEvent, eventQueue), scores: newScoreLimiter(),
+		events: make(chan runEvent, eventQueueCapacity), scores: newScoreLimiter(),
 	}
 }
 
@@ -86,8 +86,8 @@
 
 // tick updates the leadership, syncs jobs, starts items and commits text.
 func (r *runner) tick(ctx context.Context) {
-	shown := r.store.member.PublishedState()
-	switch dutyOf(shown, r.leadership, time.Now(), r.store.member.ElectionTimeout()) {
+	published := r.store.member.PublishedState()
+	switch dutyOf(published, r.leadership, time.Now(), r.store.member.ElectionTimeout()) {
 	case dutyNone:
 		r.stop()
 		return
@@ -95,7 +95,7 @@
 		return
 	case dutyStart:
 		r.stop()
-		r.start(ctx, sitestate.ShardNumber(shown.Shard), shown.Status.Term)
+		r.start(ctx, sitestate.ShardNumber(published.Shard), published.Status.Term)
 	case dutyContinue:
 	}
 	view := r.store.config.Watcher.View()
@@ -155,7 +155,7 @@
 	return r.committed
 }
 
-// measureDemand publishes the demand of jobs, and reports whether it was due.
+// measureDemand publishes the demand of jobs if an update is due, and reports whether it was.
 func (r *runner) measureDemand(now time.Time) bool {
 	r.store.open.Store(int64(len(r.items)))
 	open := map[string]int{}
--- a/internal/app/sitestore/scoregate.go
+++ b/internal/app/sitestore/scoregate.go
@@ -8,8 +8,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/jobqueue"
 )
 
-// scoreLimiter limits the concurrent reward calls to each service, in FIFO order. Without it a
-// burst of calls times out in the replicas' queues and is retried, and the service stays
+// scoreLimiter limits the concurrent reward calls to each service, in FIFO order. Without the
+// limit, a burst of calls times out in the replicas' queues, and its retries keep the service
 // overloaded.
 type scoreLimiter struct {
 	mutex    sync.Mutex
@@ -60,7 +60,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !queue.remove(admitted) {
-		// The slot was granted concurrently; pass it on.
+		// The slot was granted concurrently; release it.
 		queue.running--
 		queue.admit(limit)
 	}
--- a/internal/app/sitestore/store.go
+++ b/internal/app/sitestore/store.go
@@ -26,7 +26,7 @@
 const (
 	expiryInterval = time.Second
 	// spareMembers is the number of members that follow the log without a vote. Following
-	// costs traffic all the time, while a replacement voter copies the state quickly.
+	// causes constant traffic, while a replacement voter copies the state quickly.
 	spareMembers = 0
 	// maxReplicaConnections limits the runner's connections to one replica.
 	maxReplicaConnections = 40
@@ -50,7 +50,7 @@
 	Seed  uint64
 	// ToleratedLosses is how many machines with a disk may fail concurrently.
 	ToleratedLosses int
-	// Cold limits the items on cold replicas beyond their service's rate.
+	// Cold is the tolerance of the limits of cold replicas; each service sets its own rate.
 	Cold coldlimit.Limits
 	// Recorder records metrics of items; nil disables them.
 	Recorder Recorder
@@ -105,7 +105,8 @@
 	// leaderReady is whether the member led with a quorum at its last step; the member's
 	// loop owns it.
 	leaderReady bool
-	firstSeen   map[string]time.Time
+	// firstSeen is when this process first saw a job finished, by job id.
+	firstSeen map[string]time.Time
 	// invited is the shard whose group this machine is to join, 0 if none.
 	invited atomic.Uint32
 }
@@ -147,7 +148,7 @@
 	return tasks.Wait()
 }
 
-// TransferLeadership transfers leadership before a planned stop.
+// TransferLeadership transfers leadership before a graceful stop.
 func (s *Store) TransferLeadership(ctx context.Context) { s.member.TransferLeadership(ctx) }
 
 // changed signals changes of the state; it runs in the member's loop.
@@ -189,8 +190,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		shown := s.member.PublishedState()
-		if shown == nil || !shown.LeaderReady {
+		published := s.member.PublishedState()
+		if published == nil || !published.LeaderReady {
 			clear(s.firstSeen)
 			continue
 		}
@@ -207,7 +208,7 @@
 				continue
 			}
 			id := job.Submission.ID
-			if first, known := s.firstSeen[id]; !known {
+			if first, seen := s.firstSeen[id]; !seen {
 				s.firstSeen[id] = now
 			} else if now.Sub(first) > s.config.KeepJobs {
 				due = append(due, id)
@@ -233,8 +234,8 @@
 
 // Leads reports whether this machine leads a shard's group, in contact with a quorum.
 func (s *Store) Leads() bool {
-	shown := s.member.PublishedState()
-	return shown != nil && shown.LeaderReady
+	published := s.member.PublishedState()
+	return published != nil && published.LeaderReady
 }
 
 // PublishedState returns the latest published status of the member, or nil.
--- a/internal/app/sitestore/withhold.go
+++ b/internal/app/sitestore/withhold.go
@@ -9,7 +9,7 @@
 )
 
 // trialDelays are the waits of a withheld item before each trial. They let crashed replicas
-// restart, and bound the delay of an item that merely ran next to the cause.
+// restart, and limit the delay of an item that only ran alongside the cause.
 var trialDelays = [quarantine.MaxTrials]time.Duration{3 * time.Second, 4 * time.Second}
 
 // replicaCrash is a replica that closed the connection while it ran an item.
@@ -28,7 +28,7 @@
 	item.addCrash()
 }
 
-// crashCount returns the number of replicas that crashed during the item. A replica that
+// crashCount returns the number of replicas that crashed during the item's runs. A replica that
 // responded to a later run did not crash.
 func (r *runner) crashCount(item *itemState) int {
 	count := item.earlierCrashes
@@ -41,7 +41,7 @@
 }
 
 // withhold reports whether an item must not run because it crashed too many replicas. The item
-// waits for a trial; without trials left it expires like other items.
+// waits for a trial; after its last trial it expires like other items.
 func (r *runner) withhold(item *itemState, now time.Time) bool {
 	crashes := r.crashCount(item)
 	if crashes < quarantine.CrashesUntilWithheld || item.onTrial || r.trialDue(item, now) {
@@ -59,8 +59,8 @@
 
 // trialDue starts an item's next trial if it has waited long enough.
 func (r *runner) trialDue(item *itemState, now time.Time) bool {
-	waits := r.withheld[item.key] != nil
-	if !waits || item.trials >= quarantine.MaxTrials || now.Sub(item.withheldAt) < trialDelays[item.trials] {
+	isWithheld := r.withheld[item.key] != nil
+	if !isWithheld || item.trials >= quarantine.MaxTrials || now.Sub(item.withheldAt) < trialDelays[item.trials] {
 		return false
 	}
 	item.trials++
@@ -68,7 +68,7 @@
 	return true
 }
 
-// retryWithheld queues withheld items whose trial is due or whose replicas did not crash.
+// retryWithheld queues withheld items whose trial is due, or whose replicas responded after all.
 func (r *runner) retryWithheld(now time.Time) {
 	for key, item := range r.withheld {
 		if r.items[key] != item || item.finished() {
--- a/internal/app/sitestore/withhold_test.go
+++ b/internal/app/sitestore/withhold_test.go
@@ -25,7 +25,7 @@
 	r.recordReplica(runEvent{item: item, replica: replica, kind: runBroken, crashed: true}, now)
 }
 
-// TestWithheldItems replays crashes of replicas during one item, with times in seconds.
+// TestWithheldItems simulates crashes of replicas during one item, with times in seconds.
 func TestWithheldItems(t *testing.T) {
 	at := func(second float64) time.Time { return testTime.Add(time.Duration(second * float64(time.Second))) }
 	type check struct {
@@ -33,15 +33,15 @@
 		withheld bool
 	}
 	for name, row := range map[string]struct {
-		earlier int
-		crashes []float64 // each of another replica
-		answers map[string]float64
-		checks  []check
+		earlier   int
+		crashes   []float64 // each of another replica
+		responses map[string]float64
+		checks    []check
 	}{
 		"two crashes":                           {crashes: []float64{1, 2}, checks: []check{{3, false}}},
 		"three crashes, then a trial":           {crashes: []float64{1, 2, 3}, checks: []check{{3, true}, {5.9, true}, {6.1, false}, {6.2, false}}},
-		"response after a presumed crash":       {crashes: []float64{1, 2, 3}, answers: map[string]float64{"r1": 4}, checks: []check{{3, true}, {4.1, false}}},
-		"response before the crash":             {crashes: []float64{1, 2, 3}, answers: map[string]float64{"r1": 1.5}, checks: []check{{4, true}}},
+		"response after a presumed crash":       {crashes: []float64{1, 2, 3}, responses: map[string]float64{"r1": 4}, checks: []check{{3, true}, {4.1, false}}},
+		"response before the crash":             {crashes: []float64{1, 2, 3}, responses: map[string]float64{"r1": 1.5}, checks: []check{{4, true}}},
 		"crashes in an earlier leadership":      {earlier: 2, crashes: []float64{1}, checks: []check{{1, true}}},
 		"only crashes in an earlier leadership": {earlier: 3, checks: []check{{0, true}, {3.1, false}}},
 	} {
@@ -53,7 +53,7 @@
 				crashReplica(r, item, fmt.Sprint("r", i), at(second))
 			}
 			for _, step := range row.checks {
-				for replica, second := range row.answers {
+				for replica, second := range row.responses {
 					if step.second > second && second > 3 || second < 3 {
 						other := &itemState{key: jobqueue.Key{Job: "j", Item: 1}, placedAt: at(second)}
 						r.recordReplica(runEvent{item: other, replica: replica, kind: runComplete, responded: true}, at(second))
--- a/internal/app/sitestore/work.go
+++ b/internal/app/sitestore/work.go
@@ -34,7 +34,7 @@
 	scoring bool
 	// placedAt is the start of the current run.
 	placedAt time.Time
-	// ran is set once the item was on a replica; idleSince is since when it is on none.
+	// ran is set once the item ran on a replica; idleSince is when it last became idle.
 	ran       bool
 	idleSince time.Time
 	// lastReplica is the replica of the last run.
@@ -85,7 +85,7 @@
 	score       string
 }
 
-// newWork returns an item with its progress in the log.
+// newItemState returns an open item with its progress in the log.
 func newItemState(job *jobstate.Job, index, longest int, rank jobqueue.Rank, accepted time.Time) *itemState {
 	item := &job.Items[index]
 	return &itemState{
@@ -121,7 +121,7 @@
 }
 
 // add appends an event of a weight version. It returns false if the job does not allow that
-// version, or not more than one.
+// version, or does not allow several and the text has another.
 func (s *itemState) add(data, id string, version uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
