--- a/internal/app/sitecontrol/calls.go
+++ b/internal/app/sitecontrol/calls.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// callTimeout bounds a call.
+	// callTimeout limits a call.
 	callTimeout = 900 * time.Millisecond
 	// leaderPollInterval is the time between checks for a leader.
 	leaderPollInterval = 50 * time.Millisecond
@@ -30,13 +30,13 @@
 // Request is a call to the control group; one field is set.
 type Request struct {
 	Command *sitestate.Command `cbor:"1,keyasint,omitempty"`
-	// Replica is a heartbeat, logged only if it changes anything.
+	// Replica is a replica's heartbeat, committed only if it changes anything.
 	Replica *sitestate.Replica `cbor:"2,keyasint,omitempty"`
 	// Read requests the current configuration.
 	Read *ReadConfiguration `cbor:"3,keyasint,omitempty"`
 	// Store is a store machine's heartbeat.
 	Store *StoreHeartbeat `cbor:"4,keyasint,omitempty"`
-	// Evacuate requests the evacuation of a store machine, Evacuation its state.
+	// Evacuate names a store machine to evacuate, Evacuation one whose state is requested.
 	Evacuate   string `cbor:"5,keyasint,omitempty"`
 	Evacuation string `cbor:"6,keyasint,omitempty"`
 	// MemberReport is another member's periodic report to the leader.
@@ -67,9 +67,9 @@
 	// Members are the machines in the group of the store's shard. Like the fields below,
 	// only the group's leader sets it.
 	Members []string `cbor:"2,keyasint,omitempty"`
-	// Complete is set if enough members hold all data.
+	// Complete is set if enough voters store all data.
 	Complete bool `cbor:"3,keyasint,omitempty"`
-	// Demand is the work of jobs in events per second, by model.
+	// Demand is the demand of jobs in events per second, by model.
 	Demand map[string]float64 `cbor:"4,keyasint,omitempty"`
 	// Open is the recent maximum of concurrently open items, by model.
 	Open map[string]int `cbor:"5,keyasint,omitempty"`
@@ -77,7 +77,7 @@
 	FreeSlots int `cbor:"6,keyasint,omitempty"`
 }
 
-// Answer answers a Request.
+// Answer is the response to a Request.
 type Answer struct {
 	Outcome       sitestate.Outcome       `cbor:"1,keyasint,omitempty"`
 	Configuration sitestate.Configuration `cbor:"2,keyasint,omitempty"`
@@ -91,7 +91,7 @@
 	NotLeader bool `cbor:"6,keyasint,omitempty"`
 	// Join is the shard that a store machine without a group is to join; 0 if none.
 	Join sitestate.ShardNumber `cbor:"7,keyasint,omitempty"`
-	// Shard answers PlaceModel.
+	// Shard is the shard of the model in PlaceModel.
 	Shard sitestate.ShardNumber `cbor:"8,keyasint,omitempty"`
 	// Pause is the time that a front is to wait before its next report of usage.
 	Pause time.Duration `cbor:"9,keyasint,omitempty"`
@@ -139,21 +139,21 @@
 
 // callOnce serves a request here if this member leads, else on the leader.
 func (c *Control) callOnce(ctx context.Context, request Request) (Answer, error) {
-	shown := c.member.PublishedState()
-	if shown == nil {
+	published := c.member.PublishedState()
+	if published == nil {
 		return Answer{NotLeader: true}, nil
 	}
-	if shown.Leader.ID == shown.Status.ID {
+	if published.Leader.ID == published.Status.ID {
 		return c.serveAsLeader(ctx, request)
 	}
-	if shown.Leader.Address == "" || !shown.Status.QuorumActive {
+	if published.Leader.Address == "" || !published.Status.QuorumActive {
 		return Answer{NotLeader: true}, nil
 	}
 	if request.Replica != nil {
 		return c.reports.forward(ctx, *request.Replica)
 	}
 	var answer Answer
-	err := c.forward(ctx, shown.Leader.Address, request, &answer)
+	err := c.forward(ctx, published.Leader.Address, request, &answer)
 	return answer, err
 }
 
--- a/internal/app/sitecontrol/clock.go
+++ b/internal/app/sitecontrol/clock.go
@@ -17,7 +17,7 @@
 	clockInterval = 4 * time.Second
 	// clockRetry is the time to the next poll if too few members responded.
 	clockRetry = 300 * time.Millisecond
-	// clockTimeout bounds a poll; slow responses give imprecise readings.
+	// clockTimeout limits a poll; slow responses give imprecise readings.
 	clockTimeout = 250 * time.Millisecond
 )
 
@@ -32,15 +32,16 @@
 	return call.Send(clockAnswer{Wall: time.Now().Round(0)})
 }
 
-// siteClock returns the time that most members agree on. Between polls it advances by the
+// siteClock estimates the time that most members agree on. Between polls it advances by the
 // process's monotonic clock, which includes suspension, so that a step of any member's wall
 // clock has no effect.
 type siteClock struct {
 	control *Control
 
-	mutex   sync.Mutex
-	offset  sitetime.Offset
-	known   bool
+	mutex  sync.Mutex
+	offset sitetime.Offset
+	// synced is set once a poll has succeeded.
+	synced  bool
 	polling bool
 	pollAt  time.Duration
 }
@@ -55,7 +56,7 @@
 func (s *siteClock) timeOf(at time.Duration) (time.Time, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.offset.Time(at), s.known
+	return s.offset.Time(at), s.synced
 }
 
 // tick starts a poll when one is due and this member leads.
@@ -77,27 +78,27 @@
 	defer s.mutex.Unlock()
 	s.polling, s.pollAt = false, s.now()+clockRetry
 	if ok {
-		s.offset, s.known, s.pollAt = offset, true, s.now()+clockInterval
+		s.offset, s.synced, s.pollAt = offset, true, s.now()+clockInterval
 	}
 }
 
 func (s *siteClock) read(ctx context.Context) (readings []sitetime.Reading, machines int) {
-	shown := s.control.member.PublishedState()
-	if shown == nil {
+	published := s.control.member.PublishedState()
+	if published == nil {
 		return nil, 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, clockTimeout)
 	defer cancel()
-	answers := make(chan *sitetime.Reading, len(shown.Records))
-	for _, record := range shown.Records {
+	answers := make(chan *sitetime.Reading, len(published.Records))
+	for _, record := range published.Records {
 		go func() { answers <- s.readOne(ctx, record.Address) }()
 	}
-	for range shown.Records {
+	for range published.Records {
 		if reading := <-answers; reading != nil {
 			readings = append(readings, *reading)
 		}
 	}
-	return readings, len(shown.Records)
+	return readings, len(published.Records)
 }
 
 // readOne reads one member's clock; it returns nil without a response.
--- a/internal/app/sitecontrol/cold.go
+++ b/internal/app/sitecontrol/cold.go
@@ -11,8 +11,8 @@
 // It covers the jitter of report delays.
 const minColdIncrease = 500 * time.Millisecond
 
-// coldReplicas records until when replicas are cold, by what this member has committed as
-// the leader. It is safe for concurrent use.
+// coldReplicas records the ends of the cold periods that this member committed as the leader.
+// It is safe for concurrent use.
 type coldReplicas struct {
 	mutex sync.Mutex
 	until map[string]time.Time
@@ -30,8 +30,8 @@
 	}
 }
 
-// changed reports whether a report changes a replica's cold period. That the replica is warm
-// is committed, for new watchers, only after the period that existing watchers know.
+// changed reports whether to commit a report's cold period. A warm replica is committed only
+// after its committed period: only watchers that connect later need that change.
 func (c *coldReplicas) changed(committed, report sitestate.Replica, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/app/sitecontrol/control.go
+++ b/internal/app/sitecontrol/control.go
@@ -46,7 +46,7 @@
 	Seed       uint64
 	// ToleratedLosses is how many machines with a disk may fail concurrently.
 	ToleratedLosses int
-	// SlotsPerShard is how many slots of engines one shard's leader serves; 0 selects
+	// SlotsPerShard is how many engine slots one shard's leader serves; 0 selects
 	// DefaultSlotsPerShard.
 	SlotsPerShard int
 	// Zones maps each zone of the site to its region; empty if the settings name none.
@@ -106,6 +106,7 @@
 
 	pool  *wire.Pool
 	mutex sync.Mutex
+	// wakes are the channels that wake this member's watchers.
 	wakes map[chan struct{}]struct{}
 	seeds []string
 }
@@ -159,7 +160,7 @@
 	return tasks.Wait()
 }
 
-// TransferLeadership transfers leadership before a planned stop.
+// TransferLeadership transfers leadership before a graceful stop.
 func (c *Control) TransferLeadership(ctx context.Context) { c.member.TransferLeadership(ctx) }
 
 // SetSeeds replaces the addresses of control members after a change of settings.
@@ -198,8 +199,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		shown := c.member.PublishedState()
-		leads := shown != nil && shown.LeaderReady
+		published := c.member.PublishedState()
+		leads := published != nil && published.LeaderReady
 		c.heartbeats.tick(ctx, leads)
 		c.stores.tick(ctx, leads)
 		c.lease.updateTerm(leads)
@@ -242,8 +243,8 @@
 	}
 }
 
-// nextView returns the view updated to state. A state behind the view is that of a member
-// that joined again.
+// nextView returns the view updated to state. A member that joined again may have an older
+// state, which replaces the view.
 func nextView(previous *sitestate.View, state *sitestate.State) *sitestate.View {
 	if previous.Position == 0 || state.Position() < previous.Position {
 		return (&sitestate.View{}).Apply(state.Update(0, sitestate.InterestAll))
@@ -271,8 +272,8 @@
 
 // IsVoter reports whether this member is a voter in contact with a quorum and caught up.
 func (c *Control) IsVoter() bool {
-	shown := c.member.PublishedState()
-	return shown != nil && shown.Confirmed && shown.Status.Membership.IsVoter(shown.Status.ID)
+	published := c.member.PublishedState()
+	return published != nil && published.Confirmed && published.Status.Membership.IsVoter(published.Status.ID)
 }
 
 // PublishedState returns the latest published status of the member, or nil.
--- a/internal/app/sitecontrol/drains.go
+++ b/internal/app/sitecontrol/drains.go
@@ -31,11 +31,11 @@
 	return Answer{Outcome: outcome}, err
 }
 
-// hasZone reports whether the site has a zone: one in the settings, or without any there,
-// the zone of a registered store machine or replica.
+// hasZone reports whether the settings name a zone, or a registered store machine or replica
+// is in it.
 func (c *Control) hasZone(zone string) bool {
-	if _, known := c.config.Zones[zone]; known || zone == "" {
-		return known
+	if _, configured := c.config.Zones[zone]; configured || zone == "" {
+		return configured
 	}
 	view := c.view.Load()
 	for _, replica := range view.Replicas.All() {
@@ -78,7 +78,7 @@
 }
 
 // dropUnusedWarmup clears the cold period of a report whose service doesn't limit requests
-// to cold replicas: each change of it would be a log entry.
+// to cold replicas: each change of it would become a log entry.
 func (c *Control) dropUnusedWarmup(report *sitestate.Replica) {
 	table := c.table.Load()
 	if table == nil {
--- a/internal/app/sitecontrol/heartbeats.go
+++ b/internal/app/sitecontrol/heartbeats.go
@@ -19,7 +19,7 @@
 	// timeoutCheckInterval is the period of the leader's checks for timed-out replicas,
 	// and of the other members' reports to it.
 	timeoutCheckInterval = 2 * time.Second
-	// memberReportTimeout bounds such a report, which delays a member that becomes leader.
+	// memberReportTimeout limits such a report, which delays a member that becomes leader.
 	memberReportTimeout = 300 * time.Millisecond
 )
 
@@ -50,11 +50,10 @@
 }
 
 // acceptUnchanged accepts a heartbeat on any member in contact with a quorum if it changes
-// nothing, and reports whether it did. Others are acknowledged once the leader has
-// committed them.
+// nothing, and reports whether it did.
 func (h *heartbeats) acceptUnchanged(report sitestate.Replica) bool {
-	shown := h.control.member.PublishedState()
-	if shown == nil || !shown.Confirmed {
+	published := h.control.member.PublishedState()
+	if published == nil || !published.Confirmed {
 		return false
 	}
 	registered, known := h.registered(report)
@@ -72,14 +71,14 @@
 // quorum, and reports whether it did. The heartbeat is committed asynchronously: if that
 // fails, the next one repeats it. Departures are acknowledged only once committed.
 func (h *heartbeats) acceptReady(report sitestate.Replica) (bool, error) {
-	shown := h.control.member.PublishedState()
-	if report.State != sitestate.ReplicaReady || shown == nil || !shown.Confirmed {
+	published := h.control.member.PublishedState()
+	if report.State != sitestate.ReplicaReady || published == nil || !published.Confirmed {
 		return false, nil
 	}
 	if _, _, err := h.validate(report); err != nil {
 		return false, err
 	}
-	if shown.Leader.ID != shown.Status.ID {
+	if published.Leader.ID != published.Status.ID {
 		h.control.config.Recorder.HeartbeatAccepted()
 		h.control.reports.enqueue(report)
 		return true, nil
@@ -123,15 +122,15 @@
 	}
 }
 
-// recordAlive records a sign of life of a replica; h.mutex must be held.
+// recordAlive records a sign of life of a replica. The caller must hold h.mutex.
 func (h *heartbeats) recordAlive(id string, now time.Time) {
-	known := h.lastHeartbeats[id]
-	known.at = now
-	h.lastHeartbeats[id] = known
+	last := h.lastHeartbeats[id]
+	last.at = now
+	h.lastHeartbeats[id] = last
 }
 
 // accept serves a replica's heartbeat as the leader. Changes are committed before they are
-// acknowledged; other heartbeats are not logged.
+// acknowledged; other heartbeats cause no log entry.
 func (h *heartbeats) accept(ctx context.Context, report sitestate.Replica) (Answer, error) {
 	h.control.config.Recorder.HeartbeatAccepted()
 	registered, known, err := h.validate(report)
@@ -159,7 +158,7 @@
 	return Answer{}, nil
 }
 
-// identify returns the identity of a replica start by the state applied on this member.
+// identify returns the identity of a replica start according to this member's applied state.
 func (c *Control) identify(ctx context.Context, name string, startedAt uint64) (identity sitestate.Identity, err error) {
 	err = c.member.Inspect(ctx, func(machine groupmember.StateMachine) {
 		identity = machine.(*sitestate.State).Identify(name, startedAt)
@@ -167,10 +166,10 @@
 	return identity, err
 }
 
-// leave removes a replica that announces its end. An outdated start was removed already; a
-// start newer than the registered one also removes that.
-func (h *heartbeats) leave(ctx context.Context, left sitestate.Leave) (Answer, error) {
-	identity, err := h.control.identify(ctx, left.ID, left.StartedAt)
+// leave removes a replica that announces its departure. An outdated start is removed already;
+// a start newer than the registered one removes that one too.
+func (h *heartbeats) leave(ctx context.Context, departure sitestate.Leave) (Answer, error) {
+	identity, err := h.control.identify(ctx, departure.ID, departure.StartedAt)
 	if err != nil || identity.Order == sitestate.StartOutdated {
 		return Answer{}, err
 	}
@@ -179,10 +178,10 @@
 			return Answer{}, err
 		}
 	}
-	if identity.ID != left.ID {
-		left.ID, left.Instance = identity.ID, left.ID
+	if identity.ID != departure.ID {
+		departure.ID, departure.Instance = identity.ID, departure.ID
 	}
-	outcome, err := h.control.propose(ctx, sitestate.Command{Leave: &left})
+	outcome, err := h.control.propose(ctx, sitestate.Command{Leave: &departure})
 	return Answer{Outcome: outcome}, err
 }
 
@@ -229,13 +228,13 @@
 // reportToLeader sends the leader the replicas that this member accepted heartbeats of. On
 // failure they are part of the next report.
 func (h *heartbeats) reportToLeader(ctx context.Context) {
-	shown := h.control.member.PublishedState()
-	if shown == nil {
+	published := h.control.member.PublishedState()
+	if published == nil {
 		return
 	}
 	report := MemberReport{
 		Replicas: h.takeUnreported(), Member: h.control.config.Machine, Watchers: h.control.watchers(),
-		ID: shown.Status.ID, Level: sitestate.LevelNewest,
+		ID: published.Status.ID, Level: sitestate.LevelNewest,
 	}
 	ids := report.Replicas
 	ctx, cancel := context.WithTimeout(ctx, memberReportTimeout)
@@ -259,7 +258,7 @@
 	return ids
 }
 
-// timedOut lists the replicas to remove. A new leader starts all timeouts from now.
+// timedOut lists the replicas to remove. A new leader restarts all timeouts.
 func (h *heartbeats) timedOut(replicas sitestate.ReplicaSet, now time.Time) []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/app/sitecontrol/lease.go
+++ b/internal/app/sitecontrol/lease.go
@@ -31,7 +31,7 @@
 	control *Control
 
 	// term is the one in which this member leads, 0 if it does not; leaderSince is when
-	// that was first observed, and held is set once it is the holder.
+	// that was first observed, and held is set once this member holds the lease.
 	term        uint64
 	leaderSince time.Duration // monotonic clock
 	held        bool
@@ -47,8 +47,8 @@
 // lease, since another member may have led in between.
 func (l *lease) updateTerm(leads bool) {
 	term := uint64(0)
-	if shown := l.control.member.PublishedState(); leads && shown != nil {
-		term = shown.Status.Term
+	if published := l.control.member.PublishedState(); leads && published != nil {
+		term = published.Status.Term
 	}
 	if term != l.term {
 		l.term, l.leaderSince, l.held = term, l.control.config.Clock(), false
@@ -117,7 +117,7 @@
 }
 
 // confirm returns an authority confirmed by a quorum. The read lease doesn't suffice: after
-// a failed transfer of leadership it is gone until the next term, while the member leads.
+// a failed transfer of leadership, the leader has none until the next term.
 func (l *lease) confirm(ctx context.Context) (authority, error) {
 	requestedAt := l.control.config.Clock()
 	before := l.control.member.PublishedState()
--- a/internal/app/sitecontrol/levels.go
+++ b/internal/app/sitecontrol/levels.go
@@ -13,7 +13,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// levels negotiates the level of the control group. It is safe for concurrent use.
+// levels negotiates the highest level that all members of the control group support. It is
+// safe for concurrent use.
 type levels struct {
 	mutex sync.Mutex
 	// reported are the levels that other members reported to this one as the leader.
@@ -38,12 +39,12 @@
 
 // common returns the highest level that all members support. A member without a recent
 // report may run an earlier build.
-func (l *levels) common(shown *group.PublishedState, now time.Time) sitestate.Level {
+func (l *levels) common(published *group.PublishedState, now time.Time) sitestate.Level {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	common := sitestate.LevelNewest
-	for _, record := range shown.Records {
-		if record.ID == shown.Status.ID {
+	for _, record := range published.Records {
+		if record.ID == published.Status.ID {
 			continue
 		}
 		reported := l.reported[record.ID]
@@ -57,16 +58,16 @@
 
 // raiseLevel raises the agreed level, as the leader, once all members support a higher one.
 func (c *Control) raiseLevel(ctx context.Context, now time.Time) {
-	shown := c.member.PublishedState()
-	if shown == nil || sitestate.Level(c.levels.agreed.Load()) >= sitestate.LevelNewest {
+	published := c.member.PublishedState()
+	if published == nil || sitestate.Level(c.levels.agreed.Load()) >= sitestate.LevelNewest {
 		return
 	}
-	level := c.levels.common(shown, now)
+	level := c.levels.common(published, now)
 	if level <= sitestate.Level(c.levels.agreed.Load()) {
 		return
 	}
 	_, err := c.propose(ctx, sitestate.Command{Level: &level})
-	c.config.Logger.Info().Str(eventlog.Field, eventlog.LevelRaised).Uint32("level", uint32(level)).Int("members", len(shown.Records)).
+	c.config.Logger.Info().Str(eventlog.Field, eventlog.LevelRaised).Uint32("level", uint32(level)).Int("members", len(published.Records)).
 		Err(err).Msg("level raised: all control members support it")
 }
 
--- a/internal/app/sitecontrol/levels_test.go
+++ b/internal/app/sitecontrol/levels_test.go
@@ -10,12 +10,12 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// A member without a recent report, such as one of an earlier build, keeps the level down.
+// A member without a recent report, such as one of an earlier build, limits the level.
 func TestCommonLevel(t *testing.T) {
 	now := time.Now()
-	shown := &group.PublishedState{}
-	shown.Status.ID = 1
-	shown.Records = []groupmember.Record{{ID: 1}, {ID: 2}, {ID: 3}}
+	published := &group.PublishedState{}
+	published.Status.ID = 1
+	published.Records = []groupmember.Record{{ID: 1}, {ID: 2}, {ID: 3}}
 	for name, row := range map[string]struct {
 		reported map[consensus.MemberID]reportedLevel
 		want     sitestate.Level
@@ -27,11 +27,11 @@
 		"one supports less":        {map[consensus.MemberID]reportedLevel{2: {sitestate.LevelFirst, now}, 3: {sitestate.LevelNewest, now}}, sitestate.LevelFirst},
 		"one supports newer level": {map[consensus.MemberID]reportedLevel{2: {sitestate.LevelNewest + 1, now}, 3: {sitestate.LevelNewest, now}}, sitestate.LevelNewest},
 	} {
-		known := newLevels()
+		negotiated := newLevels()
 		for id, reported := range row.reported {
-			known.record(id, reported.level, reported.at)
+			negotiated.record(id, reported.level, reported.at)
 		}
-		if got := known.common(shown, now); got != row.want {
+		if got := negotiated.common(published, now); got != row.want {
 			t.Errorf("%s: level %d, want %d", name, got, row.want)
 		}
 	}
--- a/internal/app/sitecontrol/loads.go
+++ b/internal/app/sitecontrol/loads.go
@@ -14,11 +14,11 @@
 const (
 	orderTimeout   = time.Second
 	reportInterval = 250 * time.Millisecond
-	// loadTimeout bounds a load; after it the load is planned again.
+	// loadTimeout limits a load; a load that exceeds it is planned again.
 	loadTimeout = 5 * time.Second
 	// unresponsiveAfter is how long a loading replica may leave requests unanswered.
 	unresponsiveAfter = time.Second
-	// minBackoff and maxBackoff bound the backoff of a replica after failed loads; it
+	// minBackoff and maxBackoff limit the backoff of a replica after failed loads; it
 	// doubles with each consecutive failure.
 	minBackoff = time.Second
 	maxBackoff = 8 * time.Second
@@ -76,9 +76,9 @@
 	w.backoffs[id] = w.backoffs[id].after(time.Now())
 }
 
-// order sends an order conditional on the replica's current order count, so that a late one
-// is rejected after another. A quorum confirms the lease right before: a new leader waits
-// for its expiry before it sends orders.
+// order sends an order conditional on the replica's current order count, so that the replica
+// rejects it once it has accepted another. A quorum confirms the lease right before: a new
+// leader waits for its expiry before it sends orders.
 func (w *weightsManager) order(ctx context.Context, target weightplan.Target) (int, error) {
 	attempt, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -102,7 +102,8 @@
 	})
 }
 
-// recordReport records a report's versions and reports whether the target is reached.
+// recordReport records the versions of a report that reaches the target, and reports whether
+// it does.
 func (w *weightsManager) recordReport(target weightplan.Target, report dialect.Report) bool {
 	served := sitestate.Replica{Models: report.Models}
 	if served.VersionOf(target.Model) < target.Version || report.Loading {
@@ -117,7 +118,7 @@
 // awaitVersion polls the replica until it serves the version. It gives up on an unresponsive
 // replica and on one whose zone is drained.
 func (w *weightsManager) awaitVersion(ctx context.Context, target weightplan.Target) bool {
-	answered := time.Now()
+	respondedAt := time.Now()
 	for {
 		if w.control.view.Load().IsDrained(target.Replica.Zone) {
 			return false
@@ -127,9 +128,9 @@
 			return true
 		}
 		if err == nil {
-			answered = time.Now()
+			respondedAt = time.Now()
 		}
-		if time.Since(answered) > unresponsiveAfter {
+		if time.Since(respondedAt) > unresponsiveAfter {
 			return false
 		}
 		select {
@@ -140,7 +141,7 @@
 	}
 }
 
-// report requests a replica's status, bounded by orderTimeout.
+// report requests a replica's status within orderTimeout.
 func (w *weightsManager) report(ctx context.Context, replica sitestate.Replica) (dialect.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/internal/app/sitecontrol/quarantine.go
+++ b/internal/app/sitecontrol/quarantine.go
@@ -37,15 +37,14 @@
 	})
 }
 
-// suspects expires suspects without recent events. It is owned by the goroutine of
-// Control.lead.
+// suspects removes suspects without recent events. The goroutine of Control.lead owns it.
 type suspects struct {
 	control   *Control
 	checkedAt time.Time
 	seen      map[quarantine.Fingerprint]seenSuspect
 }
 
-// seenSuspect records since when a suspect has its numbers of crashes and trials.
+// seenSuspect has a suspect's numbers of crashes and trials, and when they last changed.
 type seenSuspect struct {
 	crashes, trials int
 	since           time.Time
@@ -79,14 +78,14 @@
 func (s *suspects) expired(stored []quarantine.Suspect, now time.Time) (release []quarantine.Event) {
 	seen := make(map[quarantine.Fingerprint]seenSuspect, len(stored))
 	for _, suspect := range stored {
-		known := s.seen[suspect.Fingerprint]
-		if known.crashes != len(suspect.Replicas) || known.trials != suspect.Trials {
-			known = seenSuspect{crashes: len(suspect.Replicas), trials: suspect.Trials, since: now}
+		last := s.seen[suspect.Fingerprint]
+		if last.crashes != len(suspect.Replicas) || last.trials != suspect.Trials {
+			last = seenSuspect{crashes: len(suspect.Replicas), trials: suspect.Trials, since: now}
 		}
-		if now.Sub(known.since) > suspectTTL {
+		if now.Sub(last.since) > suspectTTL {
 			release = append(release, quarantine.Event{Kind: quarantine.EventReleased, Fingerprint: suspect.Fingerprint})
 		}
-		seen[suspect.Fingerprint] = known
+		seen[suspect.Fingerprint] = last
 	}
 	s.seen = seen
 	return release
--- a/internal/app/sitecontrol/recent.go
+++ b/internal/app/sitecontrol/recent.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRecentUpdates limits the cached updates; watchers are at few positions.
+	// maxRecentUpdates limits the cached updates; most watchers are at the same few positions.
 	maxRecentUpdates = 64
 	// minPackedReplicas is the number of replicas from which an update is packed once for
 	// all its watchers; packing smaller ones is cheaper than their frames.
--- a/internal/app/sitecontrol/refused.go
+++ b/internal/app/sitecontrol/refused.go
@@ -13,7 +13,8 @@
 // logInterval is the minimum time between two log lines of a logLimiter.
 const logInterval = time.Second
 
-// logLimiter limits the rate of log lines on lost reports. It is safe for concurrent use.
+// logLimiter limits the rate of log lines on rejected or lost reports. It is safe for
+// concurrent use.
 type logLimiter struct {
 	mutex    sync.Mutex
 	loggedAt time.Time
@@ -39,8 +40,8 @@
 	if !due {
 		return
 	}
-	const shown = 64
-	c.config.Logger.Warn().Str(eventlog.Field, eventlog.HeartbeatRejected).Str("replica", name[:min(len(name), shown)]).
+	const maxNameBytes = 64
+	c.config.Logger.Warn().Str(eventlog.Field, eventlog.HeartbeatRejected).Str("replica", name[:min(len(name), maxNameBytes)]).
 		Str("field", string(fault.Field)).Str("reason", fault.Reason).Int("count", count).Msg("invalid heartbeats rejected")
 }
 
--- a/internal/app/sitecontrol/regions.go
+++ b/internal/app/sitecontrol/regions.go
@@ -73,7 +73,7 @@
 	return slices.DeleteFunc(free, func(store sitestate.Store) bool { return s.regionOf(store.Zone) != best })
 }
 
-// membersOf lists the machines that report a shard as theirs, and its founders.
+// membersOf lists the machines that report a shard as theirs, and its founders that report none.
 func (s *stores) membersOf(view *sitestate.View, number sitestate.ShardNumber) []sitestate.Store {
 	founders := map[string]bool{}
 	for _, shard := range view.Shards {
--- a/internal/app/sitecontrol/registrar.go
+++ b/internal/app/sitecontrol/registrar.go
@@ -17,7 +17,7 @@
 	// maxConcurrentEntries limits the entries in flight to what the log appends with a few
 	// syncs.
 	maxConcurrentEntries = 256
-	// entryTimeout bounds one entry. It exceeds the replicas' own timeout, so that a slow
+	// entryTimeout limits one entry. It exceeds the replicas' own timeout, so that a slow
 	// entry finishes instead of restarting with each retry of the replica.
 	entryTimeout = 4 * time.Second
 )
@@ -27,7 +27,7 @@
 type registrar struct {
 	control *Control
 	mutex   sync.Mutex
-	// pending finds the queued or in-flight entry of a replica start.
+	// pending has the queued or in-flight entry of each replica start.
 	pending map[reportKey]*reportEntry
 	queue   []*reportEntry
 	// running is set while a goroutine processes the queue.
--- a/internal/app/sitecontrol/reportercount.go
+++ b/internal/app/sitecontrol/reportercount.go
@@ -16,7 +16,7 @@
 
 const reporterPeriod = 5 * time.Second
 
-// pause records a reporter and returns the time that it must leave between two reports.
+// pause records a reporter and returns how long it must wait before its next report.
 func (c *reporterCount) pause(reporter string, now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/app/sitecontrol/reports.go
+++ b/internal/app/sitecontrol/reports.go
@@ -56,7 +56,7 @@
 	control *Control
 	mutex   sync.Mutex
 	queue   []*pendingReport
-	// pending finds the queued or in-flight report of a replica start; equivalent reports
+	// pending has the queued or in-flight report of each replica start; equivalent reports
 	// share it.
 	pending map[reportKey]*pendingReport
 	// sending is set while a goroutine sends batches.
--- a/internal/app/sitecontrol/shards.go
+++ b/internal/app/sitecontrol/shards.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// DefaultSlotsPerShard is how many slots of engines one shard's leader serves. It
+	// DefaultSlotsPerShard is how many engine slots one shard's leader serves. It
 	// leaves headroom for slow machines.
 	DefaultSlotsPerShard = 115
 	// foundingDelay is the time without new machines before shards are founded, so that
@@ -23,7 +23,7 @@
 	// it founds a shard with fewer.
 	foundingTimeout = 6 * time.Second
 	// placementDelay is the time without new machines before the configured models are
-	// placed, which is permanent. An earlier job places its model immediately.
+	// placed permanently. A job that arrives earlier places its model immediately.
 	placementDelay = 4 * time.Second
 	// joinTimeout is how long an invited machine may take to join before another one is
 	// invited.
@@ -43,8 +43,8 @@
 	}
 }
 
-// updateShards founds the wanted number of shards, then places the configured models. Later
-// shards would get no jobs.
+// updateShards founds the wanted number of shards, then places the configured models. A shard
+// founded after that would get no jobs.
 func (s *stores) updateShards(ctx context.Context, view *sitestate.View) {
 	now := time.Now()
 	if grown := len(view.Stores) + len(view.Shards); grown != s.size {
@@ -65,13 +65,13 @@
 
 // engineSlots returns the number of slots of all engines of the site.
 func (s *stores) engineSlots(view *sitestate.View) int {
-	places := 0
+	slots := 0
 	for _, service := range s.control.engineServices() {
 		for replica := range view.ByService[service.Name].All() {
-			places += max(replica.Slots, 1)
+			slots += max(replica.Slots, 1)
 		}
 	}
-	return places
+	return slots
 }
 
 // foundShard names the founders of the next shard once there are enough machines, or with
@@ -211,8 +211,8 @@
 // joinTimedOut reports whether an invited machine failed to join in time. It is invited
 // again after another joinTimeout.
 func (s *stores) joinTimedOut(name string) bool {
-	invited, was := s.invited[name]
-	if !was {
+	invited, pending := s.invited[name]
+	if !pending {
 		return false
 	}
 	since := time.Since(invited)
--- a/internal/app/sitecontrol/shards_test.go
+++ b/internal/app/sitecontrol/shards_test.go
@@ -90,23 +90,23 @@
 // A group that did not report may depend on the machine.
 func TestMachineIsEmptiedOnceGroupsAreComplete(t *testing.T) {
 	s := storesOf("f0")
-	if !s.isEmptied("f0", 2) || s.isEmptied("s1-0", 2) {
-		t.Error("want a free machine emptied and a member not")
+	if !s.isEvacuated("f0", 2) || s.isEvacuated("s1-0", 2) {
+		t.Error("want a free machine evacuated and a member not")
 	}
 	without := s.reports[1]
 	without.members, without.complete = []string{"s1-1", "s1-2"}, false
 	s.reports[1] = without
-	if s.isEmptied("s1-0", 2) {
-		t.Error("emptied while its group is not complete without it")
+	if s.isEvacuated("s1-0", 2) {
+		t.Error("evacuated while its group is not complete without it")
 	}
 	without.members, without.complete = []string{"s1-1", "s1-2", "f0"}, true
 	s.reports[1] = without
-	if !s.isEmptied("s1-0", 2) {
-		t.Error("not emptied though its group is complete without it")
+	if !s.isEvacuated("s1-0", 2) {
+		t.Error("not evacuated though its group is complete without it")
 	}
 	delete(s.reports, 2)
-	if s.isEmptied("s1-0", 2) || s.isEmptied("s1-0", 0) {
-		t.Error("emptied while a group has not reported")
+	if s.isEvacuated("s1-0", 2) || s.isEvacuated("s1-0", 0) {
+		t.Error("evacuated while a group has not reported")
 	}
 }
 
--- a/internal/app/sitecontrol/stores.go
+++ b/internal/app/sitecontrol/stores.go
@@ -34,12 +34,12 @@
 
 // shardReport is a report of the leader of a shard's group.
 type shardReport struct {
-	// members are names of machines; complete is set if enough of them hold all data.
+	// members are names of machines; complete is set if enough voters store all data.
 	members  []string
 	complete bool
 	// freeSlots is how many further machines the group accepts.
 	freeSlots int
-	// demand is the work of jobs, open the recent maximum of concurrently open items, by
+	// demand is the demand of jobs, open the recent maximum of concurrently open items, by
 	// model.
 	demand map[string]float64
 	open   map[string]int
@@ -101,7 +101,7 @@
 	return view.Stores[i], true
 }
 
-// reportedDemand returns the work of jobs and the recent maximum of open items, by model, as
+// reportedDemand returns the demand of jobs and the recent maximum of open items, by model, as
 // last reported.
 func (s *stores) reportedDemand() (demand map[string]float64, open map[string]int) {
 	s.mutex.Lock()
@@ -129,7 +129,7 @@
 		return Answer{StoreState: store.State}, nil
 	}
 	if remaining := s.aliveWithout(name); remaining < s.minStores() {
-		s.control.config.Logger.Warn().Str(eventlog.Field, eventlog.StoreEvacuationRejected).Str("store", name).Int("remaining", remaining).Int("needed", s.minStores()).Msg("too few store machines would stay")
+		s.control.config.Logger.Warn().Str(eventlog.Field, eventlog.StoreEvacuationRejected).Str("store", name).Int("remaining", remaining).Int("needed", s.minStores()).Msg("evacuation rejected: too few store machines would remain")
 		return Answer{TooFew: true}, nil
 	}
 	outcome, err := s.control.propose(ctx, sitestate.Command{Evacuate: &sitestate.Evacuate{Name: name}})
@@ -182,16 +182,16 @@
 	view := s.control.view.Load()
 	s.updateShards(ctx, view)
 	for _, store := range view.Stores {
-		if store.State == sitestate.StoreLeaving && s.isEmptied(store.Name, len(view.Shards)) {
+		if store.State == sitestate.StoreLeaving && s.isEvacuated(store.Name, len(view.Shards)) {
 			_, err := s.control.propose(ctx, sitestate.Command{Evacuate: &sitestate.Evacuate{Name: store.Name, Done: true}})
 			s.control.config.Logger.Info().Str(eventlog.Field, eventlog.StoreEvacuationDone).Str("store", store.Name).Err(err).Msg("evacuation of a store machine completed")
 		}
 	}
 }
 
-// isEmptied reports whether every shard's group is complete without a machine. A group that
+// isEvacuated reports whether every shard's group is complete without a machine. A group that
 // has not reported may depend on it.
-func (s *stores) isEmptied(name string, shards int) bool {
+func (s *stores) isEvacuated(name string, shards int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for number := range shards {
--- a/internal/app/sitecontrol/usage.go
+++ b/internal/app/sitecontrol/usage.go
@@ -19,12 +19,12 @@
 	closeShare = 0.4
 	// usageCheckInterval is the period of the leader's checks for windows to close and report.
 	usageCheckInterval = 300 * time.Millisecond
-	// usageTimeout bounds one call to the provider; minUsageBackoff and maxUsageBackoff
-	// bound the backoff after failures, which doubles.
+	// usageTimeout limits one call to the provider; minUsageBackoff and maxUsageBackoff
+	// limit the backoff after failures, which doubles.
 	usageTimeout    = 2 * time.Second
 	minUsageBackoff = 200 * time.Millisecond
 	maxUsageBackoff = 2 * time.Second
-	// reportersPerSecond is the rate of reports from all fronts that the leader aims at.
+	// reportersPerSecond is the target rate of reports from all fronts.
 	reportersPerSecond = 200
 	// maxUsageBatch limits the reports of one log entry.
 	maxUsageBatch = 256
--- a/internal/app/sitecontrol/watch.go
+++ b/internal/app/sitecontrol/watch.go
@@ -73,21 +73,21 @@
 	defer c.removeWake(wake)
 	after, sentMembers, sent := request.After, 0, time.Time{}
 	for {
-		shown := c.member.PublishedState()
-		if shown == nil {
+		published := c.member.PublishedState()
+		if published == nil {
 			return port.NewError(port.NotRun, port.CodeUnavailable, "this member has not joined the group yet")
 		}
 		answer, err := c.answerAfter(ctx, after, request.Interest)
 		if err != nil {
 			return err
 		}
-		if !shown.Confirmed {
+		if !published.Confirmed {
 			return c.sendUnconfirmed(call, answer)
 		}
 		update := &answer.Update
 		update.Confirmed = true
-		if count := len(shown.Records); count != sentMembers {
-			sentMembers, update.Members = count, shown.Records
+		if count := len(published.Records); count != sentMembers {
+			sentMembers, update.Members = count, published.Records
 		}
 		if len(answer.Packed) > 0 || !update.Empty() || time.Since(sent) >= siteview.HeartbeatInterval {
 			if err := call.Send(answer); err != nil {
--- a/internal/app/sitecontrol/weights.go
+++ b/internal/app/sitecontrol/weights.go
@@ -17,7 +17,7 @@
 
 const (
 	// minConcurrentLoads, maxServiceLoadShare and maxModelLoadShare limit the replicas
-	// that load: of a service, and of one model's replicas in it.
+	// that load concurrently: those of a service, and those of one of its models.
 	minConcurrentLoads  = 2
 	maxServiceLoadShare = 0.2
 	maxModelLoadShare   = 0.34
--- a/internal/app/sitecontrol/weights_test.go
+++ b/internal/app/sitecontrol/weights_test.go
@@ -28,13 +28,13 @@
 	view := &sitestate.View{Replicas: sitestate.SetOf(sitestate.Replica{ID: "i"})}
 	w.readyReplicas(view, "s")
 	if len(w.backoffs) != 1 {
-		t.Error("the failures of a known replica were dropped")
+		t.Error("the failures of a registered replica were dropped")
 	}
 	w.finishLoad("i", true)
 	if len(w.backoffs) != 0 {
 		t.Error("in backoff after a successful load")
 	}
-	w.finishLoad("gone", false)
+	w.finishLoad("removed", false)
 	w.readyReplicas(view, "s")
 	if len(w.backoffs) != 0 {
 		t.Error("the backoff of a removed replica remains")
--- a/internal/app/sitecontrol/wholeview.go
+++ b/internal/app/sitecontrol/wholeview.go
@@ -9,7 +9,7 @@
 )
 
 // fullViewTTL is how long a full view is sent to new watchers, together with the changes
-// since. Many start at once after a power failure.
+// since. Many watchers start concurrently after a power failure.
 const fullViewTTL = 2 * time.Second
 
 // fullView caches the packed state that is sent to new watchers. It is safe for concurrent
