--- a/internal/app/proxy/candidates.go
+++ b/internal/app/proxy/candidates.go
@@ -12,13 +12,13 @@
 // candidates lists the replicas that may be sent a request now.
 type candidates struct {
 	replicas []*sitestate.Replica
-	// coldRemaining is how long the first of the excluded cold replicas stays cold, 0 if
+	// coldRemaining is the time until the first of the excluded cold replicas is warm, 0 if
 	// none was excluded.
 	coldRemaining time.Duration
 }
 
 // candidates returns the replicas that may be sent a request now: those in its allowed
-// regions, without the cold ones beyond this process's share.
+// regions, except cold ones that have received this process's share of their requests.
 func (p *Proxy) candidates(request *Request, now time.Time) candidates {
 	view := p.view()
 	if view == nil {
@@ -35,11 +35,11 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, replica := range all {
-		left := view.ColdLeft(replica.ID, now)
-		if left == 0 || (share.Has(p.sender, replica.ID) && p.window(replica.ID).Remaining(share.PerSpan, now) > 0) {
+		remaining := view.ColdLeft(replica.ID, now)
+		if remaining == 0 || (share.Has(p.sender, replica.ID) && p.window(replica.ID).Remaining(share.PerSpan, now) > 0) {
 			eligible.replicas = append(eligible.replicas, replica)
-		} else if eligible.coldRemaining == 0 || left < eligible.coldRemaining {
-			eligible.coldRemaining = left
+		} else if eligible.coldRemaining == 0 || remaining < eligible.coldRemaining {
+			eligible.coldRemaining = remaining
 		}
 	}
 	return eligible
@@ -63,13 +63,13 @@
 	if view.Table == nil {
 		return limits
 	}
-	if described := view.Table.Service(service); described != nil {
-		limits.Rate = described.WarmupRate
+	if config := view.Table.Service(service); config != nil {
+		limits.Rate = config.WarmupRate
 	}
 	return limits
 }
 
-// window returns the window of recent sends to a replica. The mutex must be held.
+// window returns the window of recent sends to a replica. The caller must hold p.mutex.
 func (p *Proxy) window(id string) *coldlimit.Window {
 	window := p.windows[id]
 	if window == nil {
@@ -79,7 +79,8 @@
 	return window
 }
 
-// recordSent counts a request against the limit of a cold replica. The mutex must be held.
+// recordSent counts a request against the limit of a cold replica. The caller must hold
+// p.mutex.
 func (p *Proxy) recordSent(service, id string, now time.Time) {
 	view := p.view()
 	if view != nil && p.coldLimits(view, service).Bounded() {
--- a/internal/app/proxy/candidates_test.go
+++ b/internal/app/proxy/candidates_test.go
@@ -18,8 +18,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// coldView returns a view with replicas of service "s", of which the given ones are cold
-// for 3 s.
+// coldView returns a view with replicas of service "s"; cold lists the indexes of those that
+// are cold for 3 s.
 func coldView(senders uint32, replicas int, cold ...int) *siteview.View {
 	state := &sitestate.View{Senders: senders, ByService: map[string]sitestate.ReplicaList{}}
 	view := siteview.NewView(state, routing.NewTable(&routing.Document{Services: []routing.Service{{Name: "s", Warmup: 3 * time.Second, WarmupRate: 16}}}))
--- a/internal/app/proxy/exchange.go
+++ b/internal/app/proxy/exchange.go
@@ -55,8 +55,8 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
-	// arrivedAt is when the request arrived, and expiresAt when its caller's deadline ends,
-	// 0 for none, by the proxy's clock.
+	// arrivedAt is when the request arrived, and expiresAt its caller's deadline, 0 for none;
+	// both are readings of the proxy's clock.
 	arrivedAt, expiresAt time.Duration
 
 	results chan result
@@ -71,7 +71,7 @@
 	notSent    int // tries of which nothing was sent
 	rounds     int
 	lastErr    error
-	// crashedReplicas closed the connection while running the request.
+	// crashedReplicas are the replicas that closed the connection while running the request.
 	crashedReplicas []string
 	// admission is the guard's decision; withheld is set once the request must not be sent
 	// again.
@@ -127,7 +127,7 @@
 				return e.finish()
 			}
 		case <-hedge.C:
-			// A stream must not run at two replicas concurrently.
+			// A stream must not run on two replicas concurrently.
 			if e.mayTryAgain() && e.inFlight == 1 && !e.request.Stream {
 				e.launch()
 			}
@@ -211,7 +211,7 @@
 	case e.mayHaveRun > 0:
 		return nil, e.fail(port.CodeBackEnd, reason)
 	case e.withheld:
-		return nil, e.fail(port.CodeWithheld, "replicas have ended under this request")
+		return nil, e.fail(port.CodeWithheld, "replicas crashed while running this request")
 	default:
 		return nil, e.fail(port.CodeQueueFull, reason)
 	}
@@ -222,7 +222,7 @@
 	if errors.Is(context.Cause(e.ctx), context.DeadlineExceeded) {
 		return e.fail(port.CodeDeadline, "no answer in time")
 	}
-	return e.fail(port.CodeCancelled, "the caller left")
+	return e.fail(port.CodeCancelled, "the caller disconnected")
 }
 
 func (e *exchange) fail(code port.Code, reason string) *Failure {
@@ -248,13 +248,13 @@
 	if e.expiresAt == 0 {
 		return false
 	}
-	left := e.expiresAt - e.proxy.clock()
-	if deadline, _ := e.ctx.Deadline(); left > 0 && time.Until(deadline)-left > boottime.MinSuspension {
-		ctx, cancel := context.WithTimeout(e.ctx, left)
+	remaining := e.expiresAt - e.proxy.clock()
+	if deadline, _ := e.ctx.Deadline(); remaining > 0 && time.Until(deadline)-remaining > boottime.MinSuspension {
+		ctx, cancel := context.WithTimeout(e.ctx, remaining)
 		cancelParent := e.cancel
 		e.ctx, e.cancel = ctx, func() { cancel(); cancelParent() }
 	}
-	return left <= 0
+	return remaining <= 0
 }
 
 // launch starts a try. It returns false if there is no replica to try, the caller's deadline
@@ -330,7 +330,7 @@
 	succeeded := response.StatusCode/100 == 2
 	if succeeded && (response.Header.Get(e.proxy.headers.RequestID) == "" || response.Header.Get(e.proxy.headers.Signature) == "") {
 		_ = response.Body.Close()
-		return result{class: classMayHaveRun, reason: errors.New("a success without its id or seal")}
+		return result{class: classMayHaveRun, reason: errors.New("a successful answer without the request's id or a signature")}
 	}
 	if e.request.Stream && succeeded {
 		answer.Stream = response
@@ -355,12 +355,12 @@
 	}
 }
 
-// unbufferedBody is the body of an answer that exceeds the memory budget: what was read
-// already, then the rest.
+// unbufferedBody is the body of an answer that exceeds the memory budget: the part that was
+// already read, then the rest.
 type unbufferedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// maxRefusalBytes limits what is read of a refusal's body to keep its connection.
+// maxRefusalBytes limits how much of a refusal's body is read to reuse its connection.
 const maxRefusalBytes = 16 << 10
--- a/internal/app/proxy/exchange_test.go
+++ b/internal/app/proxy/exchange_test.go
@@ -73,7 +73,7 @@
 			run := &exchange{proxy: sender, ctx: ctx}
 			res := run.send(sitestate.Replica{ID: "r", Address: listener.Addr().String()}, replicacall.Request{Method: http.MethodPost, Target: "/x", Host: "h", ID: "1"})
 			if got := res.class == classMayHaveRun && httpcall.IsConnectionClosed(res.reason); got != row.want {
-				t.Errorf("broke off %v, want %v: class %d, %v", got, row.want, res.class, res.reason)
+				t.Errorf("counts as a crash: %v, want %v: class %d, %v", got, row.want, res.class, res.reason)
 			}
 		})
 	}
@@ -136,15 +136,15 @@
 	// On a busy machine a second send may start before the first is answered.
 	var mutex sync.Mutex
 	var received []int
-	record := func(left int) (count int) {
+	record := func(millis int) (count int) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		received = append(received, left)
+		received = append(received, millis)
 		return len(received)
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		left, _ := strconv.Atoi(r.Header.Get(testDialect{}.Headers().Deadline))
-		count := record(left)
+		millis, _ := strconv.Atoi(r.Header.Get(testDialect{}.Headers().Deadline))
+		count := record(millis)
 		suspended.Store(int64(10 * time.Second))
 		if count == 1 {
 			panic(http.ErrAbortHandler)
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -36,7 +36,7 @@
 	guard    *guard.Guard
 	clock    boottime.Clock
 
-	held *membudget.Budget
+	memoryBudget *membudget.Budget
 	// sender and cold determine how many requests this process may send to cold replicas.
 	sender string
 	cold   coldlimit.Limits
@@ -57,8 +57,8 @@
 	Connections int
 	// MemoryBudget limits the memory for answers; nil means no limit.
 	MemoryBudget *membudget.Budget
-	// Sender identifies the process among the senders. Cold are the limits for its cold
-	// replicas in addition to their service's rate.
+	// Sender identifies the process among the senders. Cold is the tolerance of the limits
+	// of cold replicas; each service sets its own rate.
 	Sender string
 	Cold   coldlimit.Limits
 	// Guard withholds requests that crash replicas; nil withholds none.
@@ -72,7 +72,7 @@
 	return &Proxy{
 		client: replicacall.New(config.Dialect, config.Connections), headers: config.Dialect.Headers(), readLoad: config.Dialect.ReadLoad,
 		view: config.View, logger: config.Logger, guard: config.Guard, clock: config.Clock.OrSystem(), balancer: balance.New(),
-		held: config.MemoryBudget, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
+		memoryBudget: config.MemoryBudget, sender: config.Sender, cold: config.Cold, windows: map[string]*coldlimit.Window{},
 	}
 }
 
@@ -94,7 +94,7 @@
 	Stream bool
 }
 
-// fingerprint returns the same value for equivalent requests.
+// fingerprint returns a hash that is the same for equivalent requests.
 func (r *Request) fingerprint() quarantine.Fingerprint { return r.identity().Fingerprint() }
 
 func (r *Request) identity() *quarantine.Request {
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	run := &exchange{
 		proxy: p, request: request, ctx: ctx, cancel: cancel, startedAt: time.Now(),
-		tried: map[string]bool{}, results: make(chan result, maxTries), reservation: p.held.NewReservation(),
+		tried: map[string]bool{}, results: make(chan result, maxTries), reservation: p.memoryBudget.NewReservation(),
 	}
 	run.arrivedAt = p.clock()
 	if deadline, limited := ctx.Deadline(); limited {
@@ -191,8 +191,8 @@
 // noReplicaReason returns why there is no replica to send to, and when there may be one
 // again, 0 if unknown.
 func (p *Proxy) noReplicaReason(request *Request) (reason string, retryAfter time.Duration) {
-	if left := p.candidates(request, time.Now()).coldRemaining; left > 0 {
-		return "the replicas of the service are cold, and this process has no share of what they bear", left
+	if remaining := p.candidates(request, time.Now()).coldRemaining; remaining > 0 {
+		return "the replicas of the service are cold, and this process has no share of their requests now", remaining
 	}
 	if request.AllowedRegions.Restricted() {
 		return "no replica of the service is known in the regions where the request may be served: " + request.AllowedRegions.String(), 0
