--- a/internal/app/front/authorize.go
+++ b/internal/app/front/authorize.go
@@ -27,7 +27,7 @@
 	return c.tenant.Name
 }
 
-// access returns the limits on the jobs that the caller may reach; nil means none.
+// access returns the restriction of the jobs that the caller may access; nil if there is none.
 func (c Caller) access() *jobstate.Access {
 	if !c.restricted {
 		return nil
@@ -63,7 +63,7 @@
 		return Caller{}, false
 	}
 	if !public && f.config.RevokeWithin > 0 && !f.config.Watcher.ConfirmedWithin(f.config.RevokeWithin) {
-		f.reject(w, r, "", "the key may have been taken away meanwhile")
+		f.reject(w, r, "", "the key may have been revoked")
 		return Caller{}, false
 	}
 	return caller, true
--- a/internal/app/front/front.go
+++ b/internal/app/front/front.go
@@ -79,7 +79,7 @@
 	OutcomeWithheld = "withheld"
 )
 
-// Front serves callers.
+// Front is the HTTP handler of callers' requests.
 type Front struct {
 	config   Config
 	headers  dialect.Headers
@@ -152,7 +152,7 @@
 	switch status {
 	case 0:
 	case http.StatusServiceUnavailable:
-		f.reject(w, r, route.Name, "there is no room to hold the request's body")
+		f.reject(w, r, route.Name, "the memory budget has no space for the request's body")
 		return
 	default:
 		f.writeError(w, r, route.Name, status, "the body could not be read")
--- a/internal/app/front/jobs.go
+++ b/internal/app/front/jobs.go
@@ -24,11 +24,11 @@
 )
 
 // submit accepts a job. It responds with 202 once the group of the job's shard has stored
-// the job, and with 504 if the outcome is unknown: 503 would promise that no part of the
+// the job, and with 504 if the outcome is unknown: 503 would guarantee that no part of the
 // job runs.
 func (f *Front) submit(w http.ResponseWriter, r *http.Request, route *routing.Route, caller Caller, body []byte) {
 	if r.Method != http.MethodPost {
-		f.writeError(w, r, route.Name, http.StatusMethodNotAllowed, "jobs are handed in by POST")
+		f.writeError(w, r, route.Name, http.StatusMethodNotAllowed, "jobs are submitted by POST")
 		return
 	}
 	submission, err := f.config.Dialect.DecodeJob(body)
@@ -71,7 +71,7 @@
 }
 
 // ReadJob returns results of a job from a position on, and waits up to wait for the first
-// of them. Found is false if the job does not exist. An error means that the state of the
+// of them. found is false if the job does not exist. An error means that the state of the
 // job could not be read.
 func (f *Front) ReadJob(ctx context.Context, caller Caller, job string, from int, wait time.Duration) (page jobstate.Page, found bool, err error) {
 	wait = min(max(0, wait), maxWait)
--- a/internal/app/front/slowreader.go
+++ b/internal/app/front/slowreader.go
@@ -58,7 +58,7 @@
 	reservation := f.config.MemoryBudget.NewReservation()
 	defer reservation.Close()
 	if !reservation.Reserve(int64(len(body))) {
-		f.reject(w, r, "", "there is no room to hold the answer")
+		f.reject(w, r, "", "the memory budget has no space for the answer")
 		return
 	}
 	w.Header().Set("Content-Type", contentType)
--- a/internal/app/front/usage.go
+++ b/internal/app/front/usage.go
@@ -21,7 +21,7 @@
 
 // UsageReporter reports the request counts of tenants to the control group. It reports the
 // first requests immediately, so that a crash loses few of them, and later ones in batches.
-// It is safe for concurrent use. Run must be running.
+// It is safe for concurrent use and reports only while Run runs.
 type UsageReporter struct {
 	// send reports to the control group. It returns the pause before the next report once
 	// the report is stored.
