--- a/internal/app/group/calls.go
+++ b/internal/app/group/calls.go
@@ -24,8 +24,8 @@
 	return m.onLeader(ctx, shard, func(l *loop, token uint64) { l.member.Propose(token, command) }, nil)
 }
 
-// Read runs read in the loop, if this member leads, on a state with every command committed
-// before the call.
+// Read runs read in the loop, if this member leads, on a state that includes every command
+// committed before the call.
 func (m *Member) Read(ctx context.Context, read func(machine groupmember.StateMachine)) error {
 	return m.ReadFrom(ctx, AnyShard, read)
 }
@@ -42,6 +42,8 @@
 	err    error
 }
 
+// onLeader runs start in the loop, if this member leads, and returns the reply. After a
+// successful reply, it runs read in the loop, unless read is nil.
 func (m *Member) onLeader(ctx context.Context, shard Shard, start func(l *loop, token uint64), read func(groupmember.StateMachine)) (any, error) {
 	l := m.current.Load()
 	if l == nil {
@@ -80,8 +82,8 @@
 		return nil, eris.Wrap(&NotLeaderError{}, "context ended while the request queue was full")
 	}
 	select {
-	case answered := <-done:
-		return answered.result, answered.err
+	case reply := <-done:
+		return reply.result, reply.err
 	case <-l.stopped:
 		return nil, groupmember.ErrLeadershipLost
 	case <-ctx.Done():
@@ -132,7 +134,7 @@
 	}
 }
 
-// TransferLeadership transfers leadership to another voter before a planned stop. It waits
+// TransferLeadership transfers leadership to another voter before a graceful stop. It waits
 // up to an election timeout for another member to lead.
 func (m *Member) TransferLeadership(ctx context.Context) {
 	l := m.current.Load()
--- a/internal/app/group/config.go
+++ b/internal/app/group/config.go
@@ -29,7 +29,8 @@
 	// snapshot, so that a slightly lagging follower needs no snapshot.
 	retainEntries = 512
 	retainBytes   = 2 << 20
-	maxBatch      = 512
+	// maxBatch limits the events that share one sync.
+	maxBatch = 512
 )
 
 // Shard distinguishes groups of one name whose members use the same addresses. A member
@@ -41,7 +42,7 @@
 
 // Origin describes how a member with an empty folder bootstraps or joins the group.
 type Origin struct {
-	// Shard is the group among those of its name; 0 if there is only one.
+	// Shard identifies the group among those of its name; 0 if there is only one.
 	Shard Shard
 	// Founders are the initial members, which bootstrap the group; any other member
 	// joins.
@@ -129,8 +130,8 @@
 	// LeaderReady is set on a leader that is in contact with a quorum and has applied every
 	// command committed in earlier terms.
 	LeaderReady bool
-	// CaughtUp is set if everything is applied that was committed at the leader's latest
-	// message.
+	// CaughtUp is set if the member has applied every command that was committed when the
+	// leader sent its latest message.
 	CaughtUp bool
 	Applied  uint64
 	Records  []groupmember.Record
--- a/internal/app/group/identity.go
+++ b/internal/app/group/identity.go
@@ -40,7 +40,7 @@
 
 func (f folder) logPath() string { return filepath.Join(f.path, logFolder) }
 
-// load reads the identity. Found is false for an empty or incomplete folder.
+// load reads the identity. found is false for an empty or incomplete folder.
 func (f folder) load() (stored identity, found bool, err error) {
 	data, err := f.files.ReadFile(filepath.Join(f.path, identityFile))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/app/group/join.go
+++ b/internal/app/group/join.go
@@ -12,13 +12,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// joinRequest requests a member id. Record has none yet.
+// joinRequest requests a member id. Record has no id yet.
 type joinRequest struct {
 	Record groupmember.Record `cbor:"1,keyasint"`
 	Shard  Shard              `cbor:"2,keyasint,omitempty"`
 }
 
-// joinAnswer returns the id, or the leader to call instead.
+// joinAnswer has the id, or the address of the leader to call instead.
 type joinAnswer struct {
 	ID      consensus.MemberID   `cbor:"1,keyasint,omitempty"`
 	Records []groupmember.Record `cbor:"2,keyasint,omitempty"`
@@ -32,7 +32,7 @@
 	errOtherShard = eris.New("this member is of another shard")
 )
 
-// join requests an id from a shard's group, following the answers to the leader.
+// join requests an id from a shard's group, following redirects to the leader.
 func (m *Member) join(ctx context.Context, incarnation string, shard Shard, contacts []string) (identity, error) {
 	request := joinRequest{Record: m.config.Self, Shard: shard}
 	request.Record.Incarnation = incarnation
@@ -52,8 +52,8 @@
 			return identity{ID: answer.ID, Shard: shard, Records: answer.Records}, nil
 		}
 		contacts = slices.Insert(contacts, 0, answer.Leader)
-		for _, known := range answer.Records {
-			contacts = append(contacts, known.Address)
+		for _, record := range answer.Records {
+			contacts = append(contacts, record.Address)
 		}
 	}
 	return identity{}, eris.New("no contacted member could add this one")
@@ -102,11 +102,11 @@
 			done <- joinAnswer{Leader: leader.Address, Records: records}
 			return
 		}
-		known := slices.IndexFunc(records, func(r groupmember.Record) bool {
+		existing := slices.IndexFunc(records, func(r groupmember.Record) bool {
 			return r.Address == record.Address && r.Incarnation == record.Incarnation && status.Membership.Contains(r.ID)
 		})
-		if known >= 0 {
-			done <- joinAnswer{ID: records[known].ID, Records: records}
+		if existing >= 0 {
+			done <- joinAnswer{ID: records[existing].ID, Records: records}
 			return
 		}
 		if !groupmember.AcceptsLearner(status, records, l.leaving(), record.Address, l.config.Limits) {
--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -41,8 +41,8 @@
 	// publishStep receives the state after each step.
 	publishStep func(Step)
 
-	// startedAt is by Config.Clock: leases and promises expire while the machine is
-	// suspended too.
+	// startedAt is a reading of Config.Clock: leases and guarantees expire while the machine
+	// is suspended too.
 	startedAt time.Duration
 	ticks     int64
 	// lastMaintenance is the tick of the last run of runMaintenance.
@@ -108,7 +108,7 @@
 }
 
 // wait blocks for the first event of a batch and processes it, after the ticks that have
-// passed.
+// elapsed.
 func (l *loop) wait(ctx context.Context, tick <-chan time.Time) error {
 	select {
 	case <-ctx.Done():
@@ -166,12 +166,12 @@
 // was blocked or the machine suspended.
 func (l *loop) catchUpTicks() {
 	due := int64((l.config.Clock() - l.startedAt) / l.config.Tick)
-	passed := due - l.ticks
-	if passed <= 0 {
+	elapsed := due - l.ticks
+	if elapsed <= 0 {
 		return
 	}
 	l.ticks = due
-	l.recordMissedTicks(int(passed - 1))
+	l.recordMissedTicks(int(elapsed - 1))
 	l.member.Tick()
 	if due-l.lastMaintenance >= maintenanceTicks {
 		l.lastMaintenance = due
--- a/internal/app/group/member.go
+++ b/internal/app/group/member.go
@@ -17,7 +17,7 @@
 
 const (
 	// joinRetryInterval is the pause between attempts to bootstrap or join the group, and
-	// slowJoinRetryInterval the pause after fastJoinRetries of them.
+	// slowJoinRetryInterval that after the first fastJoinRetries attempts.
 	joinRetryInterval     = 200 * time.Millisecond
 	slowJoinRetryInterval = time.Second
 	fastJoinRetries       = 15
@@ -44,7 +44,7 @@
 type Member struct {
 	config Config
 	peers  *peers
-	// hadID is set once the member had an id since the process started. Only Run's
+	// hadID is set once the member has had an id in this process. Only Run's
 	// goroutine accesses it.
 	hadID     bool
 	current   atomic.Pointer[loop]
--- a/internal/app/group/peers.go
+++ b/internal/app/group/peers.go
@@ -14,7 +14,7 @@
 	pool   *wire.Pool
 	method string
 	mutex  sync.Mutex
-	// addresses of members, from the member's identity and from the log.
+	// addresses are those of members, from the member's identity and from the log.
 	addresses map[consensus.MemberID]string
 }
 
--- a/internal/app/group/shard_test.go
+++ b/internal/app/group/shard_test.go
@@ -21,11 +21,11 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	var refusal *group.NotLeaderError
-	if _, err := leader.member.ProposeTo(ctx, 2, []byte("x")); !errors.As(err, &refusal) {
+	var notLeader *group.NotLeaderError
+	if _, err := leader.member.ProposeTo(ctx, 2, []byte("x")); !errors.As(err, &notLeader) {
 		t.Errorf("a command for another shard: %v", err)
 	}
-	if err := leader.member.ReadFrom(ctx, 2, nil); !errors.As(err, &refusal) {
+	if err := leader.member.ReadFrom(ctx, 2, nil); !errors.As(err, &notLeader) {
 		t.Errorf("a read for another shard: %v", err)
 	}
 	// The leader may change: on a busy machine it may not be scheduled for longer than an
@@ -36,7 +36,7 @@
 			return false
 		}
 		_, err := leader.member.ProposeTo(ctx, 0, []byte("x"))
-		if err != nil && !errors.As(err, &refusal) && !errors.Is(err, groupmember.ErrLeadershipLost) {
+		if err != nil && !errors.As(err, &notLeader) && !errors.Is(err, groupmember.ErrLeadershipLost) {
 			t.Errorf("a command for this shard: %v", err)
 		}
 		return err == nil
--- a/internal/app/group/standing.go
+++ b/internal/app/group/standing.go
@@ -10,13 +10,13 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// removalRequest asks a member whether another member was removed.
+// removalRequest queries whether another member was removed.
 type removalRequest struct {
 	ID    consensus.MemberID `cbor:"1,keyasint"`
 	Shard Shard              `cbor:"2,keyasint,omitempty"`
 }
 
-// removalAnswer is definite if Removed is set: a leader of Term has applied the removal.
+// removalAnswer reports a removal if Removed is set: a leader of Term has applied it.
 type removalAnswer struct {
 	Removed bool   `cbor:"1,keyasint,omitempty"`
 	Term    uint64 `cbor:"2,keyasint,omitempty"`
@@ -109,8 +109,8 @@
 // until the removal is committed.
 func (l *loop) removalStatus(request removalRequest) removalAnswer {
 	status, id := l.member.Status(), request.ID
-	_, known := l.member.Record(id)
-	if request.Shard != l.shard || !l.member.LeaderReady() || known || id > status.Membership.HighestID || status.Membership.Contains(id) {
+	_, listed := l.member.Record(id)
+	if request.Shard != l.shard || !l.member.LeaderReady() || listed || id > status.Membership.HighestID || status.Membership.Contains(id) {
 		return removalAnswer{}
 	}
 	return removalAnswer{Removed: true, Term: status.Term}
