--- a/internal/app/guard/guard.go
+++ b/internal/app/guard/guard.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// drainTimeout limits how long a stopping process waits to report what it observed.
-	// Other processes may observe it too.
+	// drainTimeout limits how long a stopping process waits to send its reports. Other
+	// processes may report the same crashes.
 	drainTimeout = 500 * time.Millisecond
-	// noTrialsRetryAfter is the retry time for a request that has no trial left.
+	// noTrialsRetryAfter is the RetryAfter of a request that has no trial left.
 	noTrialsRetryAfter = time.Minute
 	// trialRequestTimeout limits the request for a trial, for which the caller waits.
 	trialRequestTimeout = 300 * time.Millisecond
-	// trialPendingRetryAfter is the retry time while another sender's trial is pending.
+	// trialPendingRetryAfter is the RetryAfter while another sender's trial is pending.
 	trialPendingRetryAfter = 2 * time.Second
 )
 
-// trialDelays are how long a request must have been withheld, as seen here, before each
+// trialDelays are how long this process must have seen a request withheld before each
 // trial. The first gives a crashed replica time to restart; the second is longer because
 // each trial of a request that causes crashes costs a replica.
 var trialDelays = [quarantine.MaxTrials]time.Duration{4 * time.Second, 30 * time.Second}
@@ -45,8 +45,8 @@
 	Logger *log.Logger
 }
 
-// Guard decides which requests a process sends. It is safe for concurrent use. Run must be
-// running. A nil Guard withholds nothing.
+// Guard decides which requests a process sends. It is safe for concurrent use and reports
+// only while Run runs. A nil Guard withholds nothing.
 type Guard struct {
 	config Config
 	outbox *outbox
@@ -73,8 +73,8 @@
 // supersededBy reports whether suspect is a later withholding of the same request: it names
 // none of the replicas of this one.
 func (s withholding) supersededBy(suspect *quarantine.Suspect) bool {
-	known := func(replica string) bool { return slices.Contains(s.replicas, replica) }
-	return len(s.replicas) > 0 && !slices.ContainsFunc(suspect.Replicas, known)
+	named := func(replica string) bool { return slices.Contains(s.replicas, replica) }
+	return len(s.replicas) > 0 && !slices.ContainsFunc(suspect.Replicas, named)
 }
 
 // New returns a Guard.
@@ -100,9 +100,10 @@
 
 // Admission is the decision on a request.
 type Admission struct {
-	// Suspect is set if replicas crashed during the request: report if it is served.
+	// Suspect is set if replicas crashed during the request. If it is served, the caller
+	// must call RecordServed.
 	Suspect bool
-	// Withheld is set if it must not be sent. RetryAfter is when that may change.
+	// Withheld is set if it must not be sent. RetryAfter is the wait until that may change.
 	Withheld   bool
 	RetryAfter time.Duration
 	// Trial is set if it may be sent once, to one replica.
@@ -206,7 +207,7 @@
 }
 
 // track updates the state of a withheld request. The time since it was withheld restarts
-// with each trial. The mutex must be held.
+// with each trial. The caller must hold g.mutex.
 func (g *Guard) track(suspect *quarantine.Suspect, now time.Time) withholding {
 	state, known := g.withheld[suspect.Fingerprint]
 	switch {
@@ -283,8 +284,8 @@
 		return
 	}
 	g.mutex.Lock()
-	at, blamed := g.crashed[replica]
-	alive := blamed && sent.After(at)
+	at, presumed := g.crashed[replica]
+	alive := presumed && sent.After(at)
 	if alive {
 		delete(g.crashed, replica)
 		g.crashedCount.Store(int64(len(g.crashed)))
--- a/internal/app/guard/guard_test.go
+++ b/internal/app/guard/guard_test.go
@@ -36,7 +36,7 @@
 	outcome := sitestate.OutcomeIgnored
 	for _, event := range events {
 		g.received = append(g.received, event)
-		if _, taken := g.ledger.Apply(event); taken {
+		if _, applied := g.ledger.Apply(event); applied {
 			outcome = sitestate.OutcomeDone
 		}
 	}
@@ -292,6 +292,6 @@
 	g.Observe(&siteview.View{View: &sitestate.View{}})
 	g.Drain(context.Background())
 	if g.Admit(context.Background(), &testRequest) != (Admission{}) || g.Withholds(&testRequest) {
-		t.Error("withheld")
+		t.Error("a nil Guard withholds a request")
 	}
 }
--- a/internal/app/guard/outbox.go
+++ b/internal/app/guard/outbox.go
@@ -21,7 +21,7 @@
 	reportPause   = 50 * time.Millisecond
 )
 
-// outbox stores events until the control group has them.
+// outbox stores events until the control group has stored them.
 type outbox struct {
 	send   SendFunc
 	logger *log.Logger
