--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -38,9 +38,9 @@
 	// AssignShard returns the shard of a model that has none in the view yet. The control group
 	// chooses it, in one of the regions if any are given.
 	AssignShard func(ctx context.Context, model string, regions []string) (sitestate.ShardNumber, error)
-	// StoredWithin reports whether all machines that store a shard's jobs are in homes; nil
-	// means that regions are unknown.
-	StoredWithin func(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool
+	// StoredWithin reports whether all machines that store a shard's jobs are in the allowed
+	// regions; nil means that regions are unknown.
+	StoredWithin func(shard sitestate.ShardNumber, allowed routing.AllowedRegions) bool
 }
 
 // Client calls the groups of the shards. It is safe for concurrent use.
@@ -52,8 +52,8 @@
 	// leaders are the addresses of the last known leaders.
 	leaders map[sitestate.ShardNumber]string
 	shards  shardCache
-	// failedUntil is, by address of a member in the zone that failed, until when it is
-	// called last.
+	// failedUntil is the end of the backoff of a failed member in the zone, by address. Until
+	// then the member is called last.
 	failedUntil map[string]time.Time
 }
 
@@ -67,14 +67,14 @@
 
 // Submit submits a job to the shard of its model. It is safe to repeat: the shard accepts a
 // job once. The error's verdict is NotRun only if no member can have accepted the job. A job
-// whose shard is stored outside homes is rejected without being sent.
-func (c *Client) Submit(ctx context.Context, submission *jobstate.Submission, homes routing.AllowedRegions) (jobstate.AcceptOutcome, error) {
-	shard, err := c.shardOfModel(ctx, submission.Model, homes)
+// whose shard is stored outside the allowed regions is rejected without being sent.
+func (c *Client) Submit(ctx context.Context, submission *jobstate.Submission, allowed routing.AllowedRegions) (jobstate.AcceptOutcome, error) {
+	shard, err := c.shardOfModel(ctx, submission.Model, allowed)
 	if err != nil {
 		return 0, err
 	}
-	if homes.Restricted() && (c.config.StoredWithin == nil || !c.config.StoredWithin(shard, homes)) {
-		return 0, port.NewError(port.NotRun, port.CodeUnavailable, "the jobs of the model are kept outside the regions where the job may be: %s", homes)
+	if allowed.Restricted() && (c.config.StoredWithin == nil || !c.config.StoredWithin(shard, allowed)) {
+		return 0, port.NewError(port.NotRun, port.CodeUnavailable, "the jobs of the model are stored outside the regions that the job allows: %s", allowed)
 	}
 	answer, err := c.call(ctx, Request{Shard: shard, Submit: submission})
 	if err != nil {
@@ -84,14 +84,14 @@
 	return answer.Accepted, nil
 }
 
-func (c *Client) shardOfModel(ctx context.Context, model string, homes routing.AllowedRegions) (sitestate.ShardNumber, error) {
+func (c *Client) shardOfModel(ctx context.Context, model string, allowed routing.AllowedRegions) (sitestate.ShardNumber, error) {
 	if view := c.config.View(); view != nil {
 		if shard := view.ShardOf(model); shard != 0 {
 			return shard, nil
 		}
 	}
 	// Nothing was sent to a shard yet, so the job has certainly not run.
-	shard, err := c.config.AssignShard(ctx, model, homes.Regions())
+	shard, err := c.config.AssignShard(ctx, model, allowed.Regions())
 	if err == nil && shard == 0 {
 		err = eris.New("no shard is known")
 	}
@@ -101,20 +101,20 @@
 	return shard, nil
 }
 
-// Page returns results of a job. Found is false if no shard has it.
+// Page returns results of a job. found is false if no shard has it.
 func (c *Client) Page(ctx context.Context, request PageRequest) (page jobstate.Page, found bool, err error) {
 	answer, err := c.callByJob(ctx, request.Job, Request{Page: &request})
 	return answer.Page, !answer.Unknown, err
 }
 
-// Body returns the body of an item that is not listed yet. Found is false if no shard has
+// Body returns the body of an item that has no result yet. found is false if no shard has
 // it.
 func (c *Client) Body(ctx context.Context, request BodyRequest) (body []byte, found bool, err error) {
 	answer, err := c.callByJob(ctx, request.Job, Request{Body: &request})
 	return answer.Body, !answer.Unknown, err
 }
 
-// End ends a job. Found is false if no shard has it.
+// End ends a job. found is false if no shard has it.
 func (c *Client) End(ctx context.Context, request EndRequest) (found bool, err error) {
 	answer, err := c.callByJob(ctx, request.Job, Request{End: &request})
 	return !answer.Unknown, err
@@ -124,7 +124,7 @@
 func (c *Client) List(ctx context.Context) ([]JobSummary, error) {
 	view := c.config.View()
 	if view == nil {
-		return nil, port.NewError(port.NotRun, port.CodeUnavailable, "nothing of the site is known yet")
+		return nil, port.NewError(port.NotRun, port.CodeUnavailable, "no view of the site is available yet")
 	}
 	var jobs []JobSummary
 	for _, shard := range view.Shards {
@@ -149,7 +149,7 @@
 	// placed model has all shards.
 	view := c.config.View()
 	if view == nil || len(view.Placed) == 0 {
-		return Answer{}, port.NewError(port.NotRun, port.CodeUnavailable, "not all shards may be known")
+		return Answer{}, port.NewError(port.NotRun, port.CodeUnavailable, "the view may not have all shards yet")
 	}
 	first, others := splitByPlacement(view)
 	answer, err := c.callAny(ctx, job, request, first)
@@ -261,24 +261,24 @@
 }
 
 func (c *Client) callMember(ctx context.Context, address string, request Request) (Answer, error) {
-	limit := memberTimeout
+	timeout := memberTimeout
 	if request.Page != nil {
-		limit += time.Duration(request.Page.WaitMillis) * time.Millisecond
+		timeout += time.Duration(request.Page.WaitMillis) * time.Millisecond
 	}
-	return c.callWithTimeout(ctx, limit, address, request)
+	return c.callWithTimeout(ctx, timeout, address, request)
 }
 
-func (c *Client) callWithTimeout(ctx context.Context, limit time.Duration, address string, request Request) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (c *Client) callWithTimeout(ctx context.Context, timeout time.Duration, address string, request Request) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var answer Answer
 	err := c.pool.Client(address).Call(ctx, MethodCall, request, &answer)
 	return answer, err
 }
 
-// memberAddresses returns the addresses of a shard's members to call, the last known leader
-// first and members that failed recently late. The founders come last: they are known before
-// any machine has reported its shard.
+// memberAddresses returns the addresses of a shard's members to call: the last known leader,
+// then the others, with those that failed recently last, then the founders. The founders are
+// known before any machine has reported its shard.
 func (c *Client) memberAddresses(shard sitestate.ShardNumber) []string {
 	view := c.config.View()
 	if view == nil {
@@ -292,11 +292,11 @@
 	}
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	addresses = slices.Insert(c.sortFailedLast(addresses), 0, c.leader(shard))
-	for _, known := range view.Shards {
-		if known.Number != shard {
+	for _, candidate := range view.Shards {
+		if candidate.Number != shard {
 			continue
 		}
-		for _, founder := range known.Founders {
+		for _, founder := range candidate.Founders {
 			addresses = append(addresses, founder.Address)
 		}
 	}
--- a/internal/app/jobsapi/client_test.go
+++ b/internal/app/jobsapi/client_test.go
@@ -49,7 +49,7 @@
 	case request.End != nil:
 		return call.Send(jobsapi.Answer{Unknown: !slices.Contains(s.jobs, request.End.Job)})
 	default:
-		return port.NewError(port.NotRun, port.CodeInvalid, "not of this test")
+		return port.NewError(port.NotRun, port.CodeInvalid, "unexpected request")
 	}
 }
 
--- a/internal/app/jobsapi/jobsapi.go
+++ b/internal/app/jobsapi/jobsapi.go
@@ -30,9 +30,9 @@
 	// MaxBytes limits the page's texts.
 	MaxBytes int `cbor:"4,keyasint"`
 	// FromFollower allows a follower to answer if it has a result from the position on:
-	// listed results never change, so that a follower's are as good.
+	// results never change, so those of a follower are valid.
 	FromFollower bool `cbor:"5,keyasint,omitempty"`
-	// Access limits the jobs that the caller may reach.
+	// Access limits the jobs that the caller may access.
 	Access *jobstate.Access `cbor:"6,keyasint,omitempty"`
 }
 
@@ -40,14 +40,14 @@
 type BodyRequest struct {
 	Job  string `cbor:"1,keyasint"`
 	Item string `cbor:"2,keyasint"`
-	// Access limits the jobs that the caller may reach.
+	// Access limits the jobs that the caller may access.
 	Access *jobstate.Access `cbor:"3,keyasint,omitempty"`
 }
 
 // EndRequest ends a job.
 type EndRequest struct {
 	Job string `cbor:"1,keyasint"`
-	// Access limits the jobs that the caller may reach.
+	// Access limits the jobs that the caller may access.
 	Access *jobstate.Access `cbor:"2,keyasint,omitempty"`
 }
 
--- a/internal/app/jobsapi/near.go
+++ b/internal/app/jobsapi/near.go
@@ -15,7 +15,7 @@
 	failureBackoff = 3 * time.Second
 )
 
-// callZoneMember requests a page from a member in the client's zone, leader or not. Found is
+// callZoneMember requests a page from a member in the client's zone, leader or not. found is
 // false if the leader must be called: the zone has no such member, or the member has no
 // result from the position on.
 func (c *Client) callZoneMember(ctx context.Context, request Request) (answer Answer, found bool) {
@@ -76,7 +76,8 @@
 	return append(others, failed...)
 }
 
-// recentlyFailed reports whether a member is in its failure backoff. The mutex must be held.
+// recentlyFailed reports whether a member is in its failure backoff. The caller must hold
+// c.mutex.
 func (c *Client) recentlyFailed(address string) bool {
 	return time.Now().Before(c.failedUntil[address])
 }
