--- a/internal/app/siteview/cold_test.go
+++ b/internal/app/siteview/cold_test.go
@@ -38,7 +38,7 @@
 		"original unchanged by updates": {first, 0, 3 * time.Second},
 	} {
 		if got := remaining(row.cold, "i", row.after); got != row.want {
-			t.Errorf("%s: %v left, want %v", name, got, row.want)
+			t.Errorf("%s: remaining %v, want %v", name, got, row.want)
 		}
 	}
 	if len(expired) != 1 {
--- a/internal/app/siteview/regions.go
+++ b/internal/app/siteview/regions.go
@@ -8,17 +8,17 @@
 // RegionOf returns the region of a zone, empty if unknown.
 func (v *View) RegionOf(zone string) string { return v.zones[zone] }
 
-// StoredWithin reports whether all machines that store a shard's jobs are in homes: the members
-// of its group and its founders.
-func (v *View) StoredWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
-	if !homes.Restricted() {
+// StoredWithin reports whether all machines that store a shard's jobs, the members of its group
+// and its founders, are in the allowed regions.
+func (v *View) StoredWithin(shard sitestate.ShardNumber, allowed routing.AllowedRegions) bool {
+	if !allowed.Restricted() {
 		return true
 	}
 	members := 0
 	for _, store := range v.Stores {
 		if store.Shard == shard || v.founds(shard, store.Name) {
 			members++
-			if !homes.Allows(v.RegionOf(store.Zone)) {
+			if !allowed.Allows(v.RegionOf(store.Zone)) {
 				return false
 			}
 		}
@@ -26,10 +26,10 @@
 	return members > 0
 }
 
-// StoredWithin calls StoredWithin of the current view.
-func (w *Watcher) StoredWithin(shard sitestate.ShardNumber, homes routing.AllowedRegions) bool {
+// StoredWithin calls StoredWithin of the current view; it returns false without a view.
+func (w *Watcher) StoredWithin(shard sitestate.ShardNumber, allowed routing.AllowedRegions) bool {
 	view := w.View()
-	return view != nil && view.StoredWithin(shard, homes)
+	return view != nil && view.StoredWithin(shard, allowed)
 }
 
 // founds reports whether a machine is a founder of a shard.
--- a/internal/app/siteview/siteview.go
+++ b/internal/app/siteview/siteview.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// MethodWatch accepts a WatchRequest and streams WatchAnswer to a watcher.
+// MethodWatch accepts a WatchRequest and streams WatchAnswers.
 const MethodWatch = "site.watch"
 
 // maxPackedBytes limits the unpacked size of a packed update.
@@ -21,7 +21,7 @@
 	Interest sitestate.Interest `cbor:"2,keyasint,omitempty"`
 }
 
-// WatchAnswer updates a watcher.
+// WatchAnswer is a message of a watch.
 type WatchAnswer struct {
 	// Packed is an optional sitestate.Update to apply before Update, with the state at an
 	// earlier position or many changes. It is packed once for all watchers.
--- a/internal/app/siteview/watcher.go
+++ b/internal/app/siteview/watcher.go
@@ -36,7 +36,7 @@
 	Table *routing.Table
 	// zones maps zones to regions, as configured.
 	zones map[string]string
-	// coldUntil is until when replicas are cold, by id.
+	// coldUntil has the ends of the replicas' cold periods, by id.
 	coldUntil map[string]time.Time
 }
 
@@ -230,7 +230,7 @@
 func (w *Watcher) apply(address string, updates []sitestate.Update) error {
 	previous, update := w.view.Load(), updates[len(updates)-1]
 	if previous != nil && update.Position < previous.Position {
-		return eris.New("the member is behind")
+		return eris.New("the member's state is older than the view")
 	}
 	w.confirmed.Store(int64(w.config.Clock()))
 	w.mutex.Lock()
