--- a/internal/app/membudget/membudget.go
+++ b/internal/app/membudget/membudget.go
@@ -36,7 +36,7 @@
 	return false
 }
 
-// NewReservation returns an empty reservation for one request. Close must be called.
+// NewReservation returns an empty reservation for one request. The caller must call Close.
 func (b *Budget) NewReservation() *Reservation { return &Reservation{budget: b} }
 
 // closed marks a closed Reservation.
--- a/internal/app/membudget/membudget_test.go
+++ b/internal/app/membudget/membudget_test.go
@@ -74,7 +74,7 @@
 		"of known length, limit too small":   {100 * kilo, true, 99 * kilo, false},
 		"of unknown length":                  {100 * kilo, false, 128 * kilo, true},
 		"of unknown length, limit too small": {100 * kilo, false, 90 * kilo, false},
-		"of unknown length, a few more":      {64 * kilo, false, 96 * kilo, true},
+		"of unknown length, full chunks":     {64 * kilo, false, 96 * kilo, true},
 		"empty":                              {0, false, 64 * kilo, true},
 		"empty, of known length":             {0, true, 64 * kilo, true},
 		"large, of known length":             {3000 * kilo, true, 4000 * kilo, true},
--- a/internal/app/membudget/read.go
+++ b/internal/app/membudget/read.go
@@ -12,7 +12,7 @@
 	maxPreallocBytes = 1 << 20
 )
 
-// Read reads a complete body within the reservation. Size is the body's length, negative if
+// Read reads a complete body within the reservation. size is the body's length, negative if
 // unknown. If the reservation fails, complete is false, and rest reads the body from its
 // start.
 func Read(body io.Reader, size int64, reservation *Reservation) (read []byte, rest io.Reader, complete bool, err error) {
@@ -23,19 +23,19 @@
 		read, err = readSized(body, size)
 		return read, nil, true, err
 	}
-	var grown bytes.Buffer
+	var buffer bytes.Buffer
 	for {
 		if !reservation.Reserve(readChunkBytes) {
-			return nil, io.MultiReader(&grown, body), false, nil
+			return nil, io.MultiReader(&buffer, body), false, nil
 		}
-		count, err := io.CopyN(&grown, body, readChunkBytes)
+		count, err := io.CopyN(&buffer, body, readChunkBytes)
 		switch {
 		case err == io.EOF:
-			return grown.Bytes(), nil, true, nil
+			return buffer.Bytes(), nil, true, nil
 		case err != nil:
-			return grown.Bytes(), nil, true, err
+			return buffer.Bytes(), nil, true, err
 		case count < readChunkBytes:
-			return grown.Bytes(), nil, true, nil
+			return buffer.Bytes(), nil, true, nil
 		}
 	}
 }
@@ -47,11 +47,11 @@
 		count, err := io.ReadFull(body, read)
 		return read[:count], err
 	}
-	var grown bytes.Buffer
-	if _, err := io.CopyN(&grown, body, size); err == io.EOF {
-		return grown.Bytes(), io.ErrUnexpectedEOF
+	var buffer bytes.Buffer
+	if _, err := io.CopyN(&buffer, body, size); err == io.EOF {
+		return buffer.Bytes(), io.ErrUnexpectedEOF
 	} else if err != nil {
-		return grown.Bytes(), err
+		return buffer.Bytes(), err
 	}
-	return grown.Bytes(), nil
+	return buffer.Bytes(), nil
 }
