--- a/internal/app/group/loop.go
+++ b/internal/app/group/loop.go
@@ -41,7 +41,7 @@
 	// publishStep receives the state after each step.
 	publishStep func(Step)
 
-	// startedAt is a reading of Config.Clock: leases and guarantees expire while the machine
+	// startedAt is a reading of Config.Clock: leases and timeouts expire while the machine
 	// is suspended too.
 	startedAt time.Duration
 	ticks     int64
