--- a/internal/core/sitestate/byservice.go
+++ b/internal/core/sitestate/byservice.go
@@ -17,8 +17,8 @@
 	return lists
 }
 
-// updateByService returns the lists after an update that changed the replicas from before to
-// those of the view. Only lists that changed are rebuilt.
+// updateByService returns the lists after an update; before holds the replicas before it.
+// Only lists that changed are rebuilt.
 func (v *View) updateByService(before ReplicaSet, update Update) map[string]ReplicaList {
 	lists := serviceEdit{lists: v.ByService, edits: map[string]*listEdit{}}
 	for _, id := range update.Removed {
@@ -27,7 +27,7 @@
 	for _, replica := range update.Replicas {
 		lists.move(replica.ID, before, v)
 	}
-	return lists.done()
+	return lists.finish()
 }
 
 // serviceEdit collects changes to the lists of some services.
@@ -58,10 +58,10 @@
 	return edit
 }
 
-func (r *serviceEdit) done() map[string]ReplicaList {
+func (r *serviceEdit) finish() map[string]ReplicaList {
 	lists := maps.Clone(r.lists)
 	for service, edit := range r.edits {
-		if lists[service] = edit.done(); edit.count == 0 {
+		if lists[service] = edit.finish(); edit.count == 0 {
 			delete(lists, service)
 		}
 	}
--- a/internal/core/sitestate/byservice_test.go
+++ b/internal/core/sitestate/byservice_test.go
@@ -17,24 +17,24 @@
 		var view *View
 		for position := range uint64(rapid.IntRange(1, 30).Draw(r, "updates")) {
 			update := drawUpdate(r, position+1)
-			var kept string
+			var previous string
 			if view != nil {
-				kept = fmt.Sprint(view.ByService)
+				previous = fmt.Sprint(view.ByService)
 			}
 			next := view.Apply(update)
-			if got, want := listed(next.ByService), listed(next.byService()); !reflect.DeepEqual(got, want) {
+			if got, want := slicesOf(next.ByService), slicesOf(next.byService()); !reflect.DeepEqual(got, want) {
 				r.Fatalf("after %+v: %v, want %v", update, got, want)
 			}
-			if view != nil && fmt.Sprint(view.ByService) != kept {
-				r.Fatalf("the lists of an older view changed from %s to %v", kept, view.ByService)
+			if view != nil && fmt.Sprint(view.ByService) != previous {
+				r.Fatalf("the lists of an older view changed from %s to %v", previous, view.ByService)
 			}
 			view = next
 		}
 	})
 }
 
-// listed converts lists to slices, and a list with a wrong or zero length to nil.
-func listed(lists map[string]ReplicaList) map[string][]Replica {
+// slicesOf converts lists to slices, and a list with a wrong or zero length to nil.
+func slicesOf(lists map[string]ReplicaList) map[string][]Replica {
 	plain := map[string][]Replica{}
 	for service, list := range lists {
 		plain[service] = list.Slice()
--- a/internal/core/sitestate/command.go
+++ b/internal/core/sitestate/command.go
@@ -60,7 +60,7 @@
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// ReplicaState is whether a replica accepts new requests.
+// ReplicaState determines whether a replica accepts new requests.
 type ReplicaState uint8
 
 const (
@@ -70,8 +70,8 @@
 	ReplicaDraining
 )
 
-// Replica is a replica as it last reported itself. Each start of a replica has its own id,
-// even if the replica keeps its name: see State.Identify.
+// Replica is the latest report of a replica. Each start of a replica has an id of its own, even
+// if the replica keeps its name: see State.Identify.
 type Replica struct {
 	ID      string `cbor:"1,keyasint"`
 	Service string `cbor:"2,keyasint"`
@@ -80,7 +80,7 @@
 	// Slots is the number of requests it processes concurrently.
 	Slots int          `cbor:"5,keyasint"`
 	State ReplicaState `cbor:"6,keyasint"`
-	// Sequence increases with each report and identifies late ones.
+	// Sequence increases with each report; a report with a lower one arrived late.
 	Sequence uint64 `cbor:"7,keyasint"`
 	// Models are the versions of weights that it serves.
 	Models []ModelVersion `cbor:"8,keyasint,omitempty"`
@@ -97,8 +97,8 @@
 	// StartedAt is its start time in milliseconds since the Unix epoch by its own clock, 0 if
 	// not reported.
 	StartedAt uint64 `cbor:"13,keyasint,omitempty"`
-	// ColdMillis is the remaining warm-up time at the report, during which it handles few
-	// requests; 0 once it is warm.
+	// ColdMillis is the warm-up time that remained at the time of the report, 0 if none. A
+	// replica handles few requests until it is warm.
 	ColdMillis uint32 `cbor:"14,keyasint,omitempty"`
 }
 
@@ -130,8 +130,8 @@
 // Leave removes a replica.
 type Leave struct {
 	ID string `cbor:"1,keyasint"`
-	// TimedOut is set if the replica did not ask to leave but stopped reporting; it may
-	// return.
+	// TimedOut is set if the replica stopped reporting instead of requesting to leave; it may
+	// rejoin.
 	TimedOut bool `cbor:"2,keyasint,omitempty"`
 	// Instance and StartedAt identify the start that leaves, if known: they distinguish its
 	// late reports from those of a later start under the same name.
--- a/internal/core/sitestate/drain.go
+++ b/internal/core/sitestate/drain.go
@@ -36,7 +36,7 @@
 	return OutcomeDone
 }
 
-// markCold marks the replicas of a zone that ends its drain as cold until their next report.
+// markCold marks the replicas of a zone whose drain ends as cold until their next report.
 func (s *State) markCold(index uint64, drain DrainZone) {
 	for _, replica := range s.Replicas() {
 		cold := drain.ColdMillis[replica.Service]
--- a/internal/core/sitestate/drain_test.go
+++ b/internal/core/sitestate/drain_test.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-func reportIn(id, zone string, cold uint32) sitestate.Command {
+func zoneReport(id, zone string, cold uint32) sitestate.Command {
 	return sitestate.Command{Replica: &sitestate.Replica{ID: id, Service: "s", Address: "at " + id, Zone: zone, Sequence: 1, ColdMillis: cold}}
 }
 
@@ -31,18 +31,18 @@
 			after = view.Position
 		}
 		view = view.Apply(l.state.Update(after, sitestate.InterestRouting))
-		var begun *sitestate.View
-		for name, held := range map[string]*sitestate.View{"incremental observer": view, "new observer": begun.Apply(l.state.Update(0, sitestate.InterestAll))} {
-			if got := ids(held.ByService["s"].Slice()); !slices.Equal(got, want) {
+		var empty *sitestate.View
+		for name, observer := range map[string]*sitestate.View{"incremental observer": view, "new observer": empty.Apply(l.state.Update(0, sitestate.InterestAll))} {
+			if got := ids(observer.ByService["s"].Slice()); !slices.Equal(got, want) {
 				t.Errorf("%s sends to %v, want %v", name, got, want)
 			}
 		}
 	}
-	l.apply(reportIn("a1", "a", 0))
-	l.apply(reportIn("b1", "b", 0))
+	l.apply(zoneReport("a1", "a", 0))
+	l.apply(zoneReport("b1", "b", 0))
 	follow("a1", "b1")
-	drain := func(zone string, back bool) sitestate.Outcome {
-		return l.apply(sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, End: back, ColdMillis: map[string]uint32{"s": 3000, "other": 9000}}})
+	drain := func(zone string, end bool) sitestate.Outcome {
+		return l.apply(sitestate.Command{Drain: &sitestate.DrainZone{Zone: zone, End: end, ColdMillis: map[string]uint32{"s": 3000, "other": 9000}}})
 	}
 	for range 2 {
 		if got := drain("a", false); got != sitestate.OutcomeDone {
@@ -50,7 +50,7 @@
 		}
 		follow("b1")
 	}
-	l.apply(reportIn("a2", "a", 0))
+	l.apply(zoneReport("a2", "a", 0))
 	follow("b1")
 	drain("b", false)
 	follow()
@@ -64,7 +64,7 @@
 		t.Errorf("restored from a snapshot: %v, %v", restored.Drained(), err)
 	}
 	if got := view.Apply(view.Update()).Drained; !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("drained zones in the whole update of a view: %v", got)
+		t.Errorf("drained zones in the complete update of a view: %v", got)
 	}
 	for range 2 {
 		drain("a", true)
--- a/internal/core/sitestate/formats_test.go
+++ b/internal/core/sitestate/formats_test.go
@@ -12,8 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// recorded decodes a file written by an earlier build.
-func recorded(t *testing.T, build, name string, into any) {
+// decodeRecorded decodes a file written by an earlier build.
+func decodeRecorded(t *testing.T, build, name string, into any) {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata/formats", build, name))
 	if err != nil {
@@ -35,9 +35,9 @@
 		var entries [][]byte
 		var snapshot []byte
 		var update sitestate.Update
-		recorded(t, build.Name(), "entries.cbor", &entries)
-		recorded(t, build.Name(), "snapshot.cbor", &snapshot)
-		recorded(t, build.Name(), "update.cbor", &update)
+		decodeRecorded(t, build.Name(), "entries.cbor", &entries)
+		decodeRecorded(t, build.Name(), "snapshot.cbor", &snapshot)
+		decodeRecorded(t, build.Name(), "update.cbor", &update)
 		applied, restored := sitestate.New(), sitestate.New()
 		for i, entry := range entries {
 			if outcome := applied.Apply(uint64(i+1), entry); outcome == sitestate.OutcomeMalformed {
@@ -51,8 +51,8 @@
 		byEntries = byEntries.Apply(applied.Update(0, sitestate.InterestAll))
 		bySnapshot = bySnapshot.Apply(restored.Update(0, sitestate.InterestAll))
 		byUpdate = byUpdate.Apply(update)
-		sameView(t, build.Name()+", snapshot", byEntries, bySnapshot)
-		sameView(t, build.Name()+", update", byEntries, byUpdate)
+		compareViews(t, build.Name()+", snapshot", byEntries, bySnapshot)
+		compareViews(t, build.Name()+", update", byEntries, byUpdate)
 		if !restored.HasLeft("i-3") || !applied.HasLeft("i-3") {
 			t.Errorf("%s: the departure of a replica is lost", build.Name())
 		}
@@ -62,8 +62,8 @@
 	}
 }
 
-// sameView reports each field in which two views differ.
-func sameView(t *testing.T, name string, a, b *sitestate.View) {
+// compareViews reports each field in which two views differ.
+func compareViews(t *testing.T, name string, a, b *sitestate.View) {
 	t.Helper()
 	sorted := func(view *sitestate.View) []sitestate.Replica { return view.Update().Replicas }
 	if !reflect.DeepEqual(sorted(a), sorted(b)) {
--- a/internal/core/sitestate/identify.go
+++ b/internal/core/sitestate/identify.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// StartOrder is the order of a reporting replica's start relative to the known ones.
+// StartOrder compares a reporting replica's start with the newest known one under its name.
 type StartOrder uint8
 
 const (
@@ -23,30 +23,32 @@
 	Replaces string
 }
 
-// Identify distinguishes the starts of a replica that keeps its name. The first known start
-// has the name as its id, as do all that report no start time; each later one has an id of
-// its own, so that no process applies state of an earlier start to it.
-func (s *State) Identify(name string, born uint64) Identity {
+// Identify returns the identity of the start of a replica with the name and start time. The
+// first known start has the name as its id, as do all that report no start time; each later
+// one has an id of its own, so that no process applies state of an earlier start to it.
+func (s *State) Identify(name string, startedAt uint64) Identity {
 	newest, known := s.index.starts[name]
 	switch {
 	case !known:
 		return Identity{ID: name}
-	case born == 0 || newest.born == 0 || born == newest.born:
+	case startedAt == 0 || newest.startedAt == 0 || startedAt == newest.startedAt:
 		return Identity{ID: newest.id}
-	case born < newest.born:
+	case startedAt < newest.startedAt:
 		return Identity{Order: StartOutdated}
 	default:
-		return Identity{ID: startID(name, born), Order: StartNewer, Replaces: newest.id}
+		return Identity{ID: startID(name, startedAt), Order: StartNewer, Replaces: newest.id}
 	}
 }
 
 // startID returns the id of a later start under a name.
-func startID(name string, born uint64) string { return name + "@" + strconv.FormatUint(born, 10) }
+func startID(name string, startedAt uint64) string {
+	return name + "@" + strconv.FormatUint(startedAt, 10)
+}
 
 // StartOf returns the replica for a start under a name.
-func (v *View) StartOf(name string, born uint64) (Replica, bool) {
-	if held, known := v.Replicas.Get(name); known && held.StartedAt == born {
-		return held, true
+func (v *View) StartOf(name string, startedAt uint64) (Replica, bool) {
+	if replica, known := v.Replicas.Get(name); known && replica.StartedAt == startedAt {
+		return replica, true
 	}
-	return v.Replicas.Get(startID(name, born))
+	return v.Replicas.Get(startID(name, startedAt))
 }
--- a/internal/core/sitestate/index.go
+++ b/internal/core/sitestate/index.go
@@ -27,31 +27,31 @@
 
 // start is one start of a replica that keeps its name.
 type start struct {
-	id   string
-	born uint64
+	id        string
+	startedAt uint64
 }
 
-func newIndex(held *contents) index {
+func newIndex(state *contents) index {
 	i := index{
-		byAddress:  make(map[string]string, len(held.Replicas)),
-		tombstones: make(map[string]bool, len(held.Tombstones)),
-		permanent:  make(map[string]bool, len(held.Tombstones)),
-		starts:     make(map[string]start, len(held.Replicas)),
+		byAddress:  make(map[string]string, len(state.Replicas)),
+		tombstones: make(map[string]bool, len(state.Tombstones)),
+		permanent:  make(map[string]bool, len(state.Tombstones)),
+		starts:     make(map[string]start, len(state.Replicas)),
 	}
-	for _, left := range held.Tombstones {
-		i.addTombstone(left)
+	for _, removed := range state.Tombstones {
+		i.addTombstone(removed)
 	}
-	for id, replica := range held.Replicas {
+	for id, replica := range state.Replicas {
 		i.byAddress[replica.Address] = id
-		i.recordStart(replica.InstanceName(), start{id: id, born: replica.StartedAt})
+		i.recordStart(replica.InstanceName(), start{id: id, startedAt: replica.StartedAt})
 	}
-	i.rebuildChanges(held.Replicas)
+	i.rebuildChanges(state.Replicas)
 	return i
 }
 
 // recordStart records a start unless a newer one is known under the name.
 func (i *index) recordStart(name string, added start) {
-	if held, known := i.starts[name]; !known || added.born >= held.born {
+	if newest, known := i.starts[name]; !known || added.startedAt >= newest.startedAt {
 		i.starts[name] = added
 	}
 }
@@ -67,39 +67,39 @@
 	})
 }
 
-// minCompactLength keeps short lists of changes from being rebuilt often.
+// minCompactLength avoids frequent rebuilds of short lists of changes.
 const minCompactLength = 64
 
 // recordChange adds a replica's change.
 func (i *index) recordChange(changed Replica, replicas map[string]Replica) {
 	i.byAddress[changed.Address] = changed.ID
-	i.recordStart(changed.InstanceName(), start{id: changed.ID, born: changed.StartedAt})
+	i.recordStart(changed.InstanceName(), start{id: changed.ID, startedAt: changed.StartedAt})
 	i.changes = append(i.changes, change{at: changed.ChangedAt, id: changed.ID})
 	if len(i.changes) > minCompactLength+2*len(replicas) {
 		i.rebuildChanges(replicas)
 	}
 }
 
-func (i *index) dropAddress(held Replica) {
-	if i.byAddress[held.Address] == held.ID {
-		delete(i.byAddress, held.Address)
+func (i *index) dropAddress(replica Replica) {
+	if i.byAddress[replica.Address] == replica.ID {
+		delete(i.byAddress, replica.Address)
 	}
 }
 
-func (i *index) addTombstone(left tombstone) {
-	i.recordStart(cmp.Or(left.Instance, left.ID), start{id: left.ID, born: left.Born})
-	i.tombstones[left.ID] = true
-	if left.Permanent {
-		i.permanent[left.ID] = true
+func (i *index) addTombstone(removed tombstone) {
+	i.recordStart(cmp.Or(removed.Instance, removed.ID), start{id: removed.ID, startedAt: removed.StartedAt})
+	i.tombstones[removed.ID] = true
+	if removed.Permanent {
+		i.permanent[removed.ID] = true
 	}
 }
 
-func (i *index) removeTombstone(left tombstone) {
-	if name := cmp.Or(left.Instance, left.ID); i.starts[name].id == left.ID {
+func (i *index) removeTombstone(removed tombstone) {
+	if name := cmp.Or(removed.Instance, removed.ID); i.starts[name].id == removed.ID {
 		delete(i.starts, name)
 	}
-	delete(i.tombstones, left.ID)
-	delete(i.permanent, left.ID)
+	delete(i.tombstones, removed.ID)
+	delete(i.permanent, removed.ID)
 }
 
 // changesAfter returns the changes after a position.
--- a/internal/core/sitestate/level.go
+++ b/internal/core/sitestate/level.go
@@ -1,7 +1,7 @@
 package sitestate
 
-// Level is the set of command kinds that all members of the control group understand. A member
-// skips kinds it does not know, so its state would diverge permanently: a kind above the first
+// Level numbers the sets of command kinds that all members of the control group understand. A
+// member skips unknown kinds, so its state would diverge permanently: a kind above the first
 // level is proposed only once all members agreed on that level.
 type Level uint32
 
--- a/internal/core/sitestate/record_test.go
+++ b/internal/core/sitestate/record_test.go
@@ -22,7 +22,7 @@
 	if dir == "" {
 		t.Skip("no output folder given")
 	}
-	fix := usage.Window(40)
+	window := usage.Window(40)
 	commands := []sitestate.Command{
 		{Configuration: &sitestate.Configuration{Version: 7, Raw: []byte(`{"version":7}`)}},
 		{Weights: &sitestate.Weights{Model: "m", Version: 3}},
@@ -36,7 +36,7 @@
 		{Place: &sitestate.Place{Model: "m", Shard: 1}},
 		{Assign: &sitestate.Assign{Models: map[string]string{"i-1": "m"}}},
 		{Evacuate: &sitestate.Evacuate{Name: "store-1"}},
-		{Usage: &sitestate.Usage{CloseUpTo: &fix}},
+		{Usage: &sitestate.Usage{CloseUpTo: &window}},
 		{Quarantine: &sitestate.Quarantine{Events: []quarantine.Event{{Kind: quarantine.EventCrashed, Fingerprint: quarantine.Fingerprint{Head: quarantine.Digest{7}, Body: quarantine.Digest{1, 2}}, Replica: "i-1"}}}},
 	}
 	level, senders := sitestate.LevelNewest, uint32(70)
--- a/internal/core/sitestate/replicalist.go
+++ b/internal/core/sitestate/replicalist.go
@@ -70,10 +70,10 @@
 	owned    bool
 }
 
-// chunk returns the index of the chunk that contains an id, or would.
+// chunk returns the index of the chunk that contains an id or into which it is inserted.
 func (e *listEdit) chunk(id string) int {
-	number, _ := slices.BinarySearchFunc(e.chunks, id, func(chunk listChunk, wanted string) int {
-		return strings.Compare(chunk.replicas[len(chunk.replicas)-1].ID, wanted)
+	number, _ := slices.BinarySearchFunc(e.chunks, id, func(chunk listChunk, target string) int {
+		return strings.Compare(chunk.replicas[len(chunk.replicas)-1].ID, target)
 	})
 	return min(number, len(e.chunks)-1)
 }
@@ -95,8 +95,8 @@
 	}
 	number := e.chunk(replica.ID)
 	chunk := e.writable(number)
-	at, held := find(chunk.replicas, replica.ID)
-	if held {
+	at, found := search(chunk.replicas, replica.ID)
+	if found {
 		chunk.replicas[at] = replica
 		return
 	}
@@ -115,8 +115,8 @@
 		return
 	}
 	number := e.chunk(id)
-	at, held := find(e.chunks[number].replicas, id)
-	if !held {
+	at, found := search(e.chunks[number].replicas, id)
+	if !found {
 		return
 	}
 	chunk := e.writable(number)
@@ -127,7 +127,7 @@
 	}
 }
 
-func (e *listEdit) done() ReplicaList {
+func (e *listEdit) finish() ReplicaList {
 	list := ReplicaList{count: e.count, chunks: make([][]Replica, 0, len(e.chunks))}
 	for _, chunk := range e.chunks {
 		list.chunks = append(list.chunks, chunk.replicas)
@@ -135,6 +135,6 @@
 	return list
 }
 
-func find(list []Replica, id string) (int, bool) {
-	return slices.BinarySearchFunc(list, id, func(replica Replica, wanted string) int { return strings.Compare(replica.ID, wanted) })
+func search(list []Replica, id string) (int, bool) {
+	return slices.BinarySearchFunc(list, id, func(replica Replica, target string) int { return strings.Compare(replica.ID, target) })
 }
--- a/internal/core/sitestate/replicas.go
+++ b/internal/core/sitestate/replicas.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// reportReplica applies a replica's report. One that left permanently does not return, a
+// reportReplica applies a replica's report. A replica that left permanently cannot rejoin, a
 // draining one stays draining, and a late report changes nothing.
 func (s *State) reportReplica(index uint64, report Replica) Outcome {
 	if s.index.permanent[report.ID] {
 		return OutcomeIgnored
 	}
-	held, known := s.contents.Replicas[report.ID]
-	if known && report.Sequence <= held.Sequence && report.State != ReplicaDraining {
+	current, known := s.contents.Replicas[report.ID]
+	if known && report.Sequence <= current.Sequence && report.State != ReplicaDraining {
 		return OutcomeIgnored
 	}
-	if known && held.State == ReplicaDraining {
+	if known && current.State == ReplicaDraining {
 		report.State = ReplicaDraining
 	}
-	report.Sequence = max(report.Sequence, held.Sequence)
-	report.Model = held.Model
-	report.RoutedAt = held.RoutedAt
-	if !known || !sameRouting(held, report) {
+	report.Sequence = max(report.Sequence, current.Sequence)
+	report.Model = current.Model
+	report.RoutedAt = current.RoutedAt
+	if !known || !sameRouting(current, report) {
 		report.RoutedAt = index
 	}
 	s.removeTombstone(report.ID)
@@ -31,8 +31,8 @@
 // put adds or replaces a replica.
 func (s *State) put(index uint64, replica Replica) {
 	replica.ChangedAt = index
-	if held, known := s.contents.Replicas[replica.ID]; known {
-		s.index.dropAddress(held)
+	if current, known := s.contents.Replicas[replica.ID]; known {
+		s.index.dropAddress(current)
 	}
 	s.contents.Replicas[replica.ID] = replica
 	s.index.recordChange(replica, s.contents.Replicas)
@@ -40,8 +40,8 @@
 
 // dropAddress removes another replica that had the reporter's address.
 func (s *State) dropAddress(index uint64, reporter Replica) {
-	other, taken := s.contents.Replicas[s.index.byAddress[reporter.Address]]
-	if taken && other.ID != reporter.ID {
+	other, found := s.contents.Replicas[s.index.byAddress[reporter.Address]]
+	if found && other.ID != reporter.ID {
 		s.remove(index, other, true)
 	}
 }
@@ -51,22 +51,22 @@
 		return
 	}
 	delete(s.index.tombstones, id)
-	s.contents.Tombstones = slices.DeleteFunc(s.contents.Tombstones, func(left tombstone) bool { return left.ID == id })
+	s.contents.Tombstones = slices.DeleteFunc(s.contents.Tombstones, func(t tombstone) bool { return t.ID == id })
 }
 
 // leave removes a replica: permanently, unless it timed out before it started to drain.
-func (s *State) leave(index uint64, left Leave) Outcome {
-	held, known := s.contents.Replicas[left.ID]
-	if left.TimedOut && !known {
+func (s *State) leave(index uint64, departure Leave) Outcome {
+	current, known := s.contents.Replicas[departure.ID]
+	if departure.TimedOut && !known {
 		return OutcomeIgnored
 	}
-	if s.index.permanent[left.ID] {
+	if s.index.permanent[departure.ID] {
 		return OutcomeDone
 	}
 	if !known {
-		held = Replica{ID: left.ID, Instance: left.Instance, StartedAt: left.StartedAt}
+		current = Replica{ID: departure.ID, Instance: departure.Instance, StartedAt: departure.StartedAt}
 	}
-	s.remove(index, held, !left.TimedOut || held.State == ReplicaDraining)
+	s.remove(index, current, !departure.TimedOut || current.State == ReplicaDraining)
 	s.advance(index)
 	return OutcomeDone
 }
@@ -74,19 +74,19 @@
 // remove removes a replica and records a tombstone, also for an unknown one.
 func (s *State) remove(index uint64, replica Replica, permanent bool) {
 	id := replica.ID
-	if held, known := s.contents.Replicas[id]; known {
-		s.index.dropAddress(held)
+	if current, known := s.contents.Replicas[id]; known {
+		s.index.dropAddress(current)
 		delete(s.contents.Replicas, id)
 	}
 	s.removeTombstone(id)
-	left := tombstone{ID: id, ChangedAt: index, Permanent: permanent, Instance: replica.Instance, Born: replica.StartedAt}
-	s.contents.Tombstones = append(s.contents.Tombstones, left)
-	s.index.addTombstone(left)
-	if surplus := len(s.contents.Tombstones) - maxTombstones; surplus > 0 {
-		for _, old := range s.contents.Tombstones[:surplus] {
+	added := tombstone{ID: id, ChangedAt: index, Permanent: permanent, Instance: replica.Instance, StartedAt: replica.StartedAt}
+	s.contents.Tombstones = append(s.contents.Tombstones, added)
+	s.index.addTombstone(added)
+	if excess := len(s.contents.Tombstones) - maxTombstones; excess > 0 {
+		for _, old := range s.contents.Tombstones[:excess] {
 			s.index.removeTombstone(old)
 		}
-		s.contents.Tombstones = slices.Clone(s.contents.Tombstones[surplus:])
+		s.contents.Tombstones = slices.Clone(s.contents.Tombstones[excess:])
 	}
 }
 
--- a/internal/core/sitestate/replicaset.go
+++ b/internal/core/sitestate/replicaset.go
@@ -23,17 +23,17 @@
 	for _, replica := range replicas {
 		edit.put(replica)
 	}
-	return edit.done()
+	return edit.finish()
 }
 
-func partOf(id string) int { return int(xxhash.Sum64String(id) % setParts) }
+func partIndex(id string) int { return int(xxhash.Sum64String(id) % setParts) }
 
 // Get returns a replica by id.
 func (s ReplicaSet) Get(id string) (Replica, bool) {
 	if s.parts == nil {
 		return Replica{}, false
 	}
-	replica, found := s.parts[partOf(id)][id]
+	replica, found := s.parts[partIndex(id)][id]
 	return replica, found
 }
 
@@ -79,7 +79,7 @@
 }
 
 func (e *setEdit) part(id string) map[string]Replica {
-	number := partOf(id)
+	number := partIndex(id)
 	if !e.owned[number] {
 		e.owned[number] = true
 		e.parts[number] = maps.Clone(e.parts[number])
@@ -92,18 +92,18 @@
 
 func (e *setEdit) put(replica Replica) {
 	part := e.part(replica.ID)
-	if _, held := part[replica.ID]; !held {
+	if _, found := part[replica.ID]; !found {
 		e.count++
 	}
 	part[replica.ID] = replica
 }
 
 func (e *setEdit) remove(id string) {
-	if _, held := e.parts[partOf(id)][id]; !held {
+	if _, found := e.parts[partIndex(id)][id]; !found {
 		return
 	}
 	delete(e.part(id), id)
 	e.count--
 }
 
-func (e *setEdit) done() ReplicaSet { return ReplicaSet{parts: &e.parts, count: e.count} }
+func (e *setEdit) finish() ReplicaSet { return ReplicaSet{parts: &e.parts, count: e.count} }
--- a/internal/core/sitestate/replicaset_test.go
+++ b/internal/core/sitestate/replicaset_test.go
@@ -35,14 +35,14 @@
 				listEdit.put(replica)
 				model[id] = replica
 			}
-			set, list = setEdit.done(), listEdit.done()
-			same(r, "newer", set, list, model)
-			same(r, "older", beforeSet, beforeList, before)
+			set, list = setEdit.finish(), listEdit.finish()
+			compareWithMap(r, "newer", set, list, model)
+			compareWithMap(r, "older", beforeSet, beforeList, before)
 		}
 	})
 }
 
-func same(r *rapid.T, name string, set ReplicaSet, list ReplicaList, model map[string]Replica) {
+func compareWithMap(r *rapid.T, name string, set ReplicaSet, list ReplicaList, model map[string]Replica) {
 	if got := maps.Collect(set.All()); !maps.EqualFunc(got, model, func(a, b Replica) bool { return reflect.DeepEqual(a, b) }) || set.Len() != len(model) {
 		r.Fatalf("the %s set holds %d replicas, want %d", name, len(got), len(model))
 	}
--- a/internal/core/sitestate/report.go
+++ b/internal/core/sitestate/report.go
@@ -20,7 +20,7 @@
 	FieldStartedAt ReportField = "born"
 )
 
-// ReportError is the error for an invalid report, one that a replica did not write or that was
+// ReportError is the error for an invalid report: a replica did not send it, or it was
 // corrupted in transit.
 type ReportError struct {
 	Field  ReportField
--- a/internal/core/sitestate/shards_test.go
+++ b/internal/core/sitestate/shards_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-func found(number sitestate.ShardNumber, names ...string) sitestate.Command {
+func createShard(number sitestate.ShardNumber, names ...string) sitestate.Command {
 	shard := sitestate.Shard{Number: number}
 	for i, name := range names {
 		shard.Founders = append(shard.Founders, groupmember.Record{ID: number.FounderID(i), Name: name})
@@ -33,15 +33,15 @@
 		want    sitestate.Outcome
 	}{
 		{place("a", 1), sitestate.OutcomeUnknown}, // no shard yet
-		{found(2, "x"), sitestate.OutcomeIgnored},
-		{found(1, "a", "b"), sitestate.OutcomeDone},
-		{found(1, "c", "d"), sitestate.OutcomeIgnored},
-		{found(2, "e"), sitestate.OutcomeDone},
+		{createShard(2, "x"), sitestate.OutcomeIgnored},
+		{createShard(1, "a", "b"), sitestate.OutcomeDone},
+		{createShard(1, "c", "d"), sitestate.OutcomeIgnored},
+		{createShard(2, "e"), sitestate.OutcomeDone},
 		{place("a", 2), sitestate.OutcomeDone},
 		{place("a", 1), sitestate.OutcomeIgnored},
 		{place("b", 3), sitestate.OutcomeUnknown},
 		{place("", 1), sitestate.OutcomeDone},
-		{found(3, "f"), sitestate.OutcomeIgnored}, // models are placed
+		{createShard(3, "f"), sitestate.OutcomeIgnored}, // models are placed
 	} {
 		if got := l.apply(step.command); got != step.want {
 			t.Errorf("step %d: outcome %d, want %d", i, got, step.want)
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestAnEmptiedMachineStaysEmptied checks that removal from its group is not a new registration.
+// TestAnEmptiedMachineStaysEmptied checks that removal from its group does not reactivate an
+// emptied store machine.
 func TestAnEmptiedMachineStaysEmptied(t *testing.T) {
 	l := newLog(t)
 	store := sitestate.Store{Name: "m", Address: "1:1", Incarnation: "x", Shard: 2}
@@ -76,13 +77,13 @@
 	l.apply(sitestate.Command{Evacuate: &sitestate.Evacuate{Name: "m", Done: true}})
 	store.Shard = 0
 	l.apply(sitestate.Command{Store: &store})
-	if held, _ := l.state.Store("m"); held.State != sitestate.StoreEmptied || held.Shard != 0 {
-		t.Errorf("after removal from its group: %+v", held)
+	if got, _ := l.state.Store("m"); got.State != sitestate.StoreEmptied || got.Shard != 0 {
+		t.Errorf("after removal from its group: %+v", got)
 	}
 	store.Incarnation = "y"
 	l.apply(sitestate.Command{Store: &store})
-	if held, _ := l.state.Store("m"); held.State != sitestate.StoreActive {
-		t.Errorf("with a new data folder: %+v", held)
+	if got, _ := l.state.Store("m"); got.State != sitestate.StoreActive {
+		t.Errorf("with a new data folder: %+v", got)
 	}
 }
 
--- a/internal/core/sitestate/sitestate_test.go
+++ b/internal/core/sitestate/sitestate_test.go
@@ -47,7 +47,7 @@
 		version uint64
 		raw     string
 		want    sitestate.Outcome
-		held    string
+		wantRaw string
 	}{
 		{5, "five", sitestate.OutcomeDone, "five"},
 		{5, "other five", sitestate.OutcomeIgnored, "five"},
@@ -57,8 +57,8 @@
 		if got := l.apply(configuration(row.version, row.raw)); got != row.want {
 			t.Errorf("version %d: %v", row.version, got)
 		}
-		if held := string(l.state.Configuration().Raw); held != row.held {
-			t.Errorf("after version %d: %q", row.version, held)
+		if got := string(l.state.Configuration().Raw); got != row.wantRaw {
+			t.Errorf("after version %d: %q", row.version, got)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 }
 
 // TestObserverViewMatchesState checks that an observer that applies occasional updates,
-// also from a restored state, matches the state and never goes back.
+// also from a restored state, matches the state and never goes backwards.
 func TestObserverViewMatchesState(t *testing.T) {
 	testkit.Check(t, 15, func(r *rapid.T) {
 		l := newLog(t)
@@ -204,8 +204,8 @@
 			if view != nil {
 				after = view.Position
 				// An observer that starts from the view of another one.
-				begun := (*sitestate.View)(nil).Apply(view.Update()).Apply(l.state.Update(after, sitestate.InterestAll))
-				compare(r, begun, l.state)
+				joined := (*sitestate.View)(nil).Apply(view.Update()).Apply(l.state.Update(after, sitestate.InterestAll))
+				compare(r, joined, l.state)
 			}
 			next := view.Apply(l.state.Update(after, sitestate.InterestAll))
 			if view != nil && (next.Position < view.Position || next.Configuration.Version < view.Configuration.Version) {
@@ -227,10 +227,10 @@
 		r.Fatalf("%d replicas, want %d", view.Replicas.Len(), len(want))
 	}
 	for _, replica := range want {
-		held, _ := view.Replicas.Get(replica.ID)
-		held.Models, held.Model, held.ChangedAt, held.Sequence = replica.Models, replica.Model, replica.ChangedAt, replica.Sequence
-		if !reflect.DeepEqual(held, replica) {
-			r.Fatalf("held %+v, want %+v", held, replica)
+		got, _ := view.Replicas.Get(replica.ID)
+		got.Models, got.Model, got.ChangedAt, got.Sequence = replica.Models, replica.Model, replica.ChangedAt, replica.Sequence
+		if !reflect.DeepEqual(got, replica) {
+			r.Fatalf("got %+v, want %+v", got, replica)
 		}
 	}
 }
@@ -239,14 +239,14 @@
 	if view.Configuration.Version != state.Configuration().Version {
 		r.Fatalf("configuration %d, want %d", view.Configuration.Version, state.Configuration().Version)
 	}
-	held := slices.SortedFunc(maps.Values(maps.Collect(view.Replicas.All())), func(a, b sitestate.Replica) int {
+	got := slices.SortedFunc(maps.Values(maps.Collect(view.Replicas.All())), func(a, b sitestate.Replica) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	if want := state.Replicas(); len(held) != len(want) || (len(want) > 0 && !reflect.DeepEqual(held, want)) {
-		r.Fatalf("replicas\n%+v, want\n%+v", held, want)
+	if want := state.Replicas(); len(got) != len(want) || (len(want) > 0 && !reflect.DeepEqual(got, want)) {
+		r.Fatalf("replicas\n%+v, want\n%+v", got, want)
 	}
 	if want := state.Stores(); len(view.Stores) != len(want) || (len(want) > 0 && !reflect.DeepEqual(view.Stores, want)) {
 		r.Fatalf("stores %+v, want %+v", view.Stores, want)
@@ -269,8 +269,8 @@
 		}
 		return found
 	}
-	if held, want := withheld(view.Suspects), withheld(state.Suspects()); !reflect.DeepEqual(held, want) {
-		r.Fatalf("withheld %+v, want %+v", held, want)
+	if got, want := withheld(view.Suspects), withheld(state.Suspects()); !reflect.DeepEqual(got, want) {
+		r.Fatalf("withheld %+v, want %+v", got, want)
 	}
 	if (view.Quarantine == nil) != (len(view.Suspects) == 0) {
 		r.Fatalf("index %v for %d suspects", view.Quarantine, len(view.Suspects))
--- a/internal/core/sitestate/state.go
+++ b/internal/core/sitestate/state.go
@@ -21,8 +21,8 @@
 	ChangedAt uint64 `cbor:"2,keyasint"`
 	Permanent bool   `cbor:"3,keyasint"`
 	// Instance and StartedAt are as in Replica.
-	Instance string `cbor:"4,keyasint,omitempty"`
-	Born     uint64 `cbor:"5,keyasint,omitempty"`
+	Instance  string `cbor:"4,keyasint,omitempty"`
+	StartedAt uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // contents is the encoded part of the state.
@@ -59,8 +59,8 @@
 }
 
 // State is the control state. It is not safe for concurrent use; values that it returns do not
-// change later. A change and an update cost as much as what changed, independent of the number
-// of replicas.
+// change later. The cost of a change or an update depends on its size, not on the number of
+// replicas.
 type State struct {
 	contents contents
 	index    index
--- a/internal/core/sitestate/stores.go
+++ b/internal/core/sitestate/stores.go
@@ -5,14 +5,14 @@
 // registerStore adds or updates a store machine. An emptied machine that registers with another
 // data folder becomes active again.
 func (s *State) registerStore(index uint64, registered Store) Outcome {
-	held, known := s.contents.Stores[registered.Name]
-	if known && held.SameRegistration(registered) {
+	current, known := s.contents.Stores[registered.Name]
+	if known && current.SameRegistration(registered) {
 		return OutcomeDone
 	}
 	registered.State = StoreActive
-	sameFolder := held.Address == registered.Address && held.Incarnation == registered.Incarnation
-	if known && (held.State != StoreEmptied || sameFolder) {
-		registered.State = held.State
+	sameFolder := current.Address == registered.Address && current.Incarnation == registered.Incarnation
+	if known && (current.State != StoreEmptied || sameFolder) {
+		registered.State = current.State
 	}
 	s.contents.Stores[registered.Name] = registered
 	s.contents.StoresAt = index
@@ -20,26 +20,26 @@
 	return OutcomeDone
 }
 
-// createShard adds a shard. It ignores a number that is not the next, which a leader proposed
-// without knowing of another shard. The set of shards is final once a model is placed.
-func (s *State) createShard(index uint64, founding CreateShard) Outcome {
-	if int(founding.Shard.Number) != len(s.contents.Shards)+1 || len(s.contents.Placed) > 0 {
+// createShard adds a shard with the next number. It ignores other numbers, which a leader
+// proposes if it has missed a shard. The set of shards is final once a model is placed.
+func (s *State) createShard(index uint64, creation CreateShard) Outcome {
+	if int(creation.Shard.Number) != len(s.contents.Shards)+1 || len(s.contents.Placed) > 0 {
 		return OutcomeIgnored
 	}
-	s.contents.Shards = append(slices.Clone(s.contents.Shards), founding.Shard)
+	s.contents.Shards = append(slices.Clone(s.contents.Shards), creation.Shard)
 	s.contents.StoresAt = index
 	s.advance(index)
 	return OutcomeDone
 }
 
-func (s *State) place(index uint64, placing Place) Outcome {
-	if s.contents.Placed[placing.Model] != 0 {
+func (s *State) place(index uint64, placement Place) Outcome {
+	if s.contents.Placed[placement.Model] != 0 {
 		return OutcomeIgnored
 	}
-	if placing.Shard == 0 || int(placing.Shard) > len(s.contents.Shards) {
+	if placement.Shard == 0 || int(placement.Shard) > len(s.contents.Shards) {
 		return OutcomeUnknown
 	}
-	s.contents.Placed[placing.Model] = placing.Shard
+	s.contents.Placed[placement.Model] = placement.Shard
 	s.contents.StoresAt = index
 	s.advance(index)
 	return OutcomeDone
--- a/internal/core/sitestate/update.go
+++ b/internal/core/sitestate/update.go
@@ -111,8 +111,8 @@
 func (s *State) departedAfter(after uint64) []string {
 	first := sort.Search(len(s.contents.Tombstones), func(i int) bool { return s.contents.Tombstones[i].ChangedAt > after })
 	var ids []string
-	for _, left := range s.contents.Tombstones[first:] {
-		ids = append(ids, left.ID)
+	for _, t := range s.contents.Tombstones[first:] {
+		ids = append(ids, t.ID)
 	}
 	return ids
 }
@@ -211,9 +211,9 @@
 	if drainsChange {
 		v.Drained = update.drained()
 	}
-	held := v.Replicas
+	previous := v.Replicas
 	if update.Full || len(update.Replicas) > 0 || len(update.Removed) > 0 {
-		v.Replicas = replicasAfter(held, update)
+		v.Replicas = replicasAfter(previous, update)
 	} else if !drainsChange {
 		return
 	}
@@ -221,7 +221,7 @@
 		v.ByService = v.byService()
 		return
 	}
-	v.ByService = v.updateByService(held, update)
+	v.ByService = v.updateByService(previous, update)
 }
 
 func (u *Update) drained() []string {
@@ -238,18 +238,18 @@
 	return u.Quarantine.List
 }
 
-func replicasAfter(held ReplicaSet, update Update) ReplicaSet {
+func replicasAfter(previous ReplicaSet, update Update) ReplicaSet {
 	if update.Full {
-		held = ReplicaSet{}
+		previous = ReplicaSet{}
 	}
-	edit := held.edit()
+	edit := previous.edit()
 	for _, replica := range update.Replicas {
 		edit.put(replica)
 	}
 	for _, id := range update.Removed {
 		edit.remove(id)
 	}
-	return edit.done()
+	return edit.finish()
 }
 
 func (v *View) sortedReplicas() []Replica {
