--- a/internal/core/registry/answers.go
+++ b/internal/core/registry/answers.go
@@ -34,8 +34,8 @@
 // expired one, so that a change whose answer was dropped is never applied twice. It compares
 // creation times with each other and needs no synchronized clocks.
 type Answers struct {
-	known map[string]int // position in queue, plus removed
-	queue []Answer       // in order of application
+	positions map[string]int // position in queue, plus removed
+	queue     []Answer       // in order of application
 	// removed is the number of answers dropped from the front of queue.
 	removed        int
 	expiredThrough int64
@@ -44,13 +44,13 @@
 
 // NewAnswers returns an empty store for at most limit answers.
 func NewAnswers(limit int) *Answers {
-	return &Answers{known: map[string]int{}, limit: limit}
+	return &Answers{positions: map[string]int{}, limit: limit}
 }
 
-// Lookup checks a change id. It returns the stored answer of a resent change (found), or an
+// Lookup checks a change id. It returns the stored answer of a retried change (found), or an
 // error for a change that must not be applied.
 func (a *Answers) Lookup(id string, digest Digest, now int64) (result port.Result, found bool, refusal *port.Error) {
-	if position, known := a.known[id]; known {
+	if position, known := a.positions[id]; known {
 		answer := a.queue[position-a.removed]
 		if answer.Digest != digest {
 			return port.Result{}, false, port.NewError(port.NotRun, port.CodeChangeIDReused,
@@ -83,7 +83,7 @@
 }
 
 func (a *Answers) add(answer Answer) {
-	a.known[answer.ID] = a.removed + len(a.queue)
+	a.positions[answer.ID] = a.removed + len(a.queue)
 	a.queue = append(a.queue, answer)
 }
 
@@ -94,12 +94,12 @@
 		// Also wait for the creation time: otherwise a client whose clock is ahead would
 		// make the ids of all others count as expired.
 		start := max(a.queue[drop].Time, a.queue[drop].CreatedAt)
-		overdue := start+ResultLifetime.Milliseconds() < now
-		if !overdue && len(a.queue)-drop <= a.limit {
+		expired := start+ResultLifetime.Milliseconds() < now
+		if !expired && len(a.queue)-drop <= a.limit {
 			break
 		}
 		a.expiredThrough = max(a.expiredThrough, a.queue[drop].CreatedAt)
-		delete(a.known, a.queue[drop].ID)
+		delete(a.positions, a.queue[drop].ID)
 		a.queue[drop] = Answer{}
 		drop++
 	}
@@ -115,7 +115,7 @@
 
 // Import replaces the contents by those returned by Export.
 func (a *Answers) Import(answers []Answer, expiredThrough int64) {
-	a.known = make(map[string]int, len(answers))
+	a.positions = make(map[string]int, len(answers))
 	a.queue = make([]Answer, 0, len(answers))
 	a.removed, a.expiredThrough = 0, expiredThrough
 	for _, answer := range answers {
--- a/internal/core/registry/changeid.go
+++ b/internal/core/registry/changeid.go
@@ -16,7 +16,7 @@
 )
 
 // FormatChangeID returns the change id "<creation in milliseconds since the epoch>-<random hex>".
-// The creation time distinguishes a new change from a resent one whose answer expired.
+// The creation time distinguishes a new change from a retry of one whose answer expired.
 func FormatChangeID(created time.Time, random []byte) string {
 	return fmt.Sprintf("%d-%x", created.UnixMilli(), random)
 }
--- a/internal/core/registry/document.go
+++ b/internal/core/registry/document.go
@@ -9,8 +9,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Document is an editable configuration. Pools and replicas are sorted by name; slices that it
-// returned are copied on the next edit.
+// Document is an editable configuration. Pools and replicas are sorted by name; an edit copies
+// the slices that Configuration returned.
 type Document struct {
 	pools       []port.Pool
 	replicas    []port.Replica
@@ -24,7 +24,7 @@
 // NewDocument returns an empty document.
 func NewDocument() *Document { return &Document{addresses: map[string]port.ReplicaID{}} }
 
-// LoadDocument returns a document with a valid configuration.
+// LoadDocument returns a document with the contents of a valid configuration.
 func LoadDocument(configuration port.Configuration) *Document {
 	document := NewDocument()
 	document.pools = slices.Clone(configuration.Pools)
@@ -54,7 +54,7 @@
 	return d.pools[position], true
 }
 
-// Apply applies all edits in order, or none and returns the reason.
+// Apply applies all edits in order. If one is rejected, it applies none and returns the error.
 func (d *Document) Apply(edits []port.Edit) *port.Error {
 	if len(edits) == 0 || len(edits) > MaxEdits {
 		return port.InvalidField("edits", strconv.Itoa(len(edits)), fmt.Sprintf("1 to %d edits", MaxEdits))
@@ -211,7 +211,7 @@
 	if pool, found := d.Pool(replica.Pool); !found || pool.ReplicasOf != "" {
 		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].pool", replica.ID), string(replica.Pool), "a pool with replicas of its own")
 	}
-	if other, taken := d.addresses[replica.Address]; taken && other != replica.ID {
+	if other, used := d.addresses[replica.Address]; used && other != replica.ID {
 		return port.Edit{}, port.InvalidField(fmt.Sprintf("replicas[%s].address", replica.ID), replica.Address, "an address no other replica has; "+string(other)+" has it")
 	}
 	position, found := d.findReplica(replica.ID)
--- a/internal/core/registry/edits.go
+++ b/internal/core/registry/edits.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ApplyEdits returns the configuration after all edits without modifying the given one. On a
-// *port.Error no edit is applied. Pools and replicas of the result are sorted by name.
+// ApplyEdits returns the configuration after all edits without modifying its argument, or a
+// *port.Error if an edit is rejected. Pools and replicas of the result are sorted by name.
 func ApplyEdits(configuration port.Configuration, edits []port.Edit) (port.Configuration, error) {
 	document := LoadDocument(configuration)
 	if len(edits) == 0 {
@@ -30,11 +30,11 @@
 	newPools := indexBy(to.Pools, func(pool port.Pool) port.PoolName { return pool.Name })
 
 	for _, replica := range from.Replicas {
-		next, kept := newReplicas[replica.ID]
+		next, remains := newReplicas[replica.ID]
 		// Remove replicas whose address or pool changes first, so that replicas can
 		// exchange addresses and a pool can give up its replicas.
 		moved := next.Address != replica.Address || next.Pool != replica.Pool
-		if !kept || moved || poolReplaced(replica.Pool, oldPools, newPools) {
+		if !remains || moved || poolReplaced(replica.Pool, oldPools, newPools) {
 			edits = append(edits, port.Edit{RemoveReplica: replica.ID})
 			delete(oldReplicas, replica.ID)
 		}
@@ -65,15 +65,15 @@
 }
 
 // poolEdits orders the pool edits so that a pool exists before another one uses its replicas:
-// first it removes pools that use others' replicas, then it puts pools with replicas of their
-// own, pools that use others' replicas, and last those of the latter that others used before.
+// it removes pools that use others' replicas, then puts pools with replicas of their own, and
+// then pools that use others' replicas, of which those that others used before come last.
 func poolEdits(from, to []port.Pool, old, next map[port.PoolName]port.Pool) []port.Edit {
 	var edits []port.Edit
 	wasShared := map[port.PoolName]bool{}
 	for _, pool := range from {
 		wasShared[pool.ReplicasOf] = true
-		_, kept := next[pool.Name]
-		if poolReplaced(pool.Name, old, next) || (!kept && pool.ReplicasOf != "") {
+		_, remains := next[pool.Name]
+		if poolReplaced(pool.Name, old, next) || (!remains && pool.ReplicasOf != "") {
 			edits = append(edits, port.Edit{RemovePool: pool.Name})
 			delete(old, pool.Name)
 		}
@@ -95,11 +95,11 @@
 	return append(edits, slices.Concat(stages...)...)
 }
 
-// removedPools returns the removals of pools with replicas of their own.
+// removedPools returns the edits that remove pools with replicas of their own.
 func removedPools(from []port.Pool, next map[port.PoolName]port.Pool) []port.Edit {
 	var edits []port.Edit
 	for _, pool := range from {
-		if _, kept := next[pool.Name]; !kept && pool.ReplicasOf == "" {
+		if _, remains := next[pool.Name]; !remains && pool.ReplicasOf == "" {
 			edits = append(edits, port.Edit{RemovePool: pool.Name})
 		}
 	}
--- a/internal/core/registry/leases.go
+++ b/internal/core/registry/leases.go
@@ -15,7 +15,7 @@
 	MaxLeaseTTL = time.Hour
 	// MaxLeases limits the number of leases.
 	MaxLeases = 4096
-	// leaseRetention is how long an expired lease is kept, so that its holder can renew it
+	// leaseRetention is how long an expired lease is stored, so that its holder can renew it
 	// under the same epoch.
 	leaseRetention = 10 * time.Minute
 )
@@ -35,8 +35,9 @@
 	return l.list[position], true
 }
 
-// Acquire grants a new lease under epoch next, or renews a held one. Used reports whether next was
-// assigned. A holder that acquires again gets a new epoch, which fences its previous process.
+// Acquire grants a new lease under epoch next, or renews the holder's lease if the request has
+// its epoch. Used reports whether next was assigned. A holder that acquires its lease without
+// an epoch gets a new one, which fences its previous process.
 func (l *Leases) Acquire(request port.AcquireLease, next port.Epoch, now int64) (lease port.Lease, used bool, refusal *port.Error) {
 	if refusal := checkAcquire(request); refusal != nil {
 		return port.Lease{}, false, refusal
@@ -72,7 +73,7 @@
 	return held, false, nil
 }
 
-// Extend extends the leases that were valid at a time by some milliseconds and returns them.
+// Extend extends the leases that were valid at validAt by some milliseconds and returns them.
 func (l *Leases) Extend(validAt, by int64) []port.Lease {
 	var extended []port.Lease
 	for position := range l.list {
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -115,17 +115,17 @@
 // drawConfiguration draws a valid configuration.
 func drawConfiguration(t *rapid.T, label string) port.Configuration {
 	var configuration port.Configuration
-	lenders := rapid.IntRange(1, 3).Draw(t, label+" lenders")
-	kinds := []port.PoolName{"p0", "p1", "p2", "p3", "p4"}
-	for position, name := range kinds {
+	owners := rapid.IntRange(1, 3).Draw(t, label+" lenders")
+	names := []port.PoolName{"p0", "p1", "p2", "p3", "p4"}
+	for position, name := range names {
 		switch {
-		case position < lenders:
+		case position < owners:
 			pool := testPool(name)
 			pool.Admission.MaxInflight = rapid.IntRange(1, 3).Draw(t, label+" limit")
 			configuration.Pools = append(configuration.Pools, pool)
 		case rapid.Bool().Draw(t, label+" borrower"):
 			pool := testPool(name)
-			pool.ReplicasOf = kinds[rapid.IntRange(0, lenders-1).Draw(t, label+" lender")]
+			pool.ReplicasOf = names[rapid.IntRange(0, owners-1).Draw(t, label+" lender")]
 			configuration.Pools = append(configuration.Pools, pool)
 		}
 	}
@@ -134,7 +134,7 @@
 		if !rapid.Bool().Draw(t, label+" present") {
 			continue
 		}
-		replica := testReplica(number, kinds[rapid.IntRange(0, lenders-1).Draw(t, label+" pool")])
+		replica := testReplica(number, names[rapid.IntRange(0, owners-1).Draw(t, label+" pool")])
 		replica.Address = testReplica(addresses[number], "").Address
 		configuration.Replicas = append(configuration.Replicas, replica)
 	}
@@ -186,7 +186,7 @@
 			}
 			if found {
 				if result.Index == 0 {
-					t.Fatal("a resend got an empty answer")
+					t.Fatal("a retried change got an empty answer")
 				}
 				continue
 			}
@@ -216,7 +216,7 @@
 		found  bool
 		code   port.Code
 	}{
-		{"resend", id, Digest{1}, start + lifetime, true, ""},
+		{"retry", id, Digest{1}, start + lifetime, true, ""},
 		{"other body", id, Digest{2}, start, false, port.CodeChangeIDReused},
 		{"far ahead", FormatChangeID(time.UnixMilli(start+3_601_000), []byte{1, 2, 3, 5}), Digest{1}, start, false, port.CodeInvalid},
 		{"expired", id, Digest{1}, start + lifetime + 1, false, port.CodeChangeExpired},
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestClientClockAheadDoesNotExpireOthers checks that a client whose clock is ahead does not make the changes
-// of others count as expired.
+// TestClientClockAheadDoesNotExpireOthers checks that a client whose clock is ahead does not
+// make the changes of others count as expired.
 func TestClientClockAheadDoesNotExpireOthers(t *testing.T) {
 	now := int64(1_000_000_000)
 	answers := NewAnswers(8)
--- a/internal/core/registry/validate.go
+++ b/internal/core/registry/validate.go
@@ -13,21 +13,21 @@
 
 // Limits of a configuration.
 const (
-	MaxPools       = 256
-	MaxReplicas    = 16384
-	MaxTenants     = 4096
-	MaxPolicyBytes = 64 << 10
-	MaxEdits       = 2*MaxReplicas + 2*MaxPools + 2
-	maxNameLength  = 64
-	maxLeaseLength = 128
-	maxInflight    = 1 << 16
-	maxQueue       = 1 << 20
-	maxBatch       = 1 << 16
-	maxTokens      = 1 << 24
-	tokenHexDigits = 64
-	maxAttempts    = 10
-	maxDeadline    = 24 * time.Hour
-	maxBuffer      = 1024
+	MaxPools           = 256
+	MaxReplicas        = 16384
+	MaxTenants         = 4096
+	MaxPolicyBytes     = 64 << 10
+	MaxEdits           = 2*MaxReplicas + 2*MaxPools + 2
+	maxNameLength      = 64
+	maxLeaseNameLength = 128
+	maxInflight        = 1 << 16
+	maxQueue           = 1 << 20
+	maxBatch           = 1 << 16
+	maxTokens          = 1 << 24
+	tokenHexDigits     = 64
+	maxAttempts        = 10
+	maxDeadline        = 24 * time.Hour
+	maxBuffer          = 1024
 )
 
 const (
@@ -43,7 +43,7 @@
 }
 
 func validLeaseName(name string) bool {
-	return name != "" && len(name) <= maxLeaseLength && strings.Trim(name, nameRunes+"._-/") == ""
+	return name != "" && len(name) <= maxLeaseNameLength && strings.Trim(name, nameRunes+"._-/") == ""
 }
 
 // ValidateConfiguration checks a complete configuration. The error is a *port.Error with the
