--- a/internal/core/nodestate/message.go
+++ b/internal/core/nodestate/message.go
@@ -6,7 +6,7 @@
 )
 
 // AggregatesMessage carries the aggregates of a zone to another one. Relayed is set
-// when the receiving node forwards it within its zone.
+// on the copies that the receiving node forwards within its zone.
 type AggregatesMessage struct {
 	Aggregates []membership.PoolAggregate `cbor:"1,keyasint"`
 	Relayed    bool                       `cbor:"2,keyasint,omitempty"`
--- a/internal/core/nodestate/poolstate.go
+++ b/internal/core/nodestate/poolstate.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/home"
 )
 
-// exclusionTTL is how long a replica excluded by a rollout stays out of routing
-// unless the rollout renews the exclusion.
+// exclusionTTL is how long a replica that a rollout excluded is not routed to unless
+// the rollout renews the exclusion.
 const exclusionTTL = 10 * time.Second
 
 // PoolState applies the exclusions of a rollout and returns the state of the pool's
@@ -43,7 +43,7 @@
 }
 
 // applyExclusions updates the replicas that a rollout excludes from routing. It
-// ignores a call with a fence lower than the highest one seen.
+// ignores a call with a fence lower than the highest one received.
 func (s *State) applyExclusions(now time.Time, call PoolStateCall) {
 	if call.Fence < s.fences[call.Pool] {
 		return
@@ -54,8 +54,8 @@
 			continue
 		}
 		until := time.Time{}
-		for _, out := range call.Excluded {
-			if out == id {
+		for _, excluded := range call.Excluded {
+			if excluded == id {
 				until = now.Add(exclusionTTL)
 			}
 		}
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -22,8 +22,8 @@
 	if !s.homes.matches(view.Nodes, live) {
 		s.homes = NewHomeTable(s.config.Zone, view.Nodes, live)
 	}
-	fresh := s.tables == nil || !s.tables.matches(view)
-	if fresh {
+	viewChanged := s.tables == nil || !s.tables.matches(view)
+	if viewChanged {
 		s.tables = newTables(view)
 	}
 	next := s.emptySnapshot(view, live)
@@ -40,8 +40,8 @@
 			next.Pools[pool.Name] = s.route(now, pool)
 		}
 	}
-	if fresh {
-		s.removeUnconfigured(now, byName(view.Configuration.Pools), next.Replicas)
+	if viewChanged {
+		s.removeUnconfigured(now, poolNames(view.Configuration.Pools), next.Replicas)
 	}
 	s.snapshot = next
 	s.output.Snapshot = next
@@ -60,10 +60,10 @@
 	}
 }
 
-// Bounds of the time between two rebuilds, so that frequent changes of a large
+// Limits of the time between two rebuilds, so that frequent changes of a large
 // configuration use a small share of a core.
 const (
-	rebuildShare       = 30
+	rebuildCostFactor  = 30
 	maxRebuildInterval = 100 * time.Millisecond
 	// refreshInterval is the time between rebuilds without changes.
 	refreshInterval = time.Second
@@ -73,7 +73,7 @@
 // reports whether it did.
 func (s *State) RebuildIfDue(now time.Time) bool {
 	elapsed := now.Sub(s.rebuiltAt)
-	due := elapsed >= min(rebuildShare*s.rebuildCost, maxRebuildInterval)
+	due := elapsed >= min(rebuildCostFactor*s.rebuildCost, maxRebuildInterval)
 	if !s.changed {
 		due = elapsed >= refreshInterval
 	}
@@ -88,16 +88,16 @@
 
 // gate returns the pool's gate, creating it on first use.
 func (s *State) gate(pool *port.Pool) Gate {
-	known := s.gates[pool.Name]
-	if known == nil {
-		known = s.config.NewGate(pool)
-		s.gates[pool.Name] = known
+	poolGate := s.gates[pool.Name]
+	if poolGate == nil {
+		poolGate = s.config.NewGate(pool)
+		s.gates[pool.Name] = poolGate
 	}
-	return known
+	return poolGate
 }
 
-// configureTracker sets the pool's settings and the replicas to track: those that
-// this node is the home of.
+// configureTracker configures the pool's ejection tracker with the pool's settings and
+// the replicas that this node is the home of.
 func (s *State) configureTracker(now time.Time, pool *port.Pool, owned *ownedReplicas) {
 	tracker := s.trackers[pool.Name]
 	settings := ejection.FromConfiguration(pool.Ejection)
@@ -181,12 +181,12 @@
 func (s *State) zoneReplica(now time.Time, homeNode port.NodeID, configured port.Replica, replica *membership.ReplicaSummary, age time.Duration) ZoneReplica {
 	counter := s.config.ReplicaCounter(replica.Replica)
 	reported := now.Add(-age)
-	mark := s.marks[replica.Replica].Update(reported, counter.Counts())
-	s.marks[replica.Replica] = mark
+	counts := s.countsAtReport[replica.Replica].Update(reported, counter.Counts())
+	s.countsAtReport[replica.Replica] = counts
 	return ZoneReplica{
-		Reported: reported,
-		Counter:  counter,
-		mark:     mark,
+		Reported:       reported,
+		Counter:        counter,
+		countsAtReport: counts,
 		Candidate: scheduling.Candidate{
 			Replica:        replica.Replica,
 			Zone:           configured.Zone,
@@ -215,15 +215,15 @@
 func (s *State) zoneOffer(aggregate membership.PoolAggregate) ZoneOffer {
 	key := ZonePool{aggregate.Zone, aggregate.Pool}
 	counter := s.config.ZoneCounter(key)
-	mark, known := s.zoneMarks[key]
-	if !known || mark.sequence != aggregate.Sequence {
-		mark = zoneMark{sequence: aggregate.Sequence, sent: counter.Counts().Sent}
-		s.zoneMarks[key] = mark
+	baseline, known := s.zoneBaselines[key]
+	if !known || baseline.sequence != aggregate.Sequence {
+		baseline = zoneBaseline{sequence: aggregate.Sequence, sent: counter.Counts().Sent}
+		s.zoneBaselines[key] = baseline
 	}
-	return ZoneOffer{Aggregate: aggregate, Nodes: s.tables.byZone[aggregate.Zone], Counter: counter, sentMark: mark.sent}
+	return ZoneOffer{Aggregate: aggregate, Nodes: s.tables.byZone[aggregate.Zone], Counter: counter, sentAtArrival: baseline.sent}
 }
 
-func byName(pools []port.Pool) map[port.PoolName]bool {
+func poolNames(pools []port.Pool) map[port.PoolName]bool {
 	names := make(map[port.PoolName]bool, len(pools))
 	for index := range pools {
 		names[pools[index].Name] = true
@@ -246,8 +246,8 @@
 			delete(s.trackers, name)
 		}
 	}
-	maps.DeleteFunc(s.zoneMarks, func(key ZonePool, _ zoneMark) bool { return !pools[key.Pool] })
-	maps.DeleteFunc(s.marks, func(id port.ReplicaID, _ placement.CountsAtReport) bool {
+	maps.DeleteFunc(s.zoneBaselines, func(key ZonePool, _ zoneBaseline) bool { return !pools[key.Pool] })
+	maps.DeleteFunc(s.countsAtReport, func(id port.ReplicaID, _ placement.CountsAtReport) bool {
 		_, configured := replicas[id]
 		return !configured
 	})
--- a/internal/core/nodestate/snapshot.go
+++ b/internal/core/nodestate/snapshot.go
@@ -44,13 +44,13 @@
 	Candidate scheduling.Candidate
 	Reported  time.Time
 	Counter   Counter
-	// mark holds the counter's values at the time of the report.
-	mark placement.CountsAtReport
+	// countsAtReport holds the counter's values at the time of the report.
+	countsAtReport placement.CountsAtReport
 }
 
 // CurrentCandidate returns the candidate corrected by the requests counted since the report.
 func (r *ZoneReplica) CurrentCandidate(now time.Time) scheduling.Candidate {
-	return r.mark.Apply(now, r.Reported, r.Candidate, r.Counter.Counts())
+	return r.countsAtReport.Apply(now, r.Reported, r.Candidate, r.Counter.Counts())
 }
 
 // ZoneOffer is the aggregate of another zone with the nodes that accept its requests.
@@ -58,19 +58,19 @@
 	Aggregate membership.PoolAggregate
 	Nodes     []port.NodeAddress
 	Counter   Counter
-	// sentMark is the number of requests sent there when the aggregate arrived.
-	sentMark int64
+	// sentAtArrival is the number of requests sent there when the aggregate arrived.
+	sentAtArrival int64
 }
 
 // FreePerReplica returns the free slots per replica of the zone, less the queued requests and
 // those that this node has sent since the aggregate.
 func (o *ZoneOffer) FreePerReplica() float64 {
-	sent := o.Counter.Counts().Sent - o.sentMark
+	sent := o.Counter.Counts().Sent - o.sentAtArrival
 	free := o.Aggregate.Free - o.Aggregate.Queued - int(max(sent, 0))
 	return float64(free) / float64(max(o.Aggregate.Routable, 1))
 }
 
-// TenantShare returns the share of a queue that a tenant may fill; 0 means all.
+// TenantShare returns the share of a queue that a tenant may fill; 0 means no limit.
 func (s *Snapshot) TenantShare(name port.TenantName) float64 {
 	for _, tenant := range s.View.Configuration.Tenants {
 		if tenant.Name == name {
--- a/internal/core/nodestate/state.go
+++ b/internal/core/nodestate/state.go
@@ -68,11 +68,11 @@
 	aggregateRequests int
 	// gates holds the gates of application pools and of engine pools with a replica
 	// that this node is the home of.
-	gates     map[port.PoolName]Gate
-	trackers  map[port.PoolName]*ejection.Tracker
-	records   map[port.ReplicaID]*home.Record
-	marks     map[port.ReplicaID]placement.CountsAtReport
-	zoneMarks map[ZonePool]zoneMark
+	gates          map[port.PoolName]Gate
+	trackers       map[port.PoolName]*ejection.Tracker
+	records        map[port.ReplicaID]*home.Record
+	countsAtReport map[port.ReplicaID]placement.CountsAtReport
+	zoneBaselines  map[ZonePool]zoneBaseline
 	// fences holds the highest fence received from the rollout of each engine pool.
 	fences  map[port.PoolName]port.Epoch
 	leaving *home.LeavingMachines
@@ -96,8 +96,8 @@
 	output          Output
 }
 
-// zoneMark holds the requests sent to a zone when its aggregate arrived.
-type zoneMark struct {
+// zoneBaseline holds the number of requests sent to a zone when its aggregate arrived.
+type zoneBaseline struct {
 	sequence uint64
 	sent     int64
 }
@@ -114,8 +114,8 @@
 		gates:          make(map[port.PoolName]Gate),
 		trackers:       make(map[port.PoolName]*ejection.Tracker),
 		records:        make(map[port.ReplicaID]*home.Record),
-		marks:          make(map[port.ReplicaID]placement.CountsAtReport),
-		zoneMarks:      make(map[ZonePool]zoneMark),
+		countsAtReport: make(map[port.ReplicaID]placement.CountsAtReport),
+		zoneBaselines:  make(map[ZonePool]zoneBaseline),
 		fences:         make(map[port.PoolName]port.Epoch),
 		leaving:        home.NewLeavingMachines(),
 		outcomes:       make(map[port.NodeID][]CallOutcome),
@@ -134,7 +134,7 @@
 // View returns the current view of the control state.
 func (s *State) View() *port.View { return s.observer.View() }
 
-// Position returns the position after which to request updates of the view.
+// Position returns the position after which the caller requests updates of the view.
 func (s *State) Position() uint64 { return s.observer.Position() }
 
 // Tick runs the periodic work. MayReport is false while a report to the control
@@ -244,13 +244,13 @@
 		s.sendRelayedAggregates(message.Requester)
 		return
 	}
-	fresh := false
+	applied := false
 	for _, aggregate := range message.Aggregates {
 		if aggregate.Zone != s.config.Zone && s.aggregates.Apply(now, aggregate) {
-			fresh = true
+			applied = true
 		}
 	}
-	if !fresh {
+	if !applied {
 		return
 	}
 	s.changed = true
--- a/internal/core/nodestate/summaries.go
+++ b/internal/core/nodestate/summaries.go
@@ -38,7 +38,7 @@
 }
 
 // sendSummaries sends this node's summary to the zone when it is due. The interval
-// keeps within the byte budget.
+// grows with the size of the message and of the zone, to stay within the byte budget.
 func (s *State) sendSummaries(now time.Time) {
 	if now.Sub(s.lastSummary) < s.summaryInterval {
 		return
--- a/internal/core/nodestate/tables.go
+++ b/internal/core/nodestate/tables.go
@@ -47,8 +47,8 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// ownedReplicas are the replicas that this node is the home of, valid for the given
-// tables and homes.
+// ownedReplicas are the replicas that this node is the home of, computed from tables
+// and homes.
 type ownedReplicas struct {
 	tables *tables
 	homes  *HomeTable
--- a/internal/core/nodestate/tables_test.go
+++ b/internal/core/nodestate/tables_test.go
@@ -7,7 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Cached tables must follow every kind of change of the view.
+// TestCachedTablesFollowView checks that every kind of change of the view replaces the
+// cached tables if it affects them.
 func TestCachedTablesFollowView(t *testing.T) {
 	newReplica := port.Replica{ID: "new", Pool: "pool-00", Zone: "zone-03", Address: "10.9.9.9:8000", State: port.ReplicaActive}
 	newNode := port.NodeAddress{ID: "node-new", Zone: "zone-00", PeerAddress: "10.9.9.8:7000"}
@@ -56,7 +57,8 @@
 	}
 }
 
-// A node that has just started requests the aggregates that its peers relay.
+// TestNewNodeReceivesAggregates checks that a node that has just started requests the
+// aggregates that its peers relay, and that a peer sends them.
 func TestNewNodeReceivesAggregates(t *testing.T) {
 	s, _ := benchState(benchView(20))
 	s.RebuildIfDue(benchStart.Add(time.Second))
@@ -83,7 +85,8 @@
 	}
 }
 
-// An unchanged aggregate is sent once, not at every tick.
+// TestUnchangedAggregatesAreSentOnce checks that unchanged aggregates are not sent at
+// every tick.
 func TestUnchangedAggregatesAreSentOnce(t *testing.T) {
 	view := benchView(20)
 	s, summaries := benchState(view)
--- a/internal/core/nodestate/zones.go
+++ b/internal/core/nodestate/zones.go
@@ -70,8 +70,8 @@
 func (t *HomeTable) Home(replica port.Replica) (port.NodeID, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known, cached := t.cache[replica.ID]; cached {
-		return known, true
+	if id, cached := t.cache[replica.ID]; cached {
+		return id, true
 	}
 	homes := t.byZone[t.servingZone(replica.Zone)]
 	if homes == nil {
--- a/internal/core/sitestate/command.go
+++ b/internal/core/sitestate/command.go
@@ -139,7 +139,7 @@
 	StartedAt uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Holder names the machine that is allowed to order replicas.
+// Holder names the machine that may instruct replicas to load weights.
 type Holder struct {
 	Machine string `cbor:"1,keyasint"`
 	// Address is where the machine receives messages from other processes.
--- a/internal/core/sitestate/state.go
+++ b/internal/core/sitestate/state.go
@@ -141,7 +141,7 @@
 // Weights returns the newest published version of a model; 0 is none.
 func (s *State) Weights(model string) uint64 { return s.contents.Weights[model] }
 
-// Holder returns the machine that may order replicas; its name is empty if there is none.
+// Holder returns the machine that may instruct replicas; its name is empty if there is none.
 func (s *State) Holder() Holder { return s.contents.Holder }
 
 // Store returns a store machine by name.
