--- a/internal/core/gate/dispatch.go
+++ b/internal/core/gate/dispatch.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// maxDeferred bounds the queued requests that a dispatch skips because no replica
+// maxDeferred limits the queued requests that a dispatch skips because no replica
 // with capacity can serve them.
 const maxDeferred = 16
 
@@ -25,7 +25,7 @@
 			break
 		}
 		if g.assign(now, item.Value) {
-			g.settled = append(g.settled, item.Value)
+			g.resolved = append(g.resolved, item.Value)
 			continue
 		}
 		if refusal := g.checkServable(now, item.Value); refusal != nil {
@@ -45,13 +45,13 @@
 	g.expire(now)
 }
 
-// refuse settles a queued ticket with a refusal.
+// refuse resolves a queued ticket with a refusal.
 func (g *Gate) refuse(ticket *Ticket, refusal *port.Error) {
 	ticket.refuse(refusal)
-	g.settled = append(g.settled, ticket)
+	g.resolved = append(g.resolved, ticket)
 }
 
-// refuseWaiting refuses all queued requests when no routable replica is left.
+// refuseWaiting refuses all queued requests because no replica is routable.
 func (g *Gate) refuseWaiting(now time.Time) {
 	for {
 		item, found := g.queue.Next(now)
@@ -70,7 +70,7 @@
 	}
 }
 
-// hasCapacity reports whether any replica may take another request.
+// hasCapacity reports whether any replica can accept another request.
 func (g *Gate) hasCapacity() bool {
 	for _, state := range g.replicaStates {
 		if state.routable() && state.inflight < state.limiter.Limit() {
@@ -170,8 +170,8 @@
 	return text
 }
 
-// candidates fills the scratch slice with the current state of the replicas. Without
-// limits, a replica at its concurrency limit remains a candidate.
+// candidates fills the scratch slice with the current state of the replicas. If limits
+// is false, a replica at its concurrency limit remains a candidate.
 func (g *Gate) candidates(now time.Time, request *Request, limits bool) []scheduling.Candidate {
 	g.scratch = g.scratch[:0]
 	for _, state := range g.replicaStates {
--- a/internal/core/gate/doc.go
+++ b/internal/core/gate/doc.go
@@ -4,7 +4,7 @@
 // used to choose a replica.
 //
 // A Gate is a state machine: each call takes the current time and returns the
-// tickets that it settled, that is granted or refused. Random numbers come from the
+// tickets that it resolved, that is granted or refused. Random numbers come from the
 // source passed to New. A node adds a mutex and channels; the simulator calls the
 // gate in virtual time.
 package gate
--- a/internal/core/gate/gate.go
+++ b/internal/core/gate/gate.go
@@ -24,16 +24,16 @@
 	draining      bool
 	// scratch is reused for the candidates of each decision.
 	scratch []scheduling.Candidate
-	// settled collects the tickets settled by the current call.
-	settled []*Ticket
+	// resolved collects the tickets resolved by the current call.
+	resolved []*Ticket
 }
 
 // Settings hold the limits of a gate.
 type Settings struct {
-	// MinInflight and MaxInflight bound the adaptive limit of each replica.
+	// MinInflight and MaxInflight limit the adaptive limit of each replica.
 	MinInflight int
 	MaxInflight int
-	// QueueLength bounds the queued requests.
+	// QueueLength limits the queued requests.
 	QueueLength int
 }
 
@@ -50,10 +50,10 @@
 }
 
 // Configure replaces the settings and the set of replicas, and returns the tickets
-// that this settled. Replicas that stay keep their counts; requests running on a
+// that this resolved. Replicas that remain keep their counts; requests running on a
 // removed replica continue. The result is valid until the next call.
 func (g *Gate) Configure(now time.Time, settings Settings, replicas []Replica) []*Ticket {
-	g.settled = g.settled[:0]
+	g.resolved = g.resolved[:0]
 	g.queue.SetLength(settings.QueueLength)
 	limits := admission.LimiterConfig{Min: max(settings.MinInflight, 1), Max: max(settings.MaxInflight, settings.MinInflight, 1)}
 	previous := g.byID
@@ -71,15 +71,15 @@
 	}
 	g.index.Retain(func(id port.ReplicaID) bool { return g.byID[id] != nil })
 	g.dispatch(now)
-	return g.settled
+	return g.resolved
 }
 
-// Offer grants a ticket, refuses it or queues it, as its State shows. It returns the
-// previously queued tickets that were settled, and the number of queued requests if
-// this one was queued; in that case the ticket itself may be among the settled ones.
+// Offer grants, refuses or queues a ticket and sets its State accordingly. It returns
+// the previously queued tickets that it resolved, and the number of queued requests if
+// this one was queued; in that case the ticket itself may be among the resolved ones.
 // The result is valid until the next call.
-func (g *Gate) Offer(now time.Time, ticket *Ticket) (settled []*Ticket, waiting int) {
-	g.settled = g.settled[:0]
+func (g *Gate) Offer(now time.Time, ticket *Ticket) (resolved []*Ticket, waiting int) {
+	g.resolved = g.resolved[:0]
 	ticket.offeredAt = now
 	if g.draining {
 		ticket.refuse(drainingError())
@@ -100,14 +100,14 @@
 		g.dispatch(now)
 	}
 	g.expire(now)
-	return g.settled, waiting
+	return g.resolved, waiting
 }
 
-// Cancel withdraws a ticket whose caller is gone: a queued ticket leaves the queue, a
-// granted slot is released. It returns the tickets that this settled, valid until
-// the next call.
+// Cancel withdraws a ticket whose caller disconnected: it removes a queued ticket from
+// the queue and releases a granted slot. It returns the tickets that this resolved,
+// valid until the next call.
 func (g *Gate) Cancel(now time.Time, ticket *Ticket) []*Ticket {
-	g.settled = g.settled[:0]
+	g.resolved = g.resolved[:0]
 	switch ticket.State {
 	case Waiting:
 		g.queue.Cancel(ticket.Request.ID)
@@ -115,25 +115,25 @@
 	case Granted:
 		return g.Release(now, ticket, Outcome{Abandoned: true})
 	}
-	return g.settled
+	return g.resolved
 }
 
 // Tick refuses queued requests past their deadline and grants those that can run. It
-// returns the tickets that this settled, valid until the next call.
+// returns the tickets that this resolved, valid until the next call.
 func (g *Gate) Tick(now time.Time) []*Ticket {
-	g.settled = g.settled[:0]
+	g.resolved = g.resolved[:0]
 	g.index.Expire(now)
 	g.dispatch(now)
-	return g.settled
+	return g.resolved
 }
 
 // Drain refuses all queued and all future requests as NotRun. Running requests
-// continue. It returns the tickets that this settled, valid until the next call.
+// continue. It returns the tickets that this resolved, valid until the next call.
 func (g *Gate) Drain() []*Ticket {
-	g.settled = g.settled[:0]
+	g.resolved = g.resolved[:0]
 	g.draining = true
 	g.refuseEnded(g.queue.Drain())
-	return g.settled
+	return g.resolved
 }
 
 // CacheEvents applies a replica's cache events; see prefix.Index.Apply.
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -28,8 +28,8 @@
 	return &gate.Ticket{Request: gate.Request{ID: port.RequestID(id)}}
 }
 
-// Two attempts of one request may be offered to the same gate: cancelling the first
-// must not remove the second from the queue.
+// TestCancelAffectsOnlyItsOwnTicket offers two attempts of one request to the same gate:
+// cancelling the first must not remove the second from the queue.
 func TestCancelAffectsOnlyItsOwnTicket(t *testing.T) {
 	g := newGate(1, 4, gate.Replica{ID: "a"})
 	first, second := ticket("same"), ticket("same")
@@ -38,17 +38,18 @@
 	if first.State != gate.Granted || second.State != gate.Waiting {
 		t.Fatalf("states %v, %v", first.State, second.State)
 	}
-	settled := g.Cancel(start, first)
-	if len(settled) != 1 || settled[0] != second || second.State != gate.Granted {
-		t.Errorf("settled %d tickets, the second is %v", len(settled), second.State)
+	resolved := g.Cancel(start, first)
+	if len(resolved) != 1 || resolved[0] != second || second.State != gate.Granted {
+		t.Errorf("resolved %d tickets, the second is %v", len(resolved), second.State)
 	}
 	if loads, waiting := g.Loads(); loads["a"].Inflight != 1 || waiting != 0 {
 		t.Errorf("loads %v, %d wait", loads, waiting)
 	}
 }
 
-// When a replica becomes free, a queued request that prefers it goes first, up to a
-// bound and never ahead of a higher priority.
+// TestQueuedRequestsGoToPreferredReplica checks that a replica that becomes free first serves
+// a queued request that prefers it, unless another has a higher priority or was skipped too
+// often.
 func TestQueuedRequestsGoToPreferredReplica(t *testing.T) {
 	g := newGate(1, 4096, gate.Replica{ID: "a"}, gate.Replica{ID: "b"})
 	offer := func(id string, preferred port.ReplicaID, priority port.Priority) *gate.Ticket {
@@ -60,9 +61,9 @@
 	}
 	runningOnA, runningOnB := offer("on a", "a", 0), offer("on b", "b", 0)
 	high, prefersA := offer("high", "a", 1), offer("prefers a", "a", 0)
-	const more = 100
+	const count = 100
 	var prefersB []*gate.Ticket
-	for index := range more {
+	for index := range count {
 		prefersB = append(prefersB, offer(fmt.Sprint("prefers b ", index), "b", 0))
 	}
 	g.Release(start, runningOnB, gate.Outcome{})
@@ -77,15 +78,16 @@
 		g.Release(start, served, gate.Outcome{})
 	}
 	if prefersA.State != gate.Granted || prefersA.Replica != "b" {
-		t.Errorf("skipped without bound: state %v", prefersA.State)
+		t.Errorf("skipped more often than the limit: state %v", prefersA.State)
 	}
 	if runningOnA.State != gate.Granted {
 		t.Errorf("the request on a is in state %v", runningOnA.State)
 	}
 }
 
-// A gate never grants a slot above a limit or on an unroutable replica, settles every
-// ticket once, and keeps none queued while a replica has capacity for it.
+// TestEveryTicketIsSettledOnceWithinTheLimits checks that a gate never grants a slot above
+// a limit or on an unroutable replica, resolves every ticket once, and queues none while a
+// replica has capacity for it.
 func TestEveryTicketIsSettledOnceWithinTheLimits(t *testing.T) {
 	testkit.Check(t, 71, func(t *rapid.T) {
 		model := &gateModel{gate: gate.New(scheduling.Generation(), newRandom()), limit: rapid.IntRange(1, 3).Draw(t, "limit")}
@@ -104,7 +106,7 @@
 	limit      int
 	replicas   []gate.Replica
 	tickets    []*gate.Ticket
-	settled    map[*gate.Ticket]bool
+	resolved   map[*gate.Ticket]bool
 	unroutable map[port.ReplicaID]bool
 }
 
@@ -126,7 +128,7 @@
 		m.replicas = append(m.replicas, replica)
 	}
 	settings := gate.Settings{MinInflight: m.limit, MaxInflight: m.limit, QueueLength: 6}
-	m.checkSettled(t, m.gate.Configure(m.now, settings, m.replicas))
+	m.checkResolved(t, m.gate.Configure(m.now, settings, m.replicas))
 }
 
 func (m *gateModel) step(t *rapid.T) {
@@ -135,16 +137,16 @@
 		m.offer(t)
 	case 2, 3:
 		if picked := m.pick(t, gate.Granted); picked != nil {
-			m.checkSettled(t, m.gate.Release(m.now, picked, gate.Outcome{Latency: time.Millisecond, Service: time.Second}))
+			m.checkResolved(t, m.gate.Release(m.now, picked, gate.Outcome{Latency: time.Millisecond, Service: time.Second}))
 		}
 	case 4:
 		if picked := m.pick(t, gate.Waiting); picked != nil {
-			m.checkSettled(t, m.gate.Cancel(m.now, picked))
+			m.checkResolved(t, m.gate.Cancel(m.now, picked))
 		}
 	default:
 		m.configure(t)
 	}
-	m.checkSettled(t, m.gate.Tick(m.now))
+	m.checkResolved(t, m.gate.Tick(m.now))
 }
 
 func (m *gateModel) offer(t *rapid.T) {
@@ -156,23 +158,23 @@
 		offered.Request.Deadline = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond)
 	}
 	m.tickets = append(m.tickets, offered)
-	settled, _ := m.gate.Offer(m.now, offered)
+	resolved, _ := m.gate.Offer(m.now, offered)
 	if offered.State == gate.Granted && m.unroutable[offered.Replica] {
 		t.Fatalf("granted a slot on unroutable replica %s", offered.Replica)
 	}
-	m.checkSettled(t, settled)
+	m.checkResolved(t, resolved)
 }
 
-// checkSettled checks the tickets settled by a call.
-func (m *gateModel) checkSettled(t *rapid.T, settled []*gate.Ticket) {
-	if m.settled == nil {
-		m.settled = make(map[*gate.Ticket]bool)
+// checkResolved checks the tickets resolved by a call.
+func (m *gateModel) checkResolved(t *rapid.T, resolved []*gate.Ticket) {
+	if m.resolved == nil {
+		m.resolved = make(map[*gate.Ticket]bool)
 	}
-	for _, ticket := range settled {
-		if m.settled[ticket] {
-			t.Fatalf("%s was settled twice", ticket.Request.ID)
+	for _, ticket := range resolved {
+		if m.resolved[ticket] {
+			t.Fatalf("%s was resolved twice", ticket.Request.ID)
 		}
-		m.settled[ticket] = true
+		m.resolved[ticket] = true
 		if ticket.State == gate.Granted && m.unroutable[ticket.Replica] {
 			t.Fatalf("granted a slot on unroutable replica %s", ticket.Replica)
 		}
@@ -224,8 +226,8 @@
 	}
 }
 
-// A request for an adapter goes to a replica that serves it, not to one that has only
-// staged it.
+// TestStagedAdapterServesNothing checks that a request for an adapter goes to a replica
+// that serves it, not to one that has only staged it.
 func TestStagedAdapterServesNothing(t *testing.T) {
 	replica := func(id port.ReplicaID, version, staged port.WeightVersion) gate.Replica {
 		adapters := []port.AdapterVersion{{Name: "notes", Version: version, Staged: staged}}
@@ -248,8 +250,8 @@
 	}
 }
 
-// Calls go to the back end with the least expected latency, even if it has more
-// requests in flight than a slow one.
+// TestCallsAvoidSlowBackEnd checks that calls go to the back end with the lowest expected
+// latency, even if it has more requests in flight than a slow one.
 func TestCallsAvoidSlowBackEnd(t *testing.T) {
 	g := gate.New(scheduling.Application(), newRandom())
 	g.Configure(start, gate.Settings{MinInflight: 8, MaxInflight: 8, QueueLength: 4}, []gate.Replica{{ID: "fast"}, {ID: "slow"}})
--- a/internal/core/gate/slot.go
+++ b/internal/core/gate/slot.go
@@ -43,17 +43,18 @@
 	latency  time.Duration
 	servedAt time.Time
 	reported time.Time
-	// The marks are the values of sent and finished at the time of the last report.
-	sentMark     int
-	finishedMark int
+	// sentAtReport and finishedAtReport are the values of sent and finished at the time
+	// of the last report.
+	sentAtReport     int
+	finishedAtReport int
 }
 
 // update replaces the description of the replica.
 func (s *replicaState) update(replica Replica) {
 	if replica.ReportedAt.After(s.reported) {
 		s.reported = replica.ReportedAt
-		s.sentMark = s.sent
-		s.finishedMark = s.finished
+		s.sentAtReport = s.sent
+		s.finishedAtReport = s.finished
 	}
 	s.info = replica
 	s.adapters = replica.Report.LoadedAdapters()
@@ -67,12 +68,12 @@
 	latencyMaxAge = 5 * time.Second
 )
 
-// recordService adds the latency of one call to the mean.
-func (s *replicaState) recordService(now time.Time, took time.Duration) {
+// recordLatency adds the latency of one call to the mean.
+func (s *replicaState) recordLatency(now time.Time, latency time.Duration) {
 	if s.recentLatency(now) == 0 {
-		s.latency = took
+		s.latency = latency
 	}
-	s.latency += time.Duration(latencySmoothing * float64(took-s.latency))
+	s.latency += time.Duration(latencySmoothing * float64(latency-s.latency))
 	s.servedAt = now
 }
 
@@ -111,8 +112,8 @@
 		Waiting:             report.Waiting,
 		ReportAge:           s.reportAge(now),
 		Inflight:            s.inflight,
-		SentSinceReport:     s.sent - s.sentMark,
-		FinishedSinceReport: s.finished - s.finishedMark,
+		SentSinceReport:     s.sent - s.sentAtReport,
+		FinishedSinceReport: s.finished - s.finishedAtReport,
 		InflightTokens:      s.tokens,
 		KVUsed:              report.KVUsed,
 		KVTotal:             report.KVTotal,
--- a/internal/core/gate/ticket.go
+++ b/internal/core/gate/ticket.go
@@ -81,21 +81,21 @@
 	// Overloaded means a failure that indicates overload.
 	Overloaded bool
 	// Latency must be comparable between requests: the time per output token, or of
-	// the whole call. 0 means unknown.
+	// the call. 0 means unknown.
 	Latency time.Duration
 	// Weight is the number of equal answers that this one counts as, such as its
 	// tokens; 0 means one.
 	Weight int
-	// Service is the duration of the whole request, used to check deadlines; 0 means
+	// Service is the total duration of the request, used to check deadlines; 0 means
 	// that it isn't counted.
 	Service time.Duration
 }
 
 // Release frees a granted ticket's slot and dispatches queued requests. Later calls
-// for the same ticket have no effect. It returns the tickets that this settled,
+// for the same ticket have no effect. It returns the tickets that this resolved,
 // valid until the next call.
 func (g *Gate) Release(now time.Time, ticket *Ticket, outcome Outcome) []*Ticket {
-	g.settled = g.settled[:0]
+	g.resolved = g.resolved[:0]
 	if ticket.State != Granted {
 		return nil
 	}
@@ -106,11 +106,11 @@
 	}
 	if outcome.Service > 0 {
 		g.queue.ObserveService(outcome.Service)
-		state.recordService(now, outcome.Service)
+		state.recordLatency(now, outcome.Service)
 	}
 	state.inflight--
 	state.finished++
 	state.tokens -= ticket.Request.Pick.MaxTokens
 	g.dispatch(now)
-	return g.settled
+	return g.resolved
 }
