--- a/internal/core/admission/limiter.go
+++ b/internal/core/admission/limiter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// LimiterConfig bounds a Limiter, which starts halfway between Min and Max.
+// LimiterConfig limits the range of a Limiter, which starts halfway between Min and Max.
 type LimiterConfig struct {
 	Min int
 	Max int
@@ -33,7 +33,7 @@
 	// overloadFailureShare is the share of failures above which a window counts as
 	// overloaded.
 	overloadFailureShare = 0.1
-	// minGradient bounds the decrease in one window.
+	// minGradient limits the decrease in one window.
 	minGradient = 0.5
 	// minWindowsBetweenProbes is the minimum number of windows between two probes of
 	// the baseline latency, minWindowsBeforeFirstProbe that before the first one.
@@ -41,7 +41,7 @@
 	minWindowsBeforeFirstProbe = 4
 	// probeDivisor divides the limit during a probe.
 	probeDivisor = 4
-	// maxProbeWindows bounds the duration of a probe.
+	// maxProbeWindows limits the duration of a probe.
 	maxProbeWindows = 20
 )
 
@@ -51,10 +51,10 @@
 // reduce it by a fixed factor.
 //
 // The baseline latency only falls, as a slow overload would otherwise raise it. After
-// latency has held the limit down, the limiter probes a new baseline at a quarter of
-// the limit, like BBR probes the minimum round-trip time. Other probes could not raise
-// the limit, and each lasts as long as the longest request in flight. A Limiter is not
-// safe for concurrent use.
+// latency has reduced the limit, the limiter probes a new baseline at a quarter of the
+// limit, like BBR probes the minimum round-trip time. It does not probe otherwise, since
+// a probe could not raise the limit and lasts as long as the longest request in flight.
+// A Limiter is not safe for concurrent use.
 type Limiter struct {
 	min, max float64
 	limit    float64
@@ -162,11 +162,11 @@
 // finishProbe ends a probe once the requests in flight are within the reduced limit,
 // or after maxProbeWindows.
 func (l *Limiter) finishProbe(recent float64) {
-	settled := l.window.inflight <= l.Limit()
-	if !settled && l.windowsSinceProbe < maxProbeWindows {
+	drained := l.window.inflight <= l.Limit()
+	if !drained && l.windowsSinceProbe < maxProbeWindows {
 		return
 	}
-	if settled {
+	if drained {
 		l.setBaseline(recent)
 	}
 	l.probing = false
--- a/internal/core/admission/limiter_test.go
+++ b/internal/core/admission/limiter_test.go
@@ -21,13 +21,13 @@
 	return s.base * time.Duration(max(inflight, s.capacity)) / time.Duration(s.capacity)
 }
 
-// drive keeps the server as full as the limit and the demand allow.
-func drive(limiter *Limiter, now time.Time, serve server, demand int, seconds int, failures float64) time.Time {
+// drive sends the server as many requests as the limit and the demand allow.
+func drive(limiter *Limiter, now time.Time, srv server, demand int, seconds int, failures float64) time.Time {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range seconds * 100 {
 		now = now.Add(10 * time.Millisecond)
 		inflight := min(demand, limiter.Limit())
-		limiter.Observe(now, serve.latency(inflight), random.Float64() < failures, inflight)
+		limiter.Observe(now, srv.latency(inflight), random.Float64() < failures, inflight)
 	}
 	return now
 }
@@ -61,19 +61,19 @@
 
 func TestLimiterRecoversAfterFailures(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 32})
-	serve := server{1000, 50 * time.Millisecond}
-	now := drive(limiter, start, serve, 1000, 20, 1)
+	srv := server{1000, 50 * time.Millisecond}
+	now := drive(limiter, start, srv, 1000, 20, 1)
 	if limiter.Limit() != 2 {
 		t.Fatalf("limit %d after failures, want the minimum", limiter.Limit())
 	}
-	drive(limiter, now, serve, 1000, 100, 0)
+	drive(limiter, now, srv, 1000, 100, 0)
 	if limiter.Limit() != 32 {
 		t.Errorf("limit %d after recovery, want the maximum", limiter.Limit())
 	}
 }
 
-// The baseline follows a replica that has become permanently slower, but not a lasting
-// overload.
+// TestLimiterProbesNewBaseline checks that the baseline follows a replica that has become
+// permanently slower, but not a lasting overload.
 func TestLimiterProbesNewBaseline(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 64})
 	now := drive(limiter, start, server{1000, 50 * time.Millisecond}, 1000, 30, 0)
@@ -91,30 +91,31 @@
 	}
 }
 
-// Without a limit reduced by latency, no probe lowers the limit.
+// TestLimiterProbesOnlyWhenLatencyLimited checks that no probe lowers a limit that latency
+// has not reduced.
 func TestLimiterProbesOnlyWhenLatencyLimited(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 64})
-	serve := server{1000, 50 * time.Millisecond}
-	now := drive(limiter, start, serve, 1000, 60, 0)
+	srv := server{1000, 50 * time.Millisecond}
+	now := drive(limiter, start, srv, 1000, 60, 0)
 	for range 60_000 {
 		now = now.Add(10 * time.Millisecond)
-		limiter.Observe(now, serve.latency(limiter.Limit()), false, limiter.Limit())
+		limiter.Observe(now, srv.latency(limiter.Limit()), false, limiter.Limit())
 		if limiter.Limit() < 64 {
 			t.Fatalf("limit %d at %s, want 64 throughout", limiter.Limit(), now.Sub(start))
 		}
 	}
 }
 
-// A pause of 200 ms counts by its share of the time, not by the number of short answers
-// that it delays.
+// TestLimiterWeighsAnswersByTokens checks that a pause of 200 ms counts by its share of the
+// time, not by the number of short answers that it delays.
 func TestLimiterWeighsAnswersByTokens(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 2, Max: 32})
 	now := drive(limiter, start, server{1000, 15 * time.Millisecond}, 1000, 60, 0)
 	for range 2000 {
 		for _, tokens := range []int{5, 1000} {
 			now = now.Add(100 * time.Millisecond)
-			took := time.Duration(tokens)*15*time.Millisecond + 200*time.Millisecond
-			limiter.ObserveWeighted(now, took/time.Duration(tokens), tokens, false, limiter.Limit())
+			duration := time.Duration(tokens)*15*time.Millisecond + 200*time.Millisecond
+			limiter.ObserveWeighted(now, duration/time.Duration(tokens), tokens, false, limiter.Limit())
 			if limiter.Limit() != 32 {
 				t.Fatalf("limit %d, want 32 throughout", limiter.Limit())
 			}
@@ -122,8 +123,8 @@
 	}
 }
 
-// A batching engine that takes longer per token of a fuller batch, but produces more
-// tokens per second, is not overloaded.
+// TestLimiterAllowsFullBatches checks that a batching engine that takes longer per token of
+// a fuller batch, but produces more tokens per second, does not count as overloaded.
 func TestLimiterAllowsFullBatches(t *testing.T) {
 	limiter := NewLimiter(LimiterConfig{Min: 1, Max: 32})
 	now := start
--- a/internal/core/admission/order.go
+++ b/internal/core/admission/order.go
@@ -142,7 +142,7 @@
 	q.dropEmptyLevels()
 }
 
-// dropEmptyLevels removes levels without requests, so that the state of former
+// dropEmptyLevels removes levels without requests, so that the state of inactive
 // tenants doesn't accumulate.
 func (q *Queue[T]) dropEmptyLevels() {
 	q.levels = slices.DeleteFunc(q.levels, func(l *level[T]) bool { return l.count == 0 })
@@ -171,7 +171,7 @@
 // levelOf returns the level of a priority, creating it if necessary.
 func (q *Queue[T]) levelOf(priority port.Priority) *level[T] {
 	position, found := slices.BinarySearchFunc(q.levels, priority,
-		func(l *level[T], wanted port.Priority) int { return cmp.Compare(wanted, l.priority) })
+		func(l *level[T], target port.Priority) int { return cmp.Compare(target, l.priority) })
 	if found {
 		return q.levels[position]
 	}
@@ -184,8 +184,8 @@
 func (q *Queue[T]) waitingForTenant(tenant port.TenantName) int {
 	count := 0
 	for _, level := range q.levels {
-		if line := level.tenants[tenant]; line != nil {
-			count += len(line.entries)
+		if queued := level.tenants[tenant]; queued != nil {
+			count += len(queued.entries)
 		}
 	}
 	return count
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -26,9 +26,9 @@
 	Error *port.Error
 }
 
-// Config bounds a Queue.
+// Config holds the settings of a Queue.
 type Config struct {
-	// Length bounds the waiting requests; less than 1 means 1.
+	// Length limits the waiting requests; less than 1 means 1.
 	Length int
 }
 
@@ -48,7 +48,7 @@
 	return &Queue[T]{length: max(config.Length, 1), byID: make(map[port.RequestID]*entry[T])}
 }
 
-// SetLength changes the bound; excess requests stay in the queue.
+// SetLength changes the limit; excess requests stay in the queue.
 func (q *Queue[T]) SetLength(length int) { q.length = max(length, 1) }
 
 // Len returns the number of waiting requests.
@@ -131,10 +131,10 @@
 		q.remove(entry)
 		q.addEnded(entry, q.deadlinePassedError())
 	}
-	return q.takeEnded()
+	return q.flushEnded()
 }
 
-// Cancel removes a request whose caller is gone; false means that it is not in the
+// Cancel removes a request whose caller disconnected; false means that it is not in the
 // queue.
 func (q *Queue[T]) Cancel(id port.RequestID) (Item[T], bool) {
 	entry, waiting := q.byID[id]
@@ -146,17 +146,17 @@
 	return entry.item, true
 }
 
-// Drain removes all requests and returns them with an error, for a planned stop.
+// Drain removes all requests and returns them with an error, for a graceful stop.
 func (q *Queue[T]) Drain() []Ended[T] {
 	for entry := q.first(); entry != nil; entry = q.first() {
 		q.remove(entry)
 		q.addEnded(entry, port.NewError(port.NotRun, port.CodeDraining, "the node is stopping"))
 	}
-	return q.takeEnded()
+	return q.flushEnded()
 }
 
-// takeEnded returns and clears the ended requests.
-func (q *Queue[T]) takeEnded() []Ended[T] {
+// flushEnded returns and clears the ended requests.
+func (q *Queue[T]) flushEnded() []Ended[T] {
 	ended := q.ended
 	q.ended = nil
 	return ended
@@ -219,7 +219,7 @@
 	return refusal
 }
 
-// evictLowerPriority evicts a request of the lowest priority, if it is below the given one.
+// evictLowerPriority evicts a request of the lowest priority, if that is below priority.
 func (q *Queue[T]) evictLowerPriority(now time.Time, priority port.Priority) bool {
 	lowest := q.levels[len(q.levels)-1]
 	if lowest.priority >= priority {
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -18,7 +18,7 @@
 
 func after(duration time.Duration) time.Time { return start.Add(duration) }
 
-// drainOrder takes all requests from the queue and returns their ids in order.
+// drainOrder removes all requests from the queue and returns their ids in order.
 func drainOrder(queue *Queue[int], now time.Time) string {
 	served := ""
 	for {
@@ -62,7 +62,8 @@
 	}
 }
 
-// A skipped request keeps its position and its tenant's virtual time.
+// TestNextFittingSkips checks that a skipped request keeps its position and its tenant's
+// virtual time.
 func TestNextFittingSkips(t *testing.T) {
 	queue := NewQueue[int](Config{Length: 10})
 	for index, name := range []string{"a", "b", "c", "d", "e"} {
@@ -77,10 +78,10 @@
 		t.Error("tested more requests than the limit")
 	}
 	if item, _ := queue.NextFitting(start, 10, fits(3, 1)); item.ID != "d" {
-		t.Errorf("took %s, want d: tenants alternate among the tested requests", item.ID)
+		t.Errorf("got %s, want d: tenants alternate among the tested requests", item.ID)
 	}
 	if _, found := queue.NextFitting(start, 10, fits(9)); found || queue.Len() != 5 {
-		t.Errorf("took a request that does not fit; %d are waiting", queue.Len())
+		t.Errorf("got a request that does not fit; %d are waiting", queue.Len())
 	}
 	if got := drainOrder(queue, start); got != "fabec" {
 		t.Errorf("then served %s, want fabec: f by priority, the others as if none had been skipped", got)
@@ -157,9 +158,9 @@
 
 func TestDeadlineThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
 	tests := map[string]struct {
-		left     time.Duration
-		priority port.Priority
-		refused  bool
+		remaining time.Duration
+		priority  port.Priority
+		refused   bool
 	}{
 		"wait and service fit":                {1600 * time.Millisecond, 0, false},
 		"service does not fit":                {1400 * time.Millisecond, 0, true},
@@ -171,7 +172,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			queue, now := newBackloggedQueue(t)
-			refusal := queue.Offer(now, testItem{ID: "new", Priority: test.priority, Deadline: now.Add(test.left)})
+			refusal := queue.Offer(now, testItem{ID: "new", Priority: test.priority, Deadline: now.Add(test.remaining)})
 			if (refusal != nil) != test.refused {
 				t.Fatalf("refusal %v, want refused %v", refusal, test.refused)
 			}
@@ -202,8 +203,8 @@
 	}
 }
 
-// Whatever the operations, the bound holds, no expired request is served, and each
-// accepted request ends exactly once.
+// TestQueueInvariants checks that the length limit holds, no expired request is served, and
+// each accepted request ends exactly once.
 func TestQueueInvariants(t *testing.T) {
 	const length = 6
 	testkit.Check(t, 41, func(t *rapid.T) {
@@ -254,7 +255,7 @@
 				}
 			}
 			if queue.Len() > length {
-				t.Fatalf("%d are waiting, bound %d", queue.Len(), length)
+				t.Fatalf("%d are waiting, limit %d", queue.Len(), length)
 			}
 		}
 		for _, ended := range queue.Drain() {
@@ -264,7 +265,7 @@
 			}
 		}
 		if queue.Len() != 0 || len(ends) != len(accepted) {
-			t.Fatalf("%d accepted, %d ended, %d left", len(accepted), len(ends), queue.Len())
+			t.Fatalf("%d accepted, %d ended, %d still queued", len(accepted), len(ends), queue.Len())
 		}
 	})
 }
