--- a/internal/core/routing/document.go
+++ b/internal/core/routing/document.go
@@ -50,7 +50,7 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout bounds the duration of a request.
+	// Timeout limits the duration of a request.
 	Timeout time.Duration
 	// Aim is the target response time.
 	Aim      time.Duration
@@ -58,7 +58,7 @@
 	// Service receives all requests unless Split is set.
 	Service string
 	Split   []Share
-	// MaxAttempts bounds the number of replicas tried for one request or one item of
+	// MaxAttempts limits the number of replicas tried for one request or one item of
 	// a job.
 	MaxAttempts int
 	// Resumable streams may continue on another replica.
@@ -66,7 +66,7 @@
 	// RunAim is the target time from the submission of a job to its results.
 	RunAim time.Duration
 	// Keep is the minimum time from submission before an item may be dropped; 0 means
-	// no limit.
+	// that items are never dropped for their age.
 	Keep time.Duration
 	// OneVersion requires all results to come from a single weight version.
 	OneVersion bool
@@ -92,7 +92,7 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections to one replica from all callers.
+	// MaxConnections limits the connections to one replica from all callers.
 	MaxConnections int
 	// Engine is set for services whose replicas generate text.
 	Engine *Engine
@@ -110,7 +110,7 @@
 	Models []string
 }
 
-// Limits bound client requests. A zero field means no limit.
+// Limits restrict client requests. A zero field means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -142,7 +142,7 @@
 			return err
 		}
 		pair := match{strings.ToLower(route.Host), route.Prefix}
-		if other, taken := matches[pair]; taken {
+		if other, used := matches[pair]; used {
 			return route.invalidField("path prefix", fmt.Sprintf("same host and prefix as route %q", other))
 		}
 		matches[pair] = route.Name
@@ -154,7 +154,7 @@
 // shared by two tenants. A tenant may have no keys.
 func (d *Document) validateTenants() error {
 	names := make(map[string]bool, len(d.Tenants))
-	owners := make(map[apikey.Digest]string, len(d.Tenants))
+	tenantByKey := make(map[apikey.Digest]string, len(d.Tenants))
 	for _, tenant := range d.Tenants {
 		invalid := func(reason string) error {
 			return &InvalidError{Field: fmt.Sprintf("tenant %q", tenant.Name), Reason: reason}
@@ -167,10 +167,10 @@
 			if key == (apikey.Digest{}) {
 				return invalid("has an empty key")
 			}
-			if other, used := owners[key]; used && other != tenant.Name {
+			if other, used := tenantByKey[key]; used && other != tenant.Name {
 				return invalid(fmt.Sprintf("shares a key with tenant %q", other))
 			}
-			owners[key] = tenant.Name
+			tenantByKey[key] = tenant.Name
 		}
 	}
 	return nil
--- a/internal/core/routing/homes.go
+++ b/internal/core/routing/homes.go
@@ -15,14 +15,14 @@
 // AllowedRegionsOf returns the regions allowed by both the route and the tenant of a request.
 // Tenant is nil for requests without one.
 func AllowedRegionsOf(route *Route, tenant *Tenant) AllowedRegions {
-	homes := AllowedRegions{}.intersect(route.Regions)
+	allowed := AllowedRegions{}.intersect(route.Regions)
 	if tenant != nil {
-		homes = homes.intersect(tenant.Regions)
+		allowed = allowed.intersect(tenant.Regions)
 	}
-	return homes
+	return allowed
 }
 
-// intersect returns the regions that are also in the list; an empty list allows all.
+// intersect returns the regions that regions contains too; an empty list allows all.
 func (h AllowedRegions) intersect(regions []string) AllowedRegions {
 	switch {
 	case len(regions) == 0:
@@ -38,8 +38,8 @@
 // Restricted reports whether some regions are not allowed.
 func (h AllowedRegions) Restricted() bool { return h.restricted }
 
-// Allows reports whether a region is allowed. An unknown region is allowed only if all
-// regions are.
+// Allows reports whether a region is allowed. The empty (unknown) region is allowed only
+// if all regions are.
 func (h AllowedRegions) Allows(region string) bool {
 	return !h.restricted || slices.Contains(h.regions, region)
 }
--- a/internal/core/routing/homes_test.go
+++ b/internal/core/routing/homes_test.go
@@ -17,9 +17,9 @@
 		"route and tenant":              {[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
 		"route and tenant, none common": {[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
 	} {
-		homes := routing.AllowedRegionsOf(&routing.Route{Regions: row.route}, &routing.Tenant{Regions: row.tenant})
+		regions := routing.AllowedRegionsOf(&routing.Route{Regions: row.route}, &routing.Tenant{Regions: row.tenant})
 		for region, want := range row.allowed {
-			if got := homes.Allows(region); got != want {
+			if got := regions.Allows(region); got != want {
 				t.Errorf("%s: region %q allowed %v", name, region, got)
 			}
 		}
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -44,7 +44,7 @@
 func TestInvalidDocumentsAreRefused(t *testing.T) {
 	for name, invalidate := range map[string]func(*routing.Document){
 		"no host":         func(d *routing.Document) { d.Routes[0].Host = "" },
-		"bad prefix":      func(d *routing.Document) { d.Routes[0].Prefix = "/a" },
+		"invalid prefix":  func(d *routing.Document) { d.Routes[0].Prefix = "/a" },
 		"no timeout":      func(d *routing.Document) { d.Routes[0].Timeout = 0 },
 		"unknown kind":    func(d *routing.Document) { d.Routes[0].Kind = "other" },
 		"unknown service": func(d *routing.Document) { d.Routes[0].Service = "x" },
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -106,12 +106,12 @@
 		total += share.Weight
 	}
 	const bits = 53
-	at := float64(n*goldenRatio>>(64-bits)) / (1 << bits) * total
+	point := float64(n*goldenRatio>>(64-bits)) / (1 << bits) * total
 	for _, share := range r.Split {
-		if share.Weight > 0 && at < share.Weight {
+		if share.Weight > 0 && point < share.Weight {
 			return share.Service
 		}
-		at -= share.Weight
+		point -= share.Weight
 	}
 	return r.lastWeightedService()
 }
@@ -124,7 +124,8 @@
 	return slices.ContainsFunc(r.Split, func(share Share) bool { return share.Service == service && share.Weight > 0 })
 }
 
-// lastWeightedService is the fallback if rounding leaves a remainder after the last share.
+// lastWeightedService returns the last service with a weight, the fallback of ServiceFor if
+// rounding leaves a remainder after the last share.
 func (r *Route) lastWeightedService() string {
 	chosen := r.Split[0].Service
 	for _, share := range r.Split {
