--- a/internal/core/home/health.go
+++ b/internal/core/home/health.go
@@ -39,7 +39,7 @@
 }
 
 // ClassifyGeneration classifies the end of a completion with the given number of tokens.
-// Abandoned is set if the caller went away.
+// Abandoned is set if the caller disconnected.
 func ClassifyGeneration(failure *port.Error, abandoned bool, tokens int, elapsed time.Duration) Classification {
 	if abandoned || failure != nil && ignoredForHealth(failure) {
 		return Classification{Outcome: gate.Outcome{Abandoned: true}}
@@ -58,14 +58,14 @@
 		return Classification{Outcome: gate.Outcome{Abandoned: true}}
 	}
 	failed := failure != nil || status >= minServerErrorStatus
-	judged := Classification{
+	classification := Classification{
 		Outcome:       gate.Outcome{Overloaded: failed, Latency: elapsed},
 		AffectsHealth: true, Failed: failed, Latency: elapsed,
 	}
 	if !failed {
-		judged.Outcome.Service = elapsed
+		classification.Outcome.Service = elapsed
 	}
-	return judged
+	return classification
 }
 
 // minServerErrorStatus is the lowest HTTP status that counts as a back end failure.
--- a/internal/core/home/home_test.go
+++ b/internal/core/home/home_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// A late answer to an earlier poll must not overwrite the report of a later one.
+// TestAnswersOutOfOrder checks that a late answer to an earlier poll does not overwrite the
+// report of a later one.
 func TestAnswersOutOfOrder(t *testing.T) {
 	record := newEngineRecord()
 	record.ApplyReport(at(5), at(4), port.LoadReport{Version: 5, Incarnation: 1})
@@ -138,7 +139,7 @@
 	stale := port.NewError(port.NotRun, port.CodeStale, "old")
 	cases := []struct {
 		name   string
-		judged home.Classification
+		got    home.Classification
 		counts bool
 		failed bool
 	}{
@@ -155,9 +156,9 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			judged := testCase.judged
-			if judged.AffectsHealth != testCase.counts || judged.Failed != testCase.failed || judged.Outcome.Abandoned == testCase.counts {
-				t.Errorf("judged %+v", judged)
+			got := testCase.got
+			if got.AffectsHealth != testCase.counts || got.Failed != testCase.failed || got.Outcome.Abandoned == testCase.counts {
+				t.Errorf("got %+v", got)
 			}
 		})
 	}
--- a/internal/core/home/leaving.go
+++ b/internal/core/home/leaving.go
@@ -8,8 +8,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// pollerTimeout is the age at which the list of a poller is dropped if there is a list
-// of another one.
+// pollerTimeout is the age at which the list of a poller is dropped if there are lists of
+// other pollers.
 const pollerTimeout = 10 * time.Second
 
 // LeavingMachines holds the leaving machines reported by each poller of the machine
@@ -33,10 +33,10 @@
 
 // Update replaces a poller's list and reports whether it changed.
 func (l *LeavingMachines) Update(now time.Time, poller port.NodeID, machines []port.Machine) bool {
-	known := l.byPoller[poller]
+	previous := l.byPoller[poller]
 	l.byPoller[poller] = pollerList{receivedAt: now, machines: machines}
 	l.lastUpdate = now
-	return !slices.Equal(known.machines, machines)
+	return !slices.Equal(previous.machines, machines)
 }
 
 // LastUpdate returns when the last list was received; zero means never.
--- a/internal/core/home/pollpace.go
+++ b/internal/core/home/pollpace.go
@@ -6,16 +6,16 @@
 	// PollBytes is the cost in bytes of polling an engine for load and cache events:
 	// two HTTP exchanges, both directions, without events.
 	PollBytes = 720
-	// PollBudget bounds the polls of a home's engines, in bytes per second: a quarter
+	// PollBudget limits the polls of a home's engines, in bytes per second: a quarter
 	// of a node's budget for control traffic.
 	PollBudget = 3000
-	// MaxPollInterval bounds the time between two polls of an engine, so that a restart
+	// MaxPollInterval limits the time between two polls of an engine, so that a restart
 	// or a new version is detected within 3 s if the engine answers its polls.
 	MaxPollInterval = time.Second
 )
 
-// PollInterval returns the time between two polls of each engine that keeps the polls of
-// all engines within the budget in bytes per second. It is between minimum and
+// PollInterval returns the time between two polls of each engine with which the polls of
+// all engines stay within the budget, in bytes per second. It is between minimum and
 // MaxPollInterval, or minimum if that is longer.
 func PollInterval(minimum time.Duration, engines, bytes, budget int) time.Duration {
 	if budget <= 0 {
--- a/internal/core/home/pollpace_test.go
+++ b/internal/core/home/pollpace_test.go
@@ -18,7 +18,7 @@
 		{"none", 0, 720, 3000, minimum},
 		{"few", 1, 500, 3000, minimum},
 		{"paced", 2, 750, 3000, 500 * time.Millisecond},
-		{"bounded above", 40, 720, 3000, home.MaxPollInterval},
+		{"limited by the maximum", 40, 720, 3000, home.MaxPollInterval},
 		{"no budget", 40, 720, 0, minimum},
 	}
 	for _, test := range cases {
--- a/internal/core/home/record.go
+++ b/internal/core/home/record.go
@@ -13,7 +13,7 @@
 // is no longer valid.
 const maxFailedPolls = 3
 
-// Record is the state that the home keeps for one replica. It is not safe for concurrent
+// Record is the state that the home stores for one replica. It is not safe for concurrent
 // use.
 type Record struct {
 	Replica port.Replica
@@ -21,8 +21,8 @@
 	// ends.
 	Polled bool
 
-	// report is the last load report, made at reportedAt and requested at askedAt; the
-	// times are zero before the first report.
+	// report is the last load report, made at reportedAt and requested at requestedAt;
+	// the times are zero before the first report.
 	report      port.LoadReport
 	reportedAt  time.Time
 	requestedAt time.Time
@@ -42,16 +42,16 @@
 	return report
 }
 
-// ApplyReport applies the report of a poll sent at askedAt, unless the report of a later
-// poll was applied. Restarted reports whether the engine has restarted since the previous
-// report, which clears its cache.
-func (r *Record) ApplyReport(now, askedAt time.Time, report port.LoadReport) (applied, restarted bool) {
+// ApplyReport applies the report of a poll sent at requestedAt, unless the report of a
+// later poll was applied. Restarted reports whether the engine has restarted since the
+// previous report, which clears its cache.
+func (r *Record) ApplyReport(now, requestedAt time.Time, report port.LoadReport) (applied, restarted bool) {
 	r.failedPolls = 0
-	if askedAt.Before(r.requestedAt) {
+	if requestedAt.Before(r.requestedAt) {
 		return false, false
 	}
 	restarted = r.hasReport() && r.report.Incarnation != report.Incarnation
-	r.requestedAt = askedAt
+	r.requestedAt = requestedAt
 	r.report = report
 	r.reportedAt = now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
 	return true, restarted
@@ -100,7 +100,7 @@
 // GateReplica returns the description of a replica for its gate. The record is nil on nodes
 // that are not the home of the replica.
 func GateReplica(now time.Time, replica *port.Replica, region port.RegionName, leaving bool, health Health, record *Record) gate.Replica {
-	described := gate.Replica{
+	gateReplica := gate.Replica{
 		ID:       replica.ID,
 		Zone:     replica.Zone,
 		Region:   region,
@@ -110,15 +110,15 @@
 		Probing:  health.Probing,
 	}
 	if record != nil && record.Polled {
-		described.Report = record.report
-		described.ReportedAt = record.reportedAt
-		described.VersionUnknown = record.VersionUnknown(now)
+		gateReplica.Report = record.report
+		gateReplica.ReportedAt = record.reportedAt
+		gateReplica.VersionUnknown = record.VersionUnknown(now)
 	}
-	return described
+	return gateReplica
 }
 
-// Summary returns the replica's summary for the zone. Load and queued come from its gate,
-// its health from the tracker, which may be nil.
+// Summary returns the replica's summary for the zone. Load and queued are those of its
+// gate; tracker, which may be nil, provides its health.
 func (r *Record) Summary(now time.Time, leaving bool, load gate.Load, queued int, tracker *ejection.Tracker) membership.ReplicaSummary {
 	summary := membership.ReplicaSummary{
 		Replica:        r.Replica.ID,
--- a/internal/core/home/serving.go
+++ b/internal/core/home/serving.go
@@ -33,8 +33,8 @@
 
 // count adds one replica to the count of a pool and version.
 func count(counts []port.ServingCount, pool port.PoolName, version port.WeightVersion) []port.ServingCount {
-	index := slices.IndexFunc(counts, func(known port.ServingCount) bool {
-		return known.Pool == pool && known.Version == version
+	index := slices.IndexFunc(counts, func(c port.ServingCount) bool {
+		return c.Pool == pool && c.Version == version
 	})
 	if index < 0 {
 		return append(counts, port.ServingCount{Pool: pool, Version: version, Replicas: 1})
