--- a/internal/core/weightplan/next.go
+++ b/internal/core/weightplan/next.go
@@ -39,14 +39,14 @@
 }
 
 func (l Limits) needed(model string) int {
-	if needed, stated := l.Needed[model]; stated {
+	if needed, found := l.Needed[model]; found {
 		return needed
 	}
 	return MinNeeded
 }
 
-// NeededReplicas returns the number of replicas per model that the open items need, given the slots per
-// replica, with a reserve for replicas that fail or are slow.
+// NeededReplicas returns the number of replicas per model that the open items need, with a
+// reserve for replicas that fail or are slow. Slots is the number of slots per replica.
 func NeededReplicas(open map[string]int, slots int) map[string]int {
 	needed := make(map[string]int, len(open))
 	for model, items := range open {
@@ -65,13 +65,13 @@
 // Next returns the loads to start now, the replicas with the oldest weights first. Versions maps
 // models to their published versions. Jobs accept text of the previous version too, so a replica
 // that is one version behind loads only while fewer than half of its model's replicas have the
-// newest. Each replica then loads about every second version, and half of them can serve a new
-// job immediately.
+// newest version. Each replica then loads about every second version, and half of them can serve
+// a new job immediately.
 func Next(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, limits Limits) []Target {
 	selected := newSelector(replicas, loading, limits)
 	total := 0
 	ofModel, loadingOf, newest := map[string]int{}, map[string]int{}, map[string]int{}
-	var behind []Target
+	var outdated []Target
 	for _, replica := range replicas {
 		if !selected.selects(&replica) {
 			continue
@@ -93,17 +93,17 @@
 		if _, busy := loading[replica.ID]; busy {
 			continue
 		}
-		behind = append(behind, Target{Replica: replica, Model: replica.Model, Version: published})
+		outdated = append(outdated, Target{Replica: replica, Model: replica.Model, Version: published})
 	}
-	slices.SortStableFunc(behind, func(a, b Target) int {
+	slices.SortStableFunc(outdated, func(a, b Target) int {
 		return cmp.Compare(a.Replica.VersionOf(a.Model), b.Replica.VersionOf(b.Model))
 	})
 	var next []Target
-	for _, target := range behind {
-		most := max(1, int(limits.Share*float64(ofModel[target.Model])))
+	for _, target := range outdated {
+		maxLoads := max(1, int(limits.Share*float64(ofModel[target.Model])))
 		usable := target.Replica.VersionOf(target.Model)+1 >= target.Version
 		enough := newest[target.Model] >= max(1, ofModel[target.Model]/2)
-		if total >= limits.Total || (usable && (enough || loadingOf[target.Model] >= most)) {
+		if total >= limits.Total || (usable && (enough || loadingOf[target.Model] >= maxLoads)) {
 			continue
 		}
 		next = append(next, target)
--- a/internal/core/weightplan/spread.go
+++ b/internal/core/weightplan/spread.go
@@ -16,7 +16,7 @@
 	if limits.Needed == nil || len(loading)+len(started) >= limits.Total {
 		return nil
 	}
-	s := newSpread(replicas, versions, loading, started, limits)
+	s := newSpreadPlan(replicas, versions, loading, started, limits)
 	if len(s.models) < 2 {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	selected bool
 }
 
-func newSpread(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, started []Target, limits Limits) *spreadPlan {
+func newSpreadPlan(replicas []sitestate.Replica, versions map[string]uint64, loading Loading, started []Target, limits Limits) *spreadPlan {
 	inProgress := Loading{}
 	maps.Copy(inProgress, loading)
 	for _, target := range started {
@@ -100,11 +100,11 @@
 	if limits.InBackoff[replica.ID] {
 		return
 	}
-	loads, busy := loading[replica.ID]
+	loadingModel, busy := loading[replica.ID]
 	free := &freeReplica{Replica: replica}
 	for _, model := range s.models {
 		version := replica.VersionOf(model.name)
-		if busy && loads == model.name {
+		if busy && loadingModel == model.name {
 			version = model.published
 		}
 		if version >= model.published {
--- a/internal/core/weightplan/spread_test.go
+++ b/internal/core/weightplan/spread_test.go
@@ -12,13 +12,13 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// holding returns a replica with an assigned model and versions of a and b.
-func holding(id, model string, a, b uint64) sitestate.Replica {
+// replicaWith returns a replica with an assigned model and versions of a and b.
+func replicaWith(id, model string, a, b uint64) sitestate.Replica {
 	return sitestate.Replica{ID: id, Model: model, Models: []sitestate.ModelVersion{{Name: "a", Version: a}, {Name: "b", Version: b}}}
 }
 
-// loads formats targets as replica:model, sorted.
-func loads(targets []weightplan.Target) []string {
+// formatLoads formats targets as replica:model, sorted.
+func formatLoads(targets []weightplan.Target) []string {
 	var names []string
 	for _, target := range targets {
 		names = append(names, target.Replica.ID+":"+target.Model)
@@ -29,25 +29,25 @@
 
 func TestSpread(t *testing.T) {
 	all := []sitestate.Replica{
-		holding("a0", "a", 5, 1), holding("a1", "a", 5, 1),
-		holding("b0", "b", 1, 5), holding("b1", "b", 1, 5),
+		replicaWith("a0", "a", 5, 1), replicaWith("a1", "a", 5, 1),
+		replicaWith("b0", "b", 1, 5), replicaWith("b1", "b", 1, 5),
 	}
 	for _, row := range []struct {
-		name    string
-		list    []sitestate.Replica
-		needed  map[string]int
-		loading weightplan.Loading
-		begun   []weightplan.Target
-		resting map[string]bool
-		total   int
-		want    []string
+		name      string
+		list      []sitestate.Replica
+		needed    map[string]int
+		loading   weightplan.Loading
+		started   []weightplan.Target
+		inBackoff map[string]bool
+		total     int
+		want      []string
 	}{
 		{name: "own replicas suffice", list: all, needed: map[string]int{"a": 2, "b": 2}, total: 8},
-		{name: "no need given", list: all, total: 8},
+		{name: "no needs set", list: all, total: 8},
 		{name: "single model", list: all[:2], needed: map[string]int{"a": 9}, total: 8},
 		{
 			name:   "model with too few replicas gets another",
-			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), all[2], all[3]},
+			list:   []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 5, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b0:a"},
 		},
 		{
@@ -56,33 +56,33 @@
 		},
 		{
 			name:   "limit of all loads reached",
-			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 4, 1), all[2], all[3]},
+			list:   []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 4, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 1, loading: weightplan.Loading{"a1": "a"},
 		},
 		{
 			name:   "loads of Next are counted",
-			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 4, 1), all[2], all[3]},
+			list:   []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 4, 1), all[2], all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8,
-			begun: []weightplan.Target{{Replica: holding("a0", "a", 4, 1), Model: "a", Version: 5}}, want: []string{"b0:a"},
+			started: []weightplan.Target{{Replica: replicaWith("a0", "a", 4, 1), Model: "a", Version: 5}}, want: []string{"b0:a"},
 		},
 		{
 			name:   "replica in backoff is skipped and replaced",
-			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), all[2], all[3]},
-			needed: map[string]int{"a": 4, "b": 2}, total: 8, resting: map[string]bool{"b0": true}, want: []string{"a1:b", "b1:a"},
+			list:   []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 5, 1), all[2], all[3]},
+			needed: map[string]int{"a": 4, "b": 2}, total: 8, inBackoff: map[string]bool{"b0": true}, want: []string{"a1:b", "b1:a"},
 		},
 		{
 			name:   "prefers a replica whose assigned model is up to date",
-			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), holding("b0", "b", 1, 4), all[3]},
+			list:   []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 5, 1), replicaWith("b0", "b", 1, 4), all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b1:a"},
 		},
 		{
 			name:   "prefers a replica that cannot serve the model",
-			list:   []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), holding("b0", "b", 4, 5), all[3]},
+			list:   []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 5, 1), replicaWith("b0", "b", 4, 5), all[3]},
 			needed: map[string]int{"a": 4, "b": 2}, total: 8, want: []string{"b1:a"},
 		},
 	} {
-		limits := weightplan.Limits{Total: row.total, Share: 0.34, Needed: row.needed, InBackoff: row.resting}
-		got := loads(weightplan.ExtraLoads(row.list, map[string]uint64{"a": 5, "b": 5}, row.loading, row.begun, limits))
+		limits := weightplan.Limits{Total: row.total, Share: 0.34, Needed: row.needed, InBackoff: row.inBackoff}
+		got := formatLoads(weightplan.ExtraLoads(row.list, map[string]uint64{"a": 5, "b": 5}, row.loading, row.started, limits))
 		if !slices.Equal(got, row.want) {
 			t.Errorf("%s: %v, want %v", row.name, got, row.want)
 		}
@@ -114,22 +114,22 @@
 			list = append(list, replica)
 		}
 		limits := weightplan.Limits{Total: rapid.IntRange(0, 6).Draw(r, "total"), Share: 0.34, Needed: needed}
-		begun := weightplan.Next(list, versions, loading, limits)
-		targets := weightplan.ExtraLoads(list, versions, loading, begun, limits)
-		if len(targets) > 0 && len(loading)+len(begun)+len(targets) > limits.Total {
-			r.Fatalf("%d loading, %d from Next and %d from Spread exceed the limit of %d", len(loading), len(begun), len(targets), limits.Total)
+		started := weightplan.Next(list, versions, loading, limits)
+		targets := weightplan.ExtraLoads(list, versions, loading, started, limits)
+		if len(targets) > 0 && len(loading)+len(started)+len(targets) > limits.Total {
+			r.Fatalf("%d loading, %d from Next and %d from ExtraLoads exceed the limit of %d", len(loading), len(started), len(targets), limits.Total)
 		}
-		ordered := map[string]bool{}
-		for _, target := range append(slices.Clone(begun), targets...) {
-			if _, busy := loading[target.Replica.ID]; busy || ordered[target.Replica.ID] {
+		hasLoad := map[string]bool{}
+		for _, target := range append(slices.Clone(started), targets...) {
+			if _, busy := loading[target.Replica.ID]; busy || hasLoad[target.Replica.ID] {
 				r.Fatalf("%s gets a second load", target.Replica.ID)
 			}
-			ordered[target.Replica.ID] = true
+			hasLoad[target.Replica.ID] = true
 			if target.Replica.VersionOf(target.Model) >= versions[target.Model] {
 				r.Fatalf("%s already has the version to load", target.Replica.ID)
 			}
 		}
-		for _, target := range begun {
+		for _, target := range started {
 			loading[target.Replica.ID] = target.Model
 		}
 		assigned := map[string]bool{}
@@ -153,7 +153,8 @@
 	})
 }
 
-// BenchmarkSpread measures ExtraLoads for replicas with many models, half of which need more replicas.
+// BenchmarkSpread measures ExtraLoads for replicas with many models, half of which need more
+// replicas.
 func BenchmarkSpread(b *testing.B) {
 	const models = 16
 	for _, count := range []int{44, 3500} {
--- a/internal/core/weightplan/spreadshards_test.go
+++ b/internal/core/weightplan/spreadshards_test.go
@@ -10,7 +10,7 @@
 
 // TestSpreadStaysWithinAShard checks that replicas load no weights of models of other shards.
 func TestSpreadStaysWithinAShard(t *testing.T) {
-	list := []sitestate.Replica{holding("a0", "a", 4, 1), holding("a1", "a", 5, 1), holding("b0", "b", 1, 5), holding("b1", "b", 1, 5)}
+	list := []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 5, 1), replicaWith("b0", "b", 1, 5), replicaWith("b1", "b", 1, 5)}
 	versions := map[string]uint64{"a": 5, "b": 5}
 	limits := weightplan.Limits{Total: 8, Needed: map[string]int{"a": 4, "b": 2}}
 	for _, row := range []struct {
@@ -22,7 +22,7 @@
 		{map[string]sitestate.ShardNumber{"a": 1, "b": 2}, nil},
 	} {
 		limits.Shards = row.shards
-		if got := loads(weightplan.ExtraLoads(list, versions, nil, nil, limits)); !slices.Equal(got, row.want) {
+		if got := formatLoads(weightplan.ExtraLoads(list, versions, nil, nil, limits)); !slices.Equal(got, row.want) {
 			t.Errorf("shards %v: %v, want %v", row.shards, got, row.want)
 		}
 	}
--- a/internal/core/weightplan/weightplan.go
+++ b/internal/core/weightplan/weightplan.go
@@ -13,10 +13,10 @@
 // minLoadReduction is the relative reduction of the highest load that justifies a move.
 const minLoadReduction = 0.08
 
-// Assign returns the replicas whose model has to change so that the models share a service's
-// replicas in proportion to demand, or equally without demand. Replicas keep their model where
-// possible, since a change costs a load and the replica's cache. New replicas are always
-// assigned; an assigned one moves only if mayMove is set, one per call.
+// Assign returns the changes of assigned models, by replica id, with which the models share a
+// service's replicas in proportion to demand, or equally without demand. Replicas keep their
+// model where possible, since a change costs a load and the replica's cache. New replicas are
+// always assigned; an assigned one moves only if mayMove is set, one per call.
 func Assign(replicas []sitestate.Replica, models []string, demand map[string]float64, mayMove bool) map[string]string {
 	if len(models) == 0 || len(replicas) == 0 {
 		return nil
@@ -70,7 +70,8 @@
 	return share / float64(count)
 }
 
-// mostLoaded returns the model with the highest load per replica, the first of equals.
+// mostLoaded returns the model with the highest load per replica, on a tie the one with the
+// highest share.
 func mostLoaded(models []string, shares map[string]float64, counts map[string]int) string {
 	return slices.MaxFunc(models, func(a, b string) int {
 		return cmp.Or(cmp.Compare(load(shares[a], counts[a]), load(shares[b], counts[b])), cmp.Compare(shares[a], shares[b]))
@@ -81,14 +82,14 @@
 // without it, if that sufficiently reduces the highest load.
 func move(replicas []sitestate.Replica, models []string, shares map[string]float64, counts map[string]int, changes map[string]string) {
 	to := mostLoaded(models, shares, counts)
-	from, least := "", math.Inf(1)
+	from, lowest := "", math.Inf(1)
 	for _, model := range models {
-		if after := load(shares[model], counts[model]-1); model != to && counts[model] > 1 && after < least {
-			from, least = model, after
+		if after := load(shares[model], counts[model]-1); model != to && counts[model] > 1 && after < lowest {
+			from, lowest = model, after
 		}
 	}
 	before := load(shares[to], counts[to])
-	after := max(least, load(shares[to], counts[to]+1))
+	after := max(lowest, load(shares[to], counts[to]+1))
 	if from == "" || after >= before*(1-minLoadReduction) {
 		return
 	}
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -38,8 +38,8 @@
 	if again := weightplan.Assign(list, models, nil, true); len(again) != 0 {
 		t.Errorf("second assignment: %v", again)
 	}
-	lost := list[3:] // without one replica of each model
-	if changes := weightplan.Assign(lost, models, nil, true); len(changes) != 0 {
+	remaining := list[3:] // without one replica of each model
+	if changes := weightplan.Assign(remaining, models, nil, true); len(changes) != 0 {
 		t.Errorf("changed an even assignment: %v", changes)
 	}
 	var withoutA []sitestate.Replica
@@ -56,7 +56,7 @@
 	if counts := apply(withoutA, nil); counts["a"] != 2 || moves != 2 {
 		t.Errorf("counts %v after %d moves", counts, moves)
 	}
-	if changes := weightplan.Assign(lost[1:], models, map[string]float64{"a": 1}, false); len(changes) != 0 {
+	if changes := weightplan.Assign(remaining[1:], models, map[string]float64{"a": 1}, false); len(changes) != 0 {
 		t.Errorf("moved without mayMove: %v", changes)
 	}
 }
@@ -80,7 +80,7 @@
 		}
 		counts := apply(list, nil)
 		if row.count < len(models) {
-			continue // too few replicas for the models: checks only that it settles
+			continue // too few replicas for the models: checks only that it converges
 		}
 		for model, want := range row.want {
 			if counts[model] != want {
@@ -89,7 +89,7 @@
 			}
 		}
 		if changes := weightplan.Assign(list, models, row.demand, true); len(changes) > 0 {
-			t.Errorf("%d replicas, demand %v: does not settle", row.count, row.demand)
+			t.Errorf("%d replicas, demand %v: does not converge", row.count, row.demand)
 		}
 	}
 }
