--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -4,16 +4,17 @@
 
 const (
 	// CrashesUntilWithheld is the number of crashed replicas after which a request is withheld.
-	// One crash makes suspects of all requests in flight there; two may share a rack.
+	// A crash makes all requests in flight on the replica suspects; two replicas may crash
+	// together because they share a rack.
 	CrashesUntilWithheld = 3
 	// MaxTrials is the maximum number of trials of a withheld request. The second one is for
 	// a request whose first trial ran concurrently with another crash.
 	MaxTrials = 2
-	// shareThreshold is the number of crashes from which all processes receive a suspect. Each
-	// crash briefly makes suspects of all requests in flight there.
+	// shareThreshold is the number of crashes from which all processes receive a suspect. After
+	// a single crash, all requests in flight on the replica are suspects for a short time.
 	shareThreshold = CrashesUntilWithheld - 1
-	// maxSuspects limits the ledger to about the requests in flight in a rack, so that its loss
-	// does not evict withheld requests.
+	// maxSuspects limits the ledger. It is about the number of requests in flight in a rack, so
+	// that the loss of a rack does not evict withheld requests.
 	maxSuspects = 512
 )
 
@@ -27,7 +28,7 @@
 	EventServed
 	// EventAlive means that a replica responded to a request sent after its presumed crash.
 	EventAlive
-	// EventTrial asks for a trial, a single send of a withheld request.
+	// EventTrial requests a trial, a single send of a withheld request.
 	EventTrial
 	// EventReleased removes a suspect, on an operator's decision or after its retention.
 	EventReleased
@@ -136,7 +137,7 @@
 
 // recordAlive removes a replica from the crashes of all suspects.
 func (l *Ledger) recordAlive(replica string) (changed, applied bool) {
-	var kept []Suspect
+	var remaining []Suspect
 	for _, suspect := range l.Suspects {
 		if at := slices.Index(suspect.Replicas, replica); at >= 0 {
 			applied = true
@@ -144,11 +145,11 @@
 			suspect.Replicas = slices.Delete(slices.Clone(suspect.Replicas), at, at+1)
 		}
 		if len(suspect.Replicas) > 0 {
-			kept = append(kept, suspect)
+			remaining = append(remaining, suspect)
 		}
 	}
 	if applied {
-		l.Suspects = kept
+		l.Suspects = remaining
 	}
 	return changed, applied
 }
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -53,12 +53,12 @@
 		"three replicas crashed":              {events: fatal, want: []string{"fatal"}},
 		"one crash reported three times":      {events: crashed("fatal", "r1", "r1", "r1")},
 		"served between crashes":              {events: slices.Concat(fatal[:2], []Event{served("fatal")}, fatal[2:])},
-		"further crashes during another body": {events: slices.Concat(fatal[:2], crashed("beside", "r3", "r4"))},
+		"further crashes during another body": {events: slices.Concat(fatal[:2], crashed("bystander", "r3", "r4"))},
 		"single crashes during another request": {
-			events: slices.Concat(crashed("beside", "r0"), fatal, crashed("beside", "r9"), []Event{served("beside")}), want: []string{"fatal"},
+			events: slices.Concat(crashed("bystander", "r0"), fatal, crashed("bystander", "r9"), []Event{served("bystander")}), want: []string{"fatal"},
 		},
 		"concurrent request was served since": {
-			events: slices.Concat(fatal, crashed("beside", "r1", "r2", "r3"), []Event{served("beside")}), want: []string{"fatal"},
+			events: slices.Concat(fatal, crashed("bystander", "r1", "r2", "r3"), []Event{served("bystander")}), want: []string{"fatal"},
 		},
 		"replica was alive": {events: append(fatal, Event{Kind: EventAlive, Replica: "r2"})},
 		"one of four replicas was alive": {
@@ -76,7 +76,7 @@
 			for _, event := range row.events {
 				ledger.Apply(event)
 			}
-			if got := withheld(&ledger, "fatal", "beside"); !slices.Equal(got, row.want) {
+			if got := withheld(&ledger, "fatal", "bystander"); !slices.Equal(got, row.want) {
 				t.Errorf("withheld %v, want %v", got, row.want)
 			}
 		})
@@ -113,7 +113,7 @@
 		ledger.Apply(event)
 	}
 	for i := range 3 * maxSuspects {
-		ledger.Apply(crashed(fmt.Sprint("beside ", i), "r1")[0])
+		ledger.Apply(crashed(fmt.Sprint("bystander ", i), "r1")[0])
 	}
 	if len(ledger.Suspects) != maxSuspects || len(withheld(&ledger, "fatal")) != 1 {
 		t.Errorf("%d suspects, withheld %v", len(ledger.Suspects), withheld(&ledger, "fatal"))
@@ -167,9 +167,9 @@
 		suspects = append(suspects, Suspect{Fingerprint: request(fmt.Sprint(i)), Replicas: []string{"r"}})
 	}
 	index := NewIndex(suspects)
-	asked := Request{Method: "POST", Host: "a.example", Target: "/other", Body: make([]byte, 1024)}
+	unmatched := Request{Method: "POST", Host: "a.example", Target: "/other", Body: make([]byte, 1024)}
 	for b.Loop() {
-		if index.Find(&asked) != nil {
+		if index.Find(&unmatched) != nil {
 			b.Fatal("found")
 		}
 	}
