--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -12,8 +12,8 @@
 	// maxClosedPerCall limits the windows that one call of Close closes after an outage of the
 	// control group.
 	maxClosedPerCall = 64
-	// reporterRetention is the number of windows after its last report until a reporter is
-	// removed; older reports can no longer arrive.
+	// reporterRetention is the number of windows for which a reporter is stored after its last
+	// report; its earlier reports can no longer arrive then.
 	reporterRetention = 60
 )
 
@@ -43,17 +43,17 @@
 	Window   Window `cbor:"2,keyasint"`
 }
 
-// Add adds a report unless it was added before. It returns the number of requests that were too
-// late because their window is closed.
-func (l *Ledger) Add(noted WindowedReport) (late uint64) {
+// Add adds a report unless it was added before. It returns the number of requests that were not
+// counted because their window is closed.
+func (l *Ledger) Add(report WindowedReport) (late uint64) {
 	if l.Reporters == nil {
 		l.Reporters, l.Open = map[string]reporter{}, map[Window]map[string]uint64{}
 	}
-	if noted.Sequence <= l.Reporters[noted.Reporter].Sequence {
+	if report.Sequence <= l.Reporters[report.Reporter].Sequence {
 		return 0
 	}
 	newest := l.Next
-	for _, count := range noted.Counts {
+	for _, count := range report.Counts {
 		if l.Started && count.Window < l.Next {
 			late += count.Count
 			continue
@@ -64,7 +64,7 @@
 		l.Open[count.Window][count.Tenant] += count.Count
 		newest = max(newest, count.Window)
 	}
-	l.Reporters[noted.Reporter] = reporter{Sequence: noted.Sequence, Window: newest}
+	l.Reporters[report.Reporter] = reporter{Sequence: report.Sequence, Window: newest}
 	return late
 }
 
@@ -99,10 +99,10 @@
 		delete(l.Open, l.Next)
 		l.Next++
 	}
-	if surplus := len(l.Closed) - maxClosed; surplus > 0 {
-		l.Closed = slices.Clone(l.Closed[surplus:])
+	if excess := len(l.Closed) - maxClosed; excess > 0 {
+		l.Closed = slices.Clone(l.Closed[excess:])
 	}
-	maps.DeleteFunc(l.Reporters, func(_ string, known reporter) bool { return known.Window+reporterRetention < l.Next })
+	maps.DeleteFunc(l.Reporters, func(_ string, r reporter) bool { return r.Window+reporterRetention < l.Next })
 }
 
 // Acknowledge removes a reported window.
--- a/internal/core/usage/outbox.go
+++ b/internal/core/usage/outbox.go
@@ -37,8 +37,8 @@
 // Dropped returns the number of requests that were not counted because the Outbox was full.
 func (o *Outbox) Dropped() uint64 { return o.dropped }
 
-// Next returns the report to send, the same one until Acknowledge is called. It returns false if there
-// is nothing to send. Now is of the same clock as in Add.
+// Next returns the report to send, the same one until Acknowledge is called. It returns false if
+// there is nothing to send. Now is of the same clock as in Add.
 func (o *Outbox) Next(now time.Duration) (Report, bool) {
 	if len(o.sending) == 0 {
 		if len(o.pending) == 0 {
@@ -48,8 +48,8 @@
 		o.sequence++
 	}
 	report := Report{Reporter: o.reporter, Sequence: o.sequence, Requests: make([]StartedRequests, 0, len(o.sending))}
-	for _, begun := range o.sending {
-		report.Requests = append(report.Requests, StartedRequests{Tenant: begun.tenant, Age: now - begun.at, Count: 1})
+	for _, request := range o.sending {
+		report.Requests = append(report.Requests, StartedRequests{Tenant: request.tenant, Age: now - request.at, Count: 1})
 	}
 	return report, true
 }
--- a/internal/core/usage/usage.go
+++ b/internal/core/usage/usage.go
@@ -1,7 +1,7 @@
-// Package usage counts the requests of tenants that started, in time windows, so that each window
-// is reported once and with the same counts by any reporter.
+// Package usage counts the started requests of tenants in time windows, so that each window is
+// reported once and with the same counts, whichever process reports it.
 //
-// A front keeps its counts in an Outbox until the control group acknowledges them. The control
+// A front stores its counts in an Outbox until the control group acknowledges them. The control
 // state holds a Ledger with the counts of open windows and of closed windows to report. The
 // package reads no clock.
 package usage
@@ -36,7 +36,7 @@
 
 // Report holds the counts of a front since its previous report.
 type Report struct {
-	// Reporter identifies one start of a process. Its reports are numbered from 1; resent
+	// Reporter identifies one start of a process. Its reports are numbered from 1; repeated
 	// reports are not counted again.
 	Reporter string            `cbor:"1,keyasint"`
 	Sequence uint64            `cbor:"2,keyasint"`
@@ -57,12 +57,12 @@
 	Counts   []Count `cbor:"3,keyasint"`
 }
 
-// AssignWindows assigns the requests of a report that arrived at a given time to windows.
+// AssignWindows assigns the requests of a report to windows by their age when it arrived.
 func (r Report) AssignWindows(arrived time.Time, length time.Duration) WindowedReport {
-	noted := WindowedReport{Reporter: r.Reporter, Sequence: r.Sequence}
-	for _, begun := range r.Requests {
-		window := WindowAt(arrived.Add(-begun.Age), length)
-		noted.Counts = append(noted.Counts, Count{Window: window, Tenant: begun.Tenant, Count: begun.Count})
+	windowed := WindowedReport{Reporter: r.Reporter, Sequence: r.Sequence}
+	for _, requests := range r.Requests {
+		window := WindowAt(arrived.Add(-requests.Age), length)
+		windowed.Counts = append(windowed.Counts, Count{Window: window, Tenant: requests.Tenant, Count: requests.Count})
 	}
-	return noted
+	return windowed
 }
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -25,7 +25,7 @@
 // in which its requests started.
 func TestAReportIsPlacedByTheAgeOfItsRequests(t *testing.T) {
 	outbox := usage.NewOutbox("front")
-	began := time.Unix(1000, 0)
+	startedAt := time.Unix(1000, 0)
 	const at = time.Hour // of the front's clock
 	outbox.Add("a", at-time.Millisecond)
 	outbox.Add("a", at)
@@ -34,9 +34,9 @@
 	again, _ := outbox.Next(at + 9*time.Second)
 	for name, report := range map[string]usage.Report{"first": first, "again": again} {
 		elapsed := map[string]time.Duration{"first": time.Second, "again": 9 * time.Second}[name]
-		noted := report.AssignWindows(began.Add(elapsed), length)
-		if report.Sequence != 1 || len(noted.Counts) != 2 || noted.Counts[0].Window != 199 || noted.Counts[1].Window != 200 {
-			t.Errorf("%s: %+v of %+v", name, noted, report)
+		windowed := report.AssignWindows(startedAt.Add(elapsed), length)
+		if report.Sequence != 1 || len(windowed.Counts) != 2 || windowed.Counts[0].Window != 199 || windowed.Counts[1].Window != 200 {
+			t.Errorf("%s: %+v of %+v", name, windowed, report)
 		}
 	}
 	outbox.Acknowledge()
@@ -50,7 +50,7 @@
 	}
 }
 
-func noted(reporter string, sequence uint64, window usage.Window, tenant string) usage.WindowedReport {
+func windowedReport(reporter string, sequence uint64, window usage.Window, tenant string) usage.WindowedReport {
 	return usage.WindowedReport{Reporter: reporter, Sequence: sequence, Counts: []usage.Count{{Window: window, Tenant: tenant, Count: 1}}}
 }
 
@@ -60,15 +60,15 @@
 		t.Error("windows are due before any request")
 	}
 	ledger.Close(100)
-	ledger.Add(noted("x", 1, 7, "a"))
-	ledger.Add(noted("x", 1, 7, "a")) // duplicate
-	ledger.Add(noted("y", 1, 9, "b"))
-	ledger.Add(noted("y", 2, 6, "a"))
+	ledger.Add(windowedReport("x", 1, 7, "a"))
+	ledger.Add(windowedReport("x", 1, 7, "a")) // duplicate
+	ledger.Add(windowedReport("y", 1, 9, "b"))
+	ledger.Add(windowedReport("y", 2, 6, "a"))
 	if ledger.Due(5) || !ledger.Due(6) {
 		t.Error("Due is wrong")
 	}
 	ledger.Close(8)
-	if late := ledger.Add(noted("x", 2, 8, "a")); late != 1 {
+	if late := ledger.Add(windowedReport("x", 2, 8, "a")); late != 1 {
 		t.Errorf("%d late, want 1", late)
 	}
 	ledger.Close(9)
@@ -92,8 +92,8 @@
 // monotonicAt returns a front's clock at a time.
 func monotonicAt(now time.Time) time.Duration { return now.Sub(time.Unix(4000, 0)) }
 
-// TestNoCountIsLostOrDoubled checks the counts when reports are resent after lost responses, in
-// any order of fronts and windows, while windows are closed.
+// TestNoCountIsLostOrDoubled checks the counts when reports are retried after lost responses,
+// in any order of fronts and windows, while windows are closed.
 func TestNoCountIsLostOrDoubled(t *testing.T) {
 	testkit.Check(t, 26, func(t *rapid.T) {
 		var ledger usage.Ledger
@@ -141,7 +141,7 @@
 // TestALedgerIsBounded checks the limits after long outages of the provider or the control group.
 func TestALedgerIsBounded(t *testing.T) {
 	var ledger usage.Ledger
-	ledger.Add(noted("x", 1, 0, "a"))
+	ledger.Add(windowedReport("x", 1, 0, "a"))
 	for window := range usage.Window(3000) {
 		ledger.Close(window)
 	}
@@ -151,6 +151,6 @@
 	before := ledger.Next
 	ledger.Close(1_000_000)
 	if ledger.Next-before > 100 {
-		t.Errorf("%d windows were closed at once", ledger.Next-before)
+		t.Errorf("%d windows were closed by one call", ledger.Next-before)
 	}
 }
