--- a/internal/core/gate/doc.go
+++ b/internal/core/gate/doc.go
@@ -1,6 +1,6 @@
 // Package gate decides which requests run on the replicas of one pool, and when.
-// It counts the requests in flight and adapts a concurrency limit per replica, keeps
-// one queue ordered by priority, tenant and deadline, and maintains the prefix index
+// It counts the requests in flight and adapts a concurrency limit per replica, and
+// maintains one queue ordered by priority, tenant and deadline and the prefix index
 // used to choose a replica.
 //
 // A Gate is a state machine: each call takes the current time and returns the
--- a/internal/core/gate/slot.go
+++ b/internal/core/gate/slot.go
@@ -64,7 +64,7 @@
 	// latencySmoothing is the weight of a new call in the mean latency.
 	latencySmoothing = 0.2
 	// latencyMaxAge is how long the mean latency is used without another call, so
-	// that a back end that was slow once gets calls again.
+	// that a back end that was slow gets calls again.
 	latencyMaxAge = 5 * time.Second
 )
 
--- a/internal/core/gate/ticket.go
+++ b/internal/core/gate/ticket.go
@@ -36,7 +36,7 @@
 	Released
 )
 
-// Ticket tracks one request through the gate. It may be offered once.
+// Ticket tracks one request through the gate. It may be offered only once.
 type Ticket struct {
 	Request Request
 	// Owner belongs to the caller; the gate doesn't use it.
--- a/internal/core/nodestate/home.go
+++ b/internal/core/nodestate/home.go
@@ -38,9 +38,9 @@
 func (s *State) setOwnedReplicas(owned map[port.ReplicaID]ownedReplica) {
 	for _, id := range sortedKeys(s.records) {
 		record := s.records[id]
-		wanted, keep := owned[id]
-		if keep && wanted.replica.Address == record.Replica.Address {
-			record.Replica = wanted.replica
+		desired, found := owned[id]
+		if found && desired.replica.Address == record.Replica.Address {
+			record.Replica = desired.replica
 			continue
 		}
 		if record.Polled {
@@ -49,13 +49,13 @@
 		delete(s.records, id)
 	}
 	for _, id := range sortedKeys(owned) {
-		wanted := owned[id]
+		desired := owned[id]
 		if s.records[id] != nil {
 			continue
 		}
-		s.records[id] = &home.Record{Replica: wanted.replica, Polled: wanted.polled}
-		if wanted.polled {
-			s.output.Started = append(s.output.Started, Poll{Replica: wanted.replica, Gate: wanted.gate})
+		s.records[id] = &home.Record{Replica: desired.replica, Polled: desired.polled}
+		if desired.polled {
+			s.output.Started = append(s.output.Started, Poll{Replica: desired.replica, Gate: desired.gate})
 		}
 	}
 }
--- a/internal/core/nodestate/rebuild.go
+++ b/internal/core/nodestate/rebuild.go
@@ -173,7 +173,7 @@
 		route.Zone = append(route.Zone, s.zoneReplica(now, homeNode, s.tables.replicas[replica.Replica], replica, age))
 	})
 	for _, aggregate := range s.aggregates.Pool(now, enginePool, membership.MaxAggregateAge) {
-		route.OtherZones = append(route.OtherZones, s.zoneOffer(aggregate))
+		route.OtherZones = append(route.OtherZones, s.zoneCapacity(aggregate))
 	}
 	return route
 }
@@ -210,9 +210,9 @@
 	}
 }
 
-// zoneOffer returns the capacity that another zone offers, with the number of
+// zoneCapacity returns the capacity that another zone offers, with the number of
 // requests that this node had sent there when the aggregate arrived.
-func (s *State) zoneOffer(aggregate membership.PoolAggregate) ZoneOffer {
+func (s *State) zoneCapacity(aggregate membership.PoolAggregate) ZoneCapacity {
 	key := ZonePool{aggregate.Zone, aggregate.Pool}
 	counter := s.config.ZoneCounter(key)
 	baseline, known := s.zoneBaselines[key]
@@ -220,7 +220,7 @@
 		baseline = zoneBaseline{sequence: aggregate.Sequence, sent: counter.Counts().Sent}
 		s.zoneBaselines[key] = baseline
 	}
-	return ZoneOffer{Aggregate: aggregate, Nodes: s.tables.byZone[aggregate.Zone], Counter: counter, sentAtArrival: baseline.sent}
+	return ZoneCapacity{Aggregate: aggregate, Nodes: s.tables.byZone[aggregate.Zone], Counter: counter, sentAtArrival: baseline.sent}
 }
 
 func poolNames(pools []port.Pool) map[port.PoolName]bool {
--- a/internal/core/nodestate/snapshot.go
+++ b/internal/core/nodestate/snapshot.go
@@ -36,7 +36,7 @@
 	// Zone holds the engine pool's replicas in this node's zone.
 	Zone []ZoneReplica
 	// OtherZones holds the aggregates of the engine pool in other zones.
-	OtherZones []ZoneOffer
+	OtherZones []ZoneCapacity
 }
 
 // ZoneReplica is a replica of this node's zone as reported by its home.
@@ -53,8 +53,8 @@
 	return r.countsAtReport.Apply(now, r.Reported, r.Candidate, r.Counter.Counts())
 }
 
-// ZoneOffer is the aggregate of another zone with the nodes that accept its requests.
-type ZoneOffer struct {
+// ZoneCapacity is the aggregate of another zone with the nodes that accept its requests.
+type ZoneCapacity struct {
 	Aggregate membership.PoolAggregate
 	Nodes     []port.NodeAddress
 	Counter   Counter
@@ -64,7 +64,7 @@
 
 // FreePerReplica returns the free slots per replica of the zone, less the queued requests and
 // those that this node has sent since the aggregate.
-func (o *ZoneOffer) FreePerReplica() float64 {
+func (o *ZoneCapacity) FreePerReplica() float64 {
 	sent := o.Counter.Counts().Sent - o.sentAtArrival
 	free := o.Aggregate.Free - o.Aggregate.Queued - int(max(sent, 0))
 	return float64(free) / float64(max(o.Aggregate.Routable, 1))
--- a/internal/core/sitestate/record_test.go
+++ b/internal/core/sitestate/record_test.go
@@ -20,7 +20,7 @@
 func TestRecordFormats(t *testing.T) {
 	dir := *record
 	if dir == "" {
-		t.Skip("no output folder given")
+		t.Skip("no output folder set")
 	}
 	window := usage.Window(40)
 	commands := []sitestate.Command{
--- a/internal/core/sitestate/shards_test.go
+++ b/internal/core/sitestate/shards_test.go
@@ -68,7 +68,7 @@
 }
 
 // TestAnEmptiedMachineStaysEmptied checks that removal from its group does not reactivate an
-// emptied store machine.
+// evacuated store machine.
 func TestAnEmptiedMachineStaysEmptied(t *testing.T) {
 	l := newLog(t)
 	store := sitestate.Store{Name: "m", Address: "1:1", Incarnation: "x", Shard: 2}
--- a/internal/core/sitestate/sitestate_test.go
+++ b/internal/core/sitestate/sitestate_test.go
@@ -74,7 +74,7 @@
 	}
 	l.apply(sitestate.Command{Leave: &sitestate.Leave{ID: "i1"}})
 	if got := l.apply(report("i1", "a1", 8, sitestate.ReplicaReady)); got != sitestate.OutcomeIgnored {
-		t.Errorf("a replica that left came back: %v", got)
+		t.Errorf("a replica that left rejoined: %v", got)
 	}
 	// A replica that timed out may return.
 	l.apply(report("i2", "a2", 1, sitestate.ReplicaReady))
@@ -120,7 +120,7 @@
 	}
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "a", Incarnation: "1"}})
 	if evacuate("s", true); state() != sitestate.StoreActive {
-		t.Error("emptied before the evacuation started")
+		t.Error("evacuated before the evacuation started")
 	}
 	evacuate("s", false)
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "a", Incarnation: "2"}})
@@ -128,7 +128,7 @@
 		t.Error("a new data folder ended the evacuation")
 	}
 	if evacuate("s", true); state() != sitestate.StoreEmptied {
-		t.Error("not emptied")
+		t.Error("not evacuated")
 	}
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "b", Incarnation: "3"}})
 	if state() != sitestate.StoreActive {
--- a/internal/core/sitestate/stores.go
+++ b/internal/core/sitestate/stores.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// registerStore adds or updates a store machine. An emptied machine that registers with another
+// registerStore adds or updates a store machine. An evacuated machine that registers with another
 // data folder becomes active again.
 func (s *State) registerStore(index uint64, registered Store) Outcome {
 	current, known := s.contents.Stores[registered.Name]
