--- a/cmd/loomgrade/cmd_store.go
+++ b/cmd/loomgrade/cmd_store.go
@@ -28,7 +28,7 @@
 }
 
 var storeStateNames = map[sitestate.StoreState]string{
-	sitestate.StoreActive: "active", sitestate.StoreLeaving: "leaving", sitestate.StoreEmptied: "emptied",
+	sitestate.StoreActive: "active", sitestate.StoreLeaving: "leaving", sitestate.StoreEvacuated: "emptied",
 }
 
 // Run lists the store machines by name.
--- a/internal/adapter/eventlog/events.go
+++ b/internal/adapter/eventlog/events.go
@@ -112,7 +112,7 @@
 	{StoreGroupFounded, "the founders of a shard's group were chosen"},
 	{ModelPlaced, "a model's jobs were placed on a shard"},
 	{StoreEvacuationStarted, "the evacuation of a store machine started"},
-	{StoreEvacuationRejected, "the evacuation of a store machine was rejected: too few machines would stay"},
+	{StoreEvacuationRejected, "the evacuation of a store machine was rejected: too few machines would remain"},
 	{StoreEvacuationDone, "the evacuation of a store machine completed; it stores nothing any more"},
 	{LeadershipReturned, "leadership transfer to the lease holder started; the holder need not wait for its lease"},
 	{LeaseAcquired, "a control machine acquired the lease to call replicas and the provider"},
--- a/internal/app/jobsapi/client.go
+++ b/internal/app/jobsapi/client.go
@@ -286,7 +286,7 @@
 	}
 	var addresses []string
 	for _, store := range view.Stores {
-		if store.Shard == shard && store.State != sitestate.StoreEmptied {
+		if store.Shard == shard && store.State != sitestate.StoreEvacuated {
 			addresses = append(addresses, store.Address)
 		}
 	}
--- a/internal/app/jobsapi/near.go
+++ b/internal/app/jobsapi/near.go
@@ -48,7 +48,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, store := range view.Stores {
-		if store.Zone != c.config.Zone || store.Shard != shard || store.State == sitestate.StoreEmptied {
+		if store.Zone != c.config.Zone || store.Shard != shard || store.State == sitestate.StoreEvacuated {
 			continue
 		}
 		if store.Address == c.leaders[shard] {
--- a/internal/app/node/application.go
+++ b/internal/app/node/application.go
@@ -71,7 +71,7 @@
 		TenantShare: accepted.snapshot.TenantShare(request.Tenant),
 		Deadline:    accepted.deadline,
 		Avoid:       avoid,
-		Pick: scheduling.Request{
+		Scheduling: scheduling.Request{
 			Pool:     request.Pool,
 			Zone:     n.config.Zone,
 			Region:   n.config.Region,
--- a/internal/app/node/gate/gate_test.go
+++ b/internal/app/node/gate/gate_test.go
@@ -35,7 +35,7 @@
 	}{{"low", 0}, {"high", 5}} {
 		queued := make(chan struct{})
 		go func() {
-			request := gate.Request{ID: entry.id, Pick: scheduling.Request{Priority: entry.priority}}
+			request := gate.Request{ID: entry.id, Scheduling: scheduling.Request{Priority: entry.priority}}
 			grant, refusal := g.Acquire(context.Background(), request, func(int) { close(queued) })
 			if refusal != nil {
 				order <- refusal.Error()
@@ -67,9 +67,9 @@
 		{"ejected", gate.Replica{ID: "a", Ejected: true}, gate.Request{}, port.CodeNoBackEnd},
 		{"version unknown", gate.Replica{ID: "a", VersionUnknown: true}, gate.Request{}, port.CodeNoBackEnd},
 		{"older version", gate.Replica{ID: "a", Report: port.LoadReport{Version: 3}},
-			gate.Request{Pick: scheduling.Request{MinVersion: 4}}, port.CodeNoBackEnd},
+			gate.Request{Scheduling: scheduling.Request{MinVersion: 4}}, port.CodeNoBackEnd},
 		{"excluded", gate.Replica{ID: "a"},
-			gate.Request{Pick: scheduling.Request{Exclude: []port.ReplicaID{"a"}}}, port.CodeNoBackEnd},
+			gate.Request{Scheduling: scheduling.Request{Exclude: []port.ReplicaID{"a"}}}, port.CodeNoBackEnd},
 		{"late", gate.Replica{ID: "a"}, gate.Request{Deadline: time.Unix(1, 0)}, port.CodeDeadline},
 	}
 	for _, testCase := range cases {
--- a/internal/app/node/serve.go
+++ b/internal/app/node/serve.go
@@ -71,7 +71,7 @@
 		Deadline:    accepted.deadline,
 		Preferred:   request.Replica,
 		Avoid:       call.Avoid,
-		Pick: scheduling.Request{
+		Scheduling: scheduling.Request{
 			Pool:         request.Pool,
 			Zone:         n.config.Zone,
 			Region:       n.config.Region,
--- a/internal/app/proxy/candidates.go
+++ b/internal/app/proxy/candidates.go
@@ -27,7 +27,7 @@
 	service := request.Service
 	all := inRegions(view, view.ByService[service], request.AllowedRegions)
 	limits := p.coldLimits(view, service)
-	if !limits.Bounded() {
+	if !limits.Limited() {
 		return candidates{replicas: all}
 	}
 	share := limits.ShareOf(int(view.Senders))
@@ -35,7 +35,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, replica := range all {
-		remaining := view.ColdLeft(replica.ID, now)
+		remaining := view.ColdRemaining(replica.ID, now)
 		if remaining == 0 || (share.Has(p.sender, replica.ID) && p.window(replica.ID).Remaining(share.PerSpan, now) > 0) {
 			eligible.replicas = append(eligible.replicas, replica)
 		} else if eligible.coldRemaining == 0 || remaining < eligible.coldRemaining {
@@ -83,7 +83,7 @@
 // p.mutex.
 func (p *Proxy) recordSent(service, id string, now time.Time) {
 	view := p.view()
-	if view != nil && p.coldLimits(view, service).Bounded() {
+	if view != nil && p.coldLimits(view, service).Limited() {
 		p.window(id).Record(now)
 	}
 }
--- a/internal/app/sitecontrol/heartbeats.go
+++ b/internal/app/sitecontrol/heartbeats.go
@@ -95,7 +95,7 @@
 
 // registered returns the view's record of the replica start that sent a report.
 func (h *heartbeats) registered(report sitestate.Replica) (sitestate.Replica, bool) {
-	return h.control.view.Load().StartOf(report.InstanceName(), report.StartedAt)
+	return h.control.view.Load().ReplicaByStart(report.InstanceName(), report.StartedAt)
 }
 
 // validate returns the record of a report's sender, and an error if the report names an
--- a/internal/app/sitecontrol/shards_test.go
+++ b/internal/app/sitecontrol/shards_test.go
@@ -88,7 +88,7 @@
 }
 
 // A group that did not report may depend on the machine.
-func TestMachineIsEmptiedOnceGroupsAreComplete(t *testing.T) {
+func TestMachineIsEvacuatedOnceGroupsAreComplete(t *testing.T) {
 	s := storesOf("f0")
 	if !s.isEvacuated("f0", 2) || s.isEvacuated("s1-0", 2) {
 		t.Error("want a free machine evacuated and a member not")
--- a/internal/app/sitestore/move.go
+++ b/internal/app/sitestore/move.go
@@ -94,8 +94,8 @@
 // queueItem returns the queue's description of an item.
 func (r *runner) queueItem(item *itemState, service string) jobqueue.Item {
 	return jobqueue.Item{
-		Homes: r.allowedRegions(item),
-		Key:   item.key, Service: service, Model: item.model, MinVersion: item.minVersion, ExactVersion: item.exactVersion(),
+		AllowedRegions: r.allowedRegions(item),
+		Key:            item.key, Service: service, Model: item.model, MinVersion: item.minVersion, ExactVersion: item.exactVersion(),
 		Group: item.spec.Group, Rank: item.rank, Avoid: item.avoid,
 		Relaxed: float64(item.spec.ExpectedLength()) < relaxedShare*float64(item.longest),
 	}
--- a/internal/app/sitestore/replicabook.go
+++ b/internal/app/sitestore/replicabook.go
@@ -156,7 +156,7 @@
 		candidate := listed.candidate
 		candidate.Running = listed.entry.running + listed.entry.reserved
 		candidate.Free = listed.slots - candidate.Running
-		if listed.cold.Bounded() && view.ColdLeft(candidate.ID, now) > 0 {
+		if listed.cold.Limited() && view.ColdRemaining(candidate.ID, now) > 0 {
 			candidate.Free = min(candidate.Free, listed.entry.sent.Remaining(listed.cold.RunnerPerSpan(), now))
 		}
 		candidate.Pace = t.expectedPace(listed.entry, now)
--- a/internal/app/siteview/cold.go
+++ b/internal/app/siteview/cold.go
@@ -8,8 +8,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitestate"
 )
 
-// ColdLeft returns how much longer a replica counts as cold, 0 if it does not.
-func (v *View) ColdLeft(id string, now time.Time) time.Duration {
+// ColdRemaining returns how much longer a replica counts as cold, 0 if it does not.
+func (v *View) ColdRemaining(id string, now time.Time) time.Duration {
 	return max(0, v.coldUntil[id].Sub(now))
 }
 
--- a/internal/app/siteview/cold_test.go
+++ b/internal/app/siteview/cold_test.go
@@ -14,7 +14,7 @@
 		return []sitestate.Update{{Replicas: []sitestate.Replica{{ID: id, ColdMillis: millis}}}}
 	}
 	remaining := func(cold map[string]time.Time, id string, after time.Duration) time.Duration {
-		return (&View{coldUntil: cold}).ColdLeft(id, start.Add(after))
+		return (&View{coldUntil: cold}).ColdRemaining(id, start.Add(after))
 	}
 	first := coldAfter(nil, updates("i", 3000), start)
 	warm := coldAfter(first, updates("i", 0), start.Add(time.Second))
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -20,8 +20,8 @@
 	Value       T
 }
 
-// Ended is a request that left the queue unserved, with its error.
-type Ended[T any] struct {
+// Unserved is a request that left the queue unserved, with its error.
+type Unserved[T any] struct {
 	Item  Item[T]
 	Error *port.Error
 }
@@ -39,7 +39,7 @@
 	// levels are ordered by descending priority.
 	levels []*level[T]
 	// ended holds the requests to be returned by Expire or Drain.
-	ended []Ended[T]
+	ended []Unserved[T]
 	drain drainRate
 }
 
@@ -122,7 +122,7 @@
 
 // Expire removes every request whose deadline has passed, and returns them together
 // with the evicted ones, each with its error.
-func (q *Queue[T]) Expire(now time.Time) []Ended[T] {
+func (q *Queue[T]) Expire(now time.Time) []Unserved[T] {
 	var expired []*entry[T]
 	for _, level := range q.levels {
 		expired = append(expired, level.expired(now)...)
@@ -147,7 +147,7 @@
 }
 
 // Drain removes all requests and returns them with an error, for a graceful stop.
-func (q *Queue[T]) Drain() []Ended[T] {
+func (q *Queue[T]) Drain() []Unserved[T] {
 	for entry := q.first(); entry != nil; entry = q.first() {
 		q.remove(entry)
 		q.addEnded(entry, port.NewError(port.NotRun, port.CodeDraining, "the node is stopping"))
@@ -156,7 +156,7 @@
 }
 
 // flushEnded returns and clears the ended requests.
-func (q *Queue[T]) flushEnded() []Ended[T] {
+func (q *Queue[T]) flushEnded() []Unserved[T] {
 	ended := q.ended
 	q.ended = nil
 	return ended
@@ -233,7 +233,7 @@
 
 // addEnded stores an ended request for Expire or Drain.
 func (q *Queue[T]) addEnded(entry *entry[T], err *port.Error) {
-	q.ended = append(q.ended, Ended[T]{Item: entry.item, Error: err})
+	q.ended = append(q.ended, Unserved[T]{Item: entry.item, Error: err})
 }
 
 func (q *Queue[T]) deadlinePassedError() *port.Error {
--- a/internal/core/admission/queue_test.go
+++ b/internal/core/admission/queue_test.go
@@ -156,7 +156,7 @@
 	return queue, now
 }
 
-func TestDeadlineThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
+func TestUnattainableDeadlineIsRefusedImmediately(t *testing.T) {
 	tests := map[string]struct {
 		remaining time.Duration
 		priority  port.Priority
--- a/internal/core/coldlimit/coldlimit.go
+++ b/internal/core/coldlimit/coldlimit.go
@@ -36,8 +36,8 @@
 	Slack     float64
 }
 
-// Bounded reports whether there is a limit.
-func (l Limits) Bounded() bool { return l.Rate > 0 }
+// Limited reports whether there is a limit.
+func (l Limits) Limited() bool { return l.Rate > 0 }
 
 // maxPerSecond returns the maximum number of requests in any second.
 func (l Limits) maxPerSecond() float64 { return l.Rate*max(1, l.Overshoot) + max(0, l.Slack) }
--- a/internal/core/coldlimit/coldlimit_test.go
+++ b/internal/core/coldlimit/coldlimit_test.go
@@ -112,7 +112,7 @@
 }
 
 func TestServicesWithoutARateAreNotBounded(t *testing.T) {
-	if (coldlimit.Limits{Overshoot: 1.5, Slack: 5}).Bounded() || !limits.Bounded() {
+	if (coldlimit.Limits{Overshoot: 1.5, Slack: 5}).Limited() || !limits.Limited() {
 		t.Error("Bounded does not depend on Rate")
 	}
 }
--- a/internal/core/consensus/missed_test.go
+++ b/internal/core/consensus/missed_test.go
@@ -75,7 +75,7 @@
 }
 
 // Ticks that the leader missed must not make its peers look unreachable.
-func TestMissedTicksDoNotCountAsPeerSilence(t *testing.T) {
+func TestMissedTicksDoNotTimeOutPeers(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	lost := net.others(leader)[0]
--- a/internal/core/consensus/replication_test.go
+++ b/internal/core/consensus/replication_test.go
@@ -234,7 +234,7 @@
 
 // A follower that lacks entries must report that it lags, as must a new leader that does
 // not know the commit index yet.
-func TestLaggingMembersKnowThatTheyLag(t *testing.T) {
+func TestLaggingMembersReportLag(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	leader := net.elect()
 	behind := net.others(leader)[0]
--- a/internal/core/consensus/safeguard_test.go
+++ b/internal/core/consensus/safeguard_test.go
@@ -32,7 +32,7 @@
 }
 
 // A member that was isolated must not disrupt the leader when it returns.
-func TestPreVoteKeepsTerms(t *testing.T) {
+func TestPreVotePreventsTermIncrease(t *testing.T) {
 	for _, disabled := range []bool{false, true} {
 		net := newNetwork(t, 3, func(c *Config) { c.Safeguards.NoPreVote = disabled })
 		leader := net.elect()
@@ -87,7 +87,7 @@
 	return answered && state.Index < committed
 }
 
-func TestCheckQuorumKeepsLeaseReadsFresh(t *testing.T) {
+func TestCheckQuorumPreventsStaleLeaseReads(t *testing.T) {
 	if !staleReadAfterElection(t, Safeguards{NoCheckQuorum: true}, false) {
 		t.Error("without check-quorum: no stale read, so the test proves nothing")
 	}
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestTransferHandsOverAndEndsLease(t *testing.T) {
+func TestTransferRevokesLease(t *testing.T) {
 	net := newNetwork(t, 3, nil)
 	first := net.elect()
 	to := net.others(first)[1]
--- a/internal/core/controlstate/apply.go
+++ b/internal/core/controlstate/apply.go
@@ -34,7 +34,7 @@
 	}
 	result := s.run(index, term, command)
 	if command.ChangeID != "" {
-		s.answers.Remember(command.ChangeID, digest, s.time, result)
+		s.answers.Store(command.ChangeID, digest, s.time, result)
 	}
 	return s.withLedger(command, result)
 }
--- a/internal/core/controlstate/snapshot.go
+++ b/internal/core/controlstate/snapshot.go
@@ -66,7 +66,7 @@
 	Weights       []port.PublishedWeights `cbor:"9,keyasint,omitempty"`
 	Leases        []port.Lease            `cbor:"10,keyasint,omitempty"`
 	Nodes         []port.NodeAddress      `cbor:"11,keyasint,omitempty"`
-	Answers       []registry.Answer       `cbor:"12,keyasint,omitempty"`
+	Answers       []registry.CachedResult `cbor:"12,keyasint,omitempty"`
 	AnswerFloor   int64                   `cbor:"13,keyasint"`
 	History       []registry.HistoryEntry `cbor:"14,keyasint,omitempty"`
 	Ledger        ledger.Export           `cbor:"15,keyasint"`
--- a/internal/core/controlstate/state.go
+++ b/internal/core/controlstate/state.go
@@ -13,7 +13,7 @@
 	leases   registry.Leases
 	weights  registry.Weights
 	nodes    registry.Nodes
-	answers  *registry.Answers
+	answers  *registry.CachedResults
 	history  registry.History
 	ledger   ledger.Ledger
 
@@ -35,7 +35,7 @@
 func New() *State {
 	return &State{
 		document: registry.NewDocument(),
-		answers:  registry.NewAnswers(registry.MaxAnswers),
+		answers:  registry.NewCachedResults(registry.MaxCachedResults),
 		members:  map[uint64]string{},
 	}
 }
--- a/internal/core/coordinator/coordinator_test.go
+++ b/internal/core/coordinator/coordinator_test.go
@@ -9,7 +9,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-func TestBatchesFollowEachOther(t *testing.T) {
+func TestConsecutiveBatches(t *testing.T) {
 	w := newHarness(t, smallSampling(), "")
 	for range 20 {
 		w.train()
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestReplacementStartsAtOnce checks that the replacements of stale samples start in
+// TestReplacementStartsImmediately checks that the replacements of stale samples start in
 // the same step, not at the next tick.
-func TestReplacementStartsAtOnce(t *testing.T) {
+func TestReplacementStartsImmediately(t *testing.T) {
 	w := newHarness(t, smallSampling(), "")
 	w.answerFetch(false)
 	w.tick(time.Second)
--- a/internal/core/gate/affinity.go
+++ b/internal/core/gate/affinity.go
@@ -29,7 +29,7 @@
 				return true
 			}
 		}
-		return item.Priority == head.Request.Pick.Priority && g.preferredHasCapacity(item.Value)
+		return item.Priority == head.Request.Scheduling.Priority && g.preferredHasCapacity(item.Value)
 	})
 	if !found {
 		return g.queue.Next(now)
--- a/internal/core/gate/bench_test.go
+++ b/internal/core/gate/bench_test.go
@@ -40,7 +40,7 @@
 			for number := range b.N {
 				now = now.Add(time.Millisecond)
 				offered := &gate.Ticket{Request: gate.Request{
-					ID: "request", Pick: scheduling.Request{Zone: "a", PromptTokens: 512, MaxTokens: 256, PrefixHashes: prompts[number%len(prompts)]},
+					ID: "request", Scheduling: scheduling.Request{Zone: "a", PromptTokens: 512, MaxTokens: 256, PrefixHashes: prompts[number%len(prompts)]},
 				}}
 				g.Offer(now, offered)
 				if offered.State != gate.Granted {
--- a/internal/core/gate/dispatch.go
+++ b/internal/core/gate/dispatch.go
@@ -64,7 +64,7 @@
 
 func (g *Gate) expire(now time.Time) { g.refuseEnded(g.queue.Expire(now)) }
 
-func (g *Gate) refuseEnded(ended []admission.Ended[*Ticket]) {
+func (g *Gate) refuseEnded(ended []admission.Unserved[*Ticket]) {
 	for _, end := range ended {
 		g.refuse(end.Item.Value, end.Error)
 	}
@@ -92,7 +92,7 @@
 // assign chooses a replica with capacity and grants the ticket a slot on it. It
 // returns false if there is none.
 func (g *Gate) assign(now time.Time, ticket *Ticket) bool {
-	request := ticket.Request.Pick
+	request := ticket.Request.Scheduling
 	request.Prefix = g.index
 	request.Record = true
 	result := g.choose(&request, &ticket.Request, g.candidates(now, &ticket.Request, true))
@@ -148,7 +148,7 @@
 // checkServable returns a refusal if no replica could serve the request even without
 // concurrency limits.
 func (g *Gate) checkServable(now time.Time, ticket *Ticket) *port.Error {
-	request := ticket.Request.Pick
+	request := ticket.Request.Scheduling
 	result := g.scheduler.Pick(&request, g.candidates(now, &ticket.Request, false), g.random)
 	if result.Chosen >= 0 {
 		return nil
@@ -175,7 +175,7 @@
 func (g *Gate) candidates(now time.Time, request *Request, limits bool) []scheduling.Candidate {
 	g.scratch = g.scratch[:0]
 	for _, state := range g.replicaStates {
-		candidate := state.candidate(now, request.Pick.Adapter)
+		candidate := state.candidate(now, request.Scheduling.Adapter)
 		if !limits {
 			candidate.Limit = 0
 			candidate.Inflight = 0
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -55,7 +55,7 @@
 	offer := func(id string, preferred port.ReplicaID, priority port.Priority) *gate.Ticket {
 		offered := ticket(id)
 		offered.Request.Preferred = preferred
-		offered.Request.Pick.Priority = priority
+		offered.Request.Scheduling.Priority = priority
 		g.Offer(start, offered)
 		return offered
 	}
@@ -85,10 +85,10 @@
 	}
 }
 
-// TestEveryTicketIsSettledOnceWithinTheLimits checks that a gate never grants a slot above
+// TestTicketsAreResolvedOnceWithinLimits checks that a gate never grants a slot above
 // a limit or on an unroutable replica, resolves every ticket once, and queues none while a
 // replica has capacity for it.
-func TestEveryTicketIsSettledOnceWithinTheLimits(t *testing.T) {
+func TestTicketsAreResolvedOnceWithinLimits(t *testing.T) {
 	testkit.Check(t, 71, func(t *rapid.T) {
 		model := &gateModel{gate: gate.New(scheduling.Generation(), newRandom()), limit: rapid.IntRange(1, 3).Draw(t, "limit")}
 		model.configure(t)
@@ -151,9 +151,9 @@
 
 func (m *gateModel) offer(t *rapid.T) {
 	offered := ticket(fmt.Sprintf("q%d", len(m.tickets)))
-	offered.Request.Pick.Priority = port.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
+	offered.Request.Scheduling.Priority = port.Priority(rapid.IntRange(0, 2).Draw(t, "priority"))
 	offered.Request.Tenant = port.TenantName(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "tenant"))
-	offered.Request.Pick.MinVersion = port.WeightVersion(rapid.IntRange(2, 4).Draw(t, "version"))
+	offered.Request.Scheduling.MinVersion = port.WeightVersion(rapid.IntRange(2, 4).Draw(t, "version"))
 	if rapid.Bool().Draw(t, "limited") {
 		offered.Request.Deadline = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond)
 	}
@@ -236,7 +236,7 @@
 	g := newGate(4, 4, replica("staged", 0, 2), replica("serving", 2, 0))
 	for index := range 4 {
 		requested := ticket(fmt.Sprint(index))
-		requested.Request.Pick.Adapter = "notes"
+		requested.Request.Scheduling.Adapter = "notes"
 		g.Offer(start, requested)
 		if requested.State != gate.Granted || requested.Replica != "serving" {
 			t.Fatalf("request %d: state %v at %q", index, requested.State, requested.Replica)
@@ -244,7 +244,7 @@
 	}
 	g.Configure(start, gate.Settings{MaxInflight: 4, QueueLength: 4}, []gate.Replica{replica("staged", 0, 2)})
 	refused := ticket("refused")
-	refused.Request.Pick.Adapter = "notes"
+	refused.Request.Scheduling.Adapter = "notes"
 	if g.Offer(start, refused); refused.Refusal == nil || refused.Refusal.Code != port.CodeNoBackEnd {
 		t.Errorf("state %v, refusal %v", refused.State, refused.Refusal)
 	}
--- a/internal/core/gate/ticket.go
+++ b/internal/core/gate/ticket.go
@@ -19,8 +19,8 @@
 	Preferred port.ReplicaID
 	// Avoid is chosen only if no other replica can serve.
 	Avoid port.ReplicaID
-	// Pick holds the scheduler's other inputs. The gate sets its Prefix.
-	Pick scheduling.Request
+	// Scheduling holds the scheduler's other inputs. The gate sets its Prefix.
+	Scheduling scheduling.Request
 }
 
 // State is the state of a ticket.
@@ -61,7 +61,7 @@
 	return admission.Item[*Ticket]{
 		ID:          t.Request.ID,
 		Tenant:      t.Request.Tenant,
-		Priority:    t.Request.Pick.Priority,
+		Priority:    t.Request.Scheduling.Priority,
 		Deadline:    t.Request.Deadline,
 		TenantShare: t.Request.TenantShare,
 		Value:       t,
@@ -110,7 +110,7 @@
 	}
 	state.inflight--
 	state.finished++
-	state.tokens -= ticket.Request.Pick.MaxTokens
+	state.tokens -= ticket.Request.Scheduling.MaxTokens
 	g.dispatch(now)
 	return g.resolved
 }
--- a/internal/core/home/home_test.go
+++ b/internal/core/home/home_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestPoolHealthStaysWithinBound(t *testing.T) {
+func TestPoolHealthLimitsEjections(t *testing.T) {
 	pool := &port.Pool{Name: "lm", Ejection: port.Ejection{MaxShare: 0.25}}
 	summaries := membership.NewSummaries()
 	summaries.Apply(start, membership.HomeSummary{Node: "n1", Sequence: 1, Replicas: []membership.ReplicaSummary{
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestEjectedSinceIsKept(t *testing.T) {
+func TestEjectedSinceDoesNotChange(t *testing.T) {
 	record := newEngineRecord()
 	tracker := ejection.New(ejection.Config{ConsecutiveFailures: 1, MaxShare: 1})
 	tracker.SetReplicas([]port.ReplicaID{"e1"})
--- a/internal/core/jobqueue/jobqueue.go
+++ b/internal/core/jobqueue/jobqueue.go
@@ -31,8 +31,8 @@
 	Group        string
 	// Rank orders the items; lower runs first.
 	Rank Rank
-	// Homes are the regions in which it may run.
-	Homes routing.AllowedRegions
+	// AllowedRegions are the regions in which it may run.
+	AllowedRegions routing.AllowedRegions
 	// Relaxed is set for an item that finishes in time on any replica.
 	Relaxed bool
 	// Avoid is a replica that was slow at the item, used only if there is no other.
@@ -171,7 +171,7 @@
 }
 
 func requirementOf(item Item) requirement {
-	return requirement{service: item.Service, model: item.Model, minVersion: item.MinVersion, exactVersion: item.ExactVersion, homes: item.Homes.String()}
+	return requirement{service: item.Service, model: item.Model, minVersion: item.MinVersion, exactVersion: item.ExactVersion, homes: item.AllowedRegions.String()}
 }
 
 // choose returns the index of the best replica for an item, or -1.
@@ -219,7 +219,7 @@
 )
 
 func fits(replica *Replica, item Item) bool {
-	if !item.Homes.Allows(replica.Region) {
+	if !item.AllowedRegions.Allows(replica.Region) {
 		return false
 	}
 	version := replica.Version(item.Model)
--- a/internal/core/jobqueue/jobqueue_test.go
+++ b/internal/core/jobqueue/jobqueue_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestVersionsBoundWhereAnItemRuns(t *testing.T) {
+func TestVersionsRestrictPlacement(t *testing.T) {
 	replicas := func() []jobqueue.Replica { return []jobqueue.Replica{replica("v3", 1, 3), replica("v5", 1, 5)} }
 	for _, row := range []struct {
 		minVersion, exactVersion uint64
--- a/internal/core/jobqueue/scores_test.go
+++ b/internal/core/jobqueue/scores_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestScoresAreSharedByShards(t *testing.T) {
+func TestMaxRewardCalls(t *testing.T) {
 	for _, row := range []struct{ slots, shards, want int }{{0, 1, 2}, {1, 1, 2}, {6, 1, 5}, {18, 0, 17}, {19, 3, 6}, {4, 4, 2}} {
 		if got := jobqueue.MaxRewardCalls(row.slots, row.shards); got != row.want {
 			t.Errorf("%+v: %d", row, got)
--- a/internal/core/jobstate/jobstate_test.go
+++ b/internal/core/jobstate/jobstate_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestResultsNeverMove checks that result positions never change and contain no item twice,
+// TestResultPositionsNeverChange checks that result positions never change and contain no item twice,
 // whatever runners record, and that a snapshot preserves them.
-func TestResultsNeverMove(t *testing.T) {
+func TestResultPositionsNeverChange(t *testing.T) {
 	testkit.Check(t, 14, func(r *rapid.T) {
 		l := newLog(t)
 		items := []string{"a", "b", "c", "d"}
--- a/internal/core/membership/home_test.go
+++ b/internal/core/membership/home_test.go
@@ -29,7 +29,7 @@
 
 // Nodes with equal views, in any order, agree on one home for each replica, which is a
 // node of the view.
-func TestEqualViewsNeverClaimTwice(t *testing.T) {
+func TestEqualViewsAgreeOnHomes(t *testing.T) {
 	testkit.Check(t, 81, func(t *rapid.T) {
 		nodes := nodeIDs(rapid.IntRange(1, 12).Draw(t, "nodes"))
 		views := [][]port.NodeID{nodes, rapid.Permutation(nodes).Draw(t, "order"), append(slices.Clone(nodes), nodes[0])}
--- a/internal/core/membership/summary_test.go
+++ b/internal/core/membership/summary_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestTakes(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	tests := map[string]struct {
 		summary  ReplicaSummary
 		capacity int
--- a/internal/core/nodestate/state_test.go
+++ b/internal/core/nodestate/state_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestPollsMachines(t *testing.T) {
+func TestShouldPollMachines(t *testing.T) {
 	zone := []port.NodeID{"a", "b", "c", "d", "e", "f", "g", "h"}
 	pollers := 0
 	for _, node := range zone {
--- a/internal/core/placement/chooser_test.go
+++ b/internal/core/placement/chooser_test.go
@@ -85,7 +85,7 @@
 
 // Requests sent and finished after a report correct it; those in the report are not
 // counted twice.
-func TestCountsCorrectALateReport(t *testing.T) {
+func TestCountsCorrectOldReport(t *testing.T) {
 	counts := placement.CountsAtReport{}.Update(start, placement.Counts{Sent: 10, Finished: 8})
 	counts = counts.Update(start.Add(time.Microsecond), placement.Counts{Sent: 12, Finished: 9})
 	candidate := scheduling.Candidate{Running: 5}
--- a/internal/core/policy/policy_test.go
+++ b/internal/core/policy/policy_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestCompileRefuses(t *testing.T) {
+func TestCompileRejects(t *testing.T) {
 	cases := map[string]struct{ source, want string }{
 		"syntax error names the line": {"def plan(pool):\n  return (", "policy.star:2"},
 		"unknown name":                {"def plan(pool):\n  return nothing", "policy.star:2:10"},
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestRunRefusesResult(t *testing.T) {
+func TestRunRejectsInvalidResult(t *testing.T) {
 	cases := map[string]struct{ result, field string }{
 		"no struct":                 {"7", "result"},
 		"negative target":           {"struct(target_in_flight = -1)", "target_in_flight"},
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestRunBoundsSteps(t *testing.T) {
+func TestRunLimitsSteps(t *testing.T) {
 	program, err := policy.CompileLimited("def plan(pool):\n  n = 0\n  for i in range(10000):\n    n += i\n  return struct()", 1000)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -42,7 +42,7 @@
 	return found
 }
 
-func TestWhatIsWithheld(t *testing.T) {
+func TestWithheldRequests(t *testing.T) {
 	fatal := crashed("fatal", "r1", "r2", "r3")
 	for name, row := range map[string]struct {
 		events []Event
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestTheLedgerIsBounded(t *testing.T) {
+func TestLedgerSizeIsLimited(t *testing.T) {
 	var ledger Ledger
 	for _, event := range crashed("fatal", "r1", "r2", "r3") {
 		ledger.Apply(event)
--- a/internal/core/registry/answers.go
+++ b/internal/core/registry/answers.go
@@ -11,8 +11,8 @@
 	// ResultLifetime is how long an answer is stored, in log time, after it was applied or
 	// its change id was created, whichever is later.
 	ResultLifetime = 10 * time.Minute
-	// MaxAnswers limits the stored answers; the oldest are dropped first.
-	MaxAnswers = 65536
+	// MaxCachedResults limits the stored answers; the oldest are dropped first.
+	MaxCachedResults = 65536
 	// MaxCreatedAhead is how far a change id's creation may be ahead of log time. Log time lags
 	// by the length of an outage if the clock of the next leader is behind.
 	MaxCreatedAhead = time.Hour
@@ -21,8 +21,8 @@
 // Digest identifies the body of a command.
 type Digest [16]byte
 
-// Answer is the stored result of a change.
-type Answer struct {
+// CachedResult is the stored result of a change.
+type CachedResult struct {
 	ID        string      `cbor:"1,keyasint"`
 	CreatedAt int64       `cbor:"2,keyasint"`
 	Digest    Digest      `cbor:"3,keyasint"`
@@ -30,26 +30,26 @@
 	Result    port.Result `cbor:"5,keyasint"`
 }
 
-// Answers stores results by change id. It rejects an unknown id that is not newer than the newest
+// CachedResults stores results by change id. It rejects an unknown id that is not newer than the newest
 // expired one, so that a change whose answer was dropped is never applied twice. It compares
 // creation times with each other and needs no synchronized clocks.
-type Answers struct {
+type CachedResults struct {
 	positions map[string]int // position in queue, plus removed
-	queue     []Answer       // in order of application
+	queue     []CachedResult // in order of application
 	// removed is the number of answers dropped from the front of queue.
 	removed        int
 	expiredThrough int64
 	limit          int
 }
 
-// NewAnswers returns an empty store for at most limit answers.
-func NewAnswers(limit int) *Answers {
-	return &Answers{positions: map[string]int{}, limit: limit}
+// NewCachedResults returns an empty store for at most limit answers.
+func NewCachedResults(limit int) *CachedResults {
+	return &CachedResults{positions: map[string]int{}, limit: limit}
 }
 
 // Lookup checks a change id. It returns the stored answer of a retried change (found), or an
 // error for a change that must not be applied.
-func (a *Answers) Lookup(id string, digest Digest, now int64) (result port.Result, found bool, refusal *port.Error) {
+func (a *CachedResults) Lookup(id string, digest Digest, now int64) (result port.Result, found bool, refusal *port.Error) {
 	if position, known := a.positions[id]; known {
 		answer := a.queue[position-a.removed]
 		if answer.Digest != digest {
@@ -72,23 +72,23 @@
 	return port.Result{}, false, nil
 }
 
-// Remember stores the first answer to a change.
-func (a *Answers) Remember(id string, digest Digest, now int64, result port.Result) {
+// Store stores the first answer to a change.
+func (a *CachedResults) Store(id string, digest Digest, now int64, result port.Result) {
 	created, err := ParseChangeID(id)
 	if err != nil {
 		return
 	}
-	a.add(Answer{ID: id, CreatedAt: created, Digest: digest, Time: now, Result: result})
+	a.add(CachedResult{ID: id, CreatedAt: created, Digest: digest, Time: now, Result: result})
 	a.Expire(now)
 }
 
-func (a *Answers) add(answer Answer) {
+func (a *CachedResults) add(answer CachedResult) {
 	a.positions[answer.ID] = a.removed + len(a.queue)
 	a.queue = append(a.queue, answer)
 }
 
 // Expire drops the answers that are past their lifetime or over the limit.
-func (a *Answers) Expire(now int64) {
+func (a *CachedResults) Expire(now int64) {
 	drop := 0
 	for drop < len(a.queue) {
 		// Also wait for the creation time: otherwise a client whose clock is ahead would
@@ -100,7 +100,7 @@
 		}
 		a.expiredThrough = max(a.expiredThrough, a.queue[drop].CreatedAt)
 		delete(a.positions, a.queue[drop].ID)
-		a.queue[drop] = Answer{}
+		a.queue[drop] = CachedResult{}
 		drop++
 	}
 	a.queue = a.queue[drop:]
@@ -108,15 +108,17 @@
 }
 
 // Len returns the number of stored answers.
-func (a *Answers) Len() int { return len(a.queue) }
+func (a *CachedResults) Len() int { return len(a.queue) }
 
 // Export returns the stored answers in order and the newest expired creation time, for a snapshot.
-func (a *Answers) Export() (answers []Answer, expiredThrough int64) { return a.queue, a.expiredThrough }
+func (a *CachedResults) Export() (answers []CachedResult, expiredThrough int64) {
+	return a.queue, a.expiredThrough
+}
 
 // Import replaces the contents by those returned by Export.
-func (a *Answers) Import(answers []Answer, expiredThrough int64) {
+func (a *CachedResults) Import(answers []CachedResult, expiredThrough int64) {
 	a.positions = make(map[string]int, len(answers))
-	a.queue = make([]Answer, 0, len(answers))
+	a.queue = make([]CachedResult, 0, len(answers))
 	a.removed, a.expiredThrough = 0, expiredThrough
 	for _, answer := range answers {
 		a.add(answer)
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -141,7 +141,7 @@
 	return configuration
 }
 
-func TestDiffLeadsFromOneConfigurationToAnother(t *testing.T) {
+func TestDiffConfigurationYieldsTarget(t *testing.T) {
 	testkit.Check(t, 41, func(t *rapid.T) {
 		from, to := drawConfiguration(t, "from"), drawConfiguration(t, "to")
 		got, err := ApplyEdits(from, DiffConfiguration(from, to))
@@ -172,7 +172,7 @@
 
 func TestChangeIsAppliedOnceAfterExpiry(t *testing.T) {
 	testkit.Check(t, 42, func(t *rapid.T) {
-		answers := NewAnswers(4)
+		answers := NewCachedResults(4)
 		applied := map[string]int{}
 		now := int64(1_000_000_000)
 		for step := range 200 {
@@ -194,7 +194,7 @@
 			if applied[id] > 1 {
 				t.Fatalf("%s applied twice", id)
 			}
-			answers.Remember(id, Digest{1}, now, port.Result{Index: uint64(step + 1)})
+			answers.Store(id, Digest{1}, now, port.Result{Index: uint64(step + 1)})
 			if answers.Len() > 4 {
 				t.Fatalf("%d answers stored", answers.Len())
 			}
@@ -205,8 +205,8 @@
 func TestAnswersCases(t *testing.T) {
 	const start = int64(1_000_000_000)
 	id := FormatChangeID(time.UnixMilli(start), []byte{1, 2, 3, 4})
-	answers := NewAnswers(8)
-	answers.Remember(id, Digest{1}, start, port.Result{Index: 7})
+	answers := NewCachedResults(8)
+	answers.Store(id, Digest{1}, start, port.Result{Index: 7})
 	lifetime := ResultLifetime.Milliseconds()
 	tests := []struct {
 		name   string
@@ -242,9 +242,9 @@
 // make the changes of others count as expired.
 func TestClientClockAheadDoesNotExpireOthers(t *testing.T) {
 	now := int64(1_000_000_000)
-	answers := NewAnswers(8)
+	answers := NewCachedResults(8)
 	ahead := FormatChangeID(time.UnixMilli(now+MaxCreatedAhead.Milliseconds()), []byte{1, 2, 3, 4})
-	answers.Remember(ahead, Digest{1}, now, port.Result{Index: 1})
+	answers.Store(ahead, Digest{1}, now, port.Result{Index: 1})
 	for range 80 {
 		now += time.Minute.Milliseconds()
 		answers.Expire(now)
--- a/internal/core/rollout/turn_test.go
+++ b/internal/core/rollout/turn_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestStoppedRolloutReleasesTurn(t *testing.T) {
+func TestStoppedRolloutReleasesStagingLock(t *testing.T) {
 	shared := newSharedEngines(t, "bulletins", "notes")
 	shared.run(500 * time.Millisecond)
 	shared.rollouts["bulletins"].Stop()
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -18,7 +18,7 @@
 	return &routing.Document{Version: 1, Routes: routes, Services: []routing.Service{{Name: "s"}, {Name: "u"}}}
 }
 
-func TestLookupTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestLookupReturnsLongestPrefixOfHost(t *testing.T) {
 	table := routing.NewTable(document(validRoute("short", "/a/"), validRoute("long", "/a/b/"), validRoute("root", "/r/")))
 	for _, row := range []struct{ host, path, want string }{
 		{"h.example", "/a/x", "short"},
--- a/internal/core/sitestate/command.go
+++ b/internal/core/sitestate/command.go
@@ -154,8 +154,8 @@
 	StoreActive StoreState = iota
 	// StoreLeaving is being evacuated.
 	StoreLeaving
-	// StoreEmptied no longer holds data.
-	StoreEmptied
+	// StoreEvacuated no longer holds data.
+	StoreEvacuated
 )
 
 // Store is a store machine.
--- a/internal/core/sitestate/identify.go
+++ b/internal/core/sitestate/identify.go
@@ -45,8 +45,8 @@
 	return name + "@" + strconv.FormatUint(startedAt, 10)
 }
 
-// StartOf returns the replica for a start under a name.
-func (v *View) StartOf(name string, startedAt uint64) (Replica, bool) {
+// ReplicaByStart returns the replica for a start under a name.
+func (v *View) ReplicaByStart(name string, startedAt uint64) (Replica, bool) {
 	if replica, known := v.Replicas.Get(name); known && replica.StartedAt == startedAt {
 		return replica, true
 	}
--- a/internal/core/sitestate/identify_test.go
+++ b/internal/core/sitestate/identify_test.go
@@ -49,11 +49,11 @@
 	}
 	var view *sitestate.View
 	view = view.Apply(l.state.Update(0, sitestate.InterestAll))
-	if registered, known := view.StartOf("i", 2000); !known || registered.ID != second.ID {
+	if registered, known := view.ReplicaByStart("i", 2000); !known || registered.ID != second.ID {
 		t.Errorf("StartOf returned %+v, %v for the second start", registered, known)
 	}
 	for _, startedAt := range []uint64{0, 1000, 3000} {
-		if registered, known := view.StartOf("i", startedAt); known {
+		if registered, known := view.ReplicaByStart("i", startedAt); known {
 			t.Errorf("start time %d: the view has %+v", startedAt, registered)
 		}
 	}
--- a/internal/core/sitestate/shards_test.go
+++ b/internal/core/sitestate/shards_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestAnEmptiedMachineStaysEmptied checks that removal from its group does not reactivate an
+// TestEvacuatedStoreStaysEvacuated checks that removal from its group does not reactivate an
 // evacuated store machine.
-func TestAnEmptiedMachineStaysEmptied(t *testing.T) {
+func TestEvacuatedStoreStaysEvacuated(t *testing.T) {
 	l := newLog(t)
 	store := sitestate.Store{Name: "m", Address: "1:1", Incarnation: "x", Shard: 2}
 	l.apply(sitestate.Command{Store: &store})
@@ -77,7 +77,7 @@
 	l.apply(sitestate.Command{Evacuate: &sitestate.Evacuate{Name: "m", Done: true}})
 	store.Shard = 0
 	l.apply(sitestate.Command{Store: &store})
-	if got, _ := l.state.Store("m"); got.State != sitestate.StoreEmptied || got.Shard != 0 {
+	if got, _ := l.state.Store("m"); got.State != sitestate.StoreEvacuated || got.Shard != 0 {
 		t.Errorf("after removal from its group: %+v", got)
 	}
 	store.Incarnation = "y"
--- a/internal/core/sitestate/sitestate_test.go
+++ b/internal/core/sitestate/sitestate_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestAnAddressBelongsToTheNewestReplica(t *testing.T) {
+func TestNewestReplicaReplacesOldAtSameAddress(t *testing.T) {
 	l := newLog(t)
 	l.apply(report("old", "a", 9, sitestate.ReplicaReady))
 	l.apply(report("new", "a", 1, sitestate.ReplicaReady))
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestWeightsOnlyRise(t *testing.T) {
+func TestWeightVersionNeverDecreases(t *testing.T) {
 	l := newLog(t)
 	for _, version := range []uint64{2, 3, 2, 3} {
 		l.apply(sitestate.Command{Weights: &sitestate.Weights{Model: "m", Version: version}})
@@ -127,7 +127,7 @@
 	if state() != sitestate.StoreLeaving {
 		t.Error("a new data folder ended the evacuation")
 	}
-	if evacuate("s", true); state() != sitestate.StoreEmptied {
+	if evacuate("s", true); state() != sitestate.StoreEvacuated {
 		t.Error("not evacuated")
 	}
 	l.apply(sitestate.Command{Store: &sitestate.Store{Name: "s", Address: "b", Incarnation: "3"}})
--- a/internal/core/sitestate/stores.go
+++ b/internal/core/sitestate/stores.go
@@ -11,7 +11,7 @@
 	}
 	registered.State = StoreActive
 	sameFolder := current.Address == registered.Address && current.Incarnation == registered.Incarnation
-	if known && (current.State != StoreEmptied || sameFolder) {
+	if known && (current.State != StoreEvacuated || sameFolder) {
 		registered.State = current.State
 	}
 	s.contents.Stores[registered.Name] = registered
@@ -52,7 +52,7 @@
 	}
 	switch {
 	case evacuation.Done && store.State == StoreLeaving:
-		store.State = StoreEmptied
+		store.State = StoreEvacuated
 	case !evacuation.Done && store.State == StoreActive:
 		store.State = StoreLeaving
 	default:
--- a/internal/core/usage/usage_test.go
+++ b/internal/core/usage/usage_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestAReportIsPlacedByTheAgeOfItsRequests checks that a delayed report is counted in the windows
+// TestReportIsAssignedToWindowsByAge checks that a delayed report is counted in the windows
 // in which its requests started.
-func TestAReportIsPlacedByTheAgeOfItsRequests(t *testing.T) {
+func TestReportIsAssignedToWindowsByAge(t *testing.T) {
 	outbox := usage.NewOutbox("front")
 	startedAt := time.Unix(1000, 0)
 	const at = time.Hour // of the front's clock
@@ -138,8 +138,8 @@
 	})
 }
 
-// TestALedgerIsBounded checks the limits after long outages of the provider or the control group.
-func TestALedgerIsBounded(t *testing.T) {
+// TestLedgerSizeIsLimited checks the limits after long outages of the provider or the control group.
+func TestLedgerSizeIsLimited(t *testing.T) {
 	var ledger usage.Ledger
 	ledger.Add(windowedReport("x", 1, 0, "a"))
 	for window := range usage.Window(3000) {
--- a/internal/core/weightplan/spread_test.go
+++ b/internal/core/weightplan/spread_test.go
@@ -27,7 +27,7 @@
 	return names
 }
 
-func TestSpread(t *testing.T) {
+func TestExtraLoads(t *testing.T) {
 	all := []sitestate.Replica{
 		replicaWith("a0", "a", 5, 1), replicaWith("a1", "a", 5, 1),
 		replicaWith("b0", "b", 1, 5), replicaWith("b1", "b", 1, 5),
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestSpreadKeepsItsBounds checks that a replica gets at most one load and that the limits of
+// TestExtraLoadsStayWithinLimits checks that a replica gets at most one load and that the limits of
 // all loads and of each version hold.
-func TestSpreadKeepsItsBounds(t *testing.T) {
+func TestExtraLoadsStayWithinLimits(t *testing.T) {
 	models := []string{"a", "b", "c"}
 	testkit.Check(t, 16, func(r *rapid.T) {
 		versions := map[string]uint64{}
@@ -153,9 +153,9 @@
 	})
 }
 
-// BenchmarkSpread measures ExtraLoads for replicas with many models, half of which need more
+// BenchmarkExtraLoads measures ExtraLoads for replicas with many models, half of which need more
 // replicas.
-func BenchmarkSpread(b *testing.B) {
+func BenchmarkExtraLoads(b *testing.B) {
 	const models = 16
 	for _, count := range []int{44, 3500} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/core/weightplan/spreadshards_test.go
+++ b/internal/core/weightplan/spreadshards_test.go
@@ -8,8 +8,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/weightplan"
 )
 
-// TestSpreadStaysWithinAShard checks that replicas load no weights of models of other shards.
-func TestSpreadStaysWithinAShard(t *testing.T) {
+// TestExtraLoadsStayWithinShard checks that replicas load no weights of models of other shards.
+func TestExtraLoadsStayWithinShard(t *testing.T) {
 	list := []sitestate.Replica{replicaWith("a0", "a", 4, 1), replicaWith("a1", "a", 5, 1), replicaWith("b0", "b", 1, 5), replicaWith("b1", "b", 1, 5)}
 	versions := map[string]uint64{"a": 5, "b": 5}
 	limits := weightplan.Limits{Total: 8, Needed: map[string]int{"a": 4, "b": 2}}
--- a/internal/core/weightplan/weightplan_test.go
+++ b/internal/core/weightplan/weightplan_test.go
@@ -28,7 +28,7 @@
 	return counts
 }
 
-func TestAssignSharesEvenlyAndKeepsWhatItCan(t *testing.T) {
+func TestAssignDistributesEvenlyWithFewMoves(t *testing.T) {
 	models := []string{"a", "b", "c"}
 	list := replicas(9)
 	counts := apply(list, weightplan.Assign(list, models, nil, true))
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestNeedKeepsAReserve(t *testing.T) {
+func TestNeededReplicasIncludeReserve(t *testing.T) {
 	needed := weightplan.NeededReplicas(map[string]int{"idle": 0, "busy": 120}, 8)
 	if needed["idle"] != weightplan.MinNeeded || needed["busy"] != 23 {
 		t.Errorf("needed %v", needed)
--- a/internal/lab/sim/application.go
+++ b/internal/lab/sim/application.go
@@ -84,7 +84,7 @@
 	class := c.from.class
 	ticket := &gate.Ticket{Owner: c, Request: gate.Request{
 		ID: c.name, Deadline: w.clock().Add(c.from.timeout()),
-		Pick: scheduling.Request{
+		Scheduling: scheduling.Request{
 			Pool: w.site.Application, Zone: n.zone, Region: w.region(), Priority: port.Priority(class.Priority),
 		},
 	}}
--- a/internal/lab/sim/fault/call.go
+++ b/internal/lab/sim/fault/call.go
@@ -69,7 +69,7 @@
 	j.upstream, j.replica = nil, ""
 	j.ticket = &gate.Ticket{Owner: j, Request: gate.Request{
 		ID: j.request.ID, Deadline: j.deadline, Avoid: j.loop.LastFailedReplica(),
-		Pick: scheduling.Request{Pool: pagesPool, Zone: n.zone, Region: "region"},
+		Scheduling: scheduling.Request{Pool: pagesPool, Zone: n.zone, Region: "region"},
 	}}
 	j.gate.offer(j.ticket)
 }
--- a/internal/lab/sim/fault/homerun.go
+++ b/internal/lab/sim/fault/homerun.go
@@ -80,7 +80,7 @@
 	request := &call.Request
 	run.ticket = &gate.Ticket{Owner: run, Request: gate.Request{
 		ID: request.ID, Deadline: call.Deadline, Preferred: request.Replica, Avoid: call.Avoid,
-		Pick: scheduling.Request{
+		Scheduling: scheduling.Request{
 			Pool: request.Pool, Zone: n.zone, Region: "region", Priority: request.Priority,
 			PromptTokens: request.PromptTokens + request.ResumeTokens, MaxTokens: request.MaxTokens,
 			MinVersion: request.MinVersion, PrefixHashes: request.PrefixHashes, Exclude: call.Exclude,
--- a/internal/lab/sim/home.go
+++ b/internal/lab/sim/home.go
@@ -119,7 +119,7 @@
 	start := &a.start
 	request := gate.Request{
 		ID: port.RequestID(a.name), Deadline: n.world.clock().Add(sampleDeadline),
-		Preferred: preferred, Avoid: start.Avoid, Pick: n.pick(a),
+		Preferred: preferred, Avoid: start.Avoid, Scheduling: n.pick(a),
 	}
 	return request
 }
--- a/test/site/cold_test.go
+++ b/test/site/cold_test.go
@@ -77,7 +77,7 @@
 	replica.SetWarmupLeft(cold)
 	s.sendHeartbeat(replica)
 	waitUntil(t, "the replica is cold in the views of all fronts", func() bool {
-		return !slices.ContainsFunc(s.fronts, func(p *process) bool { return p.watcher.View().ColdLeft(replica.ID, time.Now()) == 0 })
+		return !slices.ContainsFunc(s.fronts, func(p *process) bool { return p.watcher.View().ColdRemaining(replica.ID, time.Now()) == 0 })
 	})
 	start := time.Now()
 	if _, rejected := sendLoad("cold", time.Second); rejected == 0 {
