--- a/internal/app/node/accept.go
+++ b/internal/app/node/accept.go
@@ -18,9 +18,9 @@
 	deadline time.Time
 }
 
-// accept checks that the pool exists and may serve requests now, and sets the
-// request's deadline. The returned context ends at the deadline; the caller must call
-// cancel.
+// accept checks that the pool exists and that the configuration is confirmed if the pool
+// requires it, and sets the request's deadline. The returned context ends at the
+// deadline; the caller must call cancel.
 func (n *Node) accept(ctx context.Context, name port.PoolName, kind port.PoolKind) (context.Context, context.CancelFunc, acceptance, *port.Error) {
 	current := n.snapshot.Load()
 	route := current.Pools[name]
--- a/internal/app/node/config.go
+++ b/internal/app/node/config.go
@@ -15,16 +15,16 @@
 	ID     port.NodeID
 	Zone   port.ZoneName
 	Region port.RegionName
-	// ClusterID must be equal on all processes of one installation.
+	// ClusterID must be equal on all processes of one cluster.
 	ClusterID string
-	// PeerToken is shared by the processes of one installation. If it is empty, no
+	// PeerToken is shared by the processes of one cluster. If it is empty, no
 	// token is required.
 	PeerToken string
 	// OperatorToken authorizes operators' requests, such as a rewind. If it is empty,
-	// they are refused.
+	// they are rejected.
 	OperatorToken string
-	// HTTPAddress and PeerAddress are the IP:port to listen on, unless a listener is
-	// given.
+	// HTTPAddress and PeerAddress are the IP:port to listen on. They are ignored if the
+	// listener is set.
 	HTTPAddress  string
 	PeerAddress  string
 	HTTPListener net.Listener
@@ -37,9 +37,9 @@
 	Seed uint64
 	// Intervals are the node's periods and timeouts; zero values take the defaults.
 	Intervals Intervals
-	// Limits bound the node's memory; zero values take the defaults.
+	// Limits limit the node's memory; zero values take the defaults.
 	Limits Limits
-	// HTTPLimits bound what callers can use; zero values take the defaults.
+	// HTTPLimits limit what callers can use; zero values take the defaults.
 	HTTPLimits httpapi.Limits
 	// Logger may be nil.
 	Logger *log.Logger
@@ -72,15 +72,15 @@
 	CallTimeout time.Duration
 }
 
-// Limits bound a node's memory and disk use.
+// Limits limit a node's memory and disk use.
 type Limits struct {
-	// Events bounds the queued events of the control goroutine.
+	// Events limits the queued events of the control goroutine.
 	Events int
-	// Decisions bounds the decision records in memory.
+	// Decisions limits the decision records in memory.
 	Decisions int
-	// Keys bounds the stored request keys.
+	// Keys limits the stored request keys.
 	Keys int
-	// SpoolBytes bounds the spool of decisions on disk, in bytes.
+	// SpoolBytes limits the spool of decisions on disk, in bytes.
 	SpoolBytes int64
 }
 
@@ -104,8 +104,8 @@
 	DefaultSpoolBytes = 64 << 20
 )
 
-// maxMachineList limits the interval of machine list polls, so that a leaving back end
-// gets no new requests after three seconds.
+// maxMachineList limits the interval of machine list polls, so that a back end gets no
+// new requests three seconds after it is listed as leaving.
 const maxMachineList = 2 * time.Second
 
 func orDefault[T comparable](value *T, fallback T) {
--- a/internal/app/node/counters.go
+++ b/internal/app/node/counters.go
@@ -32,12 +32,12 @@
 func (t *counterTable[K]) of(key K) *requestCounters {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.counts[key]
-	if known == nil {
-		known = &requestCounters{}
-		t.counts[key] = known
+	counters := t.counts[key]
+	if counters == nil {
+		counters = &requestCounters{}
+		t.counts[key] = counters
 	}
-	return known
+	return counters
 }
 
 // retain drops the counters for which keep returns false.
--- a/internal/app/node/gate/gate_test.go
+++ b/internal/app/node/gate/gate_test.go
@@ -70,7 +70,7 @@
 			gate.Request{Pick: scheduling.Request{MinVersion: 4}}, port.CodeNoBackEnd},
 		{"excluded", gate.Replica{ID: "a"},
 			gate.Request{Pick: scheduling.Request{Exclude: []port.ReplicaID{"a"}}}, port.CodeNoBackEnd},
-		{"late", gate.Replica{ID: "a"}, gate.Request{Deadline: time.Unix(1, 0)}, port.CodeDeadline},
+		{"deadline passed", gate.Replica{ID: "a"}, gate.Request{Deadline: time.Unix(1, 0)}, port.CodeDeadline},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
--- a/internal/app/node/harness_test.go
+++ b/internal/app/node/harness_test.go
@@ -18,7 +18,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// waitTimeout bounds every wait of these tests.
+// waitTimeout limits every wait of these tests.
 const waitTimeout = 60 * time.Second
 
 // memoryControl is an in-memory control state.
@@ -30,7 +30,7 @@
 	lastReports map[port.NodeID]time.Time
 }
 
-// reportTimeout is how long a node may not report before it is removed.
+// reportTimeout is the time without a report after which a node is removed.
 const reportTimeout = 2 * time.Second
 
 func newMemoryControl(t *testing.T) *memoryControl {
--- a/internal/app/node/homes.go
+++ b/internal/app/node/homes.go
@@ -13,14 +13,14 @@
 
 // loadReported is the outcome of a load request to an engine.
 type loadReported struct {
-	replica port.ReplicaID
-	askedAt time.Time
-	report  port.LoadReport
-	err     *port.Error
+	replica     port.ReplicaID
+	requestedAt time.Time
+	report      port.LoadReport
+	err         *port.Error
 }
 
 func (e loadReported) apply(c *controller, now time.Time) {
-	c.state.HandleLoadReport(now, e.askedAt, e.replica, e.report, e.err)
+	c.state.HandleLoadReport(now, e.requestedAt, e.replica, e.report, e.err)
 }
 
 // enginePoll controls the polling of one engine.
@@ -84,12 +84,12 @@
 func (n *Node) pollOnce(ctx context.Context, engine port.Engine, replica port.ReplicaID, owned *gate.Gate) {
 	callCtx, cancel := context.WithTimeout(ctx, n.config.Intervals.CallTimeout)
 	defer cancel()
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	report, err := engine.Load(callCtx)
 	if ctx.Err() != nil {
 		return
 	}
-	n.post(loadReported{replica: replica, askedAt: askedAt, report: report, err: port.AsError(err)})
+	n.post(loadReported{replica: replica, requestedAt: requestedAt, report: report, err: port.AsError(err)})
 	if err != nil {
 		return
 	}
--- a/internal/app/node/keyed.go
+++ b/internal/app/node/keyed.go
@@ -62,17 +62,17 @@
 }
 
 func without(ids []port.NodeID, dropped port.NodeID) []port.NodeID {
-	kept := ids[:0]
+	remaining := ids[:0]
 	for _, id := range ids {
 		if id != dropped {
-			kept = append(kept, id)
+			remaining = append(remaining, id)
 		}
 	}
-	return kept
+	return remaining
 }
 
 // callKeyed serves an application call with a request key. It runs on the highest-ranked
-// node of the key that can be reached, or here if there is none.
+// node of the key that can be reached, or on this node if none can be.
 func (n *Node) callKeyed(ctx context.Context, request port.ApplicationRequest) (port.ApplicationResponse, *port.Error) {
 	ranked := rankNodes(n.snapshot.Load(), keyName(&request))
 	for _, node := range ranked {
@@ -140,8 +140,8 @@
 }
 
 // claim records an unsafe request at a second node before it runs. If it returns an
-// outcome, the request must not run: the witness knows another attempt, or no second
-// node recorded the key.
+// outcome, the request must not run: the witness has recorded another attempt, or no
+// second node recorded the key.
 func (n *Node) claim(ctx context.Context, request *port.ApplicationRequest, key string, digest uint64) (witness *port.NodeAddress, outcome *keyOutcome) {
 	if request.Safe {
 		return nil, nil
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -59,7 +59,7 @@
 	closeOnce      sync.Once
 }
 
-// Start starts a node on its listeners. Ready reports when the node has received a
+// Start starts a node on its listeners. Ready reports whether the node has received a
 // configuration and serves callers.
 func Start(_ context.Context, config Config) (*Node, error) {
 	config, err := config.normalized()
@@ -214,7 +214,7 @@
 	})
 }
 
-// closeWait limits the wait for the requests that were cut off.
+// closeWait limits how long Close waits for the requests that it cut off.
 const closeWait = 5 * time.Second
 
 func (n *Node) waitForTraffic() {
--- a/internal/app/node/peers.go
+++ b/internal/app/node/peers.go
@@ -24,15 +24,15 @@
 func (p *peers) client(address string) *wire.Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.clients[address]
-	if known == nil {
-		known = wire.NewClient(address, p.options)
-		p.clients[address] = known
+	client := p.clients[address]
+	if client == nil {
+		client = wire.NewClient(address, p.options)
+		p.clients[address] = client
 		if p.closed {
-			known.Close()
+			client.Close()
 		}
 	}
-	return known
+	return client
 }
 
 // call calls a peer and waits for the answer.
--- a/internal/app/node/poolstate.go
+++ b/internal/app/node/poolstate.go
@@ -28,12 +28,12 @@
 // answer are returned as not reachable.
 func (n *Node) poolStates(ctx context.Context, call nodestate.PoolStateCall) []nodestate.ReplicaState {
 	homes := make(map[port.NodeID]port.NodeAddress)
-	known := make(map[port.ReplicaID]nodestate.ReplicaState)
+	byReplica := make(map[port.ReplicaID]nodestate.ReplicaState)
 	for id, replica := range n.snapshot.Load().Replicas {
 		if replica.Pool != call.Pool {
 			continue
 		}
-		known[id] = nodestate.ReplicaState{Replica: id}
+		byReplica[id] = nodestate.ReplicaState{Replica: id}
 		if home, found := n.homeNode(id); found {
 			homes[home.ID] = home
 		}
@@ -46,15 +46,15 @@
 			mutex.Lock()
 			defer mutex.Unlock()
 			for _, state := range answer.Replicas {
-				if _, listed := known[state.Replica]; listed {
-					known[state.Replica] = state
+				if _, listed := byReplica[state.Replica]; listed {
+					byReplica[state.Replica] = state
 				}
 			}
 		})
 	}
 	calls.Wait()
-	states := make([]nodestate.ReplicaState, 0, len(known))
-	for _, state := range known {
+	states := make([]nodestate.ReplicaState, 0, len(byReplica))
+	for _, state := range byReplica {
 		states = append(states, state)
 	}
 	return states
--- a/internal/app/node/poolworker.go
+++ b/internal/app/node/poolworker.go
@@ -108,5 +108,5 @@
 	}
 }
 
-// drain requests the worker to release its lease.
+// drain makes the worker release its lease and end.
 func (w *poolWorker) drain() { w.drainOnce.Do(func() { close(w.drainRequested) }) }
--- a/internal/app/node/requestkeys/store.go
+++ b/internal/app/node/requestkeys/store.go
@@ -34,7 +34,7 @@
 	element     *list.Element
 }
 
-// New returns a store that keeps outcomes for the retention time, and at most max keys.
+// New returns a store of at most max keys that stores outcomes for the retention time.
 func New[T any](retention time.Duration, max int) *Store[T] {
 	return &Store[T]{retention: retention, max: max, entries: make(map[string]*Attempt[T]), order: list.New()}
 }
@@ -47,11 +47,11 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire(now)
-	if known, found := s.entries[key]; found {
-		if known.fingerprint != fingerprint {
+	if stored, found := s.entries[key]; found {
+		if stored.fingerprint != fingerprint {
 			return nil, false, ErrKeyReused
 		}
-		return known, false, nil
+		return stored, false, nil
 	}
 	if len(s.entries) >= s.max {
 		return nil, false, ErrFull
@@ -120,9 +120,9 @@
 func (s *Store[T]) Update(key string, fingerprint uint64, outcome T) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.entries[key]
-	if known != nil && known.element != nil && known.fingerprint == fingerprint {
-		known.outcome = outcome
+	stored := s.entries[key]
+	if stored != nil && stored.element != nil && stored.fingerprint == fingerprint {
+		stored.outcome = outcome
 	}
 }
 
@@ -130,9 +130,9 @@
 func (s *Store[T]) Remove(key string, fingerprint uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.entries[key]
-	if known != nil && known.element != nil && known.fingerprint == fingerprint {
-		s.order.Remove(known.element)
+	stored := s.entries[key]
+	if stored != nil && stored.element != nil && stored.fingerprint == fingerprint {
+		s.order.Remove(stored.element)
 		delete(s.entries, key)
 	}
 }
--- a/internal/app/node/rolloutdriver.go
+++ b/internal/app/node/rolloutdriver.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// orderTimeout limits one order to an engine, which may take long to answer.
+// orderTimeout limits the wait for an engine's answer to one order.
 const orderTimeout = 15 * time.Second
 
 // orderAnswered passes the outcome of an order to its rollout.
@@ -56,12 +56,12 @@
 	if !configured {
 		return port.LoadReport{}, port.NewError(port.NotRun, port.CodeNotFound, "no replica %s", call.Replica)
 	}
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	report, err := n.backEnds.engine(replica.Address).Order(ctx, call.Order)
 	if err != nil {
 		return port.LoadReport{}, port.AsError(err)
 	}
-	n.post(loadReported{replica: call.Replica, askedAt: askedAt, report: report})
+	n.post(loadReported{replica: call.Replica, requestedAt: requestedAt, report: report})
 	return report, nil
 }
 
--- a/internal/app/node/samples.go
+++ b/internal/app/node/samples.go
@@ -41,7 +41,7 @@
 	w.step(now, e.event)
 }
 
-// startSample starts one attempt. It fails immediately if the configuration is
+// startSample starts one attempt. The attempt fails immediately if the configuration is
 // unconfirmed.
 func (w *poolWorker) startSample(action coordinator.StartSample) {
 	key := attemptKey{action.ID, action.Attempt}
--- a/internal/app/node/sampling_test.go
+++ b/internal/app/node/sampling_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// A trainer publishes at any node and continues once it is answered. From then on the
-// coordinator must not deliver by an older version, even if its view is outdated.
+// Once a trainer has the answer to a publication, the coordinator must not deliver by an
+// older version, even if the coordinator's view is outdated.
 func TestPublicationNotifiesCoordinatorFirst(t *testing.T) {
 	for _, at := range []string{"its own node", "another node"} {
 		t.Run(at, func(t *testing.T) {
--- a/internal/app/node/trainers.go
+++ b/internal/app/node/trainers.go
@@ -29,7 +29,7 @@
 	w.step(now, e.event)
 }
 
-// requestAbandoned reports that the caller of a request is gone.
+// requestAbandoned reports that the context of a request ended before the reply.
 type requestAbandoned struct{ token uint64 }
 
 func (e requestAbandoned) apply(w *poolWorker, now time.Time) {
@@ -127,8 +127,8 @@
 	return holder, found && known && holder.ID != n.config.ID
 }
 
-// registerConsumer makes a trainer its pool's only consumer. The coordinator learns of
-// it from the first request with the new epoch.
+// registerConsumer makes a trainer its pool's only consumer. The coordinator receives
+// the new epoch with the first request of the trainer.
 func (n *Node) registerConsumer(ctx context.Context, register port.RegisterConsumer) (port.Consumer, *port.Error) {
 	result, err := n.config.Control.Propose(ctx, port.Command{RegisterConsumer: &register})
 	if err != nil {
@@ -144,8 +144,8 @@
 }
 
 // publishWeights makes a version of a pool's weights current. The pool's coordinator is
-// notified first: it would otherwise learn of the version after the trainer, which
-// continues as soon as it is answered.
+// notified first, so that it doesn't deliver a batch by an older version once the
+// trainer has the answer.
 func (n *Node) publishWeights(ctx context.Context, changeID string, publish port.PublishWeights) (port.Result, *port.Error) {
 	call := publicationCall{Pool: publish.Pool, Version: publish.Version}
 	n.notifyCoordinator(ctx, call)
--- a/internal/app/node/watch.go
+++ b/internal/app/node/watch.go
@@ -11,8 +11,8 @@
 // watchRetryDelay is the delay before an ended watch is restarted.
 const watchRetryDelay = 200 * time.Millisecond
 
-// watch applies updates of the control state until the node stops. After a gap the
-// watch restarts at the observer's position.
+// watch applies updates of the control state until the node stops. After a gap in the
+// updates it restarts at the position of the node's state.
 func (n *Node) watch() {
 	var after uint64
 	for n.background.Err() == nil {
