--- a/internal/port/api/callers.go
+++ b/internal/port/api/callers.go
@@ -5,8 +5,8 @@
 	// HeaderRequestID is loomgrade's id of a request, in calls to back ends and in
 	// responses to callers.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderRequestKey is the caller's idempotency key. A resend with the same key joins
-	// the first attempt or returns its result.
+	// HeaderRequestKey is the caller's idempotency key. A repeated request with the same
+	// key joins the first attempt or returns its result.
 	HeaderRequestKey = "Idempotency-Key"
 	// HeaderSafe is "true" or "false": whether a request may run more than once. Without
 	// it GET, HEAD, PUT and DELETE are safe and POST is not.
--- a/internal/port/api/trainer.go
+++ b/internal/port/api/trainer.go
@@ -72,7 +72,7 @@
 	Version       uint64 `json:"version"`
 	Bytes         uint64 `json:"bytes"`
 	ConsumerEpoch uint64 `json:"consumer_epoch,omitempty"`
-	// ChangeID may be empty: versions strictly increase, so a resend returns a conflict
+	// ChangeID may be empty: versions strictly increase, so a retry returns a conflict
 	// that shows the version as current.
 	ChangeID string `json:"change_id,omitempty"`
 }
--- a/internal/port/command.go
+++ b/internal/port/command.go
@@ -4,7 +4,7 @@
 
 // Command is an entry of the replicated control log. Exactly one pointer is set.
 type Command struct {
-	// ChangeID is chosen by the proposer and unique for the change. A resend with the same
+	// ChangeID is chosen by the proposer and unique for the change. A retry with the same
 	// id and body returns the first result.
 	ChangeID string `cbor:"1,keyasint"`
 	// Time is the leader's clock when it proposed the command, in Unix milliseconds. The
@@ -69,8 +69,8 @@
 type RegisterConsumer struct {
 	Pool     PoolName `cbor:"1,keyasint"`
 	Consumer string   `cbor:"2,keyasint"`
-	// RewindTo, if not 0, is the batch number from which an operator orders batches to be
-	// delivered again.
+	// RewindTo, if not 0, is the first batch number to be delivered again, at an
+	// operator's request.
 	RewindTo BatchNumber `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/port/configuration.go
+++ b/internal/port/configuration.go
@@ -50,8 +50,8 @@
 
 // Admission limits the running and waiting requests.
 type Admission struct {
-	// MinInflight and MaxInflight are the limits of the adaptive concurrency limit of a
-	// replica.
+	// MinInflight and MaxInflight are the range of a replica's adaptive concurrency
+	// limit.
 	MinInflight int `cbor:"1,keyasint" json:"min_inflight"`
 	MaxInflight int `cbor:"2,keyasint" json:"max_inflight"`
 	// QueueLength limits the requests of this pool that wait at one node.
@@ -70,7 +70,7 @@
 	MaxBackoff  Duration `cbor:"4,keyasint" json:"max_backoff"`
 }
 
-// Ejection configures when a replica is taken out of routing for a while.
+// Ejection configures when a replica is temporarily excluded from routing.
 type Ejection struct {
 	ConsecutiveFailures int `cbor:"1,keyasint" json:"consecutive_failures"`
 	// LatencyFactor ejects replicas slower than this multiple of the pool's median; 0
--- a/internal/port/generation.go
+++ b/internal/port/generation.go
@@ -113,9 +113,9 @@
 	if adapter == "" {
 		return r.Staging
 	}
-	for _, known := range r.Adapters {
-		if known.Name == adapter {
-			return known.Staging
+	for _, loaded := range r.Adapters {
+		if loaded.Name == adapter {
+			return loaded.Staging
 		}
 	}
 	return 0
--- a/internal/port/verdict.go
+++ b/internal/port/verdict.go
@@ -62,7 +62,7 @@
 	CodeDeadline       Code = "deadline"         // the deadline passed or cannot be met
 	CodeNoBackEnd      Code = "no_back_end"      // no replica passed the filters
 	CodeBackEnd        Code = "back_end"         // the back end failed
-	CodeWithheld       Code = "withheld"         // replicas failed while running the request; it is not sent
+	CodeWithheld       Code = "withheld"         // replicas failed while running the request; it is not sent again
 	CodeUnavailable    Code = "unavailable"      // no quorum, leader or peer
 	CodeDraining       Code = "draining"         // the process is stopping
 	CodeCancelled      Code = "cancelled"        // the caller cancelled the request
@@ -138,9 +138,9 @@
 	if err == nil {
 		return nil
 	}
-	var known *Error
-	if errors.As(err, &known) {
-		return known
+	var wrapped *Error
+	if errors.As(err, &wrapped) {
+		return wrapped
 	}
 	return &Error{Verdict: MayHaveRun, Code: CodeInternal, Message: err.Error()}
 }
--- a/internal/port/view.go
+++ b/internal/port/view.go
@@ -23,7 +23,7 @@
 	// PeerAddress serves the internal protocol, HTTPAddress serves callers.
 	PeerAddress string `cbor:"3,keyasint" json:"peer_address"`
 	HTTPAddress string `cbor:"4,keyasint" json:"http_address"`
-	// Draining is set while the node finishes its work before a planned stop.
+	// Draining is set while the node finishes its work during a graceful stop.
 	Draining bool `cbor:"5,keyasint,omitempty" json:"draining,omitempty"`
 }
 
