--- a/internal/core/attempt/loop.go
+++ b/internal/core/attempt/loop.go
@@ -18,7 +18,7 @@
 	Resume bool
 	// Deadline is when the caller gives up; the zero time means never.
 	Deadline time.Time
-	// MaxTokens bounds the length of a completion; 0 leaves it to the engine.
+	// MaxTokens limits the length of a completion; 0 leaves it to the engine.
 	MaxTokens int
 }
 
@@ -126,7 +126,7 @@
 	return Step{Kind: Retry, After: decision.After}
 }
 
-// GiveUp returns the final error if the deadline passes or the caller leaves during the wait
+// GiveUp returns the final error if the deadline passes or the caller disconnects during the wait
 // before another attempt.
 func (l *Loop) GiveUp(failure *port.Error) *port.Error { return WithVerdict(failure, l.verdict) }
 
--- a/internal/core/attempt/loop_test.go
+++ b/internal/core/attempt/loop_test.go
@@ -50,7 +50,7 @@
 		{"ran, unsafe", attempt.Rules{}, 0, false, false, newError(port.Ran, port.CodeBackEnd), attempt.Final, port.Ran},
 		{"may have run, safe", attempt.Rules{Safe: true}, 0, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Retry, 0},
 		{"refused locally", attempt.Rules{Safe: true}, 0, true, false, newError(port.NotRun, port.CodeQueueFull), attempt.Final, port.NotRun},
-		{"single", attempt.Rules{Safe: true, CallerRetries: true}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
+		{"caller retries", attempt.Rules{Safe: true, CallerRetries: true}, 0, false, false, newError(port.NotRun, port.CodeBackEnd), attempt.Final, port.NotRun},
 		{"invalid", attempt.Rules{Safe: true}, 0, false, false, newError(port.NotRun, port.CodeInvalid), attempt.Final, port.NotRun},
 		{"cut off, resumed", resumable, 4, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Retry, 0},
 		{"cut off after all tokens", resumable, 10, false, false, newError(port.MayHaveRun, port.CodeBackEnd), attempt.Complete, 0},
@@ -81,7 +81,7 @@
 				t.Errorf("verdict %v, want %v", step.Error.Verdict, testCase.verdict)
 			}
 			if loop.LastFailedReplica() != "a" {
-				t.Errorf("last tried %q", loop.LastFailedReplica())
+				t.Errorf("last failed replica %q", loop.LastFailedReplica())
 			}
 		})
 	}
--- a/internal/core/attempt/verdict.go
+++ b/internal/core/attempt/verdict.go
@@ -14,7 +14,7 @@
 	return earlier
 }
 
-// WithVerdict returns the failure with the given verdict. It doesn't modify its argument.
+// WithVerdict returns the failure with the verdict. It doesn't modify its argument.
 func WithVerdict(failure *port.Error, verdict port.Verdict) *port.Error {
 	if failure.Verdict == verdict {
 		return failure
--- a/internal/core/balance/balance.go
+++ b/internal/core/balance/balance.go
@@ -11,8 +11,8 @@
 	// latencyHalfLife is the time in which the latency estimate of an unused replica
 	// moves halfway to the mean of its service.
 	latencyHalfLife = 2 * time.Second
-	// minBlockTime and maxBlockTime bound the time for which a failed replica is
-	// blocked, which doubles with each consecutive failure.
+	// minBlockTime and maxBlockTime limit the time for which a failed replica is blocked,
+	// which doubles with each consecutive failure.
 	minBlockTime = 300 * time.Millisecond
 	maxBlockTime = 3 * time.Second
 	// minLatency keeps a very fast replica from attracting all requests.
@@ -78,17 +78,17 @@
 func (b *Balancer) Begin(id string) { b.get(id).inFlight++ }
 
 // End records the outcome and the duration of a request.
-func (b *Balancer) End(service, id string, result Result, took time.Duration, now time.Time) {
+func (b *Balancer) End(service, id string, result Result, elapsed time.Duration, now time.Time) {
 	state := b.get(id)
 	state.inFlight = max(0, state.inFlight-1)
 	switch result {
 	case ResultServed:
 		state.failures = 0
 		state.blockedUntil = time.Time{}
-		b.recordLatency(service, state, took, now)
+		b.recordLatency(service, state, elapsed, now)
 	case ResultCancelled:
-		if took > state.latency {
-			b.recordLatency(service, state, took, now)
+		if elapsed > state.latency {
+			b.recordLatency(service, state, elapsed, now)
 		}
 	case ResultFull:
 		state.blockedUntil = now.Add(fullBlockTime)
@@ -106,10 +106,10 @@
 	return min(maxBlockTime, minBlockTime<<min(failures, maxShift))
 }
 
-func (b *Balancer) recordLatency(service string, state *replica, took time.Duration, now time.Time) {
-	state.latency = smoothLatency(state.latency, took)
+func (b *Balancer) recordLatency(service string, state *replica, elapsed time.Duration, now time.Time) {
+	state.latency = smoothLatency(state.latency, elapsed)
 	state.measuredAt = now
-	b.latency[service] = smoothLatency(b.latency[service], took)
+	b.latency[service] = smoothLatency(b.latency[service], elapsed)
 }
 
 func smoothLatency(mean, sample time.Duration) time.Duration {
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -14,9 +14,9 @@
 
 var start = time.Unix(1000, 0)
 
-func served(b *balance.Balancer, id string, took time.Duration) {
+func served(b *balance.Balancer, id string, elapsed time.Duration) {
 	b.Begin(id)
-	b.End(service, id, balance.ResultServed, took, start)
+	b.End(service, id, balance.ResultServed, elapsed, start)
 }
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
@@ -129,11 +129,11 @@
 		}
 		pairs += len(used)
 	}
-	if most := 4 * senders; pairs > most {
-		t.Errorf("%d pairs of sender and replica, want at most %d of %d", pairs, most, senders*replicas)
+	if maxPairs := 4 * senders; pairs > maxPairs {
+		t.Errorf("%d pairs of sender and replica, want at most %d of %d", pairs, maxPairs, senders*replicas)
 	}
 	mean := senders * requests / replicas
-	if busiest, least := slices.Max(loads), slices.Min(loads); busiest > 2*mean || least < mean/2 {
-		t.Errorf("%d to %d requests per replica, %d on average", least, busiest, mean)
+	if highest, lowest := slices.Max(loads), slices.Min(loads); highest > 2*mean || lowest < mean/2 {
+		t.Errorf("%d to %d requests per replica, %d on average", lowest, highest, mean)
 	}
 }
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -9,7 +9,7 @@
 	// loadHalfLife is the time in which the weight of a load report halves. It is short
 	// because replicas share machines whose load changes many times per second.
 	loadHalfLife = 100 * time.Millisecond
-	// minCostFactor and maxCostFactor bound the effect of a load report, so that a wrong
+	// minCostFactor and maxCostFactor limit the effect of a load report, so that a wrong
 	// one can't attract or deter all requests.
 	minCostFactor = 0.5
 	maxCostFactor = 4
--- a/internal/core/balance/load_test.go
+++ b/internal/core/balance/load_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A load report has a bounded effect, and measured latency still counts.
+// A load report has a limited effect, and measured latency still counts.
 func TestReportedLoadHasBoundedEffect(t *testing.T) {
 	b := balance.New()
 	served(b, "underreporting", 300*time.Millisecond)
--- a/internal/core/ejection/bound.go
+++ b/internal/core/ejection/bound.go
@@ -32,9 +32,9 @@
 	slices.SortFunc(ordered, func(a, b Claim) int {
 		return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Replica, b.Replica))
 	})
-	bound := min(MaxEjected(size, share), len(ordered))
-	accepted := make([]port.ReplicaID, 0, bound)
-	for _, claim := range ordered[:bound] {
+	limit := min(MaxEjected(size, share), len(ordered))
+	accepted := make([]port.ReplicaID, 0, limit)
+	for _, claim := range ordered[:limit] {
 		accepted = append(accepted, claim.Replica)
 	}
 	return accepted
--- a/internal/core/ejection/ejection_test.go
+++ b/internal/core/ejection/ejection_test.go
@@ -145,7 +145,7 @@
 	}
 	tracker.SetPool(Pool{Size: 8, UnhealthyElsewhere: 1})
 	if change, _ := observeFailures(tracker, start, "lm-0", 1); change.State != Ejected {
-		t.Error("a replica was not ejected once the bound allowed it")
+		t.Error("a replica was not ejected once the limit allowed it")
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 }
 
-// The share of ejected replicas never exceeds the bound.
+// The share of ejected replicas never exceeds the limit.
 func TestEjectedShareStaysWithinBound(t *testing.T) {
 	testkit.Check(t, 61, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
@@ -201,7 +201,7 @@
 	tracker.SetReplicas(ids(4)[1:])
 	tracker.SetReplicas(ids(4))
 	if tracker.State("lm-0") != Healthy || tracker.Unhealthy() != 0 {
-		t.Error("the state of a removed replica was kept")
+		t.Error("the state of a removed replica was not dropped")
 	}
 	if _, changed := tracker.Observe(start, "foreign", true, 0); changed {
 		t.Error("a replica that is not tracked changed state")
--- a/internal/core/ejection/tracker.go
+++ b/internal/core/ejection/tracker.go
@@ -19,7 +19,7 @@
 	// MaxDuration; 0 selects the default.
 	BaseDuration time.Duration
 	MaxDuration  time.Duration
-	// MaxShare bounds the share of the pool that is ejected or probed.
+	// MaxShare limits the share of the pool that is ejected or probed.
 	MaxShare float64
 	// ProbeSuccesses is the number of successes that ends probing; 0 selects the default.
 	ProbeSuccesses int
@@ -86,7 +86,7 @@
 	Until time.Time
 }
 
-// Pool describes the whole pool. It may be out of date.
+// Pool describes all replicas of the pool, also those of other homes. It may be outdated.
 type Pool struct {
 	// Size is the number of replicas of the pool, at least that of the tracked
 	// replicas.
@@ -112,6 +112,7 @@
 	successes int
 	// repeats is the number of times that the next ejection time is doubled.
 	repeats int
+	// until is the end of the ejection or, if healthy, the start of the decay period.
 	until   time.Time
 	latency time.Duration
 	samples int
@@ -135,21 +136,21 @@
 // SetReplicas sets the tracked replicas. New replicas start as healthy; the state of
 // removed ones is dropped.
 func (t *Tracker) SetReplicas(replicas []port.ReplicaID) {
-	wanted := make(map[port.ReplicaID]bool, len(replicas))
+	tracked := make(map[port.ReplicaID]bool, len(replicas))
 	for _, replica := range replicas {
-		wanted[replica] = true
+		tracked[replica] = true
 		if t.replicas[replica] == nil {
 			t.replicas[replica] = &health{}
 		}
 	}
 	for replica := range t.replicas {
-		if !wanted[replica] {
+		if !tracked[replica] {
 			delete(t.replicas, replica)
 		}
 	}
 }
 
-// SetPool updates the description of the whole pool.
+// SetPool updates the description of the pool.
 func (t *Tracker) SetPool(pool Pool) { t.pool = pool }
 
 // State returns a replica's state; a replica that is not tracked is healthy.
--- a/internal/core/prefix/blocks.go
+++ b/internal/core/prefix/blocks.go
@@ -33,7 +33,7 @@
 	return &replicaBlocks{byHash: make(map[uint64]*list.Element), lru: list.New(), optimistic: list.New()}
 }
 
-// reset clears the index after a gap but keeps the sequence number.
+// reset clears the index after a gap, but not the sequence number.
 func (r *replicaBlocks) reset() {
 	r.gaps++
 	clear(r.byHash)
@@ -42,12 +42,12 @@
 }
 
 // apply applies one event.
-func (r *replicaBlocks) apply(event port.CacheEvent, bound int) {
+func (r *replicaBlocks) apply(event port.CacheEvent, maxBlocks int) {
 	if event.Evicted {
 		r.remove(event.Block)
 		return
 	}
-	r.confirm(r.getOrInsert(event.Block, bound))
+	r.confirm(r.getOrInsert(event.Block, maxBlocks))
 }
 
 // confirm marks a block as confirmed by an event.
@@ -60,10 +60,10 @@
 }
 
 // insertOptimistic adds an unconfirmed block; a confirmed one stays confirmed.
-func (r *replicaBlocks) insertOptimistic(hash uint64, expires time.Time, bound int) {
-	_, known := r.byHash[hash]
-	entry := r.getOrInsert(hash, bound)
-	if known && entry.expires.IsZero() {
+func (r *replicaBlocks) insertOptimistic(hash uint64, expires time.Time, maxBlocks int) {
+	_, existed := r.byHash[hash]
+	entry := r.getOrInsert(hash, maxBlocks)
+	if existed && entry.expires.IsZero() {
 		return
 	}
 	r.confirm(entry)
@@ -73,12 +73,12 @@
 
 // getOrInsert returns the block, inserting it if necessary, and marks it as most recently
 // used.
-func (r *replicaBlocks) getOrInsert(hash uint64, bound int) *block {
+func (r *replicaBlocks) getOrInsert(hash uint64, maxBlocks int) *block {
 	if element, found := r.byHash[hash]; found {
 		r.lru.MoveToFront(element)
 		return element.Value.(*block)
 	}
-	if len(r.byHash) >= bound {
+	if len(r.byHash) >= maxBlocks {
 		r.remove(r.lru.Back().Value.(*block).hash)
 	}
 	entry := &block{hash: hash}
--- a/internal/core/prefix/index.go
+++ b/internal/core/prefix/index.go
@@ -7,9 +7,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config bounds an Index. Zero fields select the defaults.
+// Config limits an Index. Zero fields select the defaults.
 type Config struct {
-	// BlocksPerReplica bounds the indexed blocks of one replica.
+	// BlocksPerReplica limits the indexed blocks of one replica.
 	BlocksPerReplica int
 	// OptimisticTTL is the time after which an unconfirmed block expires.
 	OptimisticTTL time.Duration
@@ -63,7 +63,7 @@
 }
 
 // Apply applies a replica's events and reports whether there was a gap. It skips events
-// that were already applied. A gap, given by the caller or found as a missing sequence
+// that were already applied. A gap, reported by the caller or found as a missing sequence
 // number, clears the replica's index before the following events are applied.
 func (x *Index) Apply(replica port.ReplicaID, events []port.CacheEvent, gap bool) bool {
 	blocks := x.replica(replica)
@@ -75,16 +75,16 @@
 		events = slices.Clone(events)
 		slices.SortFunc(events, compareSequence)
 	}
-	skipFirst := gap
+	acceptAny := gap // the first event after a reported gap may have any number
 	for _, event := range events {
-		if event.Sequence <= blocks.sequence && !skipFirst {
+		if event.Sequence <= blocks.sequence && !acceptAny {
 			continue
 		}
-		if event.Sequence != blocks.sequence+1 && !skipFirst {
+		if event.Sequence != blocks.sequence+1 && !acceptAny {
 			blocks.reset()
 			gap = true
 		}
-		skipFirst = false
+		acceptAny = false
 		blocks.sequence = event.Sequence
 		blocks.apply(event, x.config.BlocksPerReplica)
 	}
--- a/internal/core/prefix/prefix_test.go
+++ b/internal/core/prefix/prefix_test.go
@@ -31,14 +31,14 @@
 	tests := map[string]struct {
 		batches   []batch
 		wantMatch int // of blocks 1, 2, 3
-		wantNext  uint64
+		wantLast  uint64
 		wantGap   bool // of the last batch
 	}{
 		"in order":              {[]batch{{[]port.CacheEvent{stored(1, 1), stored(2, 2)}, false}}, 2, 2, false},
 		"out of order":          {[]batch{{[]port.CacheEvent{stored(3, 3), stored(1, 1), stored(2, 2)}, false}}, 3, 3, false},
 		"eviction":              {[]batch{{[]port.CacheEvent{stored(1, 1), stored(2, 2), evicted(3, 1)}, false}}, 0, 3, false},
 		"eviction out of order": {[]batch{{[]port.CacheEvent{evicted(2, 1), stored(1, 1)}, false}}, 0, 2, false},
-		"resent":                {[]batch{{[]port.CacheEvent{stored(1, 1), evicted(2, 1)}, false}, {[]port.CacheEvent{stored(1, 1)}, false}}, 0, 2, false},
+		"repeated event":        {[]batch{{[]port.CacheEvent{stored(1, 1), evicted(2, 1)}, false}, {[]port.CacheEvent{stored(1, 1)}, false}}, 0, 2, false},
 		"missing sequence number": {[]batch{
 			{[]port.CacheEvent{stored(1, 1), stored(2, 2)}, false}, {[]port.CacheEvent{stored(4, 3)}, false}}, 0, 4, true},
 		"reported gap": {[]batch{
@@ -57,9 +57,9 @@
 				gap = index.Apply(replica, batch.events, batch.gap)
 			}
 			match := index.Match([]uint64{1, 2, 3}, replica)
-			if match != test.wantMatch || index.LastSequence(replica) != test.wantNext || gap != test.wantGap {
-				t.Errorf("match %d, next %d, gap %v; want %d, %d, %v",
-					match, index.LastSequence(replica), gap, test.wantMatch, test.wantNext, test.wantGap)
+			if match != test.wantMatch || index.LastSequence(replica) != test.wantLast || gap != test.wantGap {
+				t.Errorf("match %d, last sequence %d, gap %v; want %d, %d, %v",
+					match, index.LastSequence(replica), gap, test.wantMatch, test.wantLast, test.wantGap)
 			}
 		})
 	}
@@ -80,19 +80,19 @@
 	}
 }
 
-// Whatever the events, the index stays bounded and doesn't match an evicted block.
+// After any events, the index is within its limit and doesn't match an evicted block.
 func TestIndexIsBoundedAndMatchesNoEvictedBlock(t *testing.T) {
-	const bound = 5
+	const maxBlocks = 5
 	testkit.Check(t, 31, func(t *rapid.T) {
-		index := New(Config{BlocksPerReplica: bound})
+		index := New(Config{BlocksPerReplica: maxBlocks})
 		last := make(map[uint64]bool)
 		for sequence := uint64(1); sequence <= 60; sequence++ {
 			block := rapid.Uint64Range(1, 12).Draw(t, "block")
 			evict := rapid.Bool().Draw(t, "evicted")
 			index.Apply(replica, []port.CacheEvent{{Sequence: sequence, Block: block, Evicted: evict}}, false)
 			last[block] = !evict
-			if index.Blocks(replica) > bound {
-				t.Fatalf("%d blocks, bound %d", index.Blocks(replica), bound)
+			if index.Blocks(replica) > maxBlocks {
+				t.Fatalf("%d blocks, limit %d", index.Blocks(replica), maxBlocks)
 			}
 			for block, cached := range last {
 				if !cached && index.Match([]uint64{block}, replica) != 0 {
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -4,7 +4,7 @@
 
 // Parameters of a budget, in retries.
 const (
-	floorRate            = 0.2
+	floorRate            = 0.2 // per second
 	floorCapacity        = 3.0
 	budgetCapacity       = 100.0
 	initialBalance       = floorCapacity
@@ -14,7 +14,7 @@
 )
 
 // Budget limits the retries of one route to a share of its successes. A small floor allows a
-// quiet route to retry occasionally. The zero value is not usable.
+// route without successes to retry occasionally. The zero value is not usable.
 type Budget struct {
 	ratio      float64
 	balance    float64
@@ -35,7 +35,7 @@
 	b.balance = min(b.balance+b.ratio, budgetCapacity)
 }
 
-// Withdraw takes one retry from the budget and reports whether there was one.
+// Withdraw removes one retry from the budget and reports whether there was one.
 func (b *Budget) Withdraw(now time.Time) bool {
 	b.refillFloor(now)
 	if b.balance < retryCost-balanceTolerance {
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Balance returns the number of retries left.
+// Balance returns the number of available retries.
 func (b *Budget) Balance() float64 { return b.balance }
 
 // refillFloor adds the floor for the elapsed time, up to its capacity. A clock that goes
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -114,9 +114,9 @@
 
 // backoff returns a random wait between 0 and BaseBackoff doubled for each attempt after the
 // first, up to MaxBackoff.
-func (p Policy) backoff(made int, random *rand.Rand) time.Duration {
+func (p Policy) backoff(attempts int, random *rand.Rand) time.Duration {
 	ceiling := p.BaseBackoff
-	for count := 1; count < made && ceiling < p.MaxBackoff; count++ {
+	for count := 1; count < attempts && ceiling < p.MaxBackoff; count++ {
 		ceiling *= 2
 	}
 	if p.MaxBackoff > 0 {
--- a/internal/core/retry/retry_test.go
+++ b/internal/core/retry/retry_test.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// However many attempts fail, retries stay within the floor plus a share of successes.
+// For any number of failures, retries stay within the floor plus a share of successes.
 func TestBudgetBoundsRetries(t *testing.T) {
 	tests := map[string]struct {
 		ratio     float64
@@ -158,15 +158,15 @@
 
 func TestBackoffIsFullJitter(t *testing.T) {
 	random := newRandom()
-	for made, ceiling := range map[int]time.Duration{1: 10, 2: 20, 3: 40, 9: 40} {
+	for attempts, ceiling := range map[int]time.Duration{1: 10, 2: 20, 3: 40, 9: 40} {
 		low, high := time.Hour, time.Duration(0)
 		for range 2000 {
-			wait := policy().backoff(made, random)
+			wait := policy().backoff(attempts, random)
 			low, high = min(low, wait), max(high, wait)
 		}
 		ceiling *= time.Millisecond
 		if high > ceiling || high < ceiling*9/10 || low > ceiling/10 {
-			t.Errorf("after %d attempts: waits from %v to %v, want the whole range to %v", made, low, high, ceiling)
+			t.Errorf("after %d attempts: waits from %v to %v, want the whole range to %v", attempts, low, high, ceiling)
 		}
 	}
 }
