--- a/internal/adapter/wire/call.go
+++ b/internal/adapter/wire/call.go
@@ -12,7 +12,7 @@
 type Call struct {
 	// Method is the name the caller used.
 	Method string
-	// Peer is the name the caller gave in the handshake.
+	// Peer is the client's name from the handshake.
 	Peer string
 
 	body       []byte
@@ -61,7 +61,7 @@
 	return err
 }
 
-// acquireCredit blocks until the window has credit and takes the bytes; the last frame
+// acquireCredit blocks until the window has credit and subtracts the bytes; the last frame
 // may exceed the window.
 func (c *Call) acquireCredit(bytes int) error {
 	for {
--- a/internal/adapter/wire/client.go
+++ b/internal/adapter/wire/client.go
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Stream sends a request and returns the stream of its answers. The context
-// covers the whole stream. Close must be called. Errors are *port.Error.
+// Stream sends a request and returns the stream of its answers. The context applies
+// until the stream ends. Close must be called. Errors are *port.Error.
 func (c *Client) Stream(ctx context.Context, method string, request any) (*ClientStream, error) {
 	body, err := Marshal(request)
 	if err != nil {
@@ -115,9 +115,9 @@
 	_, _, _ = c.ready() // an error means that it is too early to redial
 }
 
-// Send sends a one-way message without blocking, neither for a connection, which it
-// starts in the background if there is none, nor for a full queue. An error means that
-// the message was not sent; success does not imply delivery.
+// Send sends a one-way message without blocking. It fails if the queue is full, or if
+// there is no connection, for which it then starts a dial in the background. An error
+// means that the message was not sent; success does not imply delivery.
 func (c *Client) Send(_ context.Context, method string, message any) error {
 	body, err := Marshal(message)
 	if err != nil {
--- a/internal/adapter/wire/clientlink.go
+++ b/internal/adapter/wire/clientlink.go
@@ -91,7 +91,7 @@
 	return port.NewError(port.NotRun, CodeProtocol, "frame of kind %d before welcome", frame.Kind)
 }
 
-// open assigns an id to the call and queues its frame. The slot ensures that ids are
+// open assigns an id to the call and queues its frame. openSlot ensures that ids are
 // queued in increasing order, which the server checks.
 func (c *clientLink) open(ctx context.Context, frame *Frame) (*ClientStream, error) {
 	select {
@@ -134,7 +134,8 @@
 	return stream, nil
 }
 
-// removeStream closes the id: later frames for it count as late.
+// removeStream closes the id and reports whether it was open. Later frames for it count
+// as late.
 func (c *clientLink) removeStream(id uint64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/adapter/wire/codec.go
+++ b/internal/adapter/wire/codec.go
@@ -4,7 +4,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of the CBOR decoder. Together with the frame size limit they bound the cost of
+// Limits of the CBOR decoder. Together with the frame size limit they limit the cost of
 // one message of a faulty or malicious peer.
 const (
 	maxNestedLevels  = 32
--- a/internal/adapter/wire/doc.go
+++ b/internal/adapter/wire/doc.go
@@ -3,7 +3,7 @@
 // connection per pair of processes.
 //
 // A connection carries a CBOR sequence (RFC 8742). Every item is a byte string
-// of bounded length that holds one encoded Frame. Answers are matched by
+// of limited length that holds one encoded Frame. Answers are matched by
 // connection epoch and stream id, so a late answer is dropped and counted and
 // never reaches another call. An answer is complete, terminated by an explicit
 // end frame, or it is an error.
--- a/internal/adapter/wire/errors.go
+++ b/internal/adapter/wire/errors.go
@@ -12,18 +12,18 @@
 
 // VerdictOf returns the verdict of an error, MayHaveRun if it has none.
 func VerdictOf(err error) port.Verdict {
-	var known *port.Error
-	if errors.As(err, &known) && known.Verdict != port.VerdictUnset {
-		return known.Verdict
+	var wrapped *port.Error
+	if errors.As(err, &wrapped) && wrapped.Verdict != port.VerdictUnset {
+		return wrapped.Verdict
 	}
 	return port.MayHaveRun
 }
 
 // CodeOf returns the code of an error, empty if it has none.
 func CodeOf(err error) port.Code {
-	var known *port.Error
-	if errors.As(err, &known) {
-		return known.Code
+	var wrapped *port.Error
+	if errors.As(err, &wrapped) {
+		return wrapped.Code
 	}
 	return ""
 }
@@ -39,9 +39,9 @@
 // toError converts a handler's error for the caller. An error without a verdict may
 // have had effects.
 func toError(err error) *port.Error {
-	var known *port.Error
-	if errors.As(err, &known) {
-		return known
+	var wrapped *port.Error
+	if errors.As(err, &wrapped) {
+		return wrapped
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		return port.NewError(port.MayHaveRun, port.CodeDeadline, "the deadline passed")
@@ -51,10 +51,10 @@
 
 // sendError converts the error of an unsent frame into one with the verdict NotRun.
 func sendError(err error) *port.Error {
-	var known *port.Error
+	var wrapped *port.Error
 	switch {
-	case errors.As(err, &known):
-		return port.NewError(port.NotRun, known.Code, "%s", known.Message)
+	case errors.As(err, &wrapped):
+		return port.NewError(port.NotRun, wrapped.Code, "%s", wrapped.Message)
 	case errors.Is(err, ErrFrameTooLarge):
 		return port.NewError(port.NotRun, port.CodeTooLarge, "%s", err.Error())
 	case errors.Is(err, errQueueFull):
--- a/internal/adapter/wire/pack.go
+++ b/internal/adapter/wire/pack.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// minCompressedBytes is the size from which on a frame is compressed.
+	// minCompressedBytes is the min size of a frame that is compressed.
 	minCompressedBytes = 1 << 10
 	// compressedTag precedes the byte string of a compressed frame: CBOR tag 6,
 	// which is unassigned.
 	compressedTag = 0xc6
-	// maxCompressedRatio is the maximum ratio of compressed to original size; a frame
-	// that compresses worse is sent uncompressed.
+	// maxCompressedRatio is the maximum ratio of compressed to original size; above it,
+	// a frame is sent uncompressed.
 	maxCompressedRatio = 0.9
 )
 
--- a/internal/adapter/wire/server.go
+++ b/internal/adapter/wire/server.go
@@ -16,9 +16,9 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Handler serves one call. The caller receives what it sends through the call in order.
-// A nil result completes the answer, an error fails the whole answer. An error that is
-// no *port.Error counts as MayHaveRun.
+// Handler serves one call. The caller receives the messages of call.Send in order. A nil
+// result completes the answer; an error makes the call fail. An error that is no
+// *port.Error counts as MayHaveRun.
 type Handler func(ctx context.Context, call *Call) error
 
 // MessageHandler handles a one-way message. Messages of one connection are handled in
@@ -92,7 +92,7 @@
 // connection that was reset before it was accepted, from a broken listener.
 func isTemporary(err error) bool {
 	temporary := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EINTR, syscall.EAGAIN}
-	return slices.ContainsFunc(temporary, func(known error) bool { return errors.Is(err, known) })
+	return slices.ContainsFunc(temporary, func(target error) bool { return errors.Is(err, target) })
 }
 
 // acceptBackoff returns the delay before the next accept.
@@ -133,8 +133,8 @@
 	return s.closed
 }
 
-// Shutdown rejects new calls as NotRun, waits for calls in flight or until the context
-// ends, and closes the server.
+// Shutdown rejects new calls as NotRun, waits until the calls in flight have finished or
+// the context ends, and closes the server.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.mutex.Lock()
 	s.draining = true
@@ -206,7 +206,7 @@
 	return true
 }
 
-// checkHello returns the refusal of a hello, nil if it is accepted.
+// checkHello returns the error for a rejected hello, or nil.
 func (s *Server) checkHello(greeting hello) *port.Error {
 	if greeting.Version != ProtocolVersion {
 		return port.NewError(port.NotRun, CodeProtocol, "protocol version %d, want %d", greeting.Version, ProtocolVersion)
--- a/internal/adapter/wire/serverlink.go
+++ b/internal/adapter/wire/serverlink.go
@@ -177,7 +177,7 @@
 	}
 	c.mutex.Unlock()
 	if repeated {
-		return port.NewError(port.NotRun, CodeProtocol, "call id %d does not rise", frame.Stream)
+		return port.NewError(port.NotRun, CodeProtocol, "call id %d does not increase", frame.Stream)
 	}
 	handler := c.server.handlers[frame.Method]
 	switch {
