--- a/internal/adapter/wal/cluster_test.go
+++ b/internal/adapter/wal/cluster_test.go
@@ -107,9 +107,9 @@
 
 func (c *cluster) apply(entry consensus.Entry) {
 	content := fmt.Sprintf("term %d: %s", entry.Term, entry.Data)
-	known, seen := c.entries[entry.Index]
-	if seen && known != content {
-		c.violations = append(c.violations, fmt.Sprintf("entry %d was %q, is %q", entry.Index, known, content))
+	previous, seen := c.entries[entry.Index]
+	if seen && previous != content {
+		c.violations = append(c.violations, fmt.Sprintf("entry %d was %q, is %q", entry.Index, previous, content))
 	}
 	c.entries[entry.Index] = content
 }
--- a/internal/adapter/wal/diskfault/diskfault.go
+++ b/internal/adapter/wal/diskfault/diskfault.go
@@ -38,7 +38,7 @@
 	control string
 }
 
-// New returns a file system that injects faults in front of an underlying one.
+// New returns a file system that injects faults into writes and syncs of another one.
 func New(underlying wal.FileSystem, folder string) wal.FileSystem {
 	return &fileSystem{FileSystem: underlying, control: ControlFile(folder)}
 }
--- a/internal/adapter/wal/doc.go
+++ b/internal/adapter/wal/doc.go
@@ -5,8 +5,8 @@
 // the offset up to which the segment was synced when the record was written.
 // An invalid record is a torn write, and is truncated, if it is in the last
 // segment and no later record was written after a sync that covered it. Every
-// other invalid record is corruption, and Open fails. Damage to the last synced
-// batch looks like a torn write to this rule; the commit index in the hard state
+// other invalid record is corruption, and Open fails. This rule treats damage to
+// the last synced batch as a torn write; the commit index in the hard state
 // reveals it only if that index was written in an earlier batch.
 //
 // Each segment starts with the identity of the cluster and the member, so that
--- a/internal/adapter/wal/faultfs/faultfs.go
+++ b/internal/adapter/wal/faultfs/faultfs.go
@@ -145,7 +145,7 @@
 	f.locks = map[string]uint64{}
 }
 
-// tear leaves an arbitrary part of the unsynced end, sometimes damaged.
+// tear truncates the unsynced end at an arbitrary byte and sometimes damages it.
 func (f *FileSystem) tear(file *node) {
 	remaining := bytes.Clone(file.durable)
 	if bytes.HasPrefix(file.written, file.durable) && len(file.written) > len(file.durable) {
--- a/internal/adapter/wal/log.go
+++ b/internal/adapter/wal/log.go
@@ -204,7 +204,7 @@
 	return l.saveSnapshot(snapshot, false)
 }
 
-// InstallSnapshot replaces the whole log with a leader's snapshot.
+// InstallSnapshot replaces the log with a leader's snapshot.
 func (l *Log) InstallSnapshot(snapshot consensus.Snapshot) error {
 	return l.saveSnapshot(snapshot, true)
 }
--- a/internal/adapter/wal/recover.go
+++ b/internal/adapter/wal/recover.go
@@ -14,7 +14,7 @@
 // Recovery is the result of Open.
 type Recovery struct {
 	Restored consensus.Restored
-	// TornBytes is the length of the interrupted write that Open cut off from
+	// TornBytes is the length of the interrupted write that Open truncated from
 	// the end of the last segment, TornFile.
 	TornBytes int64
 	TornFile  string
@@ -75,7 +75,7 @@
 		}
 	}
 	// The recovered records may not be durable yet if the crash came before the
-	// sync. They must be before anything is built on them.
+	// sync. They must be durable before new records follow them.
 	if err := file.Sync(); err != nil {
 		return l.fail("sync segment", err)
 	}
--- a/internal/adapter/wal/snapshotfile.go
+++ b/internal/adapter/wal/snapshotfile.go
@@ -41,7 +41,7 @@
 }
 
 // EncodeSnapshot returns the contents of a snapshot file. The body is encoded in place
-// behind the header, as a second copy of a large snapshot would cost much memory.
+// behind the header, to avoid a second copy of a large snapshot.
 func EncodeSnapshot(snapshot consensus.Snapshot) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Grow(snapshotHeaderBytes + len(snapshot.Data) + snapshotOverheadBytes)
--- a/internal/adapter/wal/wholefile.go
+++ b/internal/adapter/wal/wholefile.go
@@ -10,8 +10,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/consensus"
 )
 
-// syncChunkBytes is how much of a large file is written between two syncs, so that
-// concurrent syncs of the log do not wait for the complete file.
+// syncChunkBytes is the number of bytes of a large file written between two syncs, so
+// that concurrent syncs of the log do not wait for the complete file.
 const syncChunkBytes = 1 << 20
 
 // SnapshotWriter writes snapshot files into the folder of a log. It may be used
@@ -44,7 +44,7 @@
 }
 
 // SnapshotReader reads the snapshot that was current when the reader was created. It may
-// be used concurrently with the log; the file may be gone once another snapshot is current.
+// be used concurrently with the log; the file may be removed once another snapshot is current.
 type SnapshotReader struct {
 	files     FileSystem
 	directory string
