--- a/internal/app/control/calls.go
+++ b/internal/app/control/calls.go
@@ -58,14 +58,14 @@
 	return port.NewError(port.MayHaveRun, port.CodeUnavailable, "the control member stopped before the answer")
 }
 
-// withRetryAfter sets the time after which an unavailable group may have a leader.
+// withRetryAfter sets RetryAfter of an unavailable error to the election timeout.
 func (m *Member) withRetryAfter(refusal *port.Error) *port.Error {
 	if refusal.Code != port.CodeUnavailable || refusal.RetryAfter != 0 {
 		return refusal
 	}
-	advised := *refusal
-	advised.RetryAfter = m.config.electionTimeout()
-	return &advised
+	adjusted := *refusal
+	adjusted.RetryAfter = m.config.electionTimeout()
+	return &adjusted
 }
 
 func (m *Member) errNoLeader() *port.Error {
--- a/internal/app/control/config.go
+++ b/internal/app/control/config.go
@@ -39,7 +39,7 @@
 
 // Config configures a control member. Zero values select the defaults.
 type Config struct {
-	// Cluster names the fleet; processes of other fleets are rejected.
+	// Cluster is the name of the cluster; processes of other clusters are rejected.
 	Cluster string
 	ID      uint64
 	// Members lists the initial members of the group or, with Join, its current
@@ -54,7 +54,7 @@
 	OperatorAddress  string
 	PeerListener     net.Listener
 	OperatorListener net.Listener
-	// PeerToken is shared by the fleet's processes; if empty, none is required.
+	// PeerToken is shared by the processes of the cluster; if empty, none is required.
 	PeerToken string
 	// OperatorToken authenticates operators; if empty, all are rejected.
 	OperatorToken string
@@ -68,8 +68,8 @@
 	Seed uint64
 	// SnapshotEntries is the number of log entries between snapshots.
 	SnapshotEntries int
-	// RetainEntries is the number of entries that stay in memory before a snapshot,
-	// for members that lag slightly.
+	// RetainEntries is the number of entries before a snapshot that stay in memory, for
+	// members that lag slightly.
 	RetainEntries int
 	// NodeTimeout is how long a node may go without a report before it is removed
 	// from the view.
@@ -108,10 +108,10 @@
 	ErrDataLost = errors.New("control: the data folder is lost; remove this member from the group and add it as a new one under a higher id")
 )
 
-func setDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, fallback T) {
 	var unset T
 	if *value == unset {
-		*value = standard
+		*value = fallback
 	}
 }
 
--- a/internal/app/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestResendReturnsFirstResult resends a change under its id to another member,
+// TestResendReturnsFirstResult repeats a change with the same id at another member,
 // after the leader was killed and after a snapshot.
 func TestResendReturnsFirstResult(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 20, 5 })
@@ -64,14 +64,14 @@
 	first := group.mustAccept(group.client(1), command)
 	again := group.mustAccept(group.client(2), command)
 	if again.Index != first.Index || again.Revision != first.Revision {
-		t.Fatalf("resend got %+v, want the first result %+v", again, first)
+		t.Fatalf("repeated change got %+v, want the first result %+v", again, first)
 	}
 	group.change(group.client(1), 50)
 	leader := group.leader().config.ID
 	group.kill(leader)
 	client := group.client(leader%3 + 1)
 	if result := group.mustAccept(client, command); result.Index != first.Index {
-		t.Fatalf("resend to a new leader got %+v, want the first result %+v", result, first)
+		t.Fatalf("repeated change at a new leader got %+v, want the first result %+v", result, first)
 	}
 	other := machineListChange(first.Revision, 2)
 	other.ChangeID = command.ChangeID
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestWatchResumesAfterMissedChanges resumes a watch from a position before a
-// compaction and restarts of all members.
+// TestWatchResumesAfterMissedChanges resumes a watch at a position older than a
+// compaction, after restarts of all members.
 func TestWatchResumesAfterMissedChanges(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 50, 10 })
 	client := group.client(1)
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestWatchLeavesMemberWithoutQuorum checks that a watch leaves a member without
-// a quorum, and that such a member confirms no update.
+// TestWatchLeavesMemberWithoutQuorum checks that a watch moves from a member without
+// a quorum to another one, and that such a member confirms no update.
 func TestWatchLeavesMemberWithoutQuorum(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	watch := startObserverWatch(group.client(1), controlstate.NewObserver())
@@ -206,7 +206,7 @@
 	group.waitUntil("the first changes", func() bool { return watch.revision() == last })
 	group.kill(1)
 	last = group.change(group.client(2), 3)
-	group.waitUntil("changes after the watched member died", func() bool { return watch.revision() == last })
+	group.waitUntil("changes after the watched member was killed", func() bool { return watch.revision() == last })
 	watch.stop(t)
 
 	group.kill(2)
@@ -303,7 +303,7 @@
 	}
 }
 
-// TestStartRejectsInvalidFolder starts members on invalid folders.
+// TestStartRejectsInvalidFolder checks that Start returns an error for an invalid folder.
 func TestStartRejectsInvalidFolder(t *testing.T) {
 	group := startGroup(t, 3, nil)
 	group.change(group.client(1), 3)
@@ -372,7 +372,7 @@
 	node := func(id port.NodeID, peer string) port.NodeAddress {
 		return port.NodeAddress{ID: id, Zone: "zone-a", PeerAddress: peer, HTTPAddress: peer}
 	}
-	alive, silent := node("alive", "127.0.0.1:1001"), node("silent", "127.0.0.1:1002")
+	alive, timedOut := node("alive", "127.0.0.1:1001"), node("silent", "127.0.0.1:1002")
 	report := func(address port.NodeAddress) {
 		t.Helper()
 		if err := client.Report(group.context(), port.NodeReport{Node: address}); err != nil {
@@ -386,12 +386,12 @@
 	// Repeat both reports: a new leader does not have them, and on a slow machine
 	// one may time out before the check.
 	group.waitUntil("both nodes to be registered", func() bool {
-		report(silent)
+		report(timedOut)
 		report(alive)
-		return viewHas(alive, silent)
+		return viewHas(alive, timedOut)
 	})
 	group.waitUntil("the timed-out node to be removed", func() bool { report(alive); return viewHas(alive) })
-	silent.PeerAddress, silent.Draining = "127.0.0.1:1003", true
-	report(silent)
-	group.waitUntil("the node to be registered again", func() bool { return viewHas(alive, silent) })
+	timedOut.PeerAddress, timedOut.Draining = "127.0.0.1:1003", true
+	report(timedOut)
+	group.waitUntil("the node to be registered again", func() bool { return viewHas(alive, timedOut) })
 }
--- a/internal/app/control/distribution_bench_test.go
+++ b/internal/app/control/distribution_bench_test.go
@@ -87,7 +87,7 @@
 	return fleet
 }
 
-// wait returns the time at which each observer had the revision.
+// wait blocks until every observer has the revision, and returns the times of arrival.
 func (f *observerFleet) wait(revision port.Revision) []time.Time {
 	var times []time.Time
 	for len(times) < f.count {
@@ -159,9 +159,9 @@
 // report sends a report for each observer, with limited concurrency.
 func (f *observerFleet) report(group *testGroup) {
 	group.t.Helper()
-	const together = 16
+	const maxConcurrent = 16
 	var reporting errgroup.Group
-	reporting.SetLimit(together)
+	reporting.SetLimit(maxConcurrent)
 	for number, client := range f.clients {
 		reporting.Go(func() error {
 			return client.Report(group.context(), port.NodeReport{
--- a/internal/app/control/faults_test.go
+++ b/internal/app/control/faults_test.go
@@ -32,10 +32,10 @@
 
 	network.setIsolated(address, true)
 	delete(group.running, old.config.ID)
-	lost := machineListChange(last, 77)
+	uncommitted := machineListChange(last, 77)
 	ctx, cancel := context.WithTimeout(group.context(), 3*time.Second)
 	defer cancel()
-	if result, err := old.Propose(ctx, lost); err == nil {
+	if result, err := old.Propose(ctx, uncommitted); err == nil {
 		t.Fatalf("an isolated leader accepted %+v", result)
 	}
 	others := group.client(old.config.ID%3 + 1)
@@ -54,7 +54,7 @@
 		view, err := old.View(group.context(), false)
 		return err == nil && view.Revision == last
 	})
-	result, err := others.Propose(group.context(), lost)
+	result, err := others.Propose(group.context(), uncommitted)
 	if err != nil || result.Error == nil || result.Error.Code != port.CodeConflict {
 		t.Fatalf("the uncommitted change got %+v, %v", result, err)
 	}
--- a/internal/app/control/founding.go
+++ b/internal/app/control/founding.go
@@ -133,7 +133,7 @@
 }
 
 // removeBootstrapRecord durably removes the bootstrap record of a member that has a
-// log. Otherwise a member that loses its log later would take the group for new.
+// log. Otherwise, if the member lost its log later, it would treat itself as new.
 func removeBootstrapRecord(config Config) error {
 	files := config.FileSystem
 	err := files.Remove(filepath.Join(config.DataFolder, bootstrapFile))
--- a/internal/app/control/group_test.go
+++ b/internal/app/control/group_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// client returns a control client of all members, starting with the given one.
+// client returns a control client that tries one member before the others.
 func (g *testGroup) client(first uint64) *controlclient.Client {
 	g.t.Helper()
 	addresses := make([]string, 0, len(g.members))
--- a/internal/app/control/member.go
+++ b/internal/app/control/member.go
@@ -59,8 +59,8 @@
 	return member.Stop(stop)
 }
 
-// Start opens the data folder, listens and starts the member. It rejects a corrupt
-// or foreign folder itself; Wait returns ErrDataLost, which depends on the answers
+// Start opens the data folder, listens and starts the member. It returns an error for a
+// corrupt or foreign folder. Wait returns ErrDataLost, since that depends on the answers
 // of the other members.
 func Start(config Config) (*Member, error) {
 	config = config.withDefaults()
@@ -138,9 +138,9 @@
 	return nil
 }
 
-func listen(given net.Listener, address string) (net.Listener, error) {
-	if given != nil {
-		return given, nil
+func listen(existing net.Listener, address string) (net.Listener, error) {
+	if existing != nil {
+		return existing, nil
 	}
 	listener, err := net.Listen("tcp", address)
 	return listener, eris.Wrapf(err, "listen on %s", address)
--- a/internal/app/control/network_test.go
+++ b/internal/app/control/network_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// testNetwork can isolate members silently: connections stay open, but block until
-// the member is reconnected. Delayed bytes then arrive late.
+// testNetwork can isolate members: their connections stay open, but block until the
+// member is reconnected.
 type testNetwork struct {
 	mutex    sync.Mutex
 	isolated map[string]bool
--- a/internal/app/control/process_bench_test.go
+++ b/internal/app/control/process_bench_test.go
@@ -10,7 +10,7 @@
 // leader's process is killed, at the default tick. It kills the members in turn; a
 // gap below half an election timeout means that a follower was killed.
 func BenchmarkProcessFailover(b *testing.B) {
-	const follower = DefaultTick * DefaultElectionTicks / 2
+	const maxFollowerGap = DefaultTick * DefaultElectionTicks / 2
 	group := startProcesses(b)
 	group.tick = DefaultTick
 	for id := uint64(1); id <= 3; id++ {
@@ -29,7 +29,7 @@
 		start := time.Now()
 		group.kill(id)
 		change()
-		if gap := time.Since(start); gap >= follower {
+		if gap := time.Since(start); gap >= maxFollowerGap {
 			gaps = append(gaps, gap)
 		}
 		b.StopTimer()
--- a/internal/app/control/process_folder_test.go
+++ b/internal/app/control/process_folder_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// startWithChanges starts three processes and makes the given number of changes.
+// startWithChanges starts three processes and makes sequential changes.
 func startWithChanges(t *testing.T, changes int) (*processGroup, *writer, *controlclient.Client) {
 	t.Helper()
 	group := startProcesses(t)
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestProcessRecoversFromFullDisk fills the disk of one process by a link
-// from its next segment to /dev/full. The process must report that and exit while
+// TestProcessRecoversFromFullDisk simulates a full disk with a link from the next
+// segment of one process to /dev/full. The process must report that and exit while
 // the others continue, and later restart with every accepted change.
 func TestProcessRecoversFromFullDisk(t *testing.T) {
 	group, writing, client := startWithChanges(t, 5)
--- a/internal/app/control/reports.go
+++ b/internal/app/control/reports.go
@@ -114,8 +114,8 @@
 	return answer, err
 }
 
-// mergeReports keeps the latest report of each node, with the earliest time at
-// which its revision was reported.
+// mergeReports adds reports to merged: the latest report of each node, with the earliest
+// time at which the node reported that revision.
 func mergeReports(merged map[port.NodeID]operatorapi.NodeReport, more []operatorapi.NodeReport) map[port.NodeID]operatorapi.NodeReport {
 	if merged == nil {
 		merged = make(map[port.NodeID]operatorapi.NodeReport, len(more))
--- a/internal/app/control/suspend_test.go
+++ b/internal/app/control/suspend_test.go
@@ -9,9 +9,9 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/boottime"
 )
 
-// TestSuspendedLeaderRejectsReads checks that a leader that was suspended
-// for longer than an election timeout, which its monotonic clock does not show,
-// serves no read without its followers.
+// TestSuspendedLeaderRejectsReads checks that a leader that was suspended for longer
+// than an election timeout serves no read without its followers. The monotonic clock
+// does not advance during a suspension.
 func TestSuspendedLeaderRejectsReads(t *testing.T) {
 	var suspended [4]atomic.Int64 // by member
 	group := startGroup(t, 3, func(config *Config) {
@@ -27,7 +27,7 @@
 		return err
 	}
 	if err := read(10 * time.Second); err != nil {
-		t.Fatalf("before: %v", err)
+		t.Fatalf("before the suspension: %v", err)
 	}
 	for id := uint64(1); id <= 3; id++ {
 		if id != leader.config.ID {
