--- a/internal/adapter/wire/pack_test.go
+++ b/internal/adapter/wire/compress_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestLargeFramesTravelCompressed(t *testing.T) {
+func TestLargeFramesAreCompressed(t *testing.T) {
 	random := rand.NewChaCha8([32]byte{1})
 	noise := make([]byte, 8<<10)
 	_, _ = random.Read(noise)
--- a/internal/adapter/wire/wire_test.go
+++ b/internal/adapter/wire/wire_test.go
@@ -168,7 +168,7 @@
 }
 
 // Shutdown waits for calls in flight and rejects new ones.
-func TestShutdownFinishesWhatIsInFlight(t *testing.T) {
+func TestShutdownFinishesCallsInFlight(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	server, address := startServer(t, testOptions(), func(s *Server) {
 		s.Handle("slow", func(_ context.Context, call *Call) error {
--- a/internal/app/control/control_test.go
+++ b/internal/app/control/control_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestResendReturnsFirstResult repeats a change with the same id at another member,
+// TestRepeatedChangeReturnsFirstResult repeats a change with the same id at another member,
 // after the leader was killed and after a snapshot.
-func TestResendReturnsFirstResult(t *testing.T) {
+func TestRepeatedChangeReturnsFirstResult(t *testing.T) {
 	group := startGroup(t, 3, func(config *Config) { config.SnapshotEntries, config.RetainEntries = 20, 5 })
 	command := machineListChange(0, 1)
 	first := group.mustAccept(group.client(1), command)
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -19,7 +19,7 @@
 	b.End(service, id, balance.ResultServed, elapsed, start)
 }
 
-func TestPickTakesTheLeastLoaded(t *testing.T) {
+func TestPickReturnsLeastLoaded(t *testing.T) {
 	b := balance.New()
 	b.Begin("a")
 	b.Begin("a")
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestForgetKeepsReplicasInUse(t *testing.T) {
+func TestRetainKeepsReplicasInUse(t *testing.T) {
 	b := balance.New()
 	b.Begin("busy")
 	served(b, "idle", time.Millisecond)
--- a/internal/core/ejection/ejection_test.go
+++ b/internal/core/ejection/ejection_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestBoundCountsOtherHomes(t *testing.T) {
+func TestLimitCountsOtherHomes(t *testing.T) {
 	tracker := newTracker(2, 0.25)
 	tracker.SetPool(Pool{Size: 8, UnhealthyElsewhere: 2})
 	if _, changed := observeFailures(tracker, start, "lm-0", 10); changed {
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestReplicasComeAndGo(t *testing.T) {
+func TestRemovedReplicaLosesState(t *testing.T) {
 	tracker := newTracker(4, 0.5)
 	observeFailures(tracker, start, "lm-0", 3)
 	tracker.SetReplicas(ids(4)[1:])
