--- a/cmd/loomgrade/cmd_logs.go
+++ b/cmd/loomgrade/cmd_logs.go
@@ -37,7 +37,7 @@
 	Cause string   `json:"cause"`
 }
 
-// Run prints the log lines of an id, explained.
+// Run prints the log lines of an id with the meaning of each event.
 func (c *logsExplainCommand) Run(std streams) error {
 	lines, err := readFiles(c.Files)
 	if err != nil {
--- a/cmd/loomgrade/cmd_policy.go
+++ b/cmd/loomgrade/cmd_policy.go
@@ -93,7 +93,7 @@
 		return policy.StandardViews(), nil
 	}
 	if c.View != "" && c.From != "" {
-		return nil, errors.New("--view and --from: both given, allowed: one of them")
+		return nil, errors.New("--view and --from: both set, allowed: one of them")
 	}
 	view, name, err := c.startView()
 	if err != nil {
--- a/cmd/loomgrade/cmd_site_front.go
+++ b/cmd/loomgrade/cmd_site_front.go
@@ -24,12 +24,12 @@
 	// probed every second; two failed probes remove the front.
 	drainDelay = 2600 * time.Millisecond
 	// callerKeepAlive is how long callers may reuse an idle connection. A stopping front
-	// closes no connection earlier, so a longer time delays the stop.
+	// closes no connection earlier, so a longer time delays its exit.
 	callerKeepAlive = 3 * time.Second
-	// bodyMemoryShare is the share of a front's memory for buffered request and answer
-	// bodies. Garbage that is not yet collected may take as much again.
+	// bodyMemoryShare is the share of a front's memory for buffered request and response
+	// bodies. Uncollected garbage may use the same amount again.
 	bodyMemoryShare = 0.25
-	// shutdownReserve is the part of the grace period left for the process to exit.
+	// shutdownReserve is the part of the grace period reserved for the process to exit.
 	shutdownReserve = 1200 * time.Millisecond
 )
 
--- a/cmd/loomgrade/cmd_site_store.go
+++ b/cmd/loomgrade/cmd_site_store.go
@@ -11,8 +11,8 @@
 	"github.com/loomgrade/loomgrade/internal/app/siteview"
 )
 
-// keepJobsMargin is added to the configured time for which finished jobs are available.
-const keepJobsMargin = 15 * time.Second
+// jobRetentionMargin extends the configured retention time of finished jobs.
+const jobRetentionMargin = 15 * time.Second
 
 // siteStoreCommand runs a store process.
 type siteStoreCommand struct{ siteSettings }
@@ -30,7 +30,7 @@
 	store := sitestore.New(sitestore.Config{
 		Machine: p.file.Machine, Zone: p.file.Zone, Address: p.file.PeerAddress(), Folder: p.file.DataFolder, FileSystem: fileSystem(p.file.DataFolder),
 		Wire: p.wire, Dialect: p.dialect, Watcher: watcher, Proxy: sender, Logger: p.logger, Seed: p.seed,
-		Cold: p.file.ColdLimits(), Recorder: p.metrics, ToleratedLosses: p.file.ToleratedLosses, KeepJobs: p.file.KeepJobs() + keepJobsMargin,
+		Cold: p.file.ColdLimits(), Recorder: p.metrics, ToleratedLosses: p.file.ToleratedLosses, KeepJobs: p.file.KeepJobs() + jobRetentionMargin,
 		MaxJobBytes: int(jobMemoryShare * p.file.MemoryMegabytes * megabyte),
 	})
 	store.Register(p.server)
--- a/cmd/loomgrade/dev_test.go
+++ b/cmd/loomgrade/dev_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// explainEachKind explains an id of every kind that the help of explain names.
+// explainEachKind runs explain for each kind of id that its help lists, and for unknown ids.
 func explainEachKind(t *testing.T, ctx context.Context, fleet *localfleet.Fleet, steps *firstSteps) {
 	t.Helper()
 	trainer := fleet.Trainers()[0]
--- a/cmd/loomgrade/operator.go
+++ b/cmd/loomgrade/operator.go
@@ -49,7 +49,8 @@
 	lines.row("accepted, revision", accepted.Revision)
 }
 
-// adviseRetry extends an error whose change may have been accepted by how to retry safely.
+// adviseRetry appends how to retry safely to the message of an error after which the change
+// may have been accepted.
 func adviseRetry(err error, changeID string) error {
 	if refusal := port.AsError(err); refusal != nil && refusal.Verdict == port.MayHaveRun {
 		extended := *refusal
--- a/cmd/loomgrade/page_test.go
+++ b/cmd/loomgrade/page_test.go
@@ -59,13 +59,13 @@
 	commands := map[string]bool{}
 	for _, leaf := range parser.Model.Leaves(true) {
 		path := strings.TrimPrefix(leaf.FullPath(), parser.Model.Name+" ")
-		takesOutput := false
+		acceptsOutput := false
 		for _, group := range leaf.AllFlags(false) {
 			for _, flag := range group {
-				takesOutput = takesOutput || flag.Name == "output"
+				acceptsOutput = acceptsOutput || flag.Name == "output"
 			}
 		}
-		commands[path] = takesOutput
+		commands[path] = acceptsOutput
 	}
 	return commands
 }
@@ -92,9 +92,9 @@
 // TestResultCommandsSupportJSON excludes the commands that run a process and print no result.
 func TestResultCommandsSupportJSON(t *testing.T) {
 	processes := []string{"control", "node", "site front", "site control", "site store"}
-	for name, takesOutput := range commandsOf(t) {
-		if want := !slices.Contains(processes, name); takesOutput != want {
-			t.Errorf("%s: takes --output: %v, want %v", name, takesOutput, want)
+	for name, acceptsOutput := range commandsOf(t) {
+		if want := !slices.Contains(processes, name); acceptsOutput != want {
+			t.Errorf("%s: accepts --output: %v, want %v", name, acceptsOutput, want)
 		}
 	}
 }
--- a/cmd/loomgrade/policy_test.go
+++ b/cmd/loomgrade/policy_test.go
@@ -32,7 +32,7 @@
 	return code, texts[0], texts[1]
 }
 
-const goodPolicy = `def plan(pool):
+const validPolicy = `def plan(pool):
     return struct(target_in_flight = pool.buffered + 1, selection = "freshest_first")
 `
 
@@ -44,8 +44,8 @@
 		}
 		return path
 	}
-	good := file("good.star", goodPolicy)
-	divides := file("divides.star", "def plan(pool):\n    return struct(\n        target_in_flight =\n            1 // pool.buffered)\n")
+	valid := file("valid.star", validPolicy)
+	dividesByZero := file("divides.star", "def plan(pool):\n    return struct(\n        target_in_flight =\n            1 // pool.buffered)\n")
 	view := file("view.json", `{"name": "mine", "buffered": 41, "staleness_bound": 3, "replicas": [{"id": "r1", "limit": 4}]}`)
 	cases := []struct {
 		name      string
@@ -53,25 +53,25 @@
 		code      int
 		contains  []string
 	}{
-		{"check", []string{"policy", "check", good}, exitOK, []string{"accepted", "of  500000"}},
-		{"check as JSON", []string{"policy", "check", good, "--output", "json"}, exitOK, []string{`"max_steps": 500000`}},
+		{"check", []string{"policy", "check", valid}, exitOK, []string{"accepted", "of  500000"}},
+		{"check as JSON", []string{"policy", "check", valid, "--output", "json"}, exitOK, []string{`"max_steps": 500000`}},
 		{"check of the default program", []string{"policy", "check", "../../internal/core/policy/default.star"}, exitOK, []string{"accepted"}},
 		{"syntax error", []string{"policy", "check", file("syntax.star", "def plan(pool):\n  return ]\n")}, exitUsage, []string{"syntax.star:2:"}},
 		{"unknown name", []string{"policy", "check", file("name.star", "def plan(pool):\n  return x\n")}, exitUsage, []string{"name.star:2:10", "x"}},
-		{"run-time error", []string{"policy", "check", divides}, exitUsage, []string{"divides.star:4:15", "zero"}},
+		{"run-time error", []string{"policy", "check", dividesByZero}, exitUsage, []string{"divides.star:4:15", "zero"}},
 		{"field that is not allowed", []string{"policy", "check", file("field.star", "def plan(pool):\n  return {'resume': 'always'}\n")}, exitUsage, []string{"field.star", "resume", "always", "never, failed, long"}},
 		{"endless loop", []string{"policy", "check", file("endless.star", "def plan(pool):\n  for a in range(9999):\n    for b in range(9999):\n      pass\n")}, exitUsage, []string{"endless.star", "step limit"}},
 		{"no such file", []string{"policy", "check", "none.star"}, exitUsage, []string{"none.star"}},
-		{"simulate", []string{"policy", "simulate", good}, exitOK, []string{"trainer waiting", "3500 replicas", "freshest_first"}},
-		{"simulate shows results and errors", []string{"policy", "simulate", divides}, exitUsage, []string{"running", "error", "divides.star:4:15"}},
-		{"simulate a view from a file", []string{"policy", "simulate", good, "--view", view, "--output", "json"}, exitOK, []string{`"target_in_flight": 42`}},
-		{"simulate with fields set", []string{"policy", "simulate", good, "--view", view, "--set", "buffered=7,trainer_waiting=true,name=other", "--output", "json"}, exitOK, []string{`"target_in_flight": 8`}},
-		{"simulate from a standard view", []string{"policy", "simulate", good, "--from", "buffer full"}, exitOK, []string{"buffer full"}},
-		{"unknown view", []string{"policy", "simulate", good, "--from", "odd"}, exitUsage, []string{"--from", "odd", "mixed versions"}},
-		{"unknown field of a view", []string{"policy", "simulate", good, "--set", "in_flihgt=3"}, exitUsage, []string{"--set", "in_flihgt", "3", "allowed"}},
-		{"wrong type of a field", []string{"policy", "simulate", good, "--set", "in_flight=many"}, exitUsage, []string{"in_flight", "many", "allowed"}},
-		{"view file with an unknown field", []string{"policy", "simulate", good, "--view", file("odd.json", "{\n\"version\": 1,\n\"odd\": 1}")}, exitUsage, []string{"odd.json:3", "odd"}},
-		{"two views", []string{"policy", "simulate", good, "--view", view, "--from", "running"}, exitUsage, []string{"allowed: one of them"}},
+		{"simulate", []string{"policy", "simulate", valid}, exitOK, []string{"trainer waiting", "3500 replicas", "freshest_first"}},
+		{"simulate shows results and errors", []string{"policy", "simulate", dividesByZero}, exitUsage, []string{"running", "error", "divides.star:4:15"}},
+		{"simulate a view from a file", []string{"policy", "simulate", valid, "--view", view, "--output", "json"}, exitOK, []string{`"target_in_flight": 42`}},
+		{"simulate with fields set", []string{"policy", "simulate", valid, "--view", view, "--set", "buffered=7,trainer_waiting=true,name=other", "--output", "json"}, exitOK, []string{`"target_in_flight": 8`}},
+		{"simulate from a standard view", []string{"policy", "simulate", valid, "--from", "buffer full"}, exitOK, []string{"buffer full"}},
+		{"unknown view", []string{"policy", "simulate", valid, "--from", "odd"}, exitUsage, []string{"--from", "odd", "mixed versions"}},
+		{"unknown field of a view", []string{"policy", "simulate", valid, "--set", "in_flihgt=3"}, exitUsage, []string{"--set", "in_flihgt", "3", "allowed"}},
+		{"wrong type of a field", []string{"policy", "simulate", valid, "--set", "in_flight=many"}, exitUsage, []string{"in_flight", "many", "allowed"}},
+		{"view file with an unknown field", []string{"policy", "simulate", valid, "--view", file("odd.json", "{\n\"version\": 1,\n\"odd\": 1}")}, exitUsage, []string{"odd.json:3", "odd"}},
+		{"two views", []string{"policy", "simulate", valid, "--view", view, "--from", "running"}, exitUsage, []string{"allowed: one of them"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/loomgrade/policyview.go
+++ b/cmd/loomgrade/policyview.go
@@ -29,14 +29,14 @@
 }
 
 // lineAt returns the line of a JSON error or of the unknown field that it names, or 1 if
-// neither is known.
+// the error has neither.
 func lineAt(content []byte, err error) int {
 	offset := 0
-	switch fault := err.(type) {
+	switch jsonErr := err.(type) {
 	case *json.SyntaxError:
-		offset = int(fault.Offset)
+		offset = int(jsonErr.Offset)
 	case *json.UnmarshalTypeError:
-		offset = int(fault.Offset)
+		offset = int(jsonErr.Offset)
 	default:
 		if _, name, found := strings.Cut(err.Error(), "unknown field "); found {
 			offset = max(bytes.Index(content, []byte(name)), 0)
--- a/cmd/loomgrade/process.go
+++ b/cmd/loomgrade/process.go
@@ -83,9 +83,10 @@
 // error that ended it.
 func (p *process) writeOut(reason string) { _ = p.ring.WriteOut(reason) }
 
-// shutdownContext limits a planned stop; a second signal cancels it immediately.
+// shutdownContext returns a context that limits a graceful stop to shutdownTimeout. A
+// second signal cancels it.
 func shutdownContext() (context.Context, context.CancelFunc) {
-	bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
-	interrupted, release := signal.NotifyContext(bounded, os.Interrupt, syscall.SIGTERM)
+	limited, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	interrupted, release := signal.NotifyContext(limited, os.Interrupt, syscall.SIGTERM)
 	return interrupted, func() { release(); cancel() }
 }
--- a/cmd/loomgrade/process_test.go
+++ b/cmd/loomgrade/process_test.go
@@ -121,7 +121,7 @@
 		t.Errorf("exit code %d: %s", code, printed())
 	}
 	if after := files.ringText(t); strings.Contains(strings.TrimPrefix(after, before), "ends with an error") {
-		t.Errorf("a planned stop wrote the ring out: %q", after)
+		t.Errorf("a graceful stop wrote out the log ring: %q", after)
 	}
 }
 
@@ -189,7 +189,7 @@
 				}
 			}
 			if wrote := strings.Contains(files.ringText(t), "the process ends with an error"); wrote != test.ring {
-				t.Errorf("ring written out: %v, want %v: %q", wrote, test.ring, files.ringText(t))
+				t.Errorf("log ring written out: %v, want %v: %q", wrote, test.ring, files.ringText(t))
 			}
 		})
 	}
--- a/cmd/loomgrade/siteprocess.go
+++ b/cmd/loomgrade/siteprocess.go
@@ -120,7 +120,7 @@
 }
 
 // newProxy returns the proxy that sends requests to replicas. budget limits the memory for
-// buffered answers.
+// buffered responses.
 func (p *siteProcess) newProxy(watcher *siteview.Watcher, requestGuard *guard.Guard, budget *membudget.Budget) *proxy.Proxy {
 	return proxy.New(proxy.Config{
 		Dialect: p.dialect, View: watcher.View, Logger: p.logger, Connections: connectionsToReplica, Guard: requestGuard,
@@ -229,7 +229,7 @@
 // taskEndTimeout limits how long tasks may take to end after a stop.
 const taskEndTimeout = 300 * time.Millisecond
 
-// logFlushDelay gives the log writer time to write the last lines.
+// logFlushDelay is how long a stopped process waits for the log writer to write the last lines.
 const logFlushDelay = 20 * time.Millisecond
 
 // awaitStop blocks until a stop signal or the end of the context. On SIGHUP and at intervals
