--- a/cmd/loomlab/cmd_run_test.go
+++ b/cmd/loomlab/cmd_run_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/experiment"
 )
 
-// smallExperiment takes a few seconds.
+// smallExperiment is an experiment file whose run takes a few seconds.
 const smallExperiment = `name: small
 site: marea
 overrides:
--- a/cmd/loomlab/cmd_standin.go
+++ b/cmd/loomlab/cmd_standin.go
@@ -42,7 +42,7 @@
 	Shutdown(context.Context) error
 }
 
-// shutdownTimeout limits how long a planned stop waits for requests in flight.
+// shutdownTimeout limits how long a graceful stop waits for requests in flight.
 const shutdownTimeout = 30 * time.Second
 
 // serve starts a stand-in and runs it until SIGINT or SIGTERM, then waits for requests in
