--- a/internal/lab/localfleet/doc.go
+++ b/internal/lab/localfleet/doc.go
@@ -1,4 +1,4 @@
-// Package localfleet runs a whole fleet in one process over loopback TCP: control
+// Package localfleet runs a complete fleet in one process over loopback TCP: control
 // members with data folders, nodes, and stand-ins for every external system. It runs
 // the same code as the real processes.
 //
--- a/internal/lab/localfleet/fault_test.go
+++ b/internal/lab/localfleet/fault_test.go
@@ -87,10 +87,10 @@
 	return index
 }
 
-// fault is a fault to apply to a running fleet. act may return before the fault ends.
+// fault is a fault to apply to a running fleet. inject may return before the fault ends.
 type fault struct {
-	name string
-	act  func(r *faultRun)
+	name   string
+	inject func(r *faultRun)
 }
 
 func faults() []fault {
@@ -123,7 +123,7 @@
 		{"trainer restarted", func(r *faultRun) {
 			r.must(r.Trainers()[0].Inject(standin.Fault{Kind: standin.FaultCrash, DurationMs: secondMs / 2}))
 		}},
-		// Guards against a duplicate request that gets a batch beyond the staleness bound
+		// Guards against a duplicate request that receives a batch beyond the staleness bound
 		// after the trainer has published.
 		{"trainer repeats a pending and an acknowledged request", func(r *faultRun) {
 			r.must(r.Trainers()[0].Inject(standin.Fault{Kind: standin.FaultDuplicateRequest, Count: 2}))
@@ -174,7 +174,7 @@
 			defer func() { <-fleetSlots }()
 			run := startFaultRun(t)
 			waitSteps(t, run.ctx, run.Fleet, 2)
-			applied.act(run)
+			applied.inject(run)
 			waitSteps(t, run.ctx, run.Fleet, 3)
 			run.finish()
 		})
--- a/internal/lab/localfleet/fleet_test.go
+++ b/internal/lab/localfleet/fleet_test.go
@@ -31,11 +31,11 @@
 func waitSteps(t *testing.T, ctx context.Context, fleet *localfleet.Fleet, steps int) {
 	t.Helper()
 	for _, trainer := range fleet.Trainers() {
-		wanted := trainer.Stats().Steps + steps
-		for trainer.Stats().Steps < wanted {
+		wantSteps := trainer.Stats().Steps + steps
+		for trainer.Stats().Steps < wantSteps {
 			select {
 			case <-ctx.Done():
-				t.Fatalf("trainer %s: %+v, want %d steps", trainer.Addr(), trainer.Stats(), wanted)
+				t.Fatalf("trainer %s: %+v, want %d steps", trainer.Addr(), trainer.Stats(), wantSteps)
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
--- a/internal/lab/localfleet/members.go
+++ b/internal/lab/localfleet/members.go
@@ -99,7 +99,7 @@
 	return err
 }
 
-// KillMember stops a control member as a crash would. Its data folder is kept.
+// KillMember stops a control member as a crash would. Its data folder remains.
 func (f *Fleet) KillMember(index int) error { return f.members[index].kill() }
 
 // RestartMember starts a killed control member from its data folder.
--- a/internal/lab/localfleet/summary.go
+++ b/internal/lab/localfleet/summary.go
@@ -31,15 +31,15 @@
 	summaries := make([]TrainerSummary, len(f.plan.Trainers))
 	for index, trainer := range f.Trainers() {
 		stats := trainer.Stats()
-		ages := stalenessOf(trainer.Observations().Deliveries)
+		staleness := stalenessOf(trainer.Observations().Deliveries)
 		summaries[index] = TrainerSummary{
 			Pool:         string(f.plan.Trainers[index].Pool),
 			Steps:        stats.Steps,
 			Samples:      stats.Samples,
 			IdleShare:    stats.IdleShare(),
-			StalenessP50: quantile(ages, 0.5),
-			StalenessP99: quantile(ages, 0.99),
-			StalenessMax: quantile(ages, 1),
+			StalenessP50: quantile(staleness, 0.5),
+			StalenessP99: quantile(staleness, 0.99),
+			StalenessMax: quantile(staleness, 1),
 			Version:      port.WeightVersion(stats.Version),
 			LastError:    stats.LastError,
 		}
@@ -49,15 +49,15 @@
 
 // stalenessOf returns the staleness of all delivered samples in ascending order.
 func stalenessOf(deliveries []audit.Delivery) []port.WeightVersion {
-	var ages []port.WeightVersion
+	var staleness []port.WeightVersion
 	for _, delivery := range deliveries {
 		for _, sample := range delivery.Samples {
 			oldest := port.OldestVersion(sample.Spans)
-			ages = append(ages, delivery.Version-min(oldest, delivery.Version))
+			staleness = append(staleness, delivery.Version-min(oldest, delivery.Version))
 		}
 	}
-	slices.Sort(ages)
-	return ages
+	slices.Sort(staleness)
+	return staleness
 }
 
 // quantile returns the value below which a share of the sorted values lies.
