--- a/internal/lab/localsite/audit.go
+++ b/internal/lab/localsite/audit.go
@@ -24,18 +24,18 @@
 // audit checks what the clients read and what the replicas ran.
 func audit(records []*jobRecord, runs []run) []Violation {
 	var found []Violation
-	owners := map[string]*jobRecord{}
+	ownerOf := map[string]*jobRecord{}
 	for _, record := range records {
 		for _, item := range record.submission.Items {
-			owners[item.ID] = record
+			ownerOf[item.ID] = record
 		}
 		found = append(found, auditJob(record)...)
 	}
 	for _, ran := range runs {
-		owner := owners[strings.TrimPrefix(ran.ID, scorerID(""))]
+		owner := ownerOf[strings.TrimPrefix(ran.ID, scorerID(""))]
 		switch {
 		case owner == nil:
-			found = append(found, Violation{ran.ID, "ran, though nobody handed it in"})
+			found = append(found, Violation{ran.ID, "ran without having been submitted"})
 		case !owner.endedAt.IsZero() && ran.At.After(owner.endedAt.Add(cancelGrace)):
 			found = append(found, Violation{ran.ID, fmt.Sprintf("ran %v after the end of its job", ran.At.Sub(owner.endedAt))})
 		}
@@ -55,7 +55,7 @@
 	}
 	for _, result := range record.results {
 		if !items[result.ID] {
-			found = append(found, Violation{id, "lists " + result.ID + ", which is no item of it"})
+			found = append(found, Violation{id, "lists " + result.ID + ", which is not an item of it"})
 		}
 		if seen[result.ID] {
 			found = append(found, Violation{id, "lists " + result.ID + " twice"})
@@ -72,13 +72,13 @@
 	}
 	var found []Violation
 	if result.Text != completeText(result.ID) {
-		found = append(found, Violation{result.ID, fmt.Sprintf("text %q is not whole", result.Text)})
+		found = append(found, Violation{result.ID, fmt.Sprintf("text %q is not the complete text", result.Text)})
 	}
 	if result.Score != signatureOf(scorerID(result.ID)) {
-		found = append(found, Violation{result.ID, fmt.Sprintf("score %q is not that of its call", result.Score)})
+		found = append(found, Violation{result.ID, fmt.Sprintf("score %q is not the scorer's answer", result.Score)})
 	}
 	if len(result.Versions) == 0 {
-		found = append(found, Violation{result.ID, "names no version"})
+		found = append(found, Violation{result.ID, "lists no version"})
 	}
 	for _, version := range result.Versions {
 		if version < record.submission.MinVersion {
--- a/internal/lab/localsite/localsite_test.go
+++ b/internal/lab/localsite/localsite_test.go
@@ -74,16 +74,16 @@
 			r.results[0] = jobstate.ResultView{ID: r.results[0].ID, Errored: true}
 			return nil
 		}, ""},
-		{"truncated text", func(r *jobRecord) []run { r.results[0].Text = r.results[0].Text[:4]; return nil }, "not whole"},
+		{"truncated text", func(r *jobRecord) []run { r.results[0].Text = r.results[0].Text[:4]; return nil }, "not the complete text"},
 		{"duplicate event", func(r *jobRecord) []run {
 			r.results[0].Text += "\n" + eventData(r.results[0].ID, textEvents)
 			return nil
-		}, "not whole"},
+		}, "not the complete text"},
 		{"score of another item", func(r *jobRecord) []run { r.results[0].Score = signatureOf("x"); return nil }, "score"},
-		{"no version", func(r *jobRecord) []run { r.results[0].Versions = nil; return nil }, "names no version"},
+		{"no version", func(r *jobRecord) []run { r.results[0].Versions = nil; return nil }, "lists no version"},
 		{"old weights", func(r *jobRecord) []run { r.results[0].Versions = []uint64{2}; return nil }, "older"},
 		{"listed twice", func(r *jobRecord) []run { r.results = append(r.results, r.results[0]); return nil }, "twice"},
-		{"item of another job", func(r *jobRecord) []run { r.results[0].ID = "x"; return nil }, "no item of it"},
+		{"item of another job", func(r *jobRecord) []run { r.results[0].ID = "x"; return nil }, "not an item of it"},
 		{"changed result", func(r *jobRecord) []run {
 			changed := r.results[0]
 			changed.Score = "other"
@@ -91,7 +91,7 @@
 			return nil
 		}, "changed"},
 		{"missing result", func(r *jobRecord) []run { r.apply(jobstate.Page{}); return nil }, "changed"},
-		{"run without a job", func(*jobRecord) []run { return []run{{ID: "x", At: now}} }, "nobody"},
+		{"run without a job", func(*jobRecord) []run { return []run{{ID: "x", At: now}} }, "without having been submitted"},
 		{"run after the end", func(r *jobRecord) []run {
 			r.endedAt = now
 			return []run{{ID: scorerID(r.results[0].ID), At: now.Add(cancelGrace + time.Second)}}
--- a/internal/lab/localsite/replica.go
+++ b/internal/lab/localsite/replica.go
@@ -163,8 +163,8 @@
 }
 
 // generate streams the text of an item, starting after the last event that the caller
-// has received.
-func (r *replica) generate(w http.ResponseWriter, request *http.Request, id string, breaks bool) {
+// has received. If cutOff is set, it aborts the response halfway.
+func (r *replica) generate(w http.ResponseWriter, request *http.Request, id string, cutOff bool) {
 	last, _ := strconv.Atoi(request.Header.Get(headerEvent))
 	r.mutex.Lock()
 	version := r.version
@@ -176,7 +176,7 @@
 		if !sleep(request.Context(), eventPause) {
 			return
 		}
-		if breaks && event > (last+textEvents)/2 {
+		if cutOff && event > (last+textEvents)/2 {
 			panic(http.ErrAbortHandler)
 		}
 		r.mutex.Lock()
--- a/internal/lab/localsite/trainer.go
+++ b/internal/lab/localsite/trainer.go
@@ -140,7 +140,7 @@
 				Job: record.submission.ID, WaitMillis: readPause.Milliseconds(), MaxBytes: pageBytes,
 			})
 			if err == nil && !found {
-				record.addFault("an accepted job is not known")
+				record.addFault("an accepted job was not found")
 			}
 			page = read
 			return err
@@ -178,7 +178,7 @@
 func (r *jobRecord) apply(page jobstate.Page) {
 	for i, previous := range r.results {
 		if i >= len(page.Results) || !sameResult(previous, page.Results[i]) {
-			r.addFault("position %d held %+v and changed", i, previous)
+			r.addFault("the result at position %d was %+v and has changed", i, previous)
 			return
 		}
 	}
