--- a/internal/lab/experiment/bars.go
+++ b/internal/lab/experiment/bars.go
@@ -20,8 +20,8 @@
 // opponent did not run or lacks the figure.
 func (s *Settings) evaluateBar(bar Bar, point Point) (ThresholdResult, bool) {
 	variant, ran := point.VariantNamed(bar.Variant)
-	summary, known := variant.SummaryNamed(bar.Figure)
-	if !ran || !known {
+	summary, hasFigure := variant.SummaryNamed(bar.Figure)
+	if !ran || !hasFigure {
 		return ThresholdResult{}, false
 	}
 	result := ThresholdResult{Bar: bar, Measured: summary.Mean, Opponent: string(AgainstLimit)}
@@ -66,8 +66,8 @@
 	found := false
 	for _, result := range point.Variants {
 		variant, _ := s.variant(result.Name)
-		summary, known := result.SummaryNamed(figure)
-		if !variant.Baseline() || !known {
+		summary, hasFigure := result.SummaryNamed(figure)
+		if !variant.Baseline() || !hasFigure {
 			continue
 		}
 		if !found || summary.Mean < lowest.Mean {
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -49,7 +49,7 @@
 func (s *Settings) check() []*settings.Error {
 	var c checker
 	c.name("name", s.Name)
-	if _, known := siteNamed(s.Site); !known {
+	if _, found := siteNamed(s.Site); !found {
 		c.addError("site", s.Site, siteInkwell+" or "+siteMarea)
 	}
 	c.duration("length", s.Length, minLength, maxLength)
@@ -82,21 +82,21 @@
 		}
 		seen[variant.Name] = true
 		if !slices.Contains(routings, variant.Routing) {
-			c.addError(key+".routing", string(variant.Routing), list(routings))
+			c.addError(key+".routing", string(variant.Routing), joinValues(routings))
 		}
-		c.without(key+".without", variant)
+		c.disabledParts(key+".without", variant)
 		if variant.ImportKV && variant.Baseline() {
 			c.addError(key+".import_kv", "true", "false, unless routing is "+string(sim.RoutingLoomgrade))
 		}
 	}
 }
 
-// without allows at most one disabled part, and only for loomgrade's routing.
-func (c *checker) without(key string, variant Variant) {
+// disabledParts allows at most one disabled part, and only for loomgrade's routing.
+func (c *checker) disabledParts(key string, variant Variant) {
 	if len(variant.Without) == 0 {
 		return
 	}
-	value := list(variant.Without)
+	value := joinValues(variant.Without)
 	if variant.Baseline() {
 		c.addError(key, value, "nothing, unless routing is "+string(sim.RoutingLoomgrade))
 	}
@@ -104,15 +104,15 @@
 		c.addError(key, value, "one part, so that a difference has one cause")
 	}
 	if !slices.Contains(parts, variant.Without[0]) {
-		c.addError(key, value, list(parts))
+		c.addError(key, value, joinValues(parts))
 	}
 }
 
 // reference checks that the reference is a variant and that a variant with a disabled part
 // uses the same policy.
 func (c *checker) reference(s *Settings) {
-	reference, known := s.variant(s.Reference)
-	if !known {
+	reference, found := s.variant(s.Reference)
+	if !found {
 		c.addError("reference", s.Reference, "the name of a variant")
 		return
 	}
@@ -125,20 +125,20 @@
 }
 
 func (c *checker) sweep(key string, s *Settings, sweep Sweep) {
-	setting, known := sweepable[sweep.Setting]
-	if !known {
+	setting, found := sweepable[sweep.Setting]
+	if !found {
 		c.addError(key+".setting", sweep.Setting, strings.Join(sweepableNames(), ", "))
 	}
 	if len(sweep.Values) == 0 || len(sweep.Values) > maxSweepValues {
 		c.addError(key+".values", strconv.Itoa(len(sweep.Values))+" values", fmt.Sprintf("1 to %d values", maxSweepValues))
 	}
 	for index, value := range sweep.Values {
-		if known && setting.set(&Overrides{}, value) != nil {
+		if found && setting.set(&Overrides{}, value) != nil {
 			c.addError(fmt.Sprintf("%s.values[%d]", key, index), value, setting.allowed)
 		}
 	}
 	for index, name := range sweep.Variants {
-		if _, known := s.variant(name); !known {
+		if _, found := s.variant(name); !found {
 			c.addError(fmt.Sprintf("%s.variants[%d]", key, index), name, "the name of a variant")
 		}
 	}
@@ -149,7 +149,7 @@
 	if !slices.Contains(barFigures, bar.Figure) {
 		c.addError(key+".figure", bar.Figure, strings.Join(barFigures, ", "))
 	}
-	if _, known := s.variant(bar.Variant); !known {
+	if _, found := s.variant(bar.Variant); !found {
 		c.addError(key+".variant", bar.Variant, "the name of a variant")
 	}
 	switch bar.Against {
@@ -200,8 +200,8 @@
 	}
 }
 
-// list joins values for a message.
-func list[T ~string](values []T) string {
+// joinValues joins values for an error message.
+func joinValues[T ~string](values []T) string {
 	texts := make([]string, 0, len(values))
 	for _, value := range values {
 		texts = append(texts, string(value))
--- a/internal/lab/experiment/checkoverrides.go
+++ b/internal/lab/experiment/checkoverrides.go
@@ -57,8 +57,8 @@
 // mergedSite checks the site with the overrides applied. It reports nothing if other
 // errors were found.
 func (c *checker) mergedSite(siteName string, o Overrides) {
-	site, known := siteNamed(siteName)
-	if !known || len(c.errors) > 0 {
+	site, found := siteNamed(siteName)
+	if !found || len(c.errors) > 0 {
 		return
 	}
 	for _, trainer := range o.apply(site).Trainers {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -56,7 +56,7 @@
 		Format:   resultsFormat,
 		Version:  programVersion(),
 		Settings: *plan.Settings,
-		Given:    plan.Settings.givenValues(),
+		Given:    plan.Settings.unsweptValues(),
 		Points:   points,
 	}, nil
 }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -15,8 +15,8 @@
 	name    string
 	allowed string
 	set     func(overrides *Overrides, value string) error
-	// given returns the value that a site has.
-	given func(site sim.Site) string
+	// siteValue returns the value that a site has without the override.
+	siteValue func(site sim.Site) string
 }
 
 // errOutOfRange is returned for a swept value that is not allowed.
@@ -64,7 +64,7 @@
 }
 
 func sweptTime(
-	name string, maxTime time.Duration, field func(*Overrides) *settings.Duration, given func(sim.Site) time.Duration,
+	name string, maxTime time.Duration, field func(*Overrides) *settings.Duration, siteValue func(sim.Site) time.Duration,
 ) sweepSetting {
 	set := func(overrides *Overrides, value string) error {
 		parsed, err := time.ParseDuration(value)
@@ -78,14 +78,14 @@
 		return nil
 	}
 	return sweepSetting{
-		name:    name,
-		allowed: minEngineTime.String() + " to " + maxTime.String() + ", with a unit",
-		set:     set,
-		given:   func(site sim.Site) string { return given(site).String() },
+		name:      name,
+		allowed:   minEngineTime.String() + " to " + maxTime.String() + ", with a unit",
+		set:       set,
+		siteValue: func(site sim.Site) string { return siteValue(site).String() },
 	}
 }
 
-func sweptNumber(name string, maxNumber int, field func(*Overrides) *int, given func(sim.Site) int) sweepSetting {
+func sweptNumber(name string, maxNumber int, field func(*Overrides) *int, siteValue func(sim.Site) int) sweepSetting {
 	set := func(overrides *Overrides, value string) error {
 		parsed, err := strconv.Atoi(value)
 		if err != nil {
@@ -98,20 +98,20 @@
 		return nil
 	}
 	return sweepSetting{
-		name:    name,
-		allowed: "1 to " + strconv.Itoa(maxNumber),
-		set:     set,
-		given:   func(site sim.Site) string { return strconv.Itoa(given(site)) },
+		name:      name,
+		allowed:   "1 to " + strconv.Itoa(maxNumber),
+		set:       set,
+		siteValue: func(site sim.Site) string { return strconv.Itoa(siteValue(site)) },
 	}
 }
 
-// givenValues returns the value of each sweep's setting without the sweep.
-func (s *Settings) givenValues() []string {
+// unsweptValues returns the value of each sweep's setting without the sweep.
+func (s *Settings) unsweptValues() []string {
 	named, _ := siteNamed(s.Site)
 	site := s.Overrides.apply(named)
 	var values []string
 	for _, sweep := range s.Sweeps {
-		values = append(values, sweepable[sweep.Setting].given(site))
+		values = append(values, sweepable[sweep.Setting].siteValue(site))
 	}
 	return values
 }
