--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -26,7 +26,7 @@
 
 // Compare compares all figures that two results share, by point and variant, except those
 // with NeitherIsBetter. It uses paired differences if the results share at least two
-// seeds, and Welch's interval otherwise. A figure is better or worse only if the whole
+// seeds, and Welch's interval otherwise. A figure is better or worse only if the entire
 // interval is on one side of 0.
 func Compare(before, after *Results, confidence float64) []Change {
 	var changes []Change
@@ -44,9 +44,9 @@
 				if summary.Better == NeitherIsBetter {
 					continue
 				}
-				change, known := compareFigure(summary, variant, otherVariant, confidence)
+				change, compared := compareFigure(summary, variant, otherVariant, confidence)
 				change.Point = point.Name()
-				if known {
+				if compared {
 					changes = append(changes, change)
 				}
 			}
@@ -55,9 +55,9 @@
 	return changes
 }
 
-func matchingPoint(results *Results, wanted Point) (Point, bool) {
+func matchingPoint(results *Results, target Point) (Point, bool) {
 	for _, point := range results.Points {
-		if point.Setting == wanted.Setting && point.Value == wanted.Value {
+		if point.Setting == target.Setting && point.Value == target.Value {
 			return point, true
 		}
 	}
@@ -65,8 +65,8 @@
 }
 
 func compareFigure(summary Summary, before, after VariantResult, confidence float64) (Change, bool) {
-	other, known := after.SummaryNamed(summary.Name)
-	if !known {
+	other, found := after.SummaryNamed(summary.Name)
+	if !found {
 		return Change{}, false
 	}
 	change := Change{
--- a/internal/lab/experiment/compare_test.go
+++ b/internal/lab/experiment/compare_test.go
@@ -70,7 +70,7 @@
 	results := runFake(t, validFile, fakeSimulate, 4)
 	variant, _ := results.Base().VariantNamed("loomgrade")
 	// The seeds give 101, 102 and 103 tokens per sample.
-	if summary, known := variant.SummaryNamed(experiment.FigureTokensPerSample); !known || !near(summary.Mean, 102) {
+	if summary, found := variant.SummaryNamed(experiment.FigureTokensPerSample); !found || !near(summary.Mean, 102) {
 		t.Errorf("tokens per sample: %+v, want 102", summary)
 	}
 	for _, change := range experiment.Compare(results, results, 0.95) {
--- a/internal/lab/experiment/figures.go
+++ b/internal/lab/experiment/figures.go
@@ -97,8 +97,8 @@
 
 // quantile adds a quantile of a distribution, unless it is empty.
 func (l *figureList) quantile(name, unit string, distribution Distribution, share float64) *Figure {
-	value, known := distribution.At(share)
-	if !known {
+	value, found := distribution.At(share)
+	if !found {
 		return &Figure{}
 	}
 	return l.add(name, unit, LowerIsBetter, value)
--- a/internal/lab/experiment/limits_test.go
+++ b/internal/lab/experiment/limits_test.go
@@ -36,8 +36,8 @@
 	base := runFake(t, validFile, fakeSimulate, 4).Base()
 	variant, _ := base.VariantNamed("loomgrade")
 	for figure, limit := range want {
-		summary, known := variant.SummaryNamed(figure)
-		if !known || summary.Limit == nil || !near(*summary.Limit, limit) {
+		summary, found := variant.SummaryNamed(figure)
+		if !found || summary.Limit == nil || !near(*summary.Limit, limit) {
 			t.Errorf("%s: %+v, want limit %v", figure, summary, limit)
 		}
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -186,8 +186,8 @@
 
 // programVersion returns the VCS revision of the build, or else the module's version.
 func programVersion() string {
-	info, known := debug.ReadBuildInfo()
-	if !known {
+	info, found := debug.ReadBuildInfo()
+	if !found {
 		return "unknown"
 	}
 	for _, setting := range info.Settings {
--- a/internal/lab/experiment/run_test.go
+++ b/internal/lab/experiment/run_test.go
@@ -89,8 +89,8 @@
 func TestSummaryHasLimitAndReference(t *testing.T) {
 	base := runFake(t, validFile, fakeSimulate, 4).Base()
 	variant, _ := base.VariantNamed("round-robin")
-	summary, known := variant.SummaryNamed(experiment.FigureIdleShare)
-	if !known || summary.Limit == nil || summary.Ratio == nil || summary.Difference == nil {
+	summary, found := variant.SummaryNamed(experiment.FigureIdleShare)
+	if !found || summary.Limit == nil || summary.Ratio == nil || summary.Difference == nil {
 		t.Fatalf("incomplete summary %+v", summary)
 	}
 	if !near(*summary.Ratio, summary.Mean/0.1) {
--- a/internal/lab/experiment/statistics.go
+++ b/internal/lab/experiment/statistics.go
@@ -23,7 +23,7 @@
 // High returns the upper end of the interval.
 func (e Estimate) High() float64 { return e.Mean + e.Half }
 
-// ExcludesZero reports whether the whole interval is on one side of 0.
+// ExcludesZero reports whether the entire interval is on one side of 0.
 func (e Estimate) ExcludesZero() bool { return e.Known && (e.Low() > 0 || e.High() < 0) }
 
 // EstimateMean returns the mean of values and its two-sided confidence interval,
--- a/internal/lab/experiment/statistics_test.go
+++ b/internal/lab/experiment/statistics_test.go
@@ -56,5 +56,5 @@
 	}
 }
 
-// near compares with the precision of printed tables.
+// near reports whether two values agree to the precision of printed tables.
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-3*max(1, math.Abs(want)) }
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -16,7 +16,7 @@
 		}
 		variant.Distributions = merged
 	}
-	if reference, known := point.VariantNamed(s.Reference); known {
+	if reference, found := point.VariantNamed(s.Reference); found {
 		for index := range point.Variants {
 			addDifferences(&point.Variants[index], reference, s.Confidence)
 		}
@@ -69,8 +69,8 @@
 // valuesOf returns a figure's values and limits, in the order of runs.
 func valuesOf(runs []RunResult, name string) (values, limits []float64) {
 	for _, run := range runs {
-		figure, known := figureNamed(run.Figures, name)
-		if !known {
+		figure, found := figureNamed(run.Figures, name)
+		if !found {
 			continue
 		}
 		values = append(values, figure.Value)
@@ -89,9 +89,9 @@
 			if other.Seed != run.Seed {
 				continue
 			}
-			figure, known := figureNamed(run.Figures, name)
-			otherFigure, otherKnown := figureNamed(other.Figures, name)
-			if known && otherKnown {
+			figure, found := figureNamed(run.Figures, name)
+			otherFigure, otherFound := figureNamed(other.Figures, name)
+			if found && otherFound {
 				firstValues = append(firstValues, figure.Value)
 				secondValues = append(secondValues, otherFigure.Value)
 			}
