--- a/internal/adapter/httpapi/application.go
+++ b/internal/adapter/httpapi/application.go
@@ -76,7 +76,7 @@
 		Tenant:   from.tenant,
 		Method:   request.Method,
 		Path:     path,
-		Header:   headerFields(request.Header, from.known),
+		Header:   headerFields(request.Header, from.authenticated),
 		Body:     body,
 		Priority: options.priority,
 		Safe:     options.safe,
--- a/internal/adapter/httpapi/authorize.go
+++ b/internal/adapter/httpapi/authorize.go
@@ -30,8 +30,8 @@
 type caller struct {
 	tenant   port.TenantName
 	operator bool
-	// known reports whether the token belongs to a tenant or the operator.
-	known bool
+	// authenticated reports whether the token belongs to a tenant or the operator.
+	authenticated bool
 }
 
 // authorize identifies the caller. If tenants are configured, the token of a tenant
@@ -39,7 +39,7 @@
 func (s *Server) authorize(request *http.Request) (caller, *port.Error) {
 	token := bearerDigest(request)
 	if s.operator.Equal(token) {
-		return caller{operator: true, known: true}, nil
+		return caller{operator: true, authenticated: true}, nil
 	}
 	tenants := s.tenants()
 	if len(tenants) == 0 {
@@ -48,10 +48,10 @@
 	var found caller
 	for _, tenant := range tenants {
 		if token.Equal(apikey.FromHex(tenant.TokenSHA256)) {
-			found = caller{tenant: tenant.Name, known: true}
+			found = caller{tenant: tenant.Name, authenticated: true}
 		}
 	}
-	if !found.known {
+	if !found.authenticated {
 		return caller{}, unauthorized("missing or wrong token")
 	}
 	return found, nil
--- a/internal/adapter/httpapi/backend.go
+++ b/internal/adapter/httpapi/backend.go
@@ -96,7 +96,7 @@
 	// a stopping server waits as long. Default 2s, in whole seconds.
 	KeepAlive time.Duration
 	// CancelGrace is how long a request whose deadline has passed or whose caller has
-	// gone waits for the Backend's own verdict; default 100ms.
+	// disconnected waits for the Backend's own verdict; default 100ms.
 	CancelGrace time.Duration
 	// DrainDelay is how long a stopping server rejects requests with
 	// "Connection: close" before it closes idle connections; default 250ms.
--- a/internal/adapter/httpapi/bounds_test.go
+++ b/internal/adapter/httpapi/bounds_test.go
@@ -37,8 +37,8 @@
 		},
 	}
 	cases := map[string]string{
-		"whole answer": "GET /app/p/x HTTP/1.1\r\nHost: x\r\n\r\n",
-		"stream":       "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 27\r\n\r\n" + `{"model":"m","stream":true}`,
+		"buffered response": "GET /app/p/x HTTP/1.1\r\nHost: x\r\n\r\n",
+		"stream":            "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 27\r\n\r\n" + `{"model":"m","stream":true}`,
 	}
 	for name, sent := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/adapter/httpapi/completion.go
+++ b/internal/adapter/httpapi/completion.go
@@ -45,10 +45,10 @@
 	})
 	failure = answer.end(failure)
 	recordEnd(failure)
-	if failure != nil && !answer.broken() {
+	if failure != nil && !answer.incomplete() {
 		s.fail(writer, failure)
 	}
-	if answer.broken() {
+	if answer.incomplete() {
 		// Aborts the connection, so that clients that ignore error events see that
 		// the stream is incomplete.
 		panic(http.ErrAbortHandler)
--- a/internal/adapter/httpapi/completion_test.go
+++ b/internal/adapter/httpapi/completion_test.go
@@ -65,17 +65,17 @@
 // TestIncompleteCompletionReportsError covers completions that end without their
 // last chunk.
 func TestIncompleteCompletionReportsError(t *testing.T) {
-	broke := port.NewError(port.MayHaveRun, port.CodeBackEnd, "cut")
+	backEndFailure := port.NewError(port.MayHaveRun, port.CodeBackEnd, "cut")
 	cases := []struct {
 		name   string
 		chunks []port.GenerateChunk
 		err    error
 		code   port.Code
 	}{
-		{"error before the first chunk", nil, broke, port.CodeBackEnd},
-		{"error after a chunk", []port.GenerateChunk{{Text: "a", Tokens: 1}}, broke, port.CodeBackEnd},
+		{"error before the first chunk", nil, backEndFailure, port.CodeBackEnd},
+		{"error after a chunk", []port.GenerateChunk{{Text: "a", Tokens: 1}}, backEndFailure, port.CodeBackEnd},
 		{"no last chunk", []port.GenerateChunk{{Text: "a", Tokens: 1}}, nil, port.CodeInternal},
-		{"nothing at all", nil, nil, port.CodeInternal},
+		{"no chunk and no error", nil, nil, port.CodeInternal},
 	}
 	for _, test := range cases {
 		backend := &fakeBackend{generate: func(_ context.Context, _ port.GenerateRequest, receive func(port.GenerateChunk) error) error {
@@ -87,7 +87,7 @@
 			return test.err
 		}}
 		_, address := newServer(t, backend, httpapi.Limits{})
-		t.Run(test.name+", whole", func(t *testing.T) {
+		t.Run(test.name+", buffered", func(t *testing.T) {
 			got := send(t, address, "POST", "/v1/completions", `{"model":"lm"}`)
 			expectRefusal(t, got, map[port.Code]int{port.CodeBackEnd: 502, port.CodeInternal: 500}[test.code], test.code, port.MayHaveRun)
 		})
--- a/internal/adapter/httpapi/completionanswer.go
+++ b/internal/adapter/httpapi/completionanswer.go
@@ -102,8 +102,8 @@
 	return failure
 }
 
-// broken reports whether a started response could not be completed.
-func (a *completionAnswer) broken() bool {
+// incomplete reports whether a started response could not be completed.
+func (a *completionAnswer) incomplete() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.failed
--- a/internal/adapter/httpapi/httpapi_test.go
+++ b/internal/adapter/httpapi/httpapi_test.go
@@ -78,7 +78,7 @@
 	}
 	for name, want := range map[string]string{"X-Back-End": "b1", api.HeaderRequestID: "r-n1-1", api.HeaderUnconfirmed: "true", "Content-Type": ""} {
 		if got.header.Get(name) != want {
-			t.Errorf("answer's %s = %q, want %q", name, got.header.Get(name), want)
+			t.Errorf("response header %s = %q, want %q", name, got.header.Get(name), want)
 		}
 	}
 	if seen.ID != "r-n1-1" || seen.Pool != "page-api" || seen.Priority != 7 || seen.Key != "k1" || !seen.Safe || seen.Deadline.IsZero() {
@@ -338,7 +338,7 @@
 				t.Fatalf("the connection was not closed cleanly: %v", err)
 			}
 			if test.status != 0 && !strings.HasPrefix(string(answer), fmt.Sprintf("HTTP/1.1 %d ", test.status)) {
-				t.Errorf("answer %q, want status %d", answer, test.status)
+				t.Errorf("response %q, want status %d", answer, test.status)
 			}
 		})
 	}
@@ -361,7 +361,7 @@
 	_, _ = io.WriteString(connection, "GET /app/p/x HTTP/1.1\r\nHost: x\r\nX-Long: "+strings.Repeat("x", 64<<10)+"\r\n\r\n")
 	answer, _ := io.ReadAll(connection)
 	if len(reached) > 0 || len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 431 ") {
-		t.Errorf("reached the backend %d times, answer %q", len(reached), answer)
+		t.Errorf("reached the backend %d times, response %q", len(reached), answer)
 	}
 }
 
@@ -419,7 +419,7 @@
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Shutdown(t.Context()) }()
-	// Gives a server that wrongly closes idle connections time to do so.
+	// Allows time for a server to close idle connections by mistake.
 	time.Sleep(50 * time.Millisecond)
 	if answer, err := call(); err != nil || !answer.Close {
 		t.Errorf("%v, %v", answer, err)
