--- a/internal/adapter/operatorapi/bounds_test.go
+++ b/internal/adapter/operatorapi/bounds_test.go
@@ -66,7 +66,7 @@
 			_, _ = io.WriteString(connection, sent)
 			answer, err := io.ReadAll(connection)
 			if err != nil && !errors.Is(err, syscall.ECONNRESET) || strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
-				t.Errorf("answer %q, %v: the client was not cut off", answer, err)
+				t.Errorf("response %q, %v: the client was not cut off", answer, err)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 	connection := dial(t, serve(t, Limits{}))
 	_, _ = io.WriteString(connection, "GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: "+strings.Repeat("x", 4*MaxHeaderBytes)+"\r\n\r\n")
 	if answer, _ := io.ReadAll(connection); len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 431 ") {
-		t.Errorf("answer %q", answer)
+		t.Errorf("response %q", answer)
 	}
 }
 
@@ -110,7 +110,6 @@
 	}
 }
 
-// TestGracefulStopReturnsNoError covers the graceful stop.
 func TestGracefulStopReturnsNoError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/adapter/operatorapi/client.go
+++ b/internal/adapter/operatorapi/client.go
@@ -32,7 +32,7 @@
 	clientBackoffMax     = 2 * time.Second
 )
 
-// ErrNoServers means that a client was given no addresses.
+// ErrNoServers is returned by NewClient if the list of addresses is empty.
 var ErrNoServers = errors.New("no operator addresses of control members")
 
 // Client calls the operator API of any control member. If a member cannot serve a call
--- a/internal/adapter/operatorapi/config.go
+++ b/internal/adapter/operatorapi/config.go
@@ -168,7 +168,7 @@
 	}
 	for _, node := range view.Nodes {
 		line := NodeConfig{Node: node.ID, Zone: node.Zone, State: StateSilent, ReportAgeMillis: -1}
-		if report, known := byNode[node.ID]; known {
+		if report, reported := byNode[node.ID]; reported {
 			line.Revision, line.Since = report.Report.Revision, report.RevisionSince
 			line.ReportAgeMillis = report.AgeMillis
 			line.State = nodeState(report, view.Revision)
--- a/internal/adapter/operatorapi/operatorapi_test.go
+++ b/internal/adapter/operatorapi/operatorapi_test.go
@@ -137,7 +137,7 @@
 func TestContract(t *testing.T) {
 	machineList := "http://127.0.0.1:8000"
 	edits := []port.Edit{{MachineList: &machineList}}
-	good := marshalChange(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: edits})
+	validChange := marshalChange(t, ConfigChange{ExpectedRevision: revision(1), ChangeID: changeID(2), Edits: edits})
 	drain := `{"expected_revision":1,"change_id":"` + changeID(3) + `"}`
 	unavailable := port.NewError(port.NotRun, port.CodeUnavailable, "no leader")
 	unavailable.RetryAfter = time.Second
@@ -156,7 +156,7 @@
 		{name: "not ready without a quorum", method: "GET", path: "/readyz", token: "none", failure: unavailable, status: 503},
 		{name: "configuration", method: "GET", path: PathConfig, status: 200, contains: []string{`"revision":1`, `"page-api"`}},
 		{name: "no leader", method: "GET", path: PathConfig, failure: unavailable, status: 503, contains: []string{`"retry_after_ms":1000`}},
-		{name: "change", method: "PUT", path: PathConfig, body: good, status: 200, contains: []string{`"revision":2`}},
+		{name: "change", method: "PUT", path: PathConfig, body: validChange, status: 200, contains: []string{`"revision":2`}},
 		{name: "conflict includes the current configuration", method: "PUT", path: PathConfig, status: 409,
 			body:     marshalChange(t, ConfigChange{ExpectedRevision: revision(0), ChangeID: changeID(2), Edits: edits}),
 			contains: []string{`"conflict"`, `"current":{"revision":1`, `"page-api"`}},
@@ -171,8 +171,8 @@
 			contains: []string{`"field":"pools[x].kind"`, `"value":"odd"`, `"allowed":"generation or application"`}},
 		{name: "unknown field", method: "PUT", path: PathConfig, body: `{"expectedRevision":1}`, status: 400, contains: []string{"expectedRevision"}},
 		{name: "wrong type", method: "PUT", path: PathConfig, body: `{"expected_revision":"one"}`, status: 400, contains: []string{`"field":"expected_revision"`}},
-		{name: "cut off body", method: "PUT", path: PathConfig, body: good[:len(good)/2], status: 400},
-		{name: "two bodies", method: "PUT", path: PathConfig, body: good + good, status: 400},
+		{name: "cut off body", method: "PUT", path: PathConfig, body: validChange[:len(validChange)/2], status: 400},
+		{name: "two bodies", method: "PUT", path: PathConfig, body: validChange + validChange, status: 400},
 		{name: "oversize body", method: "PUT", path: PathConfig, body: `{"note":"` + strings.Repeat("x", MaxBodyBytes) + `"}`, status: 413},
 		{name: "history", method: "GET", path: PathConfigHistory, status: 200, contains: []string{`"revision":1`, `"edits":2`}},
 		{name: "pools", method: "GET", path: PathPools, status: 200, contains: []string{`"replicas":1`}},
--- a/internal/adapter/operatorapi/silent_test.go
+++ b/internal/adapter/operatorapi/silent_test.go
@@ -14,15 +14,15 @@
 // TestClientSkipsUnresponsiveMember covers a member that accepts connections but never
 // answers.
 func TestClientSkipsUnresponsiveMember(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer unresponsive.Close()
 	var connections atomic.Int64
 	go func() {
 		for {
-			connection, err := silent.Accept()
+			connection, err := unresponsive.Accept()
 			if err != nil {
 				return
 			}
@@ -30,11 +30,11 @@
 			connections.Add(1)
 		}
 	}()
-	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	responsive := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"revision":7}`))
 	}))
-	defer good.Close()
-	client, err := NewClient([]string{silent.Addr().String(), strings.TrimPrefix(good.URL, "http://")}, "token")
+	defer responsive.Close()
+	client, err := NewClient([]string{unresponsive.Addr().String(), strings.TrimPrefix(responsive.URL, "http://")}, "token")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,6 +46,6 @@
 		}
 	}
 	if tried := connections.Load(); tried != 1 {
-		t.Errorf("the silent member was tried %d times in three calls", tried)
+		t.Errorf("the unresponsive member was tried %d times in three calls", tried)
 	}
 }
