--- a/internal/adapter/engineclient/client.go
+++ b/internal/adapter/engineclient/client.go
@@ -155,8 +155,8 @@
 	if stream.receiveErr != nil {
 		return stream.receiveErr
 	}
-	var known *port.Error
-	if errors.As(err, &known) {
+	var callErr *port.Error
+	if errors.As(err, &callErr) {
 		return err
 	}
 	return httpcall.Failure(ctx, port.MayHaveRun, err, "read completion")
--- a/internal/adapter/engineclient/doc.go
+++ b/internal/adapter/engineclient/doc.go
@@ -4,5 +4,5 @@
 //
 // A completion is either complete or fails. The client withholds the last chunk until it
 // has read the end marker and the token counts match, so that a truncated, reordered or
-// mixed-up stream never looks like a short completion.
+// mixed-up stream is never delivered as a short completion.
 package engineclient
--- a/internal/adapter/engineclient/events_test.go
+++ b/internal/adapter/engineclient/events_test.go
@@ -59,10 +59,10 @@
 	f.Add([]byte("id: 1\ndata: {\"id\":\"r\"}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("event: error\r\ndata\r\n\r\n:\n\n"))
 	f.Fuzz(func(t *testing.T, source []byte) {
-		atOnce, errAtOnce := readAllEvents(newEventReader(bytes.NewReader(source), testEventBytes))
+		unsplit, errUnsplit := readAllEvents(newEventReader(bytes.NewReader(source), testEventBytes))
 		split, errSplit := readAllEvents(newEventReader(iotest.OneByteReader(bytes.NewReader(source)), testEventBytes))
-		if fmt.Sprint(atOnce) != fmt.Sprint(split) || !errors.Is(errAtOnce, errSplit) {
-			t.Fatalf("at once: %q, %v; split: %q, %v", atOnce, errAtOnce, split, errSplit)
+		if fmt.Sprint(unsplit) != fmt.Sprint(split) || !errors.Is(errUnsplit, errSplit) {
+			t.Fatalf("unsplit: %q, %v; split: %q, %v", unsplit, errUnsplit, split, errSplit)
 		}
 		reader := newEventReader(bytes.NewReader(source), testEventBytes)
 		for {
--- a/internal/adapter/engineclient/standin_test.go
+++ b/internal/adapter/engineclient/standin_test.go
@@ -126,7 +126,7 @@
 	for _, step := range steps {
 		report, err := client.Order(t.Context(), step.order)
 		if step.code != "" {
-			if known := port.AsError(err); known == nil || known.Code != step.code || known.Verdict != port.NotRun {
+			if failure := port.AsError(err); failure == nil || failure.Code != step.code || failure.Verdict != port.NotRun {
 				t.Errorf("%s: %v, want %s and not run", step.name, err, step.code)
 			}
 			continue
