--- a/internal/adapter/controlclient/client.go
+++ b/internal/adapter/controlclient/client.go
@@ -137,8 +137,7 @@
 	return c.members[number%int64(len(c.members))], number
 }
 
-// failOver selects the next member, unless another caller has already moved on from this
-// one.
+// failOver selects the next member, unless another call has already replaced the current one.
 func (c *Client) failOver(from int64) {
 	if !c.current.CompareAndSwap(from, from+1) {
 		return
--- a/internal/adapter/controlclient/client_test.go
+++ b/internal/adapter/controlclient/client_test.go
@@ -264,7 +264,7 @@
 	}
 }
 
-// TestWatchFailsOver covers members that a watch must leave.
+// TestWatchFailsOver covers members from which a watch must fail over.
 func TestWatchFailsOver(t *testing.T) {
 	unconfirmed := update(0, 0, 0)
 	unconfirmed.Confirmed = false
