--- a/internal/adapter/httpcall/client.go
+++ b/internal/adapter/httpcall/client.go
@@ -123,7 +123,7 @@
 func (c *Client) nextID() string { return "c-" + strconv.FormatUint(c.calls.Add(1), 10) }
 
 // NewRequest returns a request that net/http cannot retry by itself. HeaderDeadline carries
-// the time left until ctx's deadline, and HeaderRequestID the id, if not empty. A malformed
+// the remaining time of ctx, and HeaderRequestID the id, if not empty. A malformed
 // method or URL returns NotRun.
 func NewRequest(ctx context.Context, method, url, id string, header http.Header, body []byte) (*http.Request, error) {
 	return defaultNames.NewRequest(ctx, method, url, id, header, body)
@@ -142,8 +142,8 @@
 		request.Header.Set(n.ID, id)
 	}
 	if deadline, limited := ctx.Deadline(); limited && n.Deadline != "" {
-		left := max(1, time.Until(deadline).Milliseconds())
-		request.Header.Set(n.Deadline, strconv.FormatInt(left, 10))
+		remaining := max(1, time.Until(deadline).Milliseconds())
+		request.Header.Set(n.Deadline, strconv.FormatInt(remaining, 10))
 	}
 	setSingleUseBody(request, body)
 	return request, nil
--- a/internal/adapter/httpcall/connection.go
+++ b/internal/adapter/httpcall/connection.go
@@ -34,8 +34,8 @@
 // already be in flight.
 const idleMargin = 300 * time.Millisecond
 
-// Write counts the write before any byte is sent, so that the count errs only towards "may
-// have run".
+// Write counts the write before any byte is sent, so that a request is never
+// reported as not run after a byte was sent.
 func (c *countedConnection) Write(data []byte) (int, error) {
 	c.mutex.Lock()
 	if c.sealed || c.expired() {
