--- a/internal/adapter/httpserve/idle_test.go
+++ b/internal/adapter/httpserve/idle_test.go
@@ -100,7 +100,7 @@
 	}
 	<-server.idled
 	stopped := server.stop(t.Context())
-	// Gives a server that wrongly closes idle connections time to do so.
+	// Allows time for a server to close idle connections by mistake.
 	time.Sleep(50 * time.Millisecond)
 	if answer := sendRequest(t, connection); !answer.Close {
 		t.Error("the response does not announce that the connection closes")
--- a/internal/adapter/httpserve/listener.go
+++ b/internal/adapter/httpserve/listener.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// boundedListener limits the open connections; further ones wait in the kernel's accept
+// limitedListener limits the open connections; further ones wait in the kernel's accept
 // queue.
-type boundedListener struct {
+type limitedListener struct {
 	net.Listener
 	slots  chan struct{}
 	closed chan struct{}
@@ -16,7 +16,7 @@
 
 // BoundListener limits the open connections of a listener.
 func BoundListener(listener net.Listener, connections int) net.Listener {
-	return &boundedListener{
+	return &limitedListener{
 		Listener: listener,
 		slots:    make(chan struct{}, connections),
 		closed:   make(chan struct{}),
@@ -24,7 +24,7 @@
 }
 
 // Accept waits for a free slot and a connection.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
 	case l.slots <- struct{}{}:
 	case <-l.closed:
@@ -35,24 +35,24 @@
 		<-l.slots
 		return nil, err
 	}
-	return &boundedConnection{Conn: connection, slots: l.slots}, nil
+	return &limitedConnection{Conn: connection, slots: l.slots}, nil
 }
 
 // Close closes the listener and unblocks Accept.
-func (l *boundedListener) Close() error {
+func (l *limitedListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// boundedConnection releases its slot when closed.
-type boundedConnection struct {
+// limitedConnection releases its slot when closed.
+type limitedConnection struct {
 	net.Conn
 	slots chan struct{}
 	once  sync.Once
 }
 
 // Close closes the connection and releases its slot once.
-func (c *boundedConnection) Close() error {
+func (c *limitedConnection) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { <-c.slots })
 	return err
