--- a/internal/adapter/contracttest/faults.go
+++ b/internal/adapter/contracttest/faults.go
@@ -13,8 +13,8 @@
 
 // alterAnswer returns a fault that writes a modified response.
 func alterAnswer(change func(*answer)) fault {
-	return func(_ *faultServer, connection net.Conn, good answer) bool {
-		altered := good.clone()
+	return func(_ *faultServer, connection net.Conn, correct answer) bool {
+		altered := correct.clone()
 		change(&altered)
 		return altered.write(connection) && !altered.noLength
 	}
@@ -23,8 +23,8 @@
 // truncateAt returns a fault that writes a fraction of the response, at least one byte
 // unless the fraction is 0, and closes the connection.
 func truncateAt(fraction float64) fault {
-	return func(_ *faultServer, connection net.Conn, good answer) bool {
-		encoded := good.bytes()
+	return func(_ *faultServer, connection net.Conn, correct answer) bool {
+		encoded := correct.bytes()
 		length := int(fraction * float64(len(encoded)))
 		if fraction > 0 {
 			length = max(1, length)
@@ -35,11 +35,11 @@
 }
 
 // truncateBeforeEnd omits the last bytes of the response.
-func truncateBeforeEnd(_ *faultServer, connection net.Conn, good answer) bool {
-	encoded := good.bytes()
+func truncateBeforeEnd(_ *faultServer, connection net.Conn, correct answer) bool {
+	encoded := correct.bytes()
 	missing := 1
-	if good.chunked {
-		last := good.pieces[len(good.pieces)-1]
+	if correct.chunked {
+		last := correct.pieces[len(correct.pieces)-1]
 		missing = len(last) + len("0\r\n\r\n") + len("\r\n")
 	}
 	_, _ = connection.Write(encoded[:len(encoded)-missing])
@@ -53,8 +53,8 @@
 }
 
 // stallAfterHalf writes half of the response, then nothing until the client closes.
-func stallAfterHalf(_ *faultServer, connection net.Conn, good answer) bool {
-	encoded := good.bytes()
+func stallAfterHalf(_ *faultServer, connection net.Conn, correct answer) bool {
+	encoded := correct.bytes()
 	_, _ = connection.Write(encoded[:len(encoded)/2])
 	_, _ = connection.Read(make([]byte, 1))
 	return false
@@ -70,13 +70,13 @@
 
 // answerAfterRelease writes the response once the test releases it, even if the caller
 // has cancelled.
-func answerAfterRelease(server *faultServer, connection net.Conn, good answer) bool {
+func answerAfterRelease(server *faultServer, connection net.Conn, correct answer) bool {
 	<-server.release
-	return good.write(connection)
+	return correct.write(connection)
 }
 
 // repeatPrevious writes the response to the previous request again.
-func repeatPrevious(server *faultServer, connection net.Conn, good answer) bool {
+func repeatPrevious(server *faultServer, connection net.Conn, correct answer) bool {
 	server.mutex.Lock()
 	previous := *server.previous
 	server.mutex.Unlock()
--- a/internal/adapter/contracttest/server.go
+++ b/internal/adapter/contracttest/server.go
@@ -27,7 +27,7 @@
 }
 
 // fault handles one request incorrectly; a nil fault sends the correct response.
-type fault func(server *faultServer, connection net.Conn, good answer) (keepOpen bool)
+type fault func(server *faultServer, connection net.Conn, correct answer) (keepOpen bool)
 
 // faultServer serves raw HTTP/1.1 connections. The n-th request gets the n-th fault;
 // further requests get correct responses.
@@ -125,19 +125,19 @@
 		s.mutex.Unlock()
 		return answer{status: http.StatusNoContent, header: http.Header{}}.write(connection)
 	}
-	good := s.goodAnswer(request)
+	correct := s.correctAnswer(request)
 	s.mutex.Lock()
 	number := s.requests
 	s.requests++
 	s.mutex.Unlock()
 	s.requestRead <- struct{}{}
 	if number < len(s.faults) && s.faults[number] != nil {
-		return s.faults[number](s, connection, good)
+		return s.faults[number](s, connection, correct)
 	}
 	s.mutex.Lock()
-	s.previous = &good
+	s.previous = &correct
 	s.mutex.Unlock()
-	return good.write(connection)
+	return correct.write(connection)
 }
 
 // counts returns the numbers of requests and cancellations.
@@ -147,8 +147,8 @@
 	return s.requests, s.cancelled
 }
 
-// goodAnswer returns the response of the subject's handler.
-func (s *faultServer) goodAnswer(request *http.Request) answer {
+// correctAnswer returns the response of the subject's handler.
+func (s *faultServer) correctAnswer(request *http.Request) answer {
 	recorder := httptest.NewRecorder()
 	recorder.Header().Set(api.HeaderRequestID, request.Header.Get(api.HeaderRequestID))
 	s.handler.ServeHTTP(recorder, request)
--- a/internal/adapter/contracttest/serverside.go
+++ b/internal/adapter/contracttest/serverside.go
@@ -73,13 +73,13 @@
 			}
 		})
 	}
-	t.Run("good", func(t *testing.T) {
+	t.Run("valid request", func(t *testing.T) {
 		before := endpoint.ran()
 		if got := endpoint.send(t, endpoint.Body); got.status != http.StatusOK {
 			t.Fatalf("status %d: %s", got.status, got.body)
 		}
 		if ran := endpoint.ran() - before; endpoint.Ran != nil && ran != 1 {
-			t.Errorf("the good request took effect %d times", ran)
+			t.Errorf("the valid request took effect %d times", ran)
 		}
 	})
 }
--- a/internal/adapter/contracttest/standin.go
+++ b/internal/adapter/contracttest/standin.go
@@ -55,7 +55,7 @@
 // RunPairing runs faults of the stand-in that match those of Run, to check that adapter
 // and stand-in follow the same contract.
 func RunPairing(t *testing.T, pairing Pairing) {
-	t.Run("good", func(t *testing.T) {
+	t.Run("no fault", func(t *testing.T) {
 		call := pairing.Dial(pairing.Start(t).Addr())
 		for number := range 3 {
 			if err := call(t.Context(), number); err != nil {
@@ -113,7 +113,7 @@
 		limited, cancel := context.WithTimeout(ctx, allowed)
 		err := call(limited, 0)
 		cancel()
-		if known := port.AsError(err); known == nil || known.Verdict != port.NotRun || known.Code != port.CodeDeadline {
+		if failure := port.AsError(err); failure == nil || failure.Verdict != port.NotRun || failure.Code != port.CodeDeadline {
 			return err
 		}
 	}
--- a/internal/adapter/contracttest/table.go
+++ b/internal/adapter/contracttest/table.go
@@ -62,9 +62,9 @@
 	notRun := func(r *row) { r.verdict, r.code = port.NotRun, port.CodeQueueFull }
 	answered := func(r *row) { r.succeeds = subject.PassThrough }
 	return []row{
-		with(failed("good", nil), func(r *row) { r.succeeds = true }),
-		with(failed("late", neverAnswer), deadline),
-		with(failed("late after the first half", stallAfterHalf), deadline),
+		with(failed("no fault", nil), func(r *row) { r.succeeds = true }),
+		with(failed("no response before the deadline", neverAnswer), deadline),
+		with(failed("deadline after half of the response", stallAfterHalf), deadline),
 		with(failed("cancelled", neverAnswer), cancelled),
 		failed("cut before the first byte", truncateAt(0)),
 		failed("cut after the first byte", truncateAt(0.001)),
@@ -136,7 +136,7 @@
 			t.Fatalf("call: %v", err)
 		}
 		if row.faults[last] == nil && answer != subject.Want(last) {
-			t.Fatalf("answer %q, want %q", answer, subject.Want(last))
+			t.Fatalf("response %q, want %q", answer, subject.Want(last))
 		}
 		return
 	}
@@ -175,24 +175,24 @@
 		t.Fatalf("call %d: %v", number, err)
 	}
 	if answer != subject.Want(number) {
-		t.Fatalf("answer %q, want %q", answer, subject.Want(number))
+		t.Fatalf("response %q, want %q", answer, subject.Want(number))
 	}
 }
 
 func expectError(t *testing.T, answer string, err error, verdict port.Verdict, code port.Code) {
 	t.Helper()
-	var known *port.Error
-	if !errors.As(err, &known) {
-		t.Fatalf("answer %q, error %v; want a *port.Error", answer, err)
+	var failure *port.Error
+	if !errors.As(err, &failure) {
+		t.Fatalf("response %q, error %v; want a *port.Error", answer, err)
 	}
-	if known.Verdict != verdict {
-		t.Errorf("verdict %v, want %v: %v", known.Verdict, verdict, err)
+	if failure.Verdict != verdict {
+		t.Errorf("verdict %v, want %v: %v", failure.Verdict, verdict, err)
 	}
-	if code != "" && known.Code != code {
-		t.Errorf("code %v, want %v: %v", known.Code, code, err)
+	if code != "" && failure.Code != code {
+		t.Errorf("code %v, want %v: %v", failure.Code, code, err)
 	}
-	if code == port.CodeQueueFull && known.RetryAfter != 2*time.Second {
-		t.Errorf("retry after %v, want 2s", known.RetryAfter)
+	if code == port.CodeQueueFull && failure.RetryAfter != 2*time.Second {
+		t.Errorf("retry after %v, want 2s", failure.RetryAfter)
 	}
 }
 
--- a/internal/adapter/contracttest/weightstore_test.go
+++ b/internal/adapter/contracttest/weightstore_test.go
@@ -48,7 +48,7 @@
 		fault *standin.Fault
 		path  string
 	}{
-		{name: "good", path: "/v1/weights/lm/2"},
+		{name: "no fault", path: "/v1/weights/lm/2"},
 		{name: "cut off", path: "/v1/weights/lm/2", fault: &standin.Fault{Kind: standin.FaultCut, Count: 1}},
 		{name: "refused", path: "/v1/weights/lm/2", fault: &standin.Fault{Kind: standin.FaultRefuse, DurationMs: 100}},
 		{name: "unknown path", path: "/v1/other"},
@@ -113,7 +113,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	_, err := client.Order(t.Context(), port.Order{Kind: port.OrderActivate, Fence: 1, Version: 2})
-	if known := port.AsError(err); known == nil || known.Code != port.CodeConflict || known.Verdict != port.NotRun {
+	if failure := port.AsError(err); failure == nil || failure.Code != port.CodeConflict || failure.Verdict != port.NotRun {
 		t.Errorf("activation of a version not staged: %v, want a conflict and not run", err)
 	}
 }
