--- a/internal/adapter/services/clients.go
+++ b/internal/adapter/services/clients.go
@@ -97,8 +97,8 @@
 	return answer.Prompts, nil
 }
 
-// Machines returns the machines. A malformed or repeated entry fails the whole list, so
-// that a damaged list never looks like machines were removed.
+// Machines returns the machines. A malformed or repeated entry rejects the complete list, so
+// that a damaged list is never read as the removal of machines.
 func (m *MachineList) Machines(ctx context.Context) ([]port.Machine, error) {
 	var answer api.Machines
 	if err := m.http.JSON(ctx, http.MethodGet, m.base+api.PathMachines, "", nil, &answer, m.answerBytes); err != nil {
