--- a/internal/adapter/appclient/contract_test.go
+++ b/internal/adapter/appclient/contract_test.go
@@ -116,7 +116,7 @@
 func TestRejectsInvalidPaths(t *testing.T) {
 	for _, path := range []string{"", "x", "http://other/x", "*"} {
 		_, err := newClient(t, "127.0.0.1:1").Call(t.Context(), port.ApplicationRequest{Method: http.MethodGet, Path: path})
-		if known := port.AsError(err); known == nil || known.Code != port.CodeInvalid || known.Verdict != port.NotRun {
+		if failure := port.AsError(err); failure == nil || failure.Code != port.CodeInvalid || failure.Verdict != port.NotRun {
 			t.Errorf("path %q: %v, want invalid and not run", path, err)
 		}
 	}
