--- a/internal/adapter/settings/strict.go
+++ b/internal/adapter/settings/strict.go
@@ -82,8 +82,8 @@
 	}
 	name := pair.Key.GetToken().Value
 	key := strings.TrimPrefix(parent+"."+name, ".")
-	field, known := fieldOf(target, name)
-	if !known {
+	field, exists := fieldOf(target, name)
+	if !exists {
 		c.addError(pair.Key, &Error{Key: key, unknown: true, Allowed: strings.Join(fieldNames(target), ", ")})
 		return
 	}
