--- a/internal/adapter/eventlog/eventlog_test.go
+++ b/internal/adapter/eventlog/eventlog_test.go
@@ -52,7 +52,7 @@
 	for _, row := range rows {
 		event := strings.Trim(row[0], "`")
 		if described[event] != row[1] {
-			t.Errorf("%s: the page says %q, the catalogue %q", event, row[1], described[event])
+			t.Errorf("%s: the page has %q, the catalogue %q", event, row[1], described[event])
 		}
 	}
 }
