--- a/internal/adapter/controlclient/watch.go
+++ b/internal/adapter/controlclient/watch.go
@@ -10,7 +10,7 @@
 )
 
 // errPositionMismatch means that a delta does not start at the observer's position; the
-// watch restarts from that position.
+// watch restarts from the observer's.
 var errPositionMismatch = errors.New("update does not follow the observer's position")
 
 // observer is the state of one watch; its position never decreases.
