--- a/internal/lab/sim/fault/application.go
+++ b/internal/lab/sim/fault/application.go
@@ -22,7 +22,7 @@
 	waiting []func()
 	slow    time.Duration
 	retired bool
-	// Numbers of calls still to be mixed up, refused or failed by a fault.
+	// Numbers of upcoming calls to mix up, refuse or fail.
 	mixNext, refuseNext, failNext int
 }
 
@@ -32,7 +32,7 @@
 	incarnation int
 }
 
-// callAnswer is a back end's response with the request and call that it names.
+// callAnswer is a back end's response with the ids of the request and call that it claims to answer.
 type callAnswer struct {
 	ID       port.RequestID
 	Call     string
@@ -115,7 +115,7 @@
 	}
 }
 
-// crash aborts all calls and restarts the back end after the given time.
+// crash aborts all calls and restarts the back end after downtime.
 func (b *backEnd) crash(downtime time.Duration) {
 	if !b.up {
 		return
--- a/internal/lab/sim/fault/callers.go
+++ b/internal/lab/sim/fault/callers.go
@@ -22,7 +22,7 @@
 	abandonShare = 0.02
 )
 
-// startCallers starts the calls, which end shortly before the run does.
+// startCallers starts the callers, which stop before the run ends.
 func (w *world) startCallers() {
 	w.nextCall(pageInterval, w.callPage)
 	w.nextCall(completionInterval, w.callCompletion)
--- a/internal/lab/sim/fault/control.go
+++ b/internal/lab/sim/fault/control.go
@@ -28,7 +28,7 @@
 	reportedAt map[port.NodeID]time.Duration
 	timeouts   controlmember.NodeTimeouts
 	// downUntil is the end of an outage; loseProposals and loseAnswers count the
-	// proposals and answers still to be lost.
+	// upcoming proposals and answers to drop.
 	downUntil                  time.Duration
 	firstEpoch                 port.Epoch
 	loseProposals, loseAnswers int
@@ -54,8 +54,8 @@
 	return c.state.Apply(c.index, 1, command)
 }
 
-// mustApply applies a command of the site setup and returns its error.
-func (c *control) mustApply(command port.Command) error {
+// applyChecked applies a command and returns the error of its result.
+func (c *control) applyChecked(command port.Command) error {
 	if result := c.apply(command); result.Error != nil {
 		return result.Error
 	}
@@ -66,8 +66,8 @@
 	return registry.FormatChangeID(c.world.clock(), []byte(note))
 }
 
-// propose submits a command of a process to the log. Answered is called at most
-// once, while the process lives; an error leaves the outcome unknown.
+// propose submits a command of a process to the log. It calls answered at most
+// once, and only while the process is up; after an error the outcome is unknown.
 func (c *control) propose(from *process, command port.Command, timeout time.Duration, answered func(port.Result, *port.Error)) {
 	w := c.world
 	done := false
--- a/internal/lab/sim/fault/depart.go
+++ b/internal/lab/sim/fault/depart.go
@@ -15,8 +15,8 @@
 	idleCheckInterval = 100 * time.Millisecond
 )
 
-// depart makes a back end leave: the machine list shows it after a lag, the back end
-// runs until it is idle, and a replacement with a new address is configured.
+// depart takes an engine or back end out of service: the machine list shows it after a
+// lag, it runs until it is idle, and retire replaces it.
 func (w *world) depart(name, address string, zone port.ZoneName, idle func() bool, retire func()) (string, time.Duration) {
 	if w.departing[address] || w.partitionedZones[zone] {
 		return "", 0 // a partitioned zone receives no machine list
@@ -39,23 +39,23 @@
 	return name, 0
 }
 
-// retire stops an engine for good and configures a replacement.
+// retire permanently stops an engine and configures a replacement.
 func (e *modelEngine) retire() {
 	w := e.world
 	e.model.Crash(w.queue.Now())
 	w.kill(&e.process)
 	e.retired = true
-	made := w.addEngine()
-	w.replace(e.id, port.Edit{PutReplica: made.replica()})
+	replacement := w.addEngine()
+	w.replace(e.id, port.Edit{PutReplica: replacement.replica()})
 }
 
-// retire stops a back end for good and configures a replacement.
+// retire permanently stops a back end and configures a replacement.
 func (b *backEnd) retire() {
 	w := b.world
 	w.kill(&b.process)
 	b.retired = true
-	made := w.addBackEnd()
-	w.replace(b.id, port.Edit{PutReplica: made.replica()})
+	replacement := w.addBackEnd()
+	w.replace(b.id, port.Edit{PutReplica: replacement.replica()})
 }
 
 // replace swaps a replica in the configuration once control is available.
@@ -69,8 +69,8 @@
 	}
 }
 
-// otherWeights draws older weights for a misdirected swap.
-func (w *world) otherWeights() engine.Weights {
+// randomWeights draws the weights that a misdirected swap loads.
+func (w *world) randomWeights() engine.Weights {
 	newest := w.orderedVersion()
 	if newest <= firstVersion {
 		return engine.Weights{Version: firstVersion}
--- a/internal/lab/sim/fault/engine.go
+++ b/internal/lab/sim/fault/engine.go
@@ -38,7 +38,7 @@
 	feed     *engine.Feed
 	cacheEnd uint64
 	wakes    uint64
-	// Numbers of requests still to be affected by a fault.
+	// Numbers of upcoming requests that a fault affects.
 	mixNext, refuseNext, ignoreCancel int
 	lateUntil                         time.Duration
 	retired                           bool
@@ -110,8 +110,8 @@
 	}
 }
 
-// scheduleWakeUp schedules a wake-up at the model's next event. It must follow every
-// call of the model.
+// scheduleWakeUp schedules a wake-up at the model's next event. Callers
+// must call it after every call of the model.
 func (e *modelEngine) scheduleWakeUp() {
 	e.wakes++
 	wake := e.wakes
@@ -287,7 +287,7 @@
 	return port.CodeConflict
 }
 
-// crash aborts all requests and restarts the engine after the given time.
+// crash aborts all requests and restarts the engine after downtime.
 func (e *modelEngine) crash(downtime time.Duration) {
 	if !e.up {
 		return
--- a/internal/lab/sim/fault/generate.go
+++ b/internal/lab/sim/fault/generate.go
@@ -37,11 +37,11 @@
 type sink struct {
 	placed func(port.ReplicaID)
 	chunk  func(port.GenerateChunk)
-	// ended is called once; nil means that the completion is complete.
+	// ended is called once, with nil after success.
 	ended func(*port.Error)
 }
 
-// generate creates a completion. Its pool must be configured.
+// generate returns a generation that its attempt method starts.
 func (n *node) generate(request port.GenerateRequest, rules attempt.Rules, pool *port.Pool, to sink) *generation {
 	g := &generation{node: n, request: request, pool: pool, sink: to, deadline: rules.Deadline, loop: attempt.New(rules)}
 	n.later(rules.Deadline.Sub(n.world.clock()), g.expire)
--- a/internal/lab/sim/fault/homerun.go
+++ b/internal/lab/sim/fault/homerun.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// run streams the completion from the granted engine.
+// run streams the completion from the engine that the gate granted.
 func (r *homeRun) run() {
 	n, w := r.node, r.node.world
 	replica, configured := n.snapshot.Replicas[r.ticket.Replica]
--- a/internal/lab/sim/fault/inject.go
+++ b/internal/lab/sim/fault/inject.go
@@ -35,7 +35,7 @@
 
 func randomElement[T any](w *world, from []T) T { return from[w.random.faults.IntN(len(from))] }
 
-// recordFault records for the audit when a fault can explain failures.
+// recordFault records for the audit the period in which a fault can explain failures.
 func (w *world) recordFault(target string, kind Fault, length time.Duration) {
 	now := w.queue.Now()
 	w.observed.rest.Faults = append(w.observed.rest.Faults, audit.Fault{Target: target, Kind: string(kind), From: now, To: now + length})
@@ -92,7 +92,7 @@
 	case FaultSwapFails:
 		e.model.FailNextSwap()
 	case FaultSwapMisdirected:
-		e.model.MisdirectNextSwap(w.otherWeights())
+		e.model.MisdirectNextSwap(w.randomWeights())
 	case FaultLoadReportsLate:
 		e.lateUntil = w.queue.Now() + w.randomDuration(2*time.Second, 10*time.Second)
 	case FaultEngineLeaves:
@@ -175,7 +175,7 @@
 	return downtime
 }
 
-// killAt holds the node to kill and after how many worker actions.
+// killAt selects the node to kill and the number of worker actions until then.
 type killAt struct {
 	node  *node
 	steps int
--- a/internal/lab/sim/fault/network.go
+++ b/internal/lab/sim/fault/network.go
@@ -86,8 +86,8 @@
 	onFailure func(*port.Error)
 	// onDisconnect, set by the server, is called when the client disconnects.
 	onDisconnect func()
-	// messages counts those to the client; the connection breaks after cutAfter of
-	// them unless that is negative.
+	// messages counts the messages to the client. The connection breaks after cutAfter
+	// messages; a negative value disables this.
 	messages int
 	cutAfter int
 	lost     bool
--- a/internal/lab/sim/fault/node.go
+++ b/internal/lab/sim/fault/node.go
@@ -34,7 +34,7 @@
 	process
 	world *world
 	id    port.NodeID
-	// The rest is lost when the process dies.
+	// The fields below are lost when the process dies.
 	state            *nodestate.State
 	snapshot         *nodestate.Snapshot
 	chooser          *placement.Chooser
@@ -272,7 +272,7 @@
 	n.state.RebuildIfDue(now)
 	n.carryOut()
 	for _, id := range n.snapshot.ZoneNodes {
-		if address, known := n.snapshot.Nodes[id]; known && id != n.id {
+		if address, found := n.snapshot.Nodes[id]; found && id != n.id {
 			n.sendTo(nodestate.Envelope{To: address, Body: message})
 		}
 	}
@@ -280,8 +280,8 @@
 
 // decide returns the retry decision function of a pool.
 func (n *node) decide(pool *port.Pool) func(retry.Attempt) retry.Decision {
-	return func(made retry.Attempt) retry.Decision {
-		return retry.FromConfiguration(pool.Retry).Decide(n.world.clock(), made, n.budget(pool), n.random)
+	return func(last retry.Attempt) retry.Decision {
+		return retry.FromConfiguration(pool.Retry).Decide(n.world.clock(), last, n.budget(pool), n.random)
 	}
 }
 
@@ -301,7 +301,7 @@
 	}
 }
 
-// drain stops the process gracefully; done is called when it has stopped.
+// drain stops the process gracefully and calls done when it has stopped.
 func (n *node) drain(done func()) {
 	n.draining = true
 	n.onStopped = done
--- a/internal/lab/sim/fault/options.go
+++ b/internal/lab/sim/fault/options.go
@@ -31,13 +31,13 @@
 	SafeguardComplete Safeguard = "whole"
 	// SafeguardResume resumes a completion from the tokens already sent.
 	SafeguardResume Safeguard = "resume"
-	// SafeguardVersion takes versions from engine reports instead of orders.
+	// SafeguardVersion reads versions from engine reports instead of orders.
 	SafeguardVersion Safeguard = "version"
 	// SafeguardStaleness limits the age of committed samples.
 	SafeguardStaleness Safeguard = "staleness"
 	// SafeguardDeparture routes no requests to leaving back ends.
 	SafeguardDeparture Safeguard = "leaving"
-	// SafeguardDrain makes a planned stop wait for requests in flight.
+	// SafeguardDrain makes a graceful stop wait for requests in flight.
 	SafeguardDrain Safeguard = "drain"
 	// SafeguardSingleDelivery refuses to deliver an acknowledged batch again.
 	SafeguardSingleDelivery Safeguard = "once"
--- a/internal/lab/sim/fault/platform.go
+++ b/internal/lab/sim/fault/platform.go
@@ -37,9 +37,8 @@
 	}
 }
 
-// recordZoneDeparture records when a zone could see the departure. A partitioned zone
-// can't see it, and its nodes may use the back end when the partition ends, so the
-// time counts from then.
+// recordZoneDeparture records when a zone could see the departure. For a
+// partitioned zone, the grace period starts when the partition ends.
 func (l *machineList) recordZoneDeparture(address string, zone port.ZoneName) {
 	w := l.world
 	from := w.queue.Now()
--- a/internal/lab/sim/fault/run.go
+++ b/internal/lab/sim/fault/run.go
@@ -85,8 +85,8 @@
 	return observed
 }
 
-// promptsDone returns the lowest prompt that control doesn't count as delivered. All
-// below must have reached the trainer, except those of a batch in flight.
+// promptsDone returns the lowest prompt that may be undelivered. The trainer must have
+// received all prompts below it.
 func (w *world) promptsDone() port.PromptIndex {
 	ledger := w.control.state.Ledger(trainingPool)
 	done := ledger.PromptsBelow
--- a/internal/lab/sim/fault/site.go
+++ b/internal/lab/sim/fault/site.go
@@ -31,12 +31,12 @@
 		return err
 	}
 	publish := port.PublishWeights{Pool: trainingPool, Version: firstVersion, Bytes: weightBytes}
-	return w.control.mustApply(port.Command{PublishWeights: &publish})
+	return w.control.applyChecked(port.Command{PublishWeights: &publish})
 }
 
 // change applies a configuration change.
 func (w *world) change(note string, edits []port.Edit) error {
-	return w.control.mustApply(port.Command{
+	return w.control.applyChecked(port.Command{
 		ChangeID: w.control.changeID(note),
 		ChangeConfiguration: &port.ChangeConfiguration{
 			Expected: w.control.state.Revision(), Edits: edits,
--- a/internal/lab/sim/fault/trainer.go
+++ b/internal/lab/sim/fault/trainer.go
@@ -32,7 +32,7 @@
 	unpublished int
 	// The epoch is lost in a crash.
 	epoch port.Epoch
-	// Numbers of requests or publications still to be affected by a fault.
+	// Numbers of upcoming requests or publications that a fault affects.
 	repeatNext, previousNext, publishEarlyNext int
 	// batches counts the batches trained on.
 	batches     int
@@ -200,13 +200,13 @@
 		t.next = batch.Number + 1
 		t.batches++
 		t.lastBatchAt = w.queue.Now()
-		t.trained()
+		t.finishStep()
 	})
 }
 
-// trained publishes a version when it is due, and requests the next batch after the
+// finishStep publishes a version when it is due, and requests the next batch after the
 // publication, or, as a fault, concurrently with it.
-func (t *trainer) trained() {
+func (t *trainer) finishStep() {
 	t.unpublished++
 	if t.unpublished < publishEvery {
 		t.receive()
@@ -234,13 +234,13 @@
 	t.retryUntilDone(func(done func(bool)) {
 		publish := port.PublishWeights{Pool: trainingPool, Version: version, Bytes: weightBytes, ConsumerEpoch: t.epoch}
 		w.proposeAt(t, t.target(), port.Command{PublishWeights: &publish}, func(result port.Result, failure *port.Error) {
-			known := failure == nil && result.Error != nil && result.Error.Code == port.CodeConflict
+			alreadyPublished := failure == nil && result.Error != nil && result.Error.Code == port.CodeConflict
 			fenced := failure == nil && result.Error != nil && result.Error.Code == port.CodeFenced
 			if fenced {
 				t.register(func() { done(false) })
 				return
 			}
-			done(failure == nil && result.Error == nil || known)
+			done(failure == nil && result.Error == nil || alreadyPublished)
 		})
 	}, then)
 }
--- a/internal/lab/sim/fault/trainernode.go
+++ b/internal/lab/sim/fault/trainernode.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// requestBatch passes a batch request to the local coordinator; the returned function
-// reports that the client disconnected.
+// requestBatch passes a batch request to the local coordinator; the caller calls
+// the returned function when the client disconnects.
 func (n *node) requestBatch(number port.BatchNumber, epoch port.Epoch, reply func(*coordinator.Deliver, *port.Error)) (onDisconnect func()) {
 	w := n.workers[trainingPool]
 	w.lastToken++
--- a/internal/lab/sim/fault/worker.go
+++ b/internal/lab/sim/fault/worker.go
@@ -15,7 +15,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Timing of the workers, as at the nodes.
+// Timing of the workers.
 const (
 	workerTick       = 100 * time.Millisecond
 	leaseInterval    = 200 * time.Millisecond
@@ -253,13 +253,13 @@
 func (w *worker) pollHomes(action poolworker.PollHomes) {
 	n := w.node
 	call := nodestate.PoolStateCall{Pool: action.Pool, Fence: action.Fence, Excluded: action.Excluded}
-	known := make(map[port.ReplicaID]nodestate.ReplicaState)
+	byReplica := make(map[port.ReplicaID]nodestate.ReplicaState)
 	homes := make(map[port.NodeID]bool)
 	for _, id := range slices.Sorted(maps.Keys(n.snapshot.Replicas)) {
 		if n.snapshot.Replicas[id].Pool != action.Pool {
 			continue
 		}
-		known[id] = nodestate.ReplicaState{Replica: id}
+		byReplica[id] = nodestate.ReplicaState{Replica: id}
 		if home, found := n.snapshot.HomeOf(id); found {
 			homes[home.ID] = true
 		}
@@ -267,27 +267,27 @@
 	pending := len(homes)
 	answered := func(states []nodestate.ReplicaState) {
 		for _, state := range states {
-			if _, listed := known[state.Replica]; listed {
-				known[state.Replica] = state
+			if _, listed := byReplica[state.Replica]; listed {
+				byReplica[state.Replica] = state
 			}
 		}
 		pending--
 		if pending == 0 {
-			w.homesPolled(known)
+			w.homesPolled(byReplica)
 		}
 	}
 	if pending == 0 {
-		n.later(0, func() { w.homesPolled(known) })
+		n.later(0, func() { w.homesPolled(byReplica) })
 	}
 	for _, id := range slices.Sorted(maps.Keys(homes)) {
 		w.pollHome(n.world.node(id), call, answered)
 	}
 }
 
-func (w *worker) homesPolled(known map[port.ReplicaID]nodestate.ReplicaState) {
-	states := make([]nodestate.ReplicaState, 0, len(known))
-	for _, id := range slices.Sorted(maps.Keys(known)) {
-		states = append(states, known[id])
+func (w *worker) homesPolled(byReplica map[port.ReplicaID]nodestate.ReplicaState) {
+	states := make([]nodestate.ReplicaState, 0, len(byReplica))
+	for _, id := range slices.Sorted(maps.Keys(byReplica)) {
+		states = append(states, byReplica[id])
 	}
 	w.carryOut(w.machine.StatesPolled(w.node.world.clock(), states))
 }
@@ -354,7 +354,7 @@
 	}, func(failure *port.Error) { handle(port.LoadReport{}, failure) })
 }
 
-// serveOrder sends an order to an engine and handles its answer as a load report.
+// serveOrder sends an order to an engine and applies the load report in its answer.
 func (n *node) serveOrder(send rollout.SendOrder, handle func(port.LoadReport, *port.Error)) {
 	replica, configured := n.snapshot.Replicas[send.Replica]
 	if !configured {
