--- a/internal/lab/sim/accept.go
+++ b/internal/lab/sim/accept.go
@@ -16,7 +16,7 @@
 	aggregateInterval = time.Second
 )
 
-// zoneState is what the nodes of a zone, and other zones, know about its replicas.
+// zoneState is the state of a zone's replicas as last reported within and between zones.
 type zoneState struct {
 	name  port.ZoneName
 	nodes []*homeNode
@@ -59,29 +59,29 @@
 
 // countsOf returns the node's counts of a replica.
 func (s *chooserState) countsOf(id port.ReplicaID) *placement.Counts {
-	known := s.counts[id]
-	if known == nil {
-		known = &placement.Counts{}
-		s.counts[id] = known
+	counts := s.counts[id]
+	if counts == nil {
+		counts = &placement.Counts{}
+		s.counts[id] = counts
 	}
-	return known
+	return counts
 }
 
 // buildZones creates the zones and schedules their reports.
 func (r *homeRouter) buildZones() {
 	for _, n := range r.nodes {
-		known := r.zones[n.zone]
-		if known == nil {
-			known = &zoneState{name: n.zone}
-			r.zones[n.zone] = known
-			r.world.every(summaryInterval, 0, func() { r.summarize(known) })
-			r.world.every(aggregateInterval, 0, func() { known.updateAggregate() })
+		zone := r.zones[n.zone]
+		if zone == nil {
+			zone = &zoneState{name: n.zone}
+			r.zones[n.zone] = zone
+			r.world.every(summaryInterval, 0, func() { r.summarize(zone) })
+			r.world.every(aggregateInterval, 0, func() { zone.updateAggregate() })
 		}
-		known.nodes = append(known.nodes, n)
+		zone.nodes = append(zone.nodes, n)
 	}
 }
 
-// summarize updates the replica states that the zone's nodes know.
+// summarize updates the replica states that the zone's nodes see.
 func (r *homeRouter) summarize(zone *zoneState) {
 	zone.replicas = zone.replicas[:0]
 	zone.reported = r.world.clock()
@@ -118,7 +118,8 @@
 	}
 }
 
-// accept chooses the node and replica of an attempt as the node that accepted it.
+// accept accepts an attempt: it chooses a replica in this zone or forwards the attempt
+// to another zone.
 func (n *homeNode) accept(a *attempt) {
 	a.acceptedBy = n
 	home, preferred, free, refusal := n.local(a)
@@ -171,7 +172,7 @@
 	if a.start.Avoid != "" {
 		tried = []port.ReplicaID{a.start.Avoid}
 	}
-	position, free, refusal := state.chooser.Local(now, n.pick(a), tried, state.scratch)
+	position, free, refusal := state.chooser.Local(now, n.schedulingRequest(a), tried, state.scratch)
 	if refusal != nil {
 		return nil, "", 0, refusal
 	}
@@ -203,14 +204,14 @@
 // freePerReplica returns the free slots per replica of another zone, less the attempts
 // that this node sent there since the last aggregate.
 func (n *homeNode) freePerReplica(zone *zoneState) float64 {
-	known := n.chooserState.zoneCounts[zone.name]
-	if known == nil {
-		known = &zoneCounts{}
-		n.chooserState.zoneCounts[zone.name] = known
+	counts := n.chooserState.zoneCounts[zone.name]
+	if counts == nil {
+		counts = &zoneCounts{}
+		n.chooserState.zoneCounts[zone.name] = counts
 	}
-	if known.sequence != zone.aggregate.sequence {
-		known.sequence, known.sentAtReport = zone.aggregate.sequence, known.sent
+	if counts.sequence != zone.aggregate.sequence {
+		counts.sequence, counts.sentAtReport = zone.aggregate.sequence, counts.sent
 	}
-	free := zone.aggregate.free - (known.sent - known.sentAtReport)
+	free := zone.aggregate.free - (counts.sent - counts.sentAtReport)
 	return float64(free) / float64(max(zone.aggregate.routable, 1))
 }
--- a/internal/lab/sim/application.go
+++ b/internal/lab/sim/application.go
@@ -45,9 +45,9 @@
 func newApplicationPool(w *world) *applicationPool {
 	pool := &applicationPool{world: w, byID: make(map[port.ReplicaID]*backEnd)}
 	for index := range w.site.ApplicationReplicas {
-		made := &backEnd{id: port.ReplicaID(fmt.Sprintf("%s-%d", w.site.Application, index+1)), zone: w.zoneOf(index)}
-		pool.replicas = append(pool.replicas, made)
-		pool.byID[made.id] = made
+		replica := &backEnd{id: port.ReplicaID(fmt.Sprintf("%s-%d", w.site.Application, index+1)), zone: w.zoneOf(index)}
+		pool.replicas = append(pool.replicas, replica)
+		pool.byID[replica.id] = replica
 	}
 	for index := range w.site.NodesPerZone * len(w.site.Zones) {
 		pool.nodes = append(pool.nodes, pool.node(index))
@@ -64,7 +64,7 @@
 		profile = profileOf(w.options.Variant.Routing)
 		settings.MinInflight, settings.MaxInflight = queueLength, queueLength
 	}
-	made := &applicationNode{
+	node := &applicationNode{
 		pool: p, zone: w.zoneOf(index),
 		gate: gate.New(profile, rand.New(rand.NewPCG(w.options.Seed, nameSeed(fmt.Sprint("application node ", index))))),
 	}
@@ -72,10 +72,10 @@
 	for _, replica := range p.replicas {
 		gateReplicas = append(gateReplicas, gate.Replica{ID: replica.id, Zone: replica.zone, Region: w.region()})
 	}
-	made.gate.Configure(w.clock(), settings, gateReplicas)
+	node.gate.Configure(w.clock(), settings, gateReplicas)
 	offset := time.Duration(index) * gateTick / time.Duration(len(w.site.Zones))
-	w.every(gateTick, offset, func() { made.handleTickets(made.gate.Tick(w.clock())) })
-	return made
+	w.every(gateTick, offset, func() { node.handleTickets(node.gate.Tick(w.clock())) })
+	return node
 }
 
 // accept offers a call to the node's gate.
--- a/internal/lab/sim/attempt.go
+++ b/internal/lab/sim/attempt.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// placeholderText stands for the text of an attempt; its length has no meaning.
+// placeholderText replaces the text of an attempt; its length has no meaning.
 const placeholderText = "t"
 
 // attempt is one attempt at a sample, from the coordinator's action to its outcome.
@@ -24,15 +24,15 @@
 
 	// replica is the replica that runs it; nil before that.
 	replica *replica
-	// zone is the zone of the node or replica that currently has it.
+	// zone is the zone of the node or replica that currently handles the attempt.
 	zone port.ZoneName
 	// slotHeld reports whether the router counts it as in flight. The ticket is that
 	// of the home node's gate; nil with a baseline.
 	slotHeld bool
 	ticket   *gate.Ticket
 	home     *homeNode
-	// acceptedBy is the node that chose the replica; counted is its counts of the
-	// replica, nil while the attempt isn't counted.
+	// acceptedBy is the node that chose the replica; counted points to its counts
+	// for the replica, nil while the attempt isn't counted.
 	acceptedBy *homeNode
 	counted    *placement.Counts
 	// startedAt is when it reached the engine.
@@ -125,7 +125,7 @@
 	a.fail(a.coordinatorLatency(), refusal)
 }
 
-// cancel cancels the attempt for the coordinator.
+// cancel stops the attempt after the latency of the coordinator's request.
 func (a *attempt) cancel(export bool) {
 	if a.cancelled || a.ended {
 		return
--- a/internal/lab/sim/auditrecords.go
+++ b/internal/lab/sim/auditrecords.go
@@ -95,17 +95,17 @@
 
 // groupRecord assigns slots to the samples of one prompt.
 type groupRecord struct {
-	// holders are the samples that hold the slots.
+	// holders lists the current sample of each slot.
 	holders    []port.SampleID
 	maxHolders int
 }
 
-// recordOf returns a sample's record, which is created at its first start. A sample
+// recordOf returns a sample's record and creates it at the first start. A sample
 // that replaces a dropped one has the same length, so no variant gains by dropping long
 // samples. Samples beyond the group size have slots of their own.
 func (p *samplePool) recordOf(start *coordinator.StartSample) *sampleRecord {
-	if known := p.records[start.ID]; known != nil {
-		return known
+	if existing := p.records[start.ID]; existing != nil {
+		return existing
 	}
 	group := p.groups[start.Prompt.Index]
 	if group == nil {
--- a/internal/lab/sim/callers.go
+++ b/internal/lab/sim/callers.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// defaultTimeout is the timeout of a class of callers without one.
+// defaultTimeout applies to classes of callers that set no timeout.
 const defaultTimeout = 10 * time.Second
 
 // callerClass simulates a class of callers.
@@ -41,17 +41,17 @@
 	w.backEnds = newApplicationPool(w)
 	for index := range w.site.Callers {
 		class := &w.site.Callers[index]
-		made := &callerClass{
+		callers := &callerClass{
 			world: w, class: class, seed: draw(w.options.Seed, nameSeed(class.Name)),
 			latency: newHistogram(maxMicros),
 		}
-		w.callers = append(w.callers, made)
+		w.callers = append(w.callers, callers)
 		if class.Rate > 0 {
-			made.nextArrival(0)
+			callers.nextArrival(0)
 			continue
 		}
 		for worker := range class.Workers {
-			made.think(uint64(worker), 0)
+			callers.think(uint64(worker), 0)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	newCall := &call{
 		from: c, arrived: w.now, done: done,
 		name:    port.RequestID(fmt.Sprintf("%s-%d", c.class.Name, c.calls)),
-		service: spread(w.site.ServiceTime, draw(c.seed, servicePart, number)),
+		service: drawTime(w.site.ServiceTime, draw(c.seed, servicePart, number)),
 	}
 	node := w.backEnds.nodes[c.calls%uint64(len(w.backEnds.nodes))]
 	w.after(w.site.ClientLatency, func() { node.accept(newCall) })
--- a/internal/lab/sim/control.go
+++ b/internal/lab/sim/control.go
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// acquire acquires the lease of a pool, unless it is held, and returns its epoch.
+// acquire acquires the lease of a pool if it is free, and returns the current epoch.
 func (w *world) acquire(pool port.PoolName) (port.Epoch, error) {
-	if held, found := w.control.state.Lease(port.CoordinatorLease(pool)); found {
-		return held.Epoch, nil
+	if current, found := w.control.state.Lease(port.CoordinatorLease(pool)); found {
+		return current.Epoch, nil
 	}
 	lease := port.AcquireLease{Name: port.CoordinatorLease(pool), Holder: "node-1", TTL: leaseTerm}
 	result := w.control.apply(port.Command{AcquireLease: &lease})
--- a/internal/lab/sim/home.go
+++ b/internal/lab/sim/home.go
@@ -16,7 +16,7 @@
 // gateTick is the interval of a gate's ticks.
 const gateTick = 50 * time.Millisecond
 
-// sampleDeadline is the deadline of one attempt, as at the nodes.
+// sampleDeadline is the deadline of one attempt.
 const sampleDeadline = time.Hour
 
 // homeNode is a node that is the home of some engines.
@@ -47,15 +47,15 @@
 	for index := range w.site.NodesPerZone * len(w.site.Zones) {
 		id := port.NodeID(fmt.Sprintf("node-%d", index+1))
 		random := rand.New(rand.NewPCG(w.options.Seed, nameSeed(string(id))))
-		made := &homeNode{
+		node := &homeNode{
 			world: w, id: id, zone: w.zoneOf(index), router: r,
 			gate: gate.New(scheduling.Generation(), random), chooserState: newChooserState(w, id),
 		}
-		members[made.zone] = append(members[made.zone], id)
-		byID[id] = made
-		r.nodes = append(r.nodes, made)
+		members[node.zone] = append(members[node.zone], id)
+		byID[id] = node
+		r.nodes = append(r.nodes, node)
 		offset := time.Duration(index) * gateTick / time.Duration(w.site.NodesPerZone*len(w.site.Zones))
-		w.every(gateTick, offset, func() { made.handleTickets(made.gate.Tick(w.clock())) })
+		w.every(gateTick, offset, func() { node.handleTickets(node.gate.Tick(w.clock())) })
 	}
 	for _, replica := range w.replicas {
 		id, _ := membership.NewAssigner(members[replica.zone]).Home(replica.id)
@@ -105,7 +105,7 @@
 	}
 	a.home = n
 	a.slotHeld = true
-	a.ticket = &gate.Ticket{Owner: a, Request: n.request(a, preferred)}
+	a.ticket = &gate.Ticket{Owner: a, Request: n.gateRequest(a, preferred)}
 	resolved, _ := n.gate.Offer(n.world.clock(), a.ticket)
 	resolved = slices.Clone(resolved)
 	if a.ticket.State != gate.Waiting && !slices.Contains(resolved, a.ticket) {
@@ -114,18 +114,18 @@
 	n.handleTickets(resolved)
 }
 
-// request returns the gate's request for an attempt.
-func (n *homeNode) request(a *attempt, preferred port.ReplicaID) gate.Request {
+// gateRequest returns the gate's request for an attempt.
+func (n *homeNode) gateRequest(a *attempt, preferred port.ReplicaID) gate.Request {
 	start := &a.start
 	request := gate.Request{
 		ID: port.RequestID(a.name), Deadline: n.world.clock().Add(sampleDeadline),
-		Preferred: preferred, Avoid: start.Avoid, Scheduling: n.pick(a),
+		Preferred: preferred, Avoid: start.Avoid, Scheduling: n.schedulingRequest(a),
 	}
 	return request
 }
 
-// pick returns the scheduling request for an attempt.
-func (n *homeNode) pick(a *attempt) scheduling.Request {
+// schedulingRequest returns the scheduling request for an attempt.
+func (n *homeNode) schedulingRequest(a *attempt) scheduling.Request {
 	start := &a.start
 	request := scheduling.Request{
 		Pool: a.pool.settings.Pool, Zone: n.zone, Region: n.world.region(), Priority: a.priority(),
--- a/internal/lab/sim/limits.go
+++ b/internal/lab/sim/limits.go
@@ -30,7 +30,7 @@
 // Chain bound: each trainer alone with infinitely many engines. A step starts after the
 // previous one and, if its samples need a version published after the warm-up, after
 // that version was published, swapped in and the longest sample of the batch was
-// generated. Deliveries during the warm-up are taken from the run.
+// generated. Deliveries during the warm-up have the times of the run.
 //
 // Staleness is the mean of the minimum ages of the delivered samples in versions: a
 // sample can have version U only if its tokens fit between the first time at which U
@@ -185,7 +185,7 @@
 		}
 		requested := max(end, options.Warmup)
 		if published[batch.version] == 0 && batch.version > firstVersion {
-			// The time to publish is taken from the run.
+			// Use the publication time of the run.
 			requested = end + p.publishTime(index)
 			published[batch.version] = requested
 		}
@@ -214,8 +214,8 @@
 	if batch.version <= firstVersion+bound {
 		return 0
 	}
-	oldest, known := published[batch.version-bound]
-	if !known {
+	oldest, found := published[batch.version-bound]
+	if !found {
 		return 0
 	}
 	return oldest + costs.versionReady + p.maxLatency(costs, batch)
--- a/internal/lab/sim/policies.go
+++ b/internal/lab/sim/policies.go
@@ -45,10 +45,10 @@
 	return source
 }
 
-// maxInFlight is the upper bound of a replica's adaptive limit: the engine's batch size.
+// maxInFlight is the maximum of a replica's adaptive limit: the engine's batch size.
 func (w *world) maxInFlight() int { return w.replicas[0].model.Config().MaxSequences }
 
-// minInFlight is the lower bound, which equals the upper one without PartAdmission.
+// minInFlight is the minimum of a replica's limit: the maximum without PartAdmission.
 func (w *world) minInFlight() int {
 	if w.options.Variant.enabled(PartAdmission) {
 		return 1
--- a/internal/lab/sim/pool.go
+++ b/internal/lab/sim/pool.go
@@ -35,11 +35,12 @@
 	records     map[port.SampleID]*sampleRecord
 	groups      map[port.PromptIndex]*groupRecord
 	prompts     map[port.PromptIndex]*promptContent
-	// publishedWeights is the newest published version, knownVersion the one that the
-	// coordinator knows.
+	// publishedWeights is the newest published version, reportedVersion the last one
+	// that tick reported to the coordinator.
 	publishedWeights port.PublishedWeights
-	knownVersion     port.WeightVersion
-	// longTimes holds the times of long samples, longLength is their minimum length.
+	reportedVersion  port.WeightVersion
+	// longTimes holds the times of long samples from first start to score, longLength
+	// their minimum length.
 	longTimes  *hdrhistogram.Histogram
 	longLength int
 }
@@ -56,12 +57,12 @@
 		settings := &w.site.Trainers[index]
 		pool := &samplePool{
 			world: w, settings: settings, number: uint64(index), zone: w.zoneOf(index),
-			seed:         draw(w.options.Seed, nameSeed(string(settings.Pool))),
-			attempts:     make(map[attemptKey]*attempt),
-			records:      make(map[port.SampleID]*sampleRecord),
-			groups:       make(map[port.PromptIndex]*groupRecord),
-			prompts:      make(map[port.PromptIndex]*promptContent),
-			knownVersion: firstVersion, longTimes: newHistogram(maxMillis),
+			seed:            draw(w.options.Seed, nameSeed(string(settings.Pool))),
+			attempts:        make(map[attemptKey]*attempt),
+			records:         make(map[port.SampleID]*sampleRecord),
+			groups:          make(map[port.PromptIndex]*groupRecord),
+			prompts:         make(map[port.PromptIndex]*promptContent),
+			reportedVersion: firstVersion, longTimes: newHistogram(maxMillis),
 			longLength: quantile95(settings.Lengths),
 		}
 		pool.trainer = newTrainer(pool)
@@ -98,8 +99,8 @@
 
 // tick reports newly published weights and the time, as the node's worker does.
 func (p *samplePool) tick() {
-	if p.publishedWeights.Version > p.knownVersion {
-		p.knownVersion = p.publishedWeights.Version
+	if p.publishedWeights.Version > p.reportedVersion {
+		p.reportedVersion = p.publishedWeights.Version
 		p.step(coordinator.WeightsPublished{Weights: p.publishedWeights})
 	}
 	p.step(coordinator.Tick{})
@@ -213,15 +214,15 @@
 
 // scoreTime returns the time of a score, with the round trip to the scorer.
 func (p *samplePool) scoreTime(key uint64) time.Duration {
-	return spread(p.world.site.ScoreTime, mix(key, scorePart)) + 2*p.world.site.ZoneLatency
+	return drawTime(p.world.site.ScoreTime, mix(key, scorePart)) + 2*p.world.site.ZoneLatency
 }
 
 // ln2 is the median of an exponential distribution of mean 1.
 const ln2 = 0.6931471805599453
 
-// spread draws a time with the given median: half of it is fixed, the rest is
+// drawTime draws a time with the given median: half of it is fixed, the rest is
 // exponential.
-func spread(median time.Duration, drawn uint64) time.Duration {
+func drawTime(median time.Duration, drawn uint64) time.Duration {
 	return median/2 + time.Duration(float64(median/2)*exponential(drawn)/ln2)
 }
 
@@ -242,12 +243,12 @@
 
 // prompt returns a prompt's content and caches it.
 func (p *samplePool) prompt(index port.PromptIndex) *promptContent {
-	known := p.prompts[index]
-	if known == nil {
-		known = p.makePrompt(index)
-		p.prompts[index] = known
+	content := p.prompts[index]
+	if content == nil {
+		content = p.makePrompt(index)
+		p.prompts[index] = content
 	}
-	return known
+	return content
 }
 
 // makePrompt creates the block hashes of a prompt: first those of the shared prefix,
@@ -285,7 +286,7 @@
 	w.router.route(a)
 }
 
-// export starts to export the cache of an attempt; false means that there is none.
+// export starts to export the cache of an attempt and reports whether it could.
 func (w *world) export(moving *attempt) bool {
 	moving.replica.advance()
 	if moving.replica.byName[moving.name] != moving {
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -18,7 +18,7 @@
 	id    port.ReplicaID
 	zone  port.ZoneName
 	model *engine.Model
-	// attempts are those at the engine, in order of arrival.
+	// attempts lists the attempts at the engine in order of arrival.
 	attempts []*attempt
 	byName   map[string]*attempt
 	// wakeUps numbers the scheduled wake-ups; only the last one is valid.
@@ -28,7 +28,7 @@
 
 	loads *engine.Lagged[port.LoadReport]
 	feed  *engine.Feed
-	// report is the last load report that the home received, made at reportedAt.
+	// report is the last load report that the home received, created at reportedAt.
 	report     port.LoadReport
 	reportedAt time.Time
 	// cacheEnd is the sequence number of the last clearing of the cache.
@@ -40,22 +40,22 @@
 // buildReplicas creates the engines, spread over the zones.
 func (w *world) buildReplicas() {
 	for index := range w.site.Engines {
-		made := &replica{
+		r := &replica{
 			world: w, id: port.ReplicaID(fmt.Sprintf("%s-%d", w.site.EnginePool, index+1)),
 			zone: w.zoneOf(index), byName: make(map[string]*attempt),
 			loads: engine.NewLagged[port.LoadReport](loadLag),
 			feed:  engine.NewFeed(cacheLag, 0, w.site.Engine.KVBlocks+maxCacheEvents),
 		}
-		made.model = engine.New(w.engineConfig())
-		w.replicas = append(w.replicas, made)
-		w.byID[made.id] = made
+		r.model = engine.New(w.engineConfig())
+		w.replicas = append(w.replicas, r)
+		w.byID[r.id] = r
 		offset := time.Duration(index) * loadInterval / time.Duration(w.site.Engines)
-		w.every(loadInterval, offset, made.poll)
-		w.every(progressInterval, 5*offset, made.reportProgress)
+		w.every(loadInterval, offset, r.poll)
+		w.every(progressInterval, 5*offset, r.reportProgress)
 	}
 }
 
-// maxCacheEvents is the number of cache events kept in addition to one per block.
+// maxCacheEvents is the number of cache events stored in addition to one per block.
 const maxCacheEvents = 20_000
 
 // engineConfig returns the site's engine configuration with the first weights.
@@ -82,8 +82,8 @@
 	}
 }
 
-// scheduleWakeUp schedules a wake-up at the engine's next event. It must follow every
-// call of the engine.
+// scheduleWakeUp schedules a wake-up at the engine's next event. Callers
+// must call it after every call of the engine.
 func (r *replica) scheduleWakeUp() {
 	at, found := r.model.Next()
 	at = max(at, r.world.now)
@@ -192,7 +192,7 @@
 	return r.model.Load().Report(), nil
 }
 
-// poll is the home's poll of the engine's load and cache events, which lag.
+// poll simulates the home's poll of the engine's load and cache events, which lag.
 func (r *replica) poll() {
 	r.advance()
 	r.scheduleWakeUp()
--- a/internal/lab/sim/rollout.go
+++ b/internal/lab/sim/rollout.go
@@ -9,11 +9,11 @@
 
 // weightRollout rolls out one pool's versions to the engines.
 type weightRollout struct {
-	world        *world
-	pool         *samplePool
-	zone         port.ZoneName
-	machine      *rollout.Rollout
-	knownVersion port.WeightVersion
+	world           *world
+	pool            *samplePool
+	zone            port.ZoneName
+	machine         *rollout.Rollout
+	reportedVersion port.WeightVersion
 	// routedOut holds the replicas that the rollout excludes from routing.
 	routedOut map[port.ReplicaID]bool
 }
@@ -26,7 +26,7 @@
 		return err
 	}
 	for index, pool := range w.pools {
-		made := &weightRollout{world: w, pool: pool, zone: w.site.Zones[0], knownVersion: firstVersion, routedOut: make(map[port.ReplicaID]bool)}
+		r := &weightRollout{world: w, pool: pool, zone: w.site.Zones[0], reportedVersion: firstVersion, routedOut: make(map[port.ReplicaID]bool)}
 		config := rollout.Config{
 			Pool: pool.settings.Pool, Adapter: pool.settings.Adapter, Fence: fence, Node: "node-1",
 			WeightStore: "http://10.0.1.1:9000", Weights: w.control.weights(pool.settings.Pool), Seed: pool.seed,
@@ -35,27 +35,27 @@
 			config.Rolling = true
 			config.MaxStaging = len(w.replicas)
 		}
-		if made.machine, err = rollout.New(config, w.clock()); err != nil {
+		if r.machine, err = rollout.New(config, w.clock()); err != nil {
 			return err
 		}
-		w.rollouts = append(w.rollouts, made)
+		w.rollouts = append(w.rollouts, r)
 		offset := time.Duration(index) * tickInterval / time.Duration(len(w.pools))
-		w.every(tickInterval, offset, made.tick)
-		w.every(stateInterval, offset, made.reportStates)
+		w.every(tickInterval, offset, r.tick)
+		w.every(stateInterval, offset, r.reportStates)
 	}
 	return nil
 }
 
 // tick reports newly published versions and the time to the rollout.
 func (r *weightRollout) tick() {
-	if r.pool.publishedWeights.Version > r.knownVersion {
-		r.knownVersion = r.pool.publishedWeights.Version
+	if r.pool.publishedWeights.Version > r.reportedVersion {
+		r.reportedVersion = r.pool.publishedWeights.Version
 		r.step(rollout.Published{Weights: r.pool.publishedWeights})
 	}
 	r.step(rollout.Tick{})
 }
 
-// reportStates sends the engines' states, as their homes know them, to the rollout.
+// reportStates sends the engines' states, as last reported to their homes, to the rollout.
 func (r *weightRollout) reportStates() {
 	members := make([]rollout.Replica, 0, len(r.world.replicas))
 	for _, replica := range r.world.replicas {
--- a/internal/lab/sim/trainer.go
+++ b/internal/lab/sim/trainer.go
@@ -144,8 +144,8 @@
 
 // staleFor returns how long ago a version was replaced; 0 if it is the current one.
 func (t *trainer) staleFor(version port.WeightVersion) time.Duration {
-	replaced, known := t.published[version+1]
-	if !known {
+	replaced, found := t.published[version+1]
+	if !found {
 		return 0
 	}
 	return t.pool.world.now - replaced
--- a/internal/lab/sim/trainerstats.go
+++ b/internal/lab/sim/trainerstats.go
@@ -99,14 +99,14 @@
 // tokensLost returns the generated tokens that were not delivered and whose samples are
 // not pending. Samples of a prompt whose group was delivered are lost.
 func (w *world) tokensLost(generated uint64) uint64 {
-	kept := w.auditRecords.deliveredTokens
+	useful := w.auditRecords.deliveredTokens
 	for _, pool := range w.pools {
 		running := pool.running()
 		for id, record := range pool.records {
 			if !w.auditRecords.delivered[id] && !pool.trainer.deliveredPrompts[record.prompt] {
-				kept += uint64(record.generatedTokens(running[record]))
+				useful += uint64(record.generatedTokens(running[record]))
 			}
 		}
 	}
-	return generated - min(kept, generated)
+	return generated - min(useful, generated)
 }
--- a/internal/lab/sim/types.go
+++ b/internal/lab/sim/types.go
@@ -60,7 +60,7 @@
 	Lengths        engine.Lengths
 }
 
-// Burst multiplies the rate of all callers for a time.
+// Burst multiplies the rate of all callers from At for Length.
 type Burst struct {
 	At, Length time.Duration
 	Factor     float64
@@ -81,7 +81,7 @@
 type Variant struct {
 	Name    string
 	Routing Routing
-	// Policy replaces the trainers' policy program; empty keeps it.
+	// Policy replaces the trainers' policy program unless it is empty.
 	Policy string
 	// Without names the disabled parts of loomgrade.
 	Without []Part
@@ -106,8 +106,8 @@
 	Site    Site
 	Variant Variant
 	Seed    uint64
-	// Length is the virtual length of the run. What happens before Warmup is not
-	// counted.
+	// Length is the virtual length of the run. Statistics exclude the time
+	// before Warmup.
 	Length, Warmup time.Duration
 	// Progress, if set, is called periodically with the virtual time.
 	Progress func(at time.Duration)
@@ -164,10 +164,10 @@
 
 // Limits are lower bounds for any way to run the site.
 type Limits struct {
-	// IdleShare bounds the trainers' mean idle share, given the engines' total work and
+	// IdleShare is a lower bound of the trainers' mean idle share, given the engines' total work and
 	// the longest samples.
 	IdleShare float64
-	// Staleness bounds the mean age of samples in versions, given the trainers'
+	// Staleness is a lower bound of the mean age of samples in versions, given the trainers'
 	// publications.
 	Staleness float64
 }
