--- a/internal/lab/standin/completion.go
+++ b/internal/lab/standin/completion.go
@@ -37,7 +37,7 @@
 	e.answer(w, r.Context(), s, key)
 }
 
-// checkResume rejects a resume whose text is not a prefix of the output.
+// checkResume rejects a request whose resume text is not a prefix of its output.
 func checkResume(body api.Completion, key uint64) *port.Error {
 	if len(body.ResumeText) != body.ResumeTokens*engine.BytesPerToken || !engine.SameContent(body.ResumeText, key) {
 		return port.InvalidField("resume_text", body.ResumeText[:min(len(body.ResumeText), 32)], "the start of this request's own output, resume_tokens long")
--- a/internal/lab/standin/engine.go
+++ b/internal/lab/standin/engine.go
@@ -31,12 +31,12 @@
 	blobs          map[string]kvBlob            // by handle
 	handles        []string                     // oldest first
 	cacheFeed      *engine.Feed
-	clearedThrough uint64 // events up to this one are void: the cache was cleared
+	clearedThrough uint64 // sequence number of the last clearing of the cache
 	loadReports    *engine.Lagged[port.LoadReport]
 	incarnation    context.Context // cancelled by a crash
 	endIncarnation context.CancelFunc
-	lastID         uint64 // of requests that came without an id
-	lastSlowdown   int    // only the newest slowdown is ended
+	lastID         uint64 // last number in generated ids of requests and KV handles
+	lastSlowdown   int    // number of the newest slowdown; older ones must not end it
 }
 
 // EngineConfig describes an engine stand-in. Model time runs TimeScale times faster than
@@ -53,7 +53,7 @@
 	ChunkInterval time.Duration
 	// LoadLag is the delay of load reports, CacheLag that of cache events.
 	LoadLag, CacheLag time.Duration
-	// Adapters are loaded at start, at the version of Model.Weights.
+	// Adapters lists the adapters loaded at start, at the version of Model.Weights.
 	Adapters []string
 	// CacheGapEvery drops every n-th cache event; 0 drops none.
 	CacheGapEvery uint64
@@ -158,8 +158,8 @@
 // nextStepDelay returns the real time until the model must be advanced. The mutex must
 // be held.
 func (e *Engine) nextStepDelay() time.Duration {
-	next, some := e.model.Next()
-	if !some {
+	next, found := e.model.Next()
+	if !found {
 		return loadReportInterval
 	}
 	wait := time.Duration(float64(next-e.now()) / e.config.TimeScale)
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -29,7 +29,7 @@
 	FaultLate FaultKind = "late"
 	// FaultMix puts the id and content of another request into Count responses.
 	FaultMix FaultKind = "mix"
-	// FaultLoadVersion makes an engine's load report show Version for Duration.
+	// FaultLoadVersion makes an engine's load reports contain Version for Duration.
 	FaultLoadVersion FaultKind = "load_version"
 	// FaultSwapFails makes an engine's next activation fail partway.
 	FaultSwapFails FaultKind = "swap_fails"
@@ -103,7 +103,7 @@
 	return Fault{}, false
 }
 
-// consume uses up one count of a counted fault.
+// consume returns a counted fault, if one is active, and decrements its count.
 func (s *faultSet) consume(kind FaultKind) (Fault, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,7 +118,7 @@
 
 // slowdown returns the factor for service times.
 func (s *faultSet) slowdown() float64 {
-	if fault, on := s.active(FaultSlow); on && fault.Factor > 0 {
+	if fault, slow := s.active(FaultSlow); slow && fault.Factor > 0 {
 		return fault.Factor
 	}
 	return 1
--- a/internal/lab/standin/helpers_test.go
+++ b/internal/lab/standin/helpers_test.go
@@ -117,7 +117,7 @@
 	return result
 }
 
-// order sends an order and returns the status and the load report.
+// sendOrder sends an order and returns the status and the load report.
 func sendOrder(t *testing.T, e *Engine, body port.Order) (int, port.LoadReport) {
 	t.Helper()
 	status, data, err := send(t, http.MethodPost, e.URL()+api.PathEngineOrders, "", body)
--- a/internal/lab/standin/orders.go
+++ b/internal/lab/standin/orders.go
@@ -86,7 +86,7 @@
 // loadReport returns the current load report. The mutex must be held.
 func (e *Engine) loadReport() port.LoadReport {
 	report := e.model.Load().Report()
-	if fault, on := e.faults.active(FaultLoadVersion); on {
+	if fault, found := e.faults.active(FaultLoadVersion); found {
 		report.Version = port.WeightVersion(fault.Version)
 	}
 	return report
--- a/internal/lab/standin/recorder.go
+++ b/internal/lab/standin/recorder.go
@@ -38,15 +38,15 @@
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
 // add records observations of finished work.
-func (r *recorder) add(seen audit.Observations) {
+func (r *recorder) add(observed audit.Observations) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.append(seen)
+	r.append(observed)
 }
 
-func (r *recorder) append(seen audit.Observations) {
-	r.ended.Merge(seen)
-	r.write(audit.Entry{Observations: seen})
+func (r *recorder) append(observed audit.Observations) {
+	r.ended.Merge(observed)
+	r.write(audit.Entry{Observations: observed})
 }
 
 func (r *recorder) write(entry audit.Entry) {
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-// listen starts the server. The handlers must be registered before.
+// listen starts the server. All handlers must be registered before the call.
 func (s *server) listen(address string) error {
 	if address == "" {
 		address = "127.0.0.1:0"
--- a/internal/lab/standin/stream.go
+++ b/internal/lab/standin/stream.go
@@ -28,13 +28,13 @@
 	generation     *audit.Generation
 	pending        []engine.Event
 	aborted        bool
-	awaitingExport bool // prefilled
+	awaitingExport bool // prefilled, and its KV cache not yet exported
 	notify         chan struct{}
 }
 
-func newStream(id string, body api.Completion, seen *audit.Generation) *stream {
+func newStream(id string, body api.Completion, generation *audit.Generation) *stream {
 	return &stream{
-		id: id, body: body, promptTokens: engine.CountTokens(body.Prompt), generation: seen,
+		id: id, body: body, promptTokens: engine.CountTokens(body.Prompt), generation: generation,
 		notify: make(chan struct{}, 1),
 	}
 }
@@ -68,7 +68,7 @@
 	text          strings.Builder
 	spans         []port.Span
 	tokensWritten int
-	cutAfter      int // abort the connection after so many tokens; 0 means never
+	cutAfter      int // tokens after which to abort the connection; 0 means never
 }
 
 func (a *answerWriter) chunk(text, finish string, spans []port.Span, usage *api.Usage) api.CompletionChunk {
--- a/internal/lab/standin/trainer.go
+++ b/internal/lab/standin/trainer.go
@@ -37,7 +37,7 @@
 // TrainerConfig describes a trainer.
 type TrainerConfig struct {
 	Common
-	// Nodes are the base URLs of loomgrade's nodes, tried in turn. Without nodes the
+	// Nodes are the base URLs of loomgrade's nodes, called in round-robin order. Without nodes the
 	// trainer only serves prompts.
 	Nodes []string
 	Pool  string
@@ -61,8 +61,8 @@
 	// retries. Default 10 s.
 	ResponseGrace time.Duration
 	Prompts       PromptConfig
-	// Checkpoint are the deliveries recorded by earlier processes. The trainer uses them as
-	// its checkpoint.
+	// Checkpoint lists the deliveries recorded by earlier processes, after which the
+	// trainer resumes.
 	Checkpoint []audit.Delivery
 }
 
@@ -226,7 +226,8 @@
 	return t.unpublishedSteps >= t.config.PublishEvery
 }
 
-// publishNext publishes the next version. After a crash it remains due.
+// publishNext publishes the next version. It reports false if ctx ended first; the
+// publication then remains due.
 func (t *Trainer) publishNext(ctx context.Context) bool {
 	version := t.Stats().Version + 1
 	start := time.Now()
