--- a/internal/lab/audit/check.go
+++ b/internal/lab/audit/check.go
@@ -49,15 +49,14 @@
 	// still be missing; 0 disables the check.
 	PromptWindow uint64
 	// FirstUndelivered is, by pool, the first prompt that loomgrade does not report as
-	// delivered: all prompts below it must have reached the trainer, however long they
-	// took.
+	// delivered. All prompts below it must have reached the trainer.
 	FirstUndelivered map[string]port.PromptIndex
 }
 
 // Check returns all violations, sorted by rule, subject and detail.
-func Check(o Observations, bounds Limits) []Violation {
-	if bounds.DepartureGrace == 0 {
-		bounds.DepartureGrace = defaultDepartureGrace
+func Check(o Observations, limits Limits) []Violation {
+	if limits.DepartureGrace == 0 {
+		limits.DepartureGrace = defaultDepartureGrace
 	}
 	index := newRunIndex(o)
 	var found []Violation
@@ -65,10 +64,10 @@
 	found = append(found, checkUnsafeOnce(o, index)...)
 	found = append(found, checkNotRun(o, index)...)
 	found = append(found, checkSampleOnce(o)...)
-	found = append(found, checkSampleLost(o, bounds)...)
+	found = append(found, checkSampleLost(o, limits)...)
 	found = append(found, checkVersions(o, index)...)
-	found = append(found, checkStaleness(o, bounds)...)
-	found = append(found, checkDepartures(o, bounds)...)
+	found = append(found, checkStaleness(o, limits)...)
+	found = append(found, checkDepartures(o, limits)...)
 	found = append(found, checkPlannedStops(o)...)
 	slices.SortFunc(found, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.Subject, b.Subject), cmp.Compare(a.Detail, b.Detail))
@@ -121,7 +120,7 @@
 	return found
 }
 
-// details describes how a wrong answer arrived.
+// details describes a call for the detail of a violation.
 func (c *Call) details() string {
 	return fmt.Sprintf("; from %s, took %v, %d bytes of text, spans %v, %q",
 		c.Target, c.EndedAt-c.StartedAt, len(c.Text), c.Spans, c.Detail)
@@ -171,19 +170,19 @@
 
 // checkDepartures returns work that started on a back end after the grace period of its
 // departure. The period starts when the sender's zone receives the departure.
-func checkDepartures(o Observations, bounds Limits) []Violation {
-	limit := map[route]time.Duration{}
+func checkDepartures(o Observations, limits Limits) []Violation {
+	deadlines := map[route]time.Duration{}
 	for _, departure := range o.Departures {
 		key := route{departure.BackEnd, departure.From}
-		last := departure.SignalledAt + bounds.DepartureGrace
-		if earlier, known := limit[key]; !known || last < earlier {
-			limit[key] = last
+		last := departure.SignalledAt + limits.DepartureGrace
+		if earlier, exists := deadlines[key]; !exists || last < earlier {
+			deadlines[key] = last
 		}
 	}
 	var found []Violation
 	check := func(key route, id string, startedAt time.Duration) {
-		last, leaving := limit[key]
-		if all, known := limit[route{backEnd: key.backEnd}]; known && (!leaving || all < last) {
+		last, leaving := deadlines[key]
+		if all, exists := deadlines[route{backEnd: key.backEnd}]; exists && (!leaving || all < last) {
 			last, leaving = all, true
 		}
 		if leaving && startedAt > last {
--- a/internal/lab/audit/check_test.go
+++ b/internal/lab/audit/check_test.go
@@ -59,12 +59,12 @@
 	}
 }
 
-func defaultBounds() Limits {
+func defaultLimits() Limits {
 	return Limits{Staleness: map[string]uint64{pool: 2}, PromptWindow: 1, FirstUndelivered: map[string]port.PromptIndex{pool: 2}}
 }
 
 func TestValidHistoryHasNoViolations(t *testing.T) {
-	if found := Check(validHistory(), defaultBounds()); len(found) > 0 {
+	if found := Check(validHistory(), defaultLimits()); len(found) > 0 {
 		t.Fatalf("violations in a valid history: %v", found)
 	}
 }
@@ -98,7 +98,7 @@
 		}, RuleSampleOnce},
 		{"missing batch", func(o *Observations) { o.Deliveries[2].Batch = 3 }, RuleSampleLost},
 		{"missing prompt", func(o *Observations) { o.Deliveries[2].Samples[0].Prompt = 5 }, RuleSampleLost},
-		{"missing prompt below PromptsDone", func(o *Observations) {
+		{"missing prompt below FirstUndelivered", func(o *Observations) {
 			o.Deliveries[2].Samples[0].Prompt = 2
 		}, RuleSampleLost},
 		{"sample claims another version", func(o *Observations) {
@@ -145,7 +145,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			o := validHistory()
 			c.corrupt(&o)
-			found := Check(o, defaultBounds())
+			found := Check(o, defaultLimits())
 			if !slices.ContainsFunc(found, func(v Violation) bool { return v.Rule == c.want }) {
 				t.Fatalf("rule %q not violated; found %v", c.want, found)
 			}
@@ -159,7 +159,7 @@
 	resumed.FirstToken, resumed.Spans = 4, resumed.Spans[1:]
 	o.Generations[0].Spans, o.Generations[0].End = o.Generations[0].Spans[:1], EndCancelled
 	o.Generations = append(o.Generations, resumed)
-	if found := Check(o, defaultBounds()); len(found) > 0 {
+	if found := Check(o, defaultLimits()); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
@@ -168,7 +168,7 @@
 	o := validHistory()
 	o.Calls[3].EndedAt = 21 * second
 	o.Faults = []Fault{{Kind: "crash", From: 10 * second, To: 22 * second}}
-	if found := Check(o, defaultBounds()); len(found) > 0 {
+	if found := Check(o, defaultLimits()); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
@@ -177,7 +177,7 @@
 	o := validHistory()
 	o.Departures[0].From = "a"
 	o.Generations[1].From, o.Generations[1].StartedAt = "b", 6*second
-	for _, found := range Check(o, defaultBounds()) {
+	for _, found := range Check(o, defaultLimits()) {
 		if found.Rule == RuleDeparture {
 			t.Errorf("%v", found)
 		}
--- a/internal/lab/audit/journal.go
+++ b/internal/lab/audit/journal.go
@@ -61,8 +61,8 @@
 
 func (j *journalReader) apply(entry Entry) error {
 	if tokens := entry.Tokens; tokens != nil {
-		index, known := j.generations[tokens.Work]
-		if !known {
+		index, found := j.generations[tokens.Work]
+		if !found {
 			return fmt.Errorf("%w: %s", errUnknownWork, tokens.Work)
 		}
 		generation := &j.observations.Generations[index]
@@ -82,7 +82,7 @@
 
 // upsert replaces the entry of a work id, or adds it.
 func upsert[Kind any](indexes map[string]int, all *[]Kind, work string, latest Kind) {
-	if index, known := indexes[work]; known {
+	if index, found := indexes[work]; found {
 		(*all)[index] = latest
 		return
 	}
--- a/internal/lab/audit/journal_test.go
+++ b/internal/lab/audit/journal_test.go
@@ -56,7 +56,7 @@
 	resumed.FirstToken, resumed.Spans = 4, resumed.Spans[1:]
 	o.Generations[0].Spans, o.Generations[0].End, o.Generations[0].EndedAt = o.Generations[0].Spans[:1], "", time.Duration(0)
 	o.Generations = append(o.Generations, resumed)
-	if found := Check(o, defaultBounds()); len(found) > 0 {
+	if found := Check(o, defaultLimits()); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
--- a/internal/lab/audit/samples.go
+++ b/internal/lab/audit/samples.go
@@ -48,16 +48,16 @@
 // maskVersions replaces the version digits of a text, so that runs of one seed under
 // different weights compare equal.
 func maskVersions(text string) string {
-	blank := []byte(text)
-	for i := 0; i < len(blank); i += engine.BytesPerToken {
-		blank[i] = '.'
+	masked := []byte(text)
+	for i := 0; i < len(masked); i += engine.BytesPerToken {
+		masked[i] = '.'
 	}
-	return string(blank)
+	return string(masked)
 }
 
 // checkSampleLost returns batches and prompts that a pool's trainer never received, and
 // batches that it trained on twice.
-func checkSampleLost(o Observations, bounds Limits) []Violation {
+func checkSampleLost(o Observations, limits Limits) []Violation {
 	batches, prompts := map[string]map[uint64]int{}, map[string]map[port.PromptIndex]bool{}
 	for _, delivery := range trained(o) {
 		if batches[delivery.Pool] == nil {
@@ -83,9 +83,9 @@
 				found = append(found, Violation{RuleSampleLost, pool, fmt.Sprintf("batch %d never arrived", number)})
 			}
 		}
-		found = append(found, checkPromptWindow(pool, prompts[pool], bounds.PromptWindow)...)
+		found = append(found, checkPromptWindow(pool, prompts[pool], limits.PromptWindow)...)
 	}
-	for pool, done := range bounds.FirstUndelivered {
+	for pool, done := range limits.FirstUndelivered {
 		found = append(found, missingPrompts(pool, prompts[pool], 0, done)...)
 	}
 	return found
@@ -200,10 +200,10 @@
 }
 
 // checkStaleness compares every delivered sample with the trainer's version on receipt.
-func checkStaleness(o Observations, bounds Limits) []Violation {
+func checkStaleness(o Observations, limits Limits) []Violation {
 	var found []Violation
 	for _, delivery := range o.Deliveries {
-		limit, limited := bounds.Staleness[delivery.Pool]
+		limit, limited := limits.Staleness[delivery.Pool]
 		if !limited {
 			continue
 		}
