--- a/internal/lab/load/call.go
+++ b/internal/lab/load/call.go
@@ -36,15 +36,15 @@
 func (g *generator) call(ctx context.Context, plan plannedCall, arrived time.Time) {
 	for attempt := 0; ; attempt++ {
 		index, target := g.targets.pick()
-		seen := g.attempt(ctx, plan, target)
-		code := port.Code(seen.Detail)
-		if seen.Outcome == audit.OutcomeNotRun && (code == port.CodeDraining || code == codeUnreachable) {
+		observed := g.attempt(ctx, plan, target)
+		code := port.Code(observed.Detail)
+		if observed.Outcome == audit.OutcomeNotRun && (code == port.CodeDraining || code == codeUnreachable) {
 			g.targets.backOff(index)
 		}
-		g.result.add(plan.class.Name, seen)
-		unknown := seen.Outcome == audit.OutcomeLost || seen.Outcome == audit.OutcomeMayHaveRun
+		g.result.add(plan.class.Name, observed)
+		unknown := observed.Outcome == audit.OutcomeLost || observed.Outcome == audit.OutcomeMayHaveRun
 		if !unknown || attempt >= plan.class.MaxRetries || ctx.Err() != nil {
-			g.result.finish(plan.class.Name, seen.Outcome, time.Since(arrived))
+			g.result.finish(plan.class.Name, observed.Outcome, time.Since(arrived))
 			return
 		}
 	}
@@ -57,40 +57,40 @@
 func (g *generator) attempt(ctx context.Context, plan plannedCall, target string) audit.Call {
 	ctx, cancel := context.WithTimeout(ctx, plan.class.Timeout)
 	defer cancel()
-	seen := audit.Call{
+	observed := audit.Call{
 		Class: plan.class.Name, Target: strings.TrimPrefix(target, "http://"), Key: plan.key,
 		Unsafe: plan.class.Unsafe, StartedAt: unixNow(), Outcome: audit.OutcomeNotRun,
 	}
 	if plan.class.Method == "" {
-		seen.Key = audit.PromptKey(plan.prompt())
+		observed.Key = audit.PromptKey(plan.prompt())
 	}
 	request, err := plan.request(ctx, target)
 	if err != nil {
-		seen.Detail = err.Error()
-		return withEnd(seen)
+		observed.Detail = err.Error()
+		return withEnd(observed)
 	}
 	response, err := g.config.Client.Do(request)
 	if err != nil {
-		seen.Outcome, seen.Detail = transportOutcome(err)
-		return withEnd(seen)
+		observed.Outcome, observed.Detail = transportOutcome(err)
+		return withEnd(observed)
 	}
 	defer response.Body.Close()
 	body := io.LimitReader(response.Body, maxResponseBytes)
 	switch {
 	case response.StatusCode/100 != 2:
-		readError(&seen, response, body)
+		readError(&observed, response, body)
 	case plan.class.Method == "":
-		plan.readCompletion(&seen, body)
+		plan.readCompletion(&observed, body)
 	default:
-		plan.readAnswer(&seen, body)
+		plan.readAnswer(&observed, body)
 	}
-	return withEnd(seen)
+	return withEnd(observed)
 }
 
 // withEnd sets the end time of an attempt.
-func withEnd(seen audit.Call) audit.Call {
-	seen.EndedAt = unixNow()
-	return seen
+func withEnd(observed audit.Call) audit.Call {
+	observed.EndedAt = unixNow()
+	return observed
 }
 
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
@@ -149,14 +149,14 @@
 }
 
 // readError records an error response.
-func readError(seen *audit.Call, response *http.Response, body io.Reader) {
+func readError(observed *audit.Call, response *http.Response, body io.Reader) {
 	var fault api.ErrorBody
 	_ = json.NewDecoder(body).Decode(&fault) // the verdict is in the header
-	seen.Detail = fault.Error.Code
-	if seen.Detail == "" {
-		seen.Detail = "status " + strconv.Itoa(response.StatusCode)
+	observed.Detail = fault.Error.Code
+	if observed.Detail == "" {
+		observed.Detail = "status " + strconv.Itoa(response.StatusCode)
 	}
-	seen.Outcome = outcomeOf(response.Header.Get(api.HeaderVerdict))
+	observed.Outcome = outcomeOf(response.Header.Get(api.HeaderVerdict))
 }
 
 func outcomeOf(verdict string) audit.Outcome {
@@ -171,24 +171,24 @@
 }
 
 // readAnswer records the answer of an application call.
-func (p plannedCall) readAnswer(seen *audit.Call, body io.Reader) {
+func (p plannedCall) readAnswer(observed *audit.Call, body io.Reader) {
 	content, err := io.ReadAll(body)
 	if err != nil {
-		seen.Outcome, seen.Detail = audit.OutcomeLost, err.Error()
+		observed.Outcome, observed.Detail = audit.OutcomeLost, err.Error()
 		return
 	}
-	seen.Outcome = audit.OutcomeAnswered
+	observed.Outcome = audit.OutcomeAnswered
 	var answer standin.ApplicationAnswer
 	if err := json.Unmarshal(content, &answer); err != nil {
-		seen.Detail = err.Error()
+		observed.Detail = err.Error()
 		return
 	}
-	seen.AnswerKey, seen.Complete = answer.Call, answer.CompleteFor(p.key)
-	seen.Detail = "back end " + answer.BackEnd
+	observed.AnswerKey, observed.Complete = answer.Call, answer.CompleteFor(p.key)
+	observed.Detail = "back end " + answer.BackEnd
 }
 
 // readCompletion records a streamed completion.
-func (p plannedCall) readCompletion(seen *audit.Call, body io.Reader) {
+func (p plannedCall) readCompletion(observed *audit.Call, body io.Reader) {
 	var text strings.Builder
 	finish, failed := "", false
 	lines := bufio.NewScanner(body)
@@ -200,21 +200,21 @@
 		switch {
 		case !isData:
 		case failed:
-			seen.Outcome, seen.Detail = parseStreamError(data)
+			observed.Outcome, observed.Detail = parseStreamError(data)
 			return
 		case data == streamEnd:
-			p.recordCompletion(seen, text.String(), finish)
+			p.recordCompletion(observed, text.String(), finish)
 			return
 		default:
-			reason, err := appendChunk(seen, &text, data)
+			reason, err := appendChunk(observed, &text, data)
 			if err != nil {
-				seen.Outcome, seen.Detail = audit.OutcomeAnswered, err.Error()
+				observed.Outcome, observed.Detail = audit.OutcomeAnswered, err.Error()
 				return
 			}
 			finish = reason
 		}
 	}
-	seen.Outcome, seen.Detail = audit.OutcomeLost, errTruncated.Error()
+	observed.Outcome, observed.Detail = audit.OutcomeLost, errTruncated.Error()
 }
 
 // scanCompleteLines is bufio.ScanLines without an unterminated last line, which is the
@@ -227,7 +227,7 @@
 }
 
 // appendChunk appends a chunk's text and spans.
-func appendChunk(seen *audit.Call, text *strings.Builder, data string) (finish string, err error) {
+func appendChunk(observed *audit.Call, text *strings.Builder, data string) (finish string, err error) {
 	var chunk api.CompletionChunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 		return "", err
@@ -237,16 +237,16 @@
 		finish = choice.FinishReason
 	}
 	for _, span := range chunk.Spans {
-		seen.Spans = port.AppendTokens(seen.Spans, span.Version, span.Tokens)
+		observed.Spans = port.AppendTokens(observed.Spans, span.Version, span.Tokens)
 	}
 	return finish, nil
 }
 
 // recordCompletion records a finished completion and whether it answers this call.
-func (p plannedCall) recordCompletion(seen *audit.Call, text, finish string) {
-	seen.Outcome, seen.Text, seen.Complete = audit.OutcomeAnswered, text, finish != ""
+func (p plannedCall) recordCompletion(observed *audit.Call, text, finish string) {
+	observed.Outcome, observed.Text, observed.Complete = audit.OutcomeAnswered, text, finish != ""
 	if engine.SameContent(text, engine.ContentKey(p.prompt(), p.seed)) {
-		seen.AnswerKey = seen.Key
+		observed.AnswerKey = observed.Key
 	}
 }
 
--- a/internal/lab/load/config.go
+++ b/internal/lab/load/config.go
@@ -23,8 +23,8 @@
 	// the same request key and on the next target.
 	MaxRetries int
 	Priority   int
-	// Rate is the rate of Poisson arrivals per second (open loop). Without it, Workers
-	// call one after the other and pause for ThinkTime on average (closed loop).
+	// Rate is the rate of Poisson arrivals per second (open loop). Without it, each of
+	// Workers pauses for ThinkTime on average and calls, in a loop (closed loop).
 	Rate      float64
 	Workers   int
 	ThinkTime time.Duration
@@ -36,8 +36,8 @@
 
 // Config describes a load.
 type Config struct {
-	// Targets are the base URLs of nodes. A target that is draining or unreachable is in
-	// backoff for a while.
+	// Targets are the base URLs of nodes. A target that is draining or unreachable is
+	// in backoff for TargetBackoff.
 	Targets []string
 	Classes []Class
 	Seed    uint64
@@ -82,7 +82,7 @@
 }
 
 // InkwellCallers returns the callers of a comics reader: the reader app and the indexers,
-// both on the page service. Scale multiplies their number.
+// both on the page service. Scale multiplies the rate and the number of workers.
 func InkwellCallers(scale float64) []Class {
 	return []Class{
 		{Name: "reader app", Pool: "page-api", Method: http.MethodGet, Path: "/pages/panel", Rate: 40 * scale, Priority: 5},
@@ -94,7 +94,8 @@
 }
 
 // MareaCallers returns the callers of a buoy data service: pilots' clients and stitching
-// jobs, both on the application service. Scale multiplies their number.
+// jobs, both on the application service. Scale multiplies the rate and the number of
+// workers.
 func MareaCallers(scale float64) []Class {
 	return []Class{
 		{Name: "pilot", Pool: "buoy-api", Method: http.MethodGet, Path: "/readings/latest", Rate: 30 * scale, Priority: 9},
--- a/internal/lab/load/generator.go
+++ b/internal/lab/load/generator.go
@@ -68,22 +68,22 @@
 
 // closedLoop starts workers that pause and call in a loop.
 func (g *generator) closedLoop(ctx, arrivals context.Context, class *Class, random *rand.Rand) {
-	share := g.config.MaxCalls / max(class.Workers, 1)
+	callsPerWorker := g.config.MaxCalls / max(class.Workers, 1)
 	for worker := range class.Workers {
-		own := rand.New(rand.NewPCG(random.Uint64(), uint64(worker)))
+		workerRandom := rand.New(rand.NewPCG(random.Uint64(), uint64(worker)))
 		g.calls.Go(func() {
-			for turn := range share {
-				think := time.Duration(own.ExpFloat64() * float64(class.ThinkTime))
+			for turn := range callsPerWorker {
+				think := time.Duration(workerRandom.ExpFloat64() * float64(class.ThinkTime))
 				if !sleepUntil(arrivals, time.Now().Add(think)) {
 					return
 				}
-				g.call(ctx, g.plan(class, turn*class.Workers+worker, own.Uint64()), time.Now())
+				g.call(ctx, g.plan(class, turn*class.Workers+worker, workerRandom.Uint64()), time.Now())
 			}
 		})
 	}
 }
 
-// plannedCall is a call to be made.
+// plannedCall is a call of a class with its own key and seed.
 type plannedCall struct {
 	class *Class
 	key   string // unique over the run
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -49,9 +49,9 @@
 			t.Errorf("%+v", class)
 		}
 	}
-	seen := app.Observations()
-	seen.Merge(result.Observations())
-	if found := audit.Check(seen, audit.Limits{}); len(found) > 0 {
+	observed := app.Observations()
+	observed.Merge(result.Observations())
+	if found := audit.Check(observed, audit.Limits{}); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 }
@@ -68,9 +68,9 @@
 	if sum := result.Classes()[0]; sum.Outcomes[audit.OutcomeAnswered] != 12 {
 		t.Fatalf("%+v", sum)
 	}
-	seen := e.Observations()
-	seen.Merge(result.Observations())
-	if found := audit.Check(seen, audit.Limits{}); len(found) > 0 {
+	observed := e.Observations()
+	observed.Merge(result.Observations())
+	if found := audit.Check(observed, audit.Limits{}); len(found) > 0 {
 		t.Fatalf("violations: %v", found)
 	}
 	if err := e.Inject(standin.Fault{Kind: standin.FaultMix, Count: 1}); err != nil {
--- a/internal/lab/load/result.go
+++ b/internal/lab/load/result.go
@@ -58,10 +58,10 @@
 }
 
 // add records one attempt.
-func (r *Result) add(class string, seen audit.Call) {
+func (r *Result) add(class string, attempt audit.Call) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.calls = append(r.calls, seen)
+	r.calls = append(r.calls, attempt)
 	r.class(class).result.Attempts++
 }
 
