--- a/internal/lab/report/draw.go
+++ b/internal/lab/report/draw.go
@@ -141,7 +141,7 @@
 	ensureRange(&drawing.Y)
 }
 
-// headroom keeps the largest value away from the edge.
+// headroom is the factor by which an axis extends beyond the largest value.
 const headroom = 1.05
 
 // ensureRange widens an axis whose values are all equal.
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -62,15 +62,15 @@
 	}
 	var all []bar
 	for _, variant := range results.Base().Variants {
-		summary, known := variant.SummaryNamed(experiment.FigureIdleShare)
-		if !known {
+		summary, found := variant.SummaryNamed(experiment.FigureIdleShare)
+		if !found {
 			continue
 		}
-		one := bar{name: variant.Name, value: summary.Mean, halfWidth: summary.Half, limit: summary.Limit, shade: loomgradeShade}
+		entry := bar{name: variant.Name, value: summary.Mean, halfWidth: summary.Half, limit: summary.Limit, shade: loomgradeShade}
 		if isBaseline(results.Settings, variant.Name) {
-			one.shade = baselineShade
+			entry.shade = baselineShade
 		}
-		all = append(all, one)
+		all = append(all, entry)
 	}
 	if len(all) == 0 {
 		return figure, nil
@@ -127,7 +127,7 @@
 // logAxisRatio is the ratio of largest to smallest value above which an axis is logarithmic.
 const logAxisRatio = 50
 
-// quantileFigure plots the quantiles of a distribution, with an expanded tail.
+// quantileFigure plots the quantiles of a distribution on an axis that expands the tail.
 func quantileFigure(point experiment.Point, distribution, title, unit string) (Figure, error) {
 	picture := chart{xLabel: "quantile", yLabel: unit, xTicks: quantileTicks{}}
 	lowest, highest := math.Inf(1), 0.0
@@ -200,7 +200,8 @@
 	return isBaseline(settings, name) || name == settings.Reference
 }
 
-// maxSeriesPoints limits the points of a line over time; each is the mean of a chunk.
+// maxSeriesPoints limits the points of a line over time; each point is the mean of a
+// chunk of the series.
 const maxSeriesPoints = 100
 
 func seriesLine(variant experiment.VariantResult, of func(experiment.SeriesPoint) float64) line {
@@ -239,14 +240,14 @@
 	point experiment.Point
 }
 
-// sweptPoints returns the values of a sweep in ascending order, including the one in the
-// settings.
+// sweptPoints returns the values of a sweep in ascending order, including the configured
+// value.
 func sweptPoints(results *experiment.Results, index int) []sweptPoint {
-	given := results.Given[index]
-	points := []sweptPoint{{label: given + " (as given)", value: experiment.SweptValue(given), point: results.Base()}}
+	configured := results.Given[index]
+	points := []sweptPoint{{label: configured + " (as given)", value: experiment.SweptValue(configured), point: results.Base()}}
 	sweep := results.Settings.Sweeps[index]
 	for _, value := range sweep.Values {
-		if value == given {
+		if value == configured {
 			continue
 		}
 		points = append(points, sweptPoint{
@@ -282,8 +283,8 @@
 		curve := line{name: name}
 		for position, point := range points {
 			result, _ := point.point.VariantNamed(name)
-			summary, known := result.SummaryNamed(figure)
-			if !known {
+			summary, found := result.SummaryNamed(figure)
+			if !found {
 				continue
 			}
 			curve.points = append(curve.points, plotter.XY{X: float64(position), Y: summary.Mean})
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -33,7 +33,7 @@
   - {figure: idle_share, variant: loomgrade, against: limit, at_most: 1.25}
 `
 
-// simulate returns round figures for tests of the tables.
+// simulate returns an outcome with round figures.
 func simulate(options sim.Options) (sim.Outcome, error) {
 	values := hdrhistogram.New(1, 1_000_000, 3)
 	for value := range int64(200) {
--- a/internal/lab/report/sweep_internal_test.go
+++ b/internal/lab/report/sweep_internal_test.go
@@ -9,19 +9,19 @@
 
 func TestSweptValuesAreOrderedBySize(t *testing.T) {
 	cases := []struct {
-		name, given string
-		values      []string
-		want        []string
+		name, configured string
+		values           []string
+		want             []string
 	}{
 		{"durations", "12ms", []string{"1s", "600us"}, []string{"600us", "12ms (as given)", "1s"}},
 		{"numbers", "9", []string{"30", "3"}, []string{"3", "9 (as given)", "30"}},
-		{"given value in the sweep", "9", []string{"9", "3"}, []string{"3", "9 (as given)"}},
+		{"configured value in the sweep", "9", []string{"9", "3"}, []string{"3", "9 (as given)"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			results := &experiment.Results{
 				Settings: experiment.Settings{Sweeps: []experiment.Sweep{{Values: test.values}}},
-				Given:    []string{test.given},
+				Given:    []string{test.configured},
 				Points:   []experiment.Point{{}},
 			}
 			var labels []string
--- a/internal/lab/report/tables.go
+++ b/internal/lab/report/tables.go
@@ -277,16 +277,16 @@
 }
 
 func estimate(variant experiment.VariantResult, figure string) string {
-	summary, known := variant.SummaryNamed(figure)
-	if !known {
+	summary, found := variant.SummaryNamed(figure)
+	if !found {
 		return noValue
 	}
 	return interval(summary.Estimate)
 }
 
 func mean(variant experiment.VariantResult, figure string) string {
-	summary, known := variant.SummaryNamed(figure)
-	if !known {
+	summary, found := variant.SummaryNamed(figure)
+	if !found {
 		return noValue
 	}
 	return number(summary.Mean)
