--- a/internal/lab/sim/fault/application.go
+++ b/internal/lab/sim/fault/application.go
@@ -32,7 +32,8 @@
 	incarnation int
 }
 
-// callAnswer is a back end's response with the ids of the request and call that it claims to answer.
+// callAnswer is a back end's response with the ids of the request and call that it claims
+// to answer.
 type callAnswer struct {
 	ID       port.RequestID
 	Call     string
--- a/internal/lab/sim/types.go
+++ b/internal/lab/sim/types.go
@@ -164,8 +164,8 @@
 
 // Limits are lower bounds for any way to run the site.
 type Limits struct {
-	// IdleShare is a lower bound of the trainers' mean idle share, given the engines' total work and
-	// the longest samples.
+	// IdleShare is a lower bound of the trainers' mean idle share, given the engines'
+	// total work and the longest samples.
 	IdleShare float64
 	// Staleness is a lower bound of the mean age of samples in versions, given the trainers'
 	// publications.
--- a/internal/lab/standin/trainer.go
+++ b/internal/lab/standin/trainer.go
@@ -37,8 +37,8 @@
 // TrainerConfig describes a trainer.
 type TrainerConfig struct {
 	Common
-	// Nodes are the base URLs of loomgrade's nodes, called in round-robin order. Without nodes the
-	// trainer only serves prompts.
+	// Nodes are the base URLs of loomgrade's nodes, called in round-robin order.
+	// Without nodes the trainer only serves prompts.
 	Nodes []string
 	Pool  string
 	// Name is the consumer's name. Default "trainer".
--- a/internal/lab/standin/trainer_calls.go
+++ b/internal/lab/standin/trainer_calls.go
@@ -48,7 +48,8 @@
 	return t.exchange(ctx, node, method, path, body, answer, func() {})
 }
 
-// exchange does the same as call and invokes onHeader when the header of a successful response arrives.
+// exchange does the same as call and invokes onHeader when the header of a successful
+// response arrives.
 func (t *Trainer) exchange(ctx context.Context, node, method, path string, body, answer any, onHeader func()) error {
 	var encoded []byte
 	if body != nil {
@@ -100,8 +101,8 @@
 	}}})
 }
 
-// retry calls the nodes in round-robin order, starting with the last one that answered, until one call
-// succeeds or ctx ends, and reports success. A fenced trainer registers again.
+// retry calls the nodes in round-robin order, starting with the last one that answered,
+// until one call succeeds or ctx ends, and reports success. A fenced trainer registers again.
 func (t *Trainer) retry(ctx context.Context, call func(node string) error) bool {
 	for ctx.Err() == nil {
 		position, node := t.node()
