--- a/internal/core/decision/decision_test.go
+++ b/internal/core/decision/decision_test.go
@@ -84,30 +84,30 @@
 	}
 }
 
-// The store keeps within its memory bound, drops the oldest and counts what it drops.
+// The store stays within its memory limit, drops the oldest records and counts them.
 func TestStoreIsBounded(t *testing.T) {
 	testkit.Check(t, 71, func(t *rapid.T) {
-		// No record alone exceeds the bound: TestStoreDropsOversizedRecord covers that.
-		bound := rapid.IntRange(1500, 9000).Draw(t, "bound")
-		store := NewStore(bound)
+		// The limit exceeds any single record; TestStoreDropsOversizedRecord covers larger ones.
+		limit := rapid.IntRange(1500, 9000).Draw(t, "bound")
+		store := NewStore(limit)
 		added := rapid.IntRange(0, 80).Draw(t, "added")
 		for index := range added {
 			store.Add(port.Decision{
 				Subject: fmt.Sprint("r-", rapid.IntRange(0, 5).Draw(t, "subject")), Time: int64(index),
 				Detail: strings.Repeat("x", rapid.IntRange(0, 400).Draw(t, "detail")),
 			})
-			if store.Bytes() > bound {
-				t.Fatalf("%d bytes, bound %d", store.Bytes(), bound)
+			if store.Bytes() > limit {
+				t.Fatalf("%d bytes, limit %d", store.Bytes(), limit)
 			}
 		}
 		if store.Len()+int(store.Dropped()) != added {
-			t.Fatalf("%d kept, %d dropped of %d", store.Len(), store.Dropped(), added)
+			t.Fatalf("%d stored, %d dropped of %d", store.Len(), store.Dropped(), added)
 		}
 		recent := store.Recent(store.Len())
 		bySubject := make(map[string][]port.Decision)
 		for position, decision := range recent {
 			if decision.Time != int64(added-len(recent)+position) {
-				t.Fatalf("kept %d at position %d of %d, added %d", decision.Time, position, len(recent), added)
+				t.Fatalf("time %d at position %d of %d, added %d", decision.Time, position, len(recent), added)
 			}
 			bySubject[decision.Subject] = append(bySubject[decision.Subject], decision)
 		}
@@ -125,14 +125,14 @@
 	store.Add(port.Decision{Subject: "r-1"})
 	store.Add(port.Decision{Subject: "r-2", Detail: strings.Repeat("x", 1000)})
 	if store.Dropped() != 1 || len(store.Get("r-1")) != 1 || store.Get("r-2") != nil {
-		t.Errorf("dropped %d, kept %d", store.Dropped(), store.Len())
+		t.Errorf("dropped %d, stored %d", store.Dropped(), store.Len())
 	}
 	if len(store.Recent(-1)) != 0 || len(store.Recent(9)) != 1 {
 		t.Error("Recent returns more or fewer decisions than the store holds")
 	}
 }
 
-// A sample is found by the batches that committed or voided it.
+// Get returns for a sample also the decisions that committed or voided its batch.
 func TestSamplesAreFoundByTheirBatches(t *testing.T) {
 	store := NewStore(4000)
 	store.Add(port.Decision{Kind: port.DecisionAnswered, Subject: "s-lm-1-1", Time: 1})
@@ -155,8 +155,8 @@
 	for index := range 50 {
 		store.Add(port.Decision{Kind: port.DecisionPlaced, Subject: fmt.Sprint("r-", index)})
 	}
-	if left := store.Get("s-lm-1-2"); left != nil || len(store.bySubject) != store.Len() {
-		t.Errorf("dropped records left %v, %d subjects for %d records", left, len(store.bySubject), store.Len())
+	if decisions := store.Get("s-lm-1-2"); decisions != nil || len(store.bySubject) != store.Len() {
+		t.Errorf("dropped records still indexed: %v, %d subjects for %d records", decisions, len(store.bySubject), store.Len())
 	}
 }
 
--- a/internal/core/decision/explain.go
+++ b/internal/core/decision/explain.go
@@ -25,8 +25,8 @@
 	return lines
 }
 
-// explainOne formats one decision. It omits the related ids of a batch if the subject is
-// one of its samples.
+// explainOne formats one decision. It omits the related ids if the decision is about a
+// batch that contains the subject.
 func explainOne(subject string, decision *port.Decision) string {
 	when := time.UnixMilli(decision.Time).UTC().Format(timeFormat)
 	text := fmt.Sprintf("%s %s %s", when, Describe(decision.Subject), action(decision))
@@ -57,7 +57,7 @@
 	return len(decision.Scores) > 0 && decision.Scores[0].Replica == decision.Replica
 }
 
-// Describe returns a subject with its kind, as its prefix shows it.
+// Describe returns a subject preceded by its kind, which it derives from the prefix.
 func Describe(subject string) string {
 	kinds := []struct{ prefix, name string }{
 		{"r-", "Request"}, {"s-", "Sample"}, {"b-", "Batch"}, {"batch/", "Batch"},
@@ -127,11 +127,12 @@
 	}
 }
 
-// by and on return a phrase with the replica, or "" if there is none.
+// by and on return a phrase with the replica, or "" if replica is empty.
 func by(replica string) string { return withReplica(" by ", replica) }
 func on(replica string) string { return withReplica(" on ", replica) }
 
-// failureOf returns a phrase with the replica of the failed attempt.
+// failureOf returns a phrase with the replica of the failed attempt, or "" if replica is
+// empty.
 func failureOf(replica string) string {
 	if replica == "" {
 		return ""
@@ -139,7 +140,7 @@
 	return " after a failure on " + replica
 }
 
-// withReplica returns "" if there is no replica.
+// withReplica appends the replica to the preposition, or returns "" if replica is empty.
 func withReplica(preposition, replica string) string {
 	if replica == "" {
 		return ""
@@ -147,7 +148,7 @@
 	return preposition + replica
 }
 
-// sentences returns the sentences about the circumstances of a decision.
+// sentences returns the sentences that follow the reason of a decision.
 func sentences(decision *port.Decision, withRelated bool) []string {
 	var parts []string
 	add := func(sentence string) {
@@ -238,7 +239,7 @@
 	return text
 }
 
-// counted formats a number with its noun.
+// counted formats a count and its noun, in the plural unless count is 1.
 func counted(count int, noun string) string {
 	if count == 1 {
 		return "1 " + noun
--- a/internal/core/decision/store.go
+++ b/internal/core/decision/store.go
@@ -6,21 +6,21 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// DefaultMaxBytes is the default memory bound of a Store.
+// DefaultMaxBytes is the default memory limit of a Store, in bytes.
 const DefaultMaxBytes = 16 << 20
 
-// Store holds the latest decisions, indexed by subject, within a memory bound. It drops
+// Store holds the latest decisions, indexed by subject, within a memory limit. It drops
 // the oldest first. It is not safe for concurrent use.
 type Store struct {
 	maxBytes int
 	bytes    int
-	// records is a queue that starts at head; the records before it are dropped. first
+	// records is a queue that starts at head; the entries before head were dropped. first
 	// is the sequence number of records[head].
 	records []port.Decision
 	head    int
 	first   uint64
-	// bySubject lists the sequence numbers of a subject's records in ascending order,
-	// including those of the batches that contain the subject.
+	// bySubject maps a subject to the sequence numbers, ascending, of the records about it
+	// and about the batches that contain it.
 	bySubject map[string][]uint64
 	dropped   uint64
 }
@@ -33,7 +33,7 @@
 	return &Store{maxBytes: maxBytes, bySubject: make(map[string][]uint64)}
 }
 
-// Add stores a decision. A decision that alone exceeds the bound is dropped and counted.
+// Add stores a decision. A decision that alone exceeds the limit is dropped and counted.
 func (s *Store) Add(decision port.Decision) {
 	size := sizeOf(&decision)
 	if size > s.maxBytes {
@@ -97,15 +97,15 @@
 	s.compact()
 }
 
-// compact moves the stored records to the front once half of the slice is dropped, so
+// compact moves the stored records to the front once half of the slice was dropped, so
 // that the amortized cost of a record is constant.
 func (s *Store) compact() {
 	if s.head*2 < len(s.records) {
 		return
 	}
-	kept := copy(s.records, s.records[s.head:])
-	clear(s.records[kept:])
-	s.records = s.records[:kept]
+	count := copy(s.records, s.records[s.head:])
+	clear(s.records[count:])
+	s.records = s.records[:count]
 	s.head = 0
 }
 
