--- a/internal/core/logtrace/delays.go
+++ b/internal/core/logtrace/delays.go
@@ -20,13 +20,13 @@
 	Model string `json:"model"`
 	Step  uint64 `json:"step"`
 	Job   string `json:"job"`
-	// AcceptedAt is the Unix time at which the job was stored, Accept how long storing it took.
+	// AcceptedAt is the Unix time at which the job was stored, Accept the duration of storing it.
 	AcceptedAt int64 `json:"kept"`
 	Accept     int64 `json:"accept_ms"`
 	// StartDelay is the time until a runner started the job.
 	StartDelay int64 `json:"taken_over_ms"`
-	// FirstWait, LaterWaits, Ran, Unused and Scored are those of the item Deciding, which
-	// completed enough groups for the client to stop waiting.
+	// FirstWait, LaterWaits, Ran, Unused and Scored are the times of the item Deciding, the
+	// one that completed enough groups for the client to stop waiting.
 	FirstWait  int64  `json:"first_wait_ms"`
 	LaterWaits int64  `json:"later_waits_ms"`
 	Ran        int64  `json:"ran_ms"`
@@ -35,14 +35,14 @@
 	Deciding   string `json:"deciding_item"`
 	// Read is the time until the client ended the job.
 	Read int64 `json:"read_ms"`
-	// PublishDelay is the time until the next version was published, NextJobDelay the time from then
-	// until the next job was stored. Both are 0 for a model's last job.
+	// PublishDelay is the time from the job's end until the next version was published,
+	// NextJobDelay the time from then until the next job was stored. Both are 0 for a model's last job.
 	PublishDelay int64 `json:"named_ms"`
 	NextJobDelay int64 `json:"asked_ms"`
 	// Total is the time until the next job, or until the end of this one if it is the last.
 	Total int64 `json:"total_ms"`
-	// Unexplained is the rest: the runner's waits between two runs of the item that its
-	// line does not show, or missing lines.
+	// Unexplained is the rest, caused by waits between two runs of the item that the
+	// runner's line does not report, or by missing lines.
 	Unexplained int64 `json:"unexplained_ms"`
 	Whole       bool  `json:"whole"`
 	Refused     int64 `json:"refused"`
@@ -67,7 +67,7 @@
 				done[id] = line
 			}
 		case eventJobEnded:
-			if at, known := ended[id]; !known || line.Time < at {
+			if at, found := ended[id]; !found || line.Time < at {
 				ended[id] = line.Time
 			}
 		case eventWeightsPublished:
@@ -94,7 +94,7 @@
 	}
 }
 
-// addJobDone sets the parts that come from the runner's line and from the job's end.
+// addJobDone sets the parts that come from the runner's line done and from the time at which the job ended.
 func (d *Delay) addJobDone(done Line, ended int64) {
 	if done.Event == "" {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// firstBetween returns the first of the times in a range.
+// firstBetween returns the first of the times in the inclusive range.
 func firstBetween(times []int64, from, to int64) (int64, bool) {
 	for _, at := range times {
 		if at >= from && at <= to {
--- a/internal/core/logtrace/delays_test.go
+++ b/internal/core/logtrace/delays_test.go
@@ -6,8 +6,8 @@
 	"github.com/loomgrade/loomgrade/internal/core/logtrace"
 )
 
-// TestDelayPartsAddUpToTotal reads unordered lines of three processes about a job, with an
-// item that was rejected once, and about the next job of its trainer.
+// TestDelayPartsAddUpToTotal parses unordered lines of several processes about a job, the
+// next job of its trainer and a job of another model.
 func TestDelayPartsAddUpToTotal(t *testing.T) {
 	var lines []logtrace.Line
 	for _, text := range []string{
--- a/internal/core/logtrace/logtrace.go
+++ b/internal/core/logtrace/logtrace.go
@@ -24,7 +24,7 @@
 	Fields map[string]any
 }
 
-// lineFields are the fields that Line holds outside Fields.
+// lineFields are the JSON fields that Line stores outside Fields.
 var lineFields = []string{"time", "process", "level", "event", "message"}
 
 // Parse parses one line, which may have a prefix before its JSON object, such as a
@@ -84,7 +84,7 @@
 }
 
 // Select returns the lines about an id in order of time. It adds the lines about the
-// replicas that they name, and the state changes of the processes that wrote them.
+// replicas that these lines name, and the state changes of the processes that wrote them.
 func Select(lines []Line, id string) []Line {
 	about := slices.DeleteFunc(slices.Clone(lines), func(line Line) bool { return !line.About(id) })
 	if len(about) == 0 {
@@ -124,7 +124,8 @@
 }
 
 // Format formats each line with its fields in brackets, followed by the cause of the
-// failure if the lines show one. meanings has the text of events without a message.
+// failure if the lines contain one. meanings maps an event to the text for lines without a
+// message.
 func Format(lines []Line, meanings map[string]string) []string {
 	if len(lines) == 0 {
 		return nil
@@ -154,7 +155,7 @@
 	return strings.Join(parts, " ")
 }
 
-// Cause returns why the request or item of the lines failed, or "" if they show no
+// Cause returns why the request or item that the lines are about failed, or "" if they contain no
 // failure.
 func Cause(lines []Line) string {
 	for _, line := range slices.Backward(lines) {
--- a/internal/core/logtrace/steps.go
+++ b/internal/core/logtrace/steps.go
@@ -9,15 +9,15 @@
 // EventJobDone is the event of the line that summarizes a job.
 const EventJobDone = "job.done"
 
-// Step holds the times of one job from one runner's line about it, in milliseconds since
-// the runner started the job; 0 means never.
+// Step holds the figures of one job from the line of one runner. Times are in milliseconds
+// since the runner started the job; 0 means never.
 type Step struct {
 	Job     string `json:"job"`
 	Step    uint64 `json:"step"`
 	Process string `json:"process"`
 	// Started is the time at which the runner started the job, in Unix milliseconds.
 	Started int64 `json:"begun"`
-	// Ended is set if the job ended, not only the runner's work on it.
+	// Ended reports whether the job itself ended, not only the runner's work on it.
 	Ended       bool   `json:"ended"`
 	Items       int64  `json:"items"`
 	Runs        int64  `json:"runs"`
