--- a/internal/core/shardplan/shardplan.go
+++ b/internal/core/shardplan/shardplan.go
@@ -22,7 +22,7 @@
 type Limits struct {
 	// Voters is the number of machines in a shard's group.
 	Voters int
-	// Spares is the number of machines kept outside all groups to replace lost ones; a site
+	// Spares is the number of machines reserved outside all groups to replace lost ones; a site
 	// with a single shard needs none.
 	Spares int
 	// SlotsPerShard is the number of replica slots, one item each, that a shard can serve.
@@ -38,24 +38,24 @@
 }
 
 // Pick selects up to count free machines for a group with the given members so that the group is
-// spread over zones: each time from the zone with the fewest members, and among these from the
-// zone with the most free machines.
+// spread over zones. It selects each machine from the zone with the fewest members and, if
+// several zones have as few, from the one with the most free machines.
 func Pick(members, free []Machine, count int) []Machine {
-	inGroup, left := byZone(members), byZone(free)
+	inGroup, available := byZone(members), byZone(free)
 	rest := slices.Clone(free)
 	var picked []Machine
 	for len(picked) < count && len(rest) > 0 {
 		best := 0
 		for i := range rest {
-			if better(rest[i], rest[best], inGroup, left) {
+			if better(rest[i], rest[best], inGroup, available) {
 				best = i
 			}
 		}
-		taken := rest[best]
+		selected := rest[best]
 		rest = slices.Delete(rest, best, best+1)
-		inGroup[taken.Zone]++
-		left[taken.Zone]--
-		picked = append(picked, taken)
+		inGroup[selected.Zone]++
+		available[selected.Zone]--
+		picked = append(picked, selected)
 	}
 	return picked
 }
@@ -68,16 +68,16 @@
 	return counts
 }
 
-func better(a, b Machine, inGroup, left map[string]int) bool {
+func better(a, b Machine, inGroup, available map[string]int) bool {
 	return cmp.Or(
 		cmp.Compare(inGroup[a.Zone], inGroup[b.Zone]),
-		cmp.Compare(left[b.Zone], left[a.Zone]),
+		cmp.Compare(available[b.Zone], available[a.Zone]),
 		cmp.Compare(a.Name, b.Name),
 	) < 0
 }
 
-// ShardForModel returns the shard for a new model's jobs: the allowed one with the fewest models, the first
-// of equals; 0 if none is allowed.
+// ShardForModel returns the shard for a new model's jobs: the allowed shard with the fewest
+// models, the lowest number if several have as few, or 0 if none is allowed.
 func ShardForModel(placed map[string]sitestate.ShardNumber, shards int, allowed func(sitestate.ShardNumber) bool) sitestate.ShardNumber {
 	models := map[sitestate.ShardNumber]int{}
 	for _, shard := range placed {
