--- a/internal/core/coldlimit/coldlimit.go
+++ b/internal/core/coldlimit/coldlimit.go
@@ -1,11 +1,12 @@
-// Package coldlimit divides the limited requests to a cold replica among its senders without
-// coordination: a replica that just started, or whose zone was idle, fails if all senders use it
-// at once. The package does no I/O.
+// Package coldlimit divides the request rate of a cold replica among its senders without
+// coordination. A cold replica, one that just started or whose zone was idle, fails if all
+// senders use it concurrently. The package does no I/O.
 //
-// A sender without a share of a cold replica sends it nothing. Shares are drawn by a hash of
-// sender and replica, so that senders decide alone and replicas have different senders. Each
-// sender with a share limits its own requests in any second, so the sum over all senders holds
-// under partitions, restarts and unsynchronized clocks.
+// A sender without a share of a cold replica sends it nothing. A hash of sender and
+// replica decides who has a share, so that senders need no coordination and replicas have
+// different senders. Each
+// sender with a share limits its own requests in any second, so the total stays within the
+// limit under partitions, restarts and unsynchronized clocks.
 package coldlimit
 
 import (
@@ -19,7 +20,7 @@
 	// its successor may start within the same second.
 	runnerFraction = 1.0 / 3
 	// senderFraction is the average fraction for all senders of single requests together. The
-	// rest absorbs the variance of the draw and an outdated number of senders.
+	// rest absorbs the variance of the hash and an outdated number of senders.
 	senderFraction = 1.0 / 5
 	// Span is the interval over which a sender counts its requests: the second of the limit
 	// plus the variation of network delays.
--- a/internal/core/coldlimit/coldlimit_test.go
+++ b/internal/core/coldlimit/coldlimit_test.go
@@ -13,7 +13,8 @@
 // limits allow 16 requests per second, with a tolerance of half of that and 5 more.
 var limits = coldlimit.Limits{Rate: 16, Overshoot: 1.5, Slack: 5}
 
-const bound = 29
+// limit is the maximum number of requests in any second under limits.
+const limit = 29
 
 var start = time.Unix(1000, 0)
 
@@ -45,14 +46,14 @@
 }
 
 // TestAllSendersTogetherStayWithinTheBound checks the limit when every sender sends as much as it
-// may, starting at different times, and one runner succeeds another. The number of senders that
-// they assume is exact, or a quarter too small.
+// may, starting at different times, together with one runner. The senders assume their
+// exact number, or one that is a quarter too small.
 func TestAllSendersTogetherStayWithinTheBound(t *testing.T) {
 	const replicas = 400
 	for _, senders := range []int{1, 3, 10, 70, 800, 1600} {
-		for _, known := range []int{senders, max(1, senders*3/4)} {
-			random := rand.New(rand.NewPCG(uint64(senders), uint64(known)))
-			share := limits.ShareOf(known)
+		for _, assumed := range []int{senders, max(1, senders*3/4)} {
+			random := rand.New(rand.NewPCG(uint64(senders), uint64(assumed)))
+			share := limits.ShareOf(assumed)
 			var exceeded, used, worst int
 			for replica := range replicas {
 				var at []time.Duration
@@ -67,14 +68,14 @@
 				at = append(at, arrivals(random, limits.RunnerPerSpan(), 0)...)
 				busiest := busiestSecond(at)
 				worst = max(worst, busiest)
-				if busiest > bound {
+				if busiest > limit {
 					exceeded++
 				}
 			}
-			t.Logf("%4d senders, %4d known: %d per span with probability %.3f; at most %d in a second of %d; %d of %d replicas had a sender",
-				senders, known, share.PerSpan, share.Probability, worst, bound, used, replicas)
+			t.Logf("%4d senders, %4d assumed: %d per span with probability %.3f; at most %d in a second of %d; %d of %d replicas had a sender",
+				senders, assumed, share.PerSpan, share.Probability, worst, limit, used, replicas)
 			if exceeded > 0 {
-				t.Errorf("%d senders, %d known: %d of %d replicas had more than %d requests in a second", senders, known, exceeded, replicas, bound)
+				t.Errorf("%d senders, %d assumed: %d of %d replicas had more than %d requests in a second", senders, assumed, exceeded, replicas, limit)
 			}
 			if used < replicas*9/10 {
 				t.Errorf("%d senders: only %d of %d replicas receive requests while cold", senders, used, replicas)
@@ -83,10 +84,11 @@
 	}
 }
 
-// TestARunnerAndItsSuccessorStayWithinTheBound checks that both may send in the same second.
+// TestARunnerAndItsSuccessorStayWithinTheBound checks the limit when both send in the same
+// second.
 func TestARunnerAndItsSuccessorStayWithinTheBound(t *testing.T) {
-	if got := 2 * limits.RunnerPerSpan(); got > bound || got == 0 {
-		t.Errorf("%d requests, limit %d", got, bound)
+	if got := 2 * limits.RunnerPerSpan(); got > limit || got == 0 {
+		t.Errorf("%d requests, limit %d", got, limit)
 	}
 }
 
@@ -113,6 +115,6 @@
 
 func TestServicesWithoutARateAreNotBounded(t *testing.T) {
 	if (coldlimit.Limits{Overshoot: 1.5, Slack: 5}).Limited() || !limits.Limited() {
-		t.Error("Bounded does not depend on Rate")
+		t.Error("Limited does not depend on Rate")
 	}
 }
