--- a/internal/core/apikey/apikey.go
+++ b/internal/core/apikey/apikey.go
@@ -1,4 +1,4 @@
-// Package apikey stores the keys of callers as digests: a key is hashed on arrival and not kept.
+// Package apikey compares the API keys of callers by digest, so that no key is stored.
 package apikey
 
 import (
@@ -7,7 +7,7 @@
 	"encoding/hex"
 )
 
-// Digest is the SHA-256 of a key. The zero Digest stands for no key and equals nothing.
+// Digest is the SHA-256 of a key. The zero Digest means no key; Equal returns false for it.
 type Digest [sha256.Size]byte
 
 // Of returns the digest of a key, the zero Digest for an empty key.
@@ -27,10 +27,11 @@
 	return Digest(raw)
 }
 
-// Equal compares two digests in constant time.
+// Equal reports, in constant time, whether two digests are of the same key. It returns false
+// if either is zero.
 func (d Digest) Equal(other Digest) bool {
 	return d != Digest{} && subtle.ConstantTimeCompare(d[:], other[:]) == 1
 }
 
-// String returns a placeholder, to keep digests out of logs and messages.
+// String returns a placeholder, so that logs and messages contain no digest.
 func (d Digest) String() string { return "key" }
