--- a/internal/core/sitetime/sitetime.go
+++ b/internal/core/sitetime/sitetime.go
@@ -30,5 +30,5 @@
 	return Offset{at: zeros[len(zeros)/2]}, true
 }
 
-// Time returns the wall clock time at a time of the reader's monotonic clock.
-func (o Offset) Time(steady time.Duration) time.Time { return o.at.Add(steady) }
+// Time returns the wall clock time at a reading of the reader's monotonic clock.
+func (o Offset) Time(monotonic time.Duration) time.Time { return o.at.Add(monotonic) }
--- a/internal/core/sitetime/sitetime_test.go
+++ b/internal/core/sitetime/sitetime_test.go
@@ -7,11 +7,10 @@
 	"github.com/loomgrade/loomgrade/internal/core/sitetime"
 )
 
-// TestEstimateIgnoresMinorityOfWrongClocks checks the estimate with a minority of wrong clocks.
 func TestEstimateIgnoresMinorityOfWrongClocks(t *testing.T) {
 	truth := time.Unix(1_000_000, 0)
-	reading := func(steady, wrong time.Duration) sitetime.Reading {
-		return sitetime.Reading{Monotonic: steady, Wall: truth.Add(steady + wrong)}
+	reading := func(monotonic, wrong time.Duration) sitetime.Reading {
+		return sitetime.Reading{Monotonic: monotonic, Wall: truth.Add(monotonic + wrong)}
 	}
 	const ms, late = time.Millisecond, 2 * time.Second
 	for name, row := range map[string]struct {
