--- a/internal/testkit/address.go
+++ b/internal/testkit/address.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FreeAddress returns a TCP address that a test may listen on repeatedly. It picks a random
-// loopback host, since outgoing connections of other tests may take ports of 127.0.0.1.
+// FreeAddress returns a TCP address that a test can listen on repeatedly. It picks a random
+// loopback host, since outgoing connections of other tests may use ports of 127.0.0.1.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
--- a/internal/testkit/codes.go
+++ b/internal/testkit/codes.go
@@ -12,7 +12,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// ErrorCodes returns all error codes, read from their declarations in the source.
+// ErrorCodes returns all error codes declared in the source of package port.
 func ErrorCodes(t testing.TB) []port.Code {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(Root(t), "internal/port/verdict.go"), nil, 0)
--- a/internal/testkit/doc.go
+++ b/internal/testkit/doc.go
@@ -1,2 +1,2 @@
-// Package testkit holds helpers shared by the tests of several packages.
+// Package testkit provides helpers shared by the tests of several packages.
 package testkit
--- a/internal/testkit/page.go
+++ b/internal/testkit/page.go
@@ -20,7 +20,7 @@
 		}
 		parent := filepath.Dir(folder)
 		if parent == folder {
-			t.Fatal("no parent folder holds go.mod")
+			t.Fatal("no parent folder contains go.mod")
 		}
 		folder = parent
 	}
@@ -82,11 +82,11 @@
 
 // CodeSpans returns the texts between backquotes in a cell.
 func CodeSpans(cell string) []string {
-	var quoted []string
+	var spans []string
 	for index, part := range strings.Split(cell, "`") {
 		if index%2 == 1 {
-			quoted = append(quoted, part)
+			spans = append(spans, part)
 		}
 	}
-	return quoted
+	return spans
 }
