--- a/internal/lab/chaos/admin.go
+++ b/internal/lab/chaos/admin.go
@@ -15,7 +15,7 @@
 	world *World
 	// replacement is the machine being added, or nil.
 	replacement *machine
-	// learner is set if the lost machine was a learner.
+	// learner is set if the replaced machine was a learner.
 	learner bool
 	// repaired counts completed replacements.
 	repaired int
@@ -50,7 +50,7 @@
 		a.world.tracef("replacement %d is complete", a.replacement.id)
 		a.replacement = nil
 		a.repaired++
-		a.world.faults.repaired()
+		a.world.faults.onRepaired()
 	}
 }
 
--- a/internal/lab/chaos/audit.go
+++ b/internal/lab/chaos/audit.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// maxViolations ends a run early.
+	// maxViolations is the number of violations that ends a run.
 	maxViolations = 20
 	// digestInterval is the number of log positions between comparisons of full states.
 	digestInterval = 8
 	// confirmedAge is the max age of a confirmed view: the time until a leader without a
-	// quorum steps down and its follower detects it, plus the longest message delays.
+	// quorum steps down and its followers detect that, plus the max message delays.
 	confirmedAge = 3 * time.Second
 	// maxQuorumLossTicks is the max number of ticks that a leader may lead without a quorum.
 	maxQuorumLossTicks = 3 * electionTicks
@@ -95,9 +95,9 @@
 	for _, entry := range ready.Committed {
 		digest := xxhash.Sum64(entry.Data) ^ uint64(entry.Kind)
 		if entry.Index <= uint64(len(a.entries)) {
-			known := a.entries[entry.Index-1]
-			if known.term != entry.Term || known.digest != digest {
-				a.report("committed entries kept", "member %d has a different entry at %d (term %d, was %d)", m.id, entry.Index, entry.Term, known.term)
+			recorded := a.entries[entry.Index-1]
+			if recorded.term != entry.Term || recorded.digest != digest {
+				a.report("committed entries kept", "member %d has a different entry at %d (term %d, was %d)", m.id, entry.Index, entry.Term, recorded.term)
 			}
 			continue
 		}
@@ -118,7 +118,7 @@
 	}
 	a.entries = append(a.entries, added)
 	view := a.state.View()
-	if _, known := a.views[view.Position]; !known {
+	if _, found := a.views[view.Position]; !found {
 		a.views[view.Position] = expectedView{revision: view.Revision, machineList: view.Configuration.MachineList}
 	}
 }
@@ -212,9 +212,9 @@
 		return
 	}
 	status := m.member.Status()
-	if known, led := a.leaders[status.Term]; led {
-		if known != m.id {
-			a.report("one leader a term", "members %d and %d lead term %d", known, m.id, status.Term)
+	if leader, found := a.leaders[status.Term]; found {
+		if leader != m.id {
+			a.report("one leader a term", "members %d and %d lead term %d", leader, m.id, status.Term)
 		}
 		return
 	}
@@ -235,8 +235,8 @@
 
 // checkView compares the view that an observer shows with the log.
 func (a *Auditor) checkView(number int, view *port.View) {
-	want, known := a.views[view.Position]
-	if !known {
+	want, found := a.views[view.Position]
+	if !found {
 		a.report("views equal", "observer %d shows position %d, which no view has", number, view.Position)
 		return
 	}
@@ -246,7 +246,7 @@
 }
 
 // checkConfirmed checks that a view confirmed by a member is recent. It exempts members
-// that just resumed, since they process old messages of their leader first.
+// that just resumed, since they first process old messages from the leader.
 func (a *Auditor) checkConfirmed(m *machine, update port.ViewUpdate) {
 	now := a.now()
 	if !update.Confirmed || now-m.resumed < confirmedAge {
@@ -263,8 +263,8 @@
 // checkOrder checks that each fence has one holder, and that the back end accepts no
 // order after one with a higher fence.
 func (a *Auditor) checkOrder(fence port.Epoch, holder port.NodeID) {
-	if known, seen := a.orders[fence]; seen && known != holder {
-		a.report("one holder by fence", "%s and %s act under fence %d", known, holder, fence)
+	if other, seen := a.orders[fence]; seen && other != holder {
+		a.report("one holder by fence", "%s and %s act under fence %d", other, holder, fence)
 	}
 	a.orders[fence] = holder
 	if fence < a.lastOrder {
--- a/internal/lab/chaos/chaos_test.go
+++ b/internal/lab/chaos/chaos_test.go
@@ -12,8 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// TestScenariosKeepInvariants runs fixed seeds of every scenario, which together must cover every
-// counted situation.
+// TestScenariosKeepInvariants runs fixed seeds of every scenario, which together must cover
+// every situation that Coverage counts.
 func TestScenariosKeepInvariants(t *testing.T) {
 	scenarios := Scenarios()
 	summaries := make([]Summary, len(scenarios))
@@ -79,11 +79,11 @@
 		t.Fatalf("two runs of one seed differ:\n%+v\n%+v", reports[0], reports[1])
 	}
 	if !strings.Contains(traces[0].String(), "leads term") {
-		t.Fatal("the trace shows no election")
+		t.Fatal("the trace contains no election")
 	}
 }
 
-// wipedScenario wipes disks while leaders change.
+// wipedScenario loses machines while leaders change; under WeaknessSameID it empties disks.
 var wipedScenario = Scenario{
 	Name: "wiped", FaultDuration: 3 * time.Minute, InjectionInterval: 5 * time.Second, FaultsPerInjection: 2, Members: 3,
 	Faults: []Fault{FaultLose, FaultKill, FaultIsolate, FaultIsolateLeader},
@@ -95,7 +95,8 @@
 	Faults: []Fault{FaultObserverAway, FaultObserverAway, FaultIsolate},
 }
 
-// TestAuditorFindsForgedEntries applies changes that a correct log never contains.
+// TestAuditorFindsForgedEntries passes changes to the auditor that a correct log never
+// contains.
 func TestAuditorFindsForgedEntries(t *testing.T) {
 	change := func(number int, expected port.Revision, author string) port.Command {
 		return port.Command{
@@ -135,8 +136,8 @@
 	}
 }
 
-// TestMissingSafeguardsAreFound removes one safeguard at a time and checks that the check
-// for it fails within a few seeds. Rows marked rare need more seeds.
+// TestMissingSafeguardsAreFound disables one safeguard at a time and requires a violation of
+// the named check within a few seeds. Rows marked rare need more seeds.
 func TestMissingSafeguardsAreFound(t *testing.T) {
 	tests := []struct {
 		weakness Weakness
@@ -160,7 +161,7 @@
 		{WeaknessNoTimeJump, "clocks", "one holder at a time", false},
 		{WeaknessKeepTornTail, "disks", "restart", false},
 		{WeaknessLeaderReads, "cuts", "configuration is linearizable", false},
-		{WeaknessForgetAnswers, "crashes", "states equal", false},
+		{WeaknessOmitCachedResults, "crashes", "states equal", false},
 		{WeaknessSkipSync, "together", "leases are linearizable", true},
 		{WeaknessSameID, wipedScenario.Name, "views equal", true},
 		{WeaknessSkipSync, "crashes", "no progress", false},
@@ -191,8 +192,8 @@
 	}
 }
 
-// TestReferenceModelFindsForgedResults feeds the reference model commits that a correct state
-// machine rejects.
+// TestReferenceModelFindsForgedResults passes commands to the reference model that a correct
+// state machine rejects.
 func TestReferenceModelFindsForgedResults(t *testing.T) {
 	commit := func(number port.BatchNumber, attempt uint32, sequence uint64, prompt port.PromptIndex, oldest port.WeightVersion) port.Command {
 		return port.Command{CommitBatch: &port.CommitBatch{
@@ -244,8 +245,8 @@
 	if len(failover.Leaderless) == 0 || failover.Leaderless[0] < electionTicks*tickInterval/2 {
 		t.Fatalf("leaderless %v", failover.Leaderless)
 	}
-	inForce := MeasurePropagation(3, 1)
-	if len(inForce.All) == 0 || inForce.All[0] <= 0 || inForce.All.Quantile(1) > time.Minute {
-		t.Fatalf("in force %v", inForce.All)
+	propagation := MeasurePropagation(3, 1)
+	if len(propagation.All) == 0 || propagation.All[0] <= 0 || propagation.All.Quantile(1) > time.Minute {
+		t.Fatalf("propagation %v", propagation.All)
 	}
 }
--- a/internal/lab/chaos/coverage.go
+++ b/internal/lab/chaos/coverage.go
@@ -10,12 +10,13 @@
 
 // Coverage counts the situations that occurred in runs.
 type Coverage struct {
-	// Conflicts counts changes rejected since another changed the same revision first.
+	// Conflicts counts changes rejected because another change of the same revision came
+	// first.
 	Conflicts int `json:"conflicts"`
-	// Retries counts changes that were answered after a response was lost; OtherMember
-	// those answered by another member than the first one called, AfterSnapshot those
-	// whose entry the answering member had compacted, and Expired those whose cached
-	// result had expired.
+	// Retries counts changes to which a member responded after an earlier response was
+	// lost. Of these, OtherMember counts those with a response from another member than the
+	// first one called, AfterSnapshot those whose entry the responding member had
+	// compacted, and Expired those whose cached result had expired.
 	Retries       int `json:"resends"`
 	OtherMember   int `json:"elsewhere"`
 	AfterSnapshot int `json:"after_snapshot"`
--- a/internal/lab/chaos/doc.go
+++ b/internal/lab/chaos/doc.go
@@ -4,8 +4,8 @@
 // A World runs several control members, operators, lease holders, a trainer and
 // observers in virtual time. The members run the production code: controlmember over
 // consensus and controlstate, with the write-ahead log on an in-memory file system that
-// loses unsynced writes. Network, clocks, processes and disks fail as the scenario
-// defines, and every choice follows from the seed. Auditor checks invariants after each
+// loses unsynced writes. The scenario defines how network, clocks, processes and disks fail;
+// the seed determines every random choice. Auditor checks invariants after each
 // step; the histories of operators and holders are checked for linearizability at the
 // end.
 //
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -26,12 +26,12 @@
 	FaultCrashPoints Fault = "crash-points"
 	// FaultPause suspends the process temporarily.
 	FaultPause Fault = "pause"
-	// FaultClock moves a member's clock.
+	// FaultClock changes a member's clock.
 	FaultClock Fault = "clock"
-	// FaultClockElection moves the clocks of all members but the leader and kills the
-	// leader, so that a member with another clock leads next.
+	// FaultClockElection changes the clocks of all members but the leader and kills the
+	// leader, so that the next leader's clock differs.
 	FaultClockElection Fault = "clock-election"
-	// FaultSync makes a later sync fail.
+	// FaultSync makes one of the next syncs of a disk fail.
 	FaultSync Fault = "sync"
 	// FaultDiskFull leaves a disk almost full.
 	FaultDiskFull Fault = "disk-full"
@@ -41,14 +41,15 @@
 	FaultLoseAfterRepair Fault = "lose-after-repair"
 	// FaultAbsence stops a process, for minutes in long scenarios.
 	FaultAbsence Fault = "absence"
-	// FaultObserverAway makes an observer drop all messages for a while; half of the
-	// observers restart without a view.
+	// FaultObserverAway makes an observer drop all messages temporarily; half of the time
+	// the observer also restarts without a view.
 	FaultObserverAway Fault = "observer-away"
 	// FaultStorm degrades the network temporarily.
 	FaultStorm Fault = "storm"
 )
 
-// longFaultDuration is the fault time from which isolation and absence last minutes.
+// longFaultDuration is the min FaultDuration of a scenario whose isolations and absences last
+// minutes.
 const longFaultDuration = 4 * time.Minute
 
 // leaderCheckDelay is how long a leader must keep leading after an isolated member returns.
@@ -57,7 +58,7 @@
 // injector applies the scenario's faults.
 type injector struct {
 	world *World
-	// count counts injected faults, active those that have not ended.
+	// count is the number of injected faults, active the number of those that have not ended.
 	count, active   int
 	loseAfterRepair bool
 }
@@ -145,8 +146,8 @@
 	}
 }
 
-// permits rejects faults that would lose a quorum of disks permanently, which no
-// replicated log survives.
+// permits reports whether a fault may be applied to the target now. It rejects the permanent
+// loss of a quorum of disks, which no replicated log survives.
 func (i *injector) permits(fault Fault, target *machine) bool {
 	switch fault {
 	case FaultSync, FaultLose, FaultLoseAfterRepair:
@@ -158,7 +159,7 @@
 	}
 }
 
-// spareDisks returns how many voters of the leader's membership may be lost now.
+// spareDisks returns how many more voters may be lost without losing the quorum.
 func (i *injector) spareDisks() int {
 	leader := i.world.leader()
 	if leader == nil || i.world.admin.replacement != nil {
@@ -184,8 +185,9 @@
 	return false
 }
 
-// repaired runs when a replacement is complete.
-func (i *injector) repaired() {
+// onRepaired injects the pending FaultLoseAfterRepair, if any. The admin calls it when a
+// replacement is complete.
+func (i *injector) onRepaired() {
 	if !i.loseAfterRepair || i.world.faultsEnded {
 		return
 	}
@@ -202,7 +204,7 @@
 	return i.world.randomDuration(2*time.Second, 30*time.Second)
 }
 
-// isolationDuration returns the length of an isolation, which is minutes in long scenarios.
+// isolationDuration returns the random duration of an isolation, minutes in long scenarios.
 func (i *injector) isolationDuration() time.Duration {
 	if i.world.options.Scenario.FaultDuration >= longFaultDuration {
 		return i.world.randomDuration(60*time.Second, 150*time.Second)
@@ -210,7 +212,7 @@
 	return i.longDuration()
 }
 
-// scheduleEnd schedules the end of a fault.
+// scheduleEnd schedules the end of a fault, at which it calls heal.
 func (i *injector) scheduleEnd(after time.Duration, heal func()) {
 	i.active++
 	i.world.after(after, func() {
@@ -221,8 +223,9 @@
 	})
 }
 
-// cut blocks every link from one group to the other, and back if both is set.
-func (i *injector) cut(from, to []consensus.MemberID, both bool, length time.Duration) {
+// cut blocks every link from one group to the other for a duration, and the links back if
+// both is set.
+func (i *injector) cut(from, to []consensus.MemberID, both bool, duration time.Duration) {
 	each := func(change func(from, to consensus.MemberID)) {
 		for _, a := range from {
 			for _, b := range to {
@@ -234,7 +237,7 @@
 		}
 	}
 	each(i.world.network.cut)
-	i.scheduleEnd(length, func() { each(i.world.network.heal) })
+	i.scheduleEnd(duration, func() { each(i.world.network.heal) })
 }
 
 func (i *injector) others(target *machine) []consensus.MemberID {
@@ -247,15 +250,16 @@
 	return others
 }
 
-// isolate cuts a member off from the others, half of the time from clients too.
+// isolate blocks the links between a member and the others, half of the time those with
+// clients too.
 func (i *injector) isolate(target *machine) {
 	others := i.others(target)
 	if i.world.random.IntN(2) == 0 {
 		others = append(others, outside)
 	}
-	length := i.isolationDuration()
-	i.cut([]consensus.MemberID{target.id}, others, true, length)
-	i.world.after(length+time.Microsecond, func() { i.checkReturn(target) })
+	duration := i.isolationDuration()
+	i.cut([]consensus.MemberID{target.id}, others, true, duration)
+	i.world.after(duration+time.Microsecond, func() { i.checkReturn(target) })
 }
 
 func (i *injector) split() {
@@ -287,7 +291,7 @@
 			return
 		}
 		if !leader.running() || !leader.member.IsLeader() || leader.member.Status().Term != term {
-			world.violation("healthy leaders stay", "member %d came back and leader %d of term %d was deposed", target.id, leader.id, term)
+			world.violation("healthy leaders stay", "member %d returned and leader %d of term %d was deposed", target.id, leader.id, term)
 		}
 	})
 }
--- a/internal/lab/chaos/history.go
+++ b/internal/lab/chaos/history.go
@@ -25,7 +25,7 @@
 	operationLease
 )
 
-// operation is one client'w call, from its first attempt to its response.
+// operation is one client's call, from its first attempt to its response.
 type operation struct {
 	kind     operationKind
 	client   int
@@ -49,14 +49,14 @@
 	o.done, o.end, o.result = true, now, result
 }
 
-// outcomeKnown reports whether the response shows if the operation took effect. An
+// outcomeKnown reports whether the response determines if the operation took effect. An
 // expired cached result leaves the outcome unknown.
 func (o *operation) outcomeKnown() bool {
 	expired := o.result.Error != nil && o.result.Error.Code == port.CodeChangeExpired
 	return o.done && !expired
 }
 
-// String returns the operation'w line in a trace.
+// String returns the operation's line in a trace.
 func (o *operation) String() string {
 	switch {
 	case o.kind == operationRead:
@@ -91,9 +91,9 @@
 	checkLinearizable(w, "leases are linearizable", leaseModel(), h.leases)
 }
 
-// resolved replaces unknown outcomes of changes by those in the log: accepted as a
-// revision at some time after the call, or of no effect. This is stricter than trying
-// every outcome, and keeps the search small.
+// resolved returns the operations with unknown outcomes of changes replaced by those in the
+// log: accepted as a revision at some time after the call, or omitted. This is stricter than
+// trying every outcome, and limits the search.
 func (h *history) resolved(accepted map[string]port.Revision) []*operation {
 	operations := make([]*operation, 0, len(h.configuration))
 	for _, each := range h.configuration {
@@ -110,7 +110,7 @@
 	return operations
 }
 
-// checkResponse compares an operator'w response with the log.
+// checkResponse compares an operator's response with the log.
 func checkResponse(w *World, operation *operation) {
 	if operation.kind != operationChange || !operation.done {
 		return
@@ -174,18 +174,18 @@
 	}
 }
 
-// leaseModel is a lease whose epochs only increase; renewals need the current one. It
-// omits calls without a response, which can only revoke a lease.
+// leaseModel is a lease whose epochs only increase; a renewal must name the current one. The
+// history omits calls without a response, which can only revoke a lease.
 func leaseModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return port.Lease{} },
 		Step: func(state, input, output any) (bool, any) {
-			held, operation := state.(port.Lease), input.(*operation)
+			current, operation := state.(port.Lease), input.(*operation)
 			granted := port.Lease{Holder: operation.result.Lease.Holder, Epoch: operation.result.Lease.Epoch}
 			if operation.expectedEpoch == 0 {
-				return granted.Epoch > held.Epoch && granted.Holder == operation.holder, granted
+				return granted.Epoch > current.Epoch && granted.Holder == operation.holder, granted
 			}
-			return granted == held && granted.Epoch == operation.expectedEpoch, granted
+			return granted == current && granted.Epoch == operation.expectedEpoch, granted
 		},
 	}
 }
--- a/internal/lab/chaos/holder.go
+++ b/internal/lab/chaos/holder.go
@@ -15,12 +15,12 @@
 	leaseRenewInterval = leaseTTL / 3
 	orderInterval      = 400 * time.Millisecond
 	maxOrderStall      = 8 * time.Second
-	// stallOdds is the number of orders per one that is delayed, as after a long pause.
+	// stallOdds is the number of orders per delayed one; the delay simulates a long pause.
 	stallOdds = 25
-	// lostResponseOdds is the number of batches per one that is lost.
+	// lostResponseOdds is the number of batch responses per lost one.
 	lostResponseOdds = 4
-	// leaseMargin is the divisor of the TTL that gives the end of a lease that its holder
-	// leaves unused.
+	// leaseMargin is the divisor of the TTL for the final part of a lease, which its holder
+	// does not use.
 	leaseMargin = 8
 )
 
@@ -37,7 +37,7 @@
 	leaseEnd time.Duration
 	sequence uint64
 	ledger   port.LedgerState
-	// lastBatch is the last batch that it committed, for repeated requests.
+	// lastBatch is the last batch that the holder committed, for repeated requests.
 	lastBatch port.CommitBatch
 }
 
@@ -48,8 +48,8 @@
 	return holder
 }
 
-// target returns the member to call: the leader if known. A hint is used once; the next
-// response sets it again.
+// target returns the member to call: the hinted leader, or a random member without a hint.
+// A hint is used once; the next response sets it again.
 func (h *holder) target() *machine {
 	machine := h.world.machine(h.hint)
 	h.hint = consensus.None
@@ -95,8 +95,8 @@
 	h.epoch, h.leaseEnd = lease.Epoch, sent+leaseTTL-leaseTTL/leaseMargin
 }
 
-// sendOrder sends a fenced order to the back end. Some are delayed after the holder checked
-// its lease.
+// sendOrder sends a fenced order to the back end. Some orders are delayed after the holder
+// checked its lease.
 func (h *holder) sendOrder() {
 	h.world.after(orderInterval, h.sendOrder)
 	if !h.holds() {
@@ -151,8 +151,8 @@
 	h.world.network.send(outside, outside, h.world.now, func() { h.world.trainer.receive(request, batch) })
 }
 
-// buildBatch builds a batch from the prompts that are uncommitted as far as the holder
-// knows.
+// buildBatch builds a batch from prompts that are uncommitted in the holder's copy of the
+// ledger.
 func (h *holder) buildBatch(request batchRequest) port.CommitBatch {
 	command := port.CommitBatch{Pool: poolName, CoordinatorEpoch: h.epoch, Number: request.number, Attempt: 1}
 	var returned []port.PromptIndex
--- a/internal/lab/chaos/machine.go
+++ b/internal/lab/chaos/machine.go
@@ -25,7 +25,7 @@
 	id      consensus.MemberID
 	initial consensus.Membership
 	disk    *faultfs.FileSystem
-	offset  time.Duration // of its clock from the true time
+	offset  time.Duration // of the machine's clock from the true time
 	// created is set once the data folder exists; lost once the machine is lost
 	// permanently or its disk must not be used again.
 	created, lost bool
@@ -39,7 +39,7 @@
 	callers       map[uint64]func(response)
 	subscriptions map[int]subscription // by observer
 	lastPushed    uint64
-	lastAudited   uint64 // last applied index that the auditor compared
+	lastAudited   uint64 // last applied index that the auditor checked
 	paused        bool
 	missedTicks   int // ticks missed during a pause
 	resumed       time.Duration
@@ -49,7 +49,7 @@
 // subscription is an observer's subscription at one member.
 type subscription struct {
 	position uint64
-	session  uint64 // of the observer
+	session  uint64 // session of the observer
 }
 
 func newMachine(world *World, id consensus.MemberID, initial consensus.Membership) *machine {
@@ -121,7 +121,7 @@
 		return consensus.Restored{}, err
 	}
 	m.log = log
-	if m.world.options.Weakness == WeaknessForgetAnswers && recovery.Restored.Snapshot.Index > 0 {
+	if m.world.options.Weakness == WeaknessOmitCachedResults && recovery.Restored.Snapshot.Index > 0 {
 		recovery.Restored.Snapshot.Data = withoutCachedResults(recovery.Restored.Snapshot.Data)
 	}
 	return recovery.Restored, nil
@@ -156,7 +156,8 @@
 	m.world.audit.checkQuorumContact(m)
 }
 
-// process runs work in the member's process and handles the resulting Ready.
+// process runs work in the member's process and handles the resulting Ready. It queues work
+// while the process is paused or busy.
 func (m *machine) process(work func()) {
 	if !m.running() {
 		return
@@ -180,8 +181,8 @@
 	m.handleReady()
 }
 
-// handleReady handles the member's pending Ready values; the machine may crash between any
-// two steps.
+// handleReady handles the member's pending Ready values, then replies to callers, stores a
+// due snapshot and updates observers. The machine may crash between any two steps.
 func (m *machine) handleReady() {
 	for m.running() && m.member.HasReady() {
 		if !m.handleOneReady(m.member.Ready()) {
@@ -280,7 +281,7 @@
 	}
 }
 
-// call passes a command, or a read if it is nil, to the member.
+// call proposes a command to the member, or requests a read if command is nil.
 func (m *machine) call(token uint64, command *port.Command) {
 	if command != nil {
 		m.member.Propose(token, *command)
@@ -332,15 +333,15 @@
 }
 
 func (m *machine) pushTo(number int) {
-	watch := m.subscriptions[number]
-	update := m.member.Update(watch.position)
+	subscribed := m.subscriptions[number]
+	update := m.member.Update(subscribed.position)
 	if m.world.options.Weakness == WeaknessConfirmBehind {
 		update.Confirmed = m.member.QuorumActive() && m.member.State().Applied() >= m.member.Status().Commit
 	}
 	m.world.audit.checkConfirmed(m, update)
-	watch.position = max(update.Position, watch.position)
-	m.subscriptions[number] = watch
+	subscribed.position = max(update.Position, subscribed.position)
+	m.subscriptions[number] = subscribed
 	m.world.network.send(m.id, outside, max(m.world.now, m.busyUntil), func() {
-		m.world.observers[number].receive(m.id, watch.session, update)
+		m.world.observers[number].receive(m.id, subscribed.session, update)
 	})
 }
--- a/internal/lab/chaos/machinefaults.go
+++ b/internal/lab/chaos/machinefaults.go
@@ -7,7 +7,7 @@
 	"github.com/loomgrade/loomgrade/internal/adapter/wal"
 )
 
-// maybeCrash decides at random whether the machine loses power here.
+// maybeCrash makes the machine lose power at random, and reports whether it did.
 func (m *machine) maybeCrash(where string) bool {
 	if m.world.crashChance == 0 || m.world.random.Float64() >= m.world.crashChance {
 		return false
@@ -25,7 +25,7 @@
 	m.world.after(m.world.randomDuration(100*time.Millisecond, 5*time.Second), m.start)
 }
 
-// kill stops the process, keeps its writes and schedules a restart.
+// kill stops the process without losing its writes and schedules a restart.
 func (m *machine) kill() { m.killFor(m.world.randomDuration(100*time.Millisecond, 5*time.Second)) }
 
 func (m *machine) killFor(absence time.Duration) {
@@ -57,8 +57,8 @@
 	m.lose()
 }
 
-// lose loses the machine permanently, or, without the safeguard of fresh ids, restarts it
-// under its id with an empty disk.
+// lose loses the machine permanently, or, under WeaknessSameID, restarts it under
+// its id with an empty disk.
 func (m *machine) lose() {
 	m.stop()
 	if m.world.options.Weakness == WeaknessSameID && len(m.initial.Voters) > 0 {
--- a/internal/lab/chaos/measure.go
+++ b/internal/lab/chaos/measure.go
@@ -20,19 +20,19 @@
 // Times is a sorted list of measured times.
 type Times []time.Duration
 
-// Quantile returns the time below which a share of the times lies.
-func (t Times) Quantile(share float64) time.Duration {
+// Quantile returns the given quantile of the times, between 0 and 1, or 0 without times.
+func (t Times) Quantile(q float64) time.Duration {
 	if len(t) == 0 {
 		return 0
 	}
-	return t[min(len(t)-1, int(share*float64(len(t))))]
+	return t[min(len(t)-1, int(q*float64(len(t))))]
 }
 
 // String returns count, median, 95th percentile and maximum.
 func (t Times) String() string {
-	const grain = 100 * time.Microsecond
+	const precision = 100 * time.Microsecond
 	return fmt.Sprintf("n=%d p50=%v p95=%v max=%v", len(t),
-		t.Quantile(0.5).Round(grain), t.Quantile(0.95).Round(grain), t.Quantile(1).Round(grain))
+		t.Quantile(0.5).Round(precision), t.Quantile(0.95).Round(precision), t.Quantile(1).Round(precision))
 }
 
 // Failover holds how long the members had no leader after the leader's process was
@@ -42,8 +42,8 @@
 	Unavailable Times
 }
 
-// MeasureFailover repeatedly kills the leader of members without other faults, over some
-// seeds, and measures in virtual time.
+// MeasureFailover repeatedly kills the leader, without other faults, and measures in virtual
+// time. It combines the results of several seeds.
 func MeasureFailover(members int, seeds int) Failover {
 	var found Failover
 	for seed := range uint64(seeds) {
@@ -82,14 +82,14 @@
 }
 
 // Propagation holds the times from a change's commit on the leader until half of the
-// observers, or all of them, show it.
+// observers, or all of them, have it in their view.
 type Propagation struct {
 	Half Times
 	All  Times
 }
 
-// MeasurePropagation runs members without faults and some observers in virtual time. Links
-// have unlimited bandwidth.
+// MeasurePropagation measures in virtual time, without faults, how changes reach observers,
+// and combines the results of several seeds. Links have unlimited bandwidth.
 func MeasurePropagation(observers, seeds int) Propagation {
 	var found Propagation
 	for seed := range uint64(seeds) {
--- a/internal/lab/chaos/network.go
+++ b/internal/lab/chaos/network.go
@@ -21,7 +21,7 @@
 	world       *World
 	base        Network
 	degradation Network
-	// cuts counts the active faults that block a direction.
+	// cuts is the number of active faults that block a direction.
 	cuts map[link]int
 }
 
--- a/internal/lab/chaos/observer.go
+++ b/internal/lab/chaos/observer.go
@@ -17,7 +17,7 @@
 )
 
 // observer is a node that watches one member at a time and switches to another when that
-// member is unresponsive or not in contact with a quorum.
+// member is unresponsive or does not confirm the view.
 type observer struct {
 	world     *World
 	number    int
@@ -27,16 +27,16 @@
 	// awayUntil is the time until which the observer drops all messages.
 	awayUntil time.Duration
 	// startPosition is the log position that a member must have applied before it may send the
-	// observer its first view; awaitingStart is set until it is known.
+	// observer its first view; awaitingStart is set until the leader reports this position.
 	startPosition uint64
 	awaitingStart bool
 	// session counts restarts, which invalidate earlier subscriptions.
 	session uint64
-	// unguardedView is the view without the safeguard against older views.
+	// unguardedView replaces state under WeaknessObserversGoBack: older views replace newer.
 	unguardedView *port.View
 	position      uint64
 	revision      port.Revision
-	// firstShown records when a revision was first shown, for measurements.
+	// firstShown is the time at which the observer first had a revision, for measurements.
 	firstShown map[port.Revision]time.Duration
 }
 
@@ -56,7 +56,8 @@
 	return o.state.View()
 }
 
-// renew periodically requests updates from the member.
+// renew periodically renews the subscription, at another member if the current one does not
+// confirm the view.
 func (o *observer) renew() {
 	o.world.after(renewInterval, o.renew)
 	if o.world.now < o.awayUntil {
@@ -69,8 +70,8 @@
 	o.subscribe()
 }
 
-// disconnect makes the observer drop all messages for a while. Half of the time it also
-// restarts without a view; later views must still not be older than those shown before.
+// disconnect makes the observer drop all messages temporarily. Half of the time it also
+// restarts without a view; its later views must not be older than those before the restart.
 func (o *observer) disconnect(absence time.Duration) {
 	o.awayUntil = o.world.now + absence
 	if o.world.random.IntN(2) == 0 {
@@ -137,8 +138,8 @@
 	o.check()
 }
 
-// check checks that position and revision never decrease, even over restarts, and that
-// equal positions show equal revisions. It ignores observers without a view.
+// check checks that position and revision never decrease, even after restarts, and that
+// the view equals that of the log at its position. It ignores observers without a view.
 func (o *observer) check() {
 	view := o.view()
 	if view.Position == 0 {
--- a/internal/lab/chaos/operator.go
+++ b/internal/lab/chaos/operator.go
@@ -23,9 +23,9 @@
 	number   int
 	revision port.Revision
 	changes  int
-	offset   time.Duration // of its clock
-	// hint is the last known leader; only operators of scenarios that set MaxPause call it
-	// first.
+	offset   time.Duration // of the operator's clock
+	// hint is the last reported leader, which the operator calls first. Only scenarios with
+	// a MaxPause set it.
 	hint consensus.MemberID
 }
 
@@ -45,11 +45,11 @@
 }
 
 func (o *operator) pause() {
-	longest := o.world.options.Scenario.MaxPause
-	if longest == 0 {
-		longest = defaultMaxPause
+	maxPause := o.world.options.Scenario.MaxPause
+	if maxPause == 0 {
+		maxPause = defaultMaxPause
 	}
-	o.world.after(o.world.randomDuration(longest/20, longest), o.next)
+	o.world.after(o.world.randomDuration(maxPause/20, maxPause), o.next)
 }
 
 func (o *operator) read() {
@@ -86,7 +86,8 @@
 	return &text
 }
 
-// send sends a command or a read, and retries until it receives a response.
+// send sends a command, or a read if command is nil, and retries until the operator receives
+// a response.
 func (o *operator) send(command *port.Command, operation *operation, hint consensus.MemberID) {
 	target := o.world.machine(hint)
 	if target == nil || target.lost {
@@ -104,7 +105,7 @@
 	attempt := operation.attempts
 	pause := responseTimeout
 	if o.world.random.IntN(20) == 0 {
-		pause = o.world.randomDuration(10*time.Second, 40*time.Second) // retry long after
+		pause = o.world.randomDuration(10*time.Second, 40*time.Second) // a late retry
 	}
 	o.world.after(pause, func() {
 		if !operation.done && operation.attempts == attempt {
--- a/internal/lab/chaos/queue.go
+++ b/internal/lab/chaos/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is work at a point of virtual time. Events at the same time run in the order in
+// event is a function to run at a point of virtual time. Events at the same time run in the order in
 // which they were scheduled.
 type event struct {
 	at       time.Duration
@@ -39,13 +39,13 @@
 	events   eventHeap
 }
 
-// at schedules work at a time; a time in the past means now.
+// at schedules run at a time; a time in the past means now.
 func (q *queue) at(when time.Duration, run func()) {
 	q.sequence++
 	heap.Push(&q.events, event{at: max(when, q.now), sequence: q.sequence, run: run})
 }
 
-// after schedules work after a delay.
+// after schedules run after a delay.
 func (q *queue) after(delay time.Duration, run func()) { q.at(q.now+delay, run) }
 
 // step runs the next event unless it is later than until, and reports whether it did.
--- a/internal/lab/chaos/referencemodel.go
+++ b/internal/lab/chaos/referencemodel.go
@@ -15,7 +15,7 @@
 	published port.WeightVersion
 	lease     port.Lease
 	consumer  port.Consumer
-	// samples and prompts map to the batch that has them; voided samples stay.
+	// samples and prompts map to the batch that contains them; voided samples stay in samples.
 	samples map[port.SampleID]port.BatchNumber
 	prompts map[port.PromptIndex]port.BatchNumber
 	batches map[port.BatchNumber]port.CommitBatch
@@ -32,7 +32,7 @@
 	}
 }
 
-// check applies one command with its result. Rejected commands have no effect.
+// check checks one command with its result and applies it to the model. Rejected commands have no effect.
 func (b *referenceModel) check(report reportFunc, command port.Command, result port.Result) {
 	if result.Error != nil {
 		return
@@ -82,7 +82,7 @@
 		b.checkSample(report, command.Number, sample)
 	}
 	for _, prompt := range promptsOf(command.Samples) {
-		if other, taken := b.prompts[prompt]; taken {
+		if other, found := b.prompts[prompt]; found {
 			report("batch committed once", "prompt %d is in batches %d and %d", prompt, other, command.Number)
 		}
 		b.prompts[prompt] = command.Number
@@ -91,7 +91,7 @@
 }
 
 func (b *referenceModel) checkSample(report reportFunc, number port.BatchNumber, sample port.CommittedSample) {
-	if other, taken := b.samples[sample.ID]; taken {
+	if other, exists := b.samples[sample.ID]; exists {
 		report("batch committed once", "sample %s is in batches %d and %d", sample.ID, other, number)
 	}
 	b.samples[sample.ID] = number
@@ -109,7 +109,7 @@
 	for _, prompt := range promptsOf(previous.Samples) {
 		delete(b.prompts, prompt)
 	}
-	if _, taken := b.delivered[previous.Samples[0].ID]; taken {
+	if _, received := b.delivered[previous.Samples[0].ID]; received {
 		report("batch committed once", "batch %d attempt %d voided after the trainer received it", command.Number, previous.Attempt)
 	}
 }
@@ -120,7 +120,7 @@
 		report("batch committed once", "the trainer received batch %d, which differs from the log", batch.Number)
 	}
 	for _, sample := range batch.Samples {
-		if other, twice := b.delivered[sample.ID]; twice {
+		if other, exists := b.delivered[sample.ID]; exists {
 			report("batch delivered once", "sample %s in batches %d and %d", sample.ID, other, batch.Number)
 		}
 		b.delivered[sample.ID] = batch.Number
--- a/internal/lab/chaos/report.go
+++ b/internal/lab/chaos/report.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Summary adds up the reports of one scenario.
+// Summary holds the totals of the reports of one scenario.
 type Summary struct {
 	Scenario   Scenario
 	Seeds      int
@@ -22,7 +22,7 @@
 	Failing []uint64
 }
 
-// Summarize adds up reports.
+// Summarize returns the totals of reports of one scenario.
 func Summarize(scenario Scenario, reports []Report) Summary {
 	summary := Summary{Scenario: scenario, Seeds: len(reports)}
 	for _, report := range reports {
--- a/internal/lab/chaos/scenario.go
+++ b/internal/lab/chaos/scenario.go
@@ -8,8 +8,8 @@
 	Title string
 	// FaultDuration is how long faults are injected, in virtual time.
 	FaultDuration time.Duration
-	// InjectionInterval is the mean time between two injections, FaultsPerInjection the number of faults per
-	// injection.
+	// InjectionInterval is the mean time between two injections, FaultsPerInjection the
+	// number of faults per injection.
 	InjectionInterval  time.Duration
 	FaultsPerInjection int
 	// Network applies while faults are injected.
@@ -34,7 +34,7 @@
 // Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	lossy := Network{Loss: 0.1, Duplicate: 0.1, Delay: 80 * time.Millisecond}
-	every := []Fault{
+	all := []Fault{
 		FaultCut, FaultIsolate, FaultIsolateLeader, FaultSplit, FaultPowerLoss, FaultKill, FaultCrashPoints,
 		FaultPause, FaultClock, FaultClockElection, FaultSync, FaultDiskFull, FaultLose, FaultStorm, FaultObserverAway,
 	}
@@ -48,8 +48,8 @@
 		{Name: "clocks", Title: "clock jumps and pauses", FaultDuration: 90 * time.Second, InjectionInterval: 5 * time.Second, FaultsPerInjection: 1, Faults: []Fault{FaultClock, FaultClockElection, FaultPause, FaultKill}},
 		{Name: "replace", Title: "a machine lost and replaced, a second one lost right after", FaultDuration: 3 * time.Minute, InjectionInterval: 40 * time.Second, FaultsPerInjection: 1, Members: 3, Faults: []Fault{FaultLose, FaultLoseAfterRepair}},
 		{Name: "absence", Title: "members and observers away for minutes and hundreds of changes", FaultDuration: 4 * time.Minute, InjectionInterval: 12 * time.Second, FaultsPerInjection: 1, Learners: 1, MaxPause: 600 * time.Millisecond, Faults: []Fault{FaultAbsence, FaultKill, FaultObserverAway, FaultObserverAway, FaultIsolate}},
-		{Name: "all", Title: "all faults, one at a time", FaultDuration: 3 * time.Minute, InjectionInterval: 4 * time.Second, FaultsPerInjection: 1, Learners: 1, Network: Network{Loss: 0.02, Duplicate: 0.02, Delay: 20 * time.Millisecond}, Faults: every},
-		{Name: "together", Title: "all faults, two at once and twice", FaultDuration: 3 * time.Minute, InjectionInterval: 6 * time.Second, FaultsPerInjection: 2, Learners: 1, Network: lossy, Faults: append(every, FaultLoseAfterRepair)},
+		{Name: "all", Title: "all faults, one at a time", FaultDuration: 3 * time.Minute, InjectionInterval: 4 * time.Second, FaultsPerInjection: 1, Learners: 1, Network: Network{Loss: 0.02, Duplicate: 0.02, Delay: 20 * time.Millisecond}, Faults: all},
+		{Name: "together", Title: "all faults, two at once and twice", FaultDuration: 3 * time.Minute, InjectionInterval: 6 * time.Second, FaultsPerInjection: 2, Learners: 1, Network: lossy, Faults: append(all, FaultLoseAfterRepair)},
 	}
 }
 
--- a/internal/lab/chaos/trainer.go
+++ b/internal/lab/chaos/trainer.go
@@ -10,7 +10,7 @@
 const (
 	requestTimeout  = 800 * time.Millisecond
 	publishInterval = 3 * time.Second
-	// restartOdds is the number of batches per restart of the trainer.
+	// restartOdds is the number of batch requests per new registration of the trainer.
 	restartOdds = 15
 )
 
@@ -71,8 +71,8 @@
 	})
 }
 
-// requestOrRegister requests the batch again; at random it registers again instead, since a
-// registration whose response was lost may have fenced it off.
+// requestOrRegister requests the next batch, or at random registers again: a registration
+// whose response was lost may have fenced off the trainer.
 func (t *trainer) requestOrRegister() {
 	if t.world.random.IntN(restartOdds) == 0 {
 		t.register()
--- a/internal/lab/chaos/weakness.go
+++ b/internal/lab/chaos/weakness.go
@@ -39,11 +39,11 @@
 	// WeaknessLeaderReads serves reads on a leader without proof that it still leads, and
 	// lets a leader without a quorum keep leading.
 	WeaknessLeaderReads Weakness = "leader-reads"
-	// WeaknessForgetAnswers omits the cached results from snapshots.
-	WeaknessForgetAnswers Weakness = "forget-answers"
+	// WeaknessOmitCachedResults omits the cached results from snapshots.
+	WeaknessOmitCachedResults Weakness = "forget-answers"
 )
 
-// untruncatedFileSystem is a file system that does not truncate files.
+// untruncatedFileSystem is a file system on which truncating a file has no effect.
 type untruncatedFileSystem struct{ wal.FileSystem }
 
 // OpenAppend implements wal.FileSystem.
--- a/internal/lab/chaos/world.go
+++ b/internal/lab/chaos/world.go
@@ -18,8 +18,8 @@
 	snapshotEntries = 60
 	syncTime        = time.Millisecond
 	clusterName     = "chaos"
-	// recoveryTime is the time after the last fault for the members to bring every observer
-	// up to date.
+	// recoveryTime is the time after the last fault within which every observer must be up
+	// to date.
 	recoveryTime = 40 * time.Second
 	// epoch is the wall-clock time at virtual time 0, in seconds since 1970.
 	epoch = 1_700_000_000
@@ -122,7 +122,7 @@
 	return machine
 }
 
-// machine returns the machine of a member id, or nil.
+// machine returns the machine of a member, or nil if there is none.
 func (w *World) machine(id consensus.MemberID) *machine {
 	if id == consensus.None || int(id) > len(w.machines) {
 		return nil
@@ -163,7 +163,7 @@
 	return low + time.Duration(w.random.Int64N(int64(high-low)))
 }
 
-// run runs the faults, the recovery and the final checks.
+// run runs the scenario with its faults, then the recovery and the final checks.
 func (w *World) run() {
 	w.runUntil(w.options.Scenario.FaultDuration)
 	w.endFaults()
@@ -181,7 +181,7 @@
 	}
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults and restarts the machines that are not lost.
 func (w *World) endFaults() {
 	w.tracef("faults end")
 	w.faultsEnded = true
@@ -250,8 +250,8 @@
 	w.audit.violations = append(w.audit.violations, found)
 }
 
-// submit sends a command to a machine and passes the response to receive, if both
-// arrive. A nil command is a read.
+// submit sends a command to a machine, or a read if command is nil, and calls receive with the
+// response. The network may lose either message.
 func (w *World) submit(to *machine, command *port.Command, receive func(response)) {
 	id := to.id
 	w.network.send(outside, id, w.now, func() {
