--- a/internal/lab/engine/config.go
+++ b/internal/lab/engine/config.go
@@ -7,8 +7,8 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Config configures an engine. A field that is zero gets the default that its comment
-// states. The defaults resemble a small model on one accelerator.
+// Config configures an engine. Zero fields with a default are set to it. The defaults resemble
+// a small model on one accelerator.
 type Config struct {
 	// StepBase is the fixed time of one step. Default 12 ms.
 	StepBase time.Duration
@@ -29,10 +29,10 @@
 	BlockTokens int
 	// KVBlocks is the size of the KV memory in blocks. Default 8192.
 	KVBlocks int
-	// CacheGenerated keeps the blocks of generated tokens in the prefix cache when a
+	// CacheGenerated makes the prefix cache store the blocks of generated tokens when a
 	// sequence ends, so that it can be resumed without recomputing them.
 	CacheGenerated bool
-	// CacheEvents makes the model report changes of its prefix cache.
+	// CacheEvents makes the model emit events for changes of its prefix cache.
 	CacheEvents bool
 	// KVBytesPerToken is the size of one token's KV state. Default 64 KiB.
 	KVBytesPerToken int64
@@ -50,7 +50,7 @@
 	SwapPause time.Duration
 	// AdapterLoadTime is how long loading an adapter takes. Default 200 ms.
 	AdapterLoadTime time.Duration
-	// Weights is the set of weights served after a start.
+	// Weights are the weights served after a start.
 	Weights Weights
 	// Adapters maps the adapters loaded after a start to their versions.
 	Adapters map[string]port.WeightVersion
--- a/internal/lab/engine/doc.go
+++ b/internal/lab/engine/doc.go
@@ -4,8 +4,8 @@
 //
 // The model is a pure state machine without a clock or goroutines. Every call passes
 // the time, as a duration since an origin that the caller chooses; times must not
-// decrease from call to call. The same model therefore runs in real time, behind the
-// HTTP stand-in, and in the virtual-time simulator.
+// decrease from call to call. The model therefore runs both in real time, behind the
+// HTTP stand-in, and in virtual time, in the simulator.
 //
 // A driver submits requests and orders, calls Next for the time of the next internal
 // event, and calls Advance to collect the events up to a time. A run of decode steps
--- a/internal/lab/engine/feed.go
+++ b/internal/lab/engine/feed.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Feed delivers cache events with a delay and with gaps, as real engines do.
+// Feed delivers cache events with a delay and with gaps, like a real engine.
 type Feed struct {
 	lag       time.Duration
 	dropEvery uint64 // every dropEvery-th event is dropped; 0 drops none
@@ -14,29 +14,29 @@
 }
 
 type feedEntry struct {
-	at     time.Duration
-	change CacheEvent
+	at    time.Duration
+	event CacheEvent
 }
 
 // NewFeed returns a feed that delays events by lag, drops every dropEvery-th one (0 for
-// none) and keeps the latest capacity events.
+// none) and stores at least the latest capacity events.
 func NewFeed(lag time.Duration, dropEvery uint64, capacity int) *Feed {
 	return &Feed{lag: lag, dropEvery: dropEvery, capacity: max(capacity, 1)}
 }
 
 // Append adds an event that occurred at time at.
-func (f *Feed) Append(at time.Duration, change CacheEvent) {
-	if f.dropEvery > 0 && change.Sequence%f.dropEvery == 0 {
+func (f *Feed) Append(at time.Duration, event CacheEvent) {
+	if f.dropEvery > 0 && event.Sequence%f.dropEvery == 0 {
 		return
 	}
 	if len(f.entries) >= 2*f.capacity {
-		kept := copy(f.entries, f.entries[len(f.entries)-f.capacity:])
-		f.entries = f.entries[:kept]
+		count := copy(f.entries, f.entries[len(f.entries)-f.capacity:])
+		f.entries = f.entries[:count]
 	}
-	f.entries = append(f.entries, feedEntry{at, change})
+	f.entries = append(f.entries, feedEntry{at, event})
 }
 
-// Reset removes all events. It is called when the engine restarts.
+// Reset removes all events. The driver calls it when the engine restarts.
 func (f *Feed) Reset() { f.entries = f.entries[:0] }
 
 // First returns the lowest stored sequence number, or 0 if there are no events.
@@ -44,19 +44,19 @@
 	if len(f.entries) == 0 {
 		return 0
 	}
-	return f.entries[0].change.Sequence
+	return f.entries[0].event.Sequence
 }
 
 // After returns up to limit events with a sequence number above after that are visible
-// at time now. Dropped events are missing from the sequence numbers.
+// at time now. Dropped events leave gaps in the sequence numbers.
 func (f *Feed) After(now time.Duration, after uint64, limit int) []CacheEvent {
-	first := sort.Search(len(f.entries), func(i int) bool { return f.entries[i].change.Sequence > after })
+	first := sort.Search(len(f.entries), func(i int) bool { return f.entries[i].event.Sequence > after })
 	var visible []CacheEvent
 	for _, entry := range f.entries[first:] {
 		if entry.at+f.lag > now || len(visible) >= limit {
 			break
 		}
-		visible = append(visible, entry.change)
+		visible = append(visible, entry.event)
 	}
 	return visible
 }
--- a/internal/lab/engine/hash.go
+++ b/internal/lab/engine/hash.go
@@ -8,7 +8,7 @@
 	"github.com/loomgrade/loomgrade/internal/core/prefix"
 )
 
-// BytesPerToken is the length of a token.
+// BytesPerToken is the length of a token's text in bytes.
 const BytesPerToken = 4
 
 // CountTokens returns the number of tokens of a text.
--- a/internal/lab/engine/load.go
+++ b/internal/lab/engine/load.go
@@ -49,7 +49,7 @@
 func (m *Model) InFlight() int { return len(m.sequences) }
 
 // CacheSnapshot returns the hashes of all reusable blocks in ascending order and the
-// sequence number of the last cache event that they include.
+// sequence number of the last cache event, which they reflect.
 func (m *Model) CacheSnapshot() (hashes []uint64, sequence uint64) {
 	hashes = m.memory.hashes()
 	slices.Sort(hashes)
@@ -84,7 +84,7 @@
 	m.start()
 }
 
-// SetSlowdown multiplies the duration of all steps that start from now on.
+// SetSlowdown sets the factor by which all steps that start after now take longer.
 func (m *Model) SetSlowdown(now time.Duration, factor float64) {
 	m.interrupt(now)
 	m.slowdown = factor
@@ -94,8 +94,8 @@
 // reports UnknownVersion.
 func (m *Model) FailNextSwap() { m.swapFault = swapFails }
 
-// MisdirectNextSwap makes the next activation put other weights into service than
-// ordered. The engine reports the weights that it serves.
+// MisdirectNextSwap makes the next activation serve the given weights instead of the ordered
+// ones. The engine reports the weights that it serves.
 func (m *Model) MisdirectNextSwap(weights Weights) {
 	m.swapFault, m.misdirectedTo = swapMisdirected, weights
 }
--- a/internal/lab/engine/memory.go
+++ b/internal/lab/engine/memory.go
@@ -4,7 +4,7 @@
 type block struct {
 	hash     uint64
 	refs     int
-	orphaned bool // no longer found by its hash
+	orphaned bool // no longer in byHash
 	previous *block
 	next     *block
 }
@@ -64,7 +64,8 @@
 	m.cached++
 }
 
-// find returns the shared block with this hash and adds a reference, or nil.
+// find adds a reference to the shared block with this hash and returns it, or returns nil if
+// there is none.
 func (m *memory) find(hash uint64) *block {
 	b := m.byHash[hash]
 	if b == nil {
@@ -78,12 +79,12 @@
 }
 
 // share turns a private block into the shared block with this hash and returns it with a
-// reference. If the hash is already known, it frees the private block and returns the
-// known one.
+// reference. If a shared block with this hash exists, share frees the private block and
+// returns the existing one.
 func (m *memory) share(hash uint64) *block {
-	if known := m.find(hash); known != nil {
+	if existing := m.find(hash); existing != nil {
 		m.deallocate(1)
-		return known
+		return existing
 	}
 	b := m.newBlock()
 	*b = block{hash: hash, refs: 1}
@@ -115,8 +116,8 @@
 	m.link(b)
 }
 
-// clear makes every shared block unreachable. Blocks that sequences reference stay
-// allocated; the others are freed.
+// clear removes every shared block from the prefix cache. Blocks that sequences reference
+// stay allocated; the others are freed.
 func (m *memory) clear() {
 	for b := m.lru.next; b != &m.lru; b = m.lru.next {
 		m.unlink(b)
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -58,7 +58,7 @@
 	totals Totals
 }
 
-// Totals counts what an engine has done since it was created, including before restarts.
+// Totals are the counters of an engine since New; restarts don't reset them.
 type Totals struct {
 	Steps         uint64
 	Generated     uint64 // tokens
@@ -77,13 +77,13 @@
 	return m
 }
 
-// incarnationShift places the incarnation above the sequence numbers of cache events.
+// incarnationShift is the position of the incarnation in the sequence number of a cache event.
 const incarnationShift = 32
 
-// Config returns the configuration with defaults filled in.
+// Config returns the configuration, including the defaults.
 func (m *Model) Config() Config { return m.config }
 
-// start brings up an empty engine.
+// start starts the engine without requests or cached blocks.
 func (m *Model) start() {
 	m.up = true
 	m.incarnation++
@@ -148,8 +148,8 @@
 	m.dirty = true
 }
 
-// Cancel ends a request immediately and reports whether it existed. The token of the
-// current step is lost.
+// Cancel ends a request immediately and reports whether it existed. The request's token of
+// the current step is lost.
 func (m *Model) Cancel(now time.Duration, id string) bool {
 	m.interrupt(now)
 	s := m.sequences[id]
@@ -180,8 +180,8 @@
 	}
 }
 
-// Next returns the time of the next internal event; ok is false if there is none unless
-// the driver makes another call.
+// Next returns the time of the next internal event; ok is false if there is none before the
+// driver's next request or order.
 func (m *Model) Next() (at time.Duration, ok bool) {
 	if !m.up {
 		return 0, false
@@ -271,8 +271,8 @@
 		return
 	}
 	done := min(int((now-r.start)/r.step), r.steps)
-	if fresh := done - r.completed; fresh > 0 {
-		m.generate(fresh)
+	if count := done - r.completed; count > 0 {
+		m.generate(count)
 		r.completed = done
 	}
 	if done == r.steps {
@@ -335,7 +335,8 @@
 	m.emit(Event{At: at, Kind: EventFinished, ID: s.request.ID, Completion: s.completion(reason)})
 }
 
-// awaitExport keeps a prefilled sequence in memory until it is exported.
+// awaitExport removes a prefilled sequence from the batch. Its KV state stays in memory until
+// the driver exports it.
 func (m *Model) awaitExport(s *sequence, at time.Duration) {
 	m.detach(s)
 	s.state = stateAwaitingExport
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -12,7 +12,8 @@
 	"github.com/loomgrade/loomgrade/internal/testkit"
 )
 
-// smallConfig has little memory, so that preemption and eviction occur.
+// smallConfig returns a configuration with so little memory that preemption and eviction
+// occur.
 func smallConfig() Config {
 	return Config{
 		KVBlocks: 40, BlockTokens: 8, MaxSequences: 4, PrefillTokensPerStep: 64,
@@ -53,8 +54,8 @@
 	return s
 }
 
-// runScript runs a script and returns all events. It calls check after each call. A tick over
-// 0 limits how far time advances per call.
+// runScript runs a script and returns all events. It calls check after each call to the
+// model. A tick above 0 limits how far time advances per call.
 func runScript(s script, config Config, tick time.Duration, check func(*Model)) []Event {
 	type call struct {
 		at time.Duration
@@ -254,7 +255,7 @@
 		request Request
 		want    error
 	}{
-		{"duplicate id", Config{}, with(func(r *Request) { r.ID = "taken" }), ErrDuplicateID},
+		{"duplicate id", Config{}, with(func(r *Request) { r.ID = "used" }), ErrDuplicateID},
 		{"no prompt", Config{}, with(func(r *Request) { r.PromptTokens = 0 }), ErrEmpty},
 		{"no output", Config{}, with(func(r *Request) { r.OutputTokens = 0 }), ErrEmpty},
 		{"too large", Config{KVBlocks: 2, BlockTokens: 4}, valid, ErrTooLarge},
@@ -266,7 +267,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(c.config)
-			_ = m.Submit(0, Request{ID: "taken", PromptTokens: 1, OutputTokens: 1})
+			_ = m.Submit(0, Request{ID: "used", PromptTokens: 1, OutputTokens: 1})
 			if err := m.Submit(0, c.request); !errors.Is(err, c.want) {
 				t.Fatalf("got %v, want %v", err, c.want)
 			}
--- a/internal/lab/engine/orders.go
+++ b/internal/lab/engine/orders.go
@@ -21,11 +21,11 @@
 // Order is a fenced instruction to an engine.
 type Order struct {
 	Kind OrderKind
-	// Fence is the fencing token of the sender. An order with a fence below the highest
-	// seen is rejected.
+	// Fence is the fencing token of the sender. The engine rejects an order with a fence
+	// below the highest received.
 	Fence uint64
-	// Incarnation, if not 0, is the engine incarnation that the order is for. Any other
-	// incarnation rejects it.
+	// Incarnation, if not 0, is the engine incarnation that the order is for; any other
+	// incarnation rejects the order.
 	Incarnation uint64
 	Weights     Weights
 	Role        Role
@@ -65,8 +65,8 @@
 	timerTransfer
 )
 
-// Order applies or rejects an order. Staging, activation and adapter loads end later,
-// with an event.
+// Order applies or rejects an order. An event reports the end of a staging, an activation or
+// an adapter load.
 func (m *Model) Order(now time.Duration, order Order) error {
 	m.interrupt(now)
 	switch {
@@ -96,7 +96,7 @@
 	}
 }
 
-// stage starts to transfer weights unless they are staged or being staged.
+// stage starts the transfer of weights unless they are staged or being staged.
 func (m *Model) stage(now time.Duration, weights Weights) {
 	if slices.Contains(m.staged, weights) || slices.Contains(m.staging, weights) {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// CompleteStaging reports the end of a transfer by the driver; complete is false if it
+// CompleteStaging ends a transfer that the driver made; complete is false if the transfer
 // failed. It returns ErrNotStaged if the engine is not staging these weights, for example
 // after a restart.
 func (m *Model) CompleteStaging(now time.Duration, weights Weights, complete bool) error {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// targetWeights returns the weights of the base model or an adapter after all pending
-// swaps.
+// targetWeights returns the weights of the base model (for "") or of an adapter after all
+// pending swaps.
 func (m *Model) targetWeights(adapter string) Weights {
 	for _, weights := range m.pending {
 		if weights.Adapter == adapter {
@@ -179,7 +179,7 @@
 	m.dropCache()
 }
 
-// serve puts weights into service.
+// serve sets the weights that produce the next tokens.
 func (m *Model) serve(weights Weights) {
 	if weights.Adapter == "" {
 		m.weights = weights
@@ -197,7 +197,7 @@
 	}
 }
 
-// finishSwap puts the ordered weights into service, or applies the swap fault.
+// finishSwap serves the ordered weights, or applies the swap fault.
 func (m *Model) finishSwap(at time.Duration) {
 	ordered, fault := m.swapTarget, m.swapFault
 	m.swapping, m.swapFault = false, swapSucceeds
--- a/internal/lab/engine/plan.go
+++ b/internal/lab/engine/plan.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// watermarkDivisor is the reciprocal of the share of KV memory that admission reserves
-// for the growth of running sequences.
+// watermarkDivisor is the divisor of KVBlocks for the blocks that admission reserves for the
+// growth of running sequences.
 const watermarkDivisor = 100
 
 // plan selects the next batch and the number of equal steps that it can run before
@@ -58,8 +58,8 @@
 	return max(tooMany-1, 1)
 }
 
-// growth returns the number of blocks that the running sequences need in addition for
-// steps more tokens each.
+// growth returns the number of additional blocks that the decoding sequences need to generate
+// the given number of tokens each.
 func (m *Model) growth(steps int) int {
 	total := 0
 	for _, s := range m.running {
@@ -71,7 +71,7 @@
 }
 
 // preemptForGrowth preempts sequences until every decoding sequence has memory for its
-// next token. It preempts the lowest priority first, and the latest arrival within it.
+// next token. It preempts the lowest priority first, and of equal ones the latest arrival.
 func (m *Model) preemptForGrowth(at time.Duration) {
 	for len(m.running) > 0 && m.growth(1) > m.memory.available() {
 		victim := m.running[0]
@@ -148,7 +148,7 @@
 	return scheduled
 }
 
-// reserveMemory reserves memory for a waiting sequence and reuses cached blocks. It reports
+// reserveMemory reserves memory for a waiting sequence, reusing cached blocks, and reports
 // whether the sequence fits.
 func (m *Model) reserveMemory(s *sequence) bool {
 	m.reuseCached(s)
--- a/internal/lab/engine/sequence.go
+++ b/internal/lab/engine/sequence.go
@@ -26,7 +26,7 @@
 	state       sequenceState
 	heapIndex   int
 	shared      []*block // leading blocks, found by hash
-	private     int      // number of further blocks
+	private     int      // number of blocks that are not shared
 	context     int      // prompt, resumed and generated tokens
 	computed    int      // context tokens whose KV state is in memory
 	imported    int      // context tokens whose KV state was imported before admission
@@ -34,7 +34,7 @@
 	spans       []port.Span
 	submittedAt time.Duration
 	firstToken  time.Duration
-	cachedHits  int
+	cachedHits  int // context tokens found in the prefix cache at the first admission
 	preemptions int
 	admitted    bool
 	unshareable bool // some KV state was computed with replaced weights
@@ -69,7 +69,7 @@
 	return chainHash(previous, s.request.ContentKey+uint64(i))
 }
 
-// lastSharedHash returns the hash of the last shared block, or 0.
+// lastSharedHash returns the hash of the last shared block, or 0 if there is none.
 func (s *sequence) lastSharedHash() uint64 {
 	if len(s.shared) == 0 {
 		return 0
@@ -77,7 +77,7 @@
 	return s.shared[len(s.shared)-1].hash
 }
 
-// record adds generated tokens to the spans.
+// record adds generated tokens to the context and the spans.
 func (s *sequence) record(count int, version port.WeightVersion) {
 	s.generated += count
 	s.context += count
--- a/internal/lab/engine/text.go
+++ b/internal/lab/engine/text.go
@@ -20,8 +20,8 @@
 
 // TokenText returns the token at a position of a generated text. Every token is
 // BytesPerToken long: one digit for the version that generated it, two derived from the
-// content key and the position, and a space. An audit can therefore read from a text
-// which versions generated it.
+// content key and the position, and a space. An audit can therefore determine from a
+// text which versions generated it.
 func TokenText(key uint64, position int, version port.WeightVersion) string {
 	content := chainHash(key, uint64(position)) % uint64(len(digits)*len(digits))
 	return string([]byte{
--- a/internal/lab/engine/transfer.go
+++ b/internal/lab/engine/transfer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Export stops a request and starts to transfer its KV state. EventExported follows when
-// the transfer has ended, and the memory is freed. Export returns ErrUnknownRequest if
+// Export stops a request and starts the transfer of its KV state. At the end of the transfer
+// the engine frees the memory and emits EventExported. Export returns ErrUnknownRequest if
 // the request doesn't exist or has no KV state.
 func (m *Model) Export(now time.Duration, id string) error {
 	m.interrupt(now)
@@ -24,7 +24,7 @@
 	m.timers = append(m.timers, timer{at: ready, kind: timerTransfer, sequence: s})
 }
 
-// finishTransfer ends an import or an export. The sequence may have been cancelled in the
+// finishTransfer ends an import or an export, unless the driver cancelled the sequence in the
 // meantime.
 func (m *Model) finishTransfer(at time.Duration, s *sequence) {
 	switch s.state {
--- a/internal/lab/engine/translate.go
+++ b/internal/lab/engine/translate.go
@@ -6,7 +6,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// Report returns the load in the form of the engine protocol. If several versions of the
+// Report converts the load to the form of the engine protocol. If several versions of the
 // same weights are staged or loading, it reports the newest.
 func (l Load) Report() port.LoadReport {
 	report := port.LoadReport{
@@ -42,7 +42,7 @@
 	if adapter == "" {
 		return versions{&report.Staged, &report.Staging}
 	}
-	index := slices.IndexFunc(report.Adapters, func(known port.AdapterVersion) bool { return known.Name == adapter })
+	index := slices.IndexFunc(report.Adapters, func(a port.AdapterVersion) bool { return a.Name == adapter })
 	if index < 0 {
 		index = len(report.Adapters)
 		report.Adapters = append(report.Adapters, port.AdapterVersion{Name: adapter})
