--- a/test/sitestandin/doc.go
+++ b/test/sitestandin/doc.go
@@ -1,3 +1,3 @@
-// Package sitestandin has stand-ins for the replicas and the provider of a site, which
-// speak the platform's protocol.
+// Package sitestandin provides stand-ins for the replicas and the provider of a site, which
+// implement the platform's protocol.
 package sitestandin
--- a/test/sitestandin/provider.go
+++ b/test/sitestandin/provider.go
@@ -17,14 +17,14 @@
 	Holder string
 	Fence  uint64
 	At     time.Time
-	// Status is the response's status, 0 if none was sent.
+	// Status is the status of the Provider's response; 0 if it sent none.
 	Status int
 }
 
 // Provider is a stand-in for the provider of the site's machines.
 type Provider struct {
-	// Respond, if set, returns the status of the n-th call, counted from 0; 0 accepts the
-	// report and breaks the connection without a response.
+	// Respond, if set, returns the status of the response to the n-th call, counted from 0;
+	// 0 means to accept the report and close the connection without a response.
 	Respond func(n int) int
 
 	server *httptest.Server
@@ -72,8 +72,8 @@
 	return append([]UsageCall(nil), p.calls...)
 }
 
-// AcceptedCounts returns the counts of all accepted windows, and whether any window was sent with
-// different counts.
+// AcceptedCounts returns the counts of all accepted windows, and whether two reports of one
+// window had different counts.
 func (p *Provider) AcceptedCounts() (counts map[int64]map[string]uint64, differ bool) {
 	counts = map[int64]map[string]uint64{}
 	sent := map[int64]string{}
--- a/test/sitestandin/replica.go
+++ b/test/sitestandin/replica.go
@@ -51,7 +51,7 @@
 	At               time.Time
 }
 
-// Replica is a stand-in for a replica. Its exported fields are set before the first
+// Replica is a stand-in for a replica. A test must set its exported fields before the first
 // request.
 type Replica struct {
 	ID      string
@@ -60,13 +60,13 @@
 	Zone string
 	// Models lists the models that an engine serves; empty for a plain application.
 	Models []string
-	// EventPause is the time between two events of a text, Events their number.
+	// EventPause is the time before each event of a text, Events the number of events.
 	EventPause time.Duration
 	Events     int
-	// Handle, if set, may handle a request instead of the replica and reports whether it
-	// did.
+	// Handle, if set, reports whether it handled a request; otherwise the replica does.
 	Handle func(w http.ResponseWriter, r *http.Request) bool
-	// ExternalAddress, if set, is the address of the test's own server, reported instead.
+	// ExternalAddress, if set, is the address of the test's own server, which the replica
+	// reports instead of its address.
 	ExternalAddress string
 
 	server     *httptest.Server
@@ -98,8 +98,8 @@
 	return r
 }
 
-// Stop stops the replica as a crash does: it closes its connections and accepts no new
-// ones. It may be called while the replica serves a request.
+// Stop simulates a crash: it closes the replica's connections and listener. A test may call
+// it while the replica serves a request.
 func (r *Replica) Stop() {
 	_ = r.server.Listener.Close()
 	r.server.CloseClientConnections()
@@ -267,8 +267,8 @@
 	return slices.Clone(r.orders)
 }
 
-// Drain makes further heartbeats report the state draining; Drain(false) simulates delayed
-// earlier heartbeats, which report ready with old sequence numbers.
+// Drain(true) makes further heartbeats report the state draining. Drain(false) makes them
+// simulate delayed earlier heartbeats, which report ready with old sequence numbers.
 func (r *Replica) Drain(draining bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -278,8 +278,8 @@
 	}
 }
 
-// Restart simulates a restart under the same name: the sequence of heartbeats and the
-// revision of orders start again, and the version is the first one.
+// Restart simulates a restart under the same name: it resets the sequence numbers of
+// heartbeats, the revision of orders and the version.
 func (r *Replica) Restart(startedAt uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -287,11 +287,11 @@
 	r.orders = nil
 }
 
-// SetWarmupLeft makes further heartbeats report the remaining warmup time.
-func (r *Replica) SetWarmupLeft(left time.Duration) {
+// SetWarmupLeft sets the remaining warmup time that further heartbeats report.
+func (r *Replica) SetWarmupLeft(remaining time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.warmupLeft = left
+	r.warmupLeft = remaining
 }
 
 func (r *Replica) zone() string { return cmp.Or(r.Zone, "z") }
