--- a/test/soak/checks_test.go
+++ b/test/soak/checks_test.go
@@ -28,7 +28,7 @@
 type jobRecord struct {
 	id    string
 	items []string
-	// results are the results received, by position.
+	// results are the results that the client received, by position.
 	results []result
 	ended   time.Time
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// checkPage checks a page of a job's results against those received before.
+// checkPage checks a page of a job's results against the results received before, and records
+// the new ones.
 func (r *recorder) checkPage(job *jobRecord, from, total int, page []result, events int) {
 	if total != len(job.items) {
 		r.violation("job %s: total %d of %d items", job.id, total, len(job.items))
@@ -103,11 +104,11 @@
 }
 
 func (r *recorder) checkResult(job *jobRecord, listed result, events int) {
-	known := false
+	found := false
 	for _, item := range job.items {
-		known = known || item == listed.ID
+		found = found || item == listed.ID
 	}
-	if !known {
+	if !found {
 		r.violation("job %s: result of %s, which is not one of its items", job.id, listed.ID)
 	}
 	for _, other := range job.results {
@@ -129,7 +130,8 @@
 	}
 }
 
-// checkArrivals checks the requests that replicas received.
+// checkArrivals checks the requests that replicas received. noRecentResume reports whether
+// the checks of times apply at a time.
 func (r *recorder) checkArrivals(arrivals []sitestandin.Arrival, noRecentResume func(time.Time) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/test/soak/doc.go
+++ b/test/soak/doc.go
@@ -5,14 +5,14 @@
 // Meanwhile it checks invariants from the observations of callers, operators and replicas.
 //
 // The wall clock can't be changed from outside; test/source shows that no decision depends
-// on it. Suspension of a machine is simulated: the process is stopped, and the clock that
-// includes suspended time is advanced further before the process continues. Unlike on a
+// on it. The injector simulates the suspension of a machine: it stops the process and advances
+// the clock that includes suspended time before the process continues. Unlike on a
 // suspended machine, the monotonic clock advances during the stop.
 //
-// Without flags the site runs for a few seconds without faults. To run a soak:
+// Without flags the tests run for a few seconds without random faults. To run a soak:
 //
 //	go test ./test/soak -run TestSoak -soak 3m -seed 0 -v
 //
-// Seed 0 picks a random seed and prints it. Seeds that failed are listed in regressions,
-// with their causes.
+// Seed 0 picks a random seed and prints it. The variable regressions lists seeds that failed
+// and the causes.
 package soak
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -65,8 +65,8 @@
 // machine is a simulated machine with its process.
 type machine struct {
 	name, role string
-	// public is the IP address at which other machines reach it, private the one at which
-	// its process listens and from which it connects.
+	// public is the IP address to which other machines connect, private the one at which
+	// the machine's process listens and from which it connects.
 	public, private string
 	folder          string
 	command         *exec.Cmd
@@ -74,8 +74,8 @@
 	frozen          bool
 	// suspended is the total suspended time of the machine.
 	suspended time.Duration
-	// checkedBytes is the length of the log whose failures are already in failureLines, or
-	// are ignored since the disk was faulty while the process wrote it.
+	// checkedBytes is the length of the checked part of the log. failureLines has its failures,
+	// except those during a disk fault.
 	checkedBytes int
 	failureLines []string
 }
@@ -84,17 +84,17 @@
 
 func (m *machine) suspendedPath() string { return filepath.Join(m.folder, "suspended") }
 
-// suspend advances the clock that includes suspended time, for the running process and its
-// successors.
+// suspend advances the clock that includes suspended time, for the running process and later
+// ones.
 func (m *machine) suspend(duration time.Duration) error {
 	m.suspended += duration
 	file, err := os.OpenFile(m.suspendedPath(), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	var written [8]byte
-	binary.NativeEndian.PutUint64(written[:], uint64(m.suspended))
-	_, err = file.WriteAt(written[:], 0)
+	var encoded [8]byte
+	binary.NativeEndian.PutUint64(encoded[:], uint64(m.suspended))
+	_, err = file.WriteAt(encoded[:], 0)
 	return errors.Join(err, file.Close())
 }
 
@@ -130,7 +130,7 @@
 	seeds    []string
 }
 
-// ports are the same on all machines.
+// ports are the ports of a machine's listeners, the same on all machines.
 type ports struct{ peer, control, caller, ready int }
 
 // pickPorts picks ports that are free on all addresses.
@@ -205,7 +205,7 @@
 	return found
 }
 
-// start starts a machine's process.
+// start writes a machine's settings and starts its process.
 func (s *site) start(m *machine, first bool) {
 	s.t.Helper()
 	settings := map[string]any{
@@ -254,7 +254,7 @@
 	go func() { _ = command.Wait(); close(ended) }()
 }
 
-// address returns the public address of a port that bypasses the proxy.
+// address returns the public address of a port without a proxy.
 func (s *site) address(m *machine, port int) string { return fmt.Sprintf("%s:%d", m.public, port) }
 
 // signal sends a signal to the machine's process.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -32,12 +32,12 @@
 	// diskLossInterval is the time for the stores or controls to recover from a lost disk before
 	// the next one may be lost.
 	diskLossInterval = 15 * time.Second
-	// diskFailureTime is the time for a process to detect that its disk failed.
+	// diskFailureTime is the time within which a process detects that its disk failed.
 	diskFailureTime = 500 * time.Millisecond
 )
 
-// regressions are seeds that failed before, with their causes. The flag -soak runs them
-// before the seed given.
+// regressions are seeds that failed before, with their causes. With the flag -soak they run
+// before the seed of the flag -seed.
 var regressions = []struct {
 	seed  uint64
 	cause string
@@ -48,7 +48,7 @@
 	runSoak(t, 0, 0)
 }
 
-// TestSoak injects faults for the time of the flag -soak.
+// TestSoak injects random faults for the duration of the flag -soak.
 func TestSoak(t *testing.T) {
 	if *soakTime == 0 {
 		t.Skip("a soak has no fixed outcome; run it with -soak")
@@ -74,10 +74,10 @@
 	}
 }
 
-func runSoak(t *testing.T, seed uint64, length time.Duration) {
+func runSoak(t *testing.T, seed uint64, duration time.Duration) {
 	build(t)
 	s := newSite(t, 3, 4, 2)
-	if length > 0 {
+	if duration > 0 {
 		t.Logf("seed %d", seed)
 	}
 	for _, m := range s.machines {
@@ -114,13 +114,13 @@
 	followers, stopFollowers := context.WithCancel(ctx)
 	spawn(func() { tr.submitJobs(working, followers) })
 	d := &injector{site: s, random: rand.New(rand.NewPCG(seed, 1)), log: t.Logf}
-	d.run(length)
+	d.run(duration)
 	time.Sleep(stabilizeTime)
 	stopWork()
 	d.recoverAll()
 	tr.finish(t, ctx)
 	stopFollowers()
-	if length == 0 {
+	if duration == 0 {
 		tr.recorder.jobs["job-by-command"] = &jobRecord{id: "job-by-command", items: []string{"command-0"}}
 		s.testOperatorCommands(t)
 	}
@@ -167,7 +167,8 @@
 	}
 }
 
-// submitJobs submits jobs during the load; their clients keep reading afterwards.
+// submitJobs submits jobs until working ends; their clients read results until followers
+// ends.
 func (tr *traffic) submitJobs(working, followers context.Context) {
 	for i := 0; pause(working, jobInterval); i++ {
 		job := &jobRecord{id: fmt.Sprint("job-", i)}
@@ -181,7 +182,7 @@
 	}
 }
 
-// finish waits until all results are read, and reads the configuration.
+// finish waits until the clients have read all results, and checks the configuration once more.
 func (tr *traffic) finish(t *testing.T, ctx context.Context) {
 	waitUntil(t, "every job that was not ended has all its results", func() bool {
 		tr.recorder.mutex.Lock()
@@ -209,8 +210,8 @@
 			t.Errorf("%s failed %d times, first: %s", m.name, len(failures), failures[0])
 		}
 	}
-	for _, fault := range tr.recorder.violations {
-		t.Error(fault)
+	for _, violation := range tr.recorder.violations {
+		t.Error(violation)
 	}
 	if tr.recorder.counts["call 200"] == 0 || tr.recorder.counts["jobs accepted"] == 0 || tr.recorder.counts["configurations"] == 0 {
 		t.Errorf("too little was served: %v", tr.recorder.counts)
@@ -234,7 +235,7 @@
 // arrive, and are exempt from checks.
 const resumeGrace = time.Second
 
-// noRecentResume reports whether no machine or link had resumed shortly before a time.
+// noRecentResume reports whether no process resumed and no link healed shortly before a time.
 func (d *injector) noRecentResume(at time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -252,10 +253,10 @@
 	d.resumes = append(d.resumes, time.Now())
 }
 
-func (d *injector) run(length time.Duration) {
+func (d *injector) run(duration time.Duration) {
 	d.counts = map[string]int{}
 	d.lastDiskLoss = time.Now()
-	for end := time.Now().Add(length); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		d.injectOne()
 		time.Sleep(time.Duration(500+d.random.IntN(3000)) * time.Millisecond)
 	}
@@ -349,8 +350,8 @@
 	d.site.network.heal()
 }
 
-// loseDisk removes or damages one machine's data while its process is down. It allows the
-// group time to recover before the next loss.
+// loseDisk removes or damages one machine's data while its process is down, and waits for the
+// group to recover.
 func (d *injector) loseDisk(m *machine) {
 	if m.role == "front" || time.Since(d.lastDiskLoss) < diskLossInterval {
 		return
@@ -369,9 +370,9 @@
 	time.Sleep(recoveryTime)
 }
 
-// injectDiskFault makes one machine's disk stall, be slow or reject writes for a while. It
-// restarts a process that ends because of it, as the platform does, even while the fault
-// lasts.
+// injectDiskFault makes one machine's disk stall, be slow or reject writes temporarily. It
+// restarts a process that ends because of the fault, as the platform does, also during the
+// fault.
 func (d *injector) injectDiskFault(m *machine, duration time.Duration) {
 	if m.role == "front" {
 		return
@@ -444,7 +445,7 @@
 	}
 }
 
-// TestGracefulStopFinishesRequestsInFlight checks that a front that is stopped gracefully
+// TestGracefulStopFinishesRequestsInFlight checks that during its graceful stop a front
 // completes a request that takes longer than its notice to callers.
 func TestGracefulStopFinishesRequestsInFlight(t *testing.T) {
 	build(t)
--- a/test/soak/traffic_test.go
+++ b/test/soak/traffic_test.go
@@ -54,7 +54,7 @@
 
 func (tr *traffic) events() int { return tr.replicas[len(tr.replicas)-1].Events }
 
-// do sends a request; it returns status 0 without a complete response.
+// do sends a request and returns its response; status 0 means no complete response.
 func (tr *traffic) do(ctx context.Context, method, url string, header http.Header, body []byte) (int, string, http.Header) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// sendCalls sends requests, of which every second may run at most once.
+// sendCalls sends requests; every second one may run at most once.
 func (tr *traffic) sendCalls(ctx context.Context, name string) {
 	for i := 0; pause(ctx, callInterval); i++ {
 		kind, path := "call", "/plain/x"
@@ -136,7 +136,8 @@
 		"limits":{"maxBodyBytes":1048576}}`, version, host, plain, host, plain, host, engines, plain, engines, model)
 }
 
-// changeConfigurations changes the configuration and reads it back, and publishes weights.
+// changeConfigurations repeatedly changes the configuration, reads it back and publishes
+// weights.
 func (tr *traffic) changeConfigurations(ctx context.Context) {
 	version, weights := uint64(0), uint64(1)
 	for round := 0; ctx.Err() == nil; round++ {
@@ -231,7 +232,7 @@
 		}
 		if !pause(ctx, 150*time.Millisecond) {
 			tr.recorder.mutex.Lock()
-			job.items = nil // may not be accepted
+			job.items = nil // the service may not have accepted the job
 			delete(tr.recorder.jobs, job.id)
 			tr.recorder.mutex.Unlock()
 			return
@@ -245,7 +246,8 @@
 	}
 }
 
-// readResults reads results from a random earlier position, and reports whether it has all.
+// readResults reads results from a random position up to the last one received, and reports
+// whether the client has all.
 func (tr *traffic) readResults(ctx context.Context, job *jobRecord) bool {
 	from := 0
 	if stored := len(job.results); stored > 0 {
