--- a/test/system/audit_test.go
+++ b/test/system/audit_test.go
@@ -11,7 +11,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// journal reads the observations of a stand-in.
+// journal reads the observations that a stand-in recorded.
 func (s *site) journal(t *testing.T, name string) audit.Observations {
 	t.Helper()
 	file, err := os.Open(s.path(name + ".journal"))
@@ -26,8 +26,8 @@
 	return observed
 }
 
-// observations merges those of callers and stand-ins. Receivers come before producers, so
-// that every received sample or answer has its origin among them.
+// observations merges the observations of callers and stand-ins. It reads receivers before
+// producers, so that the result includes the origin of every received sample and answer.
 func (s *site) observations(t *testing.T) audit.Observations {
 	t.Helper()
 	all := s.callers.observations()
--- a/test/system/callers_test.go
+++ b/test/system/callers_test.go
@@ -10,8 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/lab/load"
 )
 
-// callers generates the load of the site's callers in overlapping slices and records the
-// callers' observations.
+// callers generates the load of the site's callers in slices and records their observations.
 type callers struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -52,8 +51,8 @@
 	c.observed.Merge(result.Observations())
 }
 
-// classes returns readers, whose calls are safe, indexers, whose calls are unsafe and
-// retried, and users who wait for a completion.
+// classes returns the classes of callers: readers with safe calls, indexers with unsafe calls
+// and retries, and users who wait for a completion.
 func classes() []load.Class {
 	const timeout = 10 * time.Second
 	return []load.Class{
@@ -69,7 +68,7 @@
 	}
 }
 
-// answeredCount returns the number of calls answered so far.
+// answeredCount returns the number of calls with an answer so far.
 func (c *callers) answeredCount() int {
 	count := 0
 	for _, call := range c.observations().Calls {
--- a/test/system/faults_test.go
+++ b/test/system/faults_test.go
@@ -17,8 +17,8 @@
 // progressSteps is the number of batches that the trainer must receive during a fault.
 const progressSteps = 2
 
-// departureWatch is how long a leaving engine is watched for new work: twice the limit of
-// the audit.
+// departureWatch is how long the test watches a leaving engine for new work, twice the limit
+// of the audit.
 const departureWatch = 6 * time.Second
 
 // testFaults applies the faults one after another under the callers' load, and audits the
@@ -115,9 +115,9 @@
 }
 
 // applyFault applies a fault and records it for the audit.
-func (s *site) applyFault(kind string, target *process, what func()) {
+func (s *site) applyFault(kind string, target *process, fault func()) {
 	from := now()
-	what()
+	fault()
 	s.faults = append(s.faults, audit.Fault{Target: target.name, Kind: kind, From: from, To: now()})
 }
 
@@ -133,7 +133,7 @@
 	})
 }
 
-// killAndRestartImmediately is for processes without which no batch can complete.
+// killAndRestartImmediately kills and restarts a process without which no batch can complete.
 func (s *site) killAndRestartImmediately(t *testing.T, target *process) {
 	s.applyFault("kill", target, func() {
 		target.kill(t)
@@ -142,7 +142,8 @@
 	})
 }
 
-// killAndRestartAll kills and restarts all members and nodes, as a power loss does.
+// killAndRestartAll kills all members and nodes concurrently and restarts them, like a power
+// loss.
 func (s *site) killAndRestartAll(t *testing.T, coordinator *process) {
 	s.changeConfiguration(t)
 	s.applyFault("kill", coordinator, func() {
--- a/test/system/first_site_test.go
+++ b/test/system/first_site_test.go
@@ -24,7 +24,7 @@
 		"127.0.0.1", loopbackHost(),
 	).Replace(script)
 	command := exec.Command("bash", "-c", "set -euo pipefail\n"+script)
-	// A process group of its own, so that a failing page leaves no process behind.
+	// A separate process group allows the test to kill all processes of a failing page.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	output, err := os.Create(folder + "/output")
 	if err != nil {
--- a/test/system/process_test.go
+++ b/test/system/process_test.go
@@ -23,12 +23,12 @@
 	logFile   string
 	command   *exec.Cmd
 	ended     chan struct{} // closed when command has ended
-	failure   error         // of command, once ended
+	failure   error         // result of command; valid once ended is closed
 }
 
 // launcher starts processes from one thread that lives as long as the test. The kernel
-// kills a child when the thread that started it ends, so an interrupted test leaves no
-// process behind.
+// kills a child when the thread that started it ends, so no process outlives an
+// interrupted test.
 var launcher = func() chan<- func() {
 	launches := make(chan func())
 	go func() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// killIfRunning kills the process, if it is running, at the end of a test.
+// killIfRunning kills the process if it is running.
 func (p *process) killIfRunning() {
 	if p.running() {
 		_ = p.command.Process.Kill() // it may have ended in between
--- a/test/system/refusal_test.go
+++ b/test/system/refusal_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomgrade/loomgrade/internal/port"
 )
 
-// exitUsage is the exit code for an invalid field.
+// exitUsage is the exit code for invalid input.
 const exitUsage = 2
 
 func TestBadSettingsAreRefused(t *testing.T) {
--- a/test/system/site_test.go
+++ b/test/system/site_test.go
@@ -33,7 +33,7 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// Names of the processes with one instance.
+// Names of the processes with a single instance.
 const (
 	weightStore = "weights"
 	scorer      = "scorer"
@@ -52,15 +52,15 @@
 	processes map[string]*process
 	addresses map[string]string // IP:port by process, or by process + "/" + purpose
 	callers   *callers
-	// queueLength and revision are those of the last accepted change.
+	// queueLength and revision are the values of the last accepted change.
 	queueLength int
 	revision    port.Revision
 	stops       []audit.PlannedStop
 	faults      []audit.Fault
 }
 
-// loopbackHost returns a loopback address for this test process alone, so that the port
-// of a killed process stays free.
+// loopbackHost returns a loopback address that only this test process uses, so that no other
+// process uses the port of a killed one.
 func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+pid>>16&63, pid>>8&255, 1+pid&127)
@@ -88,7 +88,8 @@
 		}
 	}
 	s.configure(t)
-	// The trainer would publish the next version as soon as it has a batch.
+	// The trainer starts after configure publishes version 1, since it publishes the next
+	// version as soon as it has a batch.
 	s.processes[trainer].start(t)
 	for _, zone := range zones {
 		s.waitUntilReady(t, node(zone))
@@ -98,7 +99,7 @@
 	return s
 }
 
-// reservePorts finds a free port for every listener.
+// reservePorts picks a free port for every listener.
 func (s *site) reservePorts(t *testing.T) {
 	t.Helper()
 	names := []string{weightStore, scorer, machineList, trainer}
@@ -222,16 +223,16 @@
 	return stats.Steps
 }
 
-// waitForProgress waits until the trainer has trained on more batches and another caller
-// has an answer.
+// waitForProgress waits until the trainer has trained on the given number of further batches
+// and a further call has an answer.
 func (s *site) waitForProgress(t *testing.T, steps int) {
 	t.Helper()
-	wanted, answered := s.steps(t)+steps, s.callers.answeredCount()+1
-	waitUntil(t, fmt.Sprintf("the trainer has done %d steps", wanted), func() bool { return s.steps(t) >= wanted })
+	targetSteps, answered := s.steps(t)+steps, s.callers.answeredCount()+1
+	waitUntil(t, fmt.Sprintf("the trainer has done %d steps", targetSteps), func() bool { return s.steps(t) >= targetSteps })
 	waitUntil(t, "a caller is answered", func() bool { return s.callers.answeredCount() >= answered })
 }
 
-// changeConfiguration changes the configuration.
+// changeConfiguration changes the configuration and checks that the revision increases.
 func (s *site) changeConfiguration(t *testing.T) {
 	t.Helper()
 	s.queueLength++
--- a/test/system/system_test.go
+++ b/test/system/system_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// explain runs the operator's command on an id.
+// explain runs the command explain on an id.
 func (s *site) explain(t *testing.T, id string) httpapi.Explanation {
 	t.Helper()
 	code, stdout, stderr := invoke(t, "explain", id, "--output", "json",
