--- a/internal/core/logtrace/delays.go
+++ b/internal/core/logtrace/delays.go
@@ -36,7 +36,8 @@
 	// Read is the time until the client ended the job.
 	Read int64 `json:"read_ms"`
 	// PublishDelay is the time from the job's end until the next version was published,
-	// NextJobDelay the time from then until the next job was stored. Both are 0 for a model's last job.
+	// NextJobDelay the time from then until the next job was stored. Both are 0 for a
+	// model's last job.
 	PublishDelay int64 `json:"named_ms"`
 	NextJobDelay int64 `json:"asked_ms"`
 	// Total is the time until the next job, or until the end of this one if it is the last.
@@ -94,7 +95,8 @@
 	}
 }
 
-// addJobDone sets the parts that come from the runner's line done and from the time at which the job ended.
+// addJobDone sets the parts that come from the runner's line and from the time at which the
+// job ended.
 func (d *Delay) addJobDone(done Line, ended int64) {
 	if done.Event == "" {
 		return
--- a/internal/lab/chaos/faults.go
+++ b/internal/lab/chaos/faults.go
@@ -159,7 +159,8 @@
 	}
 }
 
-// spareDisks returns how many more voters may be lost without losing the quorum.
+// spareDisks returns how many more voters may be lost without losing the quorum, or 0 without
+// a leader or during a replacement.
 func (i *injector) spareDisks() int {
 	leader := i.world.leader()
 	if leader == nil || i.world.admin.replacement != nil {
--- a/internal/lab/chaos/queue.go
+++ b/internal/lab/chaos/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// event is a function to run at a point of virtual time. Events at the same time run in the order in
-// which they were scheduled.
+// event is a function to run at a point of virtual time. Events at the same time run in the
+// order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
