--- a/internal/adapter/httpapi/server.go
+++ b/internal/adapter/httpapi/server.go
@@ -82,7 +82,7 @@
 // in flight; Shutdown stops gracefully.
 func (s *Server) Start(ctx context.Context, listener net.Listener) {
 	s.http.BaseContext = func(net.Listener) context.Context { return ctx }
-	bounded := httpserve.BoundListener(listener, s.limits.Connections)
+	bounded := httpserve.LimitListener(listener, s.limits.Connections)
 	s.serving.Go(func() { _ = s.http.Serve(bounded) })
 	context.AfterFunc(ctx, s.Close)
 }
--- a/internal/adapter/httpserve/httpserve_test.go
+++ b/internal/adapter/httpserve/httpserve_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener := httpserve.BoundListener(underlying, 1)
+	listener := httpserve.LimitListener(underlying, 1)
 	client, err := net.Dial("tcp", underlying.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/adapter/httpserve/listener.go
+++ b/internal/adapter/httpserve/listener.go
@@ -14,8 +14,8 @@
 	once   sync.Once
 }
 
-// BoundListener limits the open connections of a listener.
-func BoundListener(listener net.Listener, connections int) net.Listener {
+// LimitListener limits the open connections of a listener.
+func LimitListener(listener net.Listener, connections int) net.Listener {
 	return &limitedListener{
 		Listener: listener,
 		slots:    make(chan struct{}, connections),
--- a/internal/adapter/operatorapi/server.go
+++ b/internal/adapter/operatorapi/server.go
@@ -111,7 +111,7 @@
 
 // Serve serves until Shutdown.
 func (s *Server) Serve(listener net.Listener) error {
-	err := s.http.Serve(httpserve.BoundListener(listener, s.config.Limits.Connections))
+	err := s.http.Serve(httpserve.LimitListener(listener, s.config.Limits.Connections))
 	if eris.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/core/shardplan/shardplan_test.go
+++ b/internal/core/shardplan/shardplan_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestForSkipsDisallowedShards(t *testing.T) {
+func TestShardForModelSkipsDisallowedShards(t *testing.T) {
 	placed := map[string]sitestate.ShardNumber{"a": 2, "b": 2}
 	for want, allowed := range map[sitestate.ShardNumber]func(sitestate.ShardNumber) bool{
 		1: func(shard sitestate.ShardNumber) bool { return shard != 3 },
--- a/internal/lab/audit/check.go
+++ b/internal/lab/audit/check.go
@@ -22,7 +22,7 @@
 	RuleVersionsMatch     Rule = "versions are true"
 	RuleStaleness         Rule = "no sample older than its bound"
 	RuleDeparture         Rule = "no new work on a leaving back end"
-	RulePlannedStop       Rule = "a planned stop cuts nothing off"
+	RuleGracefulStop      Rule = "a planned stop cuts nothing off"
 	defaultDepartureGrace      = 3 * time.Second
 	maxQuotedBytes             = 24
 )
@@ -203,9 +203,9 @@
 // overlap a fault are ignored.
 func checkPlannedStops(o Observations) []Violation {
 	var found []Violation
-	for _, stop := range o.PlannedStops {
+	for _, stop := range o.GracefulStops {
 		report := func(id string, detail string) {
-			found = append(found, Violation{RulePlannedStop, stop.Process, fmt.Sprintf("%s %s", id, detail)})
+			found = append(found, Violation{RuleGracefulStop, stop.Process, fmt.Sprintf("%s %s", id, detail)})
 		}
 		for _, call := range o.Calls {
 			failed := call.Outcome == OutcomeLost || call.Outcome == OutcomeMayHaveRun
@@ -229,7 +229,7 @@
 	return found
 }
 
-func cutDuring(end End, endedAt time.Duration, stop PlannedStop) bool {
+func cutDuring(end End, endedAt time.Duration, stop GracefulStop) bool {
 	return (end == EndCut || end == EndCrashed) && endedAt >= stop.From && endedAt <= stop.To
 }
 
--- a/internal/lab/audit/check_test.go
+++ b/internal/lab/audit/check_test.go
@@ -54,8 +54,8 @@
 			{Pool: pool, Batch: 1, Version: 5, Trained: true, Samples: []Sample{first}},
 			{Pool: pool, Batch: 2, Version: 6, Trained: true, Samples: []Sample{other}},
 		},
-		Departures:   []Departure{{BackEnd: address, SignalledAt: 2 * second}},
-		PlannedStops: []PlannedStop{{Process: address, From: 20 * second, To: 30 * second}},
+		Departures:    []Departure{{BackEnd: address, SignalledAt: 2 * second}},
+		GracefulStops: []GracefulStop{{Process: address, From: 20 * second, To: 30 * second}},
 	}
 }
 
@@ -132,14 +132,14 @@
 		}, RuleDeparture},
 		{"generation interrupted by a stop", func(o *Observations) {
 			o.Generations[0].End, o.Generations[0].EndedAt = EndCut, 25*second
-		}, RulePlannedStop},
+		}, RuleGracefulStop},
 		{"execution interrupted by a stop", func(o *Observations) {
 			o.Executions[0].End, o.Executions[0].EndedAt, o.Executions[0].BackEnd = EndCut, 25*second, address
 			o.Departures = nil
-		}, RulePlannedStop},
+		}, RuleGracefulStop},
 		{"call interrupted by a stop", func(o *Observations) {
 			o.Calls[3].Outcome, o.Calls[3].EndedAt = OutcomeLost, 21*second
-		}, RulePlannedStop},
+		}, RuleGracefulStop},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/lab/audit/observations.go
+++ b/internal/lab/audit/observations.go
@@ -128,8 +128,8 @@
 	SignalledAt time.Duration `json:"signalled_at"`
 }
 
-// PlannedStop is a graceful stop of a process, from the signal to its exit.
-type PlannedStop struct {
+// GracefulStop is a graceful stop of a process, from the signal to its exit.
+type GracefulStop struct {
 	Process string        `json:"process"` // address
 	From    time.Duration `json:"from"`
 	To      time.Duration `json:"to"`
@@ -145,13 +145,13 @@
 
 // Observations holds the observations of a run.
 type Observations struct {
-	Generations  []Generation  `json:"generations,omitempty"`
-	Executions   []Execution   `json:"executions,omitempty"`
-	Calls        []Call        `json:"calls,omitempty"`
-	Deliveries   []Delivery    `json:"deliveries,omitempty"`
-	Departures   []Departure   `json:"departures,omitempty"`
-	PlannedStops []PlannedStop `json:"planned_stops,omitempty"`
-	Faults       []Fault       `json:"faults,omitempty"`
+	Generations   []Generation   `json:"generations,omitempty"`
+	Executions    []Execution    `json:"executions,omitempty"`
+	Calls         []Call         `json:"calls,omitempty"`
+	Deliveries    []Delivery     `json:"deliveries,omitempty"`
+	Departures    []Departure    `json:"departures,omitempty"`
+	GracefulStops []GracefulStop `json:"planned_stops,omitempty"`
+	Faults        []Fault        `json:"faults,omitempty"`
 }
 
 // Merge appends the observations of another observer.
@@ -161,7 +161,7 @@
 	o.Calls = append(o.Calls, other.Calls...)
 	o.Deliveries = append(o.Deliveries, other.Deliveries...)
 	o.Departures = append(o.Departures, other.Departures...)
-	o.PlannedStops = append(o.PlannedStops, other.PlannedStops...)
+	o.GracefulStops = append(o.GracefulStops, other.GracefulStops...)
 	o.Faults = append(o.Faults, other.Faults...)
 }
 
--- a/internal/lab/engine/model_test.go
+++ b/internal/lab/engine/model_test.go
@@ -246,7 +246,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestSubmitRejections(t *testing.T) {
 	valid := Request{ID: "a", PromptTokens: 8, OutputTokens: 4}
 	with := func(change func(*Request)) Request { r := valid; change(&r); return r }
 	cases := []struct {
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -23,8 +23,8 @@
 	// Version is the version of the program.
 	Version  string   `json:"version"`
 	Settings Settings `json:"settings"`
-	// Given lists, for each sweep, the value of its setting without the sweep.
-	Given []string `json:"given,omitempty"`
+	// SweptDefaults lists, for each sweep, the value of its setting without the sweep.
+	SweptDefaults []string `json:"given,omitempty"`
 	// Points lists the point without swept values first, then those of the sweeps.
 	Points []Point `json:"points"`
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -53,11 +53,11 @@
 		}
 	}
 	return &Results{
-		Format:   resultsFormat,
-		Version:  programVersion(),
-		Settings: *plan.Settings,
-		Given:    plan.Settings.unsweptValues(),
-		Points:   points,
+		Format:        resultsFormat,
+		Version:       programVersion(),
+		Settings:      *plan.Settings,
+		SweptDefaults: plan.Settings.unsweptValues(),
+		Points:        points,
 	}, nil
 }
 
--- a/internal/lab/localfleet/fleet.go
+++ b/internal/lab/localfleet/fleet.go
@@ -50,7 +50,7 @@
 	standIns *standIns
 	operator *controlclient.Client
 	// stops lists the graceful stops of nodes, for the audit.
-	stops []audit.PlannedStop
+	stops []audit.GracefulStop
 }
 
 // Start starts a fleet and blocks until its configuration is accepted and every node is
@@ -169,7 +169,7 @@
 	for _, observations := range callers {
 		seen.Merge(observations)
 	}
-	seen.Merge(audit.Observations{PlannedStops: f.stops})
+	seen.Merge(audit.Observations{GracefulStops: f.stops})
 	limits := audit.Limits{Staleness: make(map[string]uint64)}
 	for _, trainer := range f.plan.Trainers {
 		limits.Staleness[string(trainer.Pool)] = trainer.Sampling.StalenessBound
--- a/internal/lab/localfleet/nodes.go
+++ b/internal/lab/localfleet/nodes.go
@@ -116,7 +116,7 @@
 	slot := f.nodes[index]
 	from := now()
 	err := slot.node.Drain(ctx)
-	f.stops = append(f.stops, audit.PlannedStop{
+	f.stops = append(f.stops, audit.GracefulStop{
 		Process: slot.httpAddress,
 		From:    from,
 		To:      now(),
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -243,7 +243,7 @@
 // sweptPoints returns the values of a sweep in ascending order, including the configured
 // value.
 func sweptPoints(results *experiment.Results, index int) []sweptPoint {
-	configured := results.Given[index]
+	configured := results.SweptDefaults[index]
 	points := []sweptPoint{{label: configured + " (as given)", value: experiment.SweptValue(configured), point: results.Base()}}
 	sweep := results.Settings.Sweeps[index]
 	for _, value := range sweep.Values {
--- a/internal/lab/report/sweep_internal_test.go
+++ b/internal/lab/report/sweep_internal_test.go
@@ -20,9 +20,9 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			results := &experiment.Results{
-				Settings: experiment.Settings{Sweeps: []experiment.Sweep{{Values: test.values}}},
-				Given:    []string{test.configured},
-				Points:   []experiment.Point{{}},
+				Settings:      experiment.Settings{Sweeps: []experiment.Sweep{{Values: test.values}}},
+				SweptDefaults: []string{test.configured},
+				Points:        []experiment.Point{{}},
 			}
 			var labels []string
 			for _, point := range sweptPoints(results, 0) {
--- a/internal/lab/sim/fault/depart.go
+++ b/internal/lab/sim/fault/depart.go
@@ -30,7 +30,7 @@
 				w.after(idleCheckInterval, check)
 				return
 			}
-			w.observed.rest.PlannedStops = append(w.observed.rest.PlannedStops, audit.PlannedStop{Process: address, From: listedAt, To: w.queue.Now()})
+			w.observed.rest.GracefulStops = append(w.observed.rest.GracefulStops, audit.GracefulStop{Process: address, From: listedAt, To: w.queue.Now()})
 			w.trace("%s has stopped", name)
 			retire()
 		}
--- a/internal/lab/sim/fault/fault_test.go
+++ b/internal/lab/sim/fault/fault_test.go
@@ -73,7 +73,7 @@
 		{SafeguardVersion, []Fault{FaultSwapMisdirected}, audit.RuleVersionsMatch},
 		{SafeguardStaleness, []Fault{FaultScorerLate, FaultPublishRace}, audit.RuleStaleness},
 		{SafeguardDeparture, []Fault{FaultBackEndLeaves}, audit.RuleDeparture},
-		{SafeguardDrain, []Fault{FaultNodeStop}, audit.RulePlannedStop},
+		{SafeguardDrain, []Fault{FaultNodeStop}, audit.RuleGracefulStop},
 		{SafeguardSingleDelivery, []Fault{FaultTrainerRequestsPrevious}, audit.RuleSampleOnce},
 		{SafeguardPrompts, []Fault{FaultCoordinatorStep}, audit.RuleSampleLost},
 	}
--- a/internal/lab/sim/fault/inject.go
+++ b/internal/lab/sim/fault/inject.go
@@ -199,7 +199,7 @@
 func (w *world) stopNode(n *node) {
 	from := w.queue.Now()
 	stopped := func() {
-		w.observed.rest.PlannedStops = append(w.observed.rest.PlannedStops, audit.PlannedStop{Process: n.name, From: from, To: w.queue.Now()})
+		w.observed.rest.GracefulStops = append(w.observed.rest.GracefulStops, audit.GracefulStop{Process: n.name, From: from, To: w.queue.Now()})
 		w.after(w.randomDuration(time.Second, 5*time.Second), n.start)
 	}
 	n.drain(stopped)
--- a/test/site/drain_test.go
+++ b/test/site/drain_test.go
@@ -70,7 +70,7 @@
 	s.submit("job-1", job(2, "item-1", "item-2", "item-3", "item-4", "item-5", "item-6"))
 	s.readAll("job-1")
 	for n := range 20 {
-		if status, body, _ := s.call("/plain/x", fmt.Sprint("attempt-", n)); status != http.StatusOK || body != sitestandin.Answer("i-b", fmt.Sprint("attempt-", n)) {
+		if status, body, _ := s.call("/plain/x", fmt.Sprint("attempt-", n)); status != http.StatusOK || body != sitestandin.ResponseBody("i-b", fmt.Sprint("attempt-", n)) {
 			t.Fatalf("attempt %d: %d %s", n, status, body)
 		}
 	}
@@ -88,7 +88,7 @@
 		t.Fatalf("drain of the other zone: %d", status)
 	}
 	s.waitDrained("b", true)
-	if status, body, _ := s.call("/plain/x", "later"); status != http.StatusOK || body != sitestandin.Answer("i-a", "later") {
+	if status, body, _ := s.call("/plain/x", "later"); status != http.StatusOK || body != sitestandin.ResponseBody("i-a", "later") {
 		t.Errorf("after the undo: %d %s", status, body)
 	}
 }
--- a/test/site/homes_test.go
+++ b/test/site/homes_test.go
@@ -38,7 +38,7 @@
 			"tenant": {"/any/x", "key-bound", "i-other"},
 		} {
 			id := fmt.Sprint(name, "-", n)
-			if status, body := with(row.path, id, row.key); status != http.StatusOK || body != sitestandin.Answer(row.replica, id) {
+			if status, body := with(row.path, id, row.key); status != http.StatusOK || body != sitestandin.ResponseBody(row.replica, id) {
 				t.Fatalf("%s: %d %s", id, status, body)
 			}
 		}
--- a/test/site/restart_test.go
+++ b/test/site/restart_test.go
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	if status, body, _ := s.call("/plain/x", "after"); status != http.StatusOK || body != sitestandin.Answer(replica.ID, "after") {
+	if status, body, _ := s.call("/plain/x", "after"); status != http.StatusOK || body != sitestandin.ResponseBody(replica.ID, "after") {
 		t.Errorf("after invalid heartbeats: %d %s", status, body)
 	}
 }
--- a/test/site/site_test.go
+++ b/test/site/site_test.go
@@ -600,7 +600,7 @@
 	s.startFront(&process{name: "front-1"})
 	waitUntil(t, "a call is served without a quorum", func() bool {
 		status, body, _ := s.call("/plain/x", "early")
-		return status == http.StatusOK && body == sitestandin.Answer(plainReplica.ID, "early")
+		return status == http.StatusOK && body == sitestandin.ResponseBody(plainReplica.ID, "early")
 	})
 	if status, _, header := s.call("/nowhere/", "unknown"); status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 		t.Errorf("unknown route without a confirmed view: status %d, want 503 with Retry-After", status)
--- a/test/sitestandin/replica.go
+++ b/test/sitestandin/replica.go
@@ -128,8 +128,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Answer returns the body of an application's response.
-func Answer(replica, id string) string { return fmt.Sprintf("answer of %s to %s", replica, id) }
+// ResponseBody returns the body of an application's response.
+func ResponseBody(replica, id string) string { return fmt.Sprintf("answer of %s to %s", replica, id) }
 
 func (r *Replica) serve(w http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get(Headers.ExpectedInstance); expected != "" && expected != r.ID {
@@ -168,7 +168,7 @@
 		r.generate(w, request)
 		return
 	}
-	_, _ = io.WriteString(w, Answer(r.ID, id))
+	_, _ = io.WriteString(w, ResponseBody(r.ID, id))
 }
 
 func (r *Replica) generate(w http.ResponseWriter, request *http.Request) {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -480,7 +480,7 @@
 	}()
 	<-started
 	front.stop()
-	if got, want := <-answered, fmt.Sprint(http.StatusOK, " ", sitestandin.Answer(slow.ID, "once-slow")); got != want {
+	if got, want := <-answered, fmt.Sprint(http.StatusOK, " ", sitestandin.ResponseBody(slow.ID, "once-slow")); got != want {
 		t.Errorf("answer %q, want %q", got, want)
 	}
 }
--- a/test/system/audit_test.go
+++ b/test/system/audit_test.go
@@ -39,7 +39,7 @@
 		all.Merge(s.journal(t, application(number+1)))
 	}
 	all.Merge(s.journal(t, machineList))
-	all.Merge(audit.Observations{PlannedStops: s.stops, Faults: s.faults})
+	all.Merge(audit.Observations{GracefulStops: s.stops, Faults: s.faults})
 	return all
 }
 
--- a/test/system/faults_test.go
+++ b/test/system/faults_test.go
@@ -194,7 +194,7 @@
 func (s *site) stopAndRestart(t *testing.T, target *process) {
 	from := now()
 	target.stop(t)
-	s.stops = append(s.stops, audit.PlannedStop{Process: s.addresses[target.name], From: from, To: now()})
+	s.stops = append(s.stops, audit.GracefulStop{Process: s.addresses[target.name], From: from, To: now()})
 	s.changeConfiguration(t)
 	s.waitForProgress(t, progressSteps)
 	target.start(t)
--- a/test/system/site_test.go
+++ b/test/system/site_test.go
@@ -55,7 +55,7 @@
 	// queueLength and revision are the values of the last accepted change.
 	queueLength int
 	revision    port.Revision
-	stops       []audit.PlannedStop
+	stops       []audit.GracefulStop
 	faults      []audit.Fault
 }
 
